--- a/src/main/java/wallmoor/Main.java
+++ b/src/main/java/wallmoor/Main.java
@@ -102,12 +102,16 @@
     /** A signal before there is a gatherer changes nothing: that one reads the files itself. */
     private static void onHangUp() {
         try {
-            HangUp.runs(() -> {
+            boolean heard = HangUp.runs(() -> {
                 Service told = service;
                 if (told != null) {
                     told.reload();
                 }
             });
+            if (!heard) {
+                LoggerFactory.getLogger(Main.class).warn("SIGHUP is ignored since before the start: the configuration"
+                        + " will not be read again; start without nohup to have it so");
+            }
         } catch (IllegalArgumentException e) {
             LoggerFactory.getLogger(Main.class).warn("SIGHUP can't be handled here: {}", e.toString());
         }
--- a/src/main/java/wallmoor/http/Connection.java
+++ b/src/main/java/wallmoor/http/Connection.java
@@ -2,35 +2,53 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.nio.channels.ReadableByteChannel;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * A client's connection. At rest it is watched and has no thread; what comes in is fed to it, and from a request's first
- * byte to its answer a thread of the pool reads, works and answers. The feed is the lock of what a connection is at.
+ * A client's connection. Between requests it is watched by the selector's thread and has none of its own; what comes in is
+ * fed to it, and from a request's first byte to its answer a thread of the pool reads, works and answers.
+ *
+ * <p>The feed is the lock of its state. Reading from the channel, and ending the connection from here, are each one step
+ * under that lock: a request that was read before the end is answered, and what is read after it is discarded. The states,
+ * their events and the tests that force them stand in {@code docs/connections.md}.
  */
 final class Connection {
-    /**
-     * What a connection is at. Only one that is silent, at rest or leaving may be closed to make room; that it is so
-     * and its close are one step, so that no request that is being read is ever cut off. Between requests it is idle, or
-     * aside where none of them was work: who looks whether this gatherer is ready mostly connects for each look.
-     */
-    enum Phase { SILENT, FIRST, BUSY, ASIDE, IDLE, LEAVING, CLOSED }
+    /** What a connection is at. */
+    enum State {
+        /** Nothing has come yet. */
+        NEW,
+        /** Its first request has begun to come. */
+        FIRST_REQUEST,
+        /** A request is being read or is at work. */
+        ACTIVE,
+        /** Between requests, none of which was work: a health check mostly connects anew each time. */
+        IDLE_UNUSED,
+        /** Between requests. */
+        IDLE,
+        /** The output is shut; what still comes is read and discarded until the client closes too, for a bounded time. */
+        CLOSING,
+        /** It is over. */
+        CLOSED
+    }
 
-    /** After an error, what still comes is read and thrown away until so long after connecting. */
-    static final long LINGER_MILLIS = 5_200;
-    /** ... or after its answer, where the request came whole. */
-    static final long GOODBYE_MILLIS = 500;
+    /** After an error, what still comes is read and discarded until so long after connecting. */
+    static final long ERROR_LINGER_MILLIS = 5_200;
+    /** ... or after the last answer, or the end of an idle connection. */
+    static final long LINGER_MILLIS = 500;
+    private static final byte[] TOO_BUSY = HttpOut.bytes(503, "Retry-After: 1\r\n", Server.Exchange.plain("too much at work"),
+            true, false);
 
     private final Server server;
     private final Wire wire;
     private final Feed feed;
     private final HttpIn in;
     private final long openedAt = System.nanoTime();
-    private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.SILENT);
+    /** Changes under the lock of the feed. */
+    private volatile State state = State.NEW;
     private volatile long since = openedAt;
     private volatile long writingSince;
-    private volatile long leaveAt;
+    private volatile long closeAt;
     private boolean first = true;
     /** A request on it was work; of the thread that serves it. */
     private boolean worked;
@@ -44,8 +62,8 @@
         in = new HttpIn(feed);
     }
 
-    Phase at() {
-        return phase.get();
+    State state() {
+        return state;
     }
 
     long since() {
@@ -54,38 +72,49 @@
 
     // ---- what comes in: by the watching thread, which waits for nothing ------------------------------------
 
-    /** These bytes came; false if nothing more is wanted until it asks. Where it is leaving they are thrown away. */
-    boolean fed(ByteBuffer bytes) {
-        boolean more;
-        boolean begins = false;
+    /**
+     * Reads what the channel has; false if nothing more is wanted until it asks. To read, and to know whether the connection
+     * still takes requests, is one step: else it could be ended in between, with a request read and never answered.
+     */
+    boolean readFrom(ReadableByteChannel channel, ByteBuffer scratch) throws IOException {
         synchronized (feed) {
-            Phase now = phase.get();
-            if (now == Phase.LEAVING || now == Phase.CLOSED) {
+            int length = channel.read(scratch.clear());
+            if (length >= 0) {
+                return length == 0 || received(scratch.flip());
+            }
+        }
+        ended();
+        return false;
+    }
+
+    /** Takes bytes that came; whether more are wanted. Where the connection is ending they are discarded. */
+    boolean received(ByteBuffer bytes) {
+        synchronized (feed) {
+            if (state == State.CLOSING || state == State.CLOSED) {
                 return true;
             }
-            more = feed.add(bytes);
-            if (now == Phase.SILENT || rests(now)) {
-                begins = become(now == Phase.SILENT ? Phase.FIRST : Phase.BUSY);
+            boolean more = feed.add(bytes);
+            if (state == State.NEW || idle(state)) {
+                become(state == State.NEW ? State.FIRST_REQUEST : State.ACTIVE);
+                if (!server.begin(this)) {
+                    turnAway();
+                }
             }
+            return more;
         }
-        if (begins && !server.begin(this)) {
-            turnAway();
-        }
-        return more;
     }
 
-    /** Nothing more comes: the client has left, and takes an answer no more if its connection was reset. */
-    void ended(boolean reset) {
-        Server.Exchange left = null;
-        boolean close = false;
+    /**
+     * The client has closed: it has gone, whatever it sent before, and so has who waits for the request at work. One that is
+     * still being read ends with its reader.
+     */
+    void ended() {
+        Server.Exchange left;
+        boolean close;
         synchronized (feed) {
             feed.end();
-            Phase now = phase.get();
-            if (now == Phase.SILENT || rests(now) || now == Phase.LEAVING) {
-                close = phase.compareAndSet(now, Phase.CLOSED);
-            } else if (current != null && (reset || !unread())) {
-                left = current;
-            }
+            left = current;
+            close = state == State.NEW || idle(state) || state == State.CLOSING;
         }
         if (close) {
             close();
@@ -104,8 +133,8 @@
     /** No thread is left to read what has begun: it was not begun upon, and its client may ask again. */
     private void turnAway() {
         try {
-            if (wire.offer(HttpOut.bytes(503, "Retry-After: 1\r\n", Server.Exchange.plain("too much at work"), true, false))) {
-                leave();
+            if (wire.offer(TOO_BUSY)) {
+                halfClose(lingerAfterRequest());
                 return;
             }
         } catch (IOException e) {
@@ -116,34 +145,36 @@
 
     // ---- a request, by a thread of the pool ---------------------------------------------------------------
 
-    /** Serves what has come, until it rests or ends. An exception here ends this connection and no other. */
+    /** Serves what has come, until it is idle or ends. An exception here ends this connection and no other. */
     void serve() {
-        boolean rests = false;
+        boolean handedBack = false;
         try {
             boolean keep = true;
-            while (keep && !rests && in.await(0)) {
+            while (keep && !handedBack && in.await(0)) {
                 keep = one();
-                rests = keep && rest();
-            }
-            if (!keep) {
-                leave();
-                rests = true;
+                handedBack = keep && rest();
             }
         } catch (IOException e) {
-            // the client has gone
+            // the client has gone, or what it sent was cut off at the bound
         } catch (RuntimeException | OutOfMemoryError e) {
             server.failed(e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            if (!rests) {
-                close();
+            if (!handedBack) {
+                halfClose(lingerAfterRequest());
             }
         }
     }
 
+    /** A client that was told off may go on sending for as long as a first request may take. */
+    private long lingerAfterRequest() {
+        long sinceOpen = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt);
+        return Math.max(LINGER_MILLIS, ERROR_LINGER_MILLIS - sinceOpen);
+    }
+
     /** How long the request at hand may take to come in. */
-    private int patience() {
+    private int requestTimeout() {
         long sinceOpen = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt);
         int left = first ? (int) Math.max(100, server.patience().first() - sinceOpen) : server.patience().request();
         first = false;
@@ -153,19 +184,20 @@
     private boolean one() throws IOException, InterruptedException {
         Message request;
         try {
-            request = in.request(patience());
+            request = in.request(requestTimeout());
         } catch (HttpProblem e) {
             server.exchange(this, null).answer(e.status(), "", Server.Exchange.plain(e.getMessage()));
             return false;
         }
-        if (!become(Phase.BUSY)) {
-            return false; // closed to make room, with nothing done for it
-        }
         Server.Exchange exchange = server.exchange(this, request);
         boolean gone;
         synchronized (feed) {
+            if (!become(State.ACTIVE)) {
+                return false; // evicted, with nothing done for it
+            }
             current = exchange;
-            gone = feed.ended() && !unread();
+            gone = feed.ended();
+            feed.readOn(true);
         }
         try {
             if (gone) {
@@ -176,52 +208,24 @@
             worked |= exchange.wasWork();
             synchronized (feed) {
                 current = null;
+                feed.readOn(false);
             }
         }
     }
 
-    /** Goes back to rest and gives up its thread; false where more has come or it has ended. */
+    /** Is idle from now on and gives up its thread; false where more has come or it has ended. */
     private boolean rest() {
         synchronized (feed) {
-            if (unread() || feed.ended()) {
-                become(Phase.BUSY);
+            if (feed.waiting() > 0 || in.buffered() || feed.ended() || feed.truncated()) {
+                become(State.ACTIVE);
                 return false;
             }
-            become(worked ? Phase.IDLE : Phase.ASIDE);
-            return true;
+            return become(worked ? State.IDLE : State.IDLE_UNUSED);
         }
     }
 
-    private static boolean rests(Phase at) {
-        return at == Phase.IDLE || at == Phase.ASIDE;
-    }
-
-    private boolean unread() {
-        return feed.waiting() > 0 || in.buffered();
-    }
-
-    /**
-     * The last answer has gone out, and the client is told. Closing on bytes not yet read would reset the connection and
-     * could take the answer with it: all that comes is read, however much the client set out to send.
-     */
-    private void leave() {
-        long now = System.nanoTime();
-        leaveAt = Math.max(openedAt + TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS),
-                now + TimeUnit.MILLISECONDS.toNanos(GOODBYE_MILLIS));
-        boolean ended;
-        synchronized (feed) {
-            become(Phase.LEAVING);
-            feed.clear();
-            ended = feed.ended();
-        }
-        try {
-            wire.shutdownOutput();
-        } catch (IOException e) {
-            ended = true; // it has gone already
-        }
-        if (ended) {
-            closeIf(Phase.LEAVING, 0);
-        }
+    private static boolean idle(State state) {
+        return state == State.IDLE || state == State.IDLE_UNUSED;
     }
 
     /** Writes an answer; one that takes nothing of it for long is closed by {@link #tidy}. */
@@ -254,44 +258,105 @@
         if (writing != 0 && now - writing > TimeUnit.MILLISECONDS.toNanos(writeMillis)) {
             close();
         }
-        if (at() == Phase.LEAVING && now - leaveAt >= 0) {
-            closeIf(Phase.LEAVING, 0);
+        if (state == State.CLOSING && now - closeAt >= 0) {
+            close();
         }
-        closeIf(Phase.SILENT, server.patience().silent());
-        closeAtRest(idleMillis);
+        halfCloseIf(State.NEW, server.patience().silent());
+        halfCloseIdle(idleMillis);
     }
 
-    /** Closes it if it has rested between requests for so long. */
-    void closeAtRest(long millis) {
-        closeIf(Phase.IDLE, millis);
-        closeIf(Phase.ASIDE, millis);
+    /** Ends it gracefully if it has been idle for so long. */
+    void halfCloseIdle(long millis) {
+        halfCloseIf(State.IDLE, millis);
+        halfCloseIf(State.IDLE_UNUSED, millis);
     }
 
-    /** Closes it if it has been at this for so long. */
-    boolean closeIf(Phase at, long millis) {
-        boolean close = phase.get() == at && System.nanoTime() - since >= TimeUnit.MILLISECONDS.toNanos(millis)
-                && phase.compareAndSet(at, Phase.CLOSED);
-        if (close) {
+    /** Ends it gracefully if it has been in this state for so long. */
+    void halfCloseIf(State in, long millis) {
+        if (state != in) {
+            return;
+        }
+        synchronized (feed) {
+            if (hasBeen(in, millis)) {
+                halfClose(LINGER_MILLIS);
+            }
+        }
+    }
+
+    /**
+     * Ends it from this side: the client is told that nothing more comes, and what it still sends is read and discarded. To
+     * close over bytes not yet read would reset the connection, and could take the last answer with it.
+     *
+     * @param lingerMillis for how long the client may go on sending
+     */
+    private void halfClose(long lingerMillis) {
+        boolean clientEnded;
+        synchronized (feed) {
+            clientEnded = feed.ended();
+            if (!clientEnded && become(State.CLOSING)) {
+                closeAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(lingerMillis);
+                try {
+                    wire.shutdownOutput();
+                } catch (IOException e) {
+                    clientEnded = true; // it has gone already
+                }
+                feed.clear();
+            }
+        }
+        if (clientEnded) {
             close();
         }
+    }
+
+    /** Closes it at once if it has been in this state for so long: its descriptor is wanted. */
+    boolean closeIf(State in, long millis) {
+        boolean close;
+        synchronized (feed) {
+            close = hasBeen(in, millis);
+            if (close) {
+                if (in == State.FIRST_REQUEST) {
+                    refuse();
+                }
+                close();
+            }
+        }
         return close;
     }
 
-    void close() {
-        phase.set(Phase.CLOSED);
-        server.forget(this);
+    /** Whoever has begun to ask is told to come again: its request may have come whole this moment. */
+    private void refuse() {
         try {
-            wire.close();
+            wire.offer(TOO_BUSY);
         } catch (IOException e) {
-            // it is closed as far as it can be
+            // it has gone
+        }
+    }
+
+    private boolean hasBeen(State in, long millis) {
+        return state == in && System.nanoTime() - since >= TimeUnit.MILLISECONDS.toNanos(millis);
+    }
+
+    /** Ends it at once. */
+    void close() {
+        synchronized (feed) {
+            state = State.CLOSED;
+            try {
+                wire.close();
+            } catch (IOException e) {
+                // it is closed as far as it can be
+            }
+            feed.end();
         }
-        feed.end();
+        server.forget(this);
     }
 
-    /** Goes on to another phase, unless it has been closed. */
-    private boolean become(Phase next) {
-        Phase now = phase.get();
+    /** Goes on to another state, unless it is ending or over. Guarded by the feed. */
+    private boolean become(State next) {
+        if (state == State.CLOSING || state == State.CLOSED) {
+            return false;
+        }
         since = System.nanoTime();
-        return now != Phase.CLOSED && phase.compareAndSet(now, next);
+        state = next;
+        return true;
     }
 }
--- a/src/main/java/wallmoor/http/Feed.java
+++ b/src/main/java/wallmoor/http/Feed.java
@@ -11,7 +11,10 @@
  * with nothing in it it holds no buffer, as most connections rest.
  */
 final class Feed extends InputStream {
-    /** So much waits unread at most: a reader that has fallen behind is filled up no further, and the peer waits. */
+    /**
+     * So much waits unread at most: a reader that has fallen behind is filled up no further, and the peer waits. While a
+     * request is at work the peer is read on beyond that, so that its close is seen behind whatever it sent.
+     */
     static final int MOST = 16 * 1024;
     private static final int FIRST = 1024;
     private static final byte[] NONE = new byte[0];
@@ -23,6 +26,8 @@
     private int timeoutMillis;
     private long arrivedAt;
     private boolean full;
+    private boolean readingOn;
+    private boolean truncated;
     private final Runnable resume;
 
     /** One that asks for more by this once it was full and has been read. */
@@ -32,6 +37,10 @@
 
     /** Takes what is there, which the peer said now; false if nothing more is wanted until it asks. */
     synchronized boolean add(ByteBuffer from) {
+        if (truncated || readingOn && waiting() >= MOST) {
+            truncated = true;
+            return true;
+        }
         int more = from.remaining();
         if (at == end) {
             arrivedAt = System.nanoTime();
@@ -45,11 +54,27 @@
         }
         from.get(bytes, end, more);
         end += more;
-        full = end - at >= MOST;
+        full = !readingOn && waiting() >= MOST;
         notifyAll();
         return !full;
     }
 
+    /**
+     * Whether the peer is read on however much is unread. What it sends beyond the bound is discarded then, and the feed
+     * ends with what it holds: see {@link #truncated}.
+     */
+    synchronized void readOn(boolean on) {
+        readingOn = on;
+        if (on) {
+            wantMore();
+        }
+    }
+
+    /** Whether bytes were discarded: what is unread is all that can still be read. */
+    synchronized boolean truncated() {
+        return truncated;
+    }
+
     /** Forgets what is unread; what comes from here on is thrown away by whoever brings it. */
     synchronized void clear() {
         at = 0;
@@ -99,7 +124,7 @@
     public synchronized int read(byte[] to, int from, int length) throws InterruptedIOException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         try {
-            while (at == end && !ended && length > 0) {
+            while (at == end && !ended && !truncated && length > 0) {
                 long left = timeoutMillis == 0 ? 0 : TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime() + 999_999);
                 if (left < 0 || left == 0 && timeoutMillis != 0) {
                     throw new SocketTimeoutException("nothing came in " + timeoutMillis + " ms");
--- a/src/main/java/wallmoor/http/HttpIn.java
+++ b/src/main/java/wallmoor/http/HttpIn.java
@@ -36,8 +36,13 @@
     private byte[] buffer = new byte[FIRST_SIZE];
     private int at;
     private int end;
+    /** When the first byte of the message at hand came, which may be while the one before was at work. */
     private long begunAt;
+    /** When its reading began: the time that it may take to come in counts from here. */
+    private long readSince;
     private long giveUpAt;
+    /** When the bytes read last came, or sooner. */
+    private long arrivedAt;
     private boolean chunked;
     private int chunkLeft;
     private int mostBody = MOST_BODY;
@@ -75,20 +80,20 @@
                 buffer = new byte[FIRST_SIZE];
             }
             patience.set(millis);
-            long arrived = feed != null && feed.waiting() > 0 ? feed.arrivedAt() : 0;
             if (!more()) {
                 return false;
             }
-            begunAt = arrived != 0 ? arrived : System.nanoTime();
+            readSince = arrivedAt;
         } else {
-            begunAt = System.nanoTime();
+            readSince = System.nanoTime();
         }
+        begunAt = arrivedAt;
         return true;
     }
 
     /** Reads a request whose first byte is in. */
     public Message request(int millis) throws IOException, HttpProblem {
-        giveUpAt = begunAt + TimeUnit.MILLISECONDS.toNanos(millis);
+        giveUpAt = readSince + TimeUnit.MILLISECONDS.toNanos(millis);
         String[] first = line(0, 414).split(" ", -1);
         if (first.length != 3 || first[0].isEmpty() || !first[1].startsWith("/") || !first[2].startsWith("HTTP/")) {
             throw new HttpProblem(400, "malformed request line");
@@ -103,7 +108,7 @@
 
     /** Reads an answer: all of it, or only its head where the body is to be read line by line. */
     public Message answer(int millis, boolean withBody) throws IOException, HttpProblem {
-        giveUpAt = begunAt + TimeUnit.MILLISECONDS.toNanos(millis);
+        giveUpAt = readSince + TimeUnit.MILLISECONDS.toNanos(millis);
         String first = line(0, 400);
         if (!isStatus(first)) {
             throw new HttpProblem(400, "malformed status line");
@@ -369,8 +374,10 @@
     }
 
     private boolean more() throws IOException {
+        long waitedSince = feed != null && feed.waiting() > 0 ? feed.arrivedAt() : 0;
         int n = in.read(buffer, end, buffer.length - end);
         end += Math.max(0, n);
+        arrivedAt = waitedSince != 0 ? waitedSince : System.nanoTime();
         return n > 0;
     }
 }
--- a/src/main/java/wallmoor/http/Inherited.java
+++ b/src/main/java/wallmoor/http/Inherited.java
@@ -54,9 +54,4 @@
         stopped = true;
         selector.wakeup();
     }
-
-    @Override
-    public boolean stopped() {
-        return stopped;
-    }
 }
--- a/src/main/java/wallmoor/http/Rest.java
+++ b/src/main/java/wallmoor/http/Rest.java
@@ -73,7 +73,7 @@
                 read(key, connection);
             }
         } catch (CancelledKeyException e) {
-            connection.ended(true); // it was closed here
+            connection.ended(); // it was closed here
         } catch (RuntimeException | OutOfMemoryError e) { // ends this connection and no other
             log.accept("connection ended: " + e);
             key.cancel();
@@ -84,16 +84,12 @@
     /** Nothing here waits, whatever the peer does: all other connections would wait with it. */
     private void read(SelectionKey key, Connection connection) {
         try {
-            int n = ((SocketChannel) key.channel()).read(scratch.clear());
-            if (n < 0) {
-                key.interestOpsAnd(~SelectionKey.OP_READ); // the end stays readable
-                connection.ended(false);
-            } else if (n > 0 && !connection.fed(scratch.flip())) {
-                key.interestOpsAnd(~SelectionKey.OP_READ);
+            if (!connection.readFrom((SocketChannel) key.channel(), scratch)) {
+                key.interestOpsAnd(~SelectionKey.OP_READ); // an end stays readable
             }
         } catch (IOException e) {
             key.cancel();
-            connection.ended(true);
+            connection.ended();
         }
     }
 
@@ -114,7 +110,7 @@
                 try {
                     key = channel.register(selector, SelectionKey.OP_READ, to);
                 } catch (ClosedChannelException e) {
-                    to.ended(true);
+                    to.ended();
                 }
             });
         }
--- a/src/main/java/wallmoor/http/Server.java
+++ b/src/main/java/wallmoor/http/Server.java
@@ -4,6 +4,7 @@
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.channels.ClosedChannelException;
 import java.util.EnumMap;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
@@ -11,7 +12,7 @@
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import wallmoor.http.Connection.Phase;
+import wallmoor.http.Connection.State;
 
 /**
  * Serves HTTP/1.1: one thread watches the connections at rest, and a request is read, worked on and answered by one thread
@@ -99,6 +100,8 @@
     private volatile boolean leaving;
     /** Connections at rest stay, however long they have rested. */
     private volatile boolean staying;
+    /** Connections may still come out of the listening socket's queue. */
+    private volatile boolean accepting;
 
     /** Listens, unless the address is null; {@link #start} begins to serve. */
     public Server(String name, InetSocketAddress listen, int mostConnections, int mostWork, Handler handler,
@@ -136,6 +139,7 @@
     public void start() {
         try {
             var rest = new Rest(name, log);
+            accepting = true;
             Threads.start(name + "-accept", () -> accept(rest));
             Threads.start(name + "-watch", this::watch);
         } catch (IOException e) {
@@ -166,57 +170,61 @@
         mostConnections = most;
     }
 
-    /** Takes no more connections, closes idle ones, and waits for the answers to those at work. */
+    /**
+     * Takes no more connections but those that wait already, ends idle ones gracefully, and waits for the answers to those
+     * at work.
+     */
     public void finish(long millis) throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         listening.stop();
-        while (!connections.isEmpty() && System.nanoTime() < until) {
-            connections.forEach(c -> c.closeAtRest(0));
-            connections.forEach(c -> c.closeIf(Phase.SILENT, patience.makeRoom()));
-            connections.forEach(c -> c.closeIf(Phase.LEAVING, Connection.GOODBYE_MILLIS));
+        while ((accepting || !connections.isEmpty()) && System.nanoTime() < until) {
+            connections.forEach(c -> c.halfCloseIdle(0));
+            connections.forEach(c -> c.halfCloseIf(State.NEW, patience.makeRoom()));
+            connections.forEach(c -> c.closeIf(State.CLOSING, Connection.LINGER_MILLIS));
             Thread.sleep(20);
         }
     }
 
     private void accept(Rest rest) {
-        while (!listening.stopped()) {
+        while (accepting) {
             Connection connection = null;
             try {
                 Rest.Over over = rest.over(listening.accept());
                 connection = new Connection(this, over);
-                while (connections.size() >= mostConnections && !listening.stopped()) {
+                while (connections.size() >= mostConnections) {
                     makeRoom();
                 }
                 connections.add(connection);
                 over.begin(connection);
+            } catch (ClosedChannelException e) {
+                accepting = false;
             } catch (IOException | OutOfMemoryError e) {
                 if (connection != null) {
                     connection.close();
                 }
-                if (!listening.stopped()) {
-                    log.accept(name + " cannot accept: " + e);
-                    pause(5);
-                }
+                log.accept(name + " cannot accept: " + e);
+                pause(5);
             }
         }
     }
 
-    /** At the cap one makes room, as {@link Room} says; with none such the accepting thread waits, and connects queue. */
+    /** At the cap one is evicted, as {@link Eviction} says; with none such the accepting thread waits, and connects queue. */
     private void makeRoom() {
-        var oldest = new EnumMap<Phase, Connection>(Phase.class);
+        var oldest = new EnumMap<State, Connection>(State.class);
         for (Connection c : connections) {
-            oldest.merge(c.at(), c, (a, b) -> a.since() <= b.since() ? a : b);
+            oldest.merge(c.state(), c, (a, b) -> a.since() <= b.since() ? a : b);
         }
         long now = System.nanoTime();
-        Phase which = Room.makes(new Room.Oldest(age(oldest, Phase.LEAVING, now), age(oldest, Phase.ASIDE, now),
-                age(oldest, Phase.SILENT, now), age(oldest, Phase.IDLE, now), age(oldest, Phase.FIRST, now)), patience);
-        if (which == null || !oldest.get(which).closeIf(which, 0)) {
+        var ages = new Eviction.OldestMillis(age(oldest, State.CLOSING, now), age(oldest, State.IDLE_UNUSED, now),
+                age(oldest, State.NEW, now), age(oldest, State.IDLE, now), age(oldest, State.FIRST_REQUEST, now));
+        State victim = Eviction.choose(ages, patience);
+        if (victim == null || !oldest.get(victim).closeIf(victim, 0)) {
             pause(ROOM_MILLIS);
         }
     }
 
-    private static long age(EnumMap<Phase, Connection> oldest, Phase phase, long now) {
-        Connection c = oldest.get(phase);
+    private static long age(EnumMap<State, Connection> oldest, State state, long now) {
+        Connection c = oldest.get(state);
         return c == null ? -1 : TimeUnit.NANOSECONDS.toMillis(now - c.since());
     }
 
@@ -346,6 +354,11 @@
             return work;
         }
 
+        /** Whether the client has left: nothing need be begun for it. */
+        public synchronized boolean clientHasGone() {
+            return gone;
+        }
+
         /** Runs this once if the client leaves before the answer; at once if it has left. */
         public void whenGone(Runnable action) {
             synchronized (this) {
--- a/src/main/java/wallmoor/http/SocketWire.java
+++ b/src/main/java/wallmoor/http/SocketWire.java
@@ -21,11 +21,11 @@
         try {
             InputStream in = socket.getInputStream();
             for (int n = in.read(bytes); n >= 0; n = in.read(bytes)) {
-                to.fed(ByteBuffer.wrap(bytes, 0, n));
+                to.received(ByteBuffer.wrap(bytes, 0, n));
             }
-            to.ended(false);
+            to.ended();
         } catch (IOException e) {
-            to.ended(true);
+            to.ended();
         }
     }
 
--- a/src/main/java/wallmoor/http/Wire.java
+++ b/src/main/java/wallmoor/http/Wire.java
@@ -14,6 +14,6 @@
     /** Tells the peer that nothing more comes. */
     void shutdownOutput() throws IOException;
 
-    /** Asks for what comes in again after {@link Connection#fed} wanted no more. */
+    /** Asks for what comes in again after {@link Connection#received} wanted no more. */
     void resume();
 }
--- a/src/main/java/wallmoor/platform/Platform.java
+++ b/src/main/java/wallmoor/platform/Platform.java
@@ -136,6 +136,9 @@
 
     private void query(Message request, Server.Exchange exchange)
             throws IOException, HttpProblem, InterruptedException {
+        if (exchange.clientHasGone()) {
+            return; // nobody waits for it: nothing is sent on
+        }
         Json.Obj body;
         try {
             Slice s = request.body();
--- a/src/signals/java/wallmoor/signals/HangUp.java
+++ b/src/signals/java/wallmoor/signals/HangUp.java
@@ -15,9 +15,13 @@
         this.action = action;
     }
 
-    /** From now on this is run at each SIGHUP, on a thread of its own; fails where the signal is not to be had. */
-    public static void runs(Runnable action) {
-        Signal.handle(new Signal("HUP"), new HangUp(action));
+    /**
+     * From now on this is run at each SIGHUP, on a thread of its own; fails where the signal is not to be had.
+     *
+     * @return whether it will be: where the process was started with SIGHUP ignored, as by nohup, it stays so
+     */
+    public static boolean runs(Runnable action) {
+        return Signal.handle(new Signal("HUP"), new HangUp(action)) != SignalHandler.SIG_IGN;
     }
 
     @Override
--- a/src/test/java/wallmoor/LayersTest.java
+++ b/src/test/java/wallmoor/LayersTest.java
@@ -116,7 +116,7 @@
             String text = read(Path.of("src/main/java/wallmoor/dns", file + ".java")).replace("java.net.InetSocketAddress", "");
             assertEquals(file, List.of(), forbidden.matcher(text).results().map(r -> r.group()).toList());
         }
-        for (String file : List.of("discovery/ListClock", "http/Room", "agreement/Newcomer", "prune/AgreedSites")) { // those of packages with I/O
+        for (String file : List.of("discovery/ListClock", "http/Eviction", "agreement/Newcomer", "prune/AgreedSites")) { // those of packages with I/O
             String text = read(Path.of("src/main/java/wallmoor", file + ".java"));
             assertEquals(file, List.of(), forbidden.matcher(text).results().map(r -> r.group()).toList());
         }
--- a/src/test/java/wallmoor/http/RoomTest.java
+++ b/src/test/java/wallmoor/http/EvictionTest.java
@@ -5,10 +5,10 @@
 import static org.junit.Assert.assertTrue;
 
 import org.junit.Test;
-import wallmoor.http.Connection.Phase;
+import wallmoor.http.Connection.State;
 
-/** Who makes room at the cap, over all ages round each bound. */
-public class RoomTest {
+/** Who is evicted at the cap, over all ages round each bound. */
+public class EvictionTest {
     private static final Server.Patience P = Server.Patience.SHORT;
     private static final long[] AGES = {-1, 0, 49, 50, 249, 250, 399, 400, 499, 500, 699, 700, 5_000};
 
@@ -18,17 +18,17 @@
             for (long silent : AGES) {
                 for (long idle : AGES) {
                     for (long first : AGES) {
-                        assertEquals(leaving >= 500 ? Phase.LEAVING : Phase.ASIDE,
-                                Room.makes(new Room.Oldest(leaving, P.rests(), silent, idle, first), P));
-                        var now = new Room.Oldest(leaving, P.rests() - 1, silent, idle, first);
-                        Phase makes = Room.makes(now, P);
+                        assertEquals(leaving >= 500 ? State.CLOSING : State.IDLE_UNUSED,
+                                Eviction.choose(new Eviction.OldestMillis(leaving, P.rests(), silent, idle, first), P));
+                        var now = new Eviction.OldestMillis(leaving, P.rests() - 1, silent, idle, first);
+                        State victim = Eviction.choose(now, P);
                         boolean any = leaving >= 500 || silent >= P.makeRoom() || idle >= P.rests() || first >= P.half();
-                        assertEquals(now.toString(), any, makes != null);
-                        if (makes == Phase.SILENT) {
+                        assertEquals(now.toString(), any, victim != null);
+                        if (victim == State.NEW) {
                             assertTrue(now.toString(), leaving < 500 && idle < P.rested() && silent >= P.makeRoom());
-                        } else if (makes == Phase.IDLE) {
+                        } else if (victim == State.IDLE) {
                             assertTrue(now.toString(), leaving < 500 && (idle >= P.rested() || silent < P.makeRoom()));
-                        } else if (makes == Phase.FIRST) {
+                        } else if (victim == State.FIRST_REQUEST) {
                             assertTrue(now.toString(), leaving < 500 && silent < P.makeRoom() && idle < P.rests());
                         }
                     }
@@ -39,9 +39,9 @@
 
     @Test
     public void oneThatWasJustTakenOrIsAtWorkIsLetBe() {
-        assertNull(Room.makes(new Room.Oldest(-1, -1, 0, -1, -1), P));
-        assertNull(Room.makes(new Room.Oldest(499, 49, 399, 49, 699), P));
-        assertEquals(Phase.IDLE, Room.makes(new Room.Oldest(0, -1, 2_000, 250, 2_000), P));
-        assertEquals(Phase.SILENT, Room.makes(new Room.Oldest(0, -1, 400, 249, 2_000), P));
+        assertNull(Eviction.choose(new Eviction.OldestMillis(-1, -1, 0, -1, -1), P));
+        assertNull(Eviction.choose(new Eviction.OldestMillis(499, 49, 399, 49, 699), P));
+        assertEquals(State.IDLE, Eviction.choose(new Eviction.OldestMillis(0, -1, 2_000, 250, 2_000), P));
+        assertEquals(State.NEW, Eviction.choose(new Eviction.OldestMillis(0, -1, 400, 249, 2_000), P));
     }
 }
