--- /dev/null
+++ b/src/test/java/wallmoor/verify/KnownFailures.java
@@ -0,0 +1,80 @@
+package wallmoor.verify;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
+/**
+ * Compares the results of a test run with {@code KNOWN-RED.txt}, the list of tests that are known to fail.
+ *
+ * <p>The build calls it in the phase {@code test}, after Surefire, and only where that file exists; Surefire itself then
+ * leaves the verdict on failures to this class. Each line of the file reads
+ * {@code wallmoor.net.SomeTest#method: cause; issue 30}.
+ */
+public final class KnownFailures {
+    private static final int MAX_ENTRIES = 3;
+    private static final Pattern LINE = Pattern.compile("(?<test>\\S+#.+?): (?<cause>.+); issue (?<issue>\\d+)");
+
+    /** What the listed tests came to, a line each, and the reasons why the build fails, if any. */
+    record Verdict(List<String> known, List<String> problems) {
+    }
+
+    private KnownFailures() {
+    }
+
+    /**
+     * Prints the known failures and ends with exit code 1 if anything else is wrong.
+     *
+     * @param args the list, the directory of Surefire's reports, and when the build began: older reports are left out
+     */
+    public static void main(String[] args) throws IOException {
+        List<String> lines = Files.readAllLines(Path.of(args[0]));
+        Map<String, TestOutcome> outcomes = SurefireReports.read(Path.of(args[1]), Instant.parse(args[2]));
+        Verdict verdict = judge(lines, outcomes);
+        verdict.known().forEach(System.out::println);
+        verdict.problems().forEach(System.err::println);
+        if (!verdict.problems().isEmpty()) {
+            System.exit(1);
+        }
+    }
+
+    /** Decides on the list's lines and the outcome of each test that was run. */
+    static Verdict judge(List<String> lines, Map<String, TestOutcome> outcomes) {
+        var known = new ArrayList<String>();
+        var problems = new ArrayList<String>();
+        if (lines.size() > MAX_ENTRIES) {
+            problems.add("KNOWN-RED.txt has " + lines.size() + " lines, at most " + MAX_ENTRIES + " are allowed");
+        }
+        var unlisted = new TreeMap<>(outcomes);
+        for (String line : lines) {
+            Matcher entry = LINE.matcher(line);
+            if (!entry.matches()) {
+                problems.add("KNOWN-RED.txt: not of the form 'test: cause; issue 30': " + line);
+                continue;
+            }
+            String test = entry.group("test");
+            TestOutcome outcome = outcomes.get(test);
+            unlisted.remove(test);
+            if (outcome == null || outcome == TestOutcome.SKIPPED) {
+                problems.add("KNOWN-RED.txt: no such test was run: " + test);
+            } else if (outcome == TestOutcome.PASSED) {
+                problems.add("KNOWN-RED.txt: passes, so its line has to go: " + test);
+            } else {
+                known.add("known failure: " + line);
+            }
+        }
+        unlisted.forEach((test, outcome) -> {
+            if (outcome == TestOutcome.FAILED) {
+                problems.add("failed, and not listed in KNOWN-RED.txt: " + test);
+            }
+        });
+        return new Verdict(known, problems);
+    }
+}
--- /dev/null
+++ b/src/test/java/wallmoor/verify/KnownFailuresTest.java
@@ -0,0 +1,96 @@
+package wallmoor.verify;
+
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.attribute.FileTime;
+import java.time.Instant;
+import java.util.List;
+import java.util.Map;
+import org.junit.Rule;
+import org.junit.Test;
+import org.junit.rules.TemporaryFolder;
+
+/** What the list of known failures lets pass, and what it doesn't. */
+public class KnownFailuresTest {
+    private static final String TEST = "wallmoor.net.SomeTest#method";
+    private static final String LINE = TEST + ": closes too early; issue 30";
+    private static final Instant START = Instant.parse("2026-01-02T03:04:05Z");
+
+    @Rule
+    public final TemporaryFolder folder = new TemporaryFolder();
+
+    @Test
+    public void aListedTestMayFailAndIsNamed() {
+        var verdict = KnownFailures.judge(List.of(LINE), Map.of(TEST, TestOutcome.FAILED));
+        assertEquals(List.of("known failure: " + LINE), verdict.known());
+        assertEquals(List.of(), verdict.problems());
+    }
+
+    @Test
+    public void aListedTestThatPassesIsAProblem() {
+        assertProblem("passes, so its line has to go", List.of(LINE), Map.of(TEST, TestOutcome.PASSED));
+    }
+
+    @Test
+    public void aNameOfNoTestIsAProblem() {
+        assertProblem("no such test was run", List.of(LINE), Map.of(TEST + "s", TestOutcome.PASSED));
+        assertProblem("no such test was run", List.of(LINE), Map.of(TEST, TestOutcome.SKIPPED));
+    }
+
+    @Test
+    public void anUnlistedFailureIsAProblem() {
+        assertProblem("not listed", List.of(LINE),
+                Map.of(TEST, TestOutcome.FAILED, "wallmoor.net.SomeTest#other", TestOutcome.FAILED));
+    }
+
+    @Test
+    public void moreThanThreeLinesAreAProblem() {
+        var lines = List.of("a.T#a: c; issue 1", "a.T#b: c; issue 1", "a.T#c: c; issue 1", "a.T#d: c; issue 1");
+        var outcomes = Map.of("a.T#a", TestOutcome.FAILED, "a.T#b", TestOutcome.FAILED, "a.T#c", TestOutcome.FAILED,
+                "a.T#d", TestOutcome.FAILED);
+        assertProblem("4 lines", lines, outcomes);
+        var three = Map.of("a.T#a", TestOutcome.FAILED, "a.T#b", TestOutcome.FAILED, "a.T#c", TestOutcome.FAILED);
+        assertEquals(List.of(), KnownFailures.judge(lines.subList(0, 3), three).problems());
+    }
+
+    @Test
+    public void aLineWithoutCauseOrIssueIsAProblem() {
+        for (String line : List.of(TEST, TEST + ": closes too early", TEST + "; issue 30", "", "SomeTest: closes; issue 30")) {
+            var problems = KnownFailures.judge(List.of(line), Map.of()).problems();
+            assertEquals(line, 1, problems.size());
+            assertTrue(problems.get(0), problems.get(0).contains("not of the form"));
+        }
+    }
+
+    @Test
+    public void reportsTellOutcomesAfterReruns() throws IOException {
+        report("TEST-a.T.xml", START, "<testcase name='passes' classname='a.T'/>"
+                + "<testcase name='fails' classname='a.T'><failure/><rerunFailure/></testcase>"
+                + "<testcase name='throws' classname='a.T'><error/></testcase>"
+                + "<testcase name='flaky' classname='a.T'><flakyFailure/></testcase>"
+                + "<testcase name='ignored' classname='a.T'><skipped/></testcase>"
+                + "<testcase name='repeated' classname='a.T'><failure/></testcase>"
+                + "<testcase name='repeated' classname='a.T'/>");
+        report("TEST-a.Renamed.xml", START.minusSeconds(1), "<testcase name='gone' classname='a.Renamed'/>");
+        assertEquals(Map.of("a.T#passes", TestOutcome.PASSED, "a.T#fails", TestOutcome.FAILED,
+                "a.T#throws", TestOutcome.FAILED, "a.T#flaky", TestOutcome.PASSED, "a.T#ignored", TestOutcome.SKIPPED,
+                "a.T#repeated", TestOutcome.FAILED),
+                SurefireReports.read(folder.getRoot().toPath(), START));
+    }
+
+    private void report(String name, Instant written, String cases) throws IOException {
+        Path file = folder.getRoot().toPath().resolve(name);
+        Files.writeString(file, "<testsuite>" + cases + "</testsuite>");
+        Files.setLastModifiedTime(file, FileTime.from(written));
+    }
+
+    private static void assertProblem(String text, List<String> lines, Map<String, TestOutcome> outcomes) {
+        var problems = KnownFailures.judge(lines, outcomes).problems();
+        assertEquals(problems.toString(), 1, problems.size());
+        assertTrue(problems.get(0), problems.get(0).contains(text));
+    }
+}
