--- a/src/main/java/wallmoor/core/Attempt.java
+++ b/src/main/java/wallmoor/core/Attempt.java
@@ -2,13 +2,17 @@
 
 /** One attempt of one part at one worker. It ends exactly once, by {@link Gatherer#report}. */
 public final class Attempt {
+    /** Workers are told of their time in whole milliseconds: with less left than one there is none to tell. */
+    private static final long LEAST_TIME = 1_000;
+
     final Query query;
     final Query.Part part;
     final int number;
     final Worker worker;
     final long sentAt;
     final long until;
-    boolean calledOff;
+    /** Set under the gatherer's lock, once; read without it by who writes. */
+    volatile boolean calledOff;
     boolean ended;
 
     Attempt(Query query, Query.Part part, int number, Worker worker, long sentAt, long until) {
@@ -40,6 +44,37 @@
         return worker;
     }
 
+    /**
+     * Whether it may begin now on a connection to this address. Takes no lock: it is asked for each attempt at the
+     * moment of writing.
+     *
+     * @param now     on the gatherer's clock
+     * @param address where the connection goes
+     */
+    public Permit permit(long now, String address) {
+        if (query.clientGone) {
+            return Permit.CLIENT_GONE;
+        }
+        if (query.end != null) {
+            return Permit.QUERY_OVER;
+        }
+        if (calledOff) {
+            return Permit.CALLED_OFF;
+        }
+        if (!worker.serving()) {
+            return Permit.NOT_SERVING;
+        }
+        if (!worker.address().equals(address)) {
+            return Permit.MOVED;
+        }
+        return now + LEAST_TIME <= until ? Permit.GRANTED : Permit.TOO_LATE;
+    }
+
+    /** The milliseconds that its worker is told to have, at this moment: never more than the client has left. */
+    public long millisLeft(long now) {
+        return (until - now) / LEAST_TIME;
+    }
+
     /** When it is given up, on the gatherer's clock. */
     public long until() {
         return until;
--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -139,11 +139,8 @@
         lock.lock();
         try {
             while (true) {
-                Step step = query.steps.poll();
-                if (step instanceof Step.Send send && !send.worker().serving()) {
-                    // told of a drain since the module decided: a part still here must not go out
-                    round(() -> send.attempts().forEach(a -> end(a, Outcome.NEVER_SENT, null)));
-                } else if (step != null) {
+                Step step = next(query);
+                if (step != null) {
                     return step;
                 } else if (query.end != null) {
                     callOff(query); // where the module may not cancel, nothing is left out behind a final answer
@@ -166,8 +163,40 @@
         }
     }
 
+    /** The next step that still holds; what may no longer begin ends here as never sent. Null if there is none. */
+    private Step next(Query query) {
+        while (true) {
+            Step step = query.steps.poll();
+            if (step instanceof Step.Send send) {
+                withdraw(send);
+                if (!send.attempts().isEmpty()) {
+                    return send;
+                }
+            } else if (!(step instanceof Step.Cancel cancel && cancel.attempt().ended)) {
+                return step;
+            }
+        }
+    }
+
+    /** Takes out of a call what may not begin any more, and ends it. */
+    private void withdraw(Step.Send send) {
+        var forbidden = new ArrayList<Attempt>();
+        String address = send.worker().address();
+        long at = now();
+        for (Attempt attempt : send.attempts()) {
+            if (!attempt.permit(at, address).granted()) {
+                forbidden.add(attempt);
+            }
+        }
+        if (!forbidden.isEmpty()) {
+            send.attempts().removeAll(forbidden);
+            round(() -> forbidden.forEach(a -> end(a, Outcome.NEVER_SENT, null)));
+        }
+    }
+
     /** The client of this query has left. */
     public void gone(Query query) {
+        query.clientGone = true;
         lock.lock();
         try {
             if (query.end == null) {
@@ -212,7 +241,7 @@
     private Step rest(Query query) {
         lock.lock();
         try {
-            return query.steps.poll();
+            return next(query);
         } finally {
             lock.unlock();
         }
--- a/src/main/java/wallmoor/core/Query.java
+++ b/src/main/java/wallmoor/core/Query.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.concurrent.locks.Condition;
 
-/** A query that the gatherer has taken, and the steps that wait for its thread. Guarded by the gatherer's lock. */
+/**
+ * A query that the gatherer has taken, and the steps that wait for its thread. Guarded by the gatherer's lock, but for
+ * what {@link Attempt#permit} reads.
+ */
 public final class Query {
     /** A part as it was asked for. */
     public record Ask(int shard, double weight, long hint) {
@@ -34,7 +37,10 @@
     /** Bounded by the parts and the most attempts of each. */
     final Deque<Step> steps = new ArrayDeque<>();
     final Condition ready;
-    Step.Final end;
+    /** Set under the gatherer's lock; read without it. */
+    volatile Step.Final end;
+    /** Set before the gatherer's lock is waited for, so that nothing more is written meanwhile. */
+    volatile boolean clientGone;
     /** Whether an attempt was called off unanswered before the end. */
     boolean gaveUp;
 
--- a/src/test/java/wallmoor/core/GathererTest.java
+++ b/src/test/java/wallmoor/core/GathererTest.java
@@ -135,6 +135,66 @@
         assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("module failed")));
     }
 
+    /** The client leaves between the decision and the hand-over. The other order is the test above. */
+    @Test
+    public void aClientThatLeavesBeforeTheHandOverLeavesNothingToSend() throws Exception {
+        Query q = open("q", 1);
+        gatherer.gone(q);
+        assertTrue("no call, and no end of one", pick(q) instanceof Step.Gone);
+        assertEquals(0, gatherer.held());
+        Query same = open("q", 1);
+        assertTrue("its parts are forgotten too", pick(same) instanceof Step.Send);
+    }
+
+    @Test
+    public void anAnswerThatIsSettledBeforeTheHandOverLeavesNothingToSend() throws Exception {
+        Query q = open("q", 1);
+        pass(1990); // its time is over, and no thread has picked anything
+        assertTrue("no call, and no end of one", pick(q) instanceof Step.Final);
+        assertEquals(0, gatherer.held());
+    }
+
+    @Test
+    public void anAttemptThatIsCalledOffBeforeTheHandOverIsNotHandedOut() throws Exception {
+        Query q = open("q", 0);
+        pass(700); // silent for longer than a part may take: it is called off, though it never went out
+        var send = (Step.Send) pick(q);
+        assertEquals("the first was never sent, the second is", 1, send.attempts().size());
+        assertFalse(send.attempts().get(0).calledOff);
+        gatherer.report(send.attempts().get(0), Outcome.SERVED, new byte[] {7});
+        assertTrue(pick(q) instanceof Step.Answer);
+    }
+
+    /** An exception ends the query's thread: what it had not handed over stays here. */
+    @Test
+    public void aThreadThatFailsHandsNothingMoreOut() throws Exception {
+        Query q = gatherer.open("q", 0, clock.get() + 2_000_000, false,
+                List.of(new Query.Ask(0, 0.5, -1), new Query.Ask(1, 0.5, -1)), null);
+        var sent = new ArrayList<Step.Send>();
+        var cancelled = new ArrayList<Step.Cancel>();
+        try {
+            gatherer.run(q, new Workers() {
+                @Override
+                public void send(Step.Send send) {
+                    sent.add(send);
+                    throw new IllegalStateException("no room");
+                }
+
+                @Override
+                public void cancel(Step.Cancel cancel) {
+                    cancelled.add(cancel);
+                }
+            });
+            assertFalse("it failed", true);
+        } catch (IllegalStateException e) {
+            assertEquals("no room", e.getMessage());
+        }
+        assertEquals("the second part stays here", 1, sent.size());
+        assertEquals("what may be out is called off", sent.get(0).attempts(),
+                cancelled.stream().map(Step.Cancel::attempt).toList());
+        assertEquals(0, gatherer.held());
+    }
+
     /** A ban holds over all that lists say, also for a node that leaves them and comes back; one call lifts it. */
     @Test
     public void aBanStandsAboveTheList() throws Exception {
