--- a/src/main/java/wallmoor/frames/WorkerConnection.java
+++ b/src/main/java/wallmoor/frames/WorkerConnection.java
@@ -22,6 +22,7 @@
 import wallmoor.core.Attempt;
 import wallmoor.core.Gatherer;
 import wallmoor.core.Outcome;
+import wallmoor.core.Permit;
 import wallmoor.core.Step;
 import wallmoor.core.Worker;
 
@@ -303,21 +304,23 @@
     }
 
     /**
-     * The frame of a call, without parts called off since; those for a worker that drains now are not sent. What
-     * goes is put into {@code going}.
+     * The frame of a call, made just before it is written: without what may no longer begin, and with the time that
+     * is left now. What goes is put into {@code going}.
      */
     private byte[] call(Step.Send send, List<Attempt> going) {
         var text = new java.io.ByteArrayOutputStream(256);
         var unsent = new HashMap<Attempt, Outcome>();
         lock.lock();
         try {
+            long now = gatherer.now();
             for (Attempt a : send.attempts()) {
                 Entry entry = out.get(a.partId());
                 if (entry == null || entry.attempt != a) {
                     continue;
                 }
-                long millis = (a.until() - gatherer.now()) / 1000;
-                if (!send.worker().serving() || millis <= 0) {
+                Permit permit = a.permit(now, at);
+                retired |= permit == Permit.MOVED;
+                if (!permit.granted()) {
                     out.remove(a.partId());
                     unsent.put(a, Outcome.NEVER_SENT);
                     continue;
@@ -325,7 +328,7 @@
                 entry.state = State.WRITING;
                 going.add(a);
                 byte[] carried = (byte[]) a.query().carries();
-                text.writeBytes((a.partId() + " " + a.shard() + " d=" + millis + " " + carried.length + "\n")
+                text.writeBytes((a.partId() + " " + a.shard() + " d=" + a.millisLeft(now) + " " + carried.length + "\n")
                         .getBytes(StandardCharsets.ISO_8859_1));
                 text.writeBytes(carried);
             }
@@ -490,6 +493,9 @@
             if (entry != null && entry.state != State.QUEUED) {
                 out.remove(line[0]);
                 remember(heard, line[0]);
+                if (retired && out.isEmpty()) {
+                    work.signal();
+                }
             } else if (late || heard.contains(line[0])) {
                 entry = null;
             } else {
--- a/src/main/java/wallmoor/ogc/Fetch.java
+++ b/src/main/java/wallmoor/ogc/Fetch.java
@@ -102,13 +102,13 @@
             Upstream asked = (Upstream) attempt.query().carries();
             if (kept != null ? !use(kept) : !connect()) {
                 outcome = Outcome.NO_CONNECTION;
-            } else if (!attempt.worker().serving()) {
-                outcome = Outcome.NEVER_SENT; // told of a drain while connecting
             } else {
                 value = pages(asked).encode();
                 outcome = Outcome.SERVED;
                 keep = !ended;
             }
+        } catch (Forbidden e) {
+            outcome = Outcome.NEVER_SENT;
         } catch (Refused e) {
             outcome = Outcome.BUSY;
         } catch (IOException e) {
@@ -129,22 +129,28 @@
         private static final long serialVersionUID = 1L;
     }
 
+    /** What was to be its first request was not permitted any more. */
+    private static final class Forbidden extends Exception {
+        private static final long serialVersionUID = 1L;
+    }
+
     private boolean connect() throws IOException {
-        InetSocketAddress address = Launch.address("address", attempt.worker().address());
+        String at = attempt.worker().address(); // once: a list may change it meanwhile
+        InetSocketAddress address = Launch.address("address", at);
         var socket = new Socket();
-        if (!use(new Kept(socket, null, attempt.worker().address(), 0))) {
+        if (!use(new Kept(socket, null, at, 0))) {
             return false;
         }
         socket.setTcpNoDelay(true);
         socket.connect(address, (int) Math.max(1, Math.min(connectMillis, millisLeft())));
-        return use(new Kept(socket, new HttpIn(socket), attempt.worker().address(), 0));
+        return use(new Kept(socket, new HttpIn(socket), at, 0));
     }
 
     private long millisLeft() {
         return (attempt.until() - gatherer.now()) / 1000;
     }
 
-    private Upstream.Share pages(Upstream asked) throws IOException, HttpProblem, Json.Malformed, Refused {
+    private Upstream.Share pages(Upstream asked) throws IOException, HttpProblem, Json.Malformed, Refused, Forbidden {
         if (asked.one() != null) {
             Message answer = get(asked.of().items(attempt.shard()) + "/" + asked.one());
             if (answer.status() == 404) {
@@ -236,7 +242,7 @@
         return null;
     }
 
-    private Message get(String target) throws IOException, HttpProblem, Refused {
+    private Message get(String target) throws IOException, HttpProblem, Refused, Forbidden {
         boolean first = !ran;
         if (ended) { // this server closes after each page
             connection.close();
@@ -250,6 +256,9 @@
             if (calledOff != null) {
                 throw new IOException("called off");
             }
+            if (first && !attempt.permit(gatherer.now(), connection.address).granted()) {
+                throw new Forbidden();
+            }
             ran = true; // from the first byte on it may have
         }
         HttpOut.get(out, attempt.worker().address(), target, "Accept: application/geo+json, application/json\r\n");
--- /dev/null
+++ b/src/test/java/wallmoor/ogc/FetchPermitTest.java
@@ -0,0 +1,136 @@
+package wallmoor.ogc;
+
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertTrue;
+
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicLong;
+import org.junit.After;
+import org.junit.Before;
+import org.junit.Test;
+import wallmoor.config.OgcConfig;
+import wallmoor.config.SettingsReader;
+import wallmoor.core.Gatherer;
+import wallmoor.core.Member;
+import wallmoor.core.Query;
+import wallmoor.core.Step;
+
+/** What happens between the hand-over of an attempt and its first request decides whether a feature server is asked. */
+public class FetchPermitTest {
+    private static final String SETTINGS = "Classes.count=1 Classes.0.Aim=1000000 Classes.0.GiveUp=2000000"
+            + " Classes.0.Repeat=free Classes.0.Worth=1 Classes.0.LateWorth=0.1 Domain.NeedByClass=1"
+            + " Domain.FloorByClass=1 Domain.Reach=1 Domain.Sets=1 Domain.Slabs=4 Discovery=subscribe Instances=1"
+            + " Position=0 Round=5000 Limits.MaxAttempts=4 Limits.MaxOpen=20 Limits.Cancelling=true"
+            + " Limits.RetryAfter=true Limits.MaxRetryAfter=2000000 Contract.DrainGrace=2000000"
+            + " Contract.ColdShare=0.16 Contract.Cold=18000000 Contract.FallMultiple=2 Contract.OverloadFor=2000000";
+    private static final String PAGE = "{\"type\":\"FeatureCollection\",\"features\":[]}";
+
+    private final AtomicLong clock = new AtomicLong(1_000_000_000);
+    private final ExecutorService threads = Executors.newCachedThreadPool();
+    private final ServerSocket server;
+    private Gatherer gatherer;
+    private Query query;
+    private Step.Send send;
+
+    public FetchPermitTest() throws Exception {
+        server = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
+        server.setSoTimeout(15_000);
+    }
+
+    private Member member(int port, Member.State state) {
+        return new Member("a", "127.0.0.1:" + port, 0, 0, 0, state, 1, 0);
+    }
+
+    @Before
+    public void handOver() throws Exception {
+        var pairs = new HashMap<String, String>();
+        for (String pair : SETTINGS.split(" ")) {
+            pairs.put(pair.split("=")[0], pair.split("=")[1]);
+        }
+        gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock::get, line -> { });
+        gatherer.start(List.of(member(server.getLocalPort(), Member.State.SERVING)));
+        var of = new OgcConfig.Collection("c", "c", "c", "c-{shard}", 0, List.of(0), List.of());
+        query = gatherer.open("q", 0, clock.get() + 2_000_000, false, List.of(new Query.Ask(0, 1, -1)),
+                new Upstream(of, "", null, 10, Map.of(0, 0), true));
+        send = (Step.Send) gatherer.pick(query);
+    }
+
+    @After
+    public void stop() throws Exception {
+        threads.shutdownNow();
+        server.close();
+    }
+
+    private Future<Fetch.Kept> fetch() {
+        return threads.submit(() -> new Fetch(send.attempts().get(0), gatherer, 5_000).run(null));
+    }
+
+    /** What came on a connection before its end. */
+    private static String all(Socket peer) throws Exception {
+        peer.setSoTimeout(15_000);
+        return new String(peer.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
+    }
+
+    @Test
+    public void aClientThatLeavesBeforeTheFirstRequestIsNotAskedFor() throws Exception {
+        gatherer.gone(query);
+        Future<Fetch.Kept> fetch = fetch();
+        assertEquals("", all(server.accept()));
+        fetch.get(15, TimeUnit.SECONDS);
+        assertTrue(gatherer.pick(query) instanceof Step.Gone);
+    }
+
+    @Test
+    public void aClientThatLeavesAfterTheFirstRequestHasItCalledOff() throws Exception {
+        var fetch = new Fetch(send.attempts().get(0), gatherer, 5_000);
+        Future<Fetch.Kept> run = threads.submit(() -> fetch.run(null));
+        Socket peer = server.accept();
+        assertEquals('G', peer.getInputStream().read());
+        gatherer.gone(query);
+        fetch.cancel(((Step.Cancel) gatherer.pick(query)).as());
+        assertTrue("its connection is closed", all(peer).startsWith("ET /collections/c-0/items"));
+        run.get(15, TimeUnit.SECONDS);
+        assertTrue(gatherer.pick(query) instanceof Step.Gone);
+    }
+
+    @Test
+    public void aDrainThatIsToldBeforeTheFirstRequestHolds() throws Exception {
+        gatherer.members(false, List.of(member(server.getLocalPort(), Member.State.DRAINING)));
+        Future<Fetch.Kept> fetch = fetch();
+        assertEquals("", all(server.accept()));
+        fetch.get(15, TimeUnit.SECONDS);
+    }
+
+    @Test
+    public void anAttemptWhoseTimeIsOverBeforeTheFirstRequestDoesNotBegin() throws Exception {
+        clock.addAndGet(2_000_000);
+        Future<Fetch.Kept> fetch = fetch();
+        assertEquals("", all(server.accept()));
+        fetch.get(15, TimeUnit.SECONDS);
+    }
+
+    @Test
+    public void oneThatIsPermittedIsServed() throws Exception {
+        Future<Fetch.Kept> fetch = fetch();
+        Socket peer = server.accept();
+        var seen = new ArrayList<Integer>();
+        while (seen.size() < 4 || !seen.subList(seen.size() - 4, seen.size()).equals(List.of(13, 10, 13, 10))) {
+            seen.add(peer.getInputStream().read());
+        }
+        peer.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Type: application/geo+json\r\nContent-Length: "
+                + PAGE.length() + "\r\n\r\n" + PAGE).getBytes(StandardCharsets.ISO_8859_1));
+        assertTrue("the connection is kept", fetch.get(15, TimeUnit.SECONDS) != null);
+        assertTrue(gatherer.pick(query) instanceof Step.Answer);
+    }
+}
