--- a/src/main/java/wallmoor/edge/http/EdgeHttp.java
+++ b/src/main/java/wallmoor/edge/http/EdgeHttp.java
@@ -24,6 +24,8 @@
 import wallmoor.exchange.Exchange;
 import wallmoor.exchange.Key;
 import wallmoor.exchange.Outcome;
+import wallmoor.http.ConnectionTimeouts;
+import wallmoor.http.HttpExchange;
 import wallmoor.http.HttpIn;
 import wallmoor.http.HttpProblem;
 import wallmoor.http.Message;
@@ -57,7 +59,7 @@
         this.launch = launch;
         this.desk = desk;
         this.devices = devices;
-        server = new Server("edge", listen, mostClients, mostClients, Server.Patience.LONG, this::handle, log);
+        server = new Server("edge", listen, mostClients, mostClients, ConnectionTimeouts.LONG, this::handle, log);
     }
 
     /** Begins to serve. */
@@ -72,7 +74,7 @@
         server.finish(finishMillis);
     }
 
-    private void handle(Message request, Server.Exchange exchange)
+    private void handle(Message request, HttpExchange exchange)
             throws IOException, HttpProblem, InterruptedException {
         try {
             route(request, exchange);
@@ -81,7 +83,7 @@
         }
     }
 
-    private void route(Message request, Server.Exchange exchange)
+    private void route(Message request, HttpExchange exchange)
             throws IOException, HttpProblem, InterruptedException {
         Matcher path = PATH.matcher(request.target().split("\\?", 2)[0]);
         if (!path.matches()) {
@@ -104,7 +106,7 @@
         }
     }
 
-    private void put(Message request, Server.Exchange exchange, Key key)
+    private void put(Message request, HttpExchange exchange, Key key)
             throws IOException, HttpProblem, InterruptedException {
         Slice s = request.body();
         byte[] sent = Arrays.copyOfRange(s.buffer(), s.from(), s.from() + s.length());
@@ -148,7 +150,7 @@
     }
 
     /** Tells the device what its asking came to, waiting for an outcome if there is none yet. */
-    private void told(Message request, Server.Exchange exchange, Key key, Decision decision, int wait)
+    private void told(Message request, HttpExchange exchange, Key key, Decision decision, int wait)
             throws IOException, InterruptedException {
         if (decision instanceof Decision.Run run) {
             await(request, exchange, key, run.exchange(), wait);
@@ -174,7 +176,7 @@
         }
     }
 
-    private void await(Message request, Server.Exchange exchange, Key key, Exchange asked, int wait)
+    private void await(Message request, HttpExchange exchange, Key key, Exchange asked, int wait)
             throws IOException, InterruptedException {
         Outcome outcome = null;
         boolean pending = false;
@@ -206,7 +208,7 @@
         }
     }
 
-    private void outcome(Message request, Server.Exchange exchange, Outcome outcome) throws IOException {
+    private void outcome(Message request, HttpExchange exchange, Outcome outcome) throws IOException {
         switch (outcome.kind()) {
             case REFUSED -> answer(exchange, 503, "Retry-After: " + seconds(outcome.comeBack()) + "\r\n", PROBLEM,
                     outcome.bytes());
@@ -215,7 +217,7 @@
         }
     }
 
-    private void answered(Message request, Server.Exchange exchange, byte[] body) throws IOException {
+    private void answered(Message request, HttpExchange exchange, byte[] body) throws IOException {
         Coding coding = Coding.accepted(request.header("Accept-Encoding"), body.length);
         byte[] packed = coding.pack(body);
         String etag = "\"" + HexFormat.of().formatHex(Ask.sha256(body), 0, 12)
@@ -236,13 +238,13 @@
         return Long.toString(Math.max(1, (micros + 999_999) / 1_000_000)); // whole ones: most clients read no others
     }
 
-    private static void problem(Server.Exchange exchange, int status, String headers, String type, String detail)
+    private static void problem(HttpExchange exchange, int status, String headers, String type, String detail)
             throws IOException {
         answer(exchange, status, headers, PROBLEM, Desk.problem(type, status, detail, ""));
     }
 
     /** Every answer has the time, by which a device may set its clock. */
-    private static void answer(Server.Exchange exchange, int status, String headers, String type, byte[] body)
+    private static void answer(HttpExchange exchange, int status, String headers, String type, byte[] body)
             throws IOException {
         exchange.answer(status, "Date: " + DateTimeFormatter.RFC_1123_DATE_TIME.format(ZonedDateTime.now(ZoneOffset.UTC))
                 + "\r\nCache-Control: no-store\r\nContent-Type: " + type + "\r\n" + headers, body);
--- a/src/main/java/wallmoor/http/Connection.java
+++ b/src/main/java/wallmoor/http/Connection.java
@@ -36,7 +36,7 @@
     static final long ERROR_LINGER_MILLIS = 5_200;
     /** ... or after the last answer, or the end of an idle connection. */
     static final long LINGER_MILLIS = 500;
-    private static final byte[] TOO_BUSY = HttpOut.bytes(503, "Retry-After: 1\r\n", Server.Exchange.plain("too much at work"),
+    private static final byte[] TOO_BUSY = HttpOut.bytes(503, "Retry-After: 1\r\n", HttpExchange.plain("too much at work"),
             true, false);
 
     private final Server server;
@@ -53,7 +53,7 @@
     /** A request on it was work; of the thread that serves it. */
     private boolean worked;
     /** The request at work; guarded by the feed. */
-    private Server.Exchange current;
+    private HttpExchange current;
 
     Connection(Server server, Wire wire) {
         this.server = server;
@@ -109,7 +109,7 @@
      * still being read ends with its reader.
      */
     void ended() {
-        Server.Exchange left;
+        HttpExchange left;
         boolean close;
         synchronized (feed) {
             feed.end();
@@ -157,7 +157,7 @@
         } catch (IOException e) {
             // the client has gone, or what it sent was cut off at the bound
         } catch (RuntimeException | OutOfMemoryError e) {
-            server.failed(e);
+            server.connectionFailed(e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
@@ -176,7 +176,7 @@
     /** How long the request at hand may take to come in. */
     private int requestTimeout() {
         long sinceOpen = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt);
-        int left = first ? (int) Math.max(100, server.patience().first() - sinceOpen) : server.patience().request();
+        int left = first ? (int) Math.max(100, server.timeouts().firstRequest() - sinceOpen) : server.timeouts().request();
         first = false;
         return left;
     }
@@ -186,10 +186,10 @@
         try {
             request = in.request(requestTimeout());
         } catch (HttpProblem e) {
-            server.exchange(this, null).answer(e.status(), "", Server.Exchange.plain(e.getMessage()));
+            new HttpExchange(server, this, null).answer(e.status(), "", HttpExchange.plain(e.getMessage()));
             return false;
         }
-        Server.Exchange exchange = server.exchange(this, request);
+        var exchange = new HttpExchange(server, this, request);
         boolean gone;
         synchronized (feed) {
             if (!become(State.ACTIVE)) {
@@ -203,7 +203,7 @@
             if (gone) {
                 exchange.clientGone();
             }
-            return exchange.work(request);
+            return exchange.handle(request);
         } finally {
             worked |= exchange.wasWork();
             synchronized (feed) {
@@ -261,7 +261,7 @@
         if (state == State.CLOSING && now - closeAt >= 0) {
             close();
         }
-        halfCloseIf(State.NEW, server.patience().silent());
+        halfCloseIf(State.NEW, server.timeouts().silent());
         halfCloseIdle(idleMillis);
     }
 
--- a/src/main/java/wallmoor/http/Eviction.java
+++ b/src/main/java/wallmoor/http/Eviction.java
@@ -21,22 +21,22 @@
      * time; one that was idle for a moment may have its next request on the way, which crosses the close and is asked again;
      * half a request is an answer given up.
      */
-    static State choose(OldestMillis oldest, Server.Patience limits) {
+    static State choose(OldestMillis oldest, ConnectionTimeouts timeouts) {
         if (oldest.closing >= Connection.LINGER_MILLIS) {
             return State.CLOSING;
         }
-        if (oldest.idleUnused >= limits.rests()) {
+        if (oldest.idleUnused >= timeouts.evictJustIdle()) {
             return State.IDLE_UNUSED;
         }
-        if (oldest.idle >= limits.rested()) {
+        if (oldest.idle >= timeouts.evictIdle()) {
             return State.IDLE;
         }
-        if (oldest.fresh >= limits.makeRoom()) {
+        if (oldest.fresh >= timeouts.evictSilent()) {
             return State.NEW;
         }
-        if (oldest.idle >= limits.rests()) {
+        if (oldest.idle >= timeouts.evictJustIdle()) {
             return State.IDLE;
         }
-        return oldest.firstRequest >= limits.half() ? State.FIRST_REQUEST : null;
+        return oldest.firstRequest >= timeouts.evictHalfRequest() ? State.FIRST_REQUEST : null;
     }
 }
--- a/src/main/java/wallmoor/ogc/Features.java
+++ b/src/main/java/wallmoor/ogc/Features.java
@@ -24,6 +24,7 @@
 import wallmoor.core.Step;
 import wallmoor.decision.RouterApi.Effect;
 import wallmoor.decision.RouterApi.Settings;
+import wallmoor.http.HttpExchange;
 import wallmoor.http.HttpIn;
 import wallmoor.http.HttpProblem;
 import wallmoor.http.Message;
@@ -119,7 +120,7 @@
 
     // ---- resources ----------------------------------------------------------------------------------------
 
-    private void handle(Message request, Server.Exchange exchange)
+    private void handle(Message request, HttpExchange exchange)
             throws IOException, HttpProblem, InterruptedException {
         try {
             route(request, exchange);
@@ -128,7 +129,7 @@
         }
     }
 
-    private void route(Message request, Server.Exchange exchange)
+    private void route(Message request, HttpExchange exchange)
             throws IOException, HttpProblem, InterruptedException {
         String target = request.target();
         String path = target.split("\\?", 2)[0];
@@ -210,7 +211,7 @@
 
     // ---- queries ------------------------------------------------------------------------------------------
 
-    private void items(Server.Exchange exchange, Message request, Collection c, String base)
+    private void items(HttpExchange exchange, Message request, Collection c, String base)
             throws IOException, HttpProblem, InterruptedException {
         Params params = Params.of(request.target(), c.shards(), c.properties());
         Map<Integer, Integer> from = params.cursor();
@@ -297,7 +298,7 @@
     }
 
     /** One feature may be in any shard. Not found means that all shards said so; those not heard are asked again. */
-    private void feature(Server.Exchange exchange, Message request, Collection c, String id, String base)
+    private void feature(HttpExchange exchange, Message request, Collection c, String id, String base)
             throws IOException, HttpProblem, InterruptedException {
         String plain = Params.decoded(id.replace("+", "%2B"));
         String escaped = java.net.URLEncoder.encode(plain, StandardCharsets.UTF_8).replace("+", "%20");
@@ -351,7 +352,7 @@
         return "ogc-" + numbers.incrementAndGet();
     }
 
-    private Step.Final ask(Server.Exchange exchange, Message request, Collection c, String id, List<Integer> shards,
+    private Step.Final ask(HttpExchange exchange, Message request, Collection c, String id, List<Integer> shards,
             Upstream upstream) throws HttpProblem, InterruptedException {
         long deadline = clock.at(request.begunAt()) + settings.classes().get(c.queryClass()).giveUp() - FOR_THE_WIRE;
         var asks = new ArrayList<Query.Ask>();
@@ -366,7 +367,7 @@
      *
      * @return the status; 0 where nobody waits for one
      */
-    private static int ended(Server.Exchange exchange, String headers, Step.Final end) throws IOException {
+    private static int ended(HttpExchange exchange, String headers, Step.Final end) throws IOException {
         if (end instanceof Step.Refuse r) {
             String wait = String.format(Locale.ROOT, "Retry-After: %d\r\n", (r.comeBackAfter() + 999_999) / 1_000_000);
             int status = !r.tried() ? 503 : r.late() ? 504 : 502;
@@ -381,22 +382,22 @@
         return 0;
     }
 
-    private static void problem(Server.Exchange exchange, int status, String headers, String what)
+    private static void problem(HttpExchange exchange, int status, String headers, String what)
             throws IOException {
         var to = new StringBuilder("{\"code\":\"" + status + "\",\"description\":");
         Json.quote(to, what);
         exchange.answer(status, headers + "Content-Type: application/json\r\n", bytes(to.append('}').toString()));
     }
 
-    private static void answer(Server.Exchange exchange, String type, String text) throws IOException {
+    private static void answer(HttpExchange exchange, String type, String text) throws IOException {
         answer(exchange, type, bytes(text));
     }
 
-    private static void answer(Server.Exchange exchange, String type, byte[] body) throws IOException {
+    private static void answer(HttpExchange exchange, String type, byte[] body) throws IOException {
         answer(exchange, type, "", body);
     }
 
-    private static void answer(Server.Exchange exchange, String type, String headers, byte[] body) throws IOException {
+    private static void answer(HttpExchange exchange, String type, String headers, byte[] body) throws IOException {
         exchange.answer(200, headers + "Content-Type: " + type + "\r\n", body);
     }
 
--- a/src/main/java/wallmoor/operator/OperatorAddress.java
+++ b/src/main/java/wallmoor/operator/OperatorAddress.java
@@ -8,6 +8,8 @@
 import java.util.function.LongSupplier;
 import wallmoor.bans.BanText;
 import wallmoor.bans.Bans;
+import wallmoor.http.ConnectionTimeouts;
+import wallmoor.http.HttpExchange;
 import wallmoor.http.HttpProblem;
 import wallmoor.http.Message;
 import wallmoor.http.Server;
@@ -46,7 +48,7 @@
         this.controls = controls;
         this.bans = bans;
         this.log = log;
-        server = new Server("operator", at, MOST_CALLERS, MOST_CALLERS, Server.Patience.OPERATORS, this::handle, log);
+        server = new Server("operator", at, MOST_CALLERS, MOST_CALLERS, ConnectionTimeouts.OPERATORS, this::handle, log);
         server.leave(); // each answer ends its connection
         keeper = new Keeper(controls, bans, file, clock, log);
     }
@@ -69,7 +71,7 @@
         }
     }
 
-    private void handle(Message request, Server.Exchange exchange)
+    private void handle(Message request, HttpExchange exchange)
             throws IOException, HttpProblem, InterruptedException {
         String target = request.target();
         String method = METHODS.get(target);
@@ -95,7 +97,7 @@
         }
     }
 
-    private void worker(Server.Exchange exchange, String id, boolean out)
+    private void worker(HttpExchange exchange, String id, boolean out)
             throws IOException, HttpProblem, InterruptedException {
         if (!BanText.isId(id)) {
             throw new HttpProblem(400, "send one worker's id as the body, as the node list has it: 1 to "
@@ -113,7 +115,7 @@
         answer(exchange, 200, "", id + (out ? " is left out" : " is put back") + (changed ? "\n" : ", as before\n"));
     }
 
-    private static void answer(Server.Exchange exchange, int status, String headers, String text) throws IOException {
+    private static void answer(HttpExchange exchange, int status, String headers, String text) throws IOException {
         exchange.answer(status, TEXT + headers, text.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/wallmoor/platform/Platform.java
+++ b/src/main/java/wallmoor/platform/Platform.java
@@ -12,6 +12,8 @@
 import wallmoor.core.Query;
 import wallmoor.core.Step;
 import wallmoor.core.Workers;
+import wallmoor.http.ConnectionTimeouts;
+import wallmoor.http.HttpExchange;
 import wallmoor.http.HttpProblem;
 import wallmoor.http.Inherited;
 import wallmoor.http.Listening;
@@ -68,7 +70,7 @@
         this.gatherer = gatherer;
         this.workers = workers;
         this.log = log;
-        server = new Server("api", listening, launch.mostClients(), launch.mostClients(), Server.Patience.SHORT, this::handle,
+        server = new Server("api", listening, launch.mostClients(), launch.mostClients(), ConnectionTimeouts.SHORT, this::handle,
                 log);
     }
 
@@ -113,11 +115,11 @@
         }
     }
 
-    private void handle(Message request, Server.Exchange exchange)
+    private void handle(Message request, HttpExchange exchange)
             throws IOException, HttpProblem, InterruptedException {
         String path = request.target().split("\\?", 2)[0];
         if (!path.equals("/api")) {
-            exchange.aside();
+            exchange.notWork();
         }
         if (path.equals("/-/ready")) {
             if (!request.method().equals("GET") && !request.method().equals("HEAD")) {
@@ -134,7 +136,7 @@
         }
     }
 
-    private void query(Message request, Server.Exchange exchange)
+    private void query(Message request, HttpExchange exchange)
             throws IOException, HttpProblem, InterruptedException {
         if (exchange.clientHasGone()) {
             return; // nobody waits for it: nothing is sent on
@@ -171,7 +173,7 @@
         answer(exchange, gatherer.run(query, workers));
     }
 
-    private static void answer(Server.Exchange exchange, Step.Final end) throws IOException {
+    private static void answer(HttpExchange exchange, Step.Final end) throws IOException {
         if (end instanceof Step.Answer a) {
             exchange.answer(200, "Content-Type: application/json\r\n", hits(a));
         } else if (end instanceof Step.Refuse r) {
--- a/src/test/java/wallmoor/http/ConnectionCrossingsTest.java
+++ b/src/test/java/wallmoor/http/ConnectionCrossingsTest.java
@@ -35,7 +35,7 @@
     private final Connection connection;
 
     public ConnectionCrossingsTest() throws IOException {
-        server = new Server("test", Listening.at(null), 4, 4, Server.Patience.SHORT, (request, exchange) -> {
+        server = new Server("test", Listening.at(null), 4, 4, ConnectionTimeouts.SHORT, (request, exchange) -> {
             handled.incrementAndGet();
             leftBefore.addAndGet(exchange.clientHasGone() ? 1 : 0);
             exchange.answer(200, "", new byte[0]);
--- a/src/test/java/wallmoor/http/EvictionTest.java
+++ b/src/test/java/wallmoor/http/EvictionTest.java
@@ -9,7 +9,7 @@
 
 /** Who is evicted at the cap, over all ages round each bound. */
 public class EvictionTest {
-    private static final Server.Patience P = Server.Patience.SHORT;
+    private static final ConnectionTimeouts TIMEOUTS = ConnectionTimeouts.SHORT;
     private static final long[] AGES = {-1, 0, 49, 50, 249, 250, 399, 400, 499, 500, 699, 700, 5_000};
 
     @Test
@@ -19,17 +19,17 @@
                 for (long idle : AGES) {
                     for (long first : AGES) {
                         assertEquals(leaving >= 500 ? State.CLOSING : State.IDLE_UNUSED,
-                                Eviction.choose(new Eviction.OldestMillis(leaving, P.rests(), silent, idle, first), P));
-                        var now = new Eviction.OldestMillis(leaving, P.rests() - 1, silent, idle, first);
-                        State victim = Eviction.choose(now, P);
-                        boolean any = leaving >= 500 || silent >= P.makeRoom() || idle >= P.rests() || first >= P.half();
+                                Eviction.choose(new Eviction.OldestMillis(leaving, TIMEOUTS.evictJustIdle(), silent, idle, first), TIMEOUTS));
+                        var now = new Eviction.OldestMillis(leaving, TIMEOUTS.evictJustIdle() - 1, silent, idle, first);
+                        State victim = Eviction.choose(now, TIMEOUTS);
+                        boolean any = leaving >= 500 || silent >= TIMEOUTS.evictSilent() || idle >= TIMEOUTS.evictJustIdle() || first >= TIMEOUTS.evictHalfRequest();
                         assertEquals(now.toString(), any, victim != null);
                         if (victim == State.NEW) {
-                            assertTrue(now.toString(), leaving < 500 && idle < P.rested() && silent >= P.makeRoom());
+                            assertTrue(now.toString(), leaving < 500 && idle < TIMEOUTS.evictIdle() && silent >= TIMEOUTS.evictSilent());
                         } else if (victim == State.IDLE) {
-                            assertTrue(now.toString(), leaving < 500 && (idle >= P.rested() || silent < P.makeRoom()));
+                            assertTrue(now.toString(), leaving < 500 && (idle >= TIMEOUTS.evictIdle() || silent < TIMEOUTS.evictSilent()));
                         } else if (victim == State.FIRST_REQUEST) {
-                            assertTrue(now.toString(), leaving < 500 && silent < P.makeRoom() && idle < P.rests());
+                            assertTrue(now.toString(), leaving < 500 && silent < TIMEOUTS.evictSilent() && idle < TIMEOUTS.evictJustIdle());
                         }
                     }
                 }
@@ -39,9 +39,9 @@
 
     @Test
     public void oneThatWasJustTakenOrIsAtWorkIsLetBe() {
-        assertNull(Eviction.choose(new Eviction.OldestMillis(-1, -1, 0, -1, -1), P));
-        assertNull(Eviction.choose(new Eviction.OldestMillis(499, 49, 399, 49, 699), P));
-        assertEquals(State.IDLE, Eviction.choose(new Eviction.OldestMillis(0, -1, 2_000, 250, 2_000), P));
-        assertEquals(State.NEW, Eviction.choose(new Eviction.OldestMillis(0, -1, 400, 249, 2_000), P));
+        assertNull(Eviction.choose(new Eviction.OldestMillis(-1, -1, 0, -1, -1), TIMEOUTS));
+        assertNull(Eviction.choose(new Eviction.OldestMillis(499, 49, 399, 49, 699), TIMEOUTS));
+        assertEquals(State.IDLE, Eviction.choose(new Eviction.OldestMillis(0, -1, 2_000, 250, 2_000), TIMEOUTS));
+        assertEquals(State.NEW, Eviction.choose(new Eviction.OldestMillis(0, -1, 400, 249, 2_000), TIMEOUTS));
     }
 }
