--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Iterator;
+import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -520,15 +521,18 @@
         }
     }
 
-    private void list(ListKind kind, List<Member> members) {
+    private void list(ListKind kind, List<Member> told) {
+        // of a node named twice the last entry alone: one that stays gone must not seem to serve even for a moment
+        var members = new LinkedHashMap<String, Member>();
+        for (Member m : told) {
+            members.put(m.id(), m);
+        }
         if (kind == ListKind.WHOLE || kind == ListKind.STALE) { // one that stays must not seem gone even for a moment: writers look on
-            var named = new HashSet<String>();
-            members.forEach(m -> named.add(m.id()));
-            workers.values().stream().filter(w -> !named.contains(w.id())).forEach(this::left);
-            workers.keySet().retainAll(named); // what is still out at one that is gone holds on to it
+            workers.values().stream().filter(w -> !members.containsKey(w.id())).forEach(this::left);
+            workers.keySet().retainAll(members.keySet()); // what is still out at one that is gone holds on to it
         }
         var entries = new ArrayList<LeafEntry>();
-        for (Member m : members) {
+        for (Member m : members.values()) {
             boolean out = banned.contains(m.id());
             workers.computeIfAbsent(m.id(), Worker::new).become(m, out);
             LeafState state = switch (m.state()) {
@@ -540,7 +544,7 @@
                     m.upSince() <= 0 ? RouterApi.ABSENT : m.upSince()));
         }
         brain.onList(now, kind, entries);
-        members.stream().filter(m -> m.state() == Member.State.GONE).forEach(m -> left(workers.remove(m.id())));
+        members.values().stream().filter(m -> m.state() == Member.State.GONE).forEach(m -> left(workers.remove(m.id())));
     }
 
     private void left(Worker worker) {
--- a/src/test/java/wallmoor/core/GathererTest.java
+++ b/src/test/java/wallmoor/core/GathererTest.java
@@ -8,10 +8,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.After;
 import org.junit.Before;
@@ -212,4 +214,101 @@
         assertTrue(gatherer.listed("b")); // formerly
         assertFalse(gatherer.listed("c"));
     }
+
+    private interface Lists {
+        void tell(int round);
+    }
+
+    /** Who looks on while lists are told, as the writers of connections do, never sees this worker serve. */
+    private void neverServes(Worker worker, Lists lists) throws Exception {
+        var over = new AtomicBoolean();
+        var looking = new CountDownLatch(1);
+        Future<Boolean> seen = threads.submit(() -> {
+            boolean served = worker.serving();
+            looking.countDown();
+            while (!over.get()) {
+                served |= worker.serving();
+            }
+            return served;
+        });
+        looking.await();
+        for (int i = 0; i < 20_000; i++) {
+            lists.tell(i);
+        }
+        over.set(true);
+        assertFalse(seen.get());
+    }
+
+    /** A drain, a removal and a whole list that leaves it out hold at once and for good, also where it is told again. */
+    @Test
+    public void whatWasDrainedOrRemovedIsAtNoMomentSeenToServe() throws Exception {
+        Worker a = workerOf("a");
+        gatherer.members(false, List.of(member("a", Member.State.DRAINING)));
+        assertFalse(a.serving());
+        neverServes(a, i -> gatherer.members(i % 2 == 0, List.of(member("a", Member.State.DRAINING), member("b", Member.State.SERVING))));
+        neverServes(a, i -> { // named twice: the last entry alone
+            gatherer.members(false, List.of(member("a", Member.State.SERVING), member("a", Member.State.DRAINING)));
+        });
+        gatherer.members(true, List.of(member("b", Member.State.SERVING)));
+        assertFalse(a.serving());
+        neverServes(a, i -> { // it comes back under its id: whatever still waits for the old one does not go out
+            gatherer.members(false, List.of(member("a", Member.State.SERVING)));
+            gatherer.members(i % 2 == 0, i % 2 == 0 ? List.of(member("b", Member.State.SERVING)) : List.of(member("a", Member.State.GONE)));
+        });
+        assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("module failed")));
+    }
+
+    /** One that stays in a whole list serves at every moment: a call that is being written must not be turned back. */
+    @Test
+    public void oneThatStaysInAWholeListIsAtNoMomentSeenToBeGone() throws Exception {
+        Worker a = workerOf("a");
+        var over = new AtomicBoolean();
+        Future<Boolean> always = threads.submit(() -> {
+            boolean served = true;
+            while (!over.get()) {
+                served &= a.serving();
+            }
+            return served;
+        });
+        for (int i = 0; i < 20_000; i++) {
+            gatherer.members(true, i % 2 == 0 ? List.of(member("a", Member.State.SERVING))
+                    : List.of(member("b", Member.State.SERVING), member("a", Member.State.GONE), member("a", Member.State.SERVING)));
+        }
+        over.set(true);
+        assertTrue(always.get());
+        gatherer.members(true, List.of(member("a", Member.State.SERVING)));
+        assertEquals("a", ((Step.Send) pick(open("still", 0))).worker().id());
+    }
+
+    /** A drain and a ban in both orders: neither lifts the other. */
+    @Test
+    public void aBanAndADrainStandApart() throws Exception {
+        Worker a = workerOf("a");
+        gatherer.ban("a", true);
+        gatherer.members(false, List.of(member("a", Member.State.DRAINING)));
+        gatherer.ban("a", false);
+        assertFalse("the list's drain stands", a.serving());
+        gatherer.ban("a", true);
+        gatherer.members(false, List.of(member("a", Member.State.SERVING)));
+        assertFalse("the ban stands", a.serving());
+        gatherer.members(false, List.of(member("a", Member.State.GONE)));
+        gatherer.ban("a", false); // of one that is gone
+        gatherer.members(false, List.of(member("a", Member.State.SERVING)));
+        assertFalse(a.serving());
+        assertTrue("another start of it", workerOf("a").serving());
+    }
+
+    private Worker workerOf(String id) throws Exception {
+        for (int i = 0; i < 50; i++) {
+            Query query = open("find-" + i, 0);
+            var send = (Step.Send) pick(query);
+            gatherer.gone(query);
+            gatherer.report(Map.of(send.attempts().get(0), Outcome.CANCELLED));
+            if (send.worker().id().equals(id)) {
+                return send.worker();
+            }
+            pass(20);
+        }
+        throw new AssertionError("nothing goes to " + id);
+    }
 }
