--- a/src/main/java/wallmoor/discovery/ListClock.java
+++ b/src/main/java/wallmoor/discovery/ListClock.java
@@ -3,9 +3,10 @@
 import java.util.Random;
 
 /**
- * The list's one clock: by when discovery must have said its next word, when it is to be asked again at the latest, and
- * since when and until when the list held may be behind. It decides only; who drives it tells it each event with its
- * time. All times are microseconds on one clock that never goes back. Not safe for threads.
+ * The state machine of a watch, and the list's one clock: by when discovery must have said its next word, when it is to
+ * be asked again at the latest, and since when and until when the list held may be behind. It decides only; who drives
+ * it tells it each event with its time. All times are microseconds on one clock that never goes back. Not safe for
+ * threads. docs/list-clock.md has the table of states and events.
  *
  * <p>How long to wait after failures is the decision module's to say. This clock calls sooner in four cases only: once,
  * within {@link #SPREAD}, after a sound watch fell silent, or was reset where what it misses counts soon; at once after a
@@ -18,6 +19,20 @@
  * {@link #CONNECT} and {@link #ANSWER}. Where lists are asked for, what comes counts only when it is written.
  */
 final class ListClock {
+    /** Where the list's call stands. Only in {@link #SOUND} the list is vouched for. */
+    enum State {
+        /** No call is out: the next one is due by {@link #callBy}, or sooner where the module wants it. */
+        WAITING,
+        /** A connection is being opened. */
+        CONNECTING,
+        /** A request is out, for the whole list or for a watch; its answer must come. */
+        REQUESTED,
+        /** A watch's head is in; its first object or heartbeat must come. */
+        OPENED,
+        /** A watch that has spoken; its next object or heartbeat must come. */
+        SOUND
+    }
+
     /** No time: what is asked for is not in sight. */
     static final long NEVER = Long.MAX_VALUE;
     /** A connection that is not up by then is to a machine cut off; the kernel sends its second SYN only then. */
@@ -42,6 +57,9 @@
     /** Longest waits in the term of a silent watch, first and later: as long as the module's own after a first loss. */
     private static final long FIRST_GAP = 1_000_000;
     static final long TERM_GAP = 2_000_000;
+    /** What lies unread already is taken for so long after its time, however much it is; what trickles is not. */
+    private static final long LATE_READS = 250_000;
+    private static final long LATE_READ = 1_000;
     /** Where lists are pushed, what comes at discovery's return counts at once: from call to call at most this share of
      * the drain grace, which leaves 0.6 s of 2 for the call; within bounds, as discovery is shared. */
     private static final double PUSHED_SHARE = 0.7;
@@ -64,7 +82,9 @@
     private boolean reached;
     private long openedAt = NEVER;
     private long heardAt;
+    private State state = State.WAITING;
     private long due = NEVER;
+    private long overdueSince = NEVER;
     private long callBy = NEVER;
     private long behindSince = NEVER;
     private boolean silent;
@@ -96,6 +116,7 @@
 
     /** The process starts, with a list that may be old. The module asks at once. */
     void started(long at) {
+        in(State.WAITING);
         behindSince = at;
         calledAt = at;
     }
@@ -104,36 +125,46 @@
     void moved(long at) {
         movedAt = at;
         leave(at);
+        state = State.WAITING;
+        await(at); // what the call that is out still reads must not hold up the next one
         gaps = 0;
         callBy = at;
     }
 
     /** A call begins. */
     void called(long at) {
+        in(State.WAITING);
+        state = State.CONNECTING;
         calledAt = at;
         reached = false;
         openedAt = NEVER;
-        due = at + CONNECT;
+        await(at + CONNECT);
         callBy = NEVER;
     }
 
     /** A request goes out on a connection that is up. */
     void asked(long at) {
+        in(State.CONNECTING, State.REQUESTED);
+        state = State.REQUESTED;
         reached = true;
-        due = at + ANSWER;
+        await(at + ANSWER);
     }
 
-    /** The head of a watch's answer is in: its first line must follow. */
+    /** The head of a watch's answer is in: its first object or heartbeat must follow. */
     void opened(long at) {
+        in(State.REQUESTED);
+        state = State.OPENED;
         openedAt = at;
         heardAt = at;
-        due = at + SILENCE;
+        await(at + SILENCE);
     }
 
-    /** A whole line of the watch is in and taken, be it empty: the list is vouched for. */
+    /** An object or a heartbeat of the watch is in and taken: the list is vouched for. */
     void heard(long at) {
+        in(State.OPENED, State.SOUND);
+        state = State.SOUND;
         heardAt = at;
-        due = at + SILENCE;
+        await(at + SILENCE);
         behindSince = NEVER;
         silent = false;
         movedAt = NEVER;
@@ -145,18 +176,33 @@
      * again; else a sound watch was lost whose misses count soon, and {@link #callBy} says when.
      */
     boolean lost(long at) {
-        boolean wasSound = behindSince == NEVER;
+        boolean wasSound = state == State.SOUND;
+        state = State.WAITING;
         leave(at);
         boolean hurries = silent || pushed || askWithin > 0 && askWithin < SOON;
         boolean atOnce = wasSound && hurries && at - openedAt >= SETTLED;
         failed = !wasSound;
-        due = NEVER;
+        await(NEVER);
         gaps = atOnce ? 0 : gaps + 1;
         callBy = atOnce ? at + spread(0, SPREAD) : again(at);
         return !atOnce;
     }
 
-    /** A watch that missed a line was silent, however it ended then. */
+    private void in(State... allowed) {
+        for (State s : allowed) {
+            if (s == state) {
+                return;
+            }
+        }
+        throw new IllegalStateException("a watch that is " + state);
+    }
+
+    private void await(long until) {
+        due = until;
+        overdueSince = NEVER;
+    }
+
+    /** A watch that missed a heartbeat was silent, however it ended then. */
     private void leave(long at) {
         if (behindSince == NEVER) {
             silent = at - heardAt > EVERY;
@@ -168,7 +214,7 @@
     private long again(long at) {
         long by = NEVER;
         if (silent && (!reached || at < behindSince + TERM + grace)) { // who was not reached is not burdened
-            by = at + spread(0.75, gaps == 1 ? FIRST_GAP : TERM_GAP);
+            by = Math.min(by, at + spread(0.75, gaps == 1 ? FIRST_GAP : TERM_GAP));
         }
         if (pushed) {
             by = Math.min(by, Math.max(at + LEAST_GAP, calledAt + spread(0.65, pushedGap)));
@@ -190,11 +236,27 @@
 
     // ---- answers ------------------------------------------------------------------------------------------
 
-    /** By when the next thing must have come (connection, answer, line); after it the call or watch is broken. */
+    State state() {
+        return state;
+    }
+
+    /** By when the next thing must have come (connection, answer, object); after it the call or watch is broken. */
     long due() {
         return due;
     }
 
+    /**
+     * How long the next read may take; 0 where the call or watch is broken. A gatherer that was late itself blames none:
+     * it first takes what has come meanwhile.
+     */
+    long left(long at) {
+        if (at < due) {
+            return due - at;
+        }
+        overdueSince = Math.min(overdueSince, at);
+        return Math.max(0, Math.min(LATE_READ, overdueSince + LATE_READS - at));
+    }
+
     /** When to call at the latest; {@link #NEVER} where that is left to the module. */
     long callBy() {
         return callBy;
--- a/src/main/java/wallmoor/http/HttpIn.java
+++ b/src/main/java/wallmoor/http/HttpIn.java
@@ -24,6 +24,8 @@
     private static final int MOST_HEADERS = 64;
     private static final int FIRST_SIZE = 2048;
     private static final int MOST_LINE = 1024;
+    /** A body without a length lasts as long as its connection. */
+    private static final int TO_THE_END = Integer.MAX_VALUE;
 
     /** How long a read waits for its first byte, for ever if 0. */
     private interface Patience {
@@ -45,6 +47,10 @@
     private long arrivedAt;
     private boolean chunked;
     private int chunkLeft;
+    /** A chunk has been read, but not the line end behind it. */
+    private boolean chunkBegun;
+    /** What is left of a body that is read in parts and has a length. */
+    private int bodyLeft;
     private int mostBody = MOST_BODY;
 
     /** Reads from this connection. */
@@ -106,7 +112,7 @@
                 keeps(headers, first[2]), begunAt);
     }
 
-    /** Reads an answer: all of it, or only its head where the body is to be read line by line. */
+    /** Reads an answer: all of it, or only its head where the body is to be read in parts. */
     public Message answer(int millis, boolean withBody) throws IOException, HttpProblem {
         giveUpAt = readSince + TimeUnit.MILLISECONDS.toNanos(millis);
         String first = line(0, 400);
@@ -116,7 +122,8 @@
         int status = Integer.parseInt(first.substring(9, 12));
         List<String> headers = headers();
         if (!withBody) {
-            framing(headers);
+            int length = framing(headers);
+            bodyLeft = length < 0 ? TO_THE_END : length;
         }
         boolean none = status == 204 || status == 304 || status < 200;
         boolean ends = !chunked(headers) && Message.find(headers, "Content-Length") == null && !none;
@@ -124,41 +131,31 @@
                 !ends && keeps(headers, first.substring(0, 8)), begunAt);
     }
 
-    /** The next line of an open-ended chunked body, without its end; null where the body ends. */
-    public Slice bodyLine(int millis, int longest) throws IOException, HttpProblem {
+    /**
+     * The next bytes of the body of an answer whose head alone was read, as many as are in; null where the body ends.
+     * They are good until the next call.
+     */
+    public Slice bodyPart(int millis) throws IOException, HttpProblem {
         giveUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        byte[] line = new byte[256];
-        int length = 0;
-        while (true) {
-            if (chunked && chunkLeft == 0 && !nextChunk()) {
-                return null;
-            }
-            if (at == end) {
-                fill();
-            }
-            int most = chunked ? Math.min(end, at + chunkLeft) : end;
-            int from = at;
-            while (at < most && buffer[at] != '\n') {
-                at++;
-            }
-            if (length + at - from > longest) {
-                throw new HttpProblem(413, "line too long");
-            }
-            if (length + at - from > line.length) {
-                line = Arrays.copyOf(line, Math.max(2 * line.length, length + at - from));
-            }
-            System.arraycopy(buffer, from, line, length, at - from);
-            length += at - from;
-            boolean whole = at < most;
-            at += whole ? 1 : 0;
-            chunkLeft -= chunked ? at - from : 0;
-            if (chunked && chunkLeft == 0) {
+        if (chunked && chunkLeft == 0) {
+            if (chunkBegun) { // only now: what is in must not wait for the line end behind it
                 chunkEnd();
             }
-            if (whole) {
-                return new Slice(line, 0, length > 0 && line[length - 1] == '\r' ? length - 1 : length);
-            }
+            chunkBegun = nextChunk();
         }
+        if (chunked ? chunkLeft == 0 : bodyLeft == 0) {
+            return null;
+        }
+        if (at == end) {
+            at = 0;
+            end = 0;
+            fill();
+        }
+        int length = Math.min(end - at, chunked ? chunkLeft : bodyLeft);
+        chunkLeft -= chunked ? length : 0;
+        bodyLeft -= chunked || bodyLeft == TO_THE_END ? 0 : length;
+        at += length;
+        return new Slice(buffer, at - length, length);
     }
 
     private Slice body(List<String> headers, boolean answer) throws IOException, HttpProblem {
@@ -184,6 +181,7 @@
     private int framing(List<String> headers) throws HttpProblem {
         int length = -1;
         chunked = false;
+        chunkBegun = false;
         chunkLeft = 0;
         for (int i = 0; i < headers.size(); i += 2) {
             String value = headers.get(i + 1);
--- a/src/test/java/wallmoor/discovery/ListClockPropertiesTest.java
+++ b/src/test/java/wallmoor/discovery/ListClockPropertiesTest.java
@@ -97,6 +97,44 @@
         assertEquals(calls[0], calls[1], 0.02 * calls[0], "calls");
     }
 
+    /** A call for a watch that can be spoken of in one state alone: what comes in another is a fault of the caller's. */
+    @Example
+    void eventsOutOfTheirOrderAreRefused() {
+        var clock = new ListClock(false, 10 * SECOND, 2 * SECOND, 1);
+        clock.started(0);
+        assertThrows(IllegalStateException.class, () -> clock.asked(1));
+        clock.called(1);
+        assertThrows(IllegalStateException.class, () -> clock.called(2));
+        assertThrows(IllegalStateException.class, () -> clock.opened(2));
+        clock.asked(2);
+        assertThrows(IllegalStateException.class, () -> clock.heard(3));
+        clock.asked(3);
+        clock.opened(4);
+        assertThrows(IllegalStateException.class, () -> clock.asked(5));
+        clock.heard(5);
+        assertEquals(ListClock.State.SOUND, clock.state());
+        clock.moved(6);
+        assertEquals(ListClock.State.WAITING, clock.state());
+        assertEquals(6, clock.callBy());
+        assertThrows(IllegalStateException.class, () -> clock.heard(7), "a word of the call that was left behind");
+    }
+
+    /** A gatherer late itself takes what has come meanwhile, but no trickle. */
+    @Example
+    void whatIsUnreadIsTakenButNoTrickle() {
+        var clock = new ListClock(false, 10 * SECOND, 2 * SECOND, 1);
+        clock.started(0);
+        clock.called(0);
+        clock.asked(0);
+        clock.opened(0);
+        assertEquals(ListClock.SILENCE, clock.left(0));
+        assertEquals(1_000, clock.left(9 * SECOND), "one look");
+        assertEquals(1_000, clock.left(9 * SECOND + 200_000), "more lay there");
+        assertEquals(0, clock.left(9 * SECOND + 250_000));
+        clock.heard(9 * SECOND + 250_000);
+        assertEquals(ListClock.SILENCE, clock.left(9 * SECOND + 250_000), "anew from the next object on");
+    }
+
     /** All whose watches fall silent at once come spread, and each once. */
     @Example
     void aWatchSilentForAllIsAskedForSpread() {
--- a/src/test/java/wallmoor/net/ListTermsTest.java
+++ b/src/test/java/wallmoor/net/ListTermsTest.java
@@ -108,6 +108,14 @@
         drainCountsAfter(TERM);
     }
 
+    @Test
+    public void aWatchTellsTheDrainIndentedOverManyLines() throws Exception {
+        start("subscribe");
+        discovery.say(drain().replace(",", ",\r\n\n  ").replace("[", "[\n").replace("}]", "}\n]\n")); // counts as it is written
+        drainCountsAfter(0);
+        assertEquals("on the first watch", 1, discovery.count("GET /api/targets"));
+    }
+
     @Test
     public void aPushedWatchIsResetThenAWorkerDrains() throws Exception {
         start("automatic"); // there the drain counts at once
