--- a/src/main/java/wallmoor/discovery/ListClock.java
+++ b/src/main/java/wallmoor/discovery/ListClock.java
@@ -8,15 +8,16 @@
  * it tells it each event with its time. All times are microseconds on one clock that never goes back. Not safe for
  * threads. docs/list-clock.md has the table of states and events.
  *
- * <p>How long to wait after failures is the decision module's to say. This clock calls sooner in four cases only: once,
+ * <p>How long to wait after failures is the decision module's to say. This clock calls sooner in five cases only: once,
  * within {@link #SPREAD}, after a sound watch fell silent, or was reset where what it misses counts soon; at once after a
- * move; where a watch fell silent and its term runs; and where the settings let what is missed count sooner than the
- * module would have called.
+ * move; where a watch fell silent and its term runs; where the settings let what is missed count sooner than the
+ * module would have called; and at the latest {@link #RETRY_PERIOD} after the call before, whatever became of it.
  *
  * <p>What no gatherer can know, this one neither: a change made while discovery can't be reached from here, if it counts
  * as told and its grace is over before discovery could be reached for long enough to be asked: where lists
- * are pushed {@link #PUSHED_SHARE} of the grace and a call, else {@link #TERM_GAP} and a call, and a call may take
- * {@link #CONNECT} and {@link #ANSWER}. Where lists are asked for, what comes counts only when it is written.
+ * are pushed {@link #PUSHED_SHARE} of the grace and a call, else {@link #RETRY_PERIOD} and a call, and a call may take
+ * {@link #CONNECT} and {@link #ANSWER}. Where lists are asked for, what comes counts only when it is written, or
+ * {@link #TERM} after discovery had it and could be reached.
  */
 final class ListClock {
     /** Where the list's call stands. Only in {@link #SOUND} the list is vouched for. */
@@ -57,6 +58,10 @@
     /** Longest waits in the term of a silent watch, first and later: as long as the module's own after a first loss. */
     private static final long FIRST_GAP = 1_000_000;
     static final long TERM_GAP = 2_000_000;
+    /** From the begin of a call that failed to the next one's at most. A change counts as told {@link #TERM} after
+     * discovery had it and could be reached, whatever call failed before. With 2 s of grace that leaves time for a call
+     * that is given up after {@link #ANSWER} and one answered at its last moment, or for two prompt refusals. */
+    static final long RETRY_PERIOD = 2_500_000;
     /** What lies unread already is taken for so long after its time, however much it is; what trickles is not. */
     private static final long LATE_READS = 250_000;
     private static final long LATE_READ = 1_000;
@@ -212,7 +217,7 @@
 
     /** When to call again at the latest, should the module wait for longer. */
     private long again(long at) {
-        long by = NEVER;
+        long by = Math.max(at + LEAST_GAP, (failed ? calledAt : at) + spread(0.75, RETRY_PERIOD));
         if (silent && (!reached || at < behindSince + TERM + grace)) { // who was not reached is not burdened
             by = Math.min(by, at + spread(0.75, gaps == 1 ? FIRST_GAP : TERM_GAP));
         }
@@ -278,6 +283,6 @@
         if (behindSince == NEVER || pushed) {
             return changed;
         }
-        return Math.max(calledAt + holds(), changed + askWithin);
+        return Math.min(changed + TERM, Math.max(calledAt + holds(), changed + askWithin));
     }
 }
--- a/src/test/java/wallmoor/net/WatchCrossingsTest.java
+++ b/src/test/java/wallmoor/net/WatchCrossingsTest.java
@@ -449,6 +449,41 @@
         }
     }
 
+    /** However many calls have failed: the next comes within 2.5 s, so that 6 s are kept. */
+    @Test
+    public void afterManyRefusalsTheNextCallComesWithinItsPeriod() throws Exception {
+        start("subscribe");
+        var call = refusedFor(7, discovery);
+        opened(call, 41).chunk(changes(43, member("a", DRAINING)));
+        awaitDrained(a);
+    }
+
+    /** A watch ends, discovery moves, and the new one refuses: the same period holds there. */
+    @Test
+    public void afterAMoveRefusalsAreFollowedWithinTheirPeriod() throws Exception {
+        watched().end();
+        ScriptedDiscovery other = scripted();
+        watch.reload(launch(other.port(), "subscribe"));
+        var call = refusedFor(6, other);
+        assertEquals(LIST, call.target());
+        call.answer(200, whole(43, member("b", SERVING)));
+        awaitDrained(a);
+    }
+
+    /** Refuses so many calls, each of which must come in time; the next one after them. */
+    private static ScriptedDiscovery.Call refusedFor(int calls, ScriptedDiscovery by) throws Exception {
+        var call = by.call();
+        for (int i = 0; i < calls; i++) {
+            call.target();
+            call.answer(503, "");
+            var next = by.call();
+            long millis = TimeUnit.NANOSECONDS.toMillis(next.at - call.at);
+            assertTrue("call " + i + " after " + millis + " ms", millis <= PERIOD_MILLIS + SLACK_MILLIS);
+            call = next;
+        }
+        return call;
+    }
+
     // ---- SIGHUP moves discovery ---------------------------------------------------------------------------
 
     private interface Stage {
