--- a/src/bench/java/wallmoor/summaries/MillionQueries.java
+++ b/src/bench/java/wallmoor/summaries/MillionQueries.java
@@ -14,7 +14,7 @@
 
     private final Random random;
     private final List<List<Row>> rows = new ArrayList<>();
-    private final List<Keeper> keepers = new ArrayList<>();
+    private final List<SummaryMaintainer> keepers = new ArrayList<>();
     private final List<Site> sites = new ArrayList<>();
     private final Known known;
     private final int[] deleted;
@@ -42,7 +42,7 @@
                 draft.add(own.get(r));
             }
             rows.add(own);
-            keepers.add(new Keeper(Settings.usual(), site, 1, draft, now, LIFETIME, true));
+            keepers.add(new SummaryMaintainer(Settings.usual(), site, 1, draft, now, LIFETIME, true));
             ask(i);
         }
     }
@@ -56,7 +56,7 @@
     private void write() {
         int i = random.nextInt(sites.size());
         Row row = Rentals.row(random, random.nextInt(20) == 0 ? random.nextInt(sites.size()) : i);
-        Keeper.Write w = keepers.get(i).write(now, List.of(row));
+        SummaryMaintainer.Write w = keepers.get(i).write(now, List.of(row));
         writes++;
         if (!w.confirm()) {
             widenings++;
--- a/src/main/java/wallmoor/Main.java
+++ b/src/main/java/wallmoor/Main.java
@@ -15,8 +15,8 @@
 import wallmoor.config.Operator;
 import wallmoor.json.Json;
 import wallmoor.log.Logging;
-import wallmoor.service.DressRehearsal;
-import wallmoor.service.Rehearsal;
+import wallmoor.service.ArchiveTraining;
+import wallmoor.service.WarmUp;
 import wallmoor.service.Service;
 import wallmoor.signals.HangUp;
 
@@ -66,10 +66,10 @@
         onHangUp();
         Launch launch = Launch.read(System.getenv());
         Operator operator = Operator.read(System.getenv(), launch);
-        Rehearsal.run(launch, Rehearsal.ARCHIVE_QUERIES);
-        Rehearsal.load(launch, operator);
+        WarmUp.run(launch, WarmUp.ARCHIVE_QUERIES);
+        WarmUp.load(launch, operator);
         Logging.apply(operator.logging());
-        String fault = DressRehearsal.run(launch, operator);
+        String fault = ArchiveTraining.run(launch, operator);
         if (fault != null) {
             System.err.println("wallmoor: a start will be slower, as the rehearsal broke off: " + fault);
         }
@@ -81,7 +81,7 @@
             onHangUp();
             Launch launch = Launch.read(System.getenv());
             Operator operator = Operator.read(System.getenv(), launch);
-            Rehearsal.run(launch); // before the address is listened on: what connects meanwhile would have to wait
+            WarmUp.run(launch); // before the address is listened on: what connects meanwhile would have to wait
             Logging.apply(operator.logging());
             var made = new Service(launch, operator);
             service = made;
--- a/src/main/java/wallmoor/edge/Desk.java
+++ b/src/main/java/wallmoor/edge/EdgeQueries.java
@@ -32,13 +32,13 @@
  * once, on a thread of its own, whether or not its device is still there, and keeps what came of it as the exchanges'
  * rules say.
  */
-public final class Desk {
+public final class EdgeQueries {
     private static final long LONGEST_SLEEP_MILLIS = 500;
     private static final long SHORTEST_SLEEP_MILLIS = 5;
     /** Kept back of a query's time for the answer's making (microseconds). */
     private static final long FOR_THE_ANSWER = 5_000;
 
-    private final Logger log = LoggerFactory.getLogger(Desk.class);
+    private final Logger log = LoggerFactory.getLogger(EdgeQueries.class);
     private final Supplier<Launch> launch;
     private final Gatherer gatherer;
     private final Workers workers;
@@ -62,7 +62,7 @@
      *
      * @param clock the gatherer's, microseconds of Unix time
      */
-    public Desk(Rules rules, Supplier<Launch> launch, Gatherer gatherer, Workers workers, LongSupplier clock) {
+    public EdgeQueries(Rules rules, Supplier<Launch> launch, Gatherer gatherer, Workers workers, LongSupplier clock) {
         this.launch = launch;
         this.gatherer = gatherer;
         this.workers = workers;
--- a/src/main/java/wallmoor/edge/coap/EdgeCoap.java
+++ b/src/main/java/wallmoor/edge/coap/EdgeCoap.java
@@ -29,7 +29,7 @@
 import org.slf4j.LoggerFactory;
 import wallmoor.config.Launch;
 import wallmoor.edge.Ask;
-import wallmoor.edge.Desk;
+import wallmoor.edge.EdgeQueries;
 import wallmoor.edge.Devices;
 import wallmoor.exchange.Decision;
 import wallmoor.exchange.Exchange;
@@ -51,7 +51,7 @@
 
     private final Logger log = LoggerFactory.getLogger(EdgeCoap.class);
     private final Supplier<Launch> launch;
-    private final Desk desk;
+    private final EdgeQueries desk;
     private final Devices devices;
     private final Verified verified = new Verified();
     private final CoapServer server;
@@ -65,7 +65,7 @@
             });
 
     /** Makes the front; it listens from {@link #start} on. */
-    public EdgeCoap(InetSocketAddress listen, Supplier<Launch> launch, Desk desk, Devices devices) {
+    public EdgeCoap(InetSocketAddress listen, Supplier<Launch> launch, EdgeQueries desk, Devices devices) {
         this.launch = launch;
         this.desk = desk;
         this.devices = devices;
@@ -300,12 +300,12 @@
 
     private void later(CoapExchange exchange, ResponseCode code, long comeBack) {
         long seconds = Math.max(1, (comeBack + 999_999) / 1_000_000);
-        body(exchange, new Response(code), Desk.problem("later", 503, "nothing was run, ask again under this id",
+        body(exchange, new Response(code), EdgeQueries.problem("later", 503, "nothing was run, ask again under this id",
                 "\"retry_after_ms\":" + comeBack / 1000), seconds);
     }
 
     private void problem(CoapExchange exchange, ResponseCode code, String type, int status, String detail, String members) {
-        body(exchange, new Response(code), Desk.problem(type, status, detail, members), 0);
+        body(exchange, new Response(code), EdgeQueries.problem(type, status, detail, members), 0);
     }
 
     /** Sends a body, or the block of it that was asked for; every block has the ETag of the whole. */
--- a/src/main/java/wallmoor/edge/http/EdgeHttp.java
+++ b/src/main/java/wallmoor/edge/http/EdgeHttp.java
@@ -18,7 +18,7 @@
 import java.util.function.Supplier;
 import wallmoor.config.Launch;
 import wallmoor.edge.Ask;
-import wallmoor.edge.Desk;
+import wallmoor.edge.EdgeQueries;
 import wallmoor.edge.Devices;
 import wallmoor.exchange.Decision;
 import wallmoor.exchange.Exchange;
@@ -49,12 +49,12 @@
     private static final int USUAL_WAIT = 30;
 
     private final Supplier<Launch> launch;
-    private final Desk desk;
+    private final EdgeQueries desk;
     private final Devices devices;
     private final Server server;
 
     /** Makes the front and listens; nothing is answered before {@link #start}. */
-    public EdgeHttp(InetSocketAddress listen, int mostClients, Supplier<Launch> launch, Desk desk, Devices devices,
+    public EdgeHttp(InetSocketAddress listen, int mostClients, Supplier<Launch> launch, EdgeQueries desk, Devices devices,
             Consumer<String> log) throws IOException {
         this.launch = launch;
         this.desk = desk;
@@ -240,7 +240,7 @@
 
     private static void problem(HttpExchange exchange, int status, String headers, String type, String detail)
             throws IOException {
-        answer(exchange, status, headers, PROBLEM, Desk.problem(type, status, detail, ""));
+        answer(exchange, status, headers, PROBLEM, EdgeQueries.problem(type, status, detail, ""));
     }
 
     /** Every answer has the time, by which a device may set its clock. */
--- a/src/main/java/wallmoor/http/Connection.java
+++ b/src/main/java/wallmoor/http/Connection.java
@@ -41,7 +41,7 @@
 
     private final Server server;
     private final Wire wire;
-    private final Feed feed;
+    private final IncomingBytes feed;
     private final HttpIn in;
     private final long openedAt = System.nanoTime();
     /** Changes under the lock of the feed. */
@@ -58,7 +58,7 @@
     Connection(Server server, Wire wire) {
         this.server = server;
         this.wire = wire;
-        feed = new Feed(wire::resume);
+        feed = new IncomingBytes(wire::resume);
         in = new HttpIn(feed);
     }
 
--- a/src/main/java/wallmoor/http/Rest.java
+++ b/src/main/java/wallmoor/http/ConnectionSelector.java
@@ -16,9 +16,9 @@
  * thread nor a wake-up: a gatherer that is stopped and let go on again, as its share of a core is used up, wakes each thread
  * it has, and with hundreds of threads at rest that took more of its share than its queries.
  */
-final class Rest {
+final class ConnectionSelector {
     /** Read at once: most requests whole, and no more than a connection may have unread. */
-    private static final int SCRATCH = Feed.MOST;
+    private static final int SCRATCH = IncomingBytes.MOST;
     /** Of an answer written at once: the JDK keeps as much beside each thread that writes. */
     private static final int PIECE = 8 * 1024;
     /** Between two looks at whether a peer that takes nothing has been given up. */
@@ -29,7 +29,7 @@
     private final Queue<Runnable> wishes = new ConcurrentLinkedQueue<>();
     private final ByteBuffer scratch = ByteBuffer.allocateDirect(SCRATCH);
 
-    Rest(String name, Consumer<String> log) throws IOException {
+    ConnectionSelector(String name, Consumer<String> log) throws IOException {
         this.log = log;
         selector = Selector.open();
         Threads.start(name + "-rest", this::run);
--- a/src/main/java/wallmoor/http/HttpIn.java
+++ b/src/main/java/wallmoor/http/HttpIn.java
@@ -33,7 +33,7 @@
     }
 
     private final Patience patience;
-    private final Feed feed;
+    private final IncomingBytes feed;
     private final InputStream in;
     private byte[] buffer = new byte[FIRST_SIZE];
     private int at;
@@ -61,7 +61,7 @@
     }
 
     /** Reads what is fed to a connection. */
-    HttpIn(Feed feed) {
+    HttpIn(IncomingBytes feed) {
         this.patience = feed::timeout;
         this.in = feed;
         this.feed = feed;
--- a/src/main/java/wallmoor/http/Feed.java
+++ b/src/main/java/wallmoor/http/IncomingBytes.java
@@ -10,7 +10,7 @@
  * Bytes on their way from the thread that watches all connections to the one that reads a request. It is its own lock;
  * with nothing in it it holds no buffer, as most connections rest.
  */
-final class Feed extends InputStream {
+final class IncomingBytes extends InputStream {
     /**
      * So much waits unread at most: a reader that has fallen behind is filled up no further, and the peer waits. While a
      * request is at work the peer is read on beyond that, so that its close is seen behind whatever it sent.
@@ -31,7 +31,7 @@
     private final Runnable resume;
 
     /** One that asks for more by this once it was full and has been read. */
-    Feed(Runnable resume) {
+    IncomingBytes(Runnable resume) {
         this.resume = resume;
     }
 
--- a/src/main/java/wallmoor/http/Server.java
+++ b/src/main/java/wallmoor/http/Server.java
@@ -84,7 +84,7 @@
     /** Begins to take connections. */
     public void start() {
         try {
-            var rest = new Rest(name, log);
+            var rest = new ConnectionSelector(name, log);
             accepting = true;
             Threads.start(name + "-accept", () -> accept(rest));
             Threads.start(name + "-watch", this::watch);
@@ -131,11 +131,11 @@
         }
     }
 
-    private void accept(Rest rest) {
+    private void accept(ConnectionSelector rest) {
         while (accepting) {
             Connection connection = null;
             try {
-                Rest.Over over = rest.over(listening.accept());
+                ConnectionSelector.Over over = rest.over(listening.accept());
                 connection = new Connection(this, over);
                 while (connections.size() >= mostConnections) {
                     makeRoom();
--- a/src/main/java/wallmoor/maintenance/Busy.java
+++ b/src/main/java/wallmoor/maintenance/Busy.java
@@ -16,7 +16,7 @@
         }
         var busy = new TreeSet<String>();
         boolean over = m.phaseFor() >= budgets.parts();
-        for (Word w : fleet.words()) {
+        for (GathererReport w : fleet.words()) {
             boolean concerns = m.node() || w.gatherer().equals(m.id());
             if (concerns && !w.frees(m.id()) && !(w.silentFor() >= budgets.parts() && over)) {
                 busy.add(w.gatherer());
--- a/src/main/java/wallmoor/maintenance/Exact.java
+++ b/src/main/java/wallmoor/maintenance/Exact.java
@@ -27,13 +27,13 @@
     private final Predicate<Reason> keeps;
     private final Map<Job, List<String>> first = new HashMap<>();
     private final boolean hours;
-    private final Book book;
+    private final OutageLedger book;
     private final Set<Job> needed = new HashSet<>();
 
     private Exact(Problem p, Predicate<Reason> keeps) {
         this.p = p;
         this.keeps = keeps;
-        this.book = new Book(p.fleet, p.budgets, keeps);
+        this.book = new OutageLedger(p.fleet, p.budgets, keeps);
         this.hours = keeps.test(Reason.budget(Rule.HOURS, "hours"));
         p.jobs.forEach(j -> first.put(j, p.before(j).stream()
                 .filter(a -> keeps.test(Reason.of(Rule.PIN, a, j.wish().machine()))).toList()));
--- a/src/main/java/wallmoor/maintenance/Word.java
+++ b/src/main/java/wallmoor/maintenance/GathererReport.java
@@ -12,8 +12,8 @@
  * @param heeds     machines that it sends nothing new to, or itself where it takes no clients
  * @param out       parts out, by machine; under its own name the clients that it has
  */
-public record Word(String gatherer, long silentFor, Set<String> heeds, Map<String, Integer> out) {
-    public Word {
+public record GathererReport(String gatherer, long silentFor, Set<String> heeds, Map<String, Integer> out) {
+    public GathererReport {
         heeds = java.util.Collections.unmodifiableSet(new TreeSet<>(heeds));
         out = java.util.Collections.unmodifiableMap(new TreeMap<>(out));
     }
--- a/src/main/java/wallmoor/maintenance/Line.java
+++ b/src/main/java/wallmoor/maintenance/Line.java
@@ -8,12 +8,12 @@
  * would use it, so that it is not passed for ever; one that waits for a block, a pin or an hour is passed.
  */
 final class Line {
-    private final Book book;
+    private final OutageLedger book;
     private final Set<String> centres = new HashSet<>();
     private boolean all;
     private final boolean[] kinds = new boolean[Machine.Kind.values().length];
 
-    Line(Book book) {
+    Line(OutageLedger book) {
         this.book = book;
     }
 
--- a/src/main/java/wallmoor/maintenance/Because.java
+++ b/src/main/java/wallmoor/maintenance/MinimalConflict.java
@@ -9,7 +9,7 @@
 import wallmoor.maintenance.Problem.Job;
 
 /** Why there is no order: the fewest rules that can't be kept together. */
-final class Because {
+final class MinimalConflict {
     /** Sets of rules that are tried; each costs up to 720 orders for each rule. */
     private static final int MOST_SETS = 100;
     /** Jobs of a large fleet that are looked at one by one. */
@@ -21,13 +21,13 @@
 
     private final Problem p;
 
-    private Because(Problem p) {
+    private MinimalConflict(Problem p) {
         this.p = p;
     }
 
     /** Of a problem that no order was found for. @param lost the jobs that didn't go in the best */
     static Found of(Problem p, List<Job> lost) {
-        return new Because(p).find(lost);
+        return new MinimalConflict(p).find(lost);
     }
 
     private Found find(List<Job> lost) {
@@ -38,7 +38,7 @@
             }
             Problem one = p.of(List.of(j));
             if (!Exact.possible(one, r -> true)) {
-                Found f = new Because(one).fewest();
+                Found f = new MinimalConflict(one).fewest();
                 best = best == null || f.reasons().size() < best.reasons().size() ? f : best;
                 if (best.reasons().size() == 1) {
                     return best;
@@ -120,7 +120,7 @@
         Set<List<String>> seen = new HashSet<>();
         for (Block b : p.fleet.blocks()) {
             if (seen.add(b.on())) { // of blocks on the same machines one says it all
-                rules.add(Book.cover(b));
+                rules.add(OutageLedger.cover(b));
             }
         }
         rules.add(Reason.budget(Rule.AT_ONCE, "at_once"));
--- a/src/main/java/wallmoor/maintenance/Book.java
+++ b/src/main/java/wallmoor/maintenance/OutageLedger.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 
 /** Who is out, held against the budgets and the blocks. Machines are told by their place in the fleet. */
-final class Book {
+final class OutageLedger {
     /** A reason names so many machines at most, as the document must hold it. */
     private static final int MOST_NAMED = 8;
     private final Fleet fleet;
@@ -29,7 +29,7 @@
     private int votersThere;
 
     /** One with all machines in service, which keeps some of the rules. */
-    Book(Fleet fleet, Budgets budgets, Predicate<Reason> keeps) {
+    OutageLedger(Fleet fleet, Budgets budgets, Predicate<Reason> keeps) {
         this.fleet = fleet;
         this.budgets = budgets;
         this.keeps = keeps;
--- a/src/main/java/wallmoor/maintenance/Planner.java
+++ b/src/main/java/wallmoor/maintenance/Planner.java
@@ -31,10 +31,10 @@
         Problem healed = new Problem(now, all, fleet, budgets, true);
         Run could = best(healed);
         if (could.all()) {
-            Because.Found f = Because.of(p, run.lost);
+            MinimalConflict.Found f = MinimalConflict.of(p, run.lost);
             return new Answer.Waits(f.reasons(), f.smallest());
         }
-        Because.Found f = Because.of(healed, could.lost);
+        MinimalConflict.Found f = MinimalConflict.of(healed, could.lost);
         return new Answer.Refused(f.reasons(), f.smallest(), f.proven());
     }
 
--- a/src/main/java/wallmoor/maintenance/Run.java
+++ b/src/main/java/wallmoor/maintenance/Run.java
@@ -25,7 +25,7 @@
     }
 
     Run(Problem p, List<Job> order, Predicate<Reason> keeps) {
-        Book book = new Book(p.fleet, p.budgets, keeps);
+        OutageLedger book = new OutageLedger(p.fleet, p.budgets, keeps);
         Map<String, Long> doneAt = new HashMap<>();
         var running = new PriorityQueue<End>((a, b) -> Long.compare(a.at(), b.at()));
         for (Fixed f : p.fixed) {
@@ -90,7 +90,7 @@
 
     /** The slots, with who must stay; that needs all blocks, also those that stand against nothing. */
     List<Slot> whole(Problem p) {
-        Book book = new Book(p.whole, p.budgets, r -> true);
+        OutageLedger book = new OutageLedger(p.whole, p.budgets, r -> true);
         p.fixed.forEach(f -> book.take(f.place()));
         var ends = new PriorityQueue<End>((a, b) -> Long.compare(a.at(), b.at()));
         p.fixed.stream().filter(f -> f.until() != Problem.NEVER).forEach(f -> ends.add(new End(f.until(), f.place(), f.machine())));
--- a/src/main/java/wallmoor/maintenance/Steps.java
+++ b/src/main/java/wallmoor/maintenance/Steps.java
@@ -47,7 +47,7 @@
 
     private State all() {
         next.replaceAll((id, s) -> seen(s));
-        Book book = new Book(fleet, budgets, r -> true);
+        OutageLedger book = new OutageLedger(fleet, budgets, r -> true);
         Set<String> ours = new HashSet<>();
         before.inOrder().forEach(s -> {
             // what comes back just now still counts: two versions may be acted on side by side
@@ -115,7 +115,7 @@
     }
 
     /** Those that drain: on, out, or back to service where they can't go any more. */
-    private void drains(Book book, Set<String> ours) {
+    private void drains(OutageLedger book, Set<String> ours) {
         List<Standing> draining = before.inOrder().stream().map(s -> next.get(s.wish().id()))
                 .filter(s -> s.step() == Step.DRAINING).toList();
         Set<String> later = new HashSet<>();
@@ -171,8 +171,8 @@
     }
 
     /** Who of those with a place goes now; the others wait, or are held where all that is ours coming back would not do. */
-    private void starts(Book book, State placed) {
-        Book others = new Book(fleet, budgets, r -> true);
+    private void starts(OutageLedger book, State placed) {
+        OutageLedger others = new OutageLedger(fleet, budgets, r -> true);
         for (Machine m : fleet.machines()) {
             Standing s = placed.of(m.id());
             if (!sound(m) && (s == null || !s.step().away())) {
@@ -199,7 +199,7 @@
         }
     }
 
-    private List<Reason> holds(Standing s, Machine m, Book others, Pins pins) {
+    private List<Reason> holds(Standing s, Machine m, OutageLedger others, Pins pins) {
         if (staff(s)) {
             return List.of(Reason.of(Rule.STAFF));
         }
@@ -222,7 +222,7 @@
         return others.why(places.get(m.id()));
     }
 
-    private List<Reason> waits(Standing s, Machine m, Book book, Line line, Pins pins) {
+    private List<Reason> waits(Standing s, Machine m, OutageLedger book, Line line, Pins pins) {
         var why = new ArrayList<Reason>();
         List<String> first = pins.open(s.wish());
         if (!first.isEmpty()) {
--- a/src/main/java/wallmoor/operator/Keeper.java
+++ b/src/main/java/wallmoor/operator/BanStore.java
@@ -10,7 +10,7 @@
  * Carries bans between operators' calls, the gatherer and the file. A change holds in the gatherer when the call
  * returns. One thread has the file: a disk that hangs costs a call {@value #WRITE_MILLIS} ms and no more.
  */
-final class Keeper {
+final class BanStore {
     /** How often it looks whether another process replaced the file. */
     private static final long LOOK_MILLIS = 200;
     /** A call waits so long for its write; the whole of it must be answered within a second. */
@@ -29,7 +29,7 @@
     private boolean closed;
     private Thread thread;
 
-    Keeper(Controls controls, Bans bans, BanFile file, LongSupplier clock, Consumer<String> log) {
+    BanStore(Controls controls, Bans bans, BanFile file, LongSupplier clock, Consumer<String> log) {
         this.controls = controls;
         this.bans = bans;
         this.file = file;
--- a/src/main/java/wallmoor/operator/OperatorAddress.java
+++ b/src/main/java/wallmoor/operator/OperatorAddress.java
@@ -32,7 +32,7 @@
 
     private final Controls controls;
     private final Bans bans;
-    private final Keeper keeper;
+    private final BanStore keeper;
     private final Consumer<String> log;
     private final Server server;
 
@@ -50,7 +50,7 @@
         this.log = log;
         server = new Server("operator", at, MOST_CALLERS, MOST_CALLERS, ConnectionTimeouts.OPERATORS, this::handle, log);
         server.leave(); // each answer ends its connection
-        keeper = new Keeper(controls, bans, file, clock, log);
+        keeper = new BanStore(controls, bans, file, clock, log);
     }
 
     /** Begins to answer, and to follow the file. */
--- a/src/main/java/wallmoor/placement/Because.java
+++ b/src/main/java/wallmoor/placement/MinimalConflict.java
@@ -11,7 +11,7 @@
  * kept together, one of those left out is a reason; so the fewest that hit all such sets are tried, until they can't
  * be kept. Where that would take too long, rules are left out as long as a proof stands without them.
  */
-final class Because {
+final class MinimalConflict {
     /** Rules of a fleet whose fewest reasons are looked for: each look may be a search of its own. */
     private static final int MOST_RULES = 40;
     /**
@@ -33,7 +33,7 @@
     private final int placements;
     private long left;
 
-    private Because(Fleet fleet, int placements) {
+    private MinimalConflict(Fleet fleet, int placements) {
         this.fleet = fleet;
         this.placements = placements;
         left = 2L * placements;
@@ -42,7 +42,7 @@
 
     /** The reasons of a fleet that is known to have no plan; {@code placements} is what a plan's search may keep. */
     static Answer.Infeasible of(Fleet fleet, int placements) {
-        var because = new Because(fleet, placements);
+        var because = new MinimalConflict(fleet, placements);
         boolean few = because.rules.size() <= MOST_RULES;
         Answer.Infeasible fewest = few ? because.fewest() : null;
         because.left = 2L * placements;
--- a/src/main/java/wallmoor/placement/Planner.java
+++ b/src/main/java/wallmoor/placement/Planner.java
@@ -29,8 +29,8 @@
     /** Plans for a fleet; a search keeps so many placements at most. */
     static Answer plan(Fleet fleet, int placements) {
         var model = new Model(fleet);
-        if (Because.proven(model)) {
-            return Because.of(fleet, placements);
+        if (MinimalConflict.proven(model)) {
+            return MinimalConflict.of(fleet, placements);
         }
         Bound.Least bound = Bound.of(model);
         Draft draft = draft(model, bound);
@@ -46,7 +46,7 @@
                 most = found.mb();
                 least = most;
             } else if (found.complete() && steps == null) {
-                return Because.of(fleet, placements);
+                return MinimalConflict.of(fleet, placements);
             } else {
                 least = found.complete() ? most : Math.max(least, Math.min(most, found.boundMb()));
             }
--- a/src/main/java/wallmoor/prune/Rounds.java
+++ b/src/main/java/wallmoor/prune/PromiseRenewal.java
@@ -19,7 +19,7 @@
  * Goes round the servers, a few threads for all: hears what each is about to confirm, says that it counts, and asks for
  * each promise anew at half of its lifetime. A server that fails is left for a while, longer each time.
  */
-final class Rounds {
+final class PromiseRenewal {
     /** One server that does not answer holds up those of its thread alone. */
     private static final int THREADS = 4;
     /** Of a server that always has one more, the rest waits for the next round. */
@@ -32,12 +32,12 @@
     private static final int MOST_FAILURES = 16;
     private static final long NANOS = 1_000_000;
 
-    private final Logger log = LoggerFactory.getLogger(Rounds.class);
+    private final Logger log = LoggerFactory.getLogger(PromiseRenewal.class);
     private final Promises promises;
     private final SummariesConfig config;
     private final String gatherer;
 
-    Rounds(Promises promises, SummariesConfig config, String gatherer) {
+    PromiseRenewal(Promises promises, SummariesConfig config, String gatherer) {
         this.promises = promises;
         this.config = config;
         this.gatherer = gatherer;
--- a/src/main/java/wallmoor/prune/Promises.java
+++ b/src/main/java/wallmoor/prune/Promises.java
@@ -77,7 +77,7 @@
     private volatile Set<String> names;
     private volatile List<Server> all = List.of();
     private volatile List<Server> servers = List.of();
-    private final Rounds rounds;
+    private final PromiseRenewal rounds;
     private final LongAdder asked = new LongAdder();
     private final LongAdder pruned = new LongAdder();
     private final LongAdder probed = new LongAdder();
@@ -103,7 +103,7 @@
                 random.nextLong(1L << 58), this::tell);
         pruning = new Pruning(known, new Pruning.Budget(config.share(), config.perSecond(), config.burst()),
                 new Random(random.nextLong()));
-        rounds = new Rounds(this, config, gatherer + "-" + HexFormat.of().formatHex(drawn));
+        rounds = new PromiseRenewal(this, config, gatherer + "-" + HexFormat.of().formatHex(drawn));
     }
 
     private void tell(Event event) {
--- a/src/main/java/wallmoor/service/DressRehearsal.java
+++ b/src/main/java/wallmoor/service/ArchiveTraining.java
@@ -29,7 +29,7 @@
  * operator of its own. One class that a start needs and the archive lacks costs it far more than that class, as all
  * libraries are opened to look for it.
  */
-public final class DressRehearsal {
+public final class ArchiveTraining {
     private static final int QUERIES = 50;
     private static final int MOST_SECONDS = 30;
     private static final String CHUNKED = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -40,7 +40,7 @@
     private final ServerSocket nodes = listen();
     private final ServerSocket discovery = listen();
 
-    private DressRehearsal(Launch asTold, InetSocketAddress clients, boolean held) throws IOException, Json.Malformed {
+    private ArchiveTraining(Launch asTold, InetSocketAddress clients, boolean held) throws IOException, Json.Malformed {
         whole = "{\"revision\":41,\"complete\":true,\"members\":[" + members(asTold) + "]}";
         byte[] known = whole.getBytes(StandardCharsets.ISO_8859_1);
         launch = asTold.on(clients, at(discovery), free(), Json.object(known, 0, known.length), held);
@@ -65,12 +65,12 @@
     }
 
     private static void play(Launch launch, Operator operator) throws IOException, Json.Malformed, InterruptedException {
-        var alone = new DressRehearsal(launch, free(), false);
+        var alone = new ArchiveTraining(launch, free(), false);
         alone.play(new Service(alone.launch, operator, null, null));
         Path shared = shared();
         try (var channel = ServerSocketChannel.open()) {
             channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            var held = new DressRehearsal(launch, (InetSocketAddress) channel.getLocalAddress(), true);
+            var held = new ArchiveTraining(launch, (InetSocketAddress) channel.getLocalAddress(), true);
             held.play(new Service(held.launch, operator, Inherited.of(channel), shared));
         } finally {
             try (var left = Files.newDirectoryStream(shared)) {
@@ -92,7 +92,7 @@
     }
 
     private void play(Service service) throws IOException, InterruptedException {
-        Threads.start("rehearsal-nodes", () -> accept(nodes, DressRehearsal::answer));
+        Threads.start("rehearsal-nodes", () -> accept(nodes, ArchiveTraining::answer));
         Threads.start("rehearsal-discovery", () -> accept(discovery, this::list));
         service.start();
         clients();
@@ -109,7 +109,7 @@
         ask(launch.listen(), "GET /-/ready HTTP/1.1\r\n\r\n", "GET /elsewhere HTTP/1.1\r\n\r\n");
         try (var client = new Socket(launch.listen().getAddress(), launch.listen().getPort())) {
             for (int i = 0; i < QUERIES; i++) {
-                client.getOutputStream().write(Rehearsal.query(launch, i));
+                client.getOutputStream().write(WarmUp.query(launch, i));
                 answered(client.getInputStream());
             }
         }
@@ -188,7 +188,7 @@
         var in = new DataInputStream(client.getInputStream());
         var out = new DataOutputStream(client.getOutputStream());
         for (int calls = 1;; calls++) {
-            byte[] answer = Rehearsal.answer(in.readNBytes(in.readInt()), calls);
+            byte[] answer = WarmUp.answer(in.readNBytes(in.readInt()), calls);
             if (answer.length > 0) {
                 out.writeInt(answer.length);
                 out.write(answer);
--- a/src/main/java/wallmoor/service/Edge.java
+++ b/src/main/java/wallmoor/service/Edge.java
@@ -7,7 +7,7 @@
 import wallmoor.config.EdgeConfig;
 import wallmoor.config.Launch;
 import wallmoor.core.Clock;
-import wallmoor.edge.Desk;
+import wallmoor.edge.EdgeQueries;
 import wallmoor.edge.Devices;
 import wallmoor.edge.coap.EdgeCoap;
 import wallmoor.edge.http.EdgeHttp;
@@ -21,7 +21,7 @@
     private final Logger log = LoggerFactory.getLogger(Edge.class);
     private final EdgeConfig config;
     private final Devices devices;
-    private final Desk desk;
+    private final EdgeQueries desk;
     private final EdgeHttp http;
     private final EdgeCoap coap;
 
@@ -32,7 +32,7 @@
                 config.skew() * MICROS, 60_000 * MICROS, config.openEach(), config.open(), Integer.MAX_VALUE,
                 config.memory(), config.memoryEach(), MOST_OUTCOME, config.asks(), config.burst(), config.returns(),
                 1_000 * MICROS, 30_000 * MICROS);
-        desk = new Desk(rules, current, nodes.gatherer(), nodes.workers(), clock);
+        desk = new EdgeQueries(rules, current, nodes.gatherer(), nodes.workers(), clock);
         http = config.http() == null ? null
                 : new EdgeHttp(config.http(), config.mostClients(), current, desk, devices, log::info);
         coap = config.coap() == null ? null : new EdgeCoap(config.coap(), current, desk, devices);
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -22,8 +22,8 @@
 import wallmoor.ogc.Features;
 import wallmoor.platform.Platform;
 import wallmoor.sources.Membership;
-import wallmoor.upgrade.BeatFiles;
-import wallmoor.upgrade.Beats;
+import wallmoor.upgrade.HeartbeatFiles;
+import wallmoor.upgrade.Heartbeats;
 import wallmoor.versions.Acting;
 
 /** A gatherer with all that its configuration switches on: made, started, told of changes, and told to leave. */
@@ -52,7 +52,7 @@
     private final Group group;
     private final Rules rules;
     private final Operations operations;
-    private final BeatFiles beats;
+    private final HeartbeatFiles beats;
     private volatile boolean ready;
     private volatile boolean leaving;
 
@@ -90,12 +90,12 @@
         });
         operations = launch.admin() == null ? null
                 : new Operations(launch, inForce::file, clock, nodes.gatherer(), figures, () -> ready, shared);
-        beats = shared == null || !launch.inherited() ? null : new BeatFiles(shared, clock, new Open(),
+        beats = shared == null || !launch.inherited() ? null : new HeartbeatFiles(shared, clock, new Open(),
                 this::together, log::info);
     }
 
     /** Queries and parts held at once, which the settings bound for all processes of this gatherer together. */
-    private final class Open implements BeatFiles.Bound {
+    private final class Open implements HeartbeatFiles.Bound {
         @Override
         public int all() {
             return inForce.allOpen();
@@ -118,7 +118,7 @@
     }
 
     /** Old and new process are one gatherer while both are there: each has its part of what that may hold and send. */
-    private void together(Beats.Together now) {
+    private void together(Heartbeats.Together now) {
         platform.among(now.count());
         if (group == null) {
             Settings s = launch.settings();
--- a/src/main/java/wallmoor/service/Rehearsal.java
+++ b/src/main/java/wallmoor/service/WarmUp.java
@@ -29,7 +29,7 @@
  * real one listens: the first real queries would else wait for classes to be loaded and compiled, which on part of a
  * core takes seconds. All of it stays in memory: no address is listened on, and no real client or worker takes part.
  */
-public final class Rehearsal {
+public final class WarmUp {
     /** For the archive: enough that all classes are loaded that serving needs, at no cost to a start. */
     public static final int ARCHIVE_QUERIES = 50;
     /**
@@ -44,7 +44,7 @@
     /** Of a node's parts one in so many fails, so that the archive has the ways back too; a start comes to none. */
     private static final int FAILED = 15;
 
-    private Rehearsal() {
+    private WarmUp() {
     }
 
     /** Returns when the way of a query is loaded, or after a while: what a start does before it serves. */
@@ -147,7 +147,7 @@
             try (far) {
                 var in = new DataInputStream(far.getInputStream());
                 while (true) {
-                    byte[] answer = Rehearsal.answer(in.readNBytes(in.readInt()), ++calls);
+                    byte[] answer = WarmUp.answer(in.readNBytes(in.readInt()), ++calls);
                     if (answer.length > 0) {
                         var bytes = new ByteArrayOutputStream();
                         new DataOutputStream(bytes).writeInt(answer.length);
--- a/src/main/java/wallmoor/summaries/Keeper.java
+++ b/src/main/java/wallmoor/summaries/SummaryMaintainer.java
@@ -11,7 +11,7 @@
  * summary has acknowledged a wider one by then, or the promise has ended. Decides only; one caller at a time, times in
  * microseconds, never going back.
  */
-public final class Keeper {
+public final class SummaryMaintainer {
     /** A write that waits. */
     private record Waiting(long id, long version) {
     }
@@ -64,7 +64,7 @@
      * @param first    whether this site never promised anything of this block before; else all writes wait for one
      *              lifetime
      */
-    public Keeper(Settings settings, Site site, long epoch, Draft draft, long at, long lifetime, boolean first) {
+    public SummaryMaintainer(Settings settings, Site site, long epoch, Draft draft, long at, long lifetime, boolean first) {
         this.settings = settings;
         this.site = site;
         this.epoch = epoch;
--- a/src/main/java/wallmoor/upgrade/BeatFiles.java
+++ b/src/main/java/wallmoor/upgrade/HeartbeatFiles.java
@@ -14,15 +14,15 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import wallmoor.http.Threads;
-import wallmoor.upgrade.Beats.Beat;
-import wallmoor.upgrade.Beats.Together;
+import wallmoor.upgrade.Heartbeats.Beat;
+import wallmoor.upgrade.Heartbeats.Together;
 
 /**
  * Leaves this process' sign of life as the time of a file, and its claim as the file's length, and looks for those of
  * others. Contents are never read, so that none can be torn; a directory that can't be used is logged once, and then this
  * process is alone.
  */
-public final class BeatFiles {
+public final class HeartbeatFiles {
     /** A bound that all processes of this gatherer keep together. */
     public interface Bound {
         /** What all may hold. */
@@ -48,7 +48,7 @@
     private final Bound bound;
     private final Consumer<Together> told;
     private final Consumer<String> log;
-    private final Part part = new Part();
+    private final SharedLimit part = new SharedLimit();
     private final CountDownLatch room = new CountDownLatch(1);
     private int lastMay = -1;
     private int lastAll = -1;
@@ -64,7 +64,7 @@
      * @param bound asked at each look; told of changes on the same thread
      * @param told  called at each change, on one thread
      */
-    public BeatFiles(Path directory, LongSupplier clock, Bound bound, Consumer<Together> told, Consumer<String> log) {
+    public HeartbeatFiles(Path directory, LongSupplier clock, Bound bound, Consumer<Together> told, Consumer<String> log) {
         this.directory = directory;
         this.clock = clock;
         this.bound = bound;
@@ -106,7 +106,7 @@
     private void run() {
         try {
             while (!over) {
-                long micros = last.count() > 1 ? Beats.TOGETHER_MICROS : Beats.EVERY_MICROS;
+                long micros = last.count() > 1 ? Heartbeats.TOGETHER_MICROS : Heartbeats.EVERY_MICROS;
                 Thread.sleep(TimeUnit.MICROSECONDS.toMillis(micros));
                 look();
             }
@@ -123,15 +123,15 @@
             faulty = false;
             lastGood = now;
             String name = own.getFileName().toString();
-            take(Beats.others(name, now, beats, Beats.CLAIMS_MICROS));
-            Together next = Beats.together(name, now, beats);
+            take(Heartbeats.others(name, now, beats, Heartbeats.CLAIMS_MICROS));
+            Together next = Heartbeats.together(name, now, beats);
             if (!next.equals(last)) {
                 last = next;
                 log.accept("this gatherer is " + next.count() + " processes now, this is number " + next.place());
                 told.accept(next);
             }
         } catch (IOException e) {
-            if (lastGood == 0 || now - lastGood >= Beats.GONE_MICROS) { // nor do others see this one any more
+            if (lastGood == 0 || now - lastGood >= Heartbeats.GONE_MICROS) { // nor do others see this one any more
                 take(List.of());
             }
             if (!faulty) {
@@ -182,7 +182,7 @@
                     var beat = beat(file.getFileName().toString(),
                             Files.getLastModifiedTime(file).to(TimeUnit.MICROSECONDS), Files.size(file));
                     found.add(beat);
-                    if (Beats.stale(beat, now) && !file.equals(own)) {
+                    if (Heartbeats.stale(beat, now) && !file.equals(own)) {
                         Files.deleteIfExists(file);
                     }
                 } catch (NoSuchFileException e) {
--- a/src/main/java/wallmoor/upgrade/Beats.java
+++ b/src/main/java/wallmoor/upgrade/Heartbeats.java
@@ -8,7 +8,7 @@
  * Of the signs of life that the processes of one gatherer leave: how many they are, and which of them this one is. While
  * an old process and a new one serve together each takes its part of what the gatherer may have or do at once.
  */
-public final class Beats {
+public final class Heartbeats {
     /** A sign is left each quarter of a second; a process on part of a core may miss a few. */
     public static final long EVERY_MICROS = 250_000;
     /** While there are others: what one of them gives up is wanted by the other. */
@@ -41,7 +41,7 @@
     public record Together(int count, int place) {
     }
 
-    private Beats() {
+    private Heartbeats() {
     }
 
     /** The processes there are at this time; this one counts whether or not its own sign is among them. */
--- a/src/main/java/wallmoor/upgrade/Part.java
+++ b/src/main/java/wallmoor/upgrade/SharedLimit.java
@@ -1,7 +1,7 @@
 package wallmoor.upgrade;
 
 import java.util.Collection;
-import wallmoor.upgrade.Beats.Beat;
+import wallmoor.upgrade.Heartbeats.Beat;
 
 /**
  * How much of one bound, which all processes of a gatherer keep together, one of them may hold. Each tells with its sign
@@ -11,7 +11,7 @@
  *
  * <p>Where more than two are there, or one wakes that counted as gone, there may be more for as long as a sign takes.
  */
-public final class Part {
+public final class SharedLimit {
     /** What one that leaves claims at least, as a share of the bound: connections that it keeps may each ask once more. */
     private static final int LEAVES = 8;
     /** Who leaves gives up at most this share of the bound at a look: its clients move over answer by answer. */
--- a/src/test/java/wallmoor/http/FeedTest.java
+++ b/src/test/java/wallmoor/http/IncomingBytesTest.java
@@ -14,13 +14,13 @@
 import org.junit.Test;
 
 /** Bytes between the thread that watches and the one that reads. */
-public class FeedTest {
+public class IncomingBytesTest {
     @Test
     public void bytesComeInOrderAndWhoIsFullAsksOnceItWasRead() throws Exception {
         for (long seed = 1; seed <= 200; seed++) {
             var random = new Random(seed);
             var asked = new AtomicInteger();
-            var feed = new Feed(asked::incrementAndGet);
+            var feed = new IncomingBytes(asked::incrementAndGet);
             var in = new ByteArrayOutputStream();
             var out = new ByteArrayOutputStream();
             boolean wanted = true;
@@ -30,7 +30,7 @@
                     random.nextBytes(more);
                     in.writeBytes(more);
                     wanted = feed.add(ByteBuffer.wrap(more));
-                    assertEquals(wanted, feed.waiting() < Feed.MOST);
+                    assertEquals(wanted, feed.waiting() < IncomingBytes.MOST);
                 } else if (feed.waiting() > 0) {
                     byte[] to = new byte[1 + random.nextInt(9_000)];
                     int before = asked.get();
@@ -48,16 +48,16 @@
 
     @Test
     public void aReadWaitsNoLongerThanItMayAndTheEndWakesIt() throws Exception {
-        var feed = new Feed(() -> { });
+        var feed = new IncomingBytes(() -> { });
         feed.timeout(20);
         assertThrows(SocketTimeoutException.class, feed::read);
         feed.timeout(0);
         new Thread(feed::end).start();
         assertEquals(-1, feed.read());
         assertTrue(feed.ended());
-        feed.add(ByteBuffer.wrap(new byte[Feed.MOST]));
+        feed.add(ByteBuffer.wrap(new byte[IncomingBytes.MOST]));
         feed.clear();
         assertEquals(0, feed.waiting());
-        assertFalse(feed.add(ByteBuffer.wrap(new byte[Feed.MOST])));
+        assertFalse(feed.add(ByteBuffer.wrap(new byte[IncomingBytes.MOST])));
     }
 }
--- a/src/test/java/wallmoor/http/ServerCrossingsTest.java
+++ b/src/test/java/wallmoor/http/ServerCrossingsTest.java
@@ -140,14 +140,14 @@
         start(8);
         Socket client = client();
         String next = get("/next");
-        int many = 4 * Feed.MOST / next.length();
+        int many = 4 * IncomingBytes.MOST / next.length();
         send(client, get("/held") + next.repeat(many));
         assertEquals("/held", take(begun));
         released.countDown();
         byte[] all = client.getInputStream().readAllBytes(); // up to a clean end: no reset takes an answer with it
         int answers = new String(all, StandardCharsets.ISO_8859_1).split("HTTP/1.1 200", -1).length - 1;
         assertEquals("each that was begun is answered", begun.size() + 1, answers);
-        assertTrue(answers + " answers", answers > Feed.MOST / next.length());
+        assertTrue(answers + " answers", answers > IncomingBytes.MOST / next.length());
     }
 
     @Test
--- a/src/test/java/wallmoor/maintenance/Fleets.java
+++ b/src/test/java/wallmoor/maintenance/Fleets.java
@@ -70,7 +70,7 @@
         return with(f, machine(id, m.kind(), phase, m.life(), m.servedFor()));
     }
 
-    static Fleet words(Fleet f, int gatherers, Word... words) {
+    static Fleet words(Fleet f, int gatherers, GathererReport... words) {
         return new Fleet(f.machines(), f.blocks(), List.of(words), gatherers, f.quorum(), f.leader());
     }
 
@@ -78,8 +78,8 @@
         return new Fleet(f.machines(), f.blocks(), f.words(), f.gatherers(), quorum, leader);
     }
 
-    static Word free(String gatherer, String... machines) {
-        return new Word(gatherer, 0, Set.of(machines), Map.of());
+    static GathererReport free(String gatherer, String... machines) {
+        return new GathererReport(gatherer, 0, Set.of(machines), Map.of());
     }
 
     static Wish wish(String machine, String... after) {
--- a/src/test/java/wallmoor/maintenance/PlannerTest.java
+++ b/src/test/java/wallmoor/maintenance/PlannerTest.java
@@ -64,7 +64,7 @@
     @Test
     public void whatIsImpossibleIsRefusedWithTheFewestReasons() {
         Fleet alone = fleet(List.of(node("a"), node("b")), block("x", "a"));
-        assertTrue(refused(plan(alone, budgets(2), wish("a"), wish("b")), Book.cover(block("x", "a"))).smallest());
+        assertTrue(refused(plan(alone, budgets(2), wish("a"), wish("b")), OutageLedger.cover(block("x", "a"))).smallest());
         refused(plan(TWINS, budgets(0), wish("a")), Reason.budget(Rule.AT_ONCE, "at_once"));
         refused(plan(TWINS, Fleets.centres(budgets(3), Map.of("a", 0)), wish("a")), Reason.budget(Rule.CENTRE, "centres.a"));
         refused(plan(TWINS, Fleets.kept(budgets(3), 700_000, 0), wish("a")), Reason.budget(Rule.CAPACITY, "capacity_kept"));
@@ -80,7 +80,7 @@
     @Test
     public void twoForOneBlockByOneTimeNameTheBlockAndBoth() {
         assertTrue(refused(plan(TWINS, budgets(3), wish("a", 20_000, 90_000), wish("b", 20_000, 90_000), wish("c")),
-                Book.cover(block("x", "a", "b")), Reason.of(Rule.BY, "a"), Reason.of(Rule.BY, "b")).smallest());
+                OutageLedger.cover(block("x", "a", "b")), Reason.of(Rule.BY, "a"), Reason.of(Rule.BY, "b")).smallest());
         refused(plan(TWINS, budgets(1), wish("a", 20_000, 90_000), wish("c", 20_000, 90_000)),
                 Reason.budget(Rule.AT_ONCE, "at_once"), Reason.of(Rule.BY, "a"), Reason.of(Rule.BY, "c"));
     }
@@ -88,7 +88,7 @@
     @Test
     public void whatWaitsForAMachineIsNotRefused() {
         Waits w = (Waits) plan(phase(TWINS, "b", Machine.Phase.AWAY), budgets(3), wish("a"));
-        assertEquals(List.of(Book.cover(block("x", "a", "b"))), w.because());
+        assertEquals(List.of(OutageLedger.cover(block("x", "a", "b"))), w.because());
         assertEquals(Step.HELD, Fleets.step(Steps.next(0, Fleets.ask(State.EMPTY, 0, wish("a")),
                 phase(TWINS, "b", Machine.Phase.AWAY), budgets(3)), "a"));
     }
--- a/src/test/java/wallmoor/maintenance/StepsTest.java
+++ b/src/test/java/wallmoor/maintenance/StepsTest.java
@@ -37,7 +37,7 @@
     }
 
     /** With a draining, seen so, and the two gatherers' words. */
-    private static Fleet draining(Word... words) {
+    private static Fleet draining(GathererReport... words) {
         return words(phase(THREE, "a", Phase.DRAINING), 2, words);
     }
 
@@ -99,15 +99,15 @@
     @Test
     public void busyIsWhoHasPartsDoesNotHeedOrCannotBeAskedUntilPartsAreOver() {
         State s = begun("a");
-        Word asked = free("g", "a");
-        List<Word> busy = List.of(new Word("h", 0, Set.of("a"), Map.of("a", 1)), new Word("h", 0, Set.of(), Map.of()),
-                new Word("h", Fleets.PARTS - 1, Set.of("a"), Map.of()));
-        for (Word w : busy) {
+        GathererReport asked = free("g", "a");
+        List<GathererReport> busy = List.of(new GathererReport("h", 0, Set.of("a"), Map.of("a", 1)), new GathererReport("h", 0, Set.of(), Map.of()),
+                new GathererReport("h", Fleets.PARTS - 1, Set.of("a"), Map.of()));
+        for (GathererReport w : busy) {
             State t = next(1_000, s, draining(asked, w), one);
             assertEquals(w.toString(), Step.DRAINING, step(t, "a"));
             assertEquals(List.of(new Reason(Rule.BUSY, List.of("h"), List.of(), "")), why(t, "a"));
         }
-        assertEquals(Step.OUT, step(next(1_000, s, draining(asked, new Word("h", Fleets.PARTS, Set.of(), Map.of("a", 3))), one), "a"));
+        assertEquals(Step.OUT, step(next(1_000, s, draining(asked, new GathererReport("h", Fleets.PARTS, Set.of(), Map.of("a", 3))), one), "a"));
         Fleet fresh = with(draining(asked), new Machine("a", Kind.NODE, "a", 1, false, Phase.DRAINING, "1", Fleets.PARTS - 1, 0));
         assertEquals("one of two is not known", Step.DRAINING, step(next(1_000, s, fresh, one), "a"));
         assertEquals(Step.OUT, step(next(1_000, s, draining(asked), one), "a"));
@@ -117,7 +117,7 @@
     @Test
     public void oneThatIsNeverFreeIsGivenUpAndServesAgain() {
         State s = begun("a");
-        Fleet f = draining(free("g", "a"), new Word("h", 0, Set.of("a"), Map.of("a", 1)));
+        Fleet f = draining(free("g", "a"), new GathererReport("h", 0, Set.of("a"), Map.of("a", 1)));
         s = next(60_000, s, f, one);
         assertEquals(Step.GIVEN_UP, step(s, "a"));
         assertEquals(List.of(new Reason(Rule.BUSY, List.of("h"), List.of(), "drain")), why(s, "a"));
@@ -144,7 +144,7 @@
         State t = next(1_000, s, f, one); // one too many drain: the budget was two
         assertEquals(List.of(Step.DRAINING, Step.HELD), List.of(step(t, "a"), step(t, "c")));
         State out = next(1_000, begun("a"), draining(free("g", "a"), free("h", "a")), one);
-        assertEquals(List.of(), Act.of(out, draining(free("g", "a"), new Word("h", 0, Set.of(), Map.of())), one));
+        assertEquals(List.of(), Act.of(out, draining(free("g", "a"), new GathererReport("h", 0, Set.of(), Map.of())), one));
     }
 
     @Test
@@ -191,7 +191,7 @@
         f = quorum(f, true, "h");
         assertEquals(List.of(new Act(Act.Kind.HAND_OVER, "g")), Act.of(s, f, one));
         f = phase(f, "g", Phase.DRAINING);
-        Word clients = new Word("g", 0, Set.of("g"), Map.of("g", 2));
+        GathererReport clients = new GathererReport("g", 0, Set.of("g"), Map.of("g", 2));
         assertEquals(Step.DRAINING, step(next(1, s, words(f, 3, clients), one), "g"));
         assertEquals(Step.DRAINING, step(next(1, s, words(quorum(f, true, "g"), 3, free("g", "g")), one), "g"));
         assertEquals(Step.OUT, step(next(1, s, words(f, 3, free("g", "g")), one), "g"));
--- a/src/test/java/wallmoor/maintenance/World.java
+++ b/src/test/java/wallmoor/maintenance/World.java
@@ -43,7 +43,7 @@
         long silentSince;
         Set<String> heeds = new TreeSet<>();
         final List<Map.Entry<String, Long>> parts = new ArrayList<>();
-        Word last;
+        GathererReport last;
     }
 
     final Random random;
@@ -177,7 +177,7 @@
         if (g.silentSince == 0) {
             Map<String, Integer> out = new HashMap<>();
             g.parts.forEach(p -> out.merge(p.getKey(), 1, Integer::sum));
-            g.last = new Word(id, 0, g.heeds, out);
+            g.last = new GathererReport(id, 0, g.heeds, out);
         }
     }
 
@@ -212,10 +212,10 @@
         var machines = new ArrayList<Machine>();
         boxes.forEach((id, b) -> machines.add(new Machine(id, b.as.kind(), b.as.centre(), b.as.capacity(), b.as.voter(),
                 !b.up ? Phase.AWAY : b.listed ? Phase.SERVING : Phase.DRAINING, "" + b.life, now - b.phaseSince, b.served)));
-        var words = new ArrayList<Word>();
+        var words = new ArrayList<GathererReport>();
         gates.forEach((id, g) -> {
             if (g.last != null) {
-                words.add(new Word(id, g.silentSince == 0 ? 0 : now - g.silentSince + 1, g.last.heeds(), g.last.out()));
+                words.add(new GathererReport(id, g.silentSince == 0 ? 0 : now - g.silentSince + 1, g.last.heeds(), g.last.out()));
             }
         });
         return new Fleet(machines, blocks, words, gates.size(), quorum, leader);
--- a/src/test/java/wallmoor/prune/PromisesTest.java
+++ b/src/test/java/wallmoor/prune/PromisesTest.java
@@ -18,7 +18,7 @@
 import wallmoor.summaries.Condition;
 import wallmoor.summaries.Conditions;
 import wallmoor.summaries.Draft;
-import wallmoor.summaries.Keeper;
+import wallmoor.summaries.SummaryMaintainer;
 import wallmoor.summaries.Pruning;
 import wallmoor.summaries.Row;
 import wallmoor.summaries.Settings;
@@ -40,12 +40,12 @@
     private int looks;
     private final SummariesConfig config = new SummariesConfig(Set.of("fs1"), 5000, 50, 100, 0, 0, 0, 65536, 1 << 20);
     private Promises promises = new Promises(config, "g", () -> now, Acting.NONE);
-    private final Keeper keeper;
+    private final SummaryMaintainer keeper;
 
     public PromisesTest() {
         var draft = new Draft(Settings.usual(), SITE.name(), SITE.block(), 1);
         draft.add(row("Karachi"));
-        keeper = new Keeper(Settings.usual(), SITE, 1, draft, now, 60 * SECOND, true);
+        keeper = new SummaryMaintainer(Settings.usual(), SITE, 1, draft, now, 60 * SECOND, true);
         at("a:1", "fs1", "fs2");
     }
 
@@ -153,7 +153,7 @@
         Pruning.Cut cut = pruned().get(0);
         assertFalse("none", promises.probed(cut, SITE, Long.MIN_VALUE, Long.MIN_VALUE, 0));
         assertFalse("newer data", promises.probed(cut, SITE, 1, 2, 1));
-        Keeper.Write w = keeper.write(now, List.of(row("Multan")));
+        SummaryMaintainer.Write w = keeper.write(now, List.of(row("Multan")));
         assertEquals(2, promises.widened(w.widening()));
         assertEquals("widened, and still without it", 1, pruned().size());
         assertFalse("it was widened since", promises.probed(cut, SITE, Long.MIN_VALUE, Long.MIN_VALUE, 1));
--- a/src/test/java/wallmoor/service/RehearsalTest.java
+++ b/src/test/java/wallmoor/service/WarmUpTest.java
@@ -7,20 +7,20 @@
 import org.junit.jupiter.api.Test;
 import wallmoor.config.Launch;
 
-class RehearsalTest {
+class WarmUpTest {
     private final Launch launch = Launch.read(Map.of("ROUTER_CONFIG", "example/config.json"));
 
     /** A start on part of a core waits for each rehearsed query, and so do all clients where all start at once. */
     @Test
     void aStartRehearsesEachClassAFewTimesAndNoMore() {
         int classes = launch.classes().size();
-        int answered = Rehearsal.run(launch);
+        int answered = WarmUp.run(launch);
         assertEquals(3 * classes, answered);
-        assertTrue(answered * 5 <= Rehearsal.ARCHIVE_QUERIES, "most of it is left to the archive's run");
+        assertTrue(answered * 5 <= WarmUp.ARCHIVE_QUERIES, "most of it is left to the archive's run");
     }
 
     @Test
     void theArchiveIsMadeOfAllThatWasAskedFor() {
-        assertEquals(Rehearsal.ARCHIVE_QUERIES, Rehearsal.run(launch, Rehearsal.ARCHIVE_QUERIES));
+        assertEquals(WarmUp.ARCHIVE_QUERIES, WarmUp.run(launch, WarmUp.ARCHIVE_QUERIES));
     }
 }
--- a/src/test/java/wallmoor/standin/RowServer.java
+++ b/src/test/java/wallmoor/standin/RowServer.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicLong;
 import wallmoor.summaries.Draft;
-import wallmoor.summaries.Keeper;
+import wallmoor.summaries.SummaryMaintainer;
 import wallmoor.summaries.Row;
 import wallmoor.summaries.Settings;
 import wallmoor.summaries.Site;
@@ -38,7 +38,7 @@
     private final Site site;
     private final Path file;
     private final long epoch;
-    private final Keeper keeper;
+    private final SummaryMaintainer keeper;
     private final Map<String, String[]> rows = new ConcurrentHashMap<>();
     private final Map<Long, CompletableFuture<Void>> waiting = new HashMap<>();
     private final Map<String, ArrayDeque<Told.Widening>> news = new HashMap<>();
@@ -54,7 +54,7 @@
             rows.put(line.split(",")[0], line.split(","));
             draft.add(row(line.split(",")));
         }
-        keeper = new Keeper(SETTINGS, site, epoch, draft, now(), lifetime * 1000, first);
+        keeper = new SummaryMaintainer(SETTINGS, site, epoch, draft, now(), lifetime * 1000, first);
     }
 
     private static long now() {
@@ -165,7 +165,7 @@
         if (!past) {
             var confirmed = new CompletableFuture<Void>();
             synchronized (this) {
-                Keeper.Write w = keeper.write(now(), List.of(row(row)));
+                SummaryMaintainer.Write w = keeper.write(now(), List.of(row(row)));
                 if (w.confirm()) {
                     confirmed.complete(null);
                 } else {
--- a/src/test/java/wallmoor/summaries/PromiseModelTest.java
+++ b/src/test/java/wallmoor/summaries/PromiseModelTest.java
@@ -28,7 +28,7 @@
         private final Random random;
         private final Settings settings;
         private final List<Letter> post = new ArrayList<>();
-        private final Map<Site, Keeper> keepers = new HashMap<>();
+        private final Map<Site, SummaryMaintainer> keepers = new HashMap<>();
         private final Map<Site, List<Row>> applied = new HashMap<>();
         private final Map<Site, List<Row>> confirmed = new HashMap<>();
         private final Map<Site, Map<Long, Row>> waiting = new HashMap<>();
@@ -65,7 +65,7 @@
             var draft = new Draft(settings, site.name(), site.block(), ++epoch);
             applied.get(site).forEach(draft::add);
             waiting.put(site, new HashMap<>());
-            keepers.put(site, new Keeper(settings, site, epoch, draft, now, LIFETIME, first));
+            keepers.put(site, new SummaryMaintainer(settings, site, epoch, draft, now, LIFETIME, first));
         }
 
         /** It may come late, twice or never. */
@@ -88,8 +88,8 @@
         }
 
         private void write(Site site, Row row) {
-            Keeper k = keepers.get(site);
-            Keeper.Write w = k.write(now, List.of(row));
+            SummaryMaintainer k = keepers.get(site);
+            SummaryMaintainer.Write w = k.write(now, List.of(row));
             applied.get(site).add(row);
             if (w.confirm()) {
                 confirmed.get(site).add(row);
@@ -99,7 +99,7 @@
             tell(site, k, w);
         }
 
-        private void tell(Site site, Keeper k, Keeper.Write w) {
+        private void tell(Site site, SummaryMaintainer k, SummaryMaintainer.Write w) {
             for (String name : w.tell()) {
                 int g = name.charAt(1) - '0';
                 send(() -> {
--- a/src/test/java/wallmoor/summaries/PruningTest.java
+++ b/src/test/java/wallmoor/summaries/PruningTest.java
@@ -22,16 +22,16 @@
         return new Row(Map.of("city", city), Row.Place.of(lon, 10), new Span(0, 1));
     }
 
-    private static Keeper keeper(Site site, String... cities) {
+    private static SummaryMaintainer keeper(Site site, String... cities) {
         var draft = new Draft(SETTINGS, site.name(), site.block(), 1);
         for (String c : cities) {
             draft.add(row(c, 0));
         }
-        return new Keeper(SETTINGS, site, 1, draft, 0, 5 * SECOND, true);
+        return new SummaryMaintainer(SETTINGS, site, 1, draft, 0, 5 * SECOND, true);
     }
 
-    private Keeper held(long at, Site site, String... cities) {
-        Keeper k = keeper(site, cities);
+    private SummaryMaintainer held(long at, Site site, String... cities) {
+        SummaryMaintainer k = keeper(site, cities);
         known.promised(at, k.asked(at, "g", known.asking(at, site)));
         return k;
     }
@@ -66,7 +66,7 @@
     @Test
     public void aFalseSummaryIsFoundAndTakenOutAtOnce() {
         Site liar = new Site("liar", "0");
-        Keeper k = held(1, liar, "Karachi"); // it has rows in Lahore too, and does not tell
+        SummaryMaintainer k = held(1, liar, "Karachi"); // it has rows in Lahore too, and does not tell
         var pruning = new Pruning(known, new Pruning.Budget(0.05, 1000, 5), new Random(7));
         assertTrue("what may not repeat is never asked for nothing", pruning.decide(1, city("Lahore"),
                 List.of(share(0, liar)), false)
@@ -108,10 +108,10 @@
     @Test
     public void aWriteWaitsForAllWhoMayHoldWhatItsSummaryExcludes() {
         Site a = new Site("a", "0");
-        Keeper k = held(1, a, "Karachi");
+        SummaryMaintainer k = held(1, a, "Karachi");
         assertTrue("covered", k.write(2, List.of(row("Karachi", 0))).confirm());
-        Keeper.Write far = k.write(3, List.of(row("Karachi", 20)));
-        Keeper.Write between = k.write(4, List.of(row("Karachi", 10)));
+        SummaryMaintainer.Write far = k.write(3, List.of(row("Karachi", 20)));
+        SummaryMaintainer.Write between = k.write(4, List.of(row("Karachi", 10)));
         assertFalse("the box round both is not held by anybody yet", far.confirm() || between.confirm());
         var box = new Conditions(Conditions.box("9,9,11,11"), null, List.of());
         assertEquals(Verdict.Kind.CANNOT, known.lookup(4, box).of(a).kind());
--- a/src/test/java/wallmoor/upgrade/BeatsTest.java
+++ b/src/test/java/wallmoor/upgrade/HeartbeatsTest.java
@@ -16,21 +16,21 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.Test;
-import wallmoor.upgrade.Beats.Beat;
-import wallmoor.upgrade.Beats.Together;
+import wallmoor.upgrade.Heartbeats.Beat;
+import wallmoor.upgrade.Heartbeats.Together;
 
 /** How many processes are one gatherer, and which of them each is. */
-public class BeatsTest {
+public class HeartbeatsTest {
     private static final long NOW = 1_000_000_000;
 
     /** All that see the same signs agree on how many there are, and no two take the same place. */
     @Property
     void placesAreShared(@ForAll @Size(min = 1, max = 4) List<@IntRange(max = 9) Integer> numbers) {
         List<String> names = numbers.stream().distinct().map(n -> "process-" + n).toList();
-        List<Beat> beats = names.stream().map(n -> new Beat(n, NOW - Beats.EVERY_MICROS, 0, false)).toList();
+        List<Beat> beats = names.stream().map(n -> new Beat(n, NOW - Heartbeats.EVERY_MICROS, 0, false)).toList();
         var places = new HashSet<Integer>();
         for (String own : names) {
-            Together t = Beats.together(own, NOW, beats);
+            Together t = Heartbeats.together(own, NOW, beats);
             assertEquals(names.size(), t.count());
             assertTrue(t.place() >= 0 && t.place() < t.count());
             assertTrue(places.add(t.place()));
@@ -39,9 +39,9 @@
 
     @Test
     public void whoGivesNoSignIsGone() {
-        List<Beat> beats = List.of(new Beat("process-1", NOW - Beats.GONE_MICROS, 0, false), new Beat("process-3", NOW - 1, 0, false));
-        assertEquals(new Together(2, 0), Beats.together("process-2", NOW, beats));
-        assertEquals(new Together(1, 0), Beats.together("process-2", NOW, List.of()));
+        List<Beat> beats = List.of(new Beat("process-1", NOW - Heartbeats.GONE_MICROS, 0, false), new Beat("process-3", NOW - 1, 0, false));
+        assertEquals(new Together(2, 0), Heartbeats.together("process-2", NOW, beats));
+        assertEquals(new Together(1, 0), Heartbeats.together("process-2", NOW, List.of()));
     }
 
     /** Two on one directory find each other; one that ends, or that is killed, is missed; strangers' files harm nothing. */
@@ -55,11 +55,11 @@
         var clock = new AtomicLong(System.currentTimeMillis() * 1000);
         List<Together> first = Collections.synchronizedList(new ArrayList<>());
         List<Together> second = Collections.synchronizedList(new ArrayList<>());
-        var old = new BeatFiles(directory, clock::get, oldOne, first::add, line -> { });
+        var old = new HeartbeatFiles(directory, clock::get, oldOne, first::add, line -> { });
         old.start();
         clock.addAndGet(10);
         freshOne.held = 0;
-        var fresh = new BeatFiles(directory, clock::get, freshOne, second::add, line -> { });
+        var fresh = new HeartbeatFiles(directory, clock::get, freshOne, second::add, line -> { });
         fresh.start();
         assertEquals(List.of(new Together(2, 1)), second);
         await(first, new Together(2, 0));
@@ -75,7 +75,7 @@
         fresh.close();
     }
 
-    private static final class Held implements BeatFiles.Bound {
+    private static final class Held implements HeartbeatFiles.Bound {
         static final int ALL = 60;
         volatile int held = 40;
         volatile int may;
--- a/src/test/java/wallmoor/upgrade/PartTest.java
+++ b/src/test/java/wallmoor/upgrade/SharedLimitTest.java
@@ -11,15 +11,15 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.Test;
-import wallmoor.upgrade.Beats.Beat;
+import wallmoor.upgrade.Heartbeats.Beat;
 
 /** What two processes may hold together of one bound, whenever each of them signs and looks. */
-public class PartTest {
+public class SharedLimitTest {
     private static final int ALL = 60;
 
     /** A process as it runs: it signs what it claimed at its last look, then looks at what the other has signed. */
     private static final class Model {
-        final Part part = new Part();
+        final SharedLimit part = new SharedLimit();
         int held;
         boolean leaving;
         boolean signing = true;
