--- a/src/main/java/wallmoor/discovery/ListClock.java
+++ b/src/main/java/wallmoor/discovery/ListClock.java
@@ -8,10 +8,10 @@
  * it tells it each event with its time. All times are microseconds on one clock that never goes back. Not safe for
  * threads. docs/list-clock.md has the table of states and events.
  *
- * <p>How long to wait after failures is the decision module's to say. This clock calls sooner in five cases only: once,
+ * <p>How long to wait after failures is the decision module's to say. This clock calls sooner in six cases only: once,
  * within {@link #SPREAD}, after a sound watch fell silent, or was reset where what it misses counts soon; at once after a
- * move; where a watch fell silent and its term runs; where the settings let what is missed count sooner than the
- * module would have called; and at the latest {@link #RETRY_PERIOD} after the call before, whatever became of it.
+ * move; where a watch fell silent and its term runs; where a watch ended, until what it missed counts; where the
+ * settings let what is missed count sooner than the module would have called; and at the latest {@link #RETRY_PERIOD} after the call before, whatever became of it.
  *
  * <p>What no gatherer can know, this one neither: a change made while discovery can't be reached from here, if it counts
  * as told and its grace is over before discovery could be reached for long enough to be asked: where lists
@@ -62,6 +62,14 @@
      * discovery had it and could be reached, whatever call failed before. With 2 s of grace that leaves time for a call
      * that is given up after {@link #ANSWER} and one answered at its last moment, or for two prompt refusals. */
     static final long RETRY_PERIOD = 2_500_000;
+    /** A watch that ended, rather than fell silent, is a call whose wait is over: what it did not tell counts so much later. */
+    static final long ENDED_TERM = 2_000_000;
+    /** The first call after its end comes within this time, and the next ones so long after the call before: a
+     * refused call and a slow one fit into {@link #ENDED_TERM} and 2 s of grace. */
+    static final long ENDED_SPREAD = 600_000;
+    static final long ENDED_GAP = 1_000_000;
+    /** Watches that ended young one after another: from then on discovery is spared, as it may end all that are opened. */
+    private static final int YOUNG_ENDS = 3;
     /** What lies unread already is taken for so long after its time, however much it is; what trickles is not. */
     private static final long LATE_READS = 250_000;
     private static final long LATE_READ = 1_000;
@@ -93,6 +101,8 @@
     private long callBy = NEVER;
     private long behindSince = NEVER;
     private boolean silent;
+    private long endedAt = NEVER;
+    private int youngEnds;
     private long movedAt = NEVER;
     private int gaps;
 
@@ -131,6 +141,7 @@
         movedAt = at;
         leave(at);
         state = State.WAITING;
+        endedAt = NEVER;
         await(at); // what the call that is out still reads must not hold up the next one
         gaps = 0;
         callBy = at;
@@ -182,8 +193,12 @@
      */
     boolean lost(long at) {
         boolean wasSound = state == State.SOUND;
+        boolean wasOpen = wasSound || state == State.OPENED;
         state = State.WAITING;
         leave(at);
+        if (wasOpen) {
+            ended(at);
+        }
         boolean hurries = silent || pushed || askWithin > 0 && askWithin < SOON;
         boolean atOnce = wasSound && hurries && at - openedAt >= SETTLED;
         failed = !wasSound;
@@ -193,6 +208,12 @@
         return !atOnce;
     }
 
+    private void ended(long at) {
+        boolean young = at - openedAt < SETTLED;
+        youngEnds = young ? youngEnds + 1 : 0;
+        endedAt = silent ? NEVER : at;
+    }
+
     private void in(State... allowed) {
         for (State s : allowed) {
             if (s == state) {
@@ -217,10 +238,14 @@
 
     /** When to call again at the latest, should the module wait for longer. */
     private long again(long at) {
-        long by = Math.max(at + LEAST_GAP, (failed ? calledAt : at) + spread(0.75, RETRY_PERIOD));
+        long by = Math.max(at + LEAST_GAP, (failed ? calledAt : at) + spread(0.8, RETRY_PERIOD));
         if (silent && (!reached || at < behindSince + TERM + grace)) { // who was not reached is not burdened
             by = Math.min(by, at + spread(0.75, gaps == 1 ? FIRST_GAP : TERM_GAP));
         }
+        if (hurriesAfterEnd(at)) {
+            by = Math.min(by, at == endedAt ? at + spread(0, ENDED_SPREAD)
+                    : Math.max(at + LEAST_GAP, calledAt + spread(0.75, ENDED_GAP)));
+        }
         if (pushed) {
             by = Math.min(by, Math.max(at + LEAST_GAP, calledAt + spread(0.65, pushedGap)));
         } else if (askWithin > 0) { // the other half of the time is for the call
@@ -229,6 +254,12 @@
         return by;
     }
 
+    /** Whether what an ended watch did not tell may still be told in its term: not by a discovery that can't be reached. */
+    private boolean hurriesAfterEnd(long at) {
+        return endedAt != NEVER && youngEnds <= YOUNG_ENDS && (at == endedAt || reached)
+                && at < endedAt + ENDED_TERM + grace;
+    }
+
     /** How long the last call holds the gatherer to the list it has, where lists are asked for. */
     private long holds() {
         return failed ? FAILED_HOLDS * askWithin : askWithin;
--- a/src/test/java/wallmoor/discovery/ListClockPropertiesTest.java
+++ b/src/test/java/wallmoor/discovery/ListClockPropertiesTest.java
@@ -129,6 +129,58 @@
         model.run(20 * SECOND);
     }
 
+    /** A clock whose watch has just opened, after calls that failed; it has spoken if {@code spoke}. */
+    private static ListClock opened(long seed, boolean spoke) {
+        var clock = new ListClock(false, 10 * SECOND, 2 * SECOND, seed);
+        clock.started(0);
+        for (int failures = 0; failures < 4; failures++) {
+            clock.called(failures * SECOND);
+            clock.lost(failures * SECOND + 1);
+        }
+        clock.called(10 * SECOND);
+        clock.asked(10 * SECOND);
+        clock.opened(10 * SECOND);
+        if (spoke) {
+            clock.heard(10 * SECOND);
+        }
+        return clock;
+    }
+
+    /** A watch ends in place of telling; the next call is refused late, the one after it is answered late: in time. */
+    @Property(tries = 1_000, seed = "11")
+    void whatAnEndedWatchDidNotTellIsKnownInItsTerm(@ForAll boolean spoke, @ForAll long seed) {
+        ListClock clock = opened(seed, spoke);
+        long end = 10 * SECOND + 40_000;
+        clock.lost(end);
+        assertTrue(clock.callBy() <= end + ListClock.ENDED_SPREAD, "called " + (clock.callBy() - end) + " us after the end");
+        long first = clock.callBy();
+        clock.called(first);
+        clock.asked(first);
+        clock.lost(first + SECOND);
+        long answered = clock.callBy() + 1_200_000;
+        assertTrue(answered <= end + ListClock.ENDED_TERM + 2 * SECOND, "answered " + (answered - end) + " us after the end");
+    }
+
+    /** A discovery that ends each watch as it opens is asked no more often than one that refuses. */
+    @Property(tries = 200, seed = "12")
+    void aDiscoveryThatEndsEachWatchIsSpared(@ForAll boolean spoke, @ForAll long seed) {
+        ListClock clock = opened(seed, spoke);
+        long now = 10 * SECOND + 40_000;
+        int calls = 0;
+        for (; now < 70 * SECOND; calls++) {
+            clock.lost(now);
+            now = clock.callBy();
+            clock.called(now);
+            clock.asked(now);
+            clock.opened(now);
+            if (spoke) {
+                clock.heard(now);
+            }
+            now += 40_000;
+        }
+        assertTrue(calls <= 4 + 60 * SECOND / (0.75 * ListClock.RETRY_PERIOD), calls + " calls in a minute");
+    }
+
     /** A call for a watch that can be spoken of in one state alone: what comes in another is a fault of the caller's. */
     @Example
     void eventsOutOfTheirOrderAreRefused() {
