--- a/src/main/java/wallmoor/adapter/Adapter.java
+++ b/src/main/java/wallmoor/adapter/Adapter.java
@@ -236,7 +236,7 @@
         }
 
         @Override
-        public void assign(String part, String leaf, long giveUpAfter) {
+        public void assign(String part, String leaf, long giveUpAfter, long beginWithin) { // there it begins at once
             say("ASSIGN " + part + " " + leaf + " " + giveUpAfter);
         }
 
--- a/src/main/java/wallmoor/core/Attempt.java
+++ b/src/main/java/wallmoor/core/Attempt.java
@@ -11,17 +11,20 @@
     final Worker worker;
     final long sentAt;
     final long until;
+    /** It begins before this or never: a repeat is harmless for some time only. */
+    private final long beginBefore;
     /** Set under the gatherer's lock, once; read without it by who writes. */
     volatile boolean calledOff;
     boolean ended;
 
-    Attempt(Query query, Query.Part part, int number, Worker worker, long sentAt, long until) {
+    Attempt(Query query, Query.Part part, int number, Worker worker, long sentAt, long until, long beginBefore) {
         this.query = query;
         this.part = part;
         this.number = number;
         this.worker = worker;
         this.sentAt = sentAt;
         this.until = until;
+        this.beginBefore = beginBefore;
     }
 
     /** The query that this attempt is for. */
@@ -67,7 +70,10 @@
         if (!worker.address().equals(address)) {
             return Permit.MOVED;
         }
-        return now + LEAST_TIME <= until ? Permit.GRANTED : Permit.TOO_LATE;
+        if (now + LEAST_TIME > until) {
+            return Permit.TIME_OVER;
+        }
+        return now < beginBefore ? Permit.GRANTED : Permit.WINDOW_OVER;
     }
 
     /** The milliseconds that its worker is told to have, at this moment: never more than the client has left. */
--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -615,12 +615,13 @@
     private final class Decided implements RouterApi.Actions {
 
         @Override
-        public void assign(String part, String leaf, long giveUpAfter) {
+        public void assign(String part, String leaf, long giveUpAfter, long beginWithin) {
             Query q = byPart.get(part);
             Query.Part p = q.part(part);
             Worker worker = workers.get(leaf);
             long until = Math.min(q.deadline, now + giveUpAfter);
-            var attempt = new Attempt(q, p, p.attempts++, worker, now, until);
+            var attempt = new Attempt(q, p, p.attempts++, worker, now, until,
+                    beginWithin < until - now ? now + beginWithin : until);
             q.out.add(attempt);
             schedule(new Timer(until, null, attempt));
             for (Iterator<Step> i = q.steps.descendingIterator(); i.hasNext();) {
--- a/src/main/java/wallmoor/core/Permit.java
+++ b/src/main/java/wallmoor/core/Permit.java
@@ -17,8 +17,10 @@
     NOT_SERVING,
     /** The list has given the worker another address than the one to be written to. */
     MOVED,
-    /** The client's time, or the time in which the attempt may begin, is over. */
-    TOO_LATE;
+    /** The attempt's time is over: its client gives up, or no answer would earn anything. */
+    TIME_OVER,
+    /** It repeats what may have run, and the time in which a repeat is harmless is over. */
+    WINDOW_OVER;
 
     /** Whether the attempt may begin. */
     public boolean granted() {
--- a/src/main/java/wallmoor/decision/Brain.java
+++ b/src/main/java/wallmoor/decision/Brain.java
@@ -670,7 +670,7 @@
     /** Whether a further attempt for this part is allowed and in time, were none out and the budget open. */
     private boolean mayTry(Part p) {
         return !p.over && p.attempts < settings.limits().maxAttempts() && fits(p.query)
-                && (p.attempts == 0 || mayRepeat(p));
+                && (p.attempts == 0 || now < repeatUntil(p));
     }
 
     /** Whether there is time for an answer that earns anything. */
@@ -694,7 +694,7 @@
         boolean leafIll = p.out.values().stream().allMatch(a -> a.leaf.ill || silent(a.leaf) >= 1);
         Leaf other = choose(p, p.tried);
         if (other == null || p.tried.contains(other) || other.ill || other.fails.share(now) > FAILING
-                || !leafIll && allSlow() || !mayRepeat(p)) {
+                || !leafIll && allSlow() || now >= repeatUntil(p)) {
             return false;
         }
         if (p.out.size() == 1 && send(p, true) != null) {
@@ -978,7 +978,10 @@
             leaf.trials++;
             ill(leaf, "trial");
         }
-        actions.assign(p.id, leaf.id, Math.max(settings.round(), ends(p.query) - now));
+        boolean bound = p.query.kind.effect() == Effect.KEYED // the first too, if a second may overtake it
+                && (p.mayRun.size() > 1 || settings.limits().parallelTries());
+        actions.assign(p.id, leaf.id, Math.max(settings.round(), ends(p.query) - now),
+                bound ? repeatUntil(p) - now : Long.MAX_VALUE);
         return attempt;
     }
 
@@ -1036,13 +1039,11 @@
                 + (1 - rules.coldShare()) * Math.max(0, now - leaf.coldFrom) / Math.max(1, rules.cold());
     }
 
-    private boolean mayRepeat(Part p) {
-        return switch (p.query.kind.effect()) {
-            case SAFE -> true;
-            case KEYED -> !p.mayHaveRun()
-                    || now < p.firstMayHaveRun() + p.query.kind.dedupWindow() - 2 * settings.round();
-            case UNSAFE -> !p.mayHaveRun();
-        };
+    /** Until when a part may go again, counted from the decision of the first that may have run. */
+    private long repeatUntil(Part p) {
+        boolean free = p.query.kind.effect() == Effect.SAFE || !p.mayHaveRun();
+        return free ? Long.MAX_VALUE : p.query.kind.effect() == Effect.UNSAFE ? 0
+                : p.firstMayHaveRun() + p.query.kind.dedupWindow() - 2 * settings.round();
     }
 
     private boolean inBudget() {
--- a/src/main/java/wallmoor/decision/RouterApi.java
+++ b/src/main/java/wallmoor/decision/RouterApi.java
@@ -193,8 +193,13 @@
 
     /** What the module may do. Each call takes effect at the time of the event being handled. */
     public interface Actions {
-        /** Starts an attempt; attempts of a part are numbered from 0 in the order of these calls. */
-        void assign(String part, String leaf, long giveUpAfter);
+        /**
+         * Starts an attempt; attempts of a part are numbered from 0 in the order of these calls.
+         *
+         * @param beginWithin its first byte goes out sooner than this from now, or never ({@link Outcome#MOOT});
+         *                    {@link Long#MAX_VALUE} where nothing but {@code giveUpAfter} bounds it
+         */
+        void assign(String part, String leaf, long giveUpAfter, long beginWithin);
 
         /** Stops waiting for an attempt. */
         void cancel(String part, int attempt);
--- a/src/test/java/wallmoor/core/PermitTest.java
+++ b/src/test/java/wallmoor/core/PermitTest.java
@@ -13,7 +13,8 @@
 
     private final Query query = new Query("q", "all", NOW + 500_000, null, null);
     private final Worker worker = new Worker("a");
-    private final Attempt attempt = new Attempt(query, new Query.Part("q.0", 0), 0, worker, NOW, NOW + 300_000);
+    private final Attempt attempt = new Attempt(query, new Query.Part("q.0", 0), 0, worker, NOW, NOW + 300_000,
+            NOW + 300_000);
 
     public PermitTest() {
         told(HERE, Member.State.SERVING, false);
@@ -77,8 +78,16 @@
     public void noAttemptBeginsWithLessThanAMillisecondLeft() {
         assertEquals(Permit.GRANTED, attempt.permit(NOW + 299_000, HERE));
         assertEquals(1, attempt.millisLeft(NOW + 299_000));
-        assertEquals(Permit.TOO_LATE, attempt.permit(NOW + 299_001, HERE));
-        assertEquals(Permit.TOO_LATE, attempt.permit(NOW + 900_000, HERE));
+        assertEquals(Permit.TIME_OVER, attempt.permit(NOW + 299_001, HERE));
+        assertEquals(Permit.TIME_OVER, attempt.permit(NOW + 900_000, HERE));
+    }
+
+    @Test
+    public void aRepeatBeginsStrictlyInsideItsWindow() {
+        var repeat = new Attempt(query, new Query.Part("q.0", 0), 1, worker, NOW, NOW + 300_000, NOW + 200_000);
+        assertEquals(Permit.GRANTED, repeat.permit(NOW + 199_999, HERE));
+        assertEquals(Permit.WINDOW_OVER, repeat.permit(NOW + 200_000, HERE));
+        assertEquals("out of time besides", Permit.TIME_OVER, repeat.permit(NOW + 300_000, HERE));
     }
 
     @Test
--- a/src/test/java/wallmoor/decision/BrainTest.java
+++ b/src/test/java/wallmoor/decision/BrainTest.java
@@ -209,6 +209,44 @@
         assertEquals(1, rig.said("assign").size());
     }
 
+    /** It may wait for a connection: the time by which it begins counts from when the first was decided. */
+    @Test
+    void aRepeatIsToldByWhenItMustBegin() {
+        for (Effect effect : Effect.values()) {
+            var site = new Rig.Site().only(Rig.Site.all(effect));
+            site.parallel = false;
+            var rig = new Rig(site).leaves(12);
+            String q = rig.query(0, 0);
+            rig.now += 400 * MS;
+            rig.ends(q + "/0", 0, rig.leafOf(0), effect == Effect.UNSAFE ? Outcome.CONNECT_FAILED : Outcome.ERROR, 400 * MS);
+            assertEquals(2, rig.said("assign").size());
+            assertEquals(List.of(Long.MAX_VALUE, effect == Effect.KEYED ? (1_000 - 400) * MS - 2 * Rig.ROUND
+                    : Long.MAX_VALUE), rig.beginWithins);
+        }
+    }
+
+    /** One that never ran counts no longer: the window is that of the one after it. */
+    @Test
+    void theWindowOfARepeatIsThatOfTheFirstThatMayHaveRun() {
+        var site = new Rig.Site().only(Rig.Site.all(Effect.KEYED));
+        site.parallel = false;
+        var rig = new Rig(site).leaves(12);
+        String q = rig.query(0, 0);
+        rig.now += 300 * MS;
+        rig.ends(q + "/0", 0, rig.leafOf(0), Outcome.MOOT, 300 * MS);
+        rig.now += 200 * MS;
+        rig.ends(q + "/0", 1, rig.leafOf(1), Outcome.RESET, 200 * MS);
+        assertEquals(List.of(Long.MAX_VALUE, Long.MAX_VALUE, (1_000 - 200) * MS - 2 * Rig.ROUND), rig.beginWithins);
+    }
+
+    /** A second may be written while the first waits for a connection: then the first is the repeat. */
+    @Test
+    void aFirstThatASecondMayOvertakeIsBoundByTheWindowToo() {
+        var rig = new Rig(new Rig.Site().only(Rig.Site.all(Effect.KEYED))).leaves(12);
+        rig.query(0, 0);
+        assertEquals(List.of(1_000 * MS - 2 * Rig.ROUND), rig.beginWithins);
+    }
+
     @Test
     void aDrainingOrGoneLeafGetsNothing() {
         var rig = new Rig(new Rig.Site()).leaves(12);
--- a/src/test/java/wallmoor/decision/Rig.java
+++ b/src/test/java/wallmoor/decision/Rig.java
@@ -26,6 +26,8 @@
 
     final List<String> said = new ArrayList<>();
     final List<byte[]> told = new ArrayList<>();
+    /** For each assign, within what time it has to begin. */
+    final List<Long> beginWithins = new ArrayList<>();
     final Brain brain;
     long now = 1_000_000;
     private long queries;
@@ -182,7 +184,8 @@
     }
 
     @Override
-    public void assign(String part, String leaf, long giveUpAfter) {
+    public void assign(String part, String leaf, long giveUpAfter, long beginWithin) {
+        beginWithins.add(beginWithin);
         said.add("assign " + part + " " + leaf);
     }
 
