--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -101,19 +101,20 @@
     // ---- queries ------------------------------------------------------------------------------------------
 
     /**
-     * Takes a query; its thread then calls {@link #pick} until a final answer comes. Null if its id is already held.
+     * Takes a query; its thread then calls {@link #pick} until a final answer comes. Null if its id is already held, or
+     * parts of an earlier query of that id are still out: a worker would take the new ones for second copies.
      *
      * @param carries what the front's workers need of it
      */
     public Query open(String id, int queryClass, long deadline, boolean repeat, List<Query.Ask> asks, Object carries) {
         lock.lock();
         try {
-            if (queries.containsKey(id)) {
+            if (queries.containsKey(id) || stillOut(id, asks)) {
                 return null;
             }
             var query = new Query(id, named(queryClass), deadline, carries, lock.newCondition());
             for (Query.Ask ask : asks) {
-                query.parts.add(new Query.Part(id + "." + ask.shard(), ask.shard()));
+                query.parts.add(new Query.Part(partId(id, ask), ask.shard()));
             }
             queries.put(id, query);
             figures.taken(query.className);
@@ -134,6 +135,19 @@
         }
     }
 
+    private static String partId(String id, Query.Ask ask) {
+        return id + "." + ask.shard();
+    }
+
+    private boolean stillOut(String id, List<Query.Ask> asks) {
+        for (Query.Ask ask : asks) {
+            if (byPart.containsKey(partId(id, ask))) {
+                return true;
+            }
+        }
+        return false;
+    }
+
     /** Waits for what is next for this query. After a {@link Step.Final} nothing more comes. */
     public Step pick(Query query) throws InterruptedException {
         lock.lock();
@@ -280,6 +294,20 @@
         }
     }
 
+    /** Queries, parts and timers of attempts that are kept here: none once all queries and attempts have ended. */
+    int kept() {
+        lock.lock();
+        try {
+            int timers = 0;
+            for (Timer timer : due) {
+                timers += timer.attempt == null ? 0 : 1;
+            }
+            return queries.size() + byPart.size() + timers;
+        } finally {
+            lock.unlock();
+        }
+    }
+
     // ---- outcomes -----------------------------------------------------------------------------------------
 
     /** An attempt has ended. Only its first report counts. */
--- a/src/test/java/wallmoor/core/GathererTest.java
+++ b/src/test/java/wallmoor/core/GathererTest.java
@@ -21,7 +21,7 @@
 
 /** The facade with a hand-turned clock and no sockets. */
 public class GathererTest {
-    private static final String SETTINGS = "Classes.count=2 Classes.0.Aim=1000000 Classes.0.GiveUp=2000000"
+    static final String SETTINGS = "Classes.count=2 Classes.0.Aim=1000000 Classes.0.GiveUp=2000000"
             + " Classes.0.Repeat=free Classes.0.Worth=1 Classes.0.LateWorth=0.1 Classes.1.Aim=1000000"
             + " Classes.1.GiveUp=2000000 Classes.1.Repeat=single_shot Classes.1.Worth=1 Classes.1.LateWorth=0.1"
             + " Domain.NeedByClass=1,1 Domain.FloorByClass=1,1 Domain.Reach=1 Domain.Sets=1 Domain.Slabs=4"
@@ -33,16 +33,28 @@
     private final List<String> log = new ArrayList<>();
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private Gatherer gatherer;
+    /** Lines that begin so make the log throw, in the midst of a decision. */
+    private String failing = "none";
 
     @Before
     public void start() {
+        gatherer = new Gatherer(settings(SETTINGS), 7, clock::get, this::log);
+        gatherer.start(List.of(member("a", Member.State.SERVING), member("b", Member.State.SERVING)));
+    }
+
+    static Settings settings(String text) {
         var pairs = new HashMap<String, String>();
-        for (String pair : SETTINGS.split(" ")) {
+        for (String pair : text.split(" ")) {
             pairs.put(pair.split("=")[0], pair.split("=")[1]);
         }
-        Settings settings = new SettingsReader(pairs).settings();
-        gatherer = new Gatherer(settings, 7, clock::get, log::add);
-        gatherer.start(List.of(member("a", Member.State.SERVING), member("b", Member.State.SERVING)));
+        return new SettingsReader(pairs).settings();
+    }
+
+    private void log(String line) {
+        log.add(line);
+        if (line.startsWith(failing)) {
+            throw new IllegalStateException("of the test");
+        }
     }
 
     @After
@@ -195,6 +207,56 @@
         assertEquals(0, gatherer.held());
     }
 
+    /** An id that comes again while an attempt under it is still out: a worker would see a second copy. */
+    @Test
+    public void anIdIsNotTakenAgainWhileItsPartsAreOut() throws Exception {
+        Query q = open("q", 1);
+        var send = (Step.Send) pick(q);
+        gatherer.gone(q);
+        var cancel = (Step.Cancel) pick(q);
+        assertEquals(null, open("q", 1));
+        gatherer.report(cancel.attempt(), cancel.as(), null);
+        Query again = open("q", 1);
+        var next = (Step.Send) pick(again);
+        gatherer.report(send.attempts().get(0), Outcome.SERVED, new byte[] {1}); // late: it is that of the first
+        gatherer.report(next.attempts().get(0), Outcome.SERVED, new byte[] {2});
+        assertEquals(2, ((Step.Answer) pick(again)).values().get(0).bytes()[0]);
+        assertEquals(0, gatherer.kept());
+    }
+
+    /** What the module throws is logged; a query that it no longer decides gets its answer when its time is over. */
+    @Test
+    public void anExceptionOfTheModuleLeavesNoQueryWithoutItsAnswer() throws Exception {
+        failing = "leaf ";
+        Query q = open("q", 0);
+        var send = (Step.Send) pick(q);
+        gatherer.report(send.attempts().get(0), Outcome.NO_CONNECTION, null); // the module would log that it is ill
+        assertTrue(log.toString(), log.stream().anyMatch(l -> l.contains("module failed")));
+        clock.addAndGet(2_000_000 + 5_000);
+        assertTrue(pick(q) instanceof Step.Fail);
+        assertEquals(0, gatherer.kept());
+        failing = "none";
+        assertTrue("the next one is decided", pick(open("r", 0)) instanceof Step.Send);
+    }
+
+    /** What is out when the settings allow fewer attempts ends as ever; no further one is made. */
+    @Test
+    public void fewerAttemptsAreAllowedWhileSomeAreOut() throws Exception {
+        Query q = open("q", 0);
+        var first = (Step.Send) pick(q);
+        gatherer.report(first.attempts().get(0), Outcome.ERROR, null);
+        var second = (Step.Send) pick(q);
+        gatherer.settings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")), List.of("any", "once"), java.util.Set.of());
+        gatherer.report(second.attempts().get(0), Outcome.ERROR, null);
+        assertTrue(pick(q) instanceof Step.Final);
+        Query r = open("r", 0);
+        var only = (Step.Send) pick(r);
+        gatherer.settings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")), List.of("any", "once"), java.util.Set.of());
+        gatherer.report(only.attempts().get(0), Outcome.SERVED, new byte[] {1});
+        assertTrue(pick(r) instanceof Step.Answer);
+        assertEquals(0, gatherer.kept());
+    }
+
     /** A ban holds over all that lists say, also for a node that leaves them and comes back; one call lifts it. */
     @Test
     public void aBanStandsAboveTheList() throws Exception {
