--- /dev/null
+++ b/src/main/java/wallmoor/frames/Answer.java
@@ -0,0 +1,39 @@
+package wallmoor.frames;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import wallmoor.core.Outcome;
+import wallmoor.http.Slice;
+
+/**
+ * What a worker says became of a part.
+ *
+ * @param value null unless it was served
+ */
+record Answer(String part, Outcome outcome, byte[] value) {
+    private static final int FIELDS = 4;
+
+    /** Reads a frame of letter A: a line {@code ID END SCORE REPORT}, then the value. Null if it is none. */
+    static Answer of(Slice frame) {
+        byte[] bytes = frame.buffer();
+        int from = frame.from() + 1;
+        int end = frame.from() + frame.length();
+        int lineEnd = from;
+        while (lineEnd < end && bytes[lineEnd] != '\n') {
+            lineEnd++;
+        }
+        if (lineEnd == end) {
+            return null;
+        }
+        String[] line = new String(bytes, from, lineEnd - from, StandardCharsets.ISO_8859_1).split(" ", -1);
+        if (line.length < FIELDS) {
+            return null;
+        }
+        return switch (line[1]) {
+            case "ok" -> new Answer(line[0], Outcome.SERVED, Arrays.copyOfRange(bytes, lineEnd + 1, end));
+            case "err" -> new Answer(line[0], Outcome.ERROR, null);
+            case "busy" -> new Answer(line[0], Outcome.BUSY, null);
+            default -> null;
+        };
+    }
+}
--- a/src/main/java/wallmoor/frames/WorkerConnection.java
+++ b/src/main/java/wallmoor/frames/WorkerConnection.java
@@ -1,15 +1,14 @@
 package wallmoor.frames;
 
 import java.io.IOException;
-import java.io.InputStream;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.Deque;
 import java.util.HashMap;
+import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -25,6 +24,7 @@
 import wallmoor.core.Permit;
 import wallmoor.core.Step;
 import wallmoor.core.Worker;
+import wallmoor.http.Slice;
 
 /**
  * One connection to a worker, which carries many parts at once. A thread writes (and connects first), another reads;
@@ -32,7 +32,6 @@
  * reported, and it is reported by whoever takes it out of {@link #out}.
  */
 final class WorkerConnection {
-    private static final int MOST_FRAME = 64 * 1024 + 1024;
     private static final int MOST_UNHEARD = 512;
     /** A connection this long in one write has a peer that no longer reads. */
     private static final long STUCK_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
@@ -159,6 +158,7 @@
             }
             if (entry.state == State.QUEUED) {
                 out.remove(attempt.partId());
+                dropEmptyCalls();
             } else {
                 entry.calledOff = as;
                 retired |= silent(entry);
@@ -173,6 +173,26 @@
         return true;
     }
 
+    /** Takes calls of which no part is left out of the queue: while a dial lasts, many may come and go. */
+    private void dropEmptyCalls() {
+        for (Iterator<Frame> i = frames.iterator(); i.hasNext();) {
+            Frame frame = i.next();
+            if (frame.send != null && !waits(frame.send)) {
+                i.remove();
+            }
+        }
+    }
+
+    private boolean waits(Step.Send send) {
+        for (Attempt a : send.attempts()) {
+            Entry entry = out.get(a.partId());
+            if (entry != null && entry.attempt == a) {
+                return true;
+            }
+        }
+        return false;
+    }
+
     boolean isClosed() {
         lock.lock();
         try {
@@ -211,13 +231,11 @@
         try {
             closed = true;
             work.signal();
-        } finally {
-            lock.unlock();
-        }
-        try {
-            socket.close();
+            socket.close(); // under the lock: who sees it closed may send its parts elsewhere
         } catch (IOException e) {
             // it is closed as far as it can be
+        } finally {
+            lock.unlock();
         }
     }
 
@@ -270,8 +288,8 @@
                 continue;
             }
             write(call);
+            mark(frame.send, State.WRITTEN); // first: whatever fails from here on, it may have run
             gatherer.written(going);
-            mark(frame.send, State.WRITTEN);
         }
     }
 
@@ -406,37 +424,10 @@
     // ---- reading ------------------------------------------------------------------------------------------
 
     private void read() {
-        byte[] buffer = new byte[4096];
-        int end = 0;
         try {
-            InputStream in = socket.getInputStream();
-            while (true) {
-                int at = 0;
-                while (end - at >= 5) {
-                    int length = length(buffer, at);
-                    if (length < 1 || length > MOST_FRAME) {
-                        return; // a bad frame: nothing after it can be trusted
-                    }
-                    if (end - at < 4 + length) {
-                        break;
-                    }
-                    if (!frame(buffer, at + 4, length)) {
-                        return;
-                    }
-                    at += 4 + length;
-                }
-                System.arraycopy(buffer, at, buffer, 0, end - at);
-                end -= at;
-                int wanted = end >= 4 ? 4 + Math.min(MOST_FRAME, Math.max(1, length(buffer, 0))) : 5;
-                if (wanted > buffer.length) {
-                    buffer = Arrays.copyOf(buffer, wanted);
-                }
-                socket.setSoTimeout(end > 0 ? frameMillis : 0); // one whose length is a lie may never end
-                int n = in.read(buffer, end, buffer.length - end);
-                if (n < 0) {
-                    return;
-                }
-                end += n;
+            var frames = new FrameReader(socket, frameMillis);
+            for (Slice frame = frames.next(); frame != null && take(frame); frame = frames.next()) {
+                // each is handled as it comes
             }
         } catch (IOException | RuntimeException e) {
             // broken: the writer reports what is out
@@ -445,16 +436,12 @@
         }
     }
 
-    private static int length(byte[] b, int at) {
-        return (b[at] & 0xff) << 24 | (b[at + 1] & 0xff) << 16 | (b[at + 2] & 0xff) << 8 | b[at + 3] & 0xff;
-    }
-
-    /** Handles the frame whose letter is at {@code at}; false if it makes the connection useless. */
-    private boolean frame(byte[] b, int at, int length) {
-        int end = at + length;
-        switch (b[at]) {
+    /** Handles a frame; false if it makes the connection useless. */
+    private boolean take(Slice frame) {
+        switch (frame.buffer()[frame.from()]) {
             case 'A':
-                return answer(b, at + 1, end);
+                Answer answer = Answer.of(frame);
+                return answer != null && take(answer);
             case 'P', 'L':
                 return true; // no probe is ever sent
             default:
@@ -462,41 +449,22 @@
         }
     }
 
-    private boolean answer(byte[] b, int from, int end) {
-        int lineEnd = from;
-        while (lineEnd < end && b[lineEnd] != '\n') {
-            lineEnd++;
-        }
-        if (lineEnd == end) {
-            return false;
-        }
-        String[] line = new String(b, from, lineEnd - from, StandardCharsets.ISO_8859_1).split(" ", -1);
-        if (line.length < 4) {
-            return false;
-        }
-        Outcome outcome = switch (line[1]) {
-            case "ok" -> Outcome.SERVED;
-            case "err" -> Outcome.ERROR;
-            case "busy" -> Outcome.BUSY;
-            default -> null;
-        };
-        if (outcome == null) {
-            return false;
-        }
+    private boolean take(Answer answer) {
+        String part = answer.part();
         Entry entry;
         lock.lock();
         try {
             usedAt = System.nanoTime();
             heardAt = usedAt;
-            boolean late = unheard.remove(line[0]); // the answer to an attempt called off crossed its end
-            entry = out.get(line[0]);
+            boolean late = unheard.remove(part); // the answer to an attempt called off crossed its end
+            entry = out.get(part);
             if (entry != null && entry.state != State.QUEUED) {
-                out.remove(line[0]);
-                remember(heard, line[0]);
+                out.remove(part);
+                remember(heard, part);
                 if (retired && out.isEmpty()) {
                     work.signal();
                 }
-            } else if (late || heard.contains(line[0])) {
+            } else if (late || heard.contains(part)) {
                 entry = null;
             } else {
                 return false; // an id that nobody asked for: what it was meant to answer will never come
@@ -505,8 +473,7 @@
             lock.unlock();
         }
         if (entry != null) {
-            byte[] value = outcome == Outcome.SERVED ? Arrays.copyOfRange(b, lineEnd + 1, end) : null;
-            gatherer.report(entry.attempt, outcome, value);
+            gatherer.report(entry.attempt, answer.outcome(), answer.value());
         }
         return true;
     }
