--- a/src/main/java/wallmoor/decision/Brain.java
+++ b/src/main/java/wallmoor/decision/Brain.java
@@ -98,10 +98,8 @@
     private static final int TELLERS = 3;
     /** Weight of another root's latency sample. */
     private static final double PEER_STEP = 0.05;
-    /** The pace of warm leaves halves in this time (microseconds) while less is seen. */
-    private static final double PACE_HALF_LIFE = 30e6;
-    /** Cold leaves are warmer than the rules say at least: all count as this share of warm ones or more. */
-    private static final double PACE_SHARE = 0.5;
+    /** Most calls that a cold leaf gets beyond its allowance, or their root: the bound leaves twice that. */
+    private static final double SLACK = 5;
     /** Rounds between two sweeps over what is open. */
     private static final int SWEEP_ROUNDS = 4;
     /** Weights of parts may add up this much short (the wire's rounding). */
@@ -133,14 +131,12 @@
     private final ClassShares shares;
     private final WindowCounter taken;
     private final WindowCounter extras;
-    /** Parts served within the time in which a cold leaf may fall over. */
-    private final WindowCounter served;
-    /** Parts that a warm leaf serves of ours within that time: the most seen, fading. */
-    private double pace;
+    /** Parts that a warm leaf serves of ours. */
+    private final WarmPace pace = new WarmPace();
+    private long startedAt;
     /** When a part was served last, and when a query was admitted last. */
     private long heardAt;
     private long admittedAt;
-    private long pacedAt;
     /** Queries that an event of this round touched: a busy root has no time for others before a sweep. */
     private final Set<Query> touched = new LinkedHashSet<>();
     private final Set<Leaf> untold = new LinkedHashSet<>();
@@ -172,7 +168,6 @@
         shares = new ClassShares(settings.classes(), settings.costs().worstClass());
         taken = new WindowCounter(Math.max(1, settings.rules().budgetWindow() - settings.round()));
         extras = new WindowCounter(settings.rules().budgetWindow() + settings.round());
-        served = new WindowCounter(Math.max(1, settings.rules().overloadFor()));
     }
 
     // ---- events -------------------------------------------------------------------------------------------
@@ -180,6 +175,7 @@
     /** The root starts; a stale list follows. */
     public void onStart(long at) {
         tick(at);
+        startedAt = now;
         if (settings.subscribe()) {
             ask();
         }
@@ -394,7 +390,8 @@
                 boolean slow = allSlow();
                 fleet.leaves().forEach(l -> markLate(l, slow));
             }
-            learnPace();
+            pace.warm(now, fleet.leaves().stream().filter(l -> !l.ill && warm(l)).mapToDouble(l -> l.size)
+                    .summaryStatistics());
             touched.clear();
             open.queries().forEach(this::decide);
         } else {
@@ -850,7 +847,9 @@
                 }
                 leaf.heardAt = now;
                 heardAt = now;
-                served.add(now, 1);
+                if (!stood && !leaf.ill && warm(leaf)) {
+                    pace.answered(now);
+                }
                 if (a.afterIdle) {
                     idleLoss.add(0);
                 }
@@ -939,7 +938,7 @@
         untold.add(leaf);
         actions.log("leaf " + leaf.id + " well");
         if (leaf.died && !cold(leaf)) {
-            leaf.coldFrom(now, settings.coldWindow());
+            leaf.coldFrom = now;
         }
         leaf.inReach();
     }
@@ -965,9 +964,7 @@
         }
         p.sent(attempt);
         changed(leaf);
-        if (cold(leaf)) {
-            leaf.coldSent.add(now, 1);
-        }
+        leaf.sent(now, settings.coldWindow());
         attempt.afterIdle = now - leaf.usedAt > IDLE_AFTER * typical(p.query.index);
         boolean idleDies = attempt.afterIdle && leaf.usedAt > 0 && idleLoss.or(0) > IDLE_LOSS;
         if (idleDies || leaf.ill && leaf.zone == settings.zone()) {
@@ -990,43 +987,46 @@
         if (leaf.state != LeafState.UP || leaf.unreachable && now < leaf.trialAt) {
             return false;
         }
-        double allowed = coldAllowance(leaf);
-        double sent = cold(leaf) ? leaf.coldSent.sum(now) : 0;
-        return !cold(leaf) || sent + 1 <= allowed || sent == 0 && myTurn(Math.ceil(1 / allowed));
+        if (!cold(leaf)) {
+            return true;
+        }
+        double share = coldAllowance(leaf);
+        double slack = Math.min(SLACK, Math.sqrt(share * settings.roots()));
+        double allowed = share + slack / settings.roots();
+        double whole = Math.floor(allowed);
+        return leaf.sentSince(now) + 1 <= whole + (myTurn(leaf, allowed - whole) ? 1 : 0);
     }
 
-    /** Roots whose share of a cold leaf is less than a part send one in some windows only, in turns. */
-    private boolean myTurn(double windows) {
-        double window = Math.floor((double) now / settings.coldWindow());
-        return (window + settings.position()) % Math.min(windows, settings.roots()) == 0;
+    /**
+     * Of a fraction of a part, that share of the roots sends one in a window, and one root at least. They
+     * take turns, at each leaf others, and one changes in a window: any gets one call more than the share.
+     */
+    private boolean myTurn(Leaf leaf, double share) {
+        double turns = (double) now / settings.coldWindow() + settings.position() + leaf.id.hashCode();
+        return turns / settings.roots() % 1 < Math.max(share, 1.0 / settings.roots());
     }
 
     private boolean cold(Leaf leaf) {
         return leaf.coldFrom != RouterApi.ABSENT && now - leaf.coldFrom < settings.rules().cold();
     }
 
+    private boolean warm(Leaf leaf) {
+        return leaf.state == LeafState.UP && !cold(leaf);
+    }
+
     /**
      * Parts that this root may send within the window: its share of what a warm leaf carries, at this leaf's
-     * warmth. Not of what is carried just now: where most are cold, few parts get through, and the less was
-     * sent the less could be. One with a core and no queue serves a part in the typical time at the latest.
+     * warmth. One with a core and no queue serves a part in the typical time at the latest. What a process
+     * before this one sent is not known: a leaf older than this one waits until that has left the window.
      */
     private double coldAllowance(Leaf leaf) {
-        double least = times.typical(leading).heard()
-                ? settings.rules().overloadFor() / typical(leading) / settings.roots() : 0;
-        return settings.rules().fallMultiple() * warmth(leaf) * Math.max(pace, least);
-    }
-
-    /** Learns from what is served what a warm leaf carries of ours; a cold one counts by its warmth. */
-    private void learnPace() {
-        double up = 0;
-        double warm = 0;
-        for (Leaf l : fleet.leaves()) {
-            up += l.state == LeafState.UP && !l.ill ? 1 : 0;
-            warm += l.state == LeafState.UP && !l.ill ? warmth(l) : 0;
+        if (leaf.coldFrom < startedAt && now - startedAt < settings.coldWindow()) {
+            return 0;
         }
-        double each = served.sum(now) / Math.max(1, Math.max(warm, PACE_SHARE * up));
-        pace = Math.max(each, pace * Math.pow(0.5, (now - pacedAt) / PACE_HALF_LIFE));
-        pacedAt = now;
+        long window = settings.rules().overloadFor();
+        double least = window / times.slowest() / settings.roots();
+        double warm = Math.max(pace.within(window, leaf.size), least);
+        return settings.rules().fallMultiple() * warmth(leaf) * warm;
     }
 
     /** The least share of its capacity that a leaf has at its age. */
@@ -1077,7 +1077,7 @@
             if (now - e.upSince() < settings.rules().cold()) {
                 leaf.startAnew();
             }
-            leaf.coldFrom(e.upSince(), settings.coldWindow());
+            leaf.coldFrom = e.upSince();
         }
     }
 
--- a/src/main/java/wallmoor/decision/ClassTimes.java
+++ b/src/main/java/wallmoor/decision/ClassTimes.java
@@ -41,6 +41,15 @@
         return typical.get(place);
     }
 
+    /** What a part takes at a leaf, of the class whose parts take longest; infinite before any is heard. */
+    double slowest() {
+        double slowest = 0;
+        for (Smoothed t : typical) {
+            slowest = Math.max(slowest, t.or(0));
+        }
+        return slowest > 0 ? slowest : Double.POSITIVE_INFINITY;
+    }
+
     /** What a query of this class takes, over the mean of its parts' expected times. */
     Smoothed stretch(int place) {
         return stretch.get(place);
--- a/src/main/java/wallmoor/decision/Fleet.java
+++ b/src/main/java/wallmoor/decision/Fleet.java
@@ -54,6 +54,7 @@
         byTag.putIfAbsent(PeerMessage.tagOf(e.leaf()), leaf);
         leaf.zone = e.zone();
         leaf.state = e.state();
+        leaf.size = e.size() > 0 ? e.size() : 1;
         if (!order.containsKey(leaf)) {
             order.put(leaf, entered++);
             place(leaf, e.cell());
--- a/src/main/java/wallmoor/decision/RouterApi.java
+++ b/src/main/java/wallmoor/decision/RouterApi.java
@@ -112,9 +112,12 @@
             List<QueryClass> classes, List<Tenant> tenants, double overShareWorth, boolean worthByWork,
             boolean clientsMarkRetry, Layout layout, Limits limits, Rules rules, Costs costs) {
 
-        /** The window over which a cold leaf's parts count: as long as one may fall over in, and a round. */
+        /**
+         * The window over which a cold leaf's parts count: as long as one may fall over in, and a round and a connect
+         * more, as parts that wait for a connection reach the leaf together.
+         */
         long coldWindow() {
-            return rules.overloadFor() + round;
+            return rules.overloadFor() + round + Math.max(0, limits.connectTimeout());
         }
 
         /** The same among so many roots, of which this one has another place. */
--- a/src/main/java/wallmoor/decision/State.java
+++ b/src/main/java/wallmoor/decision/State.java
@@ -21,8 +21,11 @@
         int zone;
         int cell;
         LeafState state = LeafState.UP;
+        /** As the list has it, for comparison with others. */
+        double size = 1;
         long coldFrom = RouterApi.ABSENT;
-        WindowCounter coldSent;
+        /** What it was sent, also while it was not known to be cold; null before the first part. */
+        private WindowCounter sent;
         final Smoothed latency;
         final Smoothed outAtSend;
         double best = Double.NaN;
@@ -53,10 +56,17 @@
             this.knee = knee;
         }
 
-        /** It started then; what it is sent while it is cold counts over this window. */
-        void coldFrom(long since, long window) {
-            coldFrom = since;
-            coldSent = new WindowCounter(window);
+        /** A part goes out; it counts over this window, which is the same at each call. */
+        void sent(long now, long window) {
+            if (sent == null) {
+                sent = new WindowCounter(window);
+            }
+            sent.add(now, 1);
+        }
+
+        /** Parts sent within the window that ends now. */
+        double sentSince(long now) {
+            return sent == null ? 0 : sent.sum(now);
         }
 
         /** A new process: what was known of the old one no longer holds. */
--- /dev/null
+++ b/src/test/java/wallmoor/decision/ColdFleet.java
@@ -0,0 +1,392 @@
+package wallmoor.decision;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import wallmoor.decision.RouterApi.AttemptEnded;
+import wallmoor.decision.RouterApi.LeafEntry;
+import wallmoor.decision.RouterApi.LeafState;
+import wallmoor.decision.RouterApi.ListKind;
+import wallmoor.decision.RouterApi.Outcome;
+import wallmoor.decision.RouterApi.PartArrived;
+import wallmoor.decision.RouterApi.QueryArrived;
+import wallmoor.decision.RouterApi.Rules;
+import wallmoor.decision.RouterApi.Settings;
+
+/**
+ * Many modules and the leaves that they share on one simulated clock. The leaves of the first cell die together and come
+ * back cold, so that all demand for their shards waits for what the modules send them. Each leaf keeps the times at which
+ * parts reached it, and {@link #worstExcess} holds them against the bound that the settings state.
+ */
+final class ColdFleet {
+    static final long MS = 1000;
+    static final long SECOND = 1_000 * MS;
+    private static final int CORES = 2;
+    /** Speed of the slow kind of machines, half of all. */
+    private static final double SLOW = 0.75;
+    /** Sizes in lists are rough: off by at most so much. */
+    private static final double ROUGH = 0.1;
+    private static final long HOP = 1 * MS;
+    /** Calls from which the slack of the bound is 2 x root + 2; below it is 3 x root + 3. */
+    private static final int FEW_CALLS = 30;
+    /** The rule is broken where more than this share of what reached the leaf came from modules told of its start. */
+    private static final double TOLD_SHARE = 2.0 / 3;
+
+    /**
+     * One simulated day.
+     *
+     * @param roots        modules side by side
+     * @param cells        cells of three leaves each; those of the first are restarted
+     * @param parts        parts of a query
+     * @param work         mean work of a part on a fast warm core (microseconds)
+     * @param load         demand over capacity before the burst
+     * @param burst        demand during the burst, over that before it
+     * @param restarted    share of the modules that are restarted while leaves are cold
+     * @param dialLasts    a first connection to a leaf takes up to this (microseconds)
+     * @param toldAfter    lists tell of a start so late at the most (microseconds)
+     */
+    record Day(long seed, int roots, int cells, int parts, long work, double load, double burst, double restarted, long dialLasts,
+            long toldAfter) {
+    }
+
+    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+        @Override
+        public int compareTo(Event other) {
+            return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+        }
+    }
+
+    private record Arrival(long at, int root) {
+    }
+
+    private record Call(Root root, String part, int number, long sentAt, long work) {
+    }
+
+    private final Day day;
+    private final Random random;
+    private final Settings settings;
+    private final PriorityQueue<Event> events = new PriorityQueue<>();
+    private final List<Root> roots = new ArrayList<>();
+    private final Map<String, Machine> machines = new HashMap<>();
+    private long order;
+    private long now = 1_700_000_000 * SECOND;
+    private final long begun = now;
+
+    ColdFleet(Day day, Settings settings) {
+        this.day = day;
+        this.settings = settings;
+        random = new Random(day.seed);
+        for (int i = 0; i < 3 * day.cells; i++) {
+            machines.put("w" + i, new Machine("w" + i, i % day.cells, random.nextBoolean() ? 1 : SLOW));
+        }
+        for (int i = 0; i < day.roots; i++) {
+            roots.add(new Root(i));
+        }
+    }
+
+    /** Plays the day to its end: the first cell dies at 10 s, is back at 11 to 12 s, and the burst lasts from 11 to 18 s. */
+    ColdFleet play() {
+        roots.forEach(Root::begin);
+        machines.values().stream().filter(m -> m.cell == 0).forEach(m -> {
+            in(10 * SECOND, m::crash);
+            in(11 * SECOND + random.nextLong(SECOND), m::comeBack);
+        });
+        for (Root root : roots) {
+            if (random.nextDouble() < day.restarted) {
+                in(12 * SECOND + random.nextLong(8 * SECOND), root::restart);
+            }
+        }
+        long end = begun + 24 * SECOND;
+        while (!events.isEmpty() && events.peek().at < end) {
+            Event event = events.poll();
+            now = event.at;
+            event.what.run();
+        }
+        return this;
+    }
+
+    private void in(long after, Runnable what) {
+        events.add(new Event(now + after, order++, what));
+    }
+
+    private boolean inBurst() {
+        return now >= begun + 11 * SECOND && now < begun + 18 * SECOND;
+    }
+
+    /** The most by which any window at a cold leaf lies above what the bound allows then; 0 or less where none does. */
+    double worstExcess() {
+        return machines.values().stream().mapToDouble(Machine::excess).max().orElse(0);
+    }
+
+    /** Parts that reached leaves while they were cold. */
+    int sentCold() {
+        return machines.values().stream().mapToInt(m -> m.arrivals.size()).sum();
+    }
+
+    /** What a leaf of this warmth may get within the window, with the slack. */
+    private double bound(double warmth, double speed) {
+        Rules rules = settings.rules();
+        double perSecond = CORES * speed * 1e6 / day.work;
+        double calls = rules.fallMultiple() * warmth * perSecond * rules.overloadFor() / 1e6;
+        return calls + (calls < FEW_CALLS ? 3 * Math.sqrt(calls) + 3 : 2 * Math.sqrt(calls) + 2);
+    }
+
+    /** A leaf: cores that work, a queue before them, and a process that may be gone. */
+    private final class Machine {
+        final String id;
+        final int cell;
+        final double speed;
+        private final double size;
+        final List<Arrival> arrivals = new ArrayList<>();
+        final Map<Integer, Long> toldAt = new HashMap<>();
+        private final ArrayDeque<Call> queue = new ArrayDeque<>();
+        private int busy;
+        private boolean away;
+        private int life;
+        private long startedAt = RouterApi.ABSENT;
+
+        Machine(String id, int cell, double speed) {
+            this.id = id;
+            this.cell = cell;
+            this.speed = speed;
+            size = speed * (1 - ROUGH + 2 * ROUGH * random.nextDouble());
+        }
+
+        double warmth(long at) {
+            Rules rules = settings.rules();
+            return startedAt == RouterApi.ABSENT || at - startedAt >= rules.cold() ? 1
+                    : rules.coldShare() + (1 - rules.coldShare()) * (at - startedAt) / rules.cold();
+        }
+
+        private boolean cold(long at) {
+            return startedAt != RouterApi.ABSENT && at - startedAt < settings.rules().cold();
+        }
+
+        void crash() {
+            away = true;
+            life++;
+            busy = 0;
+            queue.clear();
+            for (Root root : roots) {
+                root.reset(id);
+            }
+        }
+
+        void comeBack() {
+            away = false;
+            startedAt = now;
+            arrivals.clear();
+            for (Root root : roots) {
+                in(random.nextLong(Math.max(1, day.toldAfter)), () -> root.told(this));
+            }
+        }
+
+        LeafEntry entry() {
+            return new LeafEntry(id, 0, 0, cell, LeafState.UP, size,
+                    startedAt == RouterApi.ABSENT ? RouterApi.ABSENT : startedAt / 1000 * 1000);
+        }
+
+        void take(Call call) {
+            if (away) {
+                in(HOP, () -> call.root.ends(call, id, Outcome.CONNECT_FAILED));
+                return;
+            }
+            if (cold(now)) {
+                arrivals.add(new Arrival(now, call.root.place));
+            }
+            queue.add(call);
+            work();
+        }
+
+        private void work() {
+            while (busy < CORES && !queue.isEmpty()) {
+                Call call = queue.poll();
+                busy++;
+                int mine = life;
+                in((long) (call.work / speed / warmth(now)), () -> {
+                    if (mine == life) {
+                        busy--;
+                        in(HOP, () -> call.root.ends(call, id, Outcome.OK));
+                        work();
+                    }
+                });
+            }
+        }
+
+        /** Over all windows that end with an arrival, counted where modules had been told sent most of it. */
+        double excess() {
+            double worst = Double.NEGATIVE_INFINITY;
+            long window = settings.rules().overloadFor();
+            for (int last = 0, first = 0; last < arrivals.size(); last++) {
+                long end = arrivals.get(last).at;
+                while (arrivals.get(first).at <= end - window) {
+                    first++;
+                }
+                int told = 0;
+                for (int i = first; i <= last; i++) {
+                    told += toldAt.getOrDefault(arrivals.get(i).root, Long.MAX_VALUE) <= arrivals.get(i).at ? 1 : 0;
+                }
+                int all = last - first + 1;
+                if (told > TOLD_SHARE * all) {
+                    worst = Math.max(worst, all - bound(warmth(end), speed));
+                }
+            }
+            return worst;
+        }
+    }
+
+    /** A module with what stands round it: timers, connections, queries of its own clients. */
+    private final class Root implements RouterApi.Actions {
+        final int place;
+        private Brain brain;
+        private int life;
+        private long numbers;
+        private final Map<String, Integer> attempts = new HashMap<>();
+        private final Map<Call, String> out = new HashMap<>();
+        private final Map<String, Long> connected = new HashMap<>();
+
+        Root(int place) {
+            this.place = place;
+        }
+
+        void begin() {
+            brain = new Brain(settings.among(day.roots, place), day.seed * 1_000 + place * 10 + life, this);
+            brain.onStart(now);
+            brain.onList(now, ListKind.STALE, machines.values().stream().map(Machine::entry).toList());
+            brain.onEndOfRound(now);
+            machines.values().stream().filter(m -> m.startedAt != RouterApi.ABSENT)
+                    .forEach(m -> m.toldAt.putIfAbsent(place, now));
+            next(life);
+        }
+
+        /** Killed; a new process takes its place a moment later, and knows nothing of what was sent. */
+        void restart() {
+            life++;
+            out.clear();
+            attempts.clear();
+            connected.clear();
+            brain = null;
+            in(SECOND / 2, this::begin);
+        }
+
+        void told(Machine machine) {
+            machine.toldAt.putIfAbsent(place, now);
+            if (brain != null) {
+                brain.onList(now, ListKind.CHANGES, List.of(machine.entry()));
+                brain.onEndOfRound(now);
+            }
+        }
+
+        private void next(int mine) {
+            double each = 3.0 * CORES * 1e6 / day.work * day.load * (inBurst() ? day.burst : 1) * day.cells * (1 + SLOW) / 2
+                    / day.roots / day.parts;
+            in((long) (-Math.log(1 - random.nextDouble()) / each * 1e6), () -> {
+                if (mine == life) {
+                    query();
+                    next(mine);
+                }
+            });
+        }
+
+        private void query() {
+            String id = "q" + place + "-" + life + "-" + numbers;
+            brain.onQuery(now, new QueryArrived(id, numbers, 0, 0, null, now + 4 * SECOND, RouterApi.ABSENT, day.parts,
+                    false));
+            int first = random.nextInt(settings.layout().shards());
+            for (int i = 0; i < day.parts; i++) {
+                int shard = (first + i) % settings.layout().shards();
+                brain.onPart(now, new PartArrived(id + "/" + i, numbers, shard, 1.0 / day.parts, RouterApi.ABSENT));
+            }
+            numbers++;
+            brain.onEndOfRound(now);
+        }
+
+        void reset(String leaf) {
+            connected.remove(leaf);
+            for (Call call : List.copyOf(out.keySet())) {
+                if (leaf.equals(out.get(call))) {
+                    in(HOP, () -> ends(call, leaf, Outcome.RESET));
+                }
+            }
+        }
+
+        void ends(Call call, String leaf, Outcome outcome) {
+            if (out.remove(call) != null && brain != null) {
+                brain.onOutcome(now, new AttemptEnded(call.part, call.number, leaf, outcome, now - call.sentAt,
+                        outcome == Outcome.OK, Map.of()));
+                brain.onEndOfRound(now);
+            }
+        }
+
+        @Override
+        public void assign(String part, String leaf, long giveUpAfter) {
+            int number = attempts.merge(part, 1, Integer::sum) - 1;
+            long work = (long) (day.work * Math.exp(0.4 * random.nextGaussian() - 0.08));
+            var call = new Call(this, part, number, now, work);
+            out.put(call, leaf);
+            long up = connected.computeIfAbsent(leaf, l -> now + random.nextLong(day.dialLasts + 1));
+            in(Math.max(HOP, up - now), () -> {
+                if (out.containsKey(call)) {
+                    machines.get(leaf).take(call);
+                }
+            });
+            in(giveUpAfter, () -> ends(call, leaf, Outcome.TIMEOUT));
+        }
+
+        @Override
+        public void cancel(String part, int attempt) {
+            in(0, () -> out.keySet().stream().filter(c -> c.part.equals(part) && c.number == attempt).findFirst()
+                    .ifPresent(c -> ends(c, out.get(c), Outcome.CANCELLED)));
+        }
+
+        @Override
+        public void timer(long in, String token) {
+            int mine = life;
+            in(in, () -> {
+                if (mine == life && brain != null) {
+                    brain.onTimer(now, token);
+                    brain.onEndOfRound(now);
+                }
+            });
+        }
+
+        @Override
+        public void answer(String query, boolean whole) {
+            // the client is content
+        }
+
+        @Override
+        public void refuse(String query, long comeBackAfter) {
+            // the client goes away
+        }
+
+        @Override
+        public void fail(String query) {
+            // the client goes away
+        }
+
+        @Override
+        public void closeIdle(String leaf) {
+            // connections stay
+        }
+
+        @Override
+        public void tellPeers(byte[] contents) {
+            // they don't talk
+        }
+
+        @Override
+        public void subscribe() {
+            // lists come by themselves
+        }
+
+        @Override
+        public void log(String line) {
+            // nobody reads it
+        }
+    }
+}
