--- a/src/main/java/wallmoor/config/Launch.java
+++ b/src/main/java/wallmoor/config/Launch.java
@@ -40,16 +40,31 @@
     /** Client connections that fit a megabyte, with the thread and the buffers that one at work has. */
     private static final int CLIENTS_PER_MB = 3;
     private static final int FEWEST_CLIENTS = 32;
+    /** Whatever else needs descriptors, clients get their share of so many: with fewer nothing can be promised. */
+    private static final int FEW_DESCRIPTORS = 64;
+    /** A watch that is being closed, the next one, and for each address a connection that waits for room. */
+    private static final int FOR_DISCOVERY = 4;
+    private static final int MOST_CALLERS = 32;
+    private static final int CALLERS_SHARE = 16;
     /** No client waits longer than a day. */
     private static final double MOST_MICROS = 86_400e6;
     private static final String DIGITS = "0123456789";
 
     /**
      * Client connections at most. Of the descriptors five in eight are for clients, two for workers and one is kept
-     * for discovery and the program's own files. Honest clients hold a third for requests; the rest is for rude ones.
+     * for discovery and the program's own files; where these need more than that, clients get what is left. Honest
+     * clients hold a third for requests; the rest is for rude ones.
      */
     public int mostClients() {
-        return Math.min(sockets * 5 / 8, Math.max(FEWEST_CLIENTS, (memory - OWN_MEMORY) * CLIENTS_PER_MB));
+        int kept = mostWorkerConnections() + mostCallers() + FOR_DISCOVERY + OwnFiles.needed();
+        int left = Math.max(Math.min(FEW_DESCRIPTORS, sockets) * 5 / 8, sockets - kept);
+        int byMemory = Math.max(FEWEST_CLIENTS, (memory - OWN_MEMORY) * CLIENTS_PER_MB);
+        return Math.min(Math.min(sockets * 5 / 8, left), byMemory);
+    }
+
+    /** Connections to the operators' address at most: few people and a collector of figures ask. */
+    public int mostCallers() {
+        return Math.min(MOST_CALLERS, sockets / CALLERS_SHARE);
     }
 
     /** Connections to workers at most; where two processes may be this gatherer for a while, both fit the limit. */
--- a/src/main/java/wallmoor/operator/OperatorAddress.java
+++ b/src/main/java/wallmoor/operator/OperatorAddress.java
@@ -18,8 +18,6 @@
  * text says what to do. It has threads of its own and waits for no query; a ban holds when its call is answered.
  */
 public final class OperatorAddress {
-    /** Callers at once, each with a thread that works: few people and a collector of figures ask. */
-    private static final int MOST_CALLERS = 32;
     private static final long FINISH_MILLIS = 500;
     private static final String TEXT = "Content-Type: text/plain; charset=utf-8\r\n";
     /** The calls there are and their methods. */
@@ -37,16 +35,17 @@
     /**
      * Listens, reads the file and has the gatherer leave out who is banned in it; {@link #start} begins to answer.
      *
+     * @param most  callers at once, each with a thread that works
      * @param file  keeps the bans, or null where they end with the process
      * @param clock microseconds of Unix time
      * @throws IOException where the address can't be had
      */
-    public OperatorAddress(InetSocketAddress at, Controls controls, Bans bans, BanFile file, LongSupplier clock,
+    public OperatorAddress(InetSocketAddress at, int most, Controls controls, Bans bans, BanFile file, LongSupplier clock,
             Consumer<String> log) throws IOException {
         this.controls = controls;
         this.bans = bans;
         this.log = log;
-        server = new Server("operator", at, MOST_CALLERS, MOST_CALLERS, Server.Patience.OPERATORS, this::handle, log);
+        server = new Server("operator", at, most, most, Server.Patience.OPERATORS, this::handle, log);
         server.leave(); // each answer ends its connection
         keeper = new Keeper(controls, bans, file, clock, log);
     }
--- a/src/main/java/wallmoor/service/Operations.java
+++ b/src/main/java/wallmoor/service/Operations.java
@@ -24,7 +24,7 @@
     Operations(Launch launch, Supplier<Launch> current, Clock clock, Gatherer gatherer, Figures figures,
             BooleanSupplier ready, Path shared) throws IOException {
         Consumer<String> log = LoggerFactory.getLogger(OperatorAddress.class)::info;
-        address = new OperatorAddress(launch.admin(), new Controls() {
+        address = new OperatorAddress(launch.admin(), launch.mostCallers(), new Controls() {
             @Override
             public boolean ready() {
                 return ready.getAsBoolean();
