--- a/src/main/java/wallmoor/Main.java
+++ b/src/main/java/wallmoor/Main.java
@@ -28,6 +28,8 @@
 public final class Main {
     /** The gatherer, once it is there to be told of a new configuration. */
     private static volatile Service service;
+    /** SIGHUP has come at least once. */
+    private static volatile boolean hungUp;
 
     static { // named, the provider needs not be looked for in every library's jar, which a start on part of a core feels
         System.setProperty("slf4j.provider", "wallmoor.log.Provider");
@@ -85,6 +87,9 @@
             Logging.apply(operator.logging());
             var made = new Service(launch, operator);
             service = made;
+            if (hungUp) {
+                made.reload();
+            }
             Runtime.getRuntime().addShutdownHook(made.leaving());
             made.start();
             Thread.currentThread().join();
@@ -99,10 +104,11 @@
         }
     }
 
-    /** A signal before there is a gatherer changes nothing: that one reads the files itself. */
+    /** A signal before there is a gatherer is kept for it: the files that it was made by may be those of before. */
     private static void onHangUp() {
         try {
             HangUp.runs(() -> {
+                hungUp = true; // first: whoever sets the gatherer looks here after that
                 Service told = service;
                 if (told != null) {
                     told.reload();
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -55,6 +55,8 @@
     private final BeatFiles beats;
     private volatile boolean ready;
     private volatile boolean leaving;
+    /** Guards whether it is ready, which a start and a leaving may both set. */
+    private final Object readiness = new Object();
 
     /** Makes it; its fronts listen from now on, and answer from {@link #start} on. */
     public Service(Launch launch, Operator operator) throws IOException, Json.Malformed {
@@ -161,11 +163,18 @@
         if (rules != null) {
             rules.start();
         }
-        platform.ready(true);
-        ready = true;
+        ready(true);
         log.info("serving as {} on {}", launch.name(), launch.listen());
     }
 
+    /** Whether it takes clients: once it was told to leave it never does, however far its start had come. */
+    private void ready(boolean yes) {
+        synchronized (readiness) {
+            ready = yes && !leaving;
+            platform.ready(ready);
+        }
+    }
+
     private void await() {
         try {
             long begun = System.nanoTime();
@@ -230,9 +239,8 @@
      * can still be answered before SIGKILL.
      */
     public void leave() {
-        ready = false;
         leaving = true;
-        platform.ready(false);
+        ready(false);
         log.info("told to leave");
         if (group != null) {
             group.leave();
