--- a/src/main/java/wallmoor/Main.java
+++ b/src/main/java/wallmoor/Main.java
@@ -107,13 +107,17 @@
     /** A signal before there is a gatherer is kept for it: the files that it was made by may be those of before. */
     private static void onHangUp() {
         try {
-            HangUp.runs(() -> {
+            boolean heard = HangUp.runs(() -> {
                 hungUp = true; // first: whoever sets the gatherer looks here after that
                 Service told = service;
                 if (told != null) {
                     told.reload();
                 }
             });
+            if (!heard) {
+                LoggerFactory.getLogger(Main.class).warn("SIGHUP is ignored since before the start: the configuration"
+                        + " will not be read again; start without nohup to have it so");
+            }
         } catch (IllegalArgumentException e) {
             LoggerFactory.getLogger(Main.class).warn("SIGHUP can't be handled here: {}", e.toString());
         }
--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Iterator;
+import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
@@ -139,11 +140,8 @@
         lock.lock();
         try {
             while (true) {
-                Step step = query.steps.poll();
-                if (step instanceof Step.Send send && !send.worker().serving()) {
-                    // told of a drain since the module decided: a part still here must not go out
-                    round(() -> send.attempts().forEach(a -> end(a, Outcome.NEVER_SENT, null)));
-                } else if (step != null) {
+                Step step = next(query);
+                if (step != null) {
                     return step;
                 } else if (query.end != null) {
                     callOff(query); // where the module may not cancel, nothing is left out behind a final answer
@@ -166,8 +164,40 @@
         }
     }
 
+    /** The next step that still holds; what may no longer begin ends here as never sent. Null if there is none. */
+    private Step next(Query query) {
+        while (true) {
+            Step step = query.steps.poll();
+            if (step instanceof Step.Send send) {
+                withdraw(send);
+                if (!send.attempts().isEmpty()) {
+                    return send;
+                }
+            } else if (!(step instanceof Step.Cancel cancel && cancel.attempt().ended)) {
+                return step;
+            }
+        }
+    }
+
+    /** Takes out of a call what may not begin any more, and ends it. */
+    private void withdraw(Step.Send send) {
+        var forbidden = new ArrayList<Attempt>();
+        String address = send.worker().address();
+        long at = now();
+        for (Attempt attempt : send.attempts()) {
+            if (!attempt.permit(at, address).granted()) {
+                forbidden.add(attempt);
+            }
+        }
+        if (!forbidden.isEmpty()) {
+            send.attempts().removeAll(forbidden);
+            round(() -> forbidden.forEach(a -> end(a, Outcome.NEVER_SENT, null)));
+        }
+    }
+
     /** The client of this query has left. */
     public void gone(Query query) {
+        query.clientGone = true;
         lock.lock();
         try {
             if (query.end == null) {
@@ -212,7 +242,7 @@
     private Step rest(Query query) {
         lock.lock();
         try {
-            return query.steps.poll();
+            return next(query);
         } finally {
             lock.unlock();
         }
@@ -491,15 +521,18 @@
         }
     }
 
-    private void list(ListKind kind, List<Member> members) {
+    private void list(ListKind kind, List<Member> told) {
+        // of a node named twice the last entry alone: one that stays gone must not seem to serve even for a moment
+        var members = new LinkedHashMap<String, Member>();
+        for (Member m : told) {
+            members.put(m.id(), m);
+        }
         if (kind == ListKind.WHOLE || kind == ListKind.STALE) { // one that stays must not seem gone even for a moment: writers look on
-            var named = new HashSet<String>();
-            members.forEach(m -> named.add(m.id()));
-            workers.values().stream().filter(w -> !named.contains(w.id())).forEach(this::left);
-            workers.keySet().retainAll(named); // what is still out at one that is gone holds on to it
+            workers.values().stream().filter(w -> !members.containsKey(w.id())).forEach(this::left);
+            workers.keySet().retainAll(members.keySet()); // what is still out at one that is gone holds on to it
         }
         var entries = new ArrayList<LeafEntry>();
-        for (Member m : members) {
+        for (Member m : members.values()) {
             boolean out = banned.contains(m.id());
             workers.computeIfAbsent(m.id(), Worker::new).become(m, out);
             LeafState state = switch (m.state()) {
@@ -511,7 +544,7 @@
                     m.upSince() <= 0 ? RouterApi.ABSENT : m.upSince()));
         }
         brain.onList(now, kind, entries);
-        members.stream().filter(m -> m.state() == Member.State.GONE).forEach(m -> left(workers.remove(m.id())));
+        members.values().stream().filter(m -> m.state() == Member.State.GONE).forEach(m -> left(workers.remove(m.id())));
     }
 
     private void left(Worker worker) {
