--- a/src/test/java/wallmoor/decision/ColdFleet.java
+++ b/src/test/java/wallmoor/decision/ColdFleet.java
@@ -323,7 +323,7 @@
         }
 
         @Override
-        public void assign(String part, String leaf, long giveUpAfter) {
+        public void assign(String part, String leaf, long giveUpAfter, long beginWithin) {
             int number = attempts.merge(part, 1, Integer::sum) - 1;
             long work = (long) (day.work * Math.exp(0.4 * random.nextGaussian() - 0.08));
             var call = new Call(this, part, number, now, work);
