--- a/src/test/java/wallmoor/frames/LinksFixture.java
+++ b/src/test/java/wallmoor/frames/LinksFixture.java
@@ -7,7 +7,6 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.concurrent.ExecutorService;
@@ -46,7 +45,7 @@
             + " Contract.OverloadFor=2000000";
 
     final AtomicLong clock = new AtomicLong(1_000_000_000);
-    final List<String> log = Collections.synchronizedList(new ArrayList<>());
+    final List<String> log = new java.util.concurrent.CopyOnWriteArrayList<>();
     final LinkedBlockingQueue<GatedSocket> made = new LinkedBlockingQueue<>();
     final ExecutorService threads = Executors.newCachedThreadPool();
     private final List<AutoCloseable> opened = new ArrayList<>();
