--- a/src/main/java/wallmoor/frames/WorkerConnection.java
+++ b/src/main/java/wallmoor/frames/WorkerConnection.java
@@ -239,8 +239,12 @@
         }
     }
 
-    /** Connects, then writes frames until the connection ends; then reports what is still out on it. */
-    void run() {
+    /**
+     * Connects, then writes frames until the connection ends; then reports what is still out on it.
+     *
+     * @param closed told once it is closed, before the report: what goes again at once finds its place free
+     */
+    void run(Runnable closed) {
         try {
             socket.setTcpNoDelay(true);
             connect();
@@ -252,6 +256,7 @@
             Thread.currentThread().interrupt();
         } finally {
             close();
+            closed.run();
             reportAll();
         }
     }
--- a/src/main/java/wallmoor/frames/WorkerLinks.java
+++ b/src/main/java/wallmoor/frames/WorkerLinks.java
@@ -110,25 +110,21 @@
 
     private boolean start(WorkerConnection connection) {
         try {
-            Threads.start(connection.name() + "-write", () -> {
-                try {
-                    connection.run();
-                } finally {
-                    synchronized (this) {
-                        open--;
-                    }
-                }
-            });
+            Threads.start(connection.name() + "-write", () -> connection.run(this::freePlace));
             return true;
         } catch (OutOfMemoryError e) {
+            freePlace();
             synchronized (this) {
-                open--;
                 links.values().forEach(l -> l.remove(connection));
             }
             return false;
         }
     }
 
+    private synchronized void freePlace() {
+        open--;
+    }
+
     @Override
     public void cancel(Step.Cancel cancel) {
         List<WorkerConnection> connections;
