--- a/src/bench/java/wallmoor/experiment/Report.java
+++ b/src/bench/java/wallmoor/experiment/Report.java
@@ -32,7 +32,8 @@
 
     static void write(Experiment.Plan plan, List<Experiment.Row> rows, Path out) throws IOException {
         var html = new StringBuilder("<!doctype html><meta charset=utf-8><title>").append(StringEscapeUtils.escapeHtml4(plan.title()))
-                .append("</title><style>body{font:15px sans-serif;max-width:60em;margin:2em auto}td,th{padding:.15em .7em;text-align:right}"
+                .append("</title><style>body{font:15px sans-serif;max-width:60em;margin:2em auto}td,th{padding:.15em "
+                        + ".7em;text-align:right}"
                         + "td:first-child,th:first-child{text-align:left}</style><h1>")
                 .append(StringEscapeUtils.escapeHtml4(plan.title())).append("</h1><p>").append(StringEscapeUtils.escapeHtml4(plan.about()));
         for (String figure : plan.plots()) {
--- a/src/bench/java/wallmoor/maintenance/LargeOrders.java
+++ b/src/bench/java/wallmoor/maintenance/LargeOrders.java
@@ -52,7 +52,8 @@
         double seconds = (System.nanoTime() - began) / 1e9;
         System.gc();
         long one = wishes.stream().mapToLong(budgets::whole).sum();
-        System.out.printf("%d nodes, %d blocks on %d, %d at once: %.2f s, %d MB after; takes %d min, bound %d (%.3f), one at a time %d%n",
+        System.out.printf("%d nodes, %d blocks on %d, %d at once: %.2f s, %d MB after; takes %d min, bound %d (%.3f), one at a "
+                + "time %d%n",
                 nodes, count, copies, atOnce, seconds, (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20,
                 order.ends() / 60_000, order.bound() / 60_000, (double) order.ends() / order.bound(), one / 60_000);
     }
--- a/src/bench/java/wallmoor/net/EdgeStorm.java
+++ b/src/bench/java/wallmoor/net/EdgeStorm.java
@@ -17,7 +17,8 @@
 
     private static void print(String what, Storm.Tally t) {
         System.out.printf("%-12s asked %d, answered %d, refused %d, failed %d, not learnt %d; holds run %d, run twice %d;"
-                + " bodies differ %d; links cut %d, datagrams lost %d; ms to outcome p50 %d p90 %d p99 %d most %d%n", what,
+                + " bodies differ %d; links cut %d, datagrams lost %d; ms to outcome p50 %d p90 %d p99 %d "
+                        + "most %d%n", what,
                 t.asked(), t.answered(), t.refused(), t.failed(), t.notLearnt(), t.holdsRun(), t.holdsRunTwice(),
                 t.bodiesDiffer(), t.linksCut(), t.datagramsLost(), t.percentile(0.5), t.percentile(0.9), t.percentile(0.99),
                 t.percentile(1));
--- a/src/bench/java/wallmoor/net/LinkCost.java
+++ b/src/bench/java/wallmoor/net/LinkCost.java
@@ -11,7 +11,6 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 import org.knowm.xchart.BitmapEncoder;
-import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 import wallmoor.client.HttpDevice;
 import wallmoor.client.Pace;
@@ -95,7 +94,8 @@
             for (int i = 0; i < QUERIES; i++) {
                 var device = new HttpDevice(URI.create("http://127.0.0.1:" + links.port()), "d1.secret", packed, resume,
                         Duration.ofSeconds(5), line -> { });
-                byte[] query = ("{\"class\":\"once\",\"deadline_ms\":1900,\"shards\":[{\"shard\":0,\"weight\":1}],\"q\":\"" + i
+                byte[] query = ("{\"class\":\"once\",\"deadline_ms\":1900,\"shards\":[{\"shard\":0,\"weight\":1}],"
+                        + "\"q\":\"" + i
                         + "\"}").getBytes();
                 long begun = System.nanoTime();
                 var pace = new Pace(20, 100, TimeUnit.NANOSECONDS.toMillis(begun) + 4_000);
--- a/src/bench/java/wallmoor/net/MovesService.java
+++ b/src/bench/java/wallmoor/net/MovesService.java
@@ -79,7 +79,8 @@
             }
             long[] sorted = took.stream().mapToLong(x -> x).sorted().toArray();
             long inTime = took.stream().filter(x -> x <= AIM_NANOS).count();
-            System.out.printf("%-36s %5d reads in %.1f s, within 50 ms %.4f, p50 %.2f ms, p99 %.2f ms, refused or wrong %d, %s, %s%n", name,
+            System.out.printf("%-36s %5d reads in %.1f s, within 50 ms %.4f, p50 %.2f ms, p99 %.2f ms, refused or wrong %d, "
+                    + "%s, %s%n", name,
                     sorted.length, seconds, (double) inTime / sorted.length, sorted[sorted.length / 2] / 1e6,
                     sorted[sorted.length * 99 / 100] / 1e6, took.stream().filter(x -> x == Long.MAX_VALUE).count(),
                     ended ? "ended" : "still moving", status.replaceAll("\"at_ms.*?moves\":", "")
--- a/src/bench/java/wallmoor/placement/SmallFleetsAll.java
+++ b/src/bench/java/wallmoor/placement/SmallFleetsAll.java
@@ -37,7 +37,8 @@
                 count[answer instanceof Answer.Plan p ? p.exact() ? 0 : 1
                         : answer instanceof Answer.Infeasible i ? i.smallest() ? 2 : 3 : 4]++;
             }
-            System.out.printf("to %d nodes, %d blocks: %d exact, %d with a lower bound, %d none (fewest reasons), %d none, %d not found;"
+            System.out.printf("to %d nodes, %d blocks: %d exact, %d with a lower bound, %d none (fewest reasons), %d none, %d "
+                    + "not found;"
                     + " %.1f s at most%n", size[0], size[1], count[0], count[1], count[2], count[3], count[4], worst);
         }
     }
--- a/src/bench/java/wallmoor/versions/Contradictions.java
+++ b/src/bench/java/wallmoor/versions/Contradictions.java
@@ -83,7 +83,8 @@
             model.world().run(300_000 + model.world().random().nextLong(1_000_000));
         }
         Arrays.sort(took);
-        System.out.println(String.format(Locale.ROOT, "%nquiet, %d proposals: proposal to acting everywhere p50 %.0f ms, p99 %.0f ms, worst %.0f ms (%.1f s of processor)",
+        System.out.println(String.format(Locale.ROOT, "%nquiet, %d proposals: proposal to acting everywhere p50 %.0f ms, p99 %.0f ms, worst %.0f ms (%.1f "
+                + "s of processor)",
                 PROPOSALS, took[PROPOSALS / 2], took[PROPOSALS * 99 / 100], took[PROPOSALS - 1], (System.nanoTime() - sent) / 1e9));
             leaderKilled(model, count);
     }
--- a/src/main/java/wallmoor/agreement/Agreement.java
+++ b/src/main/java/wallmoor/agreement/Agreement.java
@@ -2,7 +2,6 @@
 
 import io.microraft.executor.RaftNodeExecutor;
 import java.io.IOException;
-import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/wallmoor/agreement/RulesControl.java
+++ b/src/main/java/wallmoor/agreement/RulesControl.java
@@ -9,7 +9,6 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
-import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 import java.util.List;
 import java.util.Locale;
--- a/src/main/java/wallmoor/cli/DeviceCommand.java
+++ b/src/main/java/wallmoor/cli/DeviceCommand.java
@@ -66,7 +66,8 @@
         }
     }
 
-    private static final String CODES = "Exits 0 answered, 2 rejected, 4 not learnt (ask again under the same id), 5 answered in"
+    private static final String CODES = "Exits 0 answered, 2 rejected, 4 not learnt (ask again under the same id), 5 "
+            + "answered in"
             + " part, 6 refused, 7 failed and never ran, 8 failed and may have run, 9 forgotten, 10 unknown.";
 
     /** Asks a query. */
--- a/src/main/java/wallmoor/cli/FleetCommand.java
+++ b/src/main/java/wallmoor/cli/FleetCommand.java
@@ -16,7 +16,8 @@
 @Command(name = "fleet", mixinStandardHelpOptions = true,
         description = "Ask a running gatherer on this machine what it holds of the group of gatherers.",
         footer = {"It must have fleet.control set in its operators' file.",
-            "Exits 0, 2 on a faulty configuration or an unknown member, 3 without a quorum (members), 4 where it can't be asked."})
+            "Exits 0, 2 on a faulty configuration or an unknown member, 3 without a quorum (members), 4 where it "
+                    + "can't be asked."})
 final class FleetCommand extends Parent {
     private static final int NO_QUORUM = 3;
     private static final int NO_ANSWER = 4;
--- a/src/main/java/wallmoor/cli/MaintenanceCommand.java
+++ b/src/main/java/wallmoor/cli/MaintenanceCommand.java
@@ -28,8 +28,10 @@
 
     @Command(name = "plan", mixinStandardHelpOptions = true,
             description = "Print the order, when each machine goes, and what is left meanwhile; nothing is taken out.",
-            footer = {"Exits 0 with an order, 2 on a faulty file, 3 without an order: with \"feasible\":false none is possible,",
-                "and the blocks, machines and budgets that stand against it are named; with \"feasible\":\"waits\" there is",
+            footer = {"Exits 0 with an order, 2 on a faulty file, 3 without an order: with \"feasible\":false none is "
+                    + "possible,",
+                "and the blocks, machines and budgets that stand against it are named; with \"feasible\":\"waits\" "
+                        + "there is",
                 "none until what is out by itself is back."})
     int plan(@Parameters(paramLabel = "FILE", description = "Machines, blocks, budgets and wishes, in YAML.") Path file,
             @Option(names = "--json", description = "Print one JSON object.") boolean json) {
--- a/src/main/java/wallmoor/cli/PlanPlace.java
+++ b/src/main/java/wallmoor/cli/PlanPlace.java
@@ -20,7 +20,8 @@
     Path dir;
 
     @Option(names = "--rules", paramLabel = "ADDRESS:PORT", required = true, split = ",",
-            description = "Control ports of gatherers (rules.control), by commas, tried in turn: they agree on the plan.")
+            description = "Control ports of gatherers (rules.control), by commas, tried in turn: they agree on the "
+                    + "plan.")
     List<String> rules;
 
     /** How gatherers are asked, proposing under a name that no other process has. */
--- a/src/main/java/wallmoor/cli/RulesCommand.java
+++ b/src/main/java/wallmoor/cli/RulesCommand.java
@@ -25,7 +25,8 @@
 @Command(name = "rules", mixinStandardHelpOptions = true,
         description = "Show and change what all gatherers agree on, over a running gatherer on this machine.",
         footer = {"It must have rules.control set in its operators' file.",
-            "Exits 0, 2 on a faulty file or configuration, 3 where a proposal was refused or show finds nothing that acts under",
+            "Exits 0, 2 on a faulty file or configuration, 3 where a proposal was refused or show finds nothing that "
+                    + "acts under",
             "a lease, 4 where the gatherer can't be asked, 5 where it is not known what came of it."})
 final class RulesCommand extends Parent {
     private static final int REFUSED = 3;
@@ -108,13 +109,15 @@
     }
 
     @Command(name = "explain", mixinStandardHelpOptions = true,
-            description = "Print why the gatherer goes by what it does: its lease, its leader, each version that holds.")
+            description = "Print why the gatherer goes by what it does: its lease, its leader, each version that "
+                    + "holds.")
     int explain(@Mixin Where where) {
         return told(where, asked("explain"), SPARE_MILLIS);
     }
 
     @Command(name = "propose", mixinStandardHelpOptions = true,
-            description = "Propose a body as the next version; waits until it acts everywhere, or prints why it was refused.")
+            description = "Propose a body as the next version; waits until it acts everywhere, or prints why it was "
+                    + "refused.")
     int propose(@Mixin Where where, @Mixin Change change, @Parameters(paramLabel = "NAME") String name,
             @Parameters(paramLabel = "FILE") Path file,
             @Option(names = "--fallback", paramLabel = "FILE", description = "What a gatherer goes by that can't be sure; else the "
@@ -145,7 +148,8 @@
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Read a body by this program's rules, without telling anybody; print the fallback it would get.")
+            description = "Read a body by this program's rules, without telling anybody; print the fallback it would "
+                    + "get.")
     int check(@Parameters(paramLabel = "NAME") String name, @Parameters(paramLabel = "FILE") Path file) {
         Kind kind = Kinds.all().get(name);
         if (kind == null) {
--- a/src/main/java/wallmoor/config/SettingsReader.java
+++ b/src/main/java/wallmoor/config/SettingsReader.java
@@ -1,7 +1,6 @@
 package wallmoor.config;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import wallmoor.decision.RouterApi.Costs;
--- /dev/null
+++ b/src/main/java/wallmoor/json/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * A small JSON reader on the JDK alone.
+ */
+package wallmoor.json;
--- a/src/main/java/wallmoor/peers/Rings.java
+++ b/src/main/java/wallmoor/peers/Rings.java
@@ -197,8 +197,8 @@
 
     /** Spreads a number over all bits (the finalizer of SplitMix64, Steele et al., OOPSLA 2014). */
     static long mix(long z) {
-        z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
+        long once = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
+        long twice = (once ^ once >>> 27) * 0x94d049bb133111ebL;
+        return twice ^ twice >>> 31;
     }
 }
--- a/src/test/java/wallmoor/cli/MaintenanceTest.java
+++ b/src/test/java/wallmoor/cli/MaintenanceTest.java
@@ -23,7 +23,8 @@
                 "- {id: a, centre: x}", "- {id: b, centre: x, capacity: 3}", "blocks:", "- {id: b1, on: [a, b]}", "wishes:",
                 "- {id: w1, machine: a, lasts: 30s, who: kim}");
         assertEquals("{\"feasible\":true,\"order\":[{\"wish\":\"w1\",\"machine\":\"a\",\"starts\":\"2026-12-05T20:00:00Z\","
-                + "\"free\":\"2026-12-05T20:00:05Z\",\"back\":\"2026-12-05T20:00:35Z\",\"done\":\"2026-12-05T20:01:00Z\",\"out\":1,"
+                + "\"free\":\"2026-12-05T20:00:05Z\",\"back\":\"2026-12-05T20:00:35Z\","
+                        + "\"done\":\"2026-12-05T20:01:00Z\",\"out\":1,"
                 + "\"capacity\":0.75,\"must_stay\":[\"b\"]}],\"seconds\":60,\"bound_seconds\":60}\n", c.out());
         assertEquals(0, c.code());
         Console example = Console.run("maintenance", "plan", "example/maintenance.yaml");
--- a/src/test/java/wallmoor/cli/ResolveTest.java
+++ b/src/test/java/wallmoor/cli/ResolveTest.java
@@ -55,9 +55,12 @@
     @Test
     public void aServiceIsPrintedALineANode() {
         assertEquals(err, 0, resolve(SERVICE));
-        assertEquals("{\"target\":\"n1.example\",\"address\":\"127.0.0.1\",\"port\":9001,\"priority\":10,\"weight\":60,\"ttl\":60}\n"
-                + "{\"target\":\"n2.example\",\"address\":\"127.0.0.1\",\"port\":9002,\"priority\":10,\"weight\":40,\"ttl\":60}\n"
-                + "{\"target\":\"n3.example\",\"address\":\"127.0.0.1\",\"port\":9003,\"priority\":20,\"weight\":0,\"ttl\":60}\n", out);
+        assertEquals("{\"target\":\"n1.example\",\"address\":\"127.0.0.1\",\"port\":9001,\"priority\":10,\"weight\":60,"
+                + "\"ttl\":60}\n"
+                + "{\"target\":\"n2.example\",\"address\":\"127.0.0.1\",\"port\":9002,\"priority\":10,"
+                        + "\"weight\":40,\"ttl\":60}\n"
+                + "{\"target\":\"n3.example\",\"address\":\"127.0.0.1\",\"port\":9003,\"priority\":20,"
+                        + "\"weight\":0,\"ttl\":60}\n", out);
         assertEquals(0, run("resolve", "--server", "127.0.0.1:" + dns.port(), SERVICE));
         assertEquals("n1.example 127.0.0.1:9001 10 60 60", out.lines().findFirst().orElse(""));
         dns.set("n1.example", Type.A);
--- a/src/test/java/wallmoor/config/RulesConfigTest.java
+++ b/src/test/java/wallmoor/config/RulesConfigTest.java
@@ -15,7 +15,8 @@
 
 /** The section {@code rules}: what is faulty is told by key and line. */
 public class RulesConfigTest {
-    private static final String THREE = "rules:\n  voters: {example: \"127.0.0.1:7961\", b: \"127.0.0.1:7962\", c: \"127.0.0.1:7963\"}\n";
+    private static final String THREE = "rules:\n  voters: {example: \"127.0.0.1:7961\", b: \"127.0.0.1:7962\", c: "
+            + "\"127.0.0.1:7963\"}\n";
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -53,7 +54,8 @@
         refuses(THREE + "  directory: kept\n  dirctory: kept\n", "line 4: rules.dirctory", "did you mean directory?");
         refuses("rules:\n  voters: {a: \"127.0.0.1:1\", b: \"127.0.0.1:2\"}\n", "line 2: rules.voters: names 2 voters");
         refuses("rules:\n  voters: {a: \"127.0.0.1:1\", b: \"127.0.0.1:2\", c: nowhere}\n", "rules.voters.c");
-        refuses("rules:\n  voters: {a: \"127.0.0.1:1\", b: \"127.0.0.1:2\", c: \"127.0.0.1:3\"}\n  listen: 127.0.0.1:4\n",
+        refuses("rules:\n  voters: {a: \"127.0.0.1:1\", b: \"127.0.0.1:2\", c: \"127.0.0.1:3\"}\n  listen: "
+                + "127.0.0.1:4\n",
                 "line 3: rules.listen", "does not name this gatherer");
     }
 }
--- a/src/test/java/wallmoor/inventory/InventoryTest.java
+++ b/src/test/java/wallmoor/inventory/InventoryTest.java
@@ -16,6 +16,7 @@
 import wallmoor.decision.RouterApi.Layout;
 import wallmoor.membership.Entry;
 
+/** Inventories in YAML and CSV: what is read, and which faults are named. */
 public class InventoryTest {
     private static final String YAML = """
             all:
--- a/src/test/java/wallmoor/json/JsonTest.java
+++ b/src/test/java/wallmoor/json/JsonTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.Test;
 
+/** What is read as JSON, and what is refused. */
 public class JsonTest {
     private static Object parse(String text) throws Json.Malformed {
         byte[] bytes = ("##" + text + "##").getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/wallmoor/log/RepeatsTest.java
+++ b/src/test/java/wallmoor/log/RepeatsTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.Test;
 
+/** Lines that repeat are held back and counted, others pass. */
 public class RepeatsTest {
     @Test
     public void aFaultThatRepeatsIsHeldBackAndCountedAndOthersPass() {
--- a/src/test/java/wallmoor/net/RestingTest.java
+++ b/src/test/java/wallmoor/net/RestingTest.java
@@ -125,7 +125,8 @@
     @Test
     public void aBodyFarTooLargeIsReadAwayAndItsAnswerComes() throws Exception {
         Client client = client();
-        client.send("POST /api HTTP/1.1\r\nX-Request-Id: big\r\nX-Class: all\r\nX-Deadline: 1900m\r\nContent-Length: 3000000\r\n\r\n");
+        client.send("POST /api HTTP/1.1\r\nX-Request-Id: big\r\nX-Class: all\r\nX-Deadline: 1900m\r\nContent-Length: "
+                + "3000000\r\n\r\n");
         byte[] much = new byte[3_000_000];
         var writer = new Thread(() -> {
             try {
--- a/src/test/java/wallmoor/operator/OperatorAddressTest.java
+++ b/src/test/java/wallmoor/operator/OperatorAddressTest.java
@@ -28,6 +28,7 @@
 import wallmoor.bans.Mark;
 import wallmoor.standin.Ports;
 
+/** The operators' address: requests, answers and bans. */
 public class OperatorAddressTest {
     private static final AtomicLong MICROS = new AtomicLong(1_000_000);
 
--- a/src/test/java/wallmoor/summaries/PromiseModelTest.java
+++ b/src/test/java/wallmoor/summaries/PromiseModelTest.java
@@ -53,7 +53,8 @@
         }
 
         private Known fresh() {
-            return new Known(settings(), BOUNDS, ticket += 1_000_000, events::add);
+            ticket += 1_000_000;
+            return new Known(settings(), BOUNDS, ticket, events::add);
         }
 
         /** A gatherer may have other settings than the sites. */
