--- /dev/null
+++ b/src/main/java/wallmoor/service/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * What a configuration switches on, put together: start, reload, leave.
+ */
+package wallmoor.service;
