--- a/src/bench/java/wallmoor/exchange/RetainedMemory.java
+++ b/src/bench/java/wallmoor/exchange/RetainedMemory.java
@@ -7,20 +7,21 @@
     private static final int OUTCOMES = 100_000;
     private static final int BYTES = 200;
 
-    private RetainedMemory() {
-    }
+    private RetainedMemory() {}
 
     /** Prints both. */
     public static void main(String[] args) throws Exception {
         long second = 1_000_000;
-        var rules = new Rules(second, 600 * second, 86_400 * second, second, second, 16, 2_000, 1_000, 1L << 30, 1L << 24,
+        var rules = new Rules(second, 600 * second, 86_400 * second, second, second, 16, 2_000, 1_000, 1L << 30,
+                1L << 24,
                 65_536, 1e6, 1_000_000, 200, second, 30 * second);
         long now = 1_800_000_000L * second;
         var exchanges = new Exchanges(rules, now);
         now += 10 * second;
         long before = used();
         for (int i = 0; i < OUTCOMES; i++) {
-            var key = new Key("device-" + i % 1_000, new UUID(now / 1000 << 16 | 0x7000, 0x8000_0000_0000_0000L | i).toString());
+            var key = new Key("device-" + i % 1_000,
+                    new UUID(now / 1000 << 16 | 0x7000, 0x8000_0000_0000_0000L | i).toString());
             var run = (Decision.Run) exchanges.ask(now, key, new long[] {i, i, i}, i % 5 != 0);
             exchanges.ended(now, run.exchange(), new Outcome(Outcome.Kind.WHOLE, 0, new byte[BYTES]));
         }
--- a/src/bench/java/wallmoor/experiment/Experiment.java
+++ b/src/bench/java/wallmoor/experiment/Experiment.java
@@ -37,8 +37,7 @@
     static final List<String> KEYS = List.of("way", "members", "fault", "seed");
 
     /** One row: the trial's keys, and its figures. */
-    record Row(List<String> keys, Map<String, Long> figures) {
-    }
+    record Row(List<String> keys, Map<String, Long> figures) {}
 
     /**
      * A file's content.
@@ -46,8 +45,8 @@
      * @param parallel trials at once; large groups need some GB each
      * @param plots    figures to plot
      */
-    record Plan(String title, String about, int parallel, long faultSeconds, List<String> plots, List<List<String>> trials) {
-    }
+    record Plan(String title, String about, int parallel, long faultSeconds, List<String> plots,
+            List<List<String>> trials) {}
 
     public static void main(String[] args) {
         System.exit(new CommandLine(new Experiment()).execute(args));
@@ -70,22 +69,27 @@
         return 0;
     }
 
-    private static void play(Plan plan, List<List<String>> left, Path csv, List<Row> rows) throws IOException, InterruptedException {
+    private static void play(Plan plan, List<List<String>> left, Path csv, List<Row> rows)
+            throws IOException, InterruptedException {
         var pool = Executors.newFixedThreadPool(plan.parallel());
-        try (Writer to = Files.newBufferedWriter(csv, StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
+        try (Writer to = Files.newBufferedWriter(csv, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
+                StandardOpenOption.APPEND);
                 var printer = new CSVPrinter(to, CSVFormat.RFC4180)) {
             boolean[] headed = {!rows.isEmpty()};
             var tasks = new ArrayList<Callable<Void>>();
             for (List<String> t : left) {
                 tasks.add(() -> {
-                    Map<String, Long> figures = GroupTrial.play(t.get(0), Integer.parseInt(t.get(1)), GroupTrial.fault(t.get(2)),
+                    Map<String, Long> figures = GroupTrial.play(t.get(0), Integer.parseInt(t.get(1)),
+                            GroupTrial.fault(t.get(2)),
                             Long.parseLong(t.get(3)), plan.faultSeconds());
                     synchronized (rows) {
                         if (!headed[0]) {
                             headed[0] = true;
-                            printer.printRecord(java.util.stream.Stream.concat(KEYS.stream(), figures.keySet().stream()).toList());
+                            printer.printRecord(
+                                    java.util.stream.Stream.concat(KEYS.stream(), figures.keySet().stream()).toList());
                         }
-                        printer.printRecord(java.util.stream.Stream.concat(t.stream(), figures.values().stream()).toList());
+                        printer.printRecord(
+                                java.util.stream.Stream.concat(t.stream(), figures.values().stream()).toList());
                         printer.flush();
                         rows.add(new Row(t, figures));
                         System.err.println(rows.size() + "/" + plan.trials().size() + " " + t + " " + figures);
@@ -110,7 +114,8 @@
             for (CSVRecord r : parser) {
                 if (r.isConsistent()) { // the last line of a run that was stopped may be a part
                     var figures = new LinkedHashMap<String, Long>();
-                    parser.getHeaderNames().stream().filter(h -> !KEYS.contains(h)).forEach(h -> figures.put(h, Long.valueOf(r.get(h))));
+                    parser.getHeaderNames().stream().filter(h -> !KEYS.contains(h))
+                            .forEach(h -> figures.put(h, Long.valueOf(r.get(h))));
                     rows.add(new Row(KEYS.stream().map(r::get).toList(), figures));
                 }
             }
@@ -144,7 +149,8 @@
         }
         int cores = Runtime.getRuntime().availableProcessors();
         return new Plan(top.get("title").toString(), top.getOrDefault("about", "").toString(),
-                ((Number) top.getOrDefault("parallel", cores)).intValue(), ((Number) top.getOrDefault("fault_seconds", 60)).longValue(),
+                ((Number) top.getOrDefault("parallel", cores)).intValue(),
+                ((Number) top.getOrDefault("fault_seconds", 60)).longValue(),
                 list(top.get("plots")).stream().map(Object::toString).toList(), trials);
     }
 
--- a/src/bench/java/wallmoor/experiment/GroupTrial.java
+++ b/src/bench/java/wallmoor/experiment/GroupTrial.java
@@ -47,12 +47,16 @@
             int bad = sick(n);
             int cut = cutFrom(n);
             return switch (this) {
-                case LOSS_FROM -> (from, to, now, r) -> ill(from, n, bad) && r.nextDouble() < LOSS ? -1 : SOUND.delay(from, to, now, r);
-                case LOSS_TO -> (from, to, now, r) -> ill(to, n, bad) && r.nextDouble() < LOSS ? -1 : SOUND.delay(from, to, now, r);
-                case ONE_WAY -> (from, to, now, r) -> ill(from, n, bad) && to % 2 == 0 ? -1 : SOUND.delay(from, to, now, r);
+                case LOSS_FROM -> (from, to, now, r) -> ill(from, n, bad) && r.nextDouble() < LOSS ? -1
+                        : SOUND.delay(from, to, now, r);
+                case LOSS_TO ->
+                    (from, to, now, r) -> ill(to, n, bad) && r.nextDouble() < LOSS ? -1 : SOUND.delay(from, to, now, r);
+                case ONE_WAY ->
+                    (from, to, now, r) -> ill(from, n, bad) && to % 2 == 0 ? -1 : SOUND.delay(from, to, now, r);
                 case FLAP -> (from, to, now, r) -> (ill(from, n, bad) || ill(to, n, bad)) && now / SECOND % 2 == 0 ? -1
                         : SOUND.delay(from, to, now, r);
-                case HALVES, FEW_CUT -> (from, to, now, r) -> from < cut != to < cut ? -1 : SOUND.delay(from, to, now, r);
+                case HALVES, FEW_CUT ->
+                    (from, to, now, r) -> from < cut != to < cut ? -1 : SOUND.delay(from, to, now, r);
                 default -> SOUND;
             };
         }
@@ -68,17 +72,19 @@
         }
     }
 
-    private GroupTrial() {
-    }
+    private GroupTrial() {}
 
     /** Plays it; figures by name, times in milliseconds and -1 where it did not come to that. */
     static Map<String, Long> play(String way, int n, Fault fault, long seed, long faultSeconds) {
         Rules rules = Rules.of(n);
-        List<News.Told> all = IntStream.range(0, n).mapToObj(i -> new News.Told(GroupModel.name(i), "a" + i, 0, 0, false)).toList();
+        List<News.Told> all = IntStream.range(0, n)
+                .mapToObj(i -> new News.Told(GroupModel.name(i), "a" + i, 0, 0, false)).toList();
         var group = new GroupModel(n, rules, seed, switch (way) {
             case "ours" -> Peers::new;
-            case "swim" -> (name, address, boot, seeds, r, s, actions) -> new Swim(name, address, boot, all, r, s, actions);
-            case "heartbeat" -> (name, address, boot, seeds, r, s, actions) -> new Heartbeat(name, address, boot, all, r, actions);
+            case "swim" ->
+                (name, address, boot, seeds, r, s, actions) -> new Swim(name, address, boot, all, r, s, actions);
+            case "heartbeat" ->
+                (name, address, boot, seeds, r, s, actions) -> new Heartbeat(name, address, boot, all, r, actions);
             default -> throw new IllegalArgumentException("way: " + way + " is none of ours, swim, heartbeat");
         });
         var figures = new LinkedHashMap<String, Long>();
@@ -94,7 +100,8 @@
         long sent = group.sent();
         long cpu = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
         group.run(QUIET_SECONDS * SECOND);
-        figures.put("cpu_us_per_s", (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu) / 1000 / QUIET_SECONDS / n);
+        figures.put("cpu_us_per_s",
+                (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu) / 1000 / QUIET_SECONDS / n);
         figures.put("messages_per_s", (group.sent() - sent) / QUIET_SECONDS / n);
         group.weigh(Sizes.onTheWire());
         group.run(QUIET_SECONDS * SECOND);
--- a/src/bench/java/wallmoor/experiment/Report.java
+++ b/src/bench/java/wallmoor/experiment/Report.java
@@ -27,19 +27,21 @@
         }
     }
 
-    private Report() {
-    }
+    private Report() {}
 
     static void write(Experiment.Plan plan, List<Experiment.Row> rows, Path out) throws IOException {
-        var html = new StringBuilder("<!doctype html><meta charset=utf-8><title>").append(StringEscapeUtils.escapeHtml4(plan.title()))
+        var html = new StringBuilder("<!doctype html><meta charset=utf-8><title>")
+                .append(StringEscapeUtils.escapeHtml4(plan.title()))
                 .append("</title><style>body{font:15px sans-serif;max-width:60em;margin:2em auto}td,th{padding:.15em "
                         + ".7em;text-align:right}"
                         + "td:first-child,th:first-child{text-align:left}</style><h1>")
-                .append(StringEscapeUtils.escapeHtml4(plan.title())).append("</h1><p>").append(StringEscapeUtils.escapeHtml4(plan.about()));
+                .append(StringEscapeUtils.escapeHtml4(plan.title())).append("</h1><p>")
+                .append(StringEscapeUtils.escapeHtml4(plan.about()));
         for (String figure : plan.plots()) {
             byte[] png = plot(figure, rows);
             Files.write(out.resolve(figure + ".png"), png);
-            html.append("<h2>").append(figure).append("</h2><img alt=\"").append(figure).append("\" src=\"data:image/png;base64,")
+            html.append("<h2>").append(figure).append("</h2><img alt=\"").append(figure)
+                    .append("\" src=\"data:image/png;base64,")
                     .append(Base64.getEncoder().encodeToString(png)).append("\">").append(table(figure, rows));
         }
         Files.writeString(out.resolve("index.html"), html);
@@ -49,7 +51,8 @@
     private static Map<Cell, List<Long>> cells(String figure, List<Experiment.Row> rows) {
         var cells = new LinkedHashMap<Cell, List<Long>>();
         for (Experiment.Row r : rows) {
-            List<Long> values = cells.computeIfAbsent(new Cell(r.keys().get(0), r.keys().get(1), r.keys().get(2)), c -> new ArrayList<>());
+            List<Long> values = cells.computeIfAbsent(new Cell(r.keys().get(0), r.keys().get(1), r.keys().get(2)),
+                    c -> new ArrayList<>());
             values.add(r.figures().get(figure));
         }
         return cells;
@@ -76,11 +79,14 @@
     }
 
     private static String table(String figure, List<Experiment.Row> rows) {
-        var html = new StringBuilder("<table><tr><th>fault, members<th>way<th>seeds<th>not reached<th>p50<th>p99<th>worst<th>sum");
+        var html = new StringBuilder(
+                "<table><tr><th>fault, members<th>way<th>seeds<th>not reached<th>p50<th>p99<th>worst<th>sum");
         cells(figure, rows).forEach((c, values) -> {
             Histogram h = histogram(values);
-            html.append("<tr><td>").append(c.at()).append("<td>").append(c.way()).append("<td>").append(values.size()).append("<td>")
-                    .append(values.stream().filter(v -> v < 0).count()).append("<td>").append(h.getValueAtPercentile(50)).append("<td>")
+            html.append("<tr><td>").append(c.at()).append("<td>").append(c.way()).append("<td>").append(values.size())
+                    .append("<td>")
+                    .append(values.stream().filter(v -> v < 0).count()).append("<td>")
+                    .append(h.getValueAtPercentile(50)).append("<td>")
                     .append(h.getValueAtPercentile(99)).append("<td>").append(h.getMaxValue()).append("<td>")
                     .append(values.stream().filter(v -> v >= 0).mapToLong(v -> v).sum());
         });
--- a/src/bench/java/wallmoor/maintenance/LargeOrders.java
+++ b/src/bench/java/wallmoor/maintenance/LargeOrders.java
@@ -7,12 +7,11 @@
 import java.util.TreeSet;
 
 /**
- * Orders for whole fleets: seconds, memory, and the length beside the bound and beside going one at a time by name. With
- * {@code orders} the small world under all orders of four events instead.
+ * Orders for whole fleets: seconds, memory, and the length beside the bound and beside going one at a time by name.
+ * With {@code orders} the small world under all orders of four events instead.
  */
 public final class LargeOrders {
-    private LargeOrders() {
-    }
+    private LargeOrders() {}
 
     public static void main(String[] args) {
         if (args.length > 0) {
@@ -20,7 +19,8 @@
             System.out.println("all orders of four events: no fault");
             return;
         }
-        for (int[] size : new int[][] {{200, 5_000, 20, 2}, {200, 5_000, 20, 3}, {2_000, 20_000, 100, 2}, {10_000, 50_000, 500, 2}}) {
+        for (int[] size : new int[][] {{200, 5_000, 20, 2}, {200, 5_000, 20, 3}, {2_000, 20_000, 100, 2},
+            {10_000, 50_000, 500, 2}}) {
             for (int seed = 0; seed < 3; seed++) {
                 plan(seed, size[0], size[1], size[2], size[3]);
             }
@@ -33,8 +33,10 @@
         var wishes = new ArrayList<Wish>();
         for (int i = 0; i < nodes; i++) {
             String id = "n" + i;
-            machines.add(new Machine(id, Machine.Kind.NODE, "c" + i % 8, 1, false, Machine.Phase.SERVING, "1", 0, 1_000_000));
-            wishes.add(new Wish("w" + i, id, 600_000 + random.nextInt(4) * 300_000L, Wish.ANY_TIME, "", "", new TreeSet<>(),
+            machines.add(new Machine(id, Machine.Kind.NODE, "c" + i % 8, 1, false, Machine.Phase.SERVING, "1", 0,
+                    1_000_000));
+            wishes.add(new Wish("w" + i, id, 600_000 + random.nextInt(4) * 300_000L, Wish.ANY_TIME, "", "",
+                    new TreeSet<>(),
                     new TreeSet<>()));
         }
         var blocks = new ArrayList<Block>();
@@ -45,16 +47,19 @@
             }
             blocks.add(new Block("b" + b, List.copyOf(on)));
         }
-        var budgets = new Budgets(atOnce, Map.of(), 700_000, 0, Budgets.Hours.ANY, 18_000, 160_000, 30_000, 10_000, 600_000, 600_000);
+        var budgets = new Budgets(atOnce, Map.of(), 700_000, 0, Budgets.Hours.ANY, 18_000, 160_000, 30_000, 10_000,
+                600_000, 600_000);
         var fleet = new Fleet(machines, blocks, List.of(), 0, true, "");
         long began = System.nanoTime();
         var order = (Answer.Order) Planner.plan(0, wishes, fleet, budgets);
         double seconds = (System.nanoTime() - began) / 1e9;
         System.gc();
         long one = wishes.stream().mapToLong(budgets::whole).sum();
-        System.out.printf("%d nodes, %d blocks on %d, %d at once: %.2f s, %d MB after; takes %d min, bound %d (%.3f), one at a "
-                + "time %d%n",
-                nodes, count, copies, atOnce, seconds, (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20,
+        System.out.printf(
+                "%d nodes, %d blocks on %d, %d at once: %.2f s, %d MB after; takes %d min, bound %d (%.3f), one at a "
+                        + "time %d%n",
+                nodes, count, copies, atOnce, seconds,
+                (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20,
                 order.ends() / 60_000, order.bound() / 60_000, (double) order.ends() / order.bound(), one / 60_000);
     }
 }
--- a/src/bench/java/wallmoor/net/AtRest.java
+++ b/src/bench/java/wallmoor/net/AtRest.java
@@ -29,8 +29,7 @@
     private static final int AT_ONCE = 50;
     private static final int TICK_MILLIS = 10;
 
-    private AtRest() {
-    }
+    private AtRest() {}
 
     /** Runs all and prints a block for each. */
     public static void main(String[] args) throws Exception {
@@ -51,7 +50,8 @@
         int port = Ports.free();
         Path file = Files.createTempFile("rest", ".json");
         Files.writeString(file, Program.config("r", Program.SEED, port, discovery, members, 32_768)
-                .replace("\"sockets\":32768", "\"sockets\":32768,\"memory_mb\":8192").replace("\"MaxOpen\":60", "\"MaxOpen\":6000"));
+                .replace("\"sockets\":32768", "\"sockets\":32768,\"memory_mb\":8192")
+                .replace("\"MaxOpen\":60", "\"MaxOpen\":6000"));
         String run = Files.readAllLines(way.resolve("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run ="))
                 .map(l -> l.substring(l.indexOf('"') + 1, l.lastIndexOf('"'))).findFirst().orElseThrow();
         var builder = new ProcessBuilder("/bin/sh", "-c", run).directory(way.toFile());
@@ -72,8 +72,10 @@
             double[] there = state(process);
             Thread.sleep(TimeUnit.SECONDS.toMillis(REST_SECONDS));
             double[] after = state(process);
-            System.out.printf("  threads %.0f to %.0f, own memory %.1f to %.1f MB (%.1f KB each), at rest %.1f ms of processor"
-                    + " a second%n", before[2], after[2], before[1], after[1], (after[1] - before[1]) * 1024 / connections,
+            System.out.printf(
+                    "  threads %.0f to %.0f, own memory %.1f to %.1f MB (%.1f KB each), at rest %.1f ms of processor"
+                            + " a second%n",
+                    before[2], after[2], before[1], after[1], (after[1] - before[1]) * 1024 / connections,
                     (after[0] - there[0]) / REST_SECONDS);
             crowd(port, crowd, open, process);
         } finally {
@@ -112,7 +114,8 @@
         double[] sorted = new double[crowd];
         Arrays.setAll(sorted, i -> took.get(i) / 1e6);
         Arrays.sort(sorted);
-        System.out.printf("  crowd of %d, %d at once: %d served, p50 %.1f ms, p99 %.1f ms, %.0f ms of processor%n", crowd, AT_ONCE,
+        System.out.printf("  crowd of %d, %d at once: %d served, p50 %.1f ms, p99 %.1f ms, %.0f ms of processor%n",
+                crowd, AT_ONCE,
                 served.get(), sorted[crowd / 2], sorted[crowd * 99 / 100], state(process)[0] - before);
     }
 
@@ -147,6 +150,7 @@
                 threads = Double.parseDouble(line.replaceAll("[^0-9]", ""));
             }
         }
-        return new double[] {TICK_MILLIS * (Long.parseLong(words[11]) + Long.parseLong(words[12])), kib / 1024, threads};
+        return new double[] {TICK_MILLIS * (Long.parseLong(words[11]) + Long.parseLong(words[12])), kib / 1024,
+            threads};
     }
 }
--- a/src/bench/java/wallmoor/net/DrainTime.java
+++ b/src/bench/java/wallmoor/net/DrainTime.java
@@ -14,18 +14,19 @@
 import wallmoor.standin.DnsServer;
 
 /**
- * The longest time from a drain that the list tells to the last new frame at the drained node, over 200 seeded drains of
- * the real program under load while DNS lies in one way or another. Four programs at a time; prints the distribution.
+ * The longest time from a drain that the list tells to the last new frame at the drained node, over 200 seeded drains
+ * of the real program under load while DNS lies in one way or another. Four programs at a time; prints the
+ * distribution.
  */
 public final class DrainTime {
     private static final String SERVICE = "_calendar._tcp.fleet.example";
     private static final int PROGRAMS = 4;
     private static final int DRAINS = 50;
     /** What DNS does while the list drains: goes on naming the node, or worse. */
-    private static final String[] LIES = {"names it", "renames it", "fails", "is silent", "drops all", "comes and goes"};
+    private static final String[] LIES = {"names it", "renames it", "fails", "is silent", "drops all",
+        "comes and goes"};
 
-    private DrainTime() {
-    }
+    private DrainTime() {}
 
     /** A node that notes when its last frame came. */
     private static final class Node {
@@ -89,7 +90,8 @@
             dns.service(SERVICE, 0, a.target("w1"), b.target("w2"));
             Path operator = Files.createTempFile("operator", ".yaml");
             Files.writeString(operator, "sources:\n  dns:\n    servers: [\"127.0.0.1:" + dns.port() + "\"]\n"
-                    + "    names: [{name: " + SERVICE + "}]\n    least_ttl: 100ms\n    most_ttl: 1s\n    timeout: 100ms\n");
+                    + "    names: [{name: " + SERVICE
+                    + "}]\n    least_ttl: 100ms\n    most_ttl: 1s\n    timeout: 100ms\n");
             try (var program = new Program(discovery.port(), "", operator)) {
                 Program.await("a watch", () -> discovery.count("GET /api/targets?stream=1") == 1);
                 Thread.sleep(200);
@@ -119,7 +121,8 @@
         lie(lie, dns, a, b);
         Thread.sleep(random.nextInt(400));
         long told = System.nanoTime();
-        discovery.say(list(2 * run + 2, a, drained == a ? "DRAINING" : "SERVING", b, drained == b ? "DRAINING" : "SERVING"));
+        discovery.say(
+                list(2 * run + 2, a, drained == a ? "DRAINING" : "SERVING", b, drained == b ? "DRAINING" : "SERVING"));
         Thread.sleep(300);
         if (lie.equals("comes and goes")) {
             lie("drops all", dns, a, b);
@@ -146,7 +149,8 @@
 
     private static String list(int revision, Node a, String stateA, Node b, String stateB) {
         return "{\"revision\":" + (42 + revision) + ",\"complete\":false,\"members\":[" + List.of(
-                a.worker.member("w1", 0, stateA), b.worker.member("w2", 0, stateB)).toString().replaceAll("^\\[|\\]$", "")
+                a.worker.member("w1", 0, stateA), b.worker.member("w2", 0, stateB)).toString()
+                .replaceAll("^\\[|\\]$", "")
                 + "]}";
     }
 
--- a/src/bench/java/wallmoor/net/IdleWaiters.java
+++ b/src/bench/java/wallmoor/net/IdleWaiters.java
@@ -11,13 +11,14 @@
 import wallmoor.edge.Ask;
 import wallmoor.standin.Ports;
 
-/** What queries of the plain front feel while 2,000 devices wait at the edge for outcomes; beside it with none waiting. */
+/**
+ * What queries of the plain front feel while 2,000 devices wait at the edge for outcomes; beside it with none waiting.
+ */
 public final class IdleWaiters {
     private static final int DEVICES = 2_000;
     private static final int QUERIES = 3_000;
 
-    private IdleWaiters() {
-    }
+    private IdleWaiters() {}
 
     /** Runs both. */
     public static void main(String[] args) throws Exception {
@@ -27,8 +28,9 @@
                 + HexFormat.of().formatHex(Ask.sha256("d1.secret".getBytes())) + "\n");
         int http = Ports.free();
         Path operator = folder.resolve("operator.yaml");
-        Files.writeString(operator, "edge:\n  devices: devices.csv\n  http: {listen: 127.0.0.1:" + http + ", most_clients: 2500}"
-                + "\n  skew: 50ms\n  asks_per_s: 10000\n  ask_burst: 10000\n  open_per_device: 100\n");
+        Files.writeString(operator,
+                "edge:\n  devices: devices.csv\n  http: {listen: 127.0.0.1:" + http + ", most_clients: 2500}"
+                        + "\n  skew: 50ms\n  asks_per_s: 10000\n  ask_burst: 10000\n  open_per_device: 100\n");
         try (var discovery = new StandIn.Discovery();
                 var program = new Program(discovery.port(), node.member("a", 0, "SERVING"), operator)) {
             measure(program, "warming up");
@@ -46,8 +48,10 @@
                 waiting.add(c);
             }
             measure(program, waiting.size() + " waiting");
-            System.out.println("resident kB of the program: " + Files.readString(Path.of("/proc/" + program.process.pid()
-                    + "/status")).lines().filter(l -> l.startsWith("VmRSS") || l.startsWith("Threads")).toList());
+            System.out.println("resident kB of the program: " + Files
+                    .readString(Path.of("/proc/" + program.process.pid()
+                            + "/status"))
+                    .lines().filter(l -> l.startsWith("VmRSS") || l.startsWith("Threads")).toList());
         }
         System.exit(0);
     }
--- a/src/bench/java/wallmoor/net/LinkCost.java
+++ b/src/bench/java/wallmoor/net/LinkCost.java
@@ -22,13 +22,13 @@
 
 /**
  * Time to the outcome and bytes on the link, for an answer of 20 KiB over links that break with 0, 5 or 20 % chance in
- * each KiB of it, with and without going on where it broke off and with and without packing. Prints a table, draws a plot.
+ * each KiB of it, with and without going on where it broke off and with and without packing. Prints a table, draws a
+ * plot.
  */
 public final class LinkCost {
     private static final int QUERIES = 12;
 
-    private LinkCost() {
-    }
+    private LinkCost() {}
 
     /** Runs all; the argument is where the plot goes. */
     public static void main(String[] args) throws Exception {
@@ -93,7 +93,7 @@
         })) {
             for (int i = 0; i < QUERIES; i++) {
                 var device = new HttpDevice(URI.create("http://127.0.0.1:" + links.port()), "d1.secret", packed, resume,
-                        Duration.ofSeconds(5), line -> { });
+                        Duration.ofSeconds(5), line -> {});
                 byte[] query = ("{\"class\":\"once\",\"deadline_ms\":1900,\"shards\":[{\"shard\":0,\"weight\":1}],"
                         + "\"q\":\"" + i
                         + "\"}").getBytes();
@@ -106,7 +106,8 @@
             }
             double kib = links.bytes.get() / 1024.0 / QUERIES;
             System.out.printf("%3.0f %%  %-6s %-6s | %10d %6.1f %12.1f | %6d %5d %5d %5d%n", 100 * loss, resume, packed,
-                    notLearnt, (double) tries / QUERIES, kib, took.getValueAtPercentile(50), took.getValueAtPercentile(90),
+                    notLearnt, (double) tries / QUERIES, kib, took.getValueAtPercentile(50),
+                    took.getValueAtPercentile(90),
                     took.getValueAtPercentile(99), took.getMaxValue());
             return kib;
         }
--- a/src/bench/java/wallmoor/net/MovesService.java
+++ b/src/bench/java/wallmoor/net/MovesService.java
@@ -10,8 +10,9 @@
 import wallmoor.moves.http.PlanDirectory;
 
 /**
- * Service while moving against quiet: reads on a schedule, from three real nodes whose disks do 200 MB/s and one thing at a
- * time. Four ways: quiet; moving, giving way to queries; moving with the same bound and without; and a bound below the disk.
+ * Service while moving against quiet: reads on a schedule, from three real nodes whose disks do 200 MB/s and one thing
+ * at a time. Four ways: quiet; moving, giving way to queries; moving with the same bound and without; and a bound below
+ * the disk.
  */
 public final class MovesService {
     private static final int CLIENTS = 4;
@@ -21,8 +22,7 @@
     private static final long PERIOD_NANOS = 40_000_000;
     private static final long AIM_NANOS = 50_000_000;
 
-    private MovesService() {
-    }
+    private MovesService() {}
 
     /** Prints a line for each way. */
     public static void main(String[] args) throws Exception {
@@ -54,7 +54,8 @@
                             if (wait > 0) {
                                 Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
                             }
-                            long behind = Math.max(0, System.nanoTime() - at); // counted from when it should have been asked
+                            // counted from when it should have been asked
+                            long behind = Math.max(0, System.nanoTime() - at);
                             long nanos = fleet.read(random, Carrier.read(new PlanDirectory(fleet.plan).read()));
                             if (at - first > WARM_SECONDS * 1_000_000_000L || nanos < 0) {
                                 took.add(nanos < 0 ? Long.MAX_VALUE : nanos + behind);
@@ -79,8 +80,10 @@
             }
             long[] sorted = took.stream().mapToLong(x -> x).sorted().toArray();
             long inTime = took.stream().filter(x -> x <= AIM_NANOS).count();
-            System.out.printf("%-36s %5d reads in %.1f s, within 50 ms %.4f, p50 %.2f ms, p99 %.2f ms, refused or wrong %d, "
-                    + "%s, %s%n", name,
+            System.out.printf(
+                    "%-36s %5d reads in %.1f s, within 50 ms %.4f, p50 %.2f ms, p99 %.2f ms, refused or wrong %d, "
+                            + "%s, %s%n",
+                    name,
                     sorted.length, seconds, (double) inTime / sorted.length, sorted[sorted.length / 2] / 1e6,
                     sorted[sorted.length * 99 / 100] / 1e6, took.stream().filter(x -> x == Long.MAX_VALUE).count(),
                     ended ? "ended" : "still moving", status.replaceAll("\"at_ms.*?moves\":", "")
--- a/src/bench/java/wallmoor/net/PruningCost.java
+++ b/src/bench/java/wallmoor/net/PruningCost.java
@@ -14,8 +14,8 @@
 
 /**
  * Parts sent and time taken by real processes: one gatherer that asks all feature servers, one that leaves out those
- * that promised to have nothing, the same queries to both in turn, a write for every fifth. Each answer is held against the
- * rows that were confirmed before it was asked for. Arguments: queries, seed.
+ * that promised to have nothing, the same queries to both in turn, a write for every fifth. Each answer is held against
+ * the rows that were confirmed before it was asked for. Arguments: queries, seed.
  */
 public final class PruningCost {
     private static final int SITES = 16;
@@ -25,8 +25,7 @@
     private static final Pattern NEXT = Pattern.compile("\"href\":\"http://localhost([^\"]*)\",\"rel\":\"next\"");
     private static final Pattern ASKED = Pattern.compile("\"asked\":(\\d+)");
 
-    private PruningCost() {
-    }
+    private PruningCost() {}
 
     private static String row(Random random, int site, String id) {
         var own = new Random(site);
@@ -136,7 +135,8 @@
                 + "all: p50, p99 ms | left out: p50, p99 ms |");
         for (int k = 0; k < KINDS.length; k++) {
             System.out.printf("| %s | %d | %d | %d | %d | %.3f | %.1f, %.1f | %.1f, %.1f |%n", KINDS[k],
-                    count[k], sent[0][k], sent[1][k], oracle[k], (double) sent[1][k] / oracle[k], took[0][k].getValueAtPercentile(50) / 1e3,
+                    count[k], sent[0][k], sent[1][k], oracle[k], (double) sent[1][k] / oracle[k],
+                    took[0][k].getValueAtPercentile(50) / 1e3,
                     took[0][k].getValueAtPercentile(99) / 1e3, took[1][k].getValueAtPercentile(50) / 1e3,
                     took[1][k].getValueAtPercentile(99) / 1e3);
         }
--- a/src/bench/java/wallmoor/net/RestartStorm.java
+++ b/src/bench/java/wallmoor/net/RestartStorm.java
@@ -19,9 +19,10 @@
 
 /**
  * Two gatherers by the deploy file's {@code run}, each on half of a core (one core that it shares with a busy process),
- * restarted in turn by SIGTERM and SIGKILL, under queries of four parts and silent clients that connect again the moment
- * they are closed. A line a second for each: its processor time by thread; and what became of the queries. Arguments:
- * silent clients, queries a second, second of the first SIGTERM (0: none), seconds; the repository's root, if not here.
+ * restarted in turn by SIGTERM and SIGKILL, under queries of four parts and silent clients that connect again the
+ * moment they are closed. A line a second for each: its processor time by thread; and what became of the queries.
+ * Arguments: silent clients, queries a second, second of the first SIGTERM (0: none), seconds; the repository's root,
+ * if not here.
  */
 public final class RestartStorm {
     private static final int NODES = 12;
@@ -40,8 +41,7 @@
     private final AtomicInteger numbers = new AtomicInteger();
     private final List<Gatherer> gatherers = new ArrayList<>();
 
-    private RestartStorm() {
-    }
+    private RestartStorm() {}
 
     /** One of them, over its restarts. */
     private final class Gatherer implements AutoCloseable {
@@ -63,7 +63,8 @@
             Files.writeString(config, Program.config("g" + place, Program.SEED + place, port, discovery, members, 384)
                     .replace("\"sockets\":384", "\"sockets\":384,\"memory_mb\":144")
                     .replace("\"Instances\":1,\"Position\":0", "\"Instances\":2,\"Position\":" + place));
-            String run = Files.readAllLines(root.resolve("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run"))
+            String run = Files.readAllLines(root.resolve("deploy/balancer.toml")).stream()
+                    .filter(l -> l.startsWith("run"))
                     .findFirst().orElseThrow();
             command = run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'));
             busy = new ProcessBuilder("taskset", "-c", core(), "sh", "-c", "while :; do :; done").start();
@@ -84,7 +85,8 @@
                 Thread.sleep(10);
             }
             up = true;
-            System.out.printf("g%d ready after %d ms, %.2f s of processor%n", place, (System.nanoTime() - begun) / 1_000_000,
+            System.out.printf("g%d ready after %d ms, %.2f s of processor%n", place,
+                    (System.nanoTime() - begun) / 1_000_000,
                     cpu(process.pid()));
         }
 
@@ -271,7 +273,8 @@
             for (Path task : all.toList()) {
                 try {
                     String kind = Files.readString(task.resolve("comm")).strip().replaceAll("[-#0-9]+$", "");
-                    to.merge(kind, Long.parseLong(Files.readString(task.resolve("schedstat")).split(" ")[0]), Long::sum);
+                    to.merge(kind, Long.parseLong(Files.readString(task.resolve("schedstat")).split(" ")[0]),
+                            Long::sum);
                 } catch (IOException e) {
                     // it has ended
                 }
--- a/src/bench/java/wallmoor/net/RulesRounds.java
+++ b/src/bench/java/wallmoor/net/RulesRounds.java
@@ -5,14 +5,15 @@
 import java.util.Collections;
 import java.util.List;
 
-/** From a proposal to its acting wholly at each of five real gatherers, quiet, by the same clock; and what they cost. */
+/**
+ * From a proposal to its acting wholly at each of five real gatherers, quiet, by the same clock; and what they cost.
+ */
 public final class RulesRounds {
     private static final int FIVE = 5;
     private static final int ROUNDS = 60;
     private static final long TERM_MILLIS = 5_000;
 
-    private RulesRounds() {
-    }
+    private RulesRounds() {}
 
     /** Prints milliseconds. */
     public static void main(String[] args) throws Exception {
@@ -29,15 +30,18 @@
             }
             for (RulesGroup.One o : group.all) {
                 String status = Files.readString(java.nio.file.Path.of("/proc/" + o.process.pid() + "/status"));
-                System.out.println("m" + o.number + " " + status.lines().filter(l -> l.startsWith("VmRSS") || l.startsWith("Threads"))
-                        .map(l -> l.replaceAll("\\s+", " ")).toList() + " processor seconds "
+                System.out.println("m" + o.number + " "
+                        + status.lines().filter(l -> l.startsWith("VmRSS") || l.startsWith("Threads"))
+                                .map(l -> l.replaceAll("\\s+", " ")).toList()
+                        + " processor seconds "
                         + o.process.info().totalCpuDuration().orElseThrow().toMillis() / 1e3);
             }
         }
         List<Double> sorted = new ArrayList<>(millis);
         Collections.sort(sorted);
         System.out.printf("%d proposals, ms: p50 %.0f, p99 %.0f, least %.0f, most %.0f; looked each %d ms%n", ROUNDS,
-                sorted.get(ROUNDS / 2), sorted.get((int) Math.ceil(ROUNDS * 0.99) - 1), sorted.get(0), sorted.get(ROUNDS - 1),
+                sorted.get(ROUNDS / 2), sorted.get((int) Math.ceil(ROUNDS * 0.99) - 1), sorted.get(0),
+                sorted.get(ROUNDS - 1),
                 20);
     }
 }
--- a/src/bench/java/wallmoor/net/RulesStorm.java
+++ b/src/bench/java/wallmoor/net/RulesStorm.java
@@ -12,10 +12,10 @@
 import wallmoor.lab.Script;
 
 /**
- * Five real gatherers, three of them voters, and five processes that agree on nothing ({@link StormMember}), struck alike by
- * {@link Script}; then two of three voters are killed at once, or cut off from all. A line for each seed: how long two of them
- * contradicted each other at worst, each way, and how long after the last fault a proposal acted. Arguments: first seed, last
- * one, and voters: 3, or 5 of which three go at once.
+ * Five real gatherers, three of them voters, and five processes that agree on nothing ({@link StormMember}), struck
+ * alike by {@link Script}; then two of three voters are killed at once, or cut off from all. A line for each seed: how
+ * long two of them contradicted each other at worst, each way, and how long after the last fault a proposal acted.
+ * Arguments: first seed, last one, and voters: 3, or 5 of which three go at once.
  */
 public final class RulesStorm {
     static final int FIVE = 5;
@@ -28,8 +28,7 @@
     private static final int REFUSED = 3;
     private static final int NOT_UP = 4;
 
-    private RulesStorm() {
-    }
+    private RulesStorm() {}
 
     /** Prints seconds. */
     public static void main(String[] args) throws Exception {
@@ -43,7 +42,8 @@
         Path folder = Files.createTempDirectory("storm");
         ExecutorService proposing = Executors.newCachedThreadPool();
         var random = new Random(seed);
-        try (var group = new RulesGroup(folder, FIVE, voters, TERM_MILLIS); var baseline = new StormBaseline(folder, FIVE)) {
+        try (var group = new RulesGroup(folder, FIVE, voters, TERM_MILLIS);
+                var baseline = new StormBaseline(folder, FIVE)) {
             Console first = group.all.get(3).propose(1, WAIT);
             baseline.write(0, 1);
             if (first.code() != 0) {
@@ -59,7 +59,8 @@
             writing.join();
             long healed = System.nanoTime();
             Console last = group.all.get(4).propose((int) written.incrementAndGet(), WAIT);
-            while ((last.code() == REFUSED || last.code() == NOT_UP) && System.nanoTime() - healed < WAIT * 1_000_000_000L) {
+            while ((last.code() == REFUSED || last.code() == NOT_UP)
+                    && System.nanoTime() - healed < WAIT * 1_000_000_000L) {
                 Thread.sleep(100); // an earlier one came before it, or the one that is asked starts still
                 last = group.all.get(4).propose((int) written.incrementAndGet(), WAIT);
             }
@@ -68,10 +69,13 @@
             long worst = group.worst();
             long beside = group.sideBySide();
             long[] others = baseline.worst();
-            return String.format(Locale.ROOT, "seed %d leases %.2f side by side %s versions %d of %d written, gossip %.2f files %.2f, "
-                    + "a proposal acted after %s s%s", seed, worst / 1e6, beside <= 0 ? "never" : beside / 1e6, group.all.get(4).last.to(),
+            return String.format(Locale.ROOT,
+                    "seed %d leases %.2f side by side %s versions %d of %d written, gossip %.2f files %.2f, "
+                            + "a proposal acted after %s s%s",
+                    seed, worst / 1e6, beside <= 0 ? "never" : beside / 1e6, group.all.get(4).last.to(),
                     written.get(), others[0] / 1e6, others[1] / 1e6,
-                    last.code() == 0 ? String.format(Locale.ROOT, "%.1f", back) : "NONE", last.code() == 0 ? "" : last + group.told());
+                    last.code() == 0 ? String.format(Locale.ROOT, "%.1f", back) : "NONE",
+                    last.code() == 0 ? "" : last + group.told());
         } catch (AssertionError e) {
             return "seed " + seed + " FAILED: " + e.getMessage();
         } finally {
@@ -79,7 +83,8 @@
         }
     }
 
-    private static void write(RulesGroup group, StormBaseline baseline, ExecutorService proposing, AtomicLong written, Random random) {
+    private static void write(RulesGroup group, StormBaseline baseline, ExecutorService proposing, AtomicLong written,
+            Random random) {
         try {
             while (true) {
                 Thread.sleep(WRITE_MILLIS);
--- a/src/bench/java/wallmoor/net/StartTime.java
+++ b/src/bench/java/wallmoor/net/StartTime.java
@@ -41,8 +41,7 @@
         }
     }
 
-    private StartTime() {
-    }
+    private StartTime() {}
 
     /** Runs all and prints medians, with the quartiles beside them. */
     public static void main(String[] args) throws Exception {
@@ -200,7 +199,8 @@
 
         /** A line of the process' status, in MB. */
         private static double memory(Process process, String line) throws IOException {
-            return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream().filter(l -> l.startsWith(line))
+            return Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream()
+                    .filter(l -> l.startsWith(line))
                     .mapToDouble(l -> Double.parseDouble(l.replaceAll("[^0-9]", "")) / 1024).sum();
         }
 
--- a/src/bench/java/wallmoor/net/StormBaseline.java
+++ b/src/bench/java/wallmoor/net/StormBaseline.java
@@ -12,7 +12,9 @@
 import wallmoor.standin.Ports;
 import wallmoor.standin.TcpRelay;
 
-/** The processes of {@link StormMember}, a relay between them, and for each a watcher; judged as {@link RulesGroup} is. */
+/**
+ * The processes of {@link StormMember}, a relay between them, and for each a watcher; judged as {@link RulesGroup} is.
+ */
 final class StormBaseline implements AutoCloseable {
     private static final int LOOK_MILLIS = 20;
     /** So long what was seen counts as going on: who stands still or is dead is not seen, and does not act. */
@@ -57,14 +59,16 @@
 
     void start(int who) throws IOException {
         Member member = all.get(who);
-        var command = new ArrayList<>(List.of(Program.command().get(0), "-Xmx32m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
+        var command = new ArrayList<>(List.of(Program.command().get(0), "-Xmx32m", "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
                 "-cp", System.getProperty("java.class.path"), "wallmoor.net.StormMember", "" + who, "" + member.port,
                 "" + member.control, "" + folder.resolve("baseline" + who)));
         all.stream().filter(m -> m != member).forEach(m -> command.add("" + relay.port(who, m.number)));
         for (int later = all.size(); later < RulesStorm.FIVE; later++) {
             command.add("" + relay.port(who, later));
         }
-        member.process = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        member.process = new ProcessBuilder(command).redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
     }
 
     void kill(int who) {
@@ -92,7 +96,8 @@
     private void watch(Member member) {
         while (!ended) {
             try (var asker = new Socket("127.0.0.1", member.control);
-                    var lines = new BufferedReader(new InputStreamReader(asker.getInputStream(), StandardCharsets.US_ASCII))) {
+                    var lines = new BufferedReader(
+                            new InputStreamReader(asker.getInputStream(), StandardCharsets.US_ASCII))) {
                 while (!ended) {
                     asker.getOutputStream().write("show\n".getBytes(StandardCharsets.US_ASCII));
                     String line = lines.readLine();
--- a/src/bench/java/wallmoor/net/StormMember.java
+++ b/src/bench/java/wallmoor/net/StormMember.java
@@ -13,9 +13,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A process of the two ways without agreement, both at once: the last that was written anywhere wins and is told to all others
- * every 100 ms; and a file of its own, read every {@link #READ_MILLIS}, that the first one copies to all others, at once and as
- * often again. What it holds is kept over a restart. Arguments: number, port, control port, directory, ports of the others.
+ * A process of the two ways without agreement, both at once: the last that was written anywhere wins and is told to all
+ * others every 100 ms; and a file of its own, read every {@link #READ_MILLIS}, that the first one copies to all others,
+ * at once and as often again. What it holds is kept over a restart. Arguments: number, port, control port, directory,
+ * ports of the others.
  */
 final class StormMember {
     /** Twice the term that the storm has: 10 s beside 5 s, as {@code Contradictions} has it. */
@@ -57,7 +58,8 @@
     private synchronized void raise(AtomicLong what, String name, long to) throws IOException {
         if (to > what.get()) {
             Path beside = Files.writeString(directory.resolve(name + ".new"), "" + to);
-            Files.move(beside, directory.resolve(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(beside, directory.resolve(name), StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
             what.set(to);
         }
     }
@@ -78,11 +80,13 @@
 
     /** A line each: {@code newest N}, {@code file N}, or {@code show}. */
     private void hear(Socket peer) {
-        try (peer; var lines = new BufferedReader(new InputStreamReader(peer.getInputStream(), StandardCharsets.US_ASCII))) {
+        try (peer; var lines = new BufferedReader(
+                new InputStreamReader(peer.getInputStream(), StandardCharsets.US_ASCII))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 String[] words = line.split(" ");
                 if (words[0].equals("show")) {
-                    peer.getOutputStream().write((System.nanoTime() / 1_000 + " " + newest + " " + acts + "\n").getBytes());
+                    peer.getOutputStream()
+                            .write((System.nanoTime() / 1_000 + " " + newest + " " + acts + "\n").getBytes());
                 } else if (words[0].equals("newest")) {
                     raise(newest, "newest", Long.parseLong(words[1]));
                 } else {
--- a/src/bench/java/wallmoor/peers/Baseline.java
+++ b/src/bench/java/wallmoor/peers/Baseline.java
@@ -29,7 +29,8 @@
     /** These are held of all members now: a view of its own if the last one holds others. */
     final void hold(List<View.Member> members) {
         if (view == null || !view.members().equals(members)) {
-            view = new View(view == null ? 1 : view.version() + 1, View.Standing.CANT_TELL, members.size(), rules.size(), members);
+            view = new View(view == null ? 1 : view.version() + 1, View.Standing.CANT_TELL, members.size(),
+                    rules.size(), members);
             actions.changed(view, "");
         }
     }
--- a/src/bench/java/wallmoor/peers/Heartbeat.java
+++ b/src/bench/java/wallmoor/peers/Heartbeat.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 
 /**
- * The plainest way, as a baseline: all members are known from the start, each tells all others every interval that it is
- * there, and who was not heard for five intervals is removed until it is heard again.
+ * The plainest way, as a baseline: all members are known from the start, each tells all others every interval that it
+ * is there, and who was not heard for five intervals is removed until it is heard again.
  */
 public final class Heartbeat extends Baseline {
     private static final int PATIENCE = 5;
@@ -45,7 +45,8 @@
     private void look(long now) {
         var members = new ArrayList<View.Member>();
         others.forEach((n, t) -> members.add(new View.Member(n, t.address(), t.incarnation(),
-                now - heard.get(n) > PATIENCE * rules.interval() ? View.State.REMOVED : View.State.ALIVE, 0, List.of())));
+                now - heard.get(n) > PATIENCE * rules.interval() ? View.State.REMOVED : View.State.ALIVE, 0,
+                List.of())));
         members.add(new View.Member(self.name(), self.address(), self.incarnation(), View.State.ALIVE, 0, List.of()));
         hold(members);
     }
--- a/src/bench/java/wallmoor/peers/Swim.java
+++ b/src/bench/java/wallmoor/peers/Swim.java
@@ -10,8 +10,8 @@
 
 /**
  * SWIM as its paper has it (Das, Gupta, Motivala, DSN 2002), as a baseline: one member probed an interval in a shuffled
- * round, three others asked where it does not answer, suspicion that it may refute by a new incarnation, and removal after
- * four times the decimal logarithm of the group's size in intervals. All members are known from the start.
+ * round, three others asked where it does not answer, suspicion that it may refute by a new incarnation, and removal
+ * after four times the decimal logarithm of the group's size in intervals. All members are known from the start.
  */
 public final class Swim extends Baseline {
     private static final int SUSPICION = 4;
@@ -101,7 +101,7 @@
                     probed = null;
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -138,7 +138,8 @@
     private void take(long now, News n) {
         Member m = members.get(n.name());
         if (n.name().equals(self.name())) {
-            if ((n instanceof News.Doubt || n instanceof News.Told t && t.left()) && n.incarnation() >= self.incarnation()) {
+            if ((n instanceof News.Doubt || n instanceof News.Told t && t.left())
+                    && n.incarnation() >= self.incarnation()) {
                 self = new News.Told(self.name(), self.address(), self.boot(), n.incarnation() + 1, false);
                 m.told = self;
                 gossip.put(new Gossip.Piece(self.name(), false));
--- a/src/bench/java/wallmoor/peers/udp/Sizes.java
+++ b/src/bench/java/wallmoor/peers/udp/Sizes.java
@@ -10,8 +10,7 @@
     /** Headers of IPv4 and UDP. */
     private static final int HEADERS = 28;
 
-    private Sizes() {
-    }
+    private Sizes() {}
 
     /** Bytes of a message with its headers. Not for several threads at once. */
     public static ToLongFunction<Message> onTheWire() {
--- a/src/bench/java/wallmoor/placement/LargeFleets.java
+++ b/src/bench/java/wallmoor/placement/LargeFleets.java
@@ -6,10 +6,11 @@
 import java.util.List;
 import java.util.Random;
 
-/** Plans for 200 nodes and 5,000 blocks: seconds, bytes beside the bound, and the waves, for fleets of several kinds. */
+/**
+ * Plans for 200 nodes and 5,000 blocks: seconds, bytes beside the bound, and the waves, for fleets of several kinds.
+ */
 public final class LargeFleets {
-    private LargeFleets() {
-    }
+    private LargeFleets() {}
 
     /**
      * A kind of fleet.
@@ -21,8 +22,7 @@
      * @param tail     0 for sizes of 200 to 999 MB alike; else log-normal ones of this deviation
      */
     record Kind(String name, int cells, int copies, double fill, double uneven, int draining, int level, int beside,
-            Spread spread, double tail) {
-    }
+            Spread spread, double tail) {}
 
     static Fleet of(Kind kind, long seed, int n, int count) {
         var random = new Random(seed);
@@ -61,7 +61,8 @@
                     boolean apart = beside && taken.size() < 2 ? !taken.contains(i)
                             : taken.stream().noneMatch(t -> t % kind.cells() == i % kind.cells());
                     if (apart && (beside || taken.stream().noneMatch(t -> t == i))
-                            && (best < 0 || used[i] / (weight[i] * disk[i]) < used[best] / (weight[best] * disk[best]))) {
+                            && (best < 0
+                                    || used[i] / (weight[i] * disk[i]) < used[best] / (weight[best] * disk[best]))) {
                         best = i;
                     }
                 }
@@ -102,11 +103,13 @@
                 if (answer instanceof Answer.Plan plan) {
                     List<String> faults = PlanCheck.faults(fleet, plan);
                     int waves = plan.moves().isEmpty() ? 0 : plan.moves().get(plan.moves().size() - 1).wave();
-                    System.out.printf("%-29s seed %d: %6.2f s, %5d moves, %8d MB, bound %8d, ratio %.4f, %d waves, faults %d%n",
+                    System.out.printf(
+                            "%-29s seed %d: %6.2f s, %5d moves, %8d MB, bound %8d, ratio %.4f, %d waves, faults %d%n",
                             kind.name(), seed, seconds, plan.moves().size(), plan.mb(), plan.boundMb(),
                             (double) plan.mb() / Math.max(1, plan.boundMb()), waves, faults.size());
                 } else if (answer instanceof Answer.Infeasible none) {
-                    System.out.printf("%-29s seed %d: %6.2f s, infeasible: %d reasons%n", kind.name(), seed, seconds, none.because().size());
+                    System.out.printf("%-29s seed %d: %6.2f s, infeasible: %d reasons%n", kind.name(), seed, seconds,
+                            none.because().size());
                 } else {
                     System.out.printf("%-29s seed %d: %6.2f s, %s%n", kind.name(), seed, seconds, answer);
                 }
--- a/src/bench/java/wallmoor/placement/SmallFleetsAll.java
+++ b/src/bench/java/wallmoor/placement/SmallFleetsAll.java
@@ -2,10 +2,12 @@
 
 import java.util.List;
 
-/** The planner beside trying everything, over many small fleets, and how often and how long middle-sized ones are searched. */
+/**
+ * The planner beside trying everything, over many small fleets, and how often and how long middle-sized ones are
+ * searched.
+ */
 public final class SmallFleetsAll {
-    private SmallFleetsAll() {
-    }
+    private SmallFleetsAll() {}
 
     /** Prints counts; how many fleets may be given. Ends with 1 at the first difference. */
     public static void main(String[] args) {
@@ -18,7 +20,8 @@
             Answer answer = Planner.plan(fleet);
             boolean same = least < 0
                     ? answer instanceof Answer.Infeasible i && i.smallest() && BruteForce.least(fleet, i.because()) < 0
-                    : answer instanceof Answer.Plan p && p.mb() == least && p.exact() && PlanCheck.faults(fleet, p).isEmpty();
+                    : answer instanceof Answer.Plan p && p.mb() == least && p.exact()
+                            && PlanCheck.faults(fleet, p).isEmpty();
             if (!same) {
                 System.out.println("seed " + seed + ": " + least + " by trying everything, but " + answer);
                 System.exit(1);
@@ -37,9 +40,11 @@
                 count[answer instanceof Answer.Plan p ? p.exact() ? 0 : 1
                         : answer instanceof Answer.Infeasible i ? i.smallest() ? 2 : 3 : 4]++;
             }
-            System.out.printf("to %d nodes, %d blocks: %d exact, %d with a lower bound, %d none (fewest reasons), %d none, %d "
-                    + "not found;"
-                    + " %.1f s at most%n", size[0], size[1], count[0], count[1], count[2], count[3], count[4], worst);
+            System.out.printf(
+                    "to %d nodes, %d blocks: %d exact, %d with a lower bound, %d none (fewest reasons), %d none, %d "
+                            + "not found;"
+                            + " %.1f s at most%n",
+                    size[0], size[1], count[0], count[1], count[2], count[3], count[4], worst);
         }
     }
 }
--- a/src/bench/java/wallmoor/sources/RefreshTime.java
+++ b/src/bench/java/wallmoor/sources/RefreshTime.java
@@ -20,9 +20,9 @@
 import wallmoor.membership.Policy;
 
 /**
- * What queries feel while 5,000 nodes are refreshed over and over, each refresh changing all of them: without a refresh,
- * with changes handed on in pieces as {@link Membership} does, and with all in one hold of the gatherer's lock. Prints
- * the distributions; in one run, so that they may be compared.
+ * What queries feel while 5,000 nodes are refreshed over and over, each refresh changing all of them: without a
+ * refresh, with changes handed on in pieces as {@link Membership} does, and with all in one hold of the gatherer's
+ * lock. Prints the distributions; in one run, so that they may be compared.
  */
 public final class RefreshTime {
     private static final int NODES = 5_000;
@@ -35,8 +35,7 @@
             + " Limits.Cancelling=true Limits.RetryAfter=true Limits.MaxRetryAfter=2000000 Contract.DrainGrace=2000000"
             + " Contract.ColdShare=0.16 Contract.Cold=18000000 Contract.FallMultiple=2 Contract.OverloadFor=2000000";
 
-    private RefreshTime() {
-    }
+    private RefreshTime() {}
 
     /** A source that tells when it is told to. */
     private static final class Script implements Source {
@@ -64,8 +63,10 @@
 
     /** Runs the three. */
     public static void main(String[] args) throws Exception {
-        ((ch.qos.logback.classic.Logger) org.slf4j.LoggerFactory.getLogger("ROOT")).setLevel(ch.qos.logback.classic.Level.WARN);
-        System.out.println("microseconds           queries      p50      p99    p99.9      max   refreshes  lock held most");
+        ((ch.qos.logback.classic.Logger) org.slf4j.LoggerFactory.getLogger("ROOT"))
+                .setLevel(ch.qos.logback.classic.Level.WARN);
+        System.out.println(
+                "microseconds           queries      p50      p99    p99.9      max   refreshes  lock held most");
         for (int round = 0; round < 2; round++) { // the first is for the compiler
             for (String how : new String[] {"none", "in pieces", "at once"}) {
                 run(how, round == 1);
@@ -88,7 +89,7 @@
             pairs.put(pair.split("=")[0], pair.split("=")[1]);
         }
         var clock = new Clock();
-        var gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock, line -> { });
+        var gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock, line -> {});
         var policy = Policy.of(List.of(new Policy.Source("dns x", false, 0, 1, 20_000)));
         var membership = new Membership(policy, clock, gatherer, List.of(new Script(entries(0))));
         membership.start();
@@ -127,7 +128,8 @@
         probe.join();
         timers.interrupt();
         if (told) {
-            System.out.printf("refreshed %-10s %9d %8.0f %8.0f %8.0f %8.0f   %9s %15.0f%n", how, queries.getTotalCount(),
+            System.out.printf("refreshed %-10s %9d %8.0f %8.0f %8.0f %8.0f   %9s %15.0f%n", how,
+                    queries.getTotalCount(),
                     micros(queries, 50), micros(queries, 99), micros(queries, 99.9), micros(queries, 100),
                     how.equals("none") ? "-" : "" + refreshes, micros(held, 100));
         }
--- a/src/bench/java/wallmoor/summaries/FilterWays.java
+++ b/src/bench/java/wallmoor/summaries/FilterWays.java
@@ -8,8 +8,7 @@
 public final class FilterWays {
     private static final int ABSENT = 2_000_000;
 
-    private FilterWays() {
-    }
+    private FilterWays() {}
 
     public static void main(String[] args) {
         System.out.println("keys | filter | bytes | false answers in 2,000,000 | ns a try");
--- a/src/bench/java/wallmoor/summaries/Rentals.java
+++ b/src/bench/java/wallmoor/summaries/Rentals.java
@@ -6,10 +6,9 @@
 /** Rows of rental sites by a seed: each has its city, its plates, some classes and brands, prices and a season. */
 final class Rentals {
     private static final String[] CLASSES = {"compact", "suv", "van", "limousine", "coupe", "pickup", "truck",
-            "minibus"};
+        "minibus"};
 
-    private Rentals() {
-    }
+    private Rentals() {}
 
     static Row row(Random random, int site) {
         var values = new HashMap<String, Object>();
--- a/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
+++ b/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
@@ -39,7 +39,7 @@
     /** Sites with a promise that lasts. */
     @Setup(Level.Trial)
     public void fill() {
-        known = new Known(Settings.usual(), Known.Bounds.usual(), 0, e -> { });
+        known = new Known(Settings.usual(), Known.Bounds.usual(), 0, e -> {});
         long sent = 0;
         for (int i = MADE.size(); i < sites; i++) {
             MADE.add(Rentals.summary(Settings.usual(), i, ROWS));
--- a/src/bench/java/wallmoor/versions/ActingBenchmark.java
+++ b/src/bench/java/wallmoor/versions/ActingBenchmark.java
@@ -23,7 +23,8 @@
 @Warmup(iterations = 2, time = 1)
 @Measurement(iterations = 4, time = 1)
 public class ActingBenchmark {
-    private static final Document ONE = Document.of(new Proposal("settings", 0, "", "a", "{\"limits.open\": 5}", "{}"), 1);
+    private static final Document ONE = Document.of(new Proposal("settings", 0, "", "a", "{\"limits.open\": 5}", "{}"),
+            1);
 
     private final Holder holder = new Holder("h", 1, Terms.usual(), Kinds.all(), List.of());
     private volatile Snapshot last;
@@ -44,7 +45,8 @@
     public Snapshot renewal() {
         now += Terms.usual().renew();
         Message.Ask ask = holder.onTick(now);
-        holder.onGrant(now, new Grant("h", 1, ask.seq(), List.of(new Chain("settings", 1, 1, ask.known().isEmpty() ? List.of(ONE) : List.of()))));
+        holder.onGrant(now, new Grant("h", 1, ask.seq(),
+                List.of(new Chain("settings", 1, 1, ask.known().isEmpty() ? List.of(ONE) : List.of()))));
         last = holder.snapshot();
         return last;
     }
--- a/src/bench/java/wallmoor/versions/Contradictions.java
+++ b/src/bench/java/wallmoor/versions/Contradictions.java
@@ -18,21 +18,22 @@
     private static final int VOTERS = 3;
     private static final int PROPOSALS = 100;
 
-    private Contradictions() {
-    }
+    private Contradictions() {}
 
     /** Prints a table in Markdown. */
     public static void main(String[] args) {
         int count = Integer.parseInt(args[0]);
         int seeds = Integer.parseInt(args[1]);
         int faults = Integer.parseInt(args[2]);
-        System.out.println("| " + count + " gatherers, " + seeds + " seeds of " + faults + " faults | worst, s | side by side, s | acting |");
+        System.out.println("| " + count + " gatherers, " + seeds + " seeds of " + faults
+                + " faults | worst, s | side by side, s | acting |");
         System.out.println("| --- | --- | --- | --- |");
         for (String way : new String[] {"leases", "last writer", "own file"}) {
             double[] worst = new double[3];
             for (int seed = 1; seed <= seeds; seed++) {
                 double[] its = play(way, count, faults, seed);
-                worst = new double[] {Math.max(worst[0], its[0]), seed == 1 ? its[1] : Math.max(worst[1], its[1]), worst[2] + its[2] / seeds};
+                worst = new double[] {Math.max(worst[0], its[0]), seed == 1 ? its[1] : Math.max(worst[1], its[1]),
+                    worst[2] + its[2] / seeds};
             }
             System.out.println(String.format(Locale.ROOT, "| %s | %.2f | %s | %.1f %% |", way, worst[0],
                     worst[1] <= 0 ? "never" : String.format(Locale.ROOT, "%.2f", worst[1]), 100 * worst[2]));
@@ -48,10 +49,10 @@
                     () -> model.propose("{\"limits.open\": " + n[0]++ + "}", "{\"limits.open\": 0}"));
         } else if (way.equals("last writer")) {
             var model = new LastWriter(count, TICK, seed);
-            return struck(model.world, model.judge, count, faults, seed, model::start, v -> { }, model::write);
+            return struck(model.world, model.judge, count, faults, seed, model::start, v -> {}, model::write);
         }
         var model = new OwnFile(count, TICK, seed);
-        return struck(model.world, model.judge, count, faults, seed, model::start, v -> { }, model::write);
+        return struck(model.world, model.judge, count, faults, seed, model::start, v -> {}, model::write);
     }
 
     private static double[] struck(World world, Judge judge, int count, int faults, long seed, IntConsumer start,
@@ -69,7 +70,8 @@
             nemesis.strike();
         }
         judge.end(world.now());
-        return new double[] {judge.worst() / 1e6, judge.worstWholly() / 1e6, (double) judge.acted() / world.now() / count};
+        return new double[] {judge.worst() / 1e6, judge.worstWholly() / 1e6,
+            (double) judge.acted() / world.now() / count};
     }
 
     private static void quiet(int count) {
@@ -83,10 +85,12 @@
             model.world().run(300_000 + model.world().random().nextLong(1_000_000));
         }
         Arrays.sort(took);
-        System.out.println(String.format(Locale.ROOT, "%nquiet, %d proposals: proposal to acting everywhere p50 %.0f ms, p99 %.0f ms, worst %.0f ms (%.1f "
-                + "s of processor)",
-                PROPOSALS, took[PROPOSALS / 2], took[PROPOSALS * 99 / 100], took[PROPOSALS - 1], (System.nanoTime() - sent) / 1e9));
-            leaderKilled(model, count);
+        System.out.println(String.format(Locale.ROOT,
+                "%nquiet, %d proposals: proposal to acting everywhere p50 %.0f ms, p99 %.0f ms, worst %.0f ms (%.1f "
+                        + "s of processor)",
+                PROPOSALS, took[PROPOSALS / 2], took[PROPOSALS * 99 / 100], took[PROPOSALS - 1],
+                (System.nanoTime() - sent) / 1e9));
+        leaderKilled(model, count);
     }
 
     /** From a proposal until all from this one on go wholly by it, microseconds. */
@@ -96,8 +100,9 @@
         while (!model.propose("{\"limits.open\": " + open + "}", "{\"limits.open\": 0}")) {
             model.world().run(1_000);
         }
-        while (!(model.head() > before && IntStream.range(first, count).allMatch(i -> model.act(i).from() == model.head()
-                && model.act(i).basis() == Act.Basis.VERSION))) {
+        while (!(model.head() > before
+                && IntStream.range(first, count).allMatch(i -> model.act(i).from() == model.head()
+                        && model.act(i).basis() == Act.Basis.VERSION))) {
             model.world().run(1_000);
         }
         return model.world().now() - begun;
@@ -123,7 +128,9 @@
             unsure += IntStream.range(2, count).filter(n -> model.act(n).basis() == Act.Basis.FALLBACK).count();
             samples += count - 2;
         }
-        System.out.println(String.format(Locale.ROOT, "leader killed, then a proposal: acts after %.1f s, the one after it %.1f s; two of three "
-                + "voters away for 3 s: %.4f of 20 s without a lease", took / 1e6, again / 1e6, (double) unsure / samples));
+        System.out.println(String.format(Locale.ROOT,
+                "leader killed, then a proposal: acts after %.1f s, the one after it %.1f s; two of three "
+                        + "voters away for 3 s: %.4f of 20 s without a lease",
+                took / 1e6, again / 1e6, (double) unsure / samples));
     }
 }
--- a/src/bench/java/wallmoor/versions/OwnFile.java
+++ b/src/bench/java/wallmoor/versions/OwnFile.java
@@ -4,8 +4,8 @@
 import wallmoor.model.World;
 
 /**
- * A baseline, and what stands today: each gatherer reads a file of its own, every ten seconds. One place copies a new file to
- * all at once, and every ten seconds again to those that it has not reached.
+ * A baseline, and what stands today: each gatherer reads a file of its own, every ten seconds. One place copies a new
+ * file to all at once, and every ten seconds again to those that it has not reached.
  */
 final class OwnFile implements World.Watcher {
     private static final long EVERY = 10_000_000;
--- a/src/build/java/Unlambda.java
+++ b/src/build/java/Unlambda.java
@@ -17,8 +17,8 @@
 import org.objectweb.asm.Type;
 
 /**
- * A step of the build: turns each lambda and method reference of the compiled classes into a small class of its own, and
- * writes out what records have by themselves.
+ * A step of the build: turns each lambda and method reference of the compiled classes into a small class of its own,
+ * and writes out what records have by themselves.
  *
  * <p>As javac leaves them, each is linked where it is first met: some hundred calls in the interpreter, whatever the
  * archive of classes holds; a record's equals is put together from a dozen classes made on the spot, which no archive
@@ -102,7 +102,8 @@
         }
 
         @Override
-        public void visit(int version, int access, String itsName, String signature, String parent, String[] interfaces) {
+        public void visit(int version, int access, String itsName, String signature, String parent,
+                String[] interfaces) {
             name = itsName;
             nest = itsName;
             super.visit(version, access, itsName, signature, parent, interfaces);
@@ -121,7 +122,8 @@
         }
 
         @Override
-        public MethodVisitor visitMethod(int access, String method, String descriptor, String signature, String[] thrown) {
+        public MethodVisitor visitMethod(int access, String method, String descriptor, String signature,
+                String[] thrown) {
             return new MethodVisitor(ASM9, super.visitMethod(access, method, descriptor, signature, thrown)) {
                 @Override
                 public void visitInvokeDynamicInsn(String called, String shape, Handle bootstrap, Object... with) {
@@ -155,7 +157,8 @@
         private static final int MOST_STACK = 6;
 
         void write(ClassVisitor writer) {
-            MethodVisitor to = writer.visitMethod(ACC_PRIVATE | ACC_STATIC | ACC_SYNTHETIC, PREFIX + called, shape, null, null);
+            MethodVisitor to = writer.visitMethod(ACC_PRIVATE | ACC_STATIC | ACC_SYNTHETIC, PREFIX + called, shape,
+                    null, null);
             to.visitCode();
             switch (called) {
                 case "equals" -> equal(to);
@@ -257,7 +260,8 @@
      * @param calls   what it does
      * @param precise the method's type as it is used here
      */
-    private record Lambda(String name, String nest, String method, Type shape, Type erased, Handle calls, Type precise) {
+    private record Lambda(String name, String nest, String method, Type shape, Type erased, Handle calls,
+            Type precise) {
         byte[] bytes() {
             var writer = new ClassWriter(ClassWriter.COMPUTE_MAXS);
             writer.visit(V17, ACC_FINAL | ACC_SUPER | ACC_SYNTHETIC, name, null, "java/lang/Object",
@@ -275,7 +279,8 @@
         }
 
         private void constructor(ClassWriter writer, Type[] captured) {
-            MethodVisitor to = writer.visitMethod(ACC_PRIVATE, "<init>", Type.getMethodDescriptor(Type.VOID_TYPE, captured),
+            MethodVisitor to = writer.visitMethod(ACC_PRIVATE, "<init>",
+                    Type.getMethodDescriptor(Type.VOID_TYPE, captured),
                     null, null);
             to.visitCode();
             to.visitVarInsn(ALOAD, 0);
@@ -319,7 +324,8 @@
                 to.visitVarInsn(type.getOpcode(ILOAD), at);
                 at += type.getSize();
             }
-            to.visitMethodInsn(INVOKESPECIAL, name, "<init>", Type.getMethodDescriptor(Type.VOID_TYPE, captured), false);
+            to.visitMethodInsn(INVOKESPECIAL, name, "<init>", Type.getMethodDescriptor(Type.VOID_TYPE, captured),
+                    false);
         }
 
         /** The interface's method: what was captured and what it is given go on to what it calls. */
@@ -391,7 +397,8 @@
                     boxed = Type.getObjectType(box(into));
                     to.visitTypeInsn(CHECKCAST, boxed.getInternalName());
                 }
-                to.visitMethodInsn(INVOKEVIRTUAL, boxed.getInternalName(), held.getClassName() + "Value", "()" + held, false);
+                to.visitMethodInsn(INVOKEVIRTUAL, boxed.getInternalName(), held.getClassName() + "Value", "()" + held,
+                        false);
                 widen(to, held, into);
             } else if (!into.getInternalName().equals("java/lang/Object")) {
                 to.visitTypeInsn(CHECKCAST, into.getInternalName());
--- a/src/main/java/wallmoor/Main.java
+++ b/src/main/java/wallmoor/Main.java
@@ -16,14 +16,14 @@
 import wallmoor.json.Json;
 import wallmoor.log.Logging;
 import wallmoor.service.ArchiveTraining;
-import wallmoor.service.WarmUp;
 import wallmoor.service.Service;
+import wallmoor.service.WarmUp;
 import wallmoor.signals.HangUp;
 
 /**
  * The way in: {@code serve} is a real gatherer, {@code drill} speaks the simulator's wire on standard streams, and
- * {@code rehearse} loads what serving needs and ends, for the archive of classes that the build makes. These three alone
- * are taken here, as the platform starts them on part of a core; all else is the command line's.
+ * {@code rehearse} loads what serving needs and ends, for the archive of classes that the build makes. These three
+ * alone are taken here, as the platform starts them on part of a core; all else is the command line's.
  */
 public final class Main {
     /** The gatherer, once it is there to be told of a new configuration. */
@@ -31,13 +31,13 @@
     /** SIGHUP has come at least once. */
     private static volatile boolean hungUp;
 
-    static { // named, the provider needs not be looked for in every library's jar, which a start on part of a core feels
+    // named, the provider needs not be looked for in every library's jar, which a start on part of a core feels
+    static {
         System.setProperty("slf4j.provider", "wallmoor.log.Provider");
         System.setProperty("slf4j.internal.verbosity", "WARN");
     }
 
-    private Main() {
-    }
+    private Main() {}
 
     /** Runs a subcommand. Exits 0 at end of input, 1 on a malformed line, 2 on wrong usage or configuration. */
     public static void main(String[] args) throws IOException, InterruptedException {
--- a/src/main/java/wallmoor/adapter/Adapter.java
+++ b/src/main/java/wallmoor/adapter/Adapter.java
@@ -29,16 +29,15 @@
     private static final Map<String, Outcome> OUTCOMES = Map.of("ok", Outcome.OK, "error", Outcome.ERROR,
             "full", Outcome.FULL, "timeout", Outcome.TIMEOUT, "connect_failed", Outcome.CONNECT_FAILED,
             "reset", Outcome.RESET, "cancelled", Outcome.CANCELLED, "moot", Outcome.MOOT);
-    private static final Map<String, LeafState> STATES =
-            Map.of("up", LeafState.UP, "draining", LeafState.DRAINING, "removed", LeafState.REMOVED);
+    private static final Map<String, LeafState> STATES = Map.of("up", LeafState.UP, "draining", LeafState.DRAINING,
+            "removed", LeafState.REMOVED);
     private static final Map<String, ListKind> KINDS = Map.of("patch", ListKind.CHANGES,
             "whole", ListKind.WHOLE, "stale_copy", ListKind.STALE, "broken", ListKind.BROKEN);
     private static final int REPEAT_BIT = 2;
     private static final int HINT_BIT = 1;
 
     /** One hosted root. */
-    private record Root(int number, Brain brain, List<LoadFigure> columns) {
-    }
+    private record Root(int number, Brain brain, List<LoadFigure> columns) {}
 
     private final BufferedReader in;
     private final PrintWriter out;
@@ -162,7 +161,7 @@
                     line.flag("Complete"), line.load("Load", root.columns)));
             case "HANGUP" -> brain.onHangup(now, line.text("Ticket"));
             case "WAKE" -> brain.onTimer(now, line.text("Nonce"));
-            case "SAMPLED" -> { } // no probe is ever sent
+            case "SAMPLED" -> {} // no probe is ever sent
             case "PEER" -> {
                 int from = line.small("Neighbour");
                 String hex = line.optional("Contents");
@@ -172,7 +171,7 @@
                     throw line.bad("Contents", "is not hex: " + hex);
                 }
             }
-            case "FLOWING" -> { } // no class streams here
+            case "FLOWING" -> {} // no class streams here
             default -> throw line.bad("name", "is no known message");
         }
     }
--- a/src/main/java/wallmoor/agreement/Agreement.java
+++ b/src/main/java/wallmoor/agreement/Agreement.java
@@ -30,8 +30,8 @@
 import wallmoor.versions.Terms;
 
 /**
- * This gatherer's part in what all agree on: a holder of leases, and a voter where the operators' file names it. One thread
- * has all of that state, one has the connections; traffic reads a snapshot and waits for neither.
+ * This gatherer's part in what all agree on: a holder of leases, and a voter where the operators' file names it. One
+ * thread has all of that state, one has the connections; traffic reads a snapshot and waits for neither.
  */
 public final class Agreement implements Acting, AutoCloseable {
     /** Hears of each change of what is gone by; on the control thread. */
@@ -50,8 +50,7 @@
     private static final long STACK = 512 * 1024;
 
     /** Somebody who waits at the control port. */
-    private record Waiting(Packet.Request request, CompletableFuture<Packet.Reply> reply, Consumer<String> progress) {
-    }
+    private record Waiting(Packet.Request request, CompletableFuture<Packet.Reply> reply, Consumer<String> progress) {}
 
     private final String name;
     private final RulesConfig config;
@@ -94,7 +93,9 @@
         this(config, name, seed, watcher, info, warn, System::currentTimeMillis);
     }
 
-    /** The same with a wall clock of its own, milliseconds: lives are counted by it, and nothing else that is decided. */
+    /**
+     * The same with a wall clock of its own, milliseconds: lives are counted by it, and nothing else that is decided.
+     */
     Agreement(RulesConfig config, String name, long seed, Watcher watcher, Consumer<String> info, Consumer<String> warn,
             LongSupplier wallClock) throws IOException {
         this.name = name;
@@ -182,12 +183,10 @@
     }
 
     /** What a leader told: the number of the version that acts, versions, and sentences on what was refused. */
-    public record Told(long acting, List<Document> versions, List<String> refused) {
-    }
+    public record Told(long acting, List<Document> versions, List<String> refused) {}
 
     /** What came of a proposal: its number, and why it was refused; empty where it acts. */
-    public record Outcome(long number, String refused) {
-    }
+    public record Outcome(long number, String refused) {}
 
     /** Proposes; waits until the version acts or is refused, so long at most. */
     public Outcome propose(Proposal proposal, long millis) throws TimeoutException, InterruptedException {
@@ -195,7 +194,8 @@
         return new Outcome(reply.number(), reply.why());
     }
 
-    private Packet.Reply ask(String document, Proposal proposal, long millis) throws TimeoutException, InterruptedException {
+    private Packet.Reply ask(String document, Proposal proposal, long millis)
+            throws TimeoutException, InterruptedException {
         var asked = new Packet.Request(requests.incrementAndGet(), document, proposal);
         var reply = new CompletableFuture<Packet.Reply>();
         String[] last = {""};
@@ -358,7 +358,8 @@
             keeps = true;
         } catch (IOException e) {
             if (keeps) {
-                warn.accept("what is known can't be kept in " + directory + ", after a restart no fallback is known: " + e);
+                warn.accept(
+                        "what is known can't be kept in " + directory + ", after a restart no fallback is known: " + e);
             }
             keeps = false;
         }
--- a/src/main/java/wallmoor/agreement/Asked.java
+++ b/src/main/java/wallmoor/agreement/Asked.java
@@ -11,8 +11,9 @@
 import wallmoor.versions.Proposal;
 
 /**
- * Who waits for what comes of a proposal, while this voter leads. A request that comes again is the same one by its number;
- * one that is lost with the leader is asked again of the next, whose ledger knows what came of it. Used on one thread.
+ * Who waits for what comes of a proposal, while this voter leads. A request that comes again is the same one by its
+ * number; one that is lost with the leader is asked again of the next, whose ledger knows what came of it. Used on one
+ * thread.
  */
 final class Asked {
     private static final int MOST = 64;
@@ -20,8 +21,7 @@
     /** What was put into the log and did not come out of it for so long is put there again. */
     private static final long AGAIN = 2_000_000;
 
-    private record Waiting(Packet.Request request, Consumer<Packet> answer, long appendedAt) {
-    }
+    private record Waiting(Packet.Request request, Consumer<Packet> answer, long appendedAt) {}
 
     private final LinkedHashMap<Long, Waiting> waiting = new LinkedHashMap<>();
     private final LinkedHashMap<Long, Packet.Reply> refused = new LinkedHashMap<>();
@@ -43,7 +43,8 @@
     }
 
     private static boolean is(Document d, Proposal p) {
-        return d.parentNumber() == p.parentNumber() && d.parentHash().equals(p.parentHash()) && d.author().equals(p.author())
+        return d.parentNumber() == p.parentNumber() && d.parentHash().equals(p.parentHash())
+                && d.author().equals(p.author())
                 && d.body().equals(p.body()) && d.fallback().equals(p.fallback());
     }
 
--- a/src/main/java/wallmoor/agreement/Directory.java
+++ b/src/main/java/wallmoor/agreement/Directory.java
@@ -11,7 +11,9 @@
 import wallmoor.versions.DamagedException;
 import wallmoor.versions.Records;
 
-/** Files of one process: each is replaced as a whole, or grows by records; what is said to be written is on the disk. */
+/**
+ * Files of one process: each is replaced as a whole, or grows by records; what is said to be written is on the disk.
+ */
 final class Directory {
     private final Path at;
 
--- a/src/main/java/wallmoor/agreement/Link.java
+++ b/src/main/java/wallmoor/agreement/Link.java
@@ -9,12 +9,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * One connection: frames of a length, a checksum and so many bytes, both ways. A frame that is not as it was sent ends the
- * connection, and the bytes kept for one grow with what comes and not with what is said. Used on the links' thread alone,
- * but for its name.
+ * One connection: frames of a length, a checksum and so many bytes, both ways. A frame that is not as it was sent ends
+ * the connection, and the bytes kept for one grow with what comes and not with what is said. Used on the links' thread
+ * alone, but for its name.
  */
 final class Link {
-    /** The largest grant, thirty versions of 512 Ki characters, fits in ASCII; what does not fit is dropped and counted. */
+    /**
+     * The largest grant, thirty versions of 512 Ki characters, fits in ASCII; what does not fit is dropped and counted.
+     */
     static final int MOST_FRAME = 16 << 20;
     /** What waits to be sent on one connection: more is dropped, as all that is sent is sent again. */
     private static final int MOST_WAITING = MOST_FRAME + (4 << 20);
--- a/src/main/java/wallmoor/agreement/Links.java
+++ b/src/main/java/wallmoor/agreement/Links.java
@@ -23,9 +23,9 @@
 import wallmoor.versions.DamagedException;
 
 /**
- * The connections of one process, on one thread: it listens where it is a voter, and dials the voters that something is to
- * be sent to. What can't be sent now is dropped and counted: all that is sent is sent again. A connection shows both ways
- * that it is there, and is given up where nothing comes, so that a half-open one does not last.
+ * The connections of one process, on one thread: it listens where it is a voter, and dials the voters that something is
+ * to be sent to. What can't be sent now is dropped and counted: all that is sent is sent again. A connection shows both
+ * ways that it is there, and is given up where nothing comes, so that a half-open one does not last.
  */
 final class Links implements AutoCloseable {
     /** What is told of them, on the links' thread; it must not wait. */
@@ -285,7 +285,9 @@
         heard.packet(link, packet);
     }
 
-    /** Whether it may go on: of the same group, who it was dialled as, and of a voter no older process than the last. */
+    /**
+     * Whether it may go on: of the same group, who it was dialled as, and of a voter no older process than the last.
+     */
     private boolean greet(Link link, Packet.Hello hello) {
         if (!hello.group().equals(self.group())) {
             warn.accept(hello.name() + " has other voters or another term: " + hello.group() + "; here " + self.group()
@@ -299,13 +301,15 @@
         if (voters.containsKey(hello.name())) {
             long last = lives.getOrDefault(hello.name(), Long.MIN_VALUE);
             if (hello.life() < last) {
-                warn.accept("a process of " + hello.name() + " is older than one that was heard already, and is not heard: "
-                        + "where it is not, its clock went back after it lost what it kept; set it");
+                warn.accept(
+                        "a process of " + hello.name() + " is older than one that was heard already, and is not heard: "
+                                + "where it is not, its clock went back after it lost what it kept; set it");
                 return false;
             }
             if (hello.life() > last) {
                 lives.put(hello.name(), hello.life());
-                links.stream().filter(l -> l.hello() != null && l.hello().name().equals(hello.name())).forEach(this::end);
+                links.stream().filter(l -> l.hello() != null && l.hello().name().equals(hello.name()))
+                        .forEach(this::end);
             }
         }
         link.hello(hello);
--- a/src/main/java/wallmoor/agreement/Newcomer.java
+++ b/src/main/java/wallmoor/agreement/Newcomer.java
@@ -8,13 +8,13 @@
 
 /**
  * When a voter that has nothing kept may take part, and when it may vote: it does no I/O, and has no clock. It may have
- * voted, and confirmed entries, and lost that. So it asks <em>all</em> other voters for their term: in no term above the
- * highest of theirs has it ever voted or confirmed anything, as whom it answered was in that term itself. Nobody hears its
- * former process any more once it has answered. Where all say 0 there never was anything to lose. Else it confirms entries
- * of no older term, votes for nobody, and stands for nothing, until it has all that a leader knew to be committed after
- * that: in an entry of that leader's own term, for only then does the leader know of all before it. It must be a
- * leader of a later term than all had answered: an older one may count, for an entry that it commits later, what the former
- * process had confirmed. So whoever leads hands that over when it is asked.
+ * voted, and confirmed entries, and lost that. So it asks <em>all</em> other voters for their term: in no term above
+ * the highest of theirs has it ever voted or confirmed anything, as whom it answered was in that term itself. Nobody
+ * hears its former process any more once it has answered. Where all say 0 there never was anything to lose. Else it
+ * confirms entries of no older term, votes for nobody, and stands for nothing, until it has all that a leader knew to
+ * be committed after that: in an entry of that leader's own term, for only then does the leader know of all before it.
+ * It must be a leader of a later term than all had answered: an older one may count, for an entry that it commits
+ * later, what the former process had confirmed. So whoever leads hands that over when it is asked.
  */
 final class Newcomer {
     private final Set<String> unheard;
@@ -68,7 +68,10 @@
         }
     }
 
-    /** Entries are applied up to an index; {@code termAt} is the term of the one at {@link #target}. Whether it has learned. */
+    /**
+     * Entries are applied up to an index; {@code termAt} is the term of the one at {@link #target}. Whether it has
+     * learned.
+     */
     boolean onApplied(long upTo, int termAt) {
         if (least == 0 || target < 0 || upTo < target) {
             return false;
--- a/src/main/java/wallmoor/agreement/Packet.java
+++ b/src/main/java/wallmoor/agreement/Packet.java
@@ -16,36 +16,31 @@
     long MAGIC = 0x574d72756c657331L;
 
     /** The first on each link, both ways. {@code group} is the same of all that may talk to each other. */
-    record Hello(String group, String name, long life) implements Packet {
-    }
+    record Hello(String group, String name, long life) implements Packet {}
 
     /** Of the log's library. */
-    record Log(byte[] message) implements Packet {
-    }
+    record Log(byte[] message) implements Packet {}
 
     /** Of the deciders. */
-    record Said(Message message) implements Packet {
-    }
+    record Said(Message message) implements Packet {}
 
     /** This voter does not lead; who does, as far as it knows. */
-    record Elsewhere(String leader) implements Packet {
-    }
+    record Elsewhere(String leader) implements Packet {}
 
     /** A voter asks the leader to put its verdict into the log. */
-    record Verdict(Entry.Verdict entry) implements Packet {
-    }
+    record Verdict(Entry.Verdict entry) implements Packet {}
 
     /** A voter that has nothing kept asks for the other's term. */
-    record AskTerm() implements Packet {
-    }
+    record AskTerm() implements Packet {}
 
     /** The term. */
-    record Term(int term) implements Packet {
-    }
+    record Term(int term) implements Packet {}
 
-    /** Somebody at a gatherer's control port asks the leader: to propose, or where {@code proposal} is null for what there is. */
-    record Request(long id, String name, Proposal proposal) implements Packet {
-    }
+    /**
+     * Somebody at a gatherer's control port asks the leader: to propose, or where {@code proposal} is null for what
+     * there is.
+     */
+    record Request(long id, String name, Proposal proposal) implements Packet {}
 
     /**
      * The answer.
@@ -57,9 +52,10 @@
      * @param versions that are kept, where it was told
      * @param refused  sentences on what was refused of late, where it was told
      */
-    record Reply(long id, String state, long number, String why, long acting, List<Document> versions, List<String> refused)
-            implements Packet {
-    }
+    record Reply(long id, String state, long number, String why, long acting, List<Document> versions,
+            List<String> refused)
+            implements
+                Packet {}
 
     /** As a frame carries it. */
     static byte[] write(Packet packet) {
--- a/src/main/java/wallmoor/agreement/RulesControl.java
+++ b/src/main/java/wallmoor/agreement/RulesControl.java
@@ -26,8 +26,8 @@
 import wallmoor.versions.UnreadableException;
 
 /**
- * Answers the command line on this machine: one line of JSON asks, JSON objects answer, one a line, and the connection ends.
- * Whoever can connect from this machine may propose; who did stands in the version as its author.
+ * Answers the command line on this machine: one line of JSON asks, JSON objects answer, one a line, and the connection
+ * ends. Whoever can connect from this machine may propose; who did stands in the version as its author.
  */
 public final class RulesControl implements AutoCloseable {
     /** A body and its fallback at their largest, each character escaped, fit. */
@@ -236,7 +236,8 @@
         if (back) {
             Document to = versions.stream().filter(d -> d.number() == number).findFirst().orElse(null);
             if (to == null) {
-                fault(out, "does not keep " + name + " " + number + ": look at its history, and propose its body again");
+                fault(out,
+                        "does not keep " + name + " " + number + ": look at its history, and propose its body again");
                 return;
             }
             proposal = Proposal.rollback(last, to, author);
@@ -252,10 +253,12 @@
             }
             Document parent = asked.get("number") == null ? last
                     : versions.stream().filter(d -> d.number() == number).findFirst().orElse(null);
-            proposal = new Proposal(name, parent == null ? number : parent.number(), parent == null ? "" : parent.hash(), author,
+            proposal = new Proposal(name, parent == null ? number : parent.number(),
+                    parent == null ? "" : parent.hash(), author,
                     String.valueOf(body), fallback);
         }
-        Agreement.Outcome outcome = agreement.propose(proposal, Math.max(1, (until - System.nanoTime()) / (MICROS * MICROS)));
+        Agreement.Outcome outcome = agreement.propose(proposal,
+                Math.max(1, (until - System.nanoTime()) / (MICROS * MICROS)));
         out.writeStartObject();
         out.writeStringField("name", name);
         out.writeNumberField("version", outcome.number());
--- a/src/main/java/wallmoor/agreement/Seen.java
+++ b/src/main/java/wallmoor/agreement/Seen.java
@@ -16,12 +16,12 @@
  * @param denied     why no lease was given when last asked, or empty
  * @param unreadable documents that this program can't read, and why
  */
-public record Seen(Snapshot snapshot, List<Chain> known, Map<String, Since> since, String leader, String voter, String denied,
+public record Seen(Snapshot snapshot, List<Chain> known, Map<String, Since> since, String leader, String voter,
+        String denied,
         Map<String, String> unreadable) {
 
     /** How a document is gone by, and since when. */
-    public record Since(Act.Basis basis, long from, long to, long at) {
-    }
+    public record Since(Act.Basis basis, long from, long to, long at) {}
 
     /** Keeps copies that nobody changes. */
     public Seen {
--- a/src/main/java/wallmoor/agreement/Standing.java
+++ b/src/main/java/wallmoor/agreement/Standing.java
@@ -5,15 +5,15 @@
 import io.microraft.impl.RaftNodeImpl;
 
 /**
- * Has a voter stand again that the log's library would leave aside for good. MicroRaft 0.7 begins a pre-vote where no leader
- * is known, and gives it up once one is heard; where that one leads in the same term, the pre-vote is never taken back. From
- * then on the library takes this voter for one that asks already, and does not ask when the leader falls silent. Where the
- * others can't win, as their logs are shorter, nobody leads until the old leader is back. It happens where a voter gave its
- * vote and the winner is heard late. What the library would do is done here instead, by its own steps. Control thread.
+ * Has a voter stand again that the log's library would leave aside for good. MicroRaft 0.7 begins a pre-vote where no
+ * leader is known, and gives it up once one is heard; where that one leads in the same term, the pre-vote is never
+ * taken back. From then on the library takes this voter for one that asks already, and does not ask when the leader
+ * falls silent. Where the others can't win, as their logs are shorter, nobody leads until the old leader is back. It
+ * happens where a voter gave its vote and the winner is heard late. What the library would do is done here instead, by
+ * its own steps. Control thread.
  */
 final class Standing {
-    private Standing() {
-    }
+    private Standing() {}
 
     /** Begins a pre-vote where the leader is silent and none that still goes on was begun. Whether it did. */
     static boolean again(RaftNode node) {
--- a/src/main/java/wallmoor/agreement/Store.java
+++ b/src/main/java/wallmoor/agreement/Store.java
@@ -21,9 +21,9 @@
 import wallmoor.versions.Records;
 
 /**
- * What a voter keeps: {@code vote} (its life, the term, whom it voted for, whether it still learns), replaced as a whole,
- * and {@code log} (entries, cuts and snapshots), which grows and is begun anew once a snapshot makes its beginning needless.
- * An entry is on the disk before its coming is confirmed. Used on one thread.
+ * What a voter keeps: {@code vote} (its life, the term, whom it voted for, whether it still learns), replaced as a
+ * whole, and {@code log} (entries, cuts and snapshots), which grows and is begun anew once a snapshot makes its
+ * beginning needless. An entry is on the disk before its coming is confirmed. Used on one thread.
  */
 final class Store implements RaftStore {
     private static final String VOTE = "vote";
@@ -49,13 +49,15 @@
     /**
      * Opens what was kept.
      *
-     * @param now wall clock, microseconds; this process' life is that or, where the clock went back, one more than the last
+     * @param now wall clock, microseconds; this process' life is that or, where the clock went back, one more than the
+     *   last
      */
     Store(Directory directory, String self, Collection<String> voters, long now) throws IOException, DamagedException {
         this.directory = directory;
         this.self = new Endpoint(self);
         List<RaftEndpoint> all = voters.stream().<RaftEndpoint>map(Endpoint::new).toList();
-        members = models.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(all).setVotingMembers(all).build();
+        members = models.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(all).setVotingMembers(all)
+                .build();
         List<byte[]> vote = directory.whole(VOTE);
         fresh = vote.isEmpty();
         if (fresh) {
@@ -97,7 +99,9 @@
         return term;
     }
 
-    /** It takes part from this term on, and learns first from a leader of {@code from} or later, where that is not 0. */
+    /**
+     * It takes part from this term on, and learns first from a leader of {@code from} or later, where that is not 0.
+     */
     void begin(int in, int from) throws IOException {
         term = Math.max(term, in);
         least = from;
@@ -127,7 +131,8 @@
         return new RestoredRaftState(models.createRaftEndpointPersistentStateBuilder()
                 .setLocalEndpoint(self).setVoting(true).build(),
                 members, models.createRaftTermPersistentStateBuilder().setTerm(term)
-                .setVotedFor(votedFor.isEmpty() ? null : new Endpoint(votedFor)).build(), snapshot,
+                        .setVotedFor(votedFor.isEmpty() ? null : new Endpoint(votedFor)).build(),
+                snapshot,
                 List.copyOf(entries.tailMap(from, false).values()));
     }
 
@@ -225,11 +230,13 @@
     }
 
     private static byte[] of(LogEntry e) {
-        return new Forms.Writer().number(ENTRY).number(e.getIndex()).number(e.getTerm()).raw((byte[]) e.getOperation()).bytes();
+        return new Forms.Writer().number(ENTRY).number(e.getIndex()).number(e.getTerm()).raw((byte[]) e.getOperation())
+                .bytes();
     }
 
     private static byte[] of(SnapshotChunk c) {
-        return new Forms.Writer().number(CHUNK).number(c.getIndex()).number(c.getTerm()).number(c.getSnapshotChunkIndex())
+        return new Forms.Writer().number(CHUNK).number(c.getIndex()).number(c.getTerm())
+                .number(c.getSnapshotChunkIndex())
                 .number(c.getSnapshotChunkCount()).raw((byte[]) c.getOperation()).bytes();
     }
 
--- a/src/main/java/wallmoor/agreement/Voter.java
+++ b/src/main/java/wallmoor/agreement/Voter.java
@@ -38,8 +38,8 @@
 import wallmoor.versions.Terms;
 
 /**
- * One voter: feeds the ledger with what the log commits and the grants with what holders ask. Used on the control thread
- * alone, which is the log library's as well.
+ * One voter: feeds the ledger with what the log commits and the grants with what holders ask. Used on the control
+ * thread alone, which is the log library's as well.
  */
 final class Voter implements StateMachine, Transport, Grants.Actions {
     /** What is around it. */
@@ -58,7 +58,9 @@
         void warn(String line);
     }
 
-    /** Entries behind a snapshot: ten changes at the largest body are 5 MB, and stay below an eighth of a heap of 64 MB. */
+    /**
+     * Entries behind a snapshot: ten changes at the largest body are 5 MB, and stay below an eighth of a heap of 64 MB.
+     */
     private static final int ENTRIES = 64;
     private static final int CHUNK = 1 << 20;
     private static final int MOST_REFUSED = 20;
@@ -66,7 +68,9 @@
     private static final long SECOND = 1_000_000;
     /** Longer than a leader takes to hand over. */
     private static final long ASK_LEADER = 4_000_000;
-    /** How long an election may take: longer at each next voter, by more than the noise, or two that tie do so again. */
+    /**
+     * How long an election may take: longer at each next voter, by more than the noise, or two that tie do so again.
+     */
     private static final long ELECTION_MILLIS = 500;
     private static final long APART_MILLIS = 200;
     private static final String BARRIER = "barrier";
@@ -122,10 +126,13 @@
         raft = RaftNode.newBuilder().setGroupId(RaftForms.GROUP).setRestoredState(store.restored())
                 .setStore(store).setStateMachine(this).setTransport(this).setExecutor(executor).setRandom(random)
                 .setClock(new MonotonicClock())
-                .setConfig(RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(ELECTION_MILLIS + APART_MILLIS * place)
-                        .setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(2).setCommitCountToTakeSnapshot(ENTRIES)
-                        .setMaxPendingLogEntryCount(ENTRIES).setAppendEntriesRequestBatchSize(ENTRIES / 4)
-                        .setTransferSnapshotsFromFollowersEnabled(false).build()).build();
+                .setConfig(
+                        RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(ELECTION_MILLIS + APART_MILLIS * place)
+                                .setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(2)
+                                .setCommitCountToTakeSnapshot(ENTRIES)
+                                .setMaxPendingLogEntryCount(ENTRIES).setAppendEntriesRequestBatchSize(ENTRIES / 4)
+                                .setTransferSnapshotsFromFollowersEnabled(false).build())
+                .build();
         raft.start();
     }
 
@@ -237,7 +244,8 @@
         }
         if (request.proposal() == null) {
             answer.accept(new Packet.Reply(request.id(), "told", 0, "", ledger.acting(request.name()),
-                    ledger.history(request.name()), refused.stream().filter(r -> r.startsWith(request.name() + " ")).toList()));
+                    ledger.history(request.name()),
+                    refused.stream().filter(r -> r.startsWith(request.name() + " ")).toList()));
             return true;
         }
         Packet.Reply known = asked.known(request, ledger);
@@ -272,7 +280,8 @@
     }
 
     private boolean leads() {
-        return raft != null && stopped.isEmpty() && raft.getStatus() != RaftNodeStatus.TERMINATED && leader().equals(self);
+        return raft != null && stopped.isEmpty() && raft.getStatus() != RaftNodeStatus.TERMINATED
+                && leader().equals(self);
     }
 
     private void stop(String why) {
@@ -310,7 +319,8 @@
             grants.onApplied(around.now(), effects);
             asked.onApplied(effects, ledger);
         } catch (DamagedException e) { // what others act on it can't follow: it may not go on
-            stop("an entry of the log can't be read by this program (" + e.getMessage() + "): put the newer program here");
+            stop("an entry of the log can't be read by this program (" + e.getMessage()
+                    + "): put the newer program here");
         }
     }
 
--- a/src/main/java/wallmoor/bans/BanText.java
+++ b/src/main/java/wallmoor/bans/BanText.java
@@ -30,8 +30,7 @@
     private static final String REMEDY = "; to get rid of it remove the file:"
             + " what this process holds is then written again";
 
-    private BanText() {
-    }
+    private BanText() {}
 
     /** Whether this can be a worker's id: visible ASCII without blanks, {@value #LONGEST_ID} characters at most. */
     public static boolean isId(String text) {
--- a/src/main/java/wallmoor/bans/Bans.java
+++ b/src/main/java/wallmoor/bans/Bans.java
@@ -29,8 +29,7 @@
     private final Map<String, Mark> marks = new HashMap<>();
 
     /** None is out. */
-    public Bans() {
-    }
+    public Bans() {}
 
     /** Leaves a worker out from this time on; true if it was not out. */
     public synchronized boolean detach(String id, long now) {
--- a/src/main/java/wallmoor/cli/Commands.java
+++ b/src/main/java/wallmoor/cli/Commands.java
@@ -13,8 +13,10 @@
         description = "A gatherer: queries split over nodes, one final answer in time.",
         footer = {"", "Exit codes: 0 well, 1 an error of the program's own, 2 bad usage or configuration;",
             "others as the command's own help says."},
-        subcommands = {Check.class, MembersCommand.class, Resolve.class, DeviceCommand.class, DevicesCommand.class, FleetCommand.class,
-            MaintenanceCommand.class, RebalanceCommand.class, RulesCommand.class, SummariesCommand.class, GenerateCompletion.class})
+        subcommands = {Check.class, MembersCommand.class, Resolve.class, DeviceCommand.class, DevicesCommand.class,
+            FleetCommand.class,
+            MaintenanceCommand.class, RebalanceCommand.class, RulesCommand.class, SummariesCommand.class,
+            GenerateCompletion.class})
 public final class Commands extends Parent {
     /** What the command was called with could not be used, or a configuration could not. */
     static final int USAGE = 2;
@@ -34,16 +36,13 @@
 
     /** For the help alone: these run without this command line. */
     @Command(name = "serve", description = "Serve as a gatherer; ROUTER_CONFIG and WALLMOOR_OPERATOR name its files.")
-    private static final class Serve extends Plain {
-    }
+    private static final class Serve extends Plain {}
 
     @Command(name = "drill", description = "Speak the simulator's wire on standard streams.")
-    private static final class Drill extends Plain {
-    }
+    private static final class Drill extends Plain {}
 
     @Command(name = "rehearse", description = "Load what serving needs and end, for an archive of classes.")
-    private static final class Rehearse extends Plain {
-    }
+    private static final class Rehearse extends Plain {}
 
     /** A command that takes no options, or it would not have come here. */
     private abstract static class Plain implements Callable<Integer> {
--- a/src/main/java/wallmoor/cli/ControlPort.java
+++ b/src/main/java/wallmoor/cli/ControlPort.java
@@ -11,8 +11,7 @@
     /** Longer than a gatherer on this machine takes to accept, however busy it is. */
     private static final int CONNECT_MILLIS = 5_000;
 
-    private ControlPort() {
-    }
+    private ControlPort() {}
 
     /** Asks; waits so long for each piece of the answer, and takes so many bytes of it at most. */
     static String ask(InetSocketAddress at, String line, long millis, int most) throws IOException {
@@ -44,6 +43,7 @@
     /** A value for people: whole numbers without a point. */
     static String plain(Object value) {
         return value instanceof Json.Obj inner ? text(inner)
-                : value instanceof Double d && d == Math.rint(d) ? String.valueOf(d.longValue()) : String.valueOf(value);
+                : value instanceof Double d && d == Math.rint(d) ? String.valueOf(d.longValue())
+                        : String.valueOf(value);
     }
 }
--- a/src/main/java/wallmoor/cli/DeviceCommand.java
+++ b/src/main/java/wallmoor/cli/DeviceCommand.java
@@ -34,10 +34,12 @@
         @Spec
         CommandSpec spec;
 
-        @Option(names = "--edge", required = true, paramLabel = "URL", description = "http://HOST:PORT or coap://HOST:PORT.")
+        @Option(names = "--edge", required = true, paramLabel = "URL",
+                description = "http://HOST:PORT or coap://HOST:PORT.")
         URI edge;
 
-        @Option(names = "--token-file", required = true, paramLabel = "FILE", description = "A file with the device's token.")
+        @Option(names = "--token-file", required = true, paramLabel = "FILE",
+                description = "A file with the device's token.")
         Path token;
 
         @Option(names = "--patience", defaultValue = "60", paramLabel = "SECONDS",
@@ -60,8 +62,9 @@
                 throw new ParameterException(spec.commandLine(), "--edge is neither http://… nor coap://…");
             }
             System.out.println(new String(result.body(), StandardCharsets.UTF_8));
-            System.err.println(id + ": " + result.kind().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ') + ", after "
-                    + result.tries() + " requests");
+            System.err.println(
+                    id + ": " + result.kind().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ') + ", after "
+                            + result.tries() + " requests");
             return result.kind().code();
         }
     }
@@ -84,7 +87,8 @@
                 description = "Milliseconds that it may take (default ${DEFAULT-VALUE}).")
         private long deadline;
 
-        @Option(names = "--shards", required = true, split = ",", paramLabel = "SHARD", description = "The shards it needs.")
+        @Option(names = "--shards", required = true, split = ",", paramLabel = "SHARD",
+                description = "The shards it needs.")
         private List<Integer> shards;
 
         @Parameters(paramLabel = "TEXT", description = "What each part has to carry.")
--- a/src/main/java/wallmoor/cli/FleetCommand.java
+++ b/src/main/java/wallmoor/cli/FleetCommand.java
@@ -34,7 +34,8 @@
         @Mixin
         private Files files;
 
-        @Option(names = "--at", paramLabel = "ADDRESS:PORT", description = "The control port; else fleet.control of the operators' file.")
+        @Option(names = "--at", paramLabel = "ADDRESS:PORT",
+                description = "The control port; else fleet.control of the operators' file.")
         private String at;
 
         @Option(names = "--json", description = "Print JSON objects, one a line.")
@@ -52,9 +53,11 @@
         }
     }
 
-    @Command(name = "members", mixinStandardHelpOptions = true, description = "Print each gatherer of the group and its state.")
-    int members(@Mixin Where where, @Option(names = "--watch", description = "Go on, and print again whenever the view changes.")
-            boolean watch) throws InterruptedException {
+    @Command(name = "members", mixinStandardHelpOptions = true,
+            description = "Print each gatherer of the group and its state.")
+    int members(@Mixin Where where,
+            @Option(names = "--watch", description = "Go on, and print again whenever the view changes.") boolean watch)
+            throws InterruptedException {
         String shown = null;
         while (true) {
             Answer answer = asked(where, "members", shown);
@@ -77,8 +80,7 @@
      *
      * @param version of the view that was told; null where the gatherer did not tell
      */
-    private record Answer(int code, String version) {
-    }
+    private record Answer(int code, String version) {}
 
     private Answer asked(Where where, String line, String shown) {
         try {
--- a/src/main/java/wallmoor/cli/MaintenanceCommand.java
+++ b/src/main/java/wallmoor/cli/MaintenanceCommand.java
@@ -51,7 +51,8 @@
         var to = new StringBuilder();
         if (answer instanceof Answer.Order order) {
             for (Slot s : order.slots()) {
-                to.append(time(s.starts())).append(' ').append(s.wish().machine()).append(" drains; may be worked on from ")
+                to.append(time(s.starts())).append(' ').append(s.wish().machine())
+                        .append(" drains; may be worked on from ")
                         .append(time(s.free())).append(", back by ").append(time(s.back())).append(", done at ")
                         .append(time(s.done())).append("; ").append(s.out()).append(" out, capacity left ")
                         .append(s.capacity() / MILLION);
@@ -61,11 +62,13 @@
                     .append((order.bound() - at) / 1_000).append(" s").toString();
         }
         if (answer instanceof Answer.Waits waits) {
-            return reasons(to.append("no order until what is out by itself is back; as it is, these can't be kept together:"),
+            return reasons(
+                    to.append("no order until what is out by itself is back; as it is, these can't be kept together:"),
                     waits.because()).toString();
         }
         var no = (Answer.Refused) answer;
-        to.append(no.proven() ? "no order exists; these can't be kept together" : "no order was found that keeps all of these");
+        to.append(no.proven() ? "no order exists; these can't be kept together"
+                : "no order was found that keeps all of these");
         return reasons(to.append(no.smallest() ? ", and no fewer:" : ":"), no.because()).toString();
     }
 
@@ -92,7 +95,8 @@
                     .append((order.bound() - at) / 1_000).append('}').toString();
         }
         if (answer instanceof Answer.Waits waits) {
-            return Texts.reasons(to.append("{\"feasible\":\"waits\",\"because\":"), waits.because()).append(",\"smallest\":")
+            return Texts.reasons(to.append("{\"feasible\":\"waits\",\"because\":"), waits.because())
+                    .append(",\"smallest\":")
                     .append(waits.smallest()).append('}').toString();
         }
         var no = (Answer.Refused) answer;
--- a/src/main/java/wallmoor/cli/PlanPlace.java
+++ b/src/main/java/wallmoor/cli/PlanPlace.java
@@ -10,7 +10,9 @@
 
 /** Where the plan is kept: in a directory with one author, or by all gatherers. */
 final class PlanPlace {
-    /** Who finds no leader is asked again, and others, for so long: a change of leader takes a term and some seconds. */
+    /**
+     * Who finds no leader is asked again, and others, for so long: a change of leader takes a term and some seconds.
+     */
     static final long WAIT_MILLIS = 30_000;
     /** Answers of control ports, each version of the plan that is kept in them. */
     private static final int MOST = 64 << 20;
--- a/src/main/java/wallmoor/cli/RebalanceCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceCommand.java
@@ -20,7 +20,8 @@
 /** Plans which blocks move where; the commands beside {@code plan} carry that out. */
 @Command(name = "rebalance", mixinStandardHelpOptions = true,
         description = "Plan moves of blocks between nodes, by bytes and room, and carry them out.",
-        subcommands = {RebalanceStart.class, RebalanceStatus.class, RebalanceWish.Pause.class, RebalanceWish.Resume.class,
+        subcommands = {RebalanceStart.class, RebalanceStatus.class, RebalanceWish.Pause.class,
+            RebalanceWish.Resume.class,
             RebalanceWish.Stop.class, RebalanceStatus.Explain.class})
 final class RebalanceCommand extends Parent {
     private static final int OWN_ERROR = 1;
--- a/src/main/java/wallmoor/cli/RebalanceStart.java
+++ b/src/main/java/wallmoor/cli/RebalanceStart.java
@@ -24,7 +24,8 @@
 /** Carries moves out, in this process, until they are done or stopped. */
 @Command(name = "start", mixinStandardHelpOptions = true,
         description = "Carry out the moves that a file's rules ask for, or go on with them after a crash.",
-        footer = {"Ends when all is moved, or stopped. Exits 0 then, 1 where the plan can't be kept, 2 on a faulty file."})
+        footer = {
+            "Ends when all is moved, or stopped. Exits 0 then, 1 where the plan can't be kept, 2 on a faulty file."})
 final class RebalanceStart implements Callable<Integer> {
     private static final int OWN_ERROR = 1;
     private static final double BYTES_OF_MB = 1e6;
@@ -76,8 +77,10 @@
         long term = port.termMillis(PlanPlace.WAIT_MILLIS);
         var c = whole.carrying();
         if (c.settleMillis() < term + c.longestQueryMillis()) {
-            throw new IllegalArgumentException("carry.settle is " + c.settleMillis() + " ms, less than the gatherers' term"
-                    + " and carry.longest_query together (" + term + " and " + c.longestQueryMillis() + " ms): a query could"
+            throw new IllegalArgumentException("carry.settle is " + c.settleMillis()
+                    + " ms, less than the gatherers' term"
+                    + " and carry.longest_query together (" + term + " and " + c.longestQueryMillis()
+                    + " ms): a query could"
                     + " go to a copy that is dropped; set it to " + (term + c.longestQueryMillis()) + "ms at least");
         }
         while (true) {
@@ -88,7 +91,8 @@
             if (RulesPort.tooLarge(now) != null) {
                 throw new IllegalArgumentException(RulesPort.tooLarge(now));
             }
-            if (now.equals(before) || port.settle(last == null ? 0 : last.number(), now, PlanPlace.WAIT_MILLIS).acts()) {
+            if (now.equals(before)
+                    || port.settle(last == null ? 0 : last.number(), now, PlanPlace.WAIT_MILLIS).acts()) {
                 break;
             }
         }
@@ -113,7 +117,8 @@
 
     private static int carry(RebalanceFile.Whole whole, Plan plan) throws PlanException, InterruptedException {
         var c = whole.carrying();
-        var settings = new Settings((long) (c.mbPerSecond() * BYTES_OF_MB), c.chunkKb() * 1_024, micros(c.settleMillis()),
+        var settings = new Settings((long) (c.mbPerSecond() * BYTES_OF_MB), c.chunkKb() * 1_024,
+                micros(c.settleMillis()),
                 micros(c.patienceMillis()), micros(c.againMillis()));
         System.out.println(new Carrier(new Mover(settings), plan, c.addresses(), System.err::println).run().name()
                 .toLowerCase(Locale.ROOT));
--- a/src/main/java/wallmoor/cli/RebalanceStatus.java
+++ b/src/main/java/wallmoor/cli/RebalanceStatus.java
@@ -55,8 +55,9 @@
             String progress = place.rules == null ? new PlanDirectory(place.dir).progress()
                     : json(place.port("status").head(PlanPlace.WAIT_MILLIS));
             if (progress == null) {
-                System.err.println((place.rules == null ? place.dir + " holds no status" : "the gatherers agree on no plan")
-                        + "; rebalance start makes one");
+                System.err.println(
+                        (place.rules == null ? place.dir + " holds no status" : "the gatherers agree on no plan")
+                                + "; rebalance start makes one");
             }
             return progress;
         } catch (ConfigException | PlanException e) {
@@ -102,7 +103,8 @@
     private static String text(Json.Obj s) {
         var to = new StringBuilder(s.text("phase")).append(", version ").append(s.get("version"));
         if (s.text("author") != null) { // what is agreed on, and no more
-            to.append(" by ").append(s.text("author")).append(Boolean.FALSE.equals(s.get("acts")) ? ", waits to act" : "");
+            to.append(" by ").append(s.text("author"))
+                    .append(Boolean.FALSE.equals(s.get("acts")) ? ", waits to act" : "");
             moves(to, s);
             return to.toString();
         }
@@ -110,7 +112,8 @@
         long age = System.currentTimeMillis() - (long) s.number("at_ms", 0);
         boolean over = List.of("finished", "stopped").contains(s.text("phase"));
         if (age > OLD_MILLIS && !over) {
-            to.append("; ").append(age / 1_000).append(" s old: nobody carries it out; rebalance start goes on with it");
+            to.append("; ").append(age / 1_000)
+                    .append(" s old: nobody carries it out; rebalance start goes on with it");
         }
         for (String key : List.of("stuck", "given_up")) {
             if (!s.text(key).isEmpty()) {
@@ -124,8 +127,10 @@
     private static void moves(StringBuilder to, Json.Obj s) {
         for (Object o : s.list("moves")) {
             var m = (Json.Obj) o;
-            to.append('\n').append(m.text("block")).append(" from ").append(m.text("from")).append(" to ").append(m.text("to"))
-                    .append(", ").append(m.get("mb")).append(" MB, wave ").append(m.get("wave")).append(": ").append(m.text("stage"))
+            to.append('\n').append(m.text("block")).append(" from ").append(m.text("from")).append(" to ")
+                    .append(m.text("to"))
+                    .append(", ").append(m.get("mb")).append(" MB, wave ").append(m.get("wave")).append(": ")
+                    .append(m.text("stage"))
                     .append(m.text("stage").equals("copy") && m.get("there") != null
                             ? " " + Math.round(m.number("there", 0) * 100) + " %" : "")
                     .append(blank(m.text("waits")) ? "" : ", waits: " + m.text("waits"));
--- a/src/main/java/wallmoor/cli/RebalanceWish.java
+++ b/src/main/java/wallmoor/cli/RebalanceWish.java
@@ -14,8 +14,8 @@
 import wallmoor.moves.http.RulesPort;
 
 /**
- * Tells who carries out what an operator wishes; where nobody does, who begins to. Where gatherers agree on the plan the wish
- * is a version of it, at whichever of them it is said.
+ * Tells who carries out what an operator wishes; where nobody does, who begins to. Where gatherers agree on the plan
+ * the wish is a version of it, at whichever of them it is said.
  */
 abstract class RebalanceWish implements Callable<Integer> {
     @ArgGroup(exclusive = true, multiplicity = "1")
@@ -74,7 +74,9 @@
         }
     }
 
-    /** It is proposed on the last version, whether that acts already or not: no step of who carries out comes before it. */
+    /**
+     * It is proposed on the last version, whether that acts already or not: no step of who carries out comes before it.
+     */
     private int agree() throws InterruptedException {
         try {
             RulesPort port = place.port(word);
--- a/src/main/java/wallmoor/cli/RulesCommand.java
+++ b/src/main/java/wallmoor/cli/RulesCommand.java
@@ -76,7 +76,8 @@
         private int wait;
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Print what the gatherer goes by, of each document or of one.")
+    @Command(name = "show", mixinStandardHelpOptions = true,
+            description = "Print what the gatherer goes by, of each document or of one.")
     int show(@Mixin Where where, @Parameters(paramLabel = "NAME", arity = "0..1") String name,
             @Option(names = "--watch", description = "Go on, and print again whenever that changes.") boolean watch)
             throws InterruptedException {
@@ -120,10 +121,11 @@
                     + "refused.")
     int propose(@Mixin Where where, @Mixin Change change, @Parameters(paramLabel = "NAME") String name,
             @Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--fallback", paramLabel = "FILE", description = "What a gatherer goes by that can't be sure; else the "
-                    + "body's bounds, and nothing of what it gives.") Path fallback,
-            @Option(names = "--parent", paramLabel = "N", description = "The version that it was made from; else the last one.")
-            Long parent) {
+            @Option(names = "--fallback", paramLabel = "FILE",
+                    description = "What a gatherer goes by that can't be sure; else the "
+                            + "body's bounds, and nothing of what it gives.") Path fallback,
+            @Option(names = "--parent", paramLabel = "N",
+                    description = "The version that it was made from; else the last one.") Long parent) {
         Map<String, Object> asked = change(change, "propose", name);
         try {
             asked.put("body", read(file));
@@ -139,7 +141,8 @@
         return told(where, asked, change.wait * SECOND_MILLIS + SPARE_MILLIS);
     }
 
-    @Command(name = "rollback", mixinStandardHelpOptions = true, description = "Propose an older version's body as a new version.")
+    @Command(name = "rollback", mixinStandardHelpOptions = true,
+            description = "Propose an older version's body as a new version.")
     int rollback(@Mixin Where where, @Mixin Change change, @Parameters(paramLabel = "NAME") String name,
             @Parameters(paramLabel = "N") long number) {
         Map<String, Object> asked = change(change, "rollback", name);
@@ -247,7 +250,8 @@
         for (String l : lines) {
             try {
                 Json.Obj o = ControlPort.object(l);
-                steady.append(o.text("name")).append(o.get("version")).append(o.get("from")).append(o.get("basis")).append(o.get("leader"))
+                steady.append(o.text("name")).append(o.get("version")).append(o.get("from")).append(o.get("basis"))
+                        .append(o.get("leader"))
                         .append(o.get("denied")).append(o.number("acting", 0) > 0 ? " acts" : "").append('\n');
             } catch (Json.Malformed e) {
                 steady.append(l);
@@ -263,7 +267,8 @@
             for (String field : List.of("name", "version", "acting", "basis", "lease_ms", "leader", "since", "body",
                     "unreadable", "denied")) {
                 if (o.get(field) != null) {
-                    text.append(text.isEmpty() ? "" : "  ").append(field).append(' ').append(ControlPort.plain(o.get(field)));
+                    text.append(text.isEmpty() ? "" : "  ").append(field).append(' ')
+                            .append(ControlPort.plain(o.get(field)));
                 }
             }
             return text.toString();
--- a/src/main/java/wallmoor/client/CoapDevice.java
+++ b/src/main/java/wallmoor/client/CoapDevice.java
@@ -20,7 +20,9 @@
 import org.eclipse.californium.elements.config.UdpConfig;
 import org.eclipse.californium.elements.exception.ConnectorException;
 
-/** A device on CoAP: puts its query in blocks, proves its address when asked to, and gets the outcome block by block. */
+/**
+ * A device on CoAP: puts its query in blocks, proves its address when asked to, and gets the outcome block by block.
+ */
 public final class CoapDevice implements AutoCloseable {
     private static final int WAIT_SECONDS = 10;
     /** An outcome has 64 KiB of values, and what stands round them. */
@@ -64,7 +66,8 @@
             long told = 0;
             if (response != null) {
                 ResponseCode code = response.getCode();
-                String text = response.getPayload() == null ? "" : new String(response.getPayload(), StandardCharsets.UTF_8);
+                String text = response.getPayload() == null ? ""
+                        : new String(response.getPayload(), StandardCharsets.UTF_8);
                 if (!put && Result.kindOf(text) != null) {
                     return new Result(Result.kindOf(text), response.getPayload(), tries);
                 }
--- a/src/main/java/wallmoor/client/HttpDevice.java
+++ b/src/main/java/wallmoor/client/HttpDevice.java
@@ -13,7 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A device on HTTP: asks, asks again under the same id whenever its link broke, and goes on where an answer broke off. */
+/**
+ * A device on HTTP: asks, asks again under the same id whenever its link broke, and goes on where an answer broke off.
+ */
 public final class HttpDevice {
     private static final int MOST_ANSWER = 1 << 20;
     private static final int NO_SUCH = 404;
@@ -62,11 +64,13 @@
             long told = 0;
             tries++;
             try {
-                HttpResponse<InputStream> r = client.send(request(id, taken ? null : query, part), BodyHandlers.ofInputStream());
+                HttpResponse<InputStream> r = client.send(request(id, taken ? null : query, part),
+                        BodyHandlers.ofInputStream());
                 String text = read(r, part);
                 int status = r.statusCode();
                 if (text != null && Result.kindOf(text) != null) {
-                    return new Result(Result.kindOf(text), text.getBytes(java.nio.charset.StandardCharsets.UTF_8), tries);
+                    return new Result(Result.kindOf(text), text.getBytes(java.nio.charset.StandardCharsets.UTF_8),
+                            tries);
                 }
                 if (status == 202) {
                     progress.accept("taken, no outcome yet");
@@ -76,11 +80,13 @@
                     told = 1000L * r.headers().firstValueAsLong("Retry-After").orElse(1);
                     progress.accept("told to come back after " + told / 1000 + " s");
                 } else if (status == NO_SUCH && query == null) {
-                    return new Result(Result.Kind.UNKNOWN, String.valueOf(text).getBytes(java.nio.charset.StandardCharsets.UTF_8), tries);
+                    return new Result(Result.Kind.UNKNOWN,
+                            String.valueOf(text).getBytes(java.nio.charset.StandardCharsets.UTF_8), tries);
                 } else if (status == NO_SUCH) {
                     taken = false; // it was called off meanwhile, or never came
                 } else if (status >= 400 && status < 500 && status != 416) {
-                    return new Result(Result.Kind.REJECTED, String.valueOf(text).getBytes(java.nio.charset.StandardCharsets.UTF_8), tries);
+                    return new Result(Result.Kind.REJECTED,
+                            String.valueOf(text).getBytes(java.nio.charset.StandardCharsets.UTF_8), tries);
                 } else if (status == 416) {
                     part = new Part();
                 }
@@ -88,7 +94,8 @@
                     continue;
                 }
             } catch (IOException e) {
-                progress.accept("the link broke" + (part.bytes.size() > 0 ? " after " + part.bytes.size() + " bytes" : ""));
+                progress.accept(
+                        "the link broke" + (part.bytes.size() > 0 ? " after " + part.bytes.size() + " bytes" : ""));
                 if (!resume) {
                     part = new Part();
                 }
@@ -104,7 +111,8 @@
 
     private HttpRequest request(String id, byte[] query, Part part) {
         var r = HttpRequest.newBuilder(base.resolve("/queries/" + id)).timeout(patience)
-                .header("Authorization", "Bearer " + token).header("Prefer", "wait=" + Math.max(1, patience.toSeconds() - 1));
+                .header("Authorization", "Bearer " + token)
+                .header("Prefer", "wait=" + Math.max(1, patience.toSeconds() - 1));
         if (packed) {
             r.header("Accept-Encoding", "zstd, gzip");
         }
@@ -112,7 +120,8 @@
             return r.header("Range", "bytes=" + part.bytes.size() + "-").header("If-Range", part.etag).GET().build();
         }
         return query == null ? r.GET().build()
-                : r.header("Content-Type", "application/json").PUT(HttpRequest.BodyPublishers.ofByteArray(query)).build();
+                : r.header("Content-Type", "application/json").PUT(HttpRequest.BodyPublishers.ofByteArray(query))
+                        .build();
     }
 
     /** Reads a body to its end, or throws with what came kept in {@code part}. The text of a whole one. */
@@ -136,7 +145,8 @@
         byte[] all = to.bytes.toByteArray();
         byte[] plain = switch (to.coding) {
             case "zstd" -> com.github.luben.zstd.Zstd.decompress(all, MOST_ANSWER);
-            case "gzip" -> new java.util.zip.GZIPInputStream(new java.io.ByteArrayInputStream(all)).readNBytes(MOST_ANSWER);
+            case "gzip" ->
+                new java.util.zip.GZIPInputStream(new java.io.ByteArrayInputStream(all)).readNBytes(MOST_ANSWER);
             default -> all;
         };
         return new String(plain, java.nio.charset.StandardCharsets.UTF_8);
--- a/src/main/java/wallmoor/client/Pace.java
+++ b/src/main/java/wallmoor/client/Pace.java
@@ -1,8 +1,8 @@
 package wallmoor.client;
 
 /**
- * How a device goes on after something went wrong: soon, then later and later, never all at once, and not beyond its own
- * patience. Pure; times are milliseconds.
+ * How a device goes on after something went wrong: soon, then later and later, never all at once, and not beyond its
+ * own patience. Pure; times are milliseconds.
  *
  * @param first the first wait
  * @param most  the longest
--- a/src/main/java/wallmoor/config/ClassPlaces.java
+++ b/src/main/java/wallmoor/config/ClassPlaces.java
@@ -7,15 +7,18 @@
 import wallmoor.decision.RouterApi.QueryClass;
 
 /**
- * Where each class of query stands, over all settings of a process' life. A class keeps its place, so that what is under
- * way when settings change is never taken for another class; one that vanished leaves its place empty until it returns.
+ * Where each class of query stands, over all settings of a process' life. A class keeps its place, so that what is
+ * under way when settings change is never taken for another class; one that vanished leaves its place empty until it
+ * returns.
  *
  * @param names    by place
  * @param classes  by place; of one that vanished, as it was last
  * @param vanished the places of classes that are not in force
  */
 record ClassPlaces(List<String> names, List<QueryClass> classes, Set<Integer> vanished) {
-    /** A place costs some hundred bytes for good; more names than this in one life are a fault in who writes the file. */
+    /**
+     * A place costs some hundred bytes for good; more names than this in one life are a fault in who writes the file.
+     */
     static final int MOST = 256;
 
     /** The place of a class in force, or -1. */
--- a/src/main/java/wallmoor/config/EdgeConfig.java
+++ b/src/main/java/wallmoor/config/EdgeConfig.java
@@ -23,7 +23,8 @@
  * @param returns     devices a second that are told to come back
  */
 public record EdgeConfig(Path devices, InetSocketAddress http, int mostClients, InetSocketAddress coap, long grace,
-        long retain, long window, long skew, int open, int openEach, long memory, long memoryEach, double asks, int burst,
+        long retain, long window, long skew, int open, int openEach, long memory, long memoryEach, double asks,
+        int burst,
         double returns) {
     private static final long DAY = 86_400_000;
     private static final long MB = 1 << 20;
--- a/src/main/java/wallmoor/config/Keys.java
+++ b/src/main/java/wallmoor/config/Keys.java
@@ -6,12 +6,11 @@
 import wallmoor.json.Json;
 
 /**
- * The keys that a configuration has, so that a file which lacks one that another has is known as incomplete. In a list of
- * objects, as of classes, a key counts where all have it. The list of nodes is left out: it is news, not settings.
+ * The keys that a configuration has, so that a file which lacks one that another has is known as incomplete. In a list
+ * of objects, as of classes, a key counts where all have it. The list of nodes is left out: it is news, not settings.
  */
 final class Keys {
-    private Keys() {
-    }
+    private Keys() {}
 
     static Set<String> of(Json.Obj config) {
         var found = new TreeSet<String>();
@@ -32,7 +31,8 @@
                     below(path + "." + name, inner, to);
                 }
             });
-        } else if (value instanceof List<?> list && !list.isEmpty() && list.stream().allMatch(Json.Obj.class::isInstance)) {
+        } else if (value instanceof List<?> list && !list.isEmpty()
+                && list.stream().allMatch(Json.Obj.class::isInstance)) {
             Set<String> all = null;
             for (Object each : list) {
                 var own = new TreeSet<String>();
--- a/src/main/java/wallmoor/config/Launch.java
+++ b/src/main/java/wallmoor/config/Launch.java
@@ -28,7 +28,8 @@
  * @param pushed   the settings say that lists come by themselves: changes count as told with no watch open
  */
 public record Launch(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, Settings settings,
-        Json.Obj known, List<String> zones, List<String> kinds, List<String> classes, int sockets, int memory, int streams,
+        Json.Obj known, List<String> zones, List<String> kinds, List<String> classes, int sockets, int memory,
+        int streams,
         long connIdleMillis, int connectMillis, InetSocketAddress admin, boolean inherited, Set<Integer> vanished,
         Set<String> keys, boolean pushed) {
     private static final int DEFAULT_SOCKETS = 1024;
@@ -213,7 +214,8 @@
     /** Numbers with dots, brackets round those of IPv6, or this machine; no pattern, as that costs each start. */
     private static boolean isHost(String host) {
         return host.equals("localhost") || only(DIGITS + ".", host, 0, host.length())
-                || host.startsWith("[") && host.endsWith("]") && only(DIGITS + "abcdefABCDEF:.", host, 1, host.length() - 1);
+                || host.startsWith("[") && host.endsWith("]")
+                        && only(DIGITS + "abcdefABCDEF:.", host, 1, host.length() - 1);
     }
 
     /** Whether there is something between these places, and nothing but these signs. */
--- a/src/main/java/wallmoor/config/MaintenanceFile.java
+++ b/src/main/java/wallmoor/config/MaintenanceFile.java
@@ -23,8 +23,8 @@
 import wallmoor.maintenance.Wish;
 
 /**
- * The file that {@code maintenance plan} reads: the fleet, what the operators allow, and what is asked. It is YAML, read
- * and checked whole; every fault is told with its key's path and its line.
+ * The file that {@code maintenance plan} reads: the fleet, what the operators allow, and what is asked. It is YAML,
+ * read and checked whole; every fault is told with its key's path and its line.
  */
 public final class MaintenanceFile {
     /** What plans were measured with. */
@@ -37,12 +37,10 @@
     /** Capacities are summed in millionths; in any unit, 10,000 of them fit. */
     private static final int MOST_CAPACITY = 100_000_000;
 
-    private MaintenanceFile() {
-    }
+    private MaintenanceFile() {}
 
     /** All that a file says. @param at the time that is planned for, in milliseconds since 1970 */
-    public record Whole(long at, Fleet fleet, Budgets budgets, List<Wish> wishes) {
-    }
+    public record Whole(long at, Fleet fleet, Budgets budgets, List<Wish> wishes) {}
 
     /**
      * Reads a file.
@@ -98,7 +96,8 @@
                 at.fault("hours", "holds what is no window such as 22:00-04:00: " + text);
             }
         }
-        var budgets = new Budgets(atOnce, centres, millionths(at, "capacity_kept", 0), at.whole("gatherers_kept", 1, 0, MOST_MACHINES),
+        var budgets = new Budgets(atOnce, centres, millionths(at, "capacity_kept", 0),
+                at.whole("gatherers_kept", 1, 0, MOST_MACHINES),
                 new Hours(windows, offset), at.time("cold", 18_000, 0, DAY), millionths(at, "cold_share", 160_000),
                 at.time("warm_up", 30_000, 0, DAY), at.time("parts", 10_000, 0, DAY), at.time("drain", 600_000, 0, DAY),
                 at.time("late", 600_000, 0, DAY));
@@ -127,7 +126,8 @@
                 case "away" -> Phase.AWAY;
                 default -> throw new IllegalArgumentException();
             }, "is none of serving, draining and away");
-            all.add(new Machine(id, kind, at.required("centre"), at.whole("capacity", 1, 1, MOST_CAPACITY), at.flag("voter", false),
+            all.add(new Machine(id, kind, at.required("centre"), at.whole("capacity", 1, 1, MOST_CAPACITY),
+                    at.flag("voter", false),
                     phase, "", 0, at.time("served", YEAR, 0, YEAR)));
             at.end();
         }
--- a/src/main/java/wallmoor/config/Operator.java
+++ b/src/main/java/wallmoor/config/Operator.java
@@ -35,20 +35,17 @@
      *
      * @param mostAge milliseconds that it stands when it can't be had; 0 for ever
      */
-    public record NodeList(boolean enabled, long mostAge) {
-    }
+    public record NodeList(boolean enabled, long mostAge) {}
 
     /** A file of calendar nodes, in CSV or YAML. */
-    public record InventoryFile(Path file) {
-    }
+    public record InventoryFile(Path file) {}
 
     /**
      * A name that has SRV records.
      *
      * @param cell the cell of all its nodes, or -1 where their TXT records tell
      */
-    public record DnsName(String name, int cell) {
-    }
+    public record DnsName(String name, int cell) {}
 
     /**
      * DNS as a source. Times are milliseconds.
@@ -61,16 +58,15 @@
      * @param leaving     the share of the nodes that may leave within a step on DNS's word alone
      */
     public record Dns(List<InetSocketAddress> servers, List<DnsName> names, long mostAge, long leastTtl, long mostTtl,
-            long timeout, int mostRecords, double leaving) {
-    }
+            long timeout, int mostRecords, double leaving) {}
 
     /** The log: readable or JSON lines, and its levels by package. */
-    public record LogConfig(boolean json, Map<String, String> levels) {
-    }
+    public record LogConfig(boolean json, Map<String, String> levels) {}
 
     /** What holds without a file. */
     public static Operator usual() {
-        return new Operator(new NodeList(true, 0), null, null, null, null, null, null, null, new LogConfig(false, Map.of()));
+        return new Operator(new NodeList(true, 0), null, null, null, null, null, null, null,
+                new LogConfig(false, Map.of()));
     }
 
     /** Whether the node list is the only source of calendar nodes. */
--- a/src/main/java/wallmoor/config/OwnFiles.java
+++ b/src/main/java/wallmoor/config/OwnFiles.java
@@ -13,8 +13,7 @@
     /** Counted once, before the first connection. */
     private static final int NEEDED = count();
 
-    private OwnFiles() {
-    }
+    private OwnFiles() {}
 
     /** So many are kept for the program itself. */
     static int needed() {
--- a/src/main/java/wallmoor/config/RebalanceFile.java
+++ b/src/main/java/wallmoor/config/RebalanceFile.java
@@ -25,8 +25,7 @@
     private static final int MOST_BYTES = 16 << 20;
     private static final long DAY = 86_400_000;
 
-    private RebalanceFile() {
-    }
+    private RebalanceFile() {}
 
     /**
      * How the moves of a file are carried out.
@@ -36,13 +35,12 @@
      * @param longestQueryMillis a query ends within it; where gatherers agree on the plan, {@code settle} covers it and
      *                  the term
      */
-    public record Carrying(Map<String, String> addresses, int atOnce, double mbPerSecond, int chunkKb, long settleMillis,
-            long longestQueryMillis, long patienceMillis, long againMillis) {
-    }
+    public record Carrying(Map<String, String> addresses, int atOnce, double mbPerSecond, int chunkKb,
+            long settleMillis,
+            long longestQueryMillis, long patienceMillis, long againMillis) {}
 
     /** All that a file says. */
-    public record Whole(Fleet fleet, Carrying carrying) {
-    }
+    public record Whole(Fleet fleet, Carrying carrying) {}
 
     /**
      * Reads a file.
@@ -73,7 +71,8 @@
         List<Node> nodes = nodes(root, headroom, spread, addresses);
         List<Block> blocks = blocks(root, nodes);
         Section carry = root.section("carry");
-        var carrying = new Carrying(addresses, carry.whole("at_once", 2, 1, 1_000), carry.decimal("mb_per_s", 50, 0.001, 100_000),
+        var carrying = new Carrying(addresses, carry.whole("at_once", 2, 1, 1_000),
+                carry.decimal("mb_per_s", 50, 0.001, 100_000),
                 carry.whole("chunk_kb", 1_024, 1, 65_536), carry.time("settle", 10_000, 0, DAY),
                 carry.time("longest_query", 5_000, 0, DAY), carry.time("patience", 60_000, 0, DAY),
                 carry.time("again", 1_000, 10, 60_000));
--- a/src/main/java/wallmoor/config/RulesConfig.java
+++ b/src/main/java/wallmoor/config/RulesConfig.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * What all gatherers agree on, section {@code rules} of the operators' file. Off where the section is absent, and on the
- * platform.
+ * What all gatherers agree on, section {@code rules} of the operators' file. Off where the section is absent, and on
+ * the platform.
  *
  * @param voters    where each voter is reached, by its name; 3 or 5, the same names everywhere
  * @param listen    of a voter, where it listens; null for any other gatherer
@@ -16,7 +16,8 @@
  * @param directory what is kept over a restart; null where nothing is, which a voter must not
  * @param control   on loopback, where the command line asks and proposes; null where it may not
  */
-public record RulesConfig(SortedMap<String, InetSocketAddress> voters, InetSocketAddress listen, long term, Path directory,
+public record RulesConfig(SortedMap<String, InetSocketAddress> voters, InetSocketAddress listen, long term,
+        Path directory,
         InetSocketAddress control) {
     private static final int FEW = 3;
     private static final int MANY = 5;
@@ -40,7 +41,8 @@
             }
         }
         if (named.keys().size() != FEW && named.keys().size() != MANY) {
-            at.fault("voters", "names " + named.keys().size() + " voters: it must be 3 or 5, each with its ADDRESS:PORT");
+            at.fault("voters",
+                    "names " + named.keys().size() + " voters: it must be 3 or 5, each with its ADDRESS:PORT");
         }
         boolean votes = named.keys().contains(launch.name());
         InetSocketAddress listen = at.address("listen");
@@ -57,7 +59,9 @@
         }
         long term = at.time("term", 5_000, 500, HOUR_MILLIS);
         at.end();
-        return on ? new RulesConfig(voters, votes && listen == null ? voters.get(launch.name()) : listen, term, directory, control)
+        return on
+                ? new RulesConfig(voters, votes && listen == null ? voters.get(launch.name()) : listen, term, directory,
+                        control)
                 : null;
     }
 }
--- a/src/main/java/wallmoor/config/Section.java
+++ b/src/main/java/wallmoor/config/Section.java
@@ -18,8 +18,8 @@
 import org.yaml.snakeyaml.nodes.Tag;
 
 /**
- * A mapping of the operators' file. Reading a key makes it known; {@link #end} faults those that nobody read. A fault is
- * noted with its key's path and line, and reading goes on with the default, so that one reading finds all faults.
+ * A mapping of the operators' file. Reading a key makes it known; {@link #end} faults those that nobody read. A fault
+ * is noted with its key's path and line, and reading goes on with the default, so that one reading finds all faults.
  */
 final class Section {
     /** Names stand in messages and log lines: a longer one is a mistake. */
--- a/src/main/java/wallmoor/config/SettingsReader.java
+++ b/src/main/java/wallmoor/config/SettingsReader.java
@@ -18,14 +18,13 @@
  * are passed over. The nested JSON of a real gatherer is flattened to the same paths, so that both read alike.
  */
 public final class SettingsReader {
-    private static final Map<String, Effect> EFFECTS =
-            Map.of("free", Effect.SAFE, "guarded", Effect.KEYED, "single_shot", Effect.UNSAFE);
+    private static final Map<String, Effect> EFFECTS = Map.of("free", Effect.SAFE, "guarded", Effect.KEYED,
+            "single_shot", Effect.UNSAFE);
     private static final Map<String, LoadFigure> FIGURES = Map.of("outstanding", LoadFigure.INFLIGHT,
             "backlog", LoadFigure.QUEUE, "utilization", LoadFigure.UTIL, "recent_ms", LoadFigure.LATENCY_MS,
             "throughput", LoadFigure.QPS, "errors_per_s", LoadFigure.ERRORS_PER_S);
     private static final Map<String, Boolean> DISCOVERY = Map.of("automatic", false, "subscribe", true);
-    private static final Map<String, Boolean> BOOLEANS =
-            Map.of("true", true, "false", false, "1", true, "0", false);
+    private static final Map<String, Boolean> BOOLEANS = Map.of("true", true, "false", false, "1", true, "0", false);
 
     private final Map<String, String> pairs;
 
--- a/src/main/java/wallmoor/config/YamlFile.java
+++ b/src/main/java/wallmoor/config/YamlFile.java
@@ -12,8 +12,7 @@
 
 /** A file of YAML as nodes that know their lines, and what is told of its faults. */
 final class YamlFile {
-    private YamlFile() {
-    }
+    private YamlFile() {}
 
     /**
      * Reads a file.
--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -42,8 +42,7 @@
     /** Ids remembered of nodes that left, so that an operator may still name one: a release of a large fleet. */
     private static final int MOST_FORMERLY = 512;
 
-    private record Timer(long at, String token, Attempt attempt) {
-    }
+    private record Timer(long at, String token, Attempt attempt) {}
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition timers = lock.newCondition();
@@ -458,9 +457,10 @@
         }
     }
 
-    /** How many nodes the list names, and how many of them are avoided, by an operator's word or as the module decides. */
-    public record Known(int listed, int avoided) {
-    }
+    /**
+     * How many nodes the list names, and how many of them are avoided, by an operator's word or as the module decides.
+     */
+    public record Known(int listed, int avoided) {}
 
     /** The nodes known now. */
     public Known known() {
@@ -492,7 +492,9 @@
         }
     }
 
-    /** So many gatherers share what they have in common from now on, and this is this one's place among them, from 0. */
+    /**
+     * So many gatherers share what they have in common from now on, and this is this one's place among them, from 0.
+     */
     public void share(int count, int place) {
         lock.lock();
         try {
@@ -534,7 +536,10 @@
         }
     }
 
-    /** Waits until the module wants the list watched, at most until then (microseconds); {@link Long#MAX_VALUE}: for ever. */
+    /**
+     * Waits until the module wants the list watched, at most until then (microseconds); {@link Long#MAX_VALUE}: for
+     * ever.
+     */
     public void awaitWatchWanted(long until) throws InterruptedException {
         lock.lock();
         try {
@@ -555,7 +560,8 @@
         for (Member m : told) {
             members.put(m.id(), m);
         }
-        if (kind == ListKind.WHOLE || kind == ListKind.STALE) { // one that stays must not seem gone even for a moment: writers look on
+        // one that stays must not seem gone even for a moment: writers look on
+        if (kind == ListKind.WHOLE || kind == ListKind.STALE) {
             workers.values().stream().filter(w -> !members.containsKey(w.id())).forEach(this::left);
             workers.keySet().retainAll(members.keySet()); // what is still out at one that is gone holds on to it
         }
@@ -572,7 +578,8 @@
                     m.upSince() <= 0 ? RouterApi.ABSENT : m.upSince()));
         }
         brain.onList(now, kind, entries);
-        members.values().stream().filter(m -> m.state() == Member.State.GONE).forEach(m -> left(workers.remove(m.id())));
+        members.values().stream().filter(m -> m.state() == Member.State.GONE)
+                .forEach(m -> left(workers.remove(m.id())));
     }
 
     private void left(Worker worker) {
--- a/src/main/java/wallmoor/core/Query.java
+++ b/src/main/java/wallmoor/core/Query.java
@@ -12,8 +12,7 @@
  */
 public final class Query {
     /** A part as it was asked for. */
-    public record Ask(int shard, double weight, long hint) {
-    }
+    public record Ask(int shard, double weight, long hint) {}
 
     static final class Part {
         final String id;
--- a/src/main/java/wallmoor/decision/Brain.java
+++ b/src/main/java/wallmoor/decision/Brain.java
@@ -869,7 +869,7 @@
                     ill(leaf, "" + e.outcome());
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/wallmoor/decision/ClassShares.java
+++ b/src/main/java/wallmoor/decision/ClassShares.java
@@ -6,8 +6,8 @@
 import wallmoor.decision.RouterApi.QueryClass;
 
 /**
- * What each class was served of the worth it asked for, fading with queries. Where the operators count the class that is
- * served worst by itself, one more query served of it counts twice: in the whole, and again in its class' share.
+ * What each class was served of the worth it asked for, fading with queries. Where the operators count the class that
+ * is served worst by itself, one more query served of it counts twice: in the whole, and again in its class' share.
  */
 final class ClassShares {
     /** Classes whose shares differ by less are served alike: a difference of a query or two tells nothing. */
--- a/src/main/java/wallmoor/decision/PeerMessage.java
+++ b/src/main/java/wallmoor/decision/PeerMessage.java
@@ -16,12 +16,10 @@
     /** Entries beyond this many are left out: a message holds 256 bytes. */
     private static final int MOST_ENTRIES = 127;
 
-    private PeerMessage() {
-    }
+    private PeerMessage() {}
 
     /** Queries of this signature kill leaves; refuse them for so long (microseconds). */
-    record Ban(int signature, long lasts) {
-    }
+    record Ban(int signature, long lasts) {}
 
     /**
      * What a root tells of the leaf of this tag: that it is ill; or its parts out there, as far as the code goes; or
--- a/src/main/java/wallmoor/decision/RouterApi.java
+++ b/src/main/java/wallmoor/decision/RouterApi.java
@@ -14,8 +14,7 @@
     /** Stands for a time, a hint or a count that was not given. */
     public static final long ABSENT = -1;
 
-    private RouterApi() {
-    }
+    private RouterApi() {}
 
     /** What repeating a part does to the store. */
     public enum Effect {
@@ -58,7 +57,9 @@
     }
 
     /** Figures that a load report may hold. */
-    public enum LoadFigure { INFLIGHT, QUEUE, UTIL, LATENCY_MS, QPS, ERRORS_PER_S, OTHER }
+    public enum LoadFigure {
+        INFLIGHT, QUEUE, UTIL, LATENCY_MS, QPS, ERRORS_PER_S, OTHER
+    }
 
     /**
      * A class of queries.
@@ -70,27 +71,22 @@
      * @param followUp    parts of the second step; 0 for one step
      */
     public record QueryClass(double worth, double lateWorth, long aim, double aimStretch, long giveUp,
-            Effect effect, long dedupWindow, double need, double floor, double partialEarns, int followUp) {
-    }
+            Effect effect, long dedupWindow, double need, double floor, double partialEarns, int followUp) {}
 
     /** A tenant and its allowance in queries a second over all roots. */
-    public record Tenant(double allowancePerS, double share) {
-    }
+    public record Tenant(double allowancePerS, double share) {}
 
     /** Shard s is held by the leaves of cell (s + j) mod cells, for j from 0 to reach - 1. */
-    public record Layout(int shards, int cells, int reach) {
-    }
+    public record Layout(int shards, int cells, int reach) {}
 
     /** What the site allows. Times in microseconds; {@code connectTimeout} 0 means that it is not known. */
     public record Limits(boolean cancelling, boolean parallelTries, boolean probes, boolean peers,
             boolean retryAfter, long maxRetryAfter, int maxAttempts, int maxOpen, int bundleMax,
-            long connectTimeout) {
-    }
+            long connectTimeout) {}
 
     /** Figures of the rules. {@code budgetWindow} 0 means that no budget is set. */
     public record Rules(long graceToAnswer, long drainGrace, double coldShare, long cold, double fallMultiple,
-            long overloadFor, long askWithin, long budgetWindow, double minExtra, double repeatRatio) {
-    }
+            long overloadFor, long askWithin, long budgetWindow, double minExtra, double repeatRatio) {}
 
     /**
      * Prices that bear on decisions, in shares of the result.
@@ -98,8 +94,7 @@
      * @param worstClass what the share of the class served worst counts, over what the share of the whole does
      */
     public record Costs(double crossZone, double waste, double lateFail, double probe, double peer,
-            double worstClass) {
-    }
+            double worstClass) {}
 
     /**
      * Start settings of one root.
@@ -135,7 +130,8 @@
             return new Settings(roots, position, zone, round, subscribe, next.classes, tenants, next.overShareWorth,
                     next.worthByWork, next.clientsMarkRetry, layout, next.limits, new Rules(r.graceToAnswer,
                             r.drainGrace, r.coldShare, r.cold, r.fallMultiple, rules.overloadFor, r.askWithin,
-                            rules.budgetWindow, r.minExtra, r.repeatRatio), next.costs);
+                            rules.budgetWindow, r.minExtra, r.repeatRatio),
+                    next.costs);
         }
 
         /** The first place of a class that has not vanished; 0 where all have. */
@@ -165,7 +161,8 @@
             return new Settings(roots, position, zone, round, subscribe, classes, tenants, overShareWorth,
                     worthByWork, clientsMarkRetry, layout, limits, new Rules(r.graceToAnswer, r.drainGrace, r.coldShare,
                             r.cold, r.fallMultiple, r.overloadFor, r.askWithin, r.budgetWindow, minExtra,
-                            r.repeatRatio), costs);
+                            r.repeatRatio),
+                    costs);
         }
 
         /** The same for workers that hold shards in another layout. */
@@ -177,22 +174,18 @@
 
     /** One leaf in a list. {@code upSince} is its last start, or ABSENT for long ago. */
     public record LeafEntry(String leaf, int zone, int kind, int cell, LeafState state, double size,
-            long upSince) {
-    }
+            long upSince) {}
 
     /** A query as it arrives; its parts follow at the same time. */
     public record QueryArrived(String id, long number, int queryClass, int tenant, String key, long deadline,
-            long hint, int parts, boolean repeat) {
-    }
+            long hint, int parts, boolean repeat) {}
 
     /** A part of a query, at arrival or in its second step. */
-    public record PartArrived(String id, long number, int shard, double weight, long hint) {
-    }
+    public record PartArrived(String id, long number, int shard, double weight, long hint) {}
 
     /** The end of one attempt. {@code over} tells that the part is over. */
     public record AttemptEnded(String part, int attempt, String leaf, Outcome outcome, long took, boolean over,
-            Map<LoadFigure, Double> load) {
-    }
+            Map<LoadFigure, Double> load) {}
 
     /** What the module may do. Each call takes effect at the time of the event being handled. */
     public interface Actions {
--- a/src/main/java/wallmoor/decision/SettingsCheck.java
+++ b/src/main/java/wallmoor/decision/SettingsCheck.java
@@ -8,8 +8,7 @@
 
 /** Refuses settings that are absent or contradict themselves, with a message that names them. */
 public final class SettingsCheck {
-    private SettingsCheck() {
-    }
+    private SettingsCheck() {}
 
     /** Throws unless these settings are present and agree. */
     public static void check(Settings s) {
--- a/src/main/java/wallmoor/decision/State.java
+++ b/src/main/java/wallmoor/decision/State.java
@@ -13,8 +13,7 @@
 
 /** What a root remembers of leaves, queries, parts and attempts. {@link Brain} alone reads and changes it. */
 final class State {
-    private State() {
-    }
+    private State() {}
 
     static final class Leaf {
         final String id;
@@ -91,7 +90,8 @@
 
         /** How many roots told that it is ill since it last answered us. */
         long toldIll(long now) {
-            return told.isEmpty() ? 0 : told.values().stream().filter(t -> t.ill() && t.until() > now && t.at() > heardAt).count();
+            return told.isEmpty() ? 0
+                    : told.values().stream().filter(t -> t.ill() && t.until() > now && t.at() > heardAt).count();
         }
 
         /** When an answer of this leaf was last heard, by this root or by one that told of it. */
@@ -101,8 +101,7 @@
     }
 
     /** What another root told of a leaf, held true until a time. */
-    record Told(int parts, boolean ill, long at, long until) {
-    }
+    record Told(int parts, boolean ill, long at, long until) {}
 
     static final class Attempt {
         final Part part;
--- a/src/main/java/wallmoor/decision/WarmPace.java
+++ b/src/main/java/wallmoor/decision/WarmPace.java
@@ -4,9 +4,9 @@
 
 /**
  * What a warm leaf is seen to serve of this root's parts: answers of warm leaves, each over how many of them there were
- * then. It is the most of a mean over many windows, fading. The most of single windows would not do: many roots that see
- * little would each keep its luckiest one, and these add up to more than all leaves carry. It stands still while no leaf
- * is warm.
+ * then. It is the most of a mean over many windows, fading. The most of single windows would not do: many roots that
+ * see little would each keep its luckiest one, and these add up to more than all leaves carry. It stands still while no
+ * leaf is warm.
  */
 final class WarmPace {
     /** An answer's weight falls to 1/e within this time (microseconds). */
--- a/src/main/java/wallmoor/decision/WindowCounter.java
+++ b/src/main/java/wallmoor/decision/WindowCounter.java
@@ -2,10 +2,11 @@
 
 import java.util.ArrayDeque;
 
-/** Sums amounts over a sliding window of fixed length; what has left the window is not kept, whether asked for or not. */
+/**
+ * Sums amounts over a sliding window of fixed length; what has left the window is not kept, whether asked for or not.
+ */
 final class WindowCounter {
-    private record Entry(long at, double amount) {
-    }
+    private record Entry(long at, double amount) {}
 
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
     private final long length;
--- a/src/main/java/wallmoor/discovery/DiscoveryWatch.java
+++ b/src/main/java/wallmoor/discovery/DiscoveryWatch.java
@@ -24,8 +24,8 @@
 
 /**
  * Watches discovery's list: from the revision held last, whenever the module wants it watched. When to try again
- * after a failure is the module's to say; all else on time, and the state of the call, is {@link ListClock}'s, which may
- * want it sooner. When the configuration names another discovery, the watch moves at once.
+ * after a failure is the module's to say; all else on time, and the state of the call, is {@link ListClock}'s, which
+ * may want it sooner. When the configuration names another discovery, the watch moves at once.
  *
  * <p>One thread calls, reads and waits, so that calls follow on each other and what an old watch said last is taken
  * before what a new one says. Only {@link #reload} comes from elsewhere.
@@ -50,9 +50,11 @@
     private final Launch launch;
     private final Gatherer gatherer;
     private final Members known;
-    /** Guarded by itself, also where {@link #place} changes: an event of a call that was left behind is never told it. */
+    /**
+     * Guarded by itself, also where {@link #place} changes: an event of a call that was left behind is never told it.
+     */
     private final ListClock clock;
-    private volatile Consumer<News> to = news -> { };
+    private volatile Consumer<News> to = news -> {};
     private volatile Place place;
     private volatile Socket open;
 
@@ -95,7 +97,8 @@
     public void reload(Launch changed) {
         boolean moves = !changed.discovery().equals(place.at);
         synchronized (clock) {
-            clock.terms(changed.pushed(), changed.settings().rules().askWithin(), changed.settings().rules().drainGrace());
+            clock.terms(changed.pushed(), changed.settings().rules().askWithin(),
+                    changed.settings().rules().drainGrace());
             if (moves) {
                 place = new Place(changed.discovery(), Members.NO_REVISION);
                 clock.moved(gatherer.now());
--- a/src/main/java/wallmoor/discovery/ListClock.java
+++ b/src/main/java/wallmoor/discovery/ListClock.java
@@ -9,15 +9,16 @@
  * threads. docs/list-clock.md has the table of states and events.
  *
  * <p>How long to wait after failures is the decision module's to say. This clock calls sooner in six cases only: once,
- * within {@link #SPREAD}, after a sound watch fell silent, or was reset where what it misses counts soon; at once after a
- * move; where a watch fell silent and its term runs; where a watch ended, until what it missed counts; where the
- * settings let what is missed count sooner than the module would have called; and at the latest {@link #RETRY_PERIOD} after the call before, whatever became of it.
+ * within {@link #SPREAD}, after a sound watch fell silent, or was reset where what it misses counts soon; at once after
+ * a move; where a watch fell silent and its term runs; where a watch ended, until what it missed counts; where the
+ * settings let what is missed count sooner than the module would have called; and at the latest {@link #RETRY_PERIOD}
+ * after the call before, whatever became of it.
  *
- * <p>What no gatherer can know, this one neither: a change made while discovery can't be reached from here, if it counts
- * as told and its grace is over before discovery could be reached for long enough to be asked: where lists
- * are pushed {@link #PUSHED_SHARE} of the grace and a call, else {@link #RETRY_PERIOD} and a call, and a call may take
- * {@link #CONNECT} and {@link #ANSWER}. Where lists are asked for, what comes counts only when it is written, or
- * {@link #TERM} after discovery had it and could be reached.
+ * <p>What no gatherer can know, this one neither: a change made while discovery can't be reached from here, if it
+ * counts as told and its grace is over before discovery could be reached for long enough to be asked: where lists are
+ * pushed {@link #PUSHED_SHARE} of the grace and a call, else {@link #RETRY_PERIOD} and a call, and a call may take
+ * {@link #CONNECT} and {@link #ANSWER}. Where lists are asked for, what comes counts only when it is written, or {@link
+ * #TERM} after discovery had it and could be reached.
  */
 final class ListClock {
     /** Where the list's call stands. Only in {@link #SOUND} the list is vouched for. */
@@ -62,13 +63,18 @@
      * discovery had it and could be reached, whatever call failed before. With 2 s of grace that leaves time for a call
      * that is given up after {@link #ANSWER} and one answered at its last moment, or for two prompt refusals. */
     static final long RETRY_PERIOD = 2_500_000;
-    /** A watch that ended, rather than fell silent, is a call whose wait is over: what it did not tell counts so much later. */
+    /**
+     * A watch that ended, rather than fell silent, is a call whose wait is over: what it did not tell counts so much
+     * later.
+     */
     static final long ENDED_TERM = 2_000_000;
     /** The first call after its end comes within this time, and the next ones so long after the call before: a
      * refused call and a slow one fit into {@link #ENDED_TERM} and 2 s of grace. */
     static final long ENDED_SPREAD = 600_000;
     static final long ENDED_GAP = 1_000_000;
-    /** Watches that ended young one after another: from then on discovery is spared, as it may end all that are opened. */
+    /**
+     * Watches that ended young one after another: from then on discovery is spared, as it may end all that are opened.
+     */
     private static final int YOUNG_ENDS = 3;
     /** What lies unread already is taken for so long after its time, however much it is; what trickles is not. */
     private static final long LATE_READS = 250_000;
@@ -254,7 +260,9 @@
         return by;
     }
 
-    /** Whether what an ended watch did not tell may still be told in its term: not by a discovery that can't be reached. */
+    /**
+     * Whether what an ended watch did not tell may still be told in its term: not by a discovery that can't be reached.
+     */
     private boolean hurriesAfterEnd(long at) {
         return endedAt != NEVER && youngEnds <= YOUNG_ENDS && (at == endedAt || reached)
                 && at < endedAt + ENDED_TERM + grace;
@@ -282,8 +290,8 @@
     }
 
     /**
-     * How long the next read may take; 0 where the call or watch is broken. A gatherer that was late itself blames none:
-     * it first takes what has come meanwhile.
+     * How long the next read may take; 0 where the call or watch is broken. A gatherer that was late itself blames
+     * none: it first takes what has come meanwhile.
      */
     long left(long at) {
         if (at < due) {
--- a/src/main/java/wallmoor/discovery/Members.java
+++ b/src/main/java/wallmoor/discovery/Members.java
@@ -25,7 +25,8 @@
         try {
             Json.Obj json = Json.object(text.buffer(), text.from(), text.length());
             if (Boolean.TRUE.equals(json.get("complete")) && json.list("members") == null) {
-                throw new MalformedListException("a whole list without members"); // an empty one would say that all are gone
+                // an empty one would say that all are gone
+                throw new MalformedListException("a whole list without members");
             }
             return of(json, launch);
         } catch (Json.Malformed e) {
@@ -67,7 +68,8 @@
             default -> Member.State.DRAINING;
         };
         return new Entry(m.text("id"), String.valueOf(m.text("host_port")),
-                place(launch.zones(), m.text("locality")), place(launch.kinds(), m.text("flavor")), (int) m.number("cell", -1), state,
+                place(launch.zones(), m.text("locality")), place(launch.kinds(), m.text("flavor")),
+                (int) m.number("cell", -1), state,
                 m.number("size", 1), upSince(m.number("up_since_ms", 0)), 0);
     }
 
--- a/src/main/java/wallmoor/discovery/ObjectReader.java
+++ b/src/main/java/wallmoor/discovery/ObjectReader.java
@@ -4,9 +4,9 @@
 import wallmoor.http.Slice;
 
 /**
- * Splits the body of a watch into JSON objects and heartbeats. The body may be cut anywhere between two calls. An object
- * ends at the bracket that closes it, wherever its line ends; a blank line between objects is a heartbeat, and one
- * within an object is white space like any other. Does no I/O.
+ * Splits the body of a watch into JSON objects and heartbeats. The body may be cut anywhere between two calls. An
+ * object ends at the bracket that closes it, wherever its line ends; a blank line between objects is a heartbeat, and
+ * one within an object is white space like any other. Does no I/O.
  */
 final class ObjectReader {
     /** Told of what was found, in the order of the body. */
@@ -54,7 +54,7 @@
 
     private void between(byte b) throws MalformedListException {
         switch (b) {
-            case ' ', '\t', '\r' -> { }
+            case ' ', '\t', '\r' -> {}
             case '\n' -> lineEnd();
             case '{' -> begin();
             default -> throw new MalformedListException("something between two objects that is none");
@@ -86,7 +86,7 @@
             case '"' -> inString = true;
             case '{', '[' -> depth++;
             case '}', ']' -> depth--;
-            default -> { }
+            default -> {}
         }
         if (depth == 0) {
             end();
--- a/src/main/java/wallmoor/dns/Cache.java
+++ b/src/main/java/wallmoor/dns/Cache.java
@@ -14,11 +14,9 @@
     /** How long a stale answer counts before servers are asked again (RFC 8767 section 4 recommends 30 s). */
     private static final long STALE_LIFETIME = 30_000;
 
-    private record Key(Name name, int type) {
-    }
+    private record Key(Name name, int type) {}
 
-    private record Kept(Found found, long since, long until) {
-    }
+    private record Kept(Found found, long since, long until) {}
 
     private final Lifetimes lifetimes;
     private final Map<Key, Kept> kept;
--- a/src/main/java/wallmoor/dns/DnsSource.java
+++ b/src/main/java/wallmoor/dns/DnsSource.java
@@ -17,7 +17,9 @@
 import wallmoor.membership.News;
 import wallmoor.sources.Source;
 
-/** One service in DNS as a source of nodes: looked up before its records run out, and sooner while it seems to shrink. */
+/**
+ * One service in DNS as a source of nodes: looked up before its records run out, and sooner while it seems to shrink.
+ */
 public final class DnsSource implements Source {
     /** A whole look-up with all its targets takes no longer. */
     private static final long LONGEST_LOOKUP = 10_000;
--- a/src/main/java/wallmoor/dns/Exchange.java
+++ b/src/main/java/wallmoor/dns/Exchange.java
@@ -17,8 +17,7 @@
     /** An answer over UDP that fills it is as good as truncated; more than the size we offer must be room. */
     private static final int MOST_UDP = 4096;
 
-    private Exchange() {
-    }
+    private Exchange() {}
 
     /**
      * Asks over UDP, from a port that the system draws for this query alone; the socket is connected, so that only what
--- a/src/main/java/wallmoor/dns/Lifetimes.java
+++ b/src/main/java/wallmoor/dns/Lifetimes.java
@@ -17,7 +17,9 @@
     private static final double LATEST = 0.95;
     private static final long SIGN_BIT = 0x8000_0000L;
 
-    /** The lifetime of a record whose TTL has this value; one with the highest bit set counts as 0 (RFC 2181 section 8). */
+    /**
+     * The lifetime of a record whose TTL has this value; one with the highest bit set counts as 0 (RFC 2181 section 8).
+     */
     long of(long ttlSeconds) {
         long seconds = ttlSeconds < 0 || (ttlSeconds & SIGN_BIT) != 0 ? 0 : ttlSeconds;
         return Math.max(least, Math.min(most, seconds * 1000));
--- a/src/main/java/wallmoor/dns/Lookup.java
+++ b/src/main/java/wallmoor/dns/Lookup.java
@@ -12,8 +12,7 @@
     private static final int CACHED = 4_096;
     private static final int MOST_RECORDS = 10_000;
 
-    private Lookup() {
-    }
+    private Lookup() {}
 
     /** Milliseconds that never go back. */
     static long clock() {
--- a/src/main/java/wallmoor/dns/Reply.java
+++ b/src/main/java/wallmoor/dns/Reply.java
@@ -27,24 +27,19 @@
      * @param ttl   the least TTL on the way to them, in seconds
      * @param extra addresses in the additional section
      */
-    record Good(List<Record> records, long ttl, List<Record> extra) implements Reply {
-    }
+    record Good(List<Record> records, long ttl, List<Record> extra) implements Reply {}
 
     /** There are none; TTLs are -1 where no SOA record came. */
-    record Absent(String why, long soaTtl, long soaMinimum) implements Reply {
-    }
+    record Absent(String why, long soaTtl, long soaMinimum) implements Reply {}
 
     /** The name is another's, which must be asked for. */
-    record Alias(Name target) implements Reply {
-    }
+    record Alias(Name target) implements Reply {}
 
     /** The answer does not fit, and is to be had over TCP. */
-    record Truncated() implements Reply {
-    }
+    record Truncated() implements Reply {}
 
     /** The server can't be used for this. */
-    record Useless(String why) implements Reply {
-    }
+    record Useless(String why) implements Reply {}
 
     /** Whether this can be the answer to that query: another's id or question is somebody else's, or forged. */
     static boolean answers(Message query, Message answer) {
--- a/src/main/java/wallmoor/dns/Resolver.java
+++ b/src/main/java/wallmoor/dns/Resolver.java
@@ -150,7 +150,8 @@
         try {
             Message query = query(name, type, true);
             Message answer = Exchange.udp(server, query, millis);
-            if (answer != null && answer.getRcode() == Rcode.FORMERR) { // it may be too old for EDNS (RFC 6891 section 7)
+            // it may be too old for EDNS (RFC 6891 section 7)
+            if (answer != null && answer.getRcode() == Rcode.FORMERR) {
                 query = query(name, type, false);
                 answer = Exchange.udp(server, query, millis);
             }
--- a/src/main/java/wallmoor/dns/Services.java
+++ b/src/main/java/wallmoor/dns/Services.java
@@ -38,20 +38,16 @@
          * @param faults   what is wrong with the others, in words that name them
          * @param lifetime milliseconds until it should be looked up again at the latest
          */
-        record Offered(List<Target> targets, List<String> faults, long lifetime) implements Result {
-        }
+        record Offered(List<Target> targets, List<String> faults, long lifetime) implements Result {}
 
         /** The one target is the root: the service is decidedly not available there (RFC 2782). */
-        record NotOffered(long lifetime) implements Result {
-        }
+        record NotOffered(long lifetime) implements Result {}
 
         /** No such records; {@code why} is NXDOMAIN or NODATA. */
-        record None(String why, long lifetime) implements Result {
-        }
+        record None(String why, long lifetime) implements Result {}
 
         /** No useful answer. */
-        record Failed(String why) implements Result {
-        }
+        record Failed(String why) implements Result {}
     }
 
     private final Resolver resolver;
@@ -76,9 +72,9 @@
     }
 
     /**
-     * Looks a service up; gives up after so many milliseconds. A target that has changed in any way is believed only when
-     * two readings of all its records from servers agree: SRV, address and TXT are read one after another, and one that
-     * moved between two readings would else have the port of one node and the identity of another.
+     * Looks a service up; gives up after so many milliseconds. A target that has changed in any way is believed only
+     * when two readings of all its records from servers agree: SRV, address and TXT are read one after another, and one
+     * that moved between two readings would else have the port of one node and the identity of another.
      */
     Result find(String service, long millis) {
         long deadline = clock.getAsLong() + millis;
@@ -100,7 +96,8 @@
             var agreed = new HashSet<>(next.targets().stream().map(Target::facts).toList());
             agreed.retainAll(last.targets().stream().map(Target::facts).toList());
             open = changed(next);
-            open.removeIf(n -> next.targets().stream().filter(t -> t.name().equals(n)).allMatch(t -> agreed.contains(t.facts())));
+            open.removeIf(n -> next.targets().stream().filter(t -> t.name().equals(n))
+                    .allMatch(t -> agreed.contains(t.facts())));
             last = next;
         }
         return believed(last, open);
@@ -223,7 +220,8 @@
         List<String> places = addresses(addresses.records());
         String claimed = text.get("at");
         if (claimed != null && places.stream().noneMatch(a -> Target.hostPort(a, srv.getPort()).equals(claimed))) {
-            throw new Unusable("its TXT record speaks of " + claimed + ", and its SRV record and address of another place");
+            throw new Unusable(
+                    "its TXT record speaks of " + claimed + ", and its SRV record and address of another place");
         }
         return new Target(plain(srv.getTarget()), places, srv.getPort(), srv.getPriority(), srv.getWeight(), text, ttl);
     }
@@ -237,7 +235,9 @@
                 : ((AAAARecord) r).getAddress().getHostAddress()).distinct().sorted().toList();
     }
 
-    /** Keys and values; of a key that stands twice the first counts, one without a value has an empty one (RFC 6763). */
+    /**
+     * Keys and values; of a key that stands twice the first counts, one without a value has an empty one (RFC 6763).
+     */
     private static Map<String, String> text(List<Record> records) {
         var pairs = new HashMap<String, String>();
         for (Record r : records) {
--- a/src/main/java/wallmoor/dns/Target.java
+++ b/src/main/java/wallmoor/dns/Target.java
@@ -16,7 +16,8 @@
 
     /** All but the lifetime, as a text that is equal where they are. */
     String facts() {
-        return name + " " + addresses + " " + port + " " + priority + " " + weight + " " + new java.util.TreeMap<>(text);
+        return name + " " + addresses + " " + port + " " + priority + " " + weight + " "
+                + new java.util.TreeMap<>(text);
     }
 
     /** A host as it stands in HOST:PORT. */
--- a/src/main/java/wallmoor/edge/Ask.java
+++ b/src/main/java/wallmoor/edge/Ask.java
@@ -61,7 +61,8 @@
 
     private static long[] digest(String name, long millis, List<Query.Ask> parts, String q) {
         var text = new StringBuilder(name).append('\n').append(millis);
-        parts.forEach(p -> text.append('\n').append(p.shard()).append(' ').append(p.weight()).append(' ').append(p.hint()));
+        parts.forEach(
+                p -> text.append('\n').append(p.shard()).append(' ').append(p.weight()).append(' ').append(p.hint()));
         text.append('\n').append(q);
         byte[] hash = sha256(text.toString().getBytes(StandardCharsets.UTF_8));
         var words = java.nio.ByteBuffer.wrap(hash);
--- a/src/main/java/wallmoor/edge/Devices.java
+++ b/src/main/java/wallmoor/edge/Devices.java
@@ -19,8 +19,8 @@
 
 /**
  * The devices that may ask, from a CSV file of ids and hashes of tokens. A token is ID.SECRET, its secret drawn by
- * `devices add` with 256 bits, so that a plain hash can't be searched. The file is read again when it changes; one that is
- * wrong anywhere is not taken, and the last good one stands.
+ * `devices add` with 256 bits, so that a plain hash can't be searched. The file is read again when it changes; one that
+ * is wrong anywhere is not taken, and the last good one stands.
  */
 public final class Devices {
     /** A device that is removed is refused within this and the time of a reading: well within 2 s. */
--- a/src/main/java/wallmoor/edge/EdgeQueries.java
+++ b/src/main/java/wallmoor/edge/EdgeQueries.java
@@ -154,7 +154,8 @@
         boolean gone = false;
         try {
             long giveUp = launch.get().settings().classes().get(ask.queryClass()).giveUp();
-            long deadline = Math.min(clock.getAsLong() + Math.min(ask.millis() * 1000, giveUp), lastAnswer) - FOR_THE_ANSWER;
+            long deadline = Math.min(clock.getAsLong() + Math.min(ask.millis() * 1000, giveUp), lastAnswer)
+                    - FOR_THE_ANSWER;
             String id;
             synchronized (exchanges) {
                 id = prefix + Long.toString(++numbers, 36);
@@ -198,8 +199,10 @@
             var to = new StringBuilder(64 + 64 * a.values().size()).append("{\"outcome\":\"answered\",");
             QueryBody.hits(to, a);
             byte[] body = to.append('}').toString().getBytes(StandardCharsets.UTF_8);
-            if (body.length > rules.mostOutcome()) { // room was set aside for less: it can't be kept, hence not be told twice
-                return failed(true, "answered with more than the " + rules.mostOutcome() + " bytes that an outcome may have");
+            // room was set aside for less: it can't be kept, hence not be told twice
+            if (body.length > rules.mostOutcome()) {
+                return failed(true,
+                        "answered with more than the " + rules.mostOutcome() + " bytes that an outcome may have");
             }
             return new Outcome(a.whole() ? Outcome.Kind.WHOLE : Outcome.Kind.PARTIAL, 0, body);
         }
@@ -207,7 +210,8 @@
             return refused(r.comeBackAfter(), "turned away; ask again under a new id");
         }
         return end instanceof Step.Fail f
-                ? failed(f.ran(), f.late() ? "nodes were waited for in vain" : "nodes failed it") : failed(true, "given up");
+                ? failed(f.ran(), f.late() ? "nodes were waited for in vain" : "nodes failed it")
+                : failed(true, "given up");
     }
 
     private static Outcome refused(long comeBack, String detail) {
--- a/src/main/java/wallmoor/edge/coap/EdgeCoap.java
+++ b/src/main/java/wallmoor/edge/coap/EdgeCoap.java
@@ -29,8 +29,8 @@
 import org.slf4j.LoggerFactory;
 import wallmoor.config.Launch;
 import wallmoor.edge.Ask;
-import wallmoor.edge.EdgeQueries;
 import wallmoor.edge.Devices;
+import wallmoor.edge.EdgeQueries;
 import wallmoor.exchange.Decision;
 import wallmoor.exchange.Exchange;
 import wallmoor.exchange.Key;
@@ -38,9 +38,9 @@
 import wallmoor.queries.QueryBody;
 
 /**
- * The edge over CoAP (RFC 7252) on Californium. {@code PUT /queries/ID} takes a query, in blocks if need be (Block1, RFC
- * 7959); {@code GET} tells its outcome, any block of it at any time (Block2). Blocks are kept by device and id, not by
- * address as Californium's own layer would: a device whose address changes half-way goes on.
+ * The edge over CoAP (RFC 7252) on Californium. {@code PUT /queries/ID} takes a query, in blocks if need be (Block1,
+ * RFC 7959); {@code GET} tells its outcome, any block of it at any time (Block2). Blocks are kept by device and id, not
+ * by address as Californium's own layer would: a device whose address changes half-way goes on.
  */
 public final class EdgeCoap {
     private static final int MOST_BODY = 64 * 1024;
@@ -57,8 +57,8 @@
     private final CoapServer server;
     private final ObjectMapper json = new ObjectMapper();
     private final CBORMapper cbor = new CBORMapper();
-    private final java.util.concurrent.ScheduledExecutorService waits =
-            java.util.concurrent.Executors.newSingleThreadScheduledExecutor(r -> {
+    private final java.util.concurrent.ScheduledExecutorService waits = java.util.concurrent.Executors
+            .newSingleThreadScheduledExecutor(r -> {
                 var t = new Thread(r, "edge-coap-wait");
                 t.setDaemon(true);
                 return t;
@@ -179,12 +179,14 @@
         if (block != null) {
             long from = (long) block.getNum() * block.getSize();
             if (from + body.length > MOST_BODY) {
-                problem(exchange, ResponseCode.REQUEST_ENTITY_TOO_LARGE, "request", 413, "a query has 64 KiB at most", "");
+                problem(exchange, ResponseCode.REQUEST_ENTITY_TOO_LARGE, "request", 413, "a query has 64 KiB at most",
+                        "");
                 return;
             }
             Decision decision = desk.piece(key, (int) from, body, -1, !block.isM());
             if (decision instanceof Decision.More more && more.offset() < from + body.length) {
-                var incomplete = new Response(ResponseCode.REQUEST_ENTITY_INCOMPLETE); // begin again, or with the one before
+                // begin again, or with the one before
+                var incomplete = new Response(ResponseCode.REQUEST_ENTITY_INCOMPLETE);
                 incomplete.setPayload("expected " + more.offset());
                 respond(exchange, incomplete);
                 return;
@@ -214,8 +216,8 @@
     }
 
     /**
-     * Tells the device what its asking came to. Who puts a query hears at once that it was taken, and gets what comes of
-     * it: one datagram each, so that nothing large hangs on a link that may be gone.
+     * Tells the device what its asking came to. Who puts a query hears at once that it was taken, and gets what comes
+     * of it: one datagram each, so that nothing large hangs on a link that may be gone.
      */
     private void told(CoapExchange exchange, Key key, Decision decision, boolean wants) {
         if (decision instanceof Decision.Run run) {
@@ -238,11 +240,15 @@
             problem(exchange, ResponseCode.CONTENT, "uploading", 202, "not all of it has come",
                     "\"outcome\":\"uploading\",\"offset\":" + more.offset());
         } else if (decision instanceof Decision.Conflict) {
-            problem(exchange, ResponseCode.CONFLICT, "conflict", 409, "this id stands for another query; nothing was run", "");
+            problem(exchange, ResponseCode.CONFLICT, "conflict", 409,
+                    "this id stands for another query; nothing was run", "");
         } else if (decision instanceof Decision.Refuse r) {
-            later(exchange, r.why() == Decision.Why.FULL ? ResponseCode.SERVICE_UNAVAILABLE : ResponseCode.TOO_MANY_REQUESTS, r.comeBack());
+            later(exchange,
+                    r.why() == Decision.Why.FULL ? ResponseCode.SERVICE_UNAVAILABLE : ResponseCode.TOO_MANY_REQUESTS,
+                    r.comeBack());
         } else if (decision instanceof Decision.BadId bad) {
-            problem(exchange, ResponseCode.BAD_REQUEST, "id", 400, bad.what(), "\"now_ms\":" + System.currentTimeMillis());
+            problem(exchange, ResponseCode.BAD_REQUEST, "id", 400, bad.what(),
+                    "\"now_ms\":" + System.currentTimeMillis());
         } else if (decision instanceof Decision.Forgotten) {
             problem(exchange, ResponseCode.NOT_FOUND, "forgotten", 410, "older than what is remembered",
                     "\"outcome\":\"forgotten\"");
@@ -304,7 +310,8 @@
                 "\"retry_after_ms\":" + comeBack / 1000), seconds);
     }
 
-    private void problem(CoapExchange exchange, ResponseCode code, String type, int status, String detail, String members) {
+    private void problem(CoapExchange exchange, ResponseCode code, String type, int status, String detail,
+            String members) {
         body(exchange, new Response(code), EdgeQueries.problem(type, status, detail, members), 0);
     }
 
--- a/src/main/java/wallmoor/edge/coap/Verified.java
+++ b/src/main/java/wallmoor/edge/coap/Verified.java
@@ -13,8 +13,8 @@
 import org.eclipse.californium.core.coap.option.StandardOptionRegistry;
 
 /**
- * Which addresses have proven that they get what is sent to them, by the Echo option (RFC 9175). A challenge holds its time
- * and a code of the address, so that nothing is kept for who has not answered one. Safe for threads.
+ * Which addresses have proven that they get what is sent to them, by the Echo option (RFC 9175). A challenge holds its
+ * time and a code of the address, so that nothing is kept for who has not answered one. Safe for threads.
  */
 final class Verified {
     private static final int MOST_ADDRESSES = 20_000;
--- a/src/main/java/wallmoor/edge/http/EdgeHttp.java
+++ b/src/main/java/wallmoor/edge/http/EdgeHttp.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
+import java.util.function.Supplier;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import java.util.function.Supplier;
 import wallmoor.config.Launch;
 import wallmoor.edge.Ask;
-import wallmoor.edge.EdgeQueries;
 import wallmoor.edge.Devices;
+import wallmoor.edge.EdgeQueries;
 import wallmoor.exchange.Decision;
 import wallmoor.exchange.Exchange;
 import wallmoor.exchange.Key;
@@ -34,8 +34,9 @@
 import wallmoor.queries.QueryBody;
 
 /**
- * The edge over HTTP/1.1: {@code PUT /queries/ID} asks, and may be said again whenever a link broke; {@code GET} tells the
- * outcome, waits for it, and goes on where an answer broke off. A thin wire: what an asking comes to is the desk's to say.
+ * The edge over HTTP/1.1: {@code PUT /queries/ID} asks, and may be said again whenever a link broke; {@code GET} tells
+ * the outcome, waits for it, and goes on where an answer broke off. A thin wire: what an asking comes to is the desk's
+ * to say.
  */
 public final class EdgeHttp {
     private static final String JSON = "application/json";
@@ -54,7 +55,8 @@
     private final Server server;
 
     /** Makes the front and listens; nothing is answered before {@link #start}. */
-    public EdgeHttp(InetSocketAddress listen, int mostClients, Supplier<Launch> launch, EdgeQueries desk, Devices devices,
+    public EdgeHttp(InetSocketAddress listen, int mostClients, Supplier<Launch> launch, EdgeQueries desk,
+            Devices devices,
             Consumer<String> log) throws IOException {
         this.launch = launch;
         this.desk = desk;
@@ -79,7 +81,8 @@
         try {
             route(request, exchange);
         } catch (HttpProblem e) {
-            problem(exchange, e.status(), e.status() == 401 ? "WWW-Authenticate: Bearer\r\n" : "", "request", e.getMessage());
+            problem(exchange, e.status(), e.status() == 401 ? "WWW-Authenticate: Bearer\r\n" : "", "request",
+                    e.getMessage());
         }
     }
 
@@ -159,20 +162,24 @@
         } else if (decision instanceof Decision.Replay replay) {
             outcome(request, exchange, replay.outcome());
         } else if (decision instanceof Decision.More more) {
-            answer(exchange, 202, "Location: /queries/" + key.id() + "\r\nUpload-Offset: " + more.offset() + "\r\n", JSON,
+            answer(exchange, 202, "Location: /queries/" + key.id() + "\r\nUpload-Offset: " + more.offset() + "\r\n",
+                    JSON,
                     bytes("{\"outcome\":\"uploading\",\"offset\":" + more.offset() + "}"));
         } else if (decision instanceof Decision.Conflict) {
             problem(exchange, 409, "", "conflict", "this id stands for another query; nothing was run");
         } else if (decision instanceof Decision.Refuse r) {
-            problem(exchange, r.why() == Decision.Why.FULL ? 503 : 429, "Retry-After: " + seconds(r.comeBack()) + "\r\n",
+            problem(exchange, r.why() == Decision.Why.FULL ? 503 : 429,
+                    "Retry-After: " + seconds(r.comeBack()) + "\r\n",
                     "later", "not now: " + r.why().name().toLowerCase(Locale.ROOT).replace('_', ' ')
                             + "; nothing was run, ask again under this id");
         } else if (decision instanceof Decision.BadId bad) {
             problem(exchange, 400, "", "id", bad.what());
         } else if (decision instanceof Decision.Forgotten) {
-            problem(exchange, 410, "", "forgotten", "this id is older than what is remembered: whether it ran is not known");
+            problem(exchange, 410, "", "forgotten",
+                    "this id is older than what is remembered: whether it ran is not known");
         } else {
-            problem(exchange, 404, "", "unknown", "nothing is known of this id: it was never taken, or may be asked again");
+            problem(exchange, 404, "", "unknown",
+                    "nothing is known of this id: it was never taken, or may be asked again");
         }
     }
 
@@ -226,8 +233,9 @@
                 + (coding == Coding.IDENTITY ? "" : "Content-Encoding: " + coding.token() + "\r\n");
         Ranges range = Ranges.of(request.header("Range"), request.header("If-Range"), etag, packed.length);
         switch (range.kind()) {
-            case BEYOND -> problem(exchange, 416, "Content-Range: bytes */" + packed.length + "\r\nETag: " + etag + "\r\n",
-                    "range", "the answer has " + packed.length + " bytes");
+            case BEYOND ->
+                problem(exchange, 416, "Content-Range: bytes */" + packed.length + "\r\nETag: " + etag + "\r\n",
+                        "range", "the answer has " + packed.length + " bytes");
             case PART -> answer(exchange, 206, headers + "Content-Range: bytes " + range.from() + "-" + (range.to() - 1)
                     + "/" + packed.length + "\r\n", JSON, Arrays.copyOfRange(packed, range.from(), range.to()));
             default -> answer(exchange, 200, headers, JSON, packed);
@@ -246,8 +254,10 @@
     /** Every answer has the time, by which a device may set its clock. */
     private static void answer(HttpExchange exchange, int status, String headers, String type, byte[] body)
             throws IOException {
-        exchange.answer(status, "Date: " + DateTimeFormatter.RFC_1123_DATE_TIME.format(ZonedDateTime.now(ZoneOffset.UTC))
-                + "\r\nCache-Control: no-store\r\nContent-Type: " + type + "\r\n" + headers, body);
+        exchange.answer(status,
+                "Date: " + DateTimeFormatter.RFC_1123_DATE_TIME.format(ZonedDateTime.now(ZoneOffset.UTC))
+                        + "\r\nCache-Control: no-store\r\nContent-Type: " + type + "\r\n" + headers,
+                body);
     }
 
     private static byte[] bytes(String text) {
--- a/src/main/java/wallmoor/edge/http/Ranges.java
+++ b/src/main/java/wallmoor/edge/http/Ranges.java
@@ -21,7 +21,8 @@
         String[] ends = spec.substring(6).split("-", -1);
         if (ends[0].isEmpty()) {
             int last = Integer.parseInt(ends[1]);
-            return last == 0 ? new Ranges(Kind.BEYOND, 0, 0) : new Ranges(Kind.PART, Math.max(0, length - last), length);
+            return last == 0 ? new Ranges(Kind.BEYOND, 0, 0)
+                    : new Ranges(Kind.PART, Math.max(0, length - last), length);
         }
         int from = Integer.parseInt(ends[0]);
         int to = ends[1].isEmpty() ? length : Math.min(length, Integer.parseInt(ends[1]) + 1);
