--- a/src/main/java/wallmoor/exchange/Exchanges.java
+++ b/src/main/java/wallmoor/exchange/Exchanges.java
@@ -11,16 +11,15 @@
 import java.util.UUID;
 
 /**
- * The life of devices' queries: asked, out, ended, retained, forgotten (docs/exchange.md). It decides only; callers give
- * the time in microseconds, never going back, and one caller at a time uses it.
+ * The life of devices' queries: asked, out, ended, retained, forgotten (docs/exchange.md). It decides only; callers
+ * give the time in microseconds, never going back, and one caller at a time uses it.
  *
  * <p>What may not repeat is run once, however often it is asked. Its outcome is kept until its id's window is over, and
- * the id tells its age by itself (UUID version 7, RFC 9562): one that is older than what is remembered, also because the
- * program was started since, is never run. So nothing has to be remembered for ever.
+ * the id tells its age by itself (UUID version 7, RFC 9562): one that is older than what is remembered, also because
+ * the program was started since, is never run. So nothing has to be remembered for ever.
  */
 public final class Exchanges {
-    private record Due(long at, Exchange exchange) {
-    }
+    private record Due(long at, Exchange exchange) {}
 
     private static final int VERSION = 7;
     private static final int MICROS = 1000;
@@ -191,7 +190,8 @@
         }
         try {
             UUID uuid = UUID.fromString(id);
-            return uuid.version() == VERSION && uuid.toString().equals(id) ? (uuid.getMostSignificantBits() >>> 16) * MICROS : -1;
+            return uuid.version() == VERSION && uuid.toString().equals(id)
+                    ? (uuid.getMostSignificantBits() >>> 16) * MICROS : -1;
         } catch (IllegalArgumentException e) {
             return -1;
         }
@@ -201,7 +201,8 @@
     private Decision age(String id) {
         long made = madeAt(id);
         if (made < 0) {
-            return new Decision.BadId("the id of a query that may not repeat must be a UUID of version 7 in lower case");
+            return new Decision.BadId(
+                    "the id of a query that may not repeat must be a UUID of version 7 in lower case");
         }
         if (made > now + rules.skew()) {
             return new Decision.BadId("the id was made in the future: see the Date of this answer");
@@ -362,6 +363,5 @@
     }
 
     /** Counts. */
-    public record Held(int open, int retained, long bytes, int devices) {
-    }
+    public record Held(int open, int retained, long bytes, int devices) {}
 }
--- a/src/main/java/wallmoor/exchange/Key.java
+++ b/src/main/java/wallmoor/exchange/Key.java
@@ -1,5 +1,4 @@
 package wallmoor.exchange;
 
 /** Whose query, and which of theirs: no device can name another's. */
-public record Key(String device, String id) {
-}
+public record Key(String device, String id) {}
--- a/src/main/java/wallmoor/exchange/Rules.java
+++ b/src/main/java/wallmoor/exchange/Rules.java
@@ -30,8 +30,10 @@
     /** Checks the bounds. */
     public Rules {
         if (grace < 0 || retain <= 0 || window <= 0 || skew < 0 || uploadIdle <= 0 || openEach < 1 || open < openEach
-                || retainedEach < 1 || mostOutcome < 1 || bytesEach < mostOutcome + OVERHEAD || retainedBytes < bytesEach
-                || !(askRate > 0) || askBurst < 1 || !(returnRate > 0) || returnFirst <= 0 || returnMost < returnFirst) {
+                || retainedEach < 1 || mostOutcome < 1 || bytesEach < mostOutcome + OVERHEAD
+                || retainedBytes < bytesEach
+                || !(askRate > 0) || askBurst < 1 || !(returnRate > 0) || returnFirst <= 0
+                || returnMost < returnFirst) {
             throw new IllegalArgumentException("rules of exchanges are out of bounds");
         }
     }
--- a/src/main/java/wallmoor/figures/Figures.java
+++ b/src/main/java/wallmoor/figures/Figures.java
@@ -50,8 +50,7 @@
     private final LongAdder reloadsRefused = new LongAdder();
 
     /** All at zero. */
-    public Figures() {
-    }
+    public Figures() {}
 
     /** A query has been taken up; one call of {@link #ended} must follow it, however the query ends. */
     public void taken(String queryClass) {
--- a/src/main/java/wallmoor/frames/FrameReader.java
+++ b/src/main/java/wallmoor/frames/FrameReader.java
@@ -31,7 +31,9 @@
         in = socket.getInputStream();
     }
 
-    /** The next frame from its letter on, good until the next call; null at the end, or if nothing more can be trusted. */
+    /**
+     * The next frame from its letter on, good until the next call; null at the end, or if nothing more can be trusted.
+     */
     Slice next() throws IOException {
         while (true) {
             int have = end - from;
@@ -62,7 +64,8 @@
         if (begun && System.nanoTime() - begunAt > TimeUnit.MILLISECONDS.toNanos((long) PAUSES * pauseMillis)) {
             return false;
         }
-        int wanted = end >= LENGTH_BYTES ? LENGTH_BYTES + Math.min(MOST_FRAME, Math.max(1, length())) : LENGTH_BYTES + 1;
+        int wanted = end >= LENGTH_BYTES ? LENGTH_BYTES + Math.min(MOST_FRAME, Math.max(1, length()))
+                : LENGTH_BYTES + 1;
         if (wanted > buffer.length) {
             buffer = Arrays.copyOf(buffer, wanted);
         }
--- a/src/main/java/wallmoor/frames/WorkerConnection.java
+++ b/src/main/java/wallmoor/frames/WorkerConnection.java
@@ -52,8 +52,7 @@
     }
 
     /** A frame to write: a call, or the end of an attempt. */
-    private record Frame(Step.Send send, Entry cancel) {
-    }
+    private record Frame(Step.Send send, Entry cancel) {}
 
     private final Gatherer gatherer;
     private final WorkerLinks.Limits limits;
@@ -444,12 +443,12 @@
     /** Handles a frame; false if it makes the connection useless. */
     private boolean take(Slice frame) {
         switch (frame.buffer()[frame.from()]) {
-            case 'A':
+            case 'A' :
                 Answer answer = Answer.of(frame);
                 return answer != null && take(answer);
-            case 'P', 'L':
+            case 'P', 'L' :
                 return true; // no probe is ever sent
-            default:
+            default :
                 return false; // E, or no frame at all
         }
     }
--- a/src/main/java/wallmoor/frames/WorkerLinks.java
+++ b/src/main/java/wallmoor/frames/WorkerLinks.java
@@ -86,7 +86,8 @@
             }
             if (connections.size() < MOST_CONNECTIONS && open < limits.mostConnections()) {
                 try {
-                    fresh = new WorkerConnection(gatherer, limits, "worker-" + numbers.incrementAndGet(), send.worker());
+                    fresh = new WorkerConnection(gatherer, limits, "worker-" + numbers.incrementAndGet(),
+                            send.worker());
                     if (fresh.offer(send, false)) {
                         connections.add(fresh);
                         open++;
--- a/src/main/java/wallmoor/http/Connection.java
+++ b/src/main/java/wallmoor/http/Connection.java
@@ -6,12 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client's connection. Between requests it is watched by the selector's thread and has none of its own; what comes in is
- * fed to it, and from a request's first byte to its answer a thread of the pool reads, works and answers.
+ * A client's connection. Between requests it is watched by the selector's thread and has none of its own; what comes in
+ * is fed to it, and from a request's first byte to its answer a thread of the pool reads, works and answers.
  *
- * <p>The feed is the lock of its state. Reading from the channel, and ending the connection from here, are each one step
- * under that lock: a request that was read before the end is answered, and what is read after it is discarded. The states,
- * their events and the tests that force them stand in {@code docs/connections.md}.
+ * <p>The feed is the lock of its state. Reading from the channel, and ending the connection from here, are each one
+ * step under that lock: a request that was read before the end is answered, and what is read after it is discarded. The
+ * states, their events and the tests that force them stand in {@code docs/connections.md}.
  */
 final class Connection {
     /** What a connection is at. */
@@ -26,7 +26,9 @@
         IDLE_UNUSED,
         /** Between requests. */
         IDLE,
-        /** The output is shut; what still comes is read and discarded until the client closes too, for a bounded time. */
+        /**
+         * The output is shut; what still comes is read and discarded until the client closes too, for a bounded time.
+         */
         CLOSING,
         /** It is over. */
         CLOSED
@@ -36,7 +38,8 @@
     static final long ERROR_LINGER_MILLIS = 5_200;
     /** ... or after the last answer, or the end of an idle connection. */
     static final long LINGER_MILLIS = 500;
-    private static final byte[] TOO_BUSY = HttpOut.bytes(503, "Retry-After: 1\r\n", HttpExchange.plain("too much at work"),
+    private static final byte[] TOO_BUSY = HttpOut.bytes(503, "Retry-After: 1\r\n",
+            HttpExchange.plain("too much at work"),
             true, false);
 
     private final Server server;
@@ -73,8 +76,9 @@
     // ---- what comes in: by the watching thread, which waits for nothing ------------------------------------
 
     /**
-     * Reads what the channel has; false if nothing more is wanted until it asks. To read, and to know whether the connection
-     * still takes requests, is one step: else it could be ended in between, with a request read and never answered.
+     * Reads what the channel has; false if nothing more is wanted until it asks. To read, and to know whether the
+     * connection still takes requests, is one step: else it could be ended in between, with a request read and never
+     * answered.
      */
     boolean readFrom(ReadableByteChannel channel, ByteBuffer scratch) throws IOException {
         synchronized (feed) {
@@ -105,8 +109,8 @@
     }
 
     /**
-     * The client has closed: it has gone, whatever it sent before, and so has who waits for the request at work. One that is
-     * still being read ends with its reader.
+     * The client has closed: it has gone, whatever it sent before, and so has who waits for the request at work. One
+     * that is still being read ends with its reader.
      */
     void ended() {
         HttpExchange left;
@@ -176,7 +180,8 @@
     /** How long the request at hand may take to come in. */
     private int requestTimeout() {
         long sinceOpen = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt);
-        int left = first ? (int) Math.max(100, server.timeouts().firstRequest() - sinceOpen) : server.timeouts().request();
+        int left = first ? (int) Math.max(100, server.timeouts().firstRequest() - sinceOpen)
+                : server.timeouts().request();
         first = false;
         return left;
     }
@@ -284,8 +289,8 @@
     }
 
     /**
-     * Ends it from this side: the client is told that nothing more comes, and what it still sends is read and discarded. To
-     * close over bytes not yet read would reset the connection, and could take the last answer with it.
+     * Ends it from this side: the client is told that nothing more comes, and what it still sends is read and
+     * discarded. To close over bytes not yet read would reset the connection, and could take the last answer with it.
      *
      * @param lingerMillis for how long the client may go on sending
      */
--- a/src/main/java/wallmoor/http/ConnectionSelector.java
+++ b/src/main/java/wallmoor/http/ConnectionSelector.java
@@ -12,9 +12,9 @@
 import java.util.function.Consumer;
 
 /**
- * One thread that watches all connections of a server and hands on what comes in. So one that says nothing costs neither a
- * thread nor a wake-up: a gatherer that is stopped and let go on again, as its share of a core is used up, wakes each thread
- * it has, and with hundreds of threads at rest that took more of its share than its queries.
+ * One thread that watches all connections of a server and hands on what comes in. So one that says nothing costs
+ * neither a thread nor a wake-up: a gatherer that is stopped and let go on again, as its share of a core is used up,
+ * wakes each thread it has, and with hundreds of threads at rest that took more of its share than its queries.
  */
 final class ConnectionSelector {
     /** Read at once: most requests whole, and no more than a connection may have unread. */
--- a/src/main/java/wallmoor/http/HttpIn.java
+++ b/src/main/java/wallmoor/http/HttpIn.java
@@ -321,7 +321,8 @@
     private static boolean isStatus(String line) {
         return (line.startsWith("HTTP/1.0 ") || line.startsWith("HTTP/1.1 ")) && line.length() >= 12
                 && line.charAt(9) >= '1' && line.charAt(9) <= '5' && only("0123456789", line.substring(10, 12))
-                && (line.length() == 12 || line.charAt(12) == ' ') && line.indexOf('\r') < 0 && line.indexOf('\u0085') < 0;
+                && (line.length() == 12 || line.charAt(12) == ' ') && line.indexOf('\r') < 0
+                && line.indexOf('\u0085') < 0;
     }
 
     /** Whether there is something, of these signs alone; a pattern would be made anew for each message. */
@@ -340,7 +341,8 @@
 
     private static boolean keeps(List<String> headers, String version) {
         String connection = Message.find(headers, "Connection");
-        List<String> said = connection == null ? List.of() : List.of(connection.toLowerCase(Locale.ROOT).split("[ ,]+"));
+        List<String> said = connection == null ? List.of()
+                : List.of(connection.toLowerCase(Locale.ROOT).split("[ ,]+"));
         return version.equals("HTTP/1.1") ? !said.contains("close") : said.contains("keep-alive");
     }
 
--- a/src/main/java/wallmoor/http/HttpOut.java
+++ b/src/main/java/wallmoor/http/HttpOut.java
@@ -19,8 +19,7 @@
             Map.entry(502, "Bad Gateway"), Map.entry(503, "Service Unavailable"), Map.entry(504, "Gateway Timeout"),
             Map.entry(505, "HTTP Version Not Supported"));
 
-    private HttpOut() {
-    }
+    private HttpOut() {}
 
     /** An answer as it is sent; {@code headers} are whole lines, each with its end. */
     static byte[] bytes(int status, String headers, byte[] body, boolean withBody, boolean keep) {
@@ -31,7 +30,8 @@
 
     /** Writes a request without a body. */
     public static void get(OutputStream out, String host, String target, String headers) throws IOException {
-        out.write(joined("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n" + headers + "\r\n", Slice.EMPTY.buffer()));
+        out.write(joined("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n" + headers + "\r\n",
+                Slice.EMPTY.buffer()));
     }
 
     /** Writes a request with a body of JSON. */
--- a/src/main/java/wallmoor/http/IncomingBytes.java
+++ b/src/main/java/wallmoor/http/IncomingBytes.java
@@ -12,8 +12,8 @@
  */
 final class IncomingBytes extends InputStream {
     /**
-     * So much waits unread at most: a reader that has fallen behind is filled up no further, and the peer waits. While a
-     * request is at work the peer is read on beyond that, so that its close is seen behind whatever it sent.
+     * So much waits unread at most: a reader that has fallen behind is filled up no further, and the peer waits. While
+     * a request is at work the peer is read on beyond that, so that its close is seen behind whatever it sent.
      */
     static final int MOST = 16 * 1024;
     private static final int FIRST = 1024;
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Whether the peer is read on however much is unread. What it sends beyond the bound is discarded then, and the feed
-     * ends with what it holds: see {@link #truncated}.
+     * Whether the peer is read on however much is unread. What it sends beyond the bound is discarded then, and the
+     * feed ends with what it holds: see {@link #truncated}.
      */
     synchronized void readOn(boolean on) {
         readingOn = on;
--- a/src/main/java/wallmoor/http/Inherited.java
+++ b/src/main/java/wallmoor/http/Inherited.java
@@ -10,8 +10,8 @@
 
 /**
  * A listening socket that the platform holds and passes to each process as descriptor 0. It is never closed here: the
- * queue of connections belongs to all processes that have it, and closing Java's channel of it would send standard output
- * and error to nowhere. So whoever stops accepting only ceases to ask; a selector is what can be woken for that.
+ * queue of connections belongs to all processes that have it, and closing Java's channel of it would send standard
+ * output and error to nowhere. So whoever stops accepting only ceases to ask; a selector is what can be woken for that.
  */
 public final class Inherited implements Listening {
     private final ServerSocketChannel channel;
--- a/src/main/java/wallmoor/http/Listening.java
+++ b/src/main/java/wallmoor/http/Listening.java
@@ -9,8 +9,8 @@
     /**
      * Waits for the next connection.
      *
-     * @throws java.nio.channels.ClosedChannelException once {@link #stop} was called and no connection is left that this
-     *     process has to take
+     * @throws java.nio.channels.ClosedChannelException once {@link #stop} was called and no connection is left that
+     *     this process has to take
      */
     SocketChannel accept() throws IOException;
 
--- a/src/main/java/wallmoor/http/OwnSocket.java
+++ b/src/main/java/wallmoor/http/OwnSocket.java
@@ -11,8 +11,9 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A listening socket of this process's own. The kernel completes handshakes by itself, so that a client may have written its
- * request to a connection that waits here: closing the socket would reset all of these. So they are taken first.
+ * A listening socket of this process's own. The kernel completes handshakes by itself, so that a client may have
+ * written its request to a connection that waits here: closing the socket would reset all of these. So they are taken
+ * first.
  */
 final class OwnSocket implements Listening {
     /** Connections that wait in the kernel while all threads are busy. */
--- a/src/main/java/wallmoor/http/Server.java
+++ b/src/main/java/wallmoor/http/Server.java
@@ -15,8 +15,8 @@
 import wallmoor.http.Connection.State;
 
 /**
- * Serves HTTP/1.1: one thread watches the connections at rest, and a request is read, worked on and answered by one thread
- * of a pool, which blocks. A client that stops reading holds up its own only.
+ * Serves HTTP/1.1: one thread watches the connections at rest, and a request is read, worked on and answered by one
+ * thread of a pool, which blocks. A client that stops reading holds up its own only.
  */
 public final class Server {
     /** What a front does with a request, on a thread of its own. */
@@ -94,8 +94,8 @@
     }
 
     /**
-     * From now on connections between requests stay for as long as they may: nobody connects here any more, and whoever has
-     * a connection sends on it. One that is closed now costs its client that request, not a handshake.
+     * From now on connections between requests stay for as long as they may: nobody connects here any more, and whoever
+     * has a connection sends on it. One that is closed now costs its client that request, not a handshake.
      */
     public void stay() {
         staying = true;
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Takes no more connections but those that wait already, ends idle ones gracefully, and waits for the answers to those
-     * at work.
+     * Takes no more connections but those that wait already, ends idle ones gracefully, and waits for the answers to
+     * those at work.
      */
     public void finish(long millis) throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
@@ -154,7 +154,10 @@
         }
     }
 
-    /** At the cap one is evicted, as {@link Eviction} says; with none such the accepting thread waits, and connects queue. */
+    /**
+     * At the cap one is evicted, as {@link Eviction} says; with none such the accepting thread waits, and connects
+     * queue.
+     */
     private void makeRoom() {
         var oldest = new EnumMap<State, Connection>(State.class);
         for (Connection c : connections) {
--- a/src/main/java/wallmoor/http/Threads.java
+++ b/src/main/java/wallmoor/http/Threads.java
@@ -10,8 +10,7 @@
 public final class Threads {
     private static final long STACK = 192 * 1024;
 
-    private Threads() {
-    }
+    private Threads() {}
 
     /** Starts a daemon thread. */
     public static Thread start(String name, Runnable work) {
--- a/src/main/java/wallmoor/json/Json.java
+++ b/src/main/java/wallmoor/json/Json.java
@@ -121,19 +121,19 @@
         }
         int c = peek();
         switch (c) {
-            case '{':
+            case '{' :
                 return object(depth);
-            case '[':
+            case '[' :
                 return list(depth);
-            case '"':
+            case '"' :
                 return string();
-            case 't':
+            case 't' :
                 return word("true", Boolean.TRUE);
-            case 'f':
+            case 'f' :
                 return word("false", Boolean.FALSE);
-            case 'n':
+            case 'n' :
                 return word("null", null);
-            default:
+            default :
                 return number();
         }
     }
--- a/src/main/java/wallmoor/log/Logging.java
+++ b/src/main/java/wallmoor/log/Logging.java
@@ -34,12 +34,15 @@
     /** Libraries that tell of each endpoint they open, and of each step of an election. */
     private static final String[] TALKATIVE = {"org.eclipse.californium", "io.microraft"};
 
-    /** Readable lines. Logback's patterns would do, but reading one costs a start a tenth of a second on half a core. */
+    /**
+     * Readable lines. Logback's patterns would do, but reading one costs a start a tenth of a second on half a core.
+     */
     private static final class Readable extends LayoutBase<ILoggingEvent> {
         @Override
         public String doLayout(ILoggingEvent event) {
             String logger = event.getLoggerName();
-            var line = new StringBuilder(128).append(event.getInstant()).append(' ').append(event.getLevel()).append(' ')
+            var line = new StringBuilder(128).append(event.getInstant()).append(' ').append(event.getLevel())
+                    .append(' ')
                     .append(logger, logger.lastIndexOf('.') + 1, logger.length()).append(": ")
                     .append(event.getFormattedMessage()).append('\n');
             if (event.getThrowableProxy() != null) {
@@ -56,7 +59,8 @@
         @Override
         public FilterReply decide(Marker marker, Logger logger, Level level, String format, Object[] params,
                 Throwable thrown) {
-            if (format == null || marker != null && marker.getName().equals(STATE) || !level.isGreaterOrEqual(logger.getEffectiveLevel())) {
+            if (format == null || marker != null && marker.getName().equals(STATE)
+                    || !level.isGreaterOrEqual(logger.getEffectiveLevel())) {
                 return FilterReply.NEUTRAL;
             }
             int held;
@@ -118,7 +122,8 @@
         if (config.json() != Boolean.TRUE.equals(context.getObject("json"))) {
             setUp(context, config.json());
         }
-        context.getLoggerList().forEach(l -> l.setLevel(l.getName().equals(Logger.ROOT_LOGGER_NAME) ? Level.INFO : null));
+        context.getLoggerList()
+                .forEach(l -> l.setLevel(l.getName().equals(Logger.ROOT_LOGGER_NAME) ? Level.INFO : null));
         for (String library : TALKATIVE) {
             context.getLogger(library).setLevel(Level.WARN);
         }
--- a/src/main/java/wallmoor/maintenance/Act.java
+++ b/src/main/java/wallmoor/maintenance/Act.java
@@ -5,8 +5,9 @@
 import wallmoor.maintenance.Machine.Phase;
 
 /**
- * What is to be done just now. It follows from the version that acts and from what is seen, and from nothing remembered: it
- * may be done any number of times, by whoever holds the lease, and is no longer asked for once it is seen done.
+ * What is to be done just now. It follows from the version that acts and from what is seen, and from nothing
+ * remembered: it may be done any number of times, by whoever holds the lease, and is no longer asked for once it is
+ * seen done.
  */
 public record Act(Kind kind, String machine) {
     /** What is done. */
--- a/src/main/java/wallmoor/maintenance/Asks.java
+++ b/src/main/java/wallmoor/maintenance/Asks.java
@@ -5,19 +5,21 @@
 
 /** What staff ask, as the next version of the state. Each may be asked again: what is so already stays as it is. */
 public final class Asks {
-    /** With their reasons so many fit a document ({@code versions.Ledger.MOST_TEXT}, 524,288 characters), each in some 400. */
+    /**
+     * With their reasons so many fit a document ({@code versions.Ledger.MOST_TEXT}, 524,288 characters), each in some
+     * 400.
+     */
     public static final int MOST_WISHES = 1_000;
     /** Characters of a reason, of who asks, of an id and of a machine together. */
     public static final int MOST_TEXT = 300;
 
-    private Asks() {
-    }
+    private Asks() {}
 
     /**
      * Asks that a machine be taken out.
      *
-     * @throws AskException where the id is another wish's, the machine has a wish that is not over, its texts are too long,
-     *                      or there are too many wishes
+     * @throws AskException where the id is another wish's, the machine has a wish that is not over, its texts are too
+     *                      long, or there are too many wishes
      */
     public static State ask(State state, Wish wish, long now) throws AskException {
         Standing known = state.wishes().get(wish.id());
@@ -25,21 +27,25 @@
             if (known.wish().equals(wish)) {
                 return state;
             }
-            throw new AskException(wish.id() + " is another wish, of " + known.wish().machine() + "; ask under another id");
+            throw new AskException(
+                    wish.id() + " is another wish, of " + known.wish().machine() + "; ask under another id");
         }
         if (wish.id().length() + wish.machine().length() + wish.reason().length() + wish.who().length() > MOST_TEXT) {
-            throw new AskException("id, machine, reason and who have more than " + MOST_TEXT + " characters together; say less");
+            throw new AskException(
+                    "id, machine, reason and who have more than " + MOST_TEXT + " characters together; say less");
         }
         Standing other = state.of(wish.machine());
         if (other != null) {
-            throw new AskException(wish.machine() + " has the wish " + other.wish().id() + ", which is " + other.step().word()
-                    + "; withdraw it first");
+            throw new AskException(
+                    wish.machine() + " has the wish " + other.wish().id() + ", which is " + other.step().word()
+                            + "; withdraw it first");
         }
         SortedMap<String, Standing> next = new TreeMap<>(state.wishes());
         if (next.size() >= MOST_WISHES) {
             // the oldest that is over is forgotten; its id asked once more is a new wish
             String oldest = next.values().stream().filter(s -> s.step().over() && !s.ours())
-                    .min((a, b) -> Long.compare(a.since(), b.since())).map(s -> s.wish().id()).orElseThrow(() -> new AskException(
+                    .min((a, b) -> Long.compare(a.since(), b.since())).map(s -> s.wish().id())
+                    .orElseThrow(() -> new AskException(
                             MOST_WISHES + " wishes are not over; ask again when some are, or withdraw some"));
             next.remove(oldest);
         }
@@ -58,7 +64,8 @@
             return state;
         }
         if (s.step().away() && s.step() != Step.DRAINING) {
-            throw new AskException(s.wish().machine() + " is " + s.step().word() + "; its wish ends when it is back and warm");
+            throw new AskException(
+                    s.wish().machine() + " is " + s.step().word() + "; its wish ends when it is back and warm");
         }
         return put(state, s.at(Step.GIVEN_UP, now, java.util.List.of(Reason.of(Rule.WITHDRAWN))));
     }
--- a/src/main/java/wallmoor/maintenance/Budgets.java
+++ b/src/main/java/wallmoor/maintenance/Budgets.java
@@ -14,13 +14,15 @@
  * @param gatherersKept fewest gatherers that serve
  * @param hours        when work may be; empty for always
  * @param cold         a node that served for less since its start is cold
- * @param coldShare    share of its capacity that a node has at its start, in millionths; it grows to all of it in {@code cold}
+ * @param coldShare       share of its capacity that a node has at its start, in millionths; it grows to all of it in
+ *   {@code cold}
  * @param warmUp       watched for so long after it is warm, before the next goes
  * @param parts        after so long without a word no part is out that was sent before: a lease and the longest part
  * @param drain        a machine that is not free after so long is given up
  * @param late         a machine may be out, and cold, for so much longer than reckoned before it is overdue
  */
-public record Budgets(int atOnce, Map<String, Integer> centres, int capacityKept, int gatherersKept, Hours hours, long cold,
+public record Budgets(int atOnce, Map<String, Integer> centres, int capacityKept, int gatherersKept, Hours hours,
+        long cold,
         int coldShare, long warmUp, long parts, long drain, long late) {
     /** Shares are in millionths. */
     public static final int MILLION = 1_000_000;
@@ -74,7 +76,8 @@
             for (Window w : windows) {
                 if (length <= w.length()) {
                     long day = Math.floorDiv(at + offset * MINUTE, DAY) * DAY - offset * MINUTE;
-                    for (long begin = day - DAY + w.from() * MINUTE; begin <= day + DAY + w.from() * MINUTE; begin += DAY) {
+                    for (long begin = day - DAY + w.from() * MINUTE; begin <= day + DAY
+                            + w.from() * MINUTE; begin += DAY) {
                         long from = Math.max(at, begin);
                         if (from + length <= begin + w.length() && (best < 0 || from < best)) {
                             best = from;
--- a/src/main/java/wallmoor/maintenance/Busy.java
+++ b/src/main/java/wallmoor/maintenance/Busy.java
@@ -6,8 +6,7 @@
 
 /** Whether a machine that drains is free: by every gatherer's own word, or after the time in which all parts end. */
 final class Busy {
-    private Busy() {
-    }
+    private Busy() {}
 
     /** Who has something on a machine, or may have; empty where it is free. */
     static List<String> with(Machine m, Fleet fleet, Budgets budgets) {
--- a/src/main/java/wallmoor/maintenance/Exact.java
+++ b/src/main/java/wallmoor/maintenance/Exact.java
@@ -13,15 +13,14 @@
 
 /**
  * Whether few jobs can be done at all, also by letting a machine wait that might go. Every order in which those with a
- * time (and those before them) are given their earliest beside the ones that have one is tried: one of these orders is as
- * early as any schedule, for every job.
+ * time (and those before them) are given their earliest beside the ones that have one is tried: one of these orders is
+ * as early as any schedule, for every job.
  */
 final class Exact {
     /** Of so many jobs all orders (720) are tried. */
     static final int MOST_JOBS = 6;
 
-    private record Placed(Job job, long from, long to) {
-    }
+    private record Placed(Job job, long from, long to) {}
 
     private final Problem p;
     private final Predicate<Reason> keeps;
@@ -113,7 +112,8 @@
         long from = p.now;
         for (String a : first.get(j)) {
             long end = placed.stream().filter(x -> x.job().wish().machine().equals(a)).mapToLong(Placed::to).findFirst()
-                    .orElseGet(() -> p.fixed.stream().filter(f -> f.machine().equals(a)).mapToLong(Fixed::until).findFirst()
+                    .orElseGet(() -> p.fixed.stream().filter(f -> f.machine().equals(a)).mapToLong(Fixed::until)
+                            .findFirst()
                             .orElse(Problem.NEVER));
             if (end == Problem.NEVER) {
                 return -1;
--- a/src/main/java/wallmoor/maintenance/Fleet.java
+++ b/src/main/java/wallmoor/maintenance/Fleet.java
@@ -13,7 +13,8 @@
  * @param quorum    whether this side of the gatherers may decide
  * @param leader    the gatherer that leads, or empty
  */
-public record Fleet(List<Machine> machines, List<Block> blocks, List<GathererReport> words, int gatherers, boolean quorum,
+public record Fleet(List<Machine> machines, List<Block> blocks, List<GathererReport> words, int gatherers,
+        boolean quorum,
         String leader) {
     public Fleet {
         machines = List.copyOf(machines);
--- a/src/main/java/wallmoor/maintenance/Length.java
+++ b/src/main/java/wallmoor/maintenance/Length.java
@@ -13,8 +13,7 @@
 
 /** How soon an order can end at the soonest: by budgets, blocks and pins, without hours. */
 final class Length {
-    private Length() {
-    }
+    private Length() {}
 
     /** In milliseconds since 1970. */
     static long least(Problem p) {
@@ -29,8 +28,9 @@
         least = Math.max(least, side(p.jobs, p.budgets.atOnce() - gone.size()));
         for (Map.Entry<String, Integer> c : p.budgets.centres().entrySet()) {
             long out = gone.stream().filter(g -> machines.get(g).centre().equals(c.getKey())).count();
-            least = Math.max(least, side(p.jobs.stream().filter(j -> machines.get(j.wish().machine()).centre().equals(c.getKey()))
-                    .toList(), (int) (c.getValue() - out)));
+            least = Math.max(least,
+                    side(p.jobs.stream().filter(j -> machines.get(j.wish().machine()).centre().equals(c.getKey()))
+                            .toList(), (int) (c.getValue() - out)));
         }
         List<Job> nodes = p.jobs.stream().filter(j -> machines.get(j.wish().machine()).node()).toList();
         least = Math.max(least, side(nodes, roomFor(p, nodes, machines, gone)));
--- a/src/main/java/wallmoor/maintenance/Line.java
+++ b/src/main/java/wallmoor/maintenance/Line.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * Machines asked in the order's order whether they go now. One that waits for what all share holds up those behind it that
- * would use it, so that it is not passed for ever; one that waits for a block, a pin or an hour is passed.
+ * Machines asked in the order's order whether they go now. One that waits for what all share holds up those behind it
+ * that would use it, so that it is not passed for ever; one that waits for a block, a pin or an hour is passed.
  */
 final class Line {
     private final OutageLedger book;
--- a/src/main/java/wallmoor/maintenance/MinimalConflict.java
+++ b/src/main/java/wallmoor/maintenance/MinimalConflict.java
@@ -16,8 +16,7 @@
     private static final int MOST_LOOKS = 200;
 
     /** @param proven that none exists, and not just that none was found */
-    record Found(List<Reason> reasons, boolean smallest, boolean proven) {
-    }
+    record Found(List<Reason> reasons, boolean smallest, boolean proven) {}
 
     private final Problem p;
 
@@ -56,8 +55,8 @@
     }
 
     /**
-     * The fewest rules, by hitting sets: of each set of rules that can be kept together, one that it leaves out is a reason.
-     * The fewest that hit all such sets are tried until they can't be kept; then no fewer can't.
+     * The fewest rules, by hitting sets: of each set of rules that can be kept together, one that it leaves out is a
+     * reason. The fewest that hit all such sets are tried until they can't be kept; then no fewer can't.
      */
     private Found fewest() {
         List<Reason> rules = rules();
@@ -176,7 +175,8 @@
     /** Where nothing is proven: the times that are missed, and what was kept meanwhile. */
     private List<Reason> late(List<Job> lost) {
         var reasons = new ArrayList<Reason>();
-        lost.stream().filter(j -> j.wish().by() != Wish.ANY_TIME).forEach(j -> reasons.add(Reason.of(Rule.BY, j.wish().machine())));
+        lost.stream().filter(j -> j.wish().by() != Wish.ANY_TIME)
+                .forEach(j -> reasons.add(Reason.of(Rule.BY, j.wish().machine())));
         rules().stream().filter(r -> r.rule() == Rule.AT_ONCE || r.rule() == Rule.CENTRE || r.rule() == Rule.CAPACITY
                 || r.rule() == Rule.HOURS).forEach(reasons::add);
         return reasons;
--- a/src/main/java/wallmoor/maintenance/OutageLedger.java
+++ b/src/main/java/wallmoor/maintenance/OutageLedger.java
@@ -135,7 +135,8 @@
         var last = new HashSet<String>();
         for (int b : blocksOf[m]) {
             if (holders[b] == 1) {
-                fleet.blocks().get(b).on().stream().filter(id -> places.containsKey(id) && !out[places.get(id)]).forEach(last::add);
+                fleet.blocks().get(b).on().stream().filter(id -> places.containsKey(id) && !out[places.get(id)])
+                        .forEach(last::add);
             }
         }
         return last;
@@ -170,7 +171,8 @@
                 if (holders[b] <= 1 && !(one && !why.isEmpty())) {
                     Block block = fleet.blocks().get(b);
                     why.add(new Reason(Rule.COVER, one ? List.of() : block.on().stream()
-                            .filter(id -> !places.containsKey(id) || out[places.get(id)]).sorted().toList(), List.of(block.id()), ""));
+                            .filter(id -> !places.containsKey(id) || out[places.get(id)]).sorted().toList(),
+                            List.of(block.id()), ""));
                 }
             }
         } else {
--- a/src/main/java/wallmoor/maintenance/Pins.java
+++ b/src/main/java/wallmoor/maintenance/Pins.java
@@ -11,10 +11,12 @@
     private final Map<String, Standing> of = new HashMap<>();
     private final Map<String, TreeSet<String>> first = new TreeMap<>();
 
-    private Pins() {
-    }
+    private Pins() {}
 
-    /** Those of all standings; of several of one machine the one that is not over counts, else the first that is not done. */
+    /**
+     * Those of all standings; of several of one machine the one that is not over counts, else the first that is not
+     * done.
+     */
     static Pins of(List<Standing> all) {
         var pins = new Pins();
         for (Standing s : all) {
--- a/src/main/java/wallmoor/maintenance/Places.java
+++ b/src/main/java/wallmoor/maintenance/Places.java
@@ -9,8 +9,7 @@
 
 /** Gives wishes that were asked their place in the order, or refuses them. What has a place keeps one. */
 final class Places {
-    private Places() {
-    }
+    private Places() {}
 
     static State give(long now, State state, Fleet fleet, Budgets budgets) {
         List<Standing> before = new ArrayList<>(state.inOrder());
@@ -35,7 +34,8 @@
     }
 
     /** All of these with a place beside those that have one, or null where they can't be met together. */
-    private static State place(long now, State state, List<Standing> before, List<Standing> asked, Fleet fleet, Budgets budgets) {
+    private static State place(long now, State state, List<Standing> before, List<Standing> asked, Fleet fleet,
+            Budgets budgets) {
         List<Standing> all = new ArrayList<>(before);
         all.addAll(asked);
         Answer answer = Planner.among(now, all, fleet, budgets);
@@ -43,7 +43,8 @@
     }
 
     /** One that can't be met beside those before. Where these can't be met themselves, that is no fault of this one. */
-    private static State alone(long now, State state, List<Standing> before, Standing asked, Fleet fleet, Budgets budgets) {
+    private static State alone(long now, State state, List<Standing> before, Standing asked, Fleet fleet,
+            Budgets budgets) {
         List<Standing> all = new ArrayList<>(before);
         if (Planner.among(now, before, fleet, budgets) instanceof Answer.Refused) {
             all.removeIf(s -> s.step().waits());
--- a/src/main/java/wallmoor/maintenance/Planner.java
+++ b/src/main/java/wallmoor/maintenance/Planner.java
@@ -14,8 +14,7 @@
     /** Beyond it one order alone is tried where all is in time. */
     private static final int MANY = 2_000;
 
-    private Planner() {
-    }
+    private Planner() {}
 
     /** The order of wishes, with nothing begun. */
     public static Answer plan(long now, List<Wish> wishes, Fleet fleet, Budgets budgets) {
@@ -49,7 +48,8 @@
                 break;
             }
         }
-        if (!best.all() && p.jobs.size() <= Exact.MOST_JOBS && p.jobs.stream().anyMatch(j -> j.wish().by() != Wish.ANY_TIME)) {
+        if (!best.all() && p.jobs.size() <= Exact.MOST_JOBS
+                && p.jobs.stream().anyMatch(j -> j.wish().by() != Wish.ANY_TIME)) {
             Run found = permuted(p, new ArrayList<>(), new ArrayList<>(p.jobs));
             best = found == null ? best : found;
         }
@@ -82,8 +82,11 @@
         Comparator<Job> name = Comparator.comparing(j -> j.wish().machine());
         Comparator<Job> longest = Comparator.comparing(j -> -j.whole());
         Comparator<Job> crowded = Comparator.comparing(j -> -twins.getOrDefault(j.wish().machine(), 0));
-        return List.of(p.jobs.stream().sorted(first.thenComparing(crowded).thenComparing(longest).thenComparing(name)).toList(),
-                p.jobs.stream().sorted(first.thenComparing(longest).thenComparing(crowded).thenComparing(name)).toList(),
+        return List.of(
+                p.jobs.stream().sorted(first.thenComparing(crowded).thenComparing(longest).thenComparing(name))
+                        .toList(),
+                p.jobs.stream().sorted(first.thenComparing(longest).thenComparing(crowded).thenComparing(name))
+                        .toList(),
                 p.jobs.stream().sorted(longest.thenComparing(first).thenComparing(name)).toList());
     }
 
@@ -114,7 +117,8 @@
     /** How many other jobs a machine shares a block with that not all may leave at once. */
     private static Map<String, Integer> twins(Problem p) {
         Map<String, Set<String>> beside = new HashMap<>();
-        p.fleet.blocks().forEach(b -> b.on().forEach(m -> beside.computeIfAbsent(m, k -> new HashSet<>()).addAll(b.on())));
+        p.fleet.blocks()
+                .forEach(b -> b.on().forEach(m -> beside.computeIfAbsent(m, k -> new HashSet<>()).addAll(b.on())));
         Map<String, Integer> twins = new HashMap<>();
         beside.forEach((m, s) -> twins.put(m, s.size()));
         return twins;
--- a/src/main/java/wallmoor/maintenance/Problem.java
+++ b/src/main/java/wallmoor/maintenance/Problem.java
@@ -14,12 +14,10 @@
     static final long NEVER = Long.MAX_VALUE;
 
     /** One wish that is not begun. @param place of its machine in the fleet, or -1 */
-    record Job(Wish wish, int place, long whole) {
-    }
+    record Job(Wish wish, int place, long whole) {}
 
     /** A machine out of service for another reason. @param until it is back, or {@link #NEVER} */
-    record Fixed(String machine, int place, long warmth, long until) {
-    }
+    record Fixed(String machine, int place, long warmth, long until) {}
 
     final long now;
     /** With the blocks alone that may stand against a job. */
@@ -93,7 +91,8 @@
     /** Machines that a job waits for. */
     List<String> before(Job job) {
         return pins.before(job.wish().machine()).stream().filter(a -> byMachine.containsKey(a) || isFixed(a)
-                || pins.dead(job.wish()).contains(a)).filter(a -> !done.contains(a) || byMachine.containsKey(a)).toList();
+                || pins.dead(job.wish()).contains(a)).filter(a -> !done.contains(a) || byMachine.containsKey(a))
+                .toList();
     }
 
     private boolean isFixed(String machine) {
--- a/src/main/java/wallmoor/maintenance/Run.java
+++ b/src/main/java/wallmoor/maintenance/Run.java
@@ -12,8 +12,8 @@
 import wallmoor.maintenance.Problem.Job;
 
 /**
- * What comes of an order where each goes as soon as it may, by the rule ({@link Line}) that steps are decided by, and all
- * lasts as reckoned.
+ * What comes of an order where each goes as soon as it may, by the rule ({@link Line}) that steps are decided by, and
+ * all lasts as reckoned.
  */
 final class Run {
     final List<Slot> slots = new ArrayList<>();
@@ -21,8 +21,7 @@
     final List<Job> lost = new ArrayList<>();
     long ends;
 
-    private record End(long at, int place, String machine) {
-    }
+    private record End(long at, int place, String machine) {}
 
     Run(Problem p, List<Job> order, Predicate<Reason> keeps) {
         OutageLedger book = new OutageLedger(p.fleet, p.budgets, keeps);
@@ -93,7 +92,8 @@
         OutageLedger book = new OutageLedger(p.whole, p.budgets, r -> true);
         p.fixed.forEach(f -> book.take(f.place()));
         var ends = new PriorityQueue<End>((a, b) -> Long.compare(a.at(), b.at()));
-        p.fixed.stream().filter(f -> f.until() != Problem.NEVER).forEach(f -> ends.add(new End(f.until(), f.place(), f.machine())));
+        p.fixed.stream().filter(f -> f.until() != Problem.NEVER)
+                .forEach(f -> ends.add(new End(f.until(), f.place(), f.machine())));
         List<Slot> whole = new ArrayList<>();
         for (Slot s : slots) {
             while (!ends.isEmpty() && ends.peek().at() <= s.starts()) {
--- a/src/main/java/wallmoor/maintenance/Steps.java
+++ b/src/main/java/wallmoor/maintenance/Steps.java
@@ -12,8 +12,8 @@
 
 /**
  * The next version of the state: a function of the one that acts, of what is seen, of the budgets and the time. Called
- * again with the same it says the same; what it says comes into force only as an agreed version, and {@link Act} follows
- * from that. Nothing here rests on what was not seen or said.
+ * again with the same it says the same; what it says comes into force only as an agreed version, and {@link Act}
+ * follows from that. Nothing here rests on what was not seen or said.
  */
 public final class Steps {
     private final long now;
@@ -79,7 +79,8 @@
     private Standing seen(Standing s) {
         Machine m = machines.get(s.wish().machine());
         Phase phase = m == null ? Phase.AWAY : m.phase();
-        Standing now1 = s.ours() && phase == Phase.SERVING && s.step() != Step.DRAINING && s.step() != Step.OUT ? s.ours(false) : s;
+        Standing now1 = s.ours() && phase == Phase.SERVING && s.step() != Step.DRAINING && s.step() != Step.OUT
+                ? s.ours(false) : s;
         return switch (s.step()) {
             case OUT, OVERDUE, RETURNING -> returns(now1, m, phase);
             case WARM -> phase == Phase.AWAY || !sound(m) ? now1.at(Step.RETURNING, now, cold(m, phase))
@@ -100,7 +101,8 @@
         if (phase == Phase.SERVING && sound(m)) {
             return s.back(true).at(Step.WARM, now, List.of());
         }
-        Step at = s.step() == Step.OUT || s.step() == Step.RETURNING && age(s) <= budgets.cold() + budgets.late() ? Step.RETURNING
+        Step at = s.step() == Step.OUT || s.step() == Step.RETURNING && age(s) <= budgets.cold() + budgets.late()
+                ? Step.RETURNING
                 : Step.OVERDUE;
         return s.back(true).at(at, now, cold(m, phase));
     }
@@ -120,12 +122,14 @@
                 .filter(s -> s.step() == Step.DRAINING).toList();
         Set<String> later = new HashSet<>();
         draining.forEach(s -> later.add(s.wish().machine()));
-        ours.stream().filter(id -> !later.contains(id) && places.containsKey(id)).forEach(id -> book.take(places.get(id)));
+        ours.stream().filter(id -> !later.contains(id) && places.containsKey(id))
+                .forEach(id -> book.take(places.get(id)));
         List<Standing> on = new ArrayList<>();
         for (Standing s : draining) {
             Machine m = machines.get(s.wish().machine());
             Integer place = places.get(s.wish().machine());
-            List<Reason> stops = m == null || m.phase() == Phase.AWAY ? List.of(Reason.of(Rule.ITSELF, s.wish().machine()))
+            List<Reason> stops = m == null || m.phase() == Phase.AWAY
+                    ? List.of(Reason.of(Rule.ITSELF, s.wish().machine()))
                     : staff(s) ? List.of(Reason.of(Rule.STAFF)) : book.why(place);
             if (m != null) {
                 book.take(place);
@@ -148,7 +152,8 @@
     private Standing drained(Standing s, Machine m, List<Reason> beside) {
         List<String> busy = Busy.with(m, fleet, budgets);
         if (!busy.isEmpty()) {
-            return age(s) >= budgets.drain() ? s.at(Step.GIVEN_UP, now, List.of(new Reason(Rule.BUSY, busy, List.of(), "drain")))
+            return age(s) >= budgets.drain()
+                    ? s.at(Step.GIVEN_UP, now, List.of(new Reason(Rule.BUSY, busy, List.of(), "drain")))
                     : s.at(Step.DRAINING, now, List.of(new Reason(Rule.BUSY, busy, List.of(), "")));
         }
         long left = s.wish().lasts() + budgets.cold() + budgets.warmUp();
@@ -170,7 +175,9 @@
         return s.wish().by() - left < now;
     }
 
-    /** Who of those with a place goes now; the others wait, or are held where all that is ours coming back would not do. */
+    /**
+     * Who of those with a place goes now; the others wait, or are held where all that is ours coming back would not do.
+     */
     private void starts(OutageLedger book, State placed) {
         OutageLedger others = new OutageLedger(fleet, budgets, r -> true);
         for (Machine m : fleet.machines()) {
--- a/src/main/java/wallmoor/maintenance/Texts.java
+++ b/src/main/java/wallmoor/maintenance/Texts.java
@@ -15,8 +15,7 @@
 public final class Texts {
     private static final String WISH = "wish.";
 
-    private Texts() {
-    }
+    private Texts() {}
 
     /** As a document's body. */
     public static String body(State state) {
@@ -80,7 +79,8 @@
                     texts(reason, "blocks"), reason.text("budget")));
         }
         return new Standing(wish, Step.valueOf(o.text("step").toUpperCase(Locale.ROOT).replace(' ', '_')),
-                (long) o.number("since", 0), o.text("life"), Boolean.TRUE.equals(o.get("ours")), Boolean.TRUE.equals(o.get("back")),
+                (long) o.number("since", 0), o.text("life"), Boolean.TRUE.equals(o.get("ours")),
+                Boolean.TRUE.equals(o.get("back")),
                 Boolean.TRUE.equals(o.get("hold")), why);
     }
 
@@ -97,7 +97,8 @@
         names(to.append(",\"before\":"), s.wish().before());
         Json.quote(to.append(",\"step\":"), s.step().word());
         Json.quote(to.append(",\"since\":").append(s.since()).append(",\"life\":"), s.life());
-        to.append(",\"ours\":").append(s.ours()).append(",\"back\":").append(s.back()).append(",\"hold\":").append(s.hold());
+        to.append(",\"ours\":").append(s.ours()).append(",\"back\":").append(s.back()).append(",\"hold\":")
+                .append(s.hold());
         return reasons(to.append(",\"why\":"), s.why()).append('}').toString();
     }
 
--- a/src/main/java/wallmoor/membership/Change.java
+++ b/src/main/java/wallmoor/membership/Change.java
@@ -7,5 +7,4 @@
  *
  * @param cause in words for the operators, as "drained by list at revision 43"
  */
-public record Change(Member member, String cause) {
-}
+public record Change(Member member, String cause) {}
--- a/src/main/java/wallmoor/membership/Roster.java
+++ b/src/main/java/wallmoor/membership/Roster.java
@@ -19,18 +19,15 @@
  */
 public final class Roster {
     /** Where a node stands, for the operators. */
-    public record Standing(Member member, String cause) {
-    }
+    public record Standing(Member member, String cause) {}
 
     /** How a source stands, for the operators. */
-    public record SourceStanding(String source, int nodes, int doubted, String state) {
-    }
+    public record SourceStanding(String source, int nodes, int doubted, String state) {}
 
     /** Nodes under suspicion at most: each is tried every second. */
     private static final int MOST_SUSPECTS = 64;
 
-    private record Wake(long at, String id) {
-    }
+    private record Wake(long at, String id) {}
 
     private static final class Node {
         final String id;
@@ -297,7 +294,9 @@
         node.tier = tier;
     }
 
-    /** Has the node looked at again then; an earlier time that is set already finds out by itself what is left to wait. */
+    /**
+     * Has the node looked at again then; an earlier time that is set already finds out by itself what is left to wait.
+     */
     private void wake(Node node, long at) {
         if (at > now && (node.wakeAt <= now || at < node.wakeAt)) {
             node.wakeAt = at;
@@ -354,12 +353,13 @@
         String cause = node.refusal != null ? node.refusal
                 : node.eligible ? "stands by in tier " + node.tier + ": tier " + tierOf(node.cell) + " serves cell "
                         + node.cell
-                : node.word != null ? node.word.cause : expiry();
+                        : node.word != null ? node.word.cause : expiry();
         node.refusal = cause;
         if (node.shown == null) {
             return;
         }
-        if (node.shown.state() == Member.State.SERVING || node.goneAt == 0) { // it finishes what it has, then it is gone
+        // it finishes what it has, then it is gone
+        if (node.shown.state() == Member.State.SERVING || node.goneAt == 0) {
             node.goneAt = now + policy.linger();
         }
         wake(node, node.goneAt);
--- a/src/main/java/wallmoor/model/GroupModel.java
+++ b/src/main/java/wallmoor/model/GroupModel.java
@@ -39,11 +39,11 @@
     /** Makes the decider of a member that starts. */
     public interface Maker {
         /** The parameters are those of {@link Peers#Peers}. */
-        Decider make(String name, String address, long boot, List<String> seeds, Rules rules, long seed, Decider.Actions actions);
+        Decider make(String name, String address, long boot, List<String> seeds, Rules rules, long seed,
+                Decider.Actions actions);
     }
 
-    private record Event(long at, long order, int to, int life, Message message) {
-    }
+    private record Event(long at, long order, int to, int life, Message message) {}
 
     private final class Member implements Decider.Actions {
         final int number;
@@ -64,7 +64,8 @@
             int to = number(address);
             sent++;
             bytes += sizes.applyAsLong(message);
-            long delay = to < members.length && !filter.loses(number, to, message) ? link.delay(number, to, now, random) : -1;
+            long delay = to < members.length && !filter.loses(number, to, message) ? link.delay(number, to, now, random)
+                    : -1;
             if (delay >= 0) {
                 events.add(new Event(now + delay, ++orders, to, ANY_LIFE, message));
             }
@@ -122,7 +123,8 @@
         m.up = true;
         m.pausedUntil = 0;
         m.unread.clear();
-        m.peers = maker.make(name(number), "a" + number, now + m.life, List.of("a0", "a1"), rules, random.nextLong(), m);
+        m.peers = maker.make(name(number), "a" + number, now + m.life, List.of("a0", "a1"), rules, random.nextLong(),
+                m);
         m.peers.onStart(now);
         events.add(new Event(now + random.nextLong(rules.tick()), ++orders, number, m.life, null));
     }
--- a/src/main/java/wallmoor/model/Judge.java
+++ b/src/main/java/wallmoor/model/Judge.java
@@ -5,13 +5,13 @@
 import java.util.TreeMap;
 
 /**
- * Judges a history of acts, knowing nothing of how they came about. An act goes by a version wholly, and heeds all up to
- * a last one: what these take away it does not do. For each version there is a first time at which somebody heeds it, a first
- * at which somebody goes by it wholly, and a last at which somebody acts who does not heed it. Times are microseconds.
+ * Judges a history of acts, knowing nothing of how they came about. An act goes by a version wholly, and heeds all up
+ * to a last one: what these take away it does not do. For each version there is a first time at which somebody heeds
+ * it, a first at which somebody goes by it wholly, and a last at which somebody acts who does not heed it. Times are
+ * microseconds.
  */
 public final class Judge {
-    private record Open(long wholly, long heeds, long from, long until) {
-    }
+    private record Open(long wholly, long heeds, long from, long until) {}
 
     private final TreeMap<Long, Long> firstHeeded = new TreeMap<>();
     private final TreeMap<Long, Long> firstWholly = new TreeMap<>();
--- a/src/main/java/wallmoor/model/Nemesis.java
+++ b/src/main/java/wallmoor/model/Nemesis.java
@@ -5,8 +5,8 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Faults drawn from a seed: cuts of some from the others, one way or both, loss, pauses, crashes with restarts, changes of
- * leader, clocks at the ends of their bounds. It knows nothing of what it strikes, so that ways are struck alike.
+ * Faults drawn from a seed: cuts of some from the others, one way or both, loss, pauses, crashes with restarts, changes
+ * of leader, clocks at the ends of their bounds. It knows nothing of what it strikes, so that ways are struck alike.
  */
 public final class Nemesis {
     private static final long SECOND = 1_000_000;
@@ -50,7 +50,8 @@
             case 1 -> {
                 int salt = random.nextInt();
                 int sides = 2 + random.nextInt(2);
-                world.link((from, to, now, r) -> side(from, salt, sides) != side(to, salt, sides) ? -1 : GroupModel.SOUND.delay(from, to, now, r));
+                world.link((from, to, now, r) -> side(from, salt, sides) != side(to, salt, sides) ? -1
+                        : GroupModel.SOUND.delay(from, to, now, r));
             }
             case 2 -> {
                 int salt = random.nextInt();
--- a/src/main/java/wallmoor/model/OrderedLog.java
+++ b/src/main/java/wallmoor/model/OrderedLog.java
@@ -6,8 +6,9 @@
 import wallmoor.versions.Entry;
 
 /**
- * The least that a consensus library promises, as bad as it may be: one order of entries, of which a majority decides; a
- * leader that was replaced may not know it; entries and barriers come late or never. A leader's barrier succeeds where at one moment after its begin a majority had promised nothing to a later leader.
+ * The least that a consensus library promises, as bad as it may be: one order of entries, of which a majority decides;
+ * a leader that was replaced may not know it; entries and barriers come late or never. A leader's barrier succeeds
+ * where at one moment after its begin a majority had promised nothing to a later leader.
  */
 final class OrderedLog {
     private static final long QUICK = 10_000;
@@ -17,14 +18,11 @@
 
     /** An entry came into the order, or a barrier came back, at a voter. */
     sealed interface Notice {
-        record Committed(long upTo) implements Notice {
-        }
+        record Committed(long upTo) implements Notice {}
 
-        record Barrier(long token, boolean success, long upTo) implements Notice {
-        }
+        record Barrier(long token, boolean success, long upTo) implements Notice {}
 
-        record Attempt(long term, Entry entry, long token, long upTo) implements Notice {
-        }
+        record Attempt(long term, Entry entry, long token, long upTo) implements Notice {}
     }
 
     private final World world;
@@ -109,7 +107,8 @@
         boolean holds = leads[voter] == attempt.term() && 2 * IntStream.of(reached(voter))
                 .filter(v -> promised[v] <= attempt.term()).count() > voters;
         if (attempt.entry() == null) {
-            world.later(voter, holds ? delay() : UNHEARD, new Notice.Barrier(attempt.token(), holds, holds ? attempt.upTo() : 0));
+            world.later(voter, holds ? delay() : UNHEARD,
+                    new Notice.Barrier(attempt.token(), holds, holds ? attempt.upTo() : 0));
         } else if (holds) {
             entries.add(attempt.entry());
             knows[voter] = entries.size();
@@ -120,8 +119,10 @@
     }
 
     private int[] reached(int voter) {
-        return IntStream.range(0, voters).filter(v -> v == voter ? world.isUp(v) : world.runs(v) && world.reaches(voter, v)
-                && world.reaches(v, voter)).toArray();
+        return IntStream.range(0, voters)
+                .filter(v -> v == voter ? world.isUp(v) : world.runs(v) && world.reaches(voter, v)
+                        && world.reaches(v, voter))
+                .toArray();
     }
 
     private long quick() {
--- a/src/main/java/wallmoor/model/VersionsModel.java
+++ b/src/main/java/wallmoor/model/VersionsModel.java
@@ -19,8 +19,8 @@
 import wallmoor.versions.Terms;
 
 /**
- * Gatherers that agree on one document, {@link #NAME}, by the real deciders; the first few of them vote as well. What they
- * act on is told to a {@link Judge}. Voters come to lead by themselves where they hear no leader, or when told to.
+ * Gatherers that agree on one document, {@link #NAME}, by the real deciders; the first few of them vote as well. What
+ * they act on is told to a {@link Judge}. Voters come to lead by themselves where they hear no leader, or when told to.
  */
 public final class VersionsModel implements World.Watcher {
     /** The document. */
--- a/src/main/java/wallmoor/model/World.java
+++ b/src/main/java/wallmoor/model/World.java
@@ -8,8 +8,8 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Nodes of any kind on one true time, each with a clock that may run apart from it, and a network; in one thread: the same
- * seed and the same faults give the same run. Never used by {@code serve}. It must not know what its nodes decide.
+ * Nodes of any kind on one true time, each with a clock that may run apart from it, and a network; in one thread: the
+ * same seed and the same faults give the same run. Never used by {@code serve}. It must not know what its nodes decide.
  */
 public final class World {
     /** A node's process. Times are those of its own clock, microseconds. */
@@ -30,8 +30,7 @@
         void stopped(int node, long at);
     }
 
-    private record Event(long at, long order, int to, int life, int from, Object message) {
-    }
+    private record Event(long at, long order, int to, int life, int from, Object message) {}
 
     private static final class Place {
         Node node;
--- a/src/main/java/wallmoor/moves/Action.java
+++ b/src/main/java/wallmoor/moves/Action.java
@@ -3,8 +3,7 @@
 /** What is to be done. */
 public sealed interface Action {
     /** Propose this as the version after the one of this number. Told again until it is said what came of it. */
-    record Propose(long parent, State next) implements Action {
-    }
+    record Propose(long parent, State next) implements Action {}
 
     /**
      * Ask a node, and say what it answered, or that it did not.
@@ -12,6 +11,5 @@
      * @param id     of this asking alone
      * @param number of the version that acts: a node refuses what is older than what it has seen
      */
-    record Send(long id, String node, String block, long number, Ask ask) implements Action {
-    }
+    record Send(long id, String node, String block, long number, Ask ask) implements Action {}
 }
--- a/src/main/java/wallmoor/moves/Carry.java
+++ b/src/main/java/wallmoor/moves/Carry.java
@@ -43,7 +43,8 @@
         if (part.length != 8 || !part[6].matches("fenced|open")) {
             throw new IllegalArgumentException("no move: " + text);
         }
-        return new Carry(plain(part[0]), plain(part[1]), plain(part[2]), Long.parseLong(part[3]), Integer.parseInt(part[4]),
+        return new Carry(plain(part[0]), plain(part[1]), plain(part[2]), Long.parseLong(part[3]),
+                Integer.parseInt(part[4]),
                 Stage.valueOf(part[5].toUpperCase(Locale.ROOT)), part[6].equals("fenced"), Integer.parseInt(part[7]));
     }
 
--- a/src/main/java/wallmoor/moves/Held.java
+++ b/src/main/java/wallmoor/moves/Held.java
@@ -7,7 +7,8 @@
 /**
  * What a node holds of a block; it is kept on its disk before it is said.
  *
- * @param number  the highest that a request about this block came with: lower ones are refused; kept when the block is gone
+ * @param number   the highest that a request about this block came with: lower ones are refused; kept when the block is
+ *   gone
  * @param bytes   of the whole block; 0 where nothing is held
  * @param chunk   bytes of a chunk; 0 for a copy that was not copied
  * @param mb      room that is kept for it
--- a/src/main/java/wallmoor/moves/Mover.java
+++ b/src/main/java/wallmoor/moves/Mover.java
@@ -13,9 +13,10 @@
 import wallmoor.moves.Action.Send;
 
 /**
- * Carries out what the plan says, one version after another: asks nodes, and proposes the version that their answers allow.
- * It acts on the version that acts and on nothing else, so two of these do no harm beside each other, and one that was
- * stopped at any point goes on from the plan and from what nodes say. Times are microseconds on any clock that goes on.
+ * Carries out what the plan says, one version after another: asks nodes, and proposes the version that their answers
+ * allow. It acts on the version that acts and on nothing else, so two of these do no harm beside each other, and one
+ * that was stopped at any point goes on from the plan and from what nodes say. Times are microseconds on any clock that
+ * goes on.
  */
 public final class Mover {
     /** What operators want of it. */
@@ -115,10 +116,13 @@
                 moves.add(new Status.Moving(c, w == null ? 0 : w.there(), w == null ? "" : w.waits));
             });
         }
-        return new Status(number, state == null ? Status.Phase.UNKNOWN : state.stopped() && moves.isEmpty() ? Status.Phase.STOPPED
-                : !moves.isEmpty() ? state.paused() ? Status.Phase.PAUSED : Status.Phase.MOVING
-                : survey.finished() ? Status.Phase.FINISHED : survey.stuck().isEmpty() ? Status.Phase.PLANNING
-                : Status.Phase.STUCK, moves, survey.stuck(), pace.rate(), last);
+        return new Status(number,
+                state == null ? Status.Phase.UNKNOWN : state.stopped() && moves.isEmpty() ? Status.Phase.STOPPED
+                        : !moves.isEmpty() ? state.paused() ? Status.Phase.PAUSED : Status.Phase.MOVING
+                                : survey.finished() ? Status.Phase.FINISHED
+                                        : survey.stuck().isEmpty() ? Status.Phase.PLANNING
+                                                : Status.Phase.STUCK,
+                moves, survey.stuck(), pace.rate(), last);
     }
 
     private List<Action> go(long now) {
@@ -188,7 +192,8 @@
             }
         }
         if (given) {
-            moves.values().removeIf(c -> c.stage() == Stage.PLANNED); // the rest was planned with it: a new plan is made
+            // the rest was planned with it: a new plan is made
+            moves.values().removeIf(c -> c.stage() == Stage.PLANNED);
         }
         begin(moves);
         return state.with(moves, owners);
@@ -219,7 +224,8 @@
         long busy = moves.values().stream().filter(c -> c.stage() != Stage.PLANNED && c.stage() != Stage.SETTLE
                 && c.stage() != Stage.FORGET).count();
         for (Carry c : List.copyOf(moves.values())) {
-            if (busy < state.atOnce() && c.stage() == Stage.PLANNED && c.wave() == wave && !state.frozen().contains(c.block())) {
+            if (busy < state.atOnce() && c.stage() == Stage.PLANNED && c.wave() == wave
+                    && !state.frozen().contains(c.block())) {
                 moves.put(c.block(), c.at(Stage.PREPARE));
                 busy++;
             }
--- a/src/main/java/wallmoor/moves/Pace.java
+++ b/src/main/java/wallmoor/moves/Pace.java
@@ -1,8 +1,8 @@
 package wallmoor.moves;
 
 /**
- * How fast is copied: a bucket of bytes that fills by the time events come with. It gives way to queries: where a node says
- * that they suffer the rate is halved, and it comes back step by step.
+ * How fast is copied: a bucket of bytes that fills by the time events come with. It gives way to queries: where a node
+ * says that they suffer the rate is halved, and it comes back step by step.
  */
 final class Pace {
     /** The bucket holds what comes in this time: a late tick costs nothing, and a burst is short. */
@@ -28,7 +28,10 @@
         rate = most;
     }
 
-    /** Whether so many bytes may be copied now; they are taken then. More than the bucket holds may be taken from a full one. */
+    /**
+     * Whether so many bytes may be copied now; they are taken then. More than the bucket holds may be taken from a full
+     * one.
+     */
     boolean take(long now, long bytes) {
         if (at == Long.MIN_VALUE) {
             at = now;
@@ -49,7 +52,8 @@
             return;
         }
         changed = now;
-        rate = load >= SUFFERS ? Math.max(rate / 2, (double) most / SLOWEST) : Math.min(most, rate + (double) most / UP);
+        rate = load >= SUFFERS ? Math.max(rate / 2, (double) most / SLOWEST)
+                : Math.min(most, rate + (double) most / UP);
     }
 
     /** Bytes a second, now. */
--- a/src/main/java/wallmoor/moves/Shelf.java
+++ b/src/main/java/wallmoor/moves/Shelf.java
@@ -8,23 +8,22 @@
 import wallmoor.moves.Said.Verdict;
 
 /**
- * A node's side: what a request does to a copy. A node holds a lock of the block's while it decides, does and keeps what came
- * of it, and runs the block's parts under the same lock. What it fetches it decides on again when it is there.
+ * A node's side: what a request does to a copy. A node holds a lock of the block's while it decides, does and keeps
+ * what came of it, and runs the block's parts under the same lock. What it fetches it decides on again when it is
+ * there.
  */
 public final class Shelf {
     /** A copy has so many chunks at most: their sums and what is missing fit one answer (a sum has 64 characters). */
     public static final int MOST_CHUNKS = 4_096;
 
-    private Shelf() {
-    }
+    private Shelf() {}
 
     /**
      * What comes of a request.
      *
      * @param next what to keep before it is answered
      */
-    public record Ruling(Verdict verdict, Held next) {
-    }
+    public record Ruling(Verdict verdict, Held next) {}
 
     /**
      * Decides on a request. For {@link Ask.Pull} it says whether to fetch: what was fetched is for {@link #pulled}.
--- a/src/main/java/wallmoor/moves/State.java
+++ b/src/main/java/wallmoor/moves/State.java
@@ -19,8 +19,8 @@
 import wallmoor.versions.Value;
 
 /**
- * What the document {@code plan} says: who owns which block, and which moves are out. {@code versions.Kinds.PLAN} checks its
- * fields.
+ * What the document {@code plan} says: who owns which block, and which moves are out. {@code versions.Kinds.PLAN}
+ * checks its fields.
  *
  * @param owners of each block: whole copies that queries may be sent to
  * @param mb     of each block
@@ -29,8 +29,10 @@
  * @param frozen blocks that no move is begun of
  * @param goal   what is planned for; null before the first
  */
-public record State(SortedMap<String, SortedSet<String>> owners, SortedMap<String, Long> mb, SortedMap<String, Integer> copies,
-        SortedMap<String, Carry> moves, SortedSet<String> frozen, int atOnce, boolean paused, boolean stopped, Goal goal) {
+public record State(SortedMap<String, SortedSet<String>> owners, SortedMap<String, Long> mb,
+        SortedMap<String, Integer> copies,
+        SortedMap<String, Carry> moves, SortedSet<String> frozen, int atOnce, boolean paused, boolean stopped,
+        Goal goal) {
     private static final String OWNERS = "owners.";
     private static final String MB = "mb.";
     private static final String COPIES = "copies.";
@@ -59,8 +61,8 @@
     }
 
     /**
-     * With another goal, running again; its moves are planned anew. Nodes that the goal does not have are gone, and what
-     * they held.
+     * With another goal, running again; its moves are planned anew. Nodes that the goal does not have are gone, and
+     * what they held.
      *
      * @throws IllegalArgumentException where a block's only copies are gone, or a node that a move can't end without
      */
@@ -71,15 +73,17 @@
             var left = new TreeSet<>(on);
             left.removeIf(n -> !next.has(n));
             if (left.isEmpty()) {
-                throw new IllegalArgumentException("block " + b + " has copies on " + on + " alone, which the file does not have");
+                throw new IllegalArgumentException(
+                        "block " + b + " has copies on " + on + " alone, which the file does not have");
             }
             own.put(b, left);
             needed.merge(b, left.size(), Math::min);
         });
         moves.values().stream().filter(c -> !c.stage().early() && c.stage() != Stage.BACK && c.stage() != Stage.PLANNED
                 && !(next.has(c.from()) && next.has(c.to()))).findFirst().ifPresent(c -> {
-                    throw new IllegalArgumentException("the move of " + c.block() + " from " + c.from() + " to " + c.to()
-                            + " is handed over and not ended; it needs both nodes in the file");
+                    throw new IllegalArgumentException(
+                            "the move of " + c.block() + " from " + c.from() + " to " + c.to()
+                                    + " is handed over and not ended; it needs both nodes in the file");
                 });
         return new State(own, mb, needed, unbegun(false), frozen, most, false, false, next);
     }
@@ -211,7 +215,8 @@
     Fleet fleet(Map<String, Room> rooms) {
         var nodes = goal.nodes().stream().map(n -> {
             Room r = rooms.get(n.id());
-            long usable = goal.usable(n.id(), r.diskMb()) - r.otherMb(); // what is not ours is as if the disk were smaller
+            // what is not ours is as if the disk were smaller
+            long usable = goal.usable(n.id(), r.diskMb()) - r.otherMb();
             long disk = Math.max(0, usable) * Fleet.MILLION / (Fleet.MILLION - goal.headroom());
             while (disk * (Fleet.MILLION - goal.headroom()) / Fleet.MILLION < Math.max(1, usable)) {
                 disk++; // shares are rounded down twice
--- a/src/main/java/wallmoor/moves/Status.java
+++ b/src/main/java/wallmoor/moves/Status.java
@@ -22,8 +22,7 @@
      * @param there share of the copy that is there
      * @param waits for what, or an empty text
      */
-    public record Moving(Carry carry, double there, String waits) {
-    }
+    public record Moving(Carry carry, double there, String waits) {}
 
     public Status {
         moves = List.copyOf(moves);
--- a/src/main/java/wallmoor/moves/Survey.java
+++ b/src/main/java/wallmoor/moves/Survey.java
@@ -95,7 +95,8 @@
                 finished = plan.moves().isEmpty();
                 return finished ? null : planned(state, plan);
             }
-            stuck = answer instanceof Answer.Infeasible none ? "no plan exists; together these can't be kept: " + none.because()
+            stuck = answer instanceof Answer.Infeasible none
+                    ? "no plan exists; together these can't be kept: " + none.because()
                     : "no plan was found; give more room or a wider level";
         }
         said.clear();
@@ -128,6 +129,7 @@
             }
         }));
         return faults.isEmpty() ? "" : "the nodes hold what the plan does not say, or lack what it says: "
-                + faults.stream().limit(5).collect(Collectors.joining("; ")) + "; mend that, or start with a file that says it";
+                + faults.stream().limit(5).collect(Collectors.joining("; "))
+                + "; mend that, or start with a file that says it";
     }
 }
--- a/src/main/java/wallmoor/moves/Work.java
+++ b/src/main/java/wallmoor/moves/Work.java
@@ -5,16 +5,15 @@
 import wallmoor.moves.Said.Verdict;
 
 /**
- * One move at one stage: what to ask next, and what an answer means. It keeps nothing that the plan or a node would not say
- * again: whoever leads after a crash makes it anew.
+ * One move at one stage: what to ask next, and what an answer means. It keeps nothing that the plan or a node would not
+ * say again: whoever leads after a crash makes it anew.
  */
 final class Work {
     /** A copy that was another one so often is given up: its target or the way to it spoils what it carries. */
     static final int MOST_ROUNDS = 8;
 
     /** What is to be asked of whom. */
-    record Next(String node, Ask ask) {
-    }
+    record Next(String node, Ask ask) {}
 
     final Carry carry;
     /** The request that is out, or 0. */
@@ -64,10 +63,10 @@
 
     private Next decide(long now, State state, Pace pace, long usable) {
         switch (carry.stage()) {
-            case PREPARE:
+            case PREPARE :
                 return step == 0 ? new Next(carry.from(), new Ask.Look())
                         : new Next(carry.to(), new Ask.Prepare(bytes, chunk(), carry.mb(), usable));
-            case COPY:
+            case COPY :
                 if (step == 0) {
                     return new Next(carry.to(), new Ask.Look());
                 }
@@ -75,31 +74,33 @@
                     waits = "paused";
                     return null;
                 }
-                return pace.take(now, chunkBytes) ? new Next(carry.to(), new Ask.Pull(carry.from(), step - 1, usable)) : null;
-            case CONFIRM:
-            case HAND:
+                return pace.take(now, chunkBytes) ? new Next(carry.to(), new Ask.Pull(carry.from(), step - 1, usable))
+                        : null;
+            case CONFIRM :
+            case HAND :
                 if (step == 0) {
                     return new Next(carry.to(), new Ask.Look()); // tells the size of its chunks
                 }
                 return step == 1 ? new Next(carry.from(), carry.stage() == Stage.HAND ? new Ask.Fence(chunk())
                         : new Ask.Sums(chunk())) : new Next(carry.to(), new Ask.Seal(sums));
-            case JOIN:
+            case JOIN :
                 return new Next(carry.to(), new Ask.Admit());
-            case SETTLE:
+            case SETTLE :
                 if (now - began >= settings.settle()) {
                     next = carry.at(Stage.FORGET);
                 }
                 waits = "for queries that began before";
                 return null;
-            case FORGET:
+            case FORGET :
                 return step == 0 ? new Next(carry.to(), new Ask.Look()) : new Next(carry.from(), new Ask.Drop());
-            case BACK:
+            case BACK :
                 unfenced |= !state.goal().has(carry.from());
                 discarded |= !state.goal().has(carry.to()); // gone for good, the operator says
                 over = unfenced && discarded;
-                return over ? null : !unfenced && (step % 2 == 0 || discarded) ? new Next(carry.from(), new Ask.Unfence())
-                        : new Next(carry.to(), new Ask.Discard());
-            default:
+                return over ? null
+                        : !unfenced && (step % 2 == 0 || discarded) ? new Next(carry.from(), new Ask.Unfence())
+                                : new Next(carry.to(), new Ask.Discard());
+            default :
                 return null;
         }
     }
@@ -151,7 +152,7 @@
 
     private void take(long now, Said said, Held held) {
         switch (carry.stage()) {
-            case PREPARE:
+            case PREPARE :
                 if (step == 1) {
                     next = carry.at(Stage.COPY);
                 } else if (held.status() != Status.OWNER) {
@@ -161,21 +162,21 @@
                     step = 1;
                 }
                 break;
-            case COPY:
+            case COPY :
                 copied(held);
                 break;
-            case CONFIRM:
-            case HAND:
+            case CONFIRM :
+            case HAND :
                 confirmed(said, held);
                 break;
-            case JOIN:
+            case JOIN :
                 if (held.status() == Status.OWNER) {
                     next = carry.at(Stage.SETTLE);
                 } else {
                     stuck(now, carry.to() + " lost its copy; bring its disk back");
                 }
                 break;
-            case FORGET:
+            case FORGET :
                 if (step == 0 && held.status() == Status.OWNER) {
                     step = 1;
                 } else if (step == 1 && held.status() == Status.ABSENT) {
@@ -185,7 +186,7 @@
                             + " owns a whole copy");
                 }
                 break;
-            case BACK:
+            case BACK :
                 if (asked.ask() instanceof Ask.Unfence) {
                     unfenced = true;
                 } else {
@@ -194,7 +195,7 @@
                 step++;
                 over = unfenced && discarded;
                 break;
-            default:
+            default :
         }
     }
 
--- a/src/main/java/wallmoor/moves/http/AgreedPlan.java
+++ b/src/main/java/wallmoor/moves/http/AgreedPlan.java
@@ -9,8 +9,8 @@
 import wallmoor.moves.Action;
 
 /**
- * The plan that gatherers agree on, which has any number of authors: one thread looks which version acts, one tells what is
- * proposed until it is known what came of it. Nothing is kept here: who is started again reads what was agreed.
+ * The plan that gatherers agree on, which has any number of authors: one thread looks which version acts, one tells
+ * what is proposed until it is known what came of it. Nothing is kept here: who is started again reads what was agreed.
  */
 public final class AgreedPlan implements Plan {
     /** How soon a rival's step is heard of; what was proposed here is told at once. */
--- a/src/main/java/wallmoor/moves/http/Carrier.java
+++ b/src/main/java/wallmoor/moves/http/Carrier.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
-import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
@@ -44,7 +44,8 @@
     private final Plan plan;
     private final Map<String, String> addresses;
     private final Consumer<String> log;
-    private final HttpClient client = HttpClient.newBuilder().connectTimeout(CONNECT).version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient client = HttpClient.newBuilder().connectTimeout(CONNECT)
+            .version(HttpClient.Version.HTTP_1_1).build();
     private final ThreadPoolExecutor waiting = Threads.pool("moves-ask", AT_ONCE);
     private final BlockingQueue<Supplier<List<Action>>> events = new ArrayBlockingQueue<>(QUEUE);
     private long looked = System.nanoTime() - LOOK_NANOS;
@@ -157,8 +158,11 @@
             if (address == null) {
                 throw new IOException("has no address in the file");
             }
-            HttpResponse<InputStream> response = client.send(HttpRequest.newBuilder(URI.create("http://" + address + "/moves"))
-                    .timeout(ANSWER).POST(HttpRequest.BodyPublishers.ofString(Forms.write(s.block(), s.number(), s.ask()))).build(),
+            HttpResponse<InputStream> response = client.send(
+                    HttpRequest.newBuilder(URI.create("http://" + address + "/moves"))
+                            .timeout(ANSWER)
+                            .POST(HttpRequest.BodyPublishers.ofString(Forms.write(s.block(), s.number(), s.ask())))
+                            .build(),
                     HttpResponse.BodyHandlers.ofInputStream());
             byte[] body;
             try (var in = response.body()) {
@@ -188,7 +192,8 @@
     /** A status as JSON, with the time it was true at. */
     static String json(Status status, long at) {
         var to = new StringBuilder("{\"version\":").append(status.version()).append(",\"phase\":\"")
-                .append(status.phase().name().toLowerCase(Locale.ROOT)).append("\",\"bytes_per_second\":").append(status.rate())
+                .append(status.phase().name().toLowerCase(Locale.ROOT)).append("\",\"bytes_per_second\":")
+                .append(status.rate())
                 .append(",\"at_ms\":").append(at).append(",\"pid\":").append(ProcessHandle.current().pid());
         Json.quote(to.append(",\"stuck\":"), status.stuck());
         Json.quote(to.append(",\"given_up\":"), status.last());
@@ -198,7 +203,8 @@
             Json.quote(to.append(i == 0 ? "{" : ",{").append("\"block\":"), m.carry().block());
             Json.quote(to.append(",\"from\":"), m.carry().from());
             Json.quote(to.append(",\"to\":"), m.carry().to());
-            to.append(",\"mb\":").append(m.carry().mb()).append(",\"wave\":").append(m.carry().wave()).append(",\"stage\":\"")
+            to.append(",\"mb\":").append(m.carry().mb()).append(",\"wave\":").append(m.carry().wave())
+                    .append(",\"stage\":\"")
                     .append(m.carry().stage().name().toLowerCase(Locale.ROOT)).append("\",\"there\":")
                     .append(Math.round(m.there() * 1000) / 1000.0);
             Json.quote(to.append(",\"waits\":"), m.waits());
--- a/src/main/java/wallmoor/moves/http/Forms.java
+++ b/src/main/java/wallmoor/moves/http/Forms.java
@@ -21,11 +21,9 @@
     public static final int MOST_BYTES = 8 << 20;
 
     /** A request as it came. */
-    public record Request(String block, long number, Ask ask) {
-    }
+    public record Request(String block, long number, Ask ask) {}
 
-    private Forms() {
-    }
+    private Forms() {}
 
     /** A request. */
     public static String write(String block, long number, Ask ask) {
@@ -34,7 +32,8 @@
         to.append(",\"number\":").append(number).append(",\"ask\":\"")
                 .append(ask.getClass().getSimpleName().toLowerCase(Locale.ROOT)).append('"');
         if (ask instanceof Ask.Prepare p) {
-            to.append(",\"bytes\":").append(p.bytes()).append(",\"chunk\":").append(p.chunk()).append(",\"mb\":").append(p.mb())
+            to.append(",\"bytes\":").append(p.bytes()).append(",\"chunk\":").append(p.chunk()).append(",\"mb\":")
+                    .append(p.mb())
                     .append(",\"most_mb\":").append(p.mostMb());
         } else if (ask instanceof Ask.Pull p) {
             Json.quote(to.append(",\"from\":"), p.from());
@@ -51,26 +50,30 @@
 
     /** Reads a request. */
     public static Request readRequest(byte[] bytes) {
-        return read(bytes, o -> new Request(o.text("block"), whole(o, "number"), switch (String.valueOf(o.text("ask"))) {
-            case "look" -> new Ask.Look();
-            case "prepare" -> new Ask.Prepare(whole(o, "bytes"), (int) whole(o, "chunk"), whole(o, "mb"), whole(o, "most_mb"));
-            case "pull" -> new Ask.Pull(o.text("from"), (int) whole(o, "index"), whole(o, "most_mb"));
-            case "sums" -> new Ask.Sums((int) whole(o, "chunk"));
-            case "seal" -> new Ask.Seal(o.list("sums").stream().map(String.class::cast).toList());
-            case "fence" -> new Ask.Fence((int) whole(o, "chunk"));
-            case "unfence" -> new Ask.Unfence();
-            case "admit" -> new Ask.Admit();
-            case "discard" -> new Ask.Discard();
-            case "drop" -> new Ask.Drop();
-            case "tell" -> new Ask.Tell();
-            default -> throw new IllegalArgumentException("no request: " + o.text("ask"));
-        }));
+        return read(bytes,
+                o -> new Request(o.text("block"), whole(o, "number"), switch (String.valueOf(o.text("ask"))) {
+                    case "look" -> new Ask.Look();
+                    case "prepare" -> new Ask.Prepare(whole(o, "bytes"), (int) whole(o, "chunk"), whole(o, "mb"),
+                            whole(o, "most_mb"));
+                    case "pull" -> new Ask.Pull(o.text("from"), (int) whole(o, "index"), whole(o, "most_mb"));
+                    case "sums" -> new Ask.Sums((int) whole(o, "chunk"));
+                    case "seal" -> new Ask.Seal(o.list("sums").stream().map(String.class::cast).toList());
+                    case "fence" -> new Ask.Fence((int) whole(o, "chunk"));
+                    case "unfence" -> new Ask.Unfence();
+                    case "admit" -> new Ask.Admit();
+                    case "discard" -> new Ask.Discard();
+                    case "drop" -> new Ask.Drop();
+                    case "tell" -> new Ask.Tell();
+                    default -> throw new IllegalArgumentException("no request: " + o.text("ask"));
+                }));
     }
 
     /** An answer. */
     public static String write(Said said) {
-        var to = new StringBuilder("{\"verdict\":\"").append(said.verdict()).append("\",\"held\":").append(write(said.held()))
-                .append(",\"room\":[").append(said.room().diskMb()).append(',').append(said.room().otherMb()).append(',')
+        var to = new StringBuilder("{\"verdict\":\"").append(said.verdict()).append("\",\"held\":")
+                .append(write(said.held()))
+                .append(",\"room\":[").append(said.room().diskMb()).append(',').append(said.room().otherMb())
+                .append(',')
                 .append(said.room().heldMb()).append("],\"load\":").append(said.load()).append(",\"sums\":");
         list(to, said.sums(), x -> '"' + x + '"');
         to.append(",\"holds\":{");
@@ -96,7 +99,8 @@
     /** What is held of a block, also as a node may keep it. */
     public static String write(Held h) {
         var to = new StringBuilder("{\"status\":\"").append(h.status()).append("\",\"number\":").append(h.number())
-                .append(",\"bytes\":").append(h.bytes()).append(",\"chunk\":").append(h.chunk()).append(",\"mb\":").append(h.mb())
+                .append(",\"bytes\":").append(h.bytes()).append(",\"chunk\":").append(h.chunk()).append(",\"mb\":")
+                .append(h.mb())
                 .append(",\"floor\":").append(h.floor()).append(",\"missing\":");
         list(to, h.missing(), String::valueOf);
         return to.append('}').toString();
@@ -110,7 +114,8 @@
     private static Held held(Json.Obj o) {
         var missing = new TreeSet<Integer>();
         o.list("missing").forEach(n -> missing.add(((Long) n).intValue()));
-        return new Held(Held.Status.valueOf(o.text("status")), whole(o, "number"), whole(o, "bytes"), (int) whole(o, "chunk"),
+        return new Held(Held.Status.valueOf(o.text("status")), whole(o, "number"), whole(o, "bytes"),
+                (int) whole(o, "chunk"),
                 whole(o, "mb"), missing, whole(o, "floor"));
     }
 
--- a/src/main/java/wallmoor/moves/http/Plan.java
+++ b/src/main/java/wallmoor/moves/http/Plan.java
@@ -3,7 +3,9 @@
 import wallmoor.moves.Action;
 import wallmoor.moves.State;
 
-/** Where the plan is kept: which version acts, and what becomes of one that is proposed. Nothing here waits for long. */
+/**
+ * Where the plan is kept: which version acts, and what becomes of one that is proposed. Nothing here waits for long.
+ */
 public interface Plan extends AutoCloseable {
     /**
      * What is new.
@@ -11,8 +13,7 @@
      * @param number of the version that acts; where the state is null, of the one after which a proposal was refused
      * @param state  what that version says
      */
-    record News(long number, State state) {
-    }
+    record News(long number, State state) {}
 
     /** Proposes; what becomes of it is news later. Told again it is the same proposal. */
     void propose(Action.Propose next) throws PlanException;
--- a/src/main/java/wallmoor/moves/http/PlanDirectory.java
+++ b/src/main/java/wallmoor/moves/http/PlanDirectory.java
@@ -21,9 +21,9 @@
 import wallmoor.versions.Records;
 
 /**
- * The document {@code plan} in a directory, with one author: who has the lock. A version acts once it is on the disk, as
- * nobody else goes by another. Beside it stand what an operator wishes, and how far it has come. Where several agree on
- * the plan, this is what the agreement takes the place of.
+ * The document {@code plan} in a directory, with one author: who has the lock. A version acts once it is on the disk,
+ * as nobody else goes by another. Beside it stand what an operator wishes, and how far it has come. Where several agree
+ * on the plan, this is what the agreement takes the place of.
  */
 public final class PlanDirectory implements Plan {
     private static final String NAME = "plan";
@@ -46,7 +46,8 @@
             Files.createDirectories(directory);
             lock = FileChannel.open(directory.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
             if (lock.tryLock() == null) {
-                throw new PlanException(directory + ": another process carries this plan out; watch it by rebalance status", null);
+                throw new PlanException(
+                        directory + ": another process carries this plan out; watch it by rebalance status", null);
             }
         } catch (IOException | OverlappingFileLockException e) {
             throw new PlanException(directory + " can't be written: " + e + "; let this user write there", e);
@@ -59,11 +60,14 @@
         try {
             List<String> f = Records.readWhole(Files.readAllBytes(file)).stream()
                     .map(b -> new String(b, StandardCharsets.UTF_8)).toList();
-            var document = new Document(f.get(0), Long.parseLong(f.get(1)), Long.parseLong(f.get(2)), f.get(3), f.get(4), f.get(5),
+            var document = new Document(f.get(0), Long.parseLong(f.get(1)), Long.parseLong(f.get(2)), f.get(3),
+                    f.get(4), f.get(5),
                     f.get(6), f.get(7));
             if (!document.intact()) {
-                throw new PlanException(file + " is not what was written; put back a copy of it, or look with rebalance plan"
-                        + " at what the nodes hold and start in another directory", null);
+                throw new PlanException(
+                        file + " is not what was written; put back a copy of it, or look with rebalance plan"
+                                + " at what the nodes hold and start in another directory",
+                        null);
             }
             last = document;
             return document;
@@ -81,9 +85,12 @@
         if (parent != (last == null ? 0 : last.number())) {
             return null;
         }
-        Document next = Document.of(new Proposal(NAME, parent, last == null ? "" : last.hash(), AUTHOR, body, fallback), parent + 1);
-        List<byte[]> records = Stream.of(next.name(), "" + next.number(), "" + next.parentNumber(), next.parentHash(), next.author(),
-                next.body(), next.fallback(), next.hash()).map(t -> t.getBytes(StandardCharsets.UTF_8)).toList();
+        Document next = Document.of(new Proposal(NAME, parent, last == null ? "" : last.hash(), AUTHOR, body, fallback),
+                parent + 1);
+        List<byte[]> records = Stream
+                .of(next.name(), "" + next.number(), "" + next.parentNumber(), next.parentHash(), next.author(),
+                        next.body(), next.fallback(), next.hash())
+                .map(t -> t.getBytes(StandardCharsets.UTF_8)).toList();
         replace(NAME, Records.whole(records), true);
         last = next;
         return next;
@@ -164,8 +171,10 @@
                 }
             }
         } catch (IOException e) {
-            throw new PlanException(directory.resolve(name) + " can't be written: " + e + "; make room, or let this user write"
-                    + " there", e);
+            throw new PlanException(
+                    directory.resolve(name) + " can't be written: " + e + "; make room, or let this user write"
+                            + " there",
+                    e);
         }
     }
 
--- a/src/main/java/wallmoor/moves/http/RulesPort.java
+++ b/src/main/java/wallmoor/moves/http/RulesPort.java
@@ -13,11 +13,14 @@
 import wallmoor.versions.UnreadableException;
 
 /**
- * The document {@code plan} that gatherers agree on, over their control ports: one is asked until it can't be asked or has
- * no lease, then the next. Used by any number of threads.
+ * The document {@code plan} that gatherers agree on, over their control ports: one is asked until it can't be asked or
+ * has no lease, then the next. Used by any number of threads.
  */
 public final class RulesPort {
-    /** How long one gatherer is waited for with a proposal: the same is then told to the next, and is one proposal there. */
+    /**
+     * How long one gatherer is waited for with a proposal: the same is then told to the next, and is one proposal
+     * there.
+     */
     private static final long PROPOSE_MILLIS = 2_000;
     /** What a gatherer takes beside what it was told to wait: it may stand still for a moment. */
     private static final long SPARE_MILLIS = 3_000;
@@ -34,8 +37,7 @@
     }
 
     /** A version that the voters keep; one that does not act yet is accepted. */
-    public record Version(long number, State state, boolean acts, String author) {
-    }
+    public record Version(long number, State state, boolean acts, String author) {}
 
     /**
      * What one gatherer goes by.
@@ -44,8 +46,7 @@
      * @param number      the version that acts wholly; 0 where none does, or a later one is known
      * @param state       what it says; null where it was known before
      */
-    record Shown(long leaseMillis, long number, State state) {
-    }
+    record Shown(long leaseMillis, long number, State state) {}
 
     /** What came of a proposal: its number, and why it was refused; empty where it acts. */
     public record Outcome(long number, String refused) {
@@ -115,7 +116,8 @@
      */
     Shown show(long known) throws PlanException, IOException {
         return once(turn -> {
-            List<Json.Obj> said = lines(turn, "{\"do\":\"show\",\"name\":\"plan\",\"known\":" + known + "}", SPARE_MILLIS);
+            List<Json.Obj> said = lines(turn, "{\"do\":\"show\",\"name\":\"plan\",\"known\":" + known + "}",
+                    SPARE_MILLIS);
             Json.Obj o = said.isEmpty() ? null : said.get(0);
             long lease = o == null ? 0 : (long) o.number("lease_ms", 0);
             String basis = o == null ? "" : o.text("basis");
@@ -123,15 +125,18 @@
                 throw new IOException("the gatherer at " + address(turn) + ": has no lease");
             }
             long number = basis.equals("version") ? (long) o.number("acting", 0) : 0;
-            return new Shown(lease, number, number == 0 || o.text("body") == null ? null : state(number, o.text("body")));
+            return new Shown(lease, number,
+                    number == 0 || o.text("body") == null ? null : state(number, o.text("body")));
         });
     }
 
     /** What a version is too large by, or null: what is agreed on is bounded. */
     public static String tooLarge(State next) {
-        return next.most() <= Ledger.MOST_TEXT ? null : "the plan has " + next.most() + " characters while its moves are"
-                + " out, and gatherers agree on " + Ledger.MOST_TEXT + " at most: drain fewer nodes at once, give blocks and"
-                + " nodes shorter ids, or carry it out by one author with --dir";
+        return next.most() <= Ledger.MOST_TEXT ? null
+                : "the plan has " + next.most() + " characters while its moves are"
+                        + " out, and gatherers agree on " + Ledger.MOST_TEXT
+                        + " at most: drain fewer nodes at once, give blocks and"
+                        + " nodes shorter ids, or carry it out by one author with --dir";
     }
 
     private Outcome propose(int turn, long parent, State next) throws IOException, PlanException {
@@ -152,8 +157,10 @@
         try {
             return State.read(Kinds.PLAN.read(body));
         } catch (UnreadableException | IllegalArgumentException e) {
-            throw new PlanException("version " + number + " of the plan can't be read by this program: " + e.getMessage()
-                    + "; use the program that wrote it", e);
+            throw new PlanException(
+                    "version " + number + " of the plan can't be read by this program: " + e.getMessage()
+                            + "; use the program that wrote it",
+                    e);
         }
     }
 
@@ -206,7 +213,8 @@
                 return once(each);
             } catch (IOException e) {
                 if (System.nanoTime() - until >= 0) {
-                    throw new PlanException(e.getMessage() + "; none of those in --rules could say more for " + millis / 1_000
+                    throw new PlanException(e.getMessage() + "; none of those in --rules could say more for "
+                            + millis / 1_000
                             + " s: see that more than half of the voters run and hear each other (rules explain)", e);
                 }
             }
--- a/src/main/java/wallmoor/ogc/Features.java
+++ b/src/main/java/wallmoor/ogc/Features.java
@@ -1,7 +1,7 @@
 package wallmoor.ogc;
 
-import java.io.IOException;
 import java.io.ByteArrayOutputStream;
+import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
@@ -96,7 +96,9 @@
         server.start();
     }
 
-    /** So many gatherers share what they have in common from now on, and this is this one's place among them, from 0. */
+    /**
+     * So many gatherers share what they have in common from now on, and this is this one's place among them, from 0.
+     */
     public void share(int count, int place) {
         gatherer.share(count, place);
     }
--- a/src/main/java/wallmoor/ogc/OpenApi.java
+++ b/src/main/java/wallmoor/ogc/OpenApi.java
@@ -15,8 +15,7 @@
     private static final String CURSOR = parameter("cursor", "query", false, "\"type\":\"string\"");
     private static final String ID = parameter("featureId", "path", true, "\"type\":\"string\"");
 
-    private OpenApi() {
-    }
+    private OpenApi() {}
 
     static String text(OgcConfig config, String base) {
         var paths = new ArrayList<String>();
--- a/src/main/java/wallmoor/ogc/PruningTold.java
+++ b/src/main/java/wallmoor/ogc/PruningTold.java
@@ -13,8 +13,7 @@
 final class PruningTold {
     private static final Logger LOG = LoggerFactory.getLogger(PruningTold.class);
 
-    private PruningTold() {
-    }
+    private PruningTold() {}
 
     /**
      * The page's own member. A feature collection may have members that GeoJSON does not know (RFC 7946, 6.1), and
--- a/src/main/java/wallmoor/operator/BanFile.java
+++ b/src/main/java/wallmoor/operator/BanFile.java
@@ -27,8 +27,7 @@
     private static final AtomicInteger NUMBERS = new AtomicInteger();
 
     /** By which a file that was replaced is told without reading it. */
-    private record Stamp(FileTime modified, long size, Object key) {
-    }
+    private record Stamp(FileTime modified, long size, Object key) {}
 
     private final Path file;
     private final Path fresh;
--- a/src/main/java/wallmoor/operator/BanStore.java
+++ b/src/main/java/wallmoor/operator/BanStore.java
@@ -1,8 +1,8 @@
 package wallmoor.operator;
 
+import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import java.util.concurrent.TimeUnit;
 import wallmoor.bans.Bans;
 import wallmoor.http.Threads;
 
--- a/src/main/java/wallmoor/operator/OperatorAddress.java
+++ b/src/main/java/wallmoor/operator/OperatorAddress.java
@@ -42,7 +42,8 @@
      * @param clock microseconds of Unix time
      * @throws IOException where the address can't be had
      */
-    public OperatorAddress(InetSocketAddress at, int most, Controls controls, Bans bans, BanFile file, LongSupplier clock,
+    public OperatorAddress(InetSocketAddress at, int most, Controls controls, Bans bans, BanFile file,
+            LongSupplier clock,
             Consumer<String> log) throws IOException {
         this.controls = controls;
         this.bans = bans;
--- a/src/main/java/wallmoor/peers/Decider.java
+++ b/src/main/java/wallmoor/peers/Decider.java
@@ -1,8 +1,9 @@
 package wallmoor.peers;
 
 /**
- * What decides for one member of a group: events with their time in, messages and changes of view out. The model and the
- * socket drive any such; so ways can be measured side by side. Times are microseconds on a clock that only goes forward.
+ * What decides for one member of a group: events with their time in, messages and changes of view out. The model and
+ * the socket drive any such; so ways can be measured side by side. Times are microseconds on a clock that only goes
+ * forward.
  */
 public interface Decider {
     /** What a decider does. */
--- a/src/main/java/wallmoor/peers/Evidence.java
+++ b/src/main/java/wallmoor/peers/Evidence.java
@@ -13,7 +13,8 @@
  * @param unheard     microseconds since this member last heard it itself; negative where it does not observe it
  * @param voices      its observers, and others that said something of this life
  */
-public record Evidence(String name, String address, long incarnation, View.State state, long since, int witnesses, int needed,
+public record Evidence(String name, String address, long incarnation, View.State state, long since, int witnesses,
+        int needed,
         long unheard, List<Voice> voices) {
     /** What one of them said last. */
     public enum Said {
@@ -31,6 +32,5 @@
      * @param observes whether it stands before the member on a ring; the word of others does not count
      * @param witness  whether its word counts now: it is not doubted by several itself
      */
-    public record Voice(String name, boolean observes, boolean witness, Said said) {
-    }
+    public record Voice(String name, boolean observes, boolean witness, Said said) {}
 }
--- a/src/main/java/wallmoor/peers/Gossip.java
+++ b/src/main/java/wallmoor/peers/Gossip.java
@@ -16,8 +16,7 @@
  */
 final class Gossip {
     /** Whom it is about, and whether it is what others say of its being heard. */
-    record Piece(String name, boolean doubts) {
-    }
+    record Piece(String name, boolean doubts) {}
 
     /** By how often they were sent; of each what waits longest first. */
     private final List<LinkedHashSet<Piece>> bySent = new ArrayList<>();
--- a/src/main/java/wallmoor/peers/LiveCount.java
+++ b/src/main/java/wallmoor/peers/LiveCount.java
@@ -4,19 +4,18 @@
 import java.util.TreeSet;
 
 /**
- * Among how many gatherers what they have in common is shared, such as what a cold node may be sent, and which place this
- * one has among them. Counted are those that the view holds to be there. Who joins counts at once, so that the shares
- * never add up to more than all; who goes counts on until the view has been steady for a while, as the others may not know
- * yet. Without a quorum, and until the view has been steady for as long after one came back, the configured number holds.
- * All who know the same members count the same and give each another place.
+ * Among how many gatherers what they have in common is shared, such as what a cold node may be sent, and which place
+ * this one has among them. Counted are those that the view holds to be there. Who joins counts at once, so that the
+ * shares never add up to more than all; who goes counts on until the view has been steady for a while, as the others
+ * may not know yet. Without a quorum, and until the view has been steady for as long after one came back, the
+ * configured number holds. All who know the same members count the same and give each another place.
  */
 public final class LiveCount {
     /**
      * @param count gatherers that share, this one included
      * @param place this one's among them, from 0
      */
-    public record Share(int count, int place) {
-    }
+    public record Share(int count, int place) {}
 
     private final String self;
     private final Share configured;
@@ -67,6 +66,7 @@
         if (live != null && now - liveSince >= steady) {
             counted = new TreeSet<>(live);
         }
-        return counted == null || !counted.contains(self) ? configured : new Share(counted.size(), counted.headSet(self).size());
+        return counted == null || !counted.contains(self) ? configured
+                : new Share(counted.size(), counted.headSet(self).size());
     }
 }
--- a/src/main/java/wallmoor/peers/Message.java
+++ b/src/main/java/wallmoor/peers/Message.java
@@ -13,7 +13,8 @@
  * @param groups in {@link Kind#EXCHANGE} the digests of groups of members, so that only groups that differ are told;
  *               else empty
  */
-public record Message(Kind kind, News.Told from, long seq, String about, long digest, List<Long> groups, List<News> news) {
+public record Message(Kind kind, News.Told from, long seq, String about, long digest, List<Long> groups,
+        List<News> news) {
     /** What a message is for. */
     public enum Kind {
         /** Are you there? */
--- a/src/main/java/wallmoor/peers/Peers.java
+++ b/src/main/java/wallmoor/peers/Peers.java
@@ -17,21 +17,27 @@
  * events after an equal start give equal actions.
  *
  * <p>Each member probes its subjects on the rings, directly and then through others (SWIM). What it can't hear it
- * accuses, and news of that travels on all messages. A member is cut once most of its observers that are witnesses accuse
- * it, together with all others that are about to be cut (Rapid), and only where a quorum is reached. An accused member
- * that hears of it begins a new life, which voids all that was said of the old one. One that has stood still accuses nobody
- * for a while, and one whose probes fail in numbers waits longer for an answer (Lifeguard).
+ * accuses, and news of that travels on all messages. A member is cut once most of its observers that are witnesses
+ * accuse it, together with all others that are about to be cut (Rapid), and only where a quorum is reached. An accused
+ * member that hears of it begins a new life, which voids all that was said of the old one. One that has stood still
+ * accuses nobody for a while, and one whose probes fail in numbers waits longer for an answer (Lifeguard).
  */
 public final class Peers implements Decider {
     /** Figures of what came and went. */
-    public record Counts(long probes, long probesFailed, long accusations, long refutations, long removals, long stale) {
-    }
+    public record Counts(long probes, long probesFailed, long accusations, long refutations, long removals,
+            long stale) {}
 
-    /** Own probes that fail in a row of ticks raise self-doubt up to this: an answer is awaited so many times half as long again. */
+    /**
+     * Own probes that fail in a row of ticks raise self-doubt up to this: an answer is awaited so many times half as
+     * long again.
+     */
     private static final int MOST_DOUBT = 6;
     /** Of a process that stood still nothing is believed for as long again, and for so many intervals at most. */
     private static final int STOOD_INTERVALS = 10;
-    /** Each piece of news goes out so many times the decimal logarithm of the group's size, at least: all have it then (SWIM, 4.1). */
+    /**
+     * Each piece of news goes out so many times the decimal logarithm of the group's size, at least: all have it then
+     * (SWIM, 4.1).
+     */
     private static final int SPREAD = 4;
     /** An exchange holds digests as well, and so much less news. */
     private static final int DIGESTS = 9 * Table.GROUPS;
@@ -59,8 +65,7 @@
         long life;
     }
 
-    private record Relay(String origin, long seq, long until) {
-    }
+    private record Relay(String origin, long seq, long until) {}
 
     private final Rules rules;
     private final Random random;
@@ -86,7 +91,9 @@
     private int taken;
     private boolean yielded;
     private boolean left;
-    /** Since when something was learnt that the view does not hold; negative where nothing was. And when it was last. */
+    /**
+     * Since when something was learnt that the view does not hold; negative where nothing was. And when it was last.
+     */
     private long untoldSince = -1;
     private long learntAt;
     /** Who told it first; null where it came of time. */
@@ -147,11 +154,13 @@
         if (gap > rules.pause()) {
             stood(now, gap);
         }
-        if (differsSince >= 0 && now - differsSince > rules.interval() / 2 && parted(now)) { // a side must know soon which it is
+        // a side must know soon which it is
+        if (differsSince >= 0 && now - differsSince > rules.interval() / 2 && parted(now)) {
             exchangeAt = now;
             differsSince = -1;
             differed = true;
-        } else if (differsSince >= 0 && now - differsSince > rules.accuse()) { // news should have evened that out by now
+        } else if (differsSince >= 0 && now - differsSince > rules.accuse()) {
+            // news should have evened that out by now
             exchangeAt = Math.min(exchangeAt, now + (long) (rules.interval() * random.nextDouble()));
             differsSince = -1;
             differed = true;
@@ -174,7 +183,8 @@
         }
         View.Standing standing = standing(now);
         if (standing != view.standing()
-                || untoldSince >= 0 && (now - learntAt >= rules.interval() / 2 || now - untoldSince >= 2 * rules.interval())) {
+                || untoldSince >= 0
+                        && (now - learntAt >= rules.interval() / 2 || now - untoldSince >= 2 * rules.interval())) {
             look(now, teller == null ? "time" : "told by " + teller);
         }
     }
@@ -222,7 +232,7 @@
                     tell(m.from().address(), m.groups());
                 }
             }
-            case TABLE -> { }
+            case TABLE -> {}
         }
     }
 
@@ -257,8 +267,9 @@
         var voices = new ArrayList<Evidence.Voice>();
         for (String by : names) {
             Doubt d = e.doubtBy(by);
-            voices.add(new Evidence.Voice(by, observers.contains(by), witnesses.contains(by), d == null ? Evidence.Said.NOTHING
-                    : d.on() ? Evidence.Said.DOUBTS : Evidence.Said.HEARS_AGAIN));
+            voices.add(new Evidence.Voice(by, observers.contains(by), witnesses.contains(by),
+                    d == null ? Evidence.Said.NOTHING
+                            : d.on() ? Evidence.Said.DOUBTS : Evidence.Said.HEARS_AGAIN));
         }
         Watch w = watches.get(name);
         return new Evidence(name, e.told.address(), e.told.incarnation(), e.state, e.since, witnesses.size(),
@@ -273,14 +284,15 @@
     // ---- meeting ------------------------------------------------------------------------------------------
 
     /**
-     * Exchanges with a member at random, or one that speaks where what is known differs, and with a seed or one that went: so
-     * two sides of a cut find each other again.
+     * Exchanges with a member at random, or one that speaks where what is known differs, and with a seed or one that
+     * went: so two sides of a cut find each other again.
      */
     private void meet(long now, boolean differs) {
         table.forget(now);
         List<Table.Entry> known = differs ? speaking(now) : List.of();
         known = known.isEmpty() ? others(1, Set.of(self.name())) : known;
-        exchangeAt = now + (long) ((known.isEmpty() ? rules.interval() : rules.exchange()) * (0.75 + 0.5 * random.nextDouble()));
+        exchangeAt = now
+                + (long) ((known.isEmpty() ? rules.interval() : rules.exchange()) * (0.75 + 0.5 * random.nextDouble()));
         differsSince = -1;
         var to = new HashSet<String>();
         known.forEach(e -> to.add(e.told.address()));
@@ -333,19 +345,21 @@
             });
         }
         if (speaking.isEmpty() && !table.doubted().isEmpty()) {
-            others(1, Set.of(self.name())).forEach(e -> actions.send(e.told.address(), new Message(Message.Kind.EXCHANGE, self,
-                    ASKED, null, table.digest(), table.digests(), about(e.told.name()))));
+            others(1, Set.of(self.name()))
+                    .forEach(e -> actions.send(e.told.address(), new Message(Message.Kind.EXCHANGE, self,
+                            ASKED, null, table.digest(), table.digests(), about(e.told.name()))));
         }
     }
 
     /**
-     * One other that has spoken of late, if there is any: of those told longest ago, at random. A piece is told so many times
-     * only, and where two or three are left to tell, chance would give all of them to one.
+     * One other that has spoken of late, if there is any: of those told longest ago, at random. A piece is told so many
+     * times only, and where two or three are left to tell, chance would give all of them to one.
      */
     private List<Table.Entry> speaking(long now) {
         var all = new ArrayList<Table.Entry>();
         for (Table.Entry e : table.all()) {
-            if (speaks(now, e) && !e.told.name().equals(self.name()) && (all.isEmpty() || e.toldAt <= all.get(0).toldAt)) {
+            if (speaks(now, e) && !e.told.name().equals(self.name())
+                    && (all.isEmpty() || e.toldAt <= all.get(0).toldAt)) {
                 if (!all.isEmpty() && e.toldAt < all.get(0).toldAt) {
                     all.clear();
                 }
@@ -395,7 +409,8 @@
             }
             live(now, t.incarnation() + 1);
         } else if (n instanceof Doubt d && d.on() && d.incarnation() >= self.incarnation() && !isGone(d.by())
-                && (refutations == 0 || now - refutedAt >= 3 * rules.accuse() / 2)) { // or those that never hear it could never agree
+                && (refutations == 0 || now - refutedAt >= 3 * rules.accuse() / 2)) {
+            // or those that never hear it could never agree
             refutations++;
             refutedAt = now;
             live(now, d.incarnation() + 1);
@@ -404,7 +419,9 @@
         }
     }
 
-    /** The word of one that was removed counts nowhere: to refute it would tell all others something new for nothing. */
+    /**
+     * The word of one that was removed counts nowhere: to refute it would tell all others something new for nothing.
+     */
     private boolean isGone(String name) {
         Table.Entry e = table.get(name);
         return e != null && !e.present();
@@ -499,7 +516,8 @@
                 w.asked = true;
                 failing++;
                 others(rules.helpers(), Set.of(self.name(), name))
-                        .forEach(h -> actions.send(h.told.address(), message(Message.Kind.ASK, w.seq, name, carry(now, h))));
+                        .forEach(h -> actions.send(h.told.address(),
+                                message(Message.Kind.ASK, w.seq, name, carry(now, h))));
             }
             if (w.boot != e.told.boot()) { // another process: nothing is held against it
                 w.boot = e.told.boot();
@@ -517,12 +535,14 @@
                 w.asked = false;
                 w.seq = ++seq;
                 probes++;
-                actions.send(e.told.address(), message(Message.Kind.PROBE, w.seq, null, answered ? carry(name) : about(name)));
+                actions.send(e.told.address(),
+                        message(Message.Kind.PROBE, w.seq, null, answered ? carry(name) : about(name)));
             }
         }
         probesFailed += failing;
         if (failing > 1 && failing * 2 > subjects.size()) {
-            selfDoubt = Math.min(MOST_DOUBT, selfDoubt + 1); // that all of them are gone is less likely than that this one is
+            // that all of them are gone is less likely than that this one is
+            selfDoubt = Math.min(MOST_DOUBT, selfDoubt + 1);
         }
     }
 
@@ -595,7 +615,8 @@
     private void cut(long now) {
         boolean larger = side(now) == View.Standing.LARGER;
         largerSince = !larger ? -1 : largerSince < 0 ? now : largerSince;
-        if (table.doubted().isEmpty() || !larger || now - largerSince < rules.accuse()) { // doubts of before it came back must go first
+        // doubts of before it came back must go first
+        if (table.doubted().isEmpty() || !larger || now - largerSince < rules.accuse()) {
             cutSince = -1;
             return;
         }
@@ -622,13 +643,14 @@
             removals += ripe.size();
             confirm(now);
             cutSince = -1;
-            look(now, "cut " + String.join(", ", ripe.stream().map(e -> e.told.name() + " by " + by.get(e.told.name())).toList()));
+            look(now, "cut " + String.join(", ",
+                    ripe.stream().map(e -> e.told.name() + " by " + by.get(e.told.name())).toList()));
         }
     }
 
     /**
-     * With those that were cut, observers changed for all that were cut before or with them. Who observes one of these now
-     * would have accused it: it says so, as others that have cut fewer so far wait for its word.
+     * With those that were cut, observers changed for all that were cut before or with them. Who observes one of these
+     * now would have accused it: it says so, as others that have cut fewer so far wait for its word.
      */
     private void confirm(long now) {
         for (Table.Entry e : table.all()) {
@@ -640,12 +662,13 @@
     }
 
     /**
-     * Where a cut may be, what this member does not know of yet may be that its side is the smaller one: it has no quorum
-     * unless one has spoken of late that knew nothing more.
+     * Where a cut may be, what this member does not know of yet may be that its side is the smaller one: it has no
+     * quorum unless one has spoken of late that knew nothing more.
      */
     private View.Standing standing(long now) {
         View.Standing side = side(now);
-        return side == View.Standing.LARGER && now - abreastAt > freshness() && parted(now) ? View.Standing.CANT_TELL : side;
+        return side == View.Standing.LARGER && now - abreastAt > freshness() && parted(now) ? View.Standing.CANT_TELL
+                : side;
     }
 
     /** Probes and their answers come each interval, give or take a tenth: one of them may be lost. */
@@ -654,19 +677,24 @@
     }
 
     /**
-     * More than a quarter of those that observe this member or are observed by it have said nothing for as long as accusing
-     * takes: there may be a cut, whatever has been told of it so far.
+     * More than a quarter of those that observe this member or are observed by it have said nothing for as long as
+     * accusing takes: there may be a cut, whatever has been told of it so far.
      */
     private boolean parted(long now) {
         Set<String> beside = table.rings().observers(self.name());
         beside.addAll(table.rings().subjects(self.name()));
-        long silent = beside.stream().map(table::get).filter(e -> now - Math.max(e.spokeAt, e.metAt) > rules.accuse()).count();
+        long silent = beside.stream().map(table::get).filter(e -> now - Math.max(e.spokeAt, e.metAt) > rules.accuse())
+                .count();
         return 4 * silent > beside.size();
     }
 
-    /** One that most don't hear may be removed by a side that it takes for its own: it can't tell until they hear it again. */
+    /**
+     * One that most don't hear may be removed by a side that it takes for its own: it can't tell until they hear it
+     * again.
+     */
     private View.Standing side(long now) {
-        if (now < stoodUntil || now < unheardUntil || yielded || table.present() > rules.size() || 2 * table.reachable() == rules.size()) {
+        if (now < stoodUntil || now < unheardUntil || yielded || table.present() > rules.size()
+                || 2 * table.reachable() == rules.size()) {
             return View.Standing.CANT_TELL;
         }
         return 2 * table.reachable() > rules.size() ? View.Standing.LARGER : View.Standing.SMALLER;
@@ -697,7 +725,10 @@
         }
     }
 
-    /** One more that doubts a suspected member is evidence, and no change; nor is what one that is removed says of itself. */
+    /**
+     * One more that doubts a suspected member is evidence, and no change; nor is what one that is removed says of
+     * itself.
+     */
     private static boolean alike(List<View.Member> a, List<View.Member> b) {
         boolean alike = a.size() == b.size();
         for (int i = 0; alike && i < a.size(); i++) {
--- a/src/main/java/wallmoor/peers/Rings.java
+++ b/src/main/java/wallmoor/peers/Rings.java
@@ -15,8 +15,9 @@
 
 /**
  * Who observes whom: members stand on several rings, in an order of each ring's own that follows from names alone, and
- * each observes the next one on every ring (as in Rapid, ATC 2018). So each has some observers and some subjects, as many
- * as there are rings at most, whatever the group's size, and everybody who knows the same members knows the same ones.
+ * each observes the next one on every ring (as in Rapid, ATC 2018). So each has some observers and some subjects, as
+ * many as there are rings at most, whatever the group's size, and everybody who knows the same members knows the same
+ * ones.
  *
  * <p>Members that come and go are put in their places together, when somebody next asks: a thousand that join cost one
  * pass over the rings and not a thousand.
@@ -61,8 +62,8 @@
     }
 
     /**
-     * Members whose word reaches this one: those that it hears itself; and those that more of the reached ones which observe
-     * them hear than others doubt.
+     * Members whose word reaches this one: those that it hears itself; and those that more of the reached ones which
+     * observe them hear than others doubt.
      *
      * @param doubted whether the observer named first says that it does not hear the subject named second, or its word
      *                is of no use
--- a/src/main/java/wallmoor/peers/Rules.java
+++ b/src/main/java/wallmoor/peers/Rules.java
@@ -7,8 +7,9 @@
  * @param interval between two probes of one subject by one observer
  * @param timeout  for a direct probe; then others are asked to try
  * @param accuse   an observer that has not heard its subject for so long accuses it
- * @param settle   a cut waits so long at most for further subjects that are about to be cut as well: on the smaller side of a
- *                 group in two, all accusations must have reached all by then, or it would believe in its quorum still
+ * @param settle     a cut waits so long at most for further subjects that are about to be cut as well: on the smaller
+ *                 side of a group in two, all accusations must have reached all by then, or it would believe in its
+ *                 quorum still
  * @param quiet    ... and goes ahead once no doubt has come or gone for so long: what fails together is accused as far
  *                 apart as probes are, and who of one's own side is gone must be known before others are removed
  * @param exchange between two exchanges of all that is known, with one other
@@ -19,7 +20,8 @@
  * @param news     bytes of news in one message, about, so that it fits a datagram
  * @param members  entries at most: what comes beyond is not taken in
  */
-public record Rules(int size, long interval, long timeout, long accuse, long settle, long quiet, long exchange, long keep,
+public record Rules(int size, long interval, long timeout, long accuse, long settle, long quiet, long exchange,
+        long keep,
         long pause, int rings, int helpers, int news, int members) {
     private static final long SECOND = 1_000_000;
     /** Of a datagram of 1,200 bytes: the rest is for the sender's own news, names and a margin. */
--- a/src/main/java/wallmoor/peers/Table.java
+++ b/src/main/java/wallmoor/peers/Table.java
@@ -23,7 +23,10 @@
         News.Told told;
         /** The life that was removed here; lower than any where none was. */
         private long removed = -1;
-        /** Said to be back in a newer life: taken in at this time, unless it is still not heard; 0 where it isn't awaited. */
+        /**
+         * Said to be back in a newer life: taken in at this time, unless it is still not heard; 0 where it isn't
+         * awaited.
+         */
         private long awaitedUntil;
         long since;
         /** When it last sent this member anything. */
@@ -75,7 +78,8 @@
 
         /** Whether this life is over: a newer one is known, or it was removed or has left. */
         boolean isOver(long incarnation) {
-            return incarnation < told.incarnation() || incarnation <= removed || incarnation == told.incarnation() && told.left();
+            return incarnation < told.incarnation() || incarnation <= removed
+                    || incarnation == told.incarnation() && told.left();
         }
 
         boolean isRemoved() {
@@ -146,7 +150,8 @@
         if (!e.faded) {
             mixed = 31L * e.told.name().hashCode() + e.told.incarnation() * 1_000_003L + (e.told.left() ? 7 : 0);
             for (News.Doubt d : e.doubts()) {
-                mixed = d.on() ? mixed * 31 + d.by().hashCode() : mixed; // who never knew a doubt knows no less than who knows its end
+                // who never knew a doubt knows no less than who knows its end
+                mixed = d.on() ? mixed * 31 + d.by().hashCode() : mixed;
             }
             mixed = Rings.mix(mixed);
         }
@@ -237,8 +242,8 @@
     }
 
     /**
-     * Takes in those that were awaited for long enough for their observers to accuse them, and that were not accused by so
-     * many as would have them removed again; whether there were any.
+     * Takes in those that were awaited for long enough for their observers to accuse them, and that were not accused by
+     * so many as would have them removed again; whether there were any.
      */
     boolean admit(long now) {
         boolean any = false;
@@ -331,8 +336,9 @@
     /**
      * Members that this one hears, or that more of the reachable ones which observe them hear than doubt; without those
      * that most don't hear. That nobody is known to doubt a member tells nothing where those who would are not heard
-     * themselves: so a few of many that are cut off don't take silence for a quorum, nor one word that has not come yet.
-     * And that one or a few doubt a member tells little where more hear it: so one that hears nobody takes nobody's quorum.
+     * themselves: so a few of many that are cut off don't take silence for a quorum, nor one word that has not come
+     * yet. And that one or a few doubt a member tells little where more hear it: so one that hears nobody takes
+     * nobody's quorum.
      */
     int reachable() {
         if (reachable == null) {
--- a/src/main/java/wallmoor/peers/Unheard.java
+++ b/src/main/java/wallmoor/peers/Unheard.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 
 /**
- * Which members are not heard by the group, from who accuses whom: those that more than half of their observers accuse. The
- * word of such a member counts no more, neither for nor against others, and those that the most of their observers accuse go
- * first: so many dead ones don't vouch for each other by their silence, and a few that hear nobody, and accuse all, are
- * found out before they could be believed, or never are believed.
+ * Which members are not heard by the group, from who accuses whom: those that more than half of their observers accuse.
+ * The word of such a member counts no more, neither for nor against others, and those that the most of their observers
+ * accuse go first: so many dead ones don't vouch for each other by their silence, and a few that hear nobody, and
+ * accuse all, are found out before they could be believed, or never are believed.
  */
 final class Unheard {
     /**
@@ -17,11 +17,9 @@
      * @param by        observers that accuse it
      * @param observers all that observe it, the accusers included
      */
-    record Accused(Set<String> by, Set<String> observers) {
-    }
+    record Accused(Set<String> by, Set<String> observers) {}
 
-    private Unheard() {
-    }
+    private Unheard() {}
 
     /** Those of the accused that are not heard. */
     static Set<String> of(Map<String, Accused> accused) {
--- a/src/main/java/wallmoor/peers/View.java
+++ b/src/main/java/wallmoor/peers/View.java
@@ -19,7 +19,10 @@
         LARGER,
         /** Fewer than half are. */
         SMALLER,
-        /** Just half; or more members than there are meant to be; or this process has stood still, or most don't hear it. */
+        /**
+         * Just half; or more members than there are meant to be; or this process has stood still, or most don't hear
+         * it.
+         */
         CANT_TELL
     }
 
@@ -40,8 +43,8 @@
     }
 
     /**
-     * Whether more than half of the group is on this side. Without a quorum nobody is removed, and no decision that rests
-     * on the group may be put into force.
+     * Whether more than half of the group is on this side. Without a quorum nobody is removed, and no decision that
+     * rests on the group may be put into force.
      */
     public boolean quorum() {
         return standing == Standing.LARGER;
--- a/src/main/java/wallmoor/peers/udp/Control.java
+++ b/src/main/java/wallmoor/peers/udp/Control.java
@@ -13,8 +13,8 @@
 
 /**
  * Tells what this member holds of the group to who asks on this machine: one line asks, {@code members} or
- * {@code explain NAME}; JSON objects answer, one a line, and the connection ends. It only tells and changes nothing. One
- * thread takes them one after another, each has a second for its line.
+ * {@code explain NAME}; JSON objects answer, one a line, and the connection ends. It only tells and changes nothing.
+ * One thread takes them one after another, each has a second for its line.
  */
 public final class Control implements AutoCloseable {
     private static final int MILLIS = 1_000;
@@ -39,7 +39,7 @@
         server.start("peers-control", asker -> {
             asker.setSoTimeout(MILLIS);
             answer(line(asker), asker.getOutputStream());
-        }, () -> { }); // who asks and does not go on gets no answer; there is nobody to tell
+        }, () -> {}); // who asks and does not go on gets no answer; there is nobody to tell
     }
 
     private static String line(Socket from) throws IOException {
@@ -120,7 +120,8 @@
         }
     }
 
-    private static void member(JsonGenerator out, String name, String address, long incarnation, View.State state, long since)
+    private static void member(JsonGenerator out, String name, String address, long incarnation, View.State state,
+            long since)
             throws IOException {
         out.writeStringField("member", name);
         out.writeStringField("address", address);
--- a/src/main/java/wallmoor/peers/udp/Counters.java
+++ b/src/main/java/wallmoor/peers/udp/Counters.java
@@ -8,8 +8,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the group's I/O has counted since its start, by name. Counting takes no lock; a registry of its own, as nobody else
- * may add to it or empty it.
+ * What the group's I/O has counted since its start, by name. Counting takes no lock; a registry of its own, as nobody
+ * else may add to it or empty it.
  */
 final class Counters {
     private final MetricRegistry registry = new MetricRegistry();
--- a/src/main/java/wallmoor/peers/udp/Listener.java
+++ b/src/main/java/wallmoor/peers/udp/Listener.java
@@ -18,7 +18,8 @@
     /** Listens; what connects waits until {@link #start}, so many at most. */
     Listener(InetSocketAddress listen, int backlog) throws IOException {
         server = new ServerSocket();
-        server.setReuseAddress(true); // a process that comes back at once finds its old connections waiting out their time
+        // a process that comes back at once finds its old connections waiting out their time
+        server.setReuseAddress(true);
         server.bind(listen, backlog);
     }
 
--- a/src/main/java/wallmoor/peers/udp/PeerSocket.java
+++ b/src/main/java/wallmoor/peers/udp/PeerSocket.java
@@ -25,21 +25,19 @@
 /**
  * The group's I/O: one datagram socket, a thread that reads it and one that ticks the decider; what no datagram
  * holds goes by {@link Tables}. One lock stands round the
- * decider; what it decides is sent and told after the lock is given back, so that no send and no subscriber holds it up.
- * The kernel's receive buffer is the only queue: what does not fit there is lost, as datagrams may be.
+ * decider; what it decides is sent and told after the lock is given back, so that no send and no subscriber holds it
+ * up. The kernel's receive buffer is the only queue: what does not fit there is lost, as datagrams may be.
  */
 public final class PeerSocket {
     private static final int RECEIVE_BUFFER = 256 * 1024;
 
     /** Where this member takes part. All of it is checked where it is read. */
-    public record Place(String installation, String name, InetSocketAddress listen, String address, List<String> seeds) {
-    }
+    public record Place(String installation, String name, InetSocketAddress listen, String address,
+            List<String> seeds) {}
 
-    private record Out(String address, byte[] bytes) {
-    }
+    private record Out(String address, byte[] bytes) {}
 
-    private record Change(View view, String why) {
-    }
+    private record Change(View view, String why) {}
 
     private final DatagramSocket socket;
     private final Tables tables;
--- a/src/main/java/wallmoor/peers/udp/Tables.java
+++ b/src/main/java/wallmoor/peers/udp/Tables.java
@@ -29,8 +29,7 @@
     private static final long LOOK_MILLIS = 500;
     private static final int PIECE = 16 * 1024;
 
-    private record Out(InetSocketAddress to, byte[] bytes) {
-    }
+    private record Out(InetSocketAddress to, byte[] bytes) {}
 
     private final Listener server;
     private final Consumer<byte[]> taken;
--- a/src/main/java/wallmoor/peers/udp/Wire.java
+++ b/src/main/java/wallmoor/peers/udp/Wire.java
@@ -156,7 +156,8 @@
                 }
             }
             expect(in.nextToken() == JsonToken.END_ARRAY && in.nextToken() == null);
-            return new Message(Message.Kind.values()[(int) kind], from, seq, about.isEmpty() ? null : about, digest, groups,
+            return new Message(Message.Kind.values()[(int) kind], from, seq, about.isEmpty() ? null : about, digest,
+                    groups,
                     news);
         } catch (IOException | RuntimeException e) {
             throw new Dropped(Why.MALFORMED); // the library's own complaints may be of either kind
--- a/src/main/java/wallmoor/placement/Answer.java
+++ b/src/main/java/wallmoor/placement/Answer.java
@@ -11,8 +11,7 @@
      * @param boundMb no plan copies less: proven
      * @param exact   proven to be the least: the two are equal
      */
-    record Plan(List<Move> moves, long mb, long boundMb, boolean exact) implements Answer {
-    }
+    record Plan(List<Move> moves, long mb, long boundMb, boolean exact) implements Answer {}
 
     /**
      * No plan exists: proven.
@@ -20,8 +19,7 @@
      * @param because  rules that no plan keeps together, whatever the others are
      * @param smallest no smaller set of rules is infeasible: proven
      */
-    record Infeasible(List<Reason> because, boolean smallest) implements Answer {
-    }
+    record Infeasible(List<Reason> because, boolean smallest) implements Answer {}
 
     /**
      * None was found, and none was shown not to exist.
@@ -29,6 +27,5 @@
      * @param boundMb no plan copies less
      * @param states  how many placements were looked at
      */
-    record NotFound(long boundMb, int states) implements Answer {
-    }
+    record NotFound(long boundMb, int states) implements Answer {}
 }
--- a/src/main/java/wallmoor/placement/Bound.java
+++ b/src/main/java/wallmoor/placement/Bound.java
@@ -22,12 +22,10 @@
      * Where the window's lower end may lie, in millionths of a disk, and what any plan that ends there copies at
      * least.
      */
-    private record Interval(int from, int to, long mb) {
-    }
+    private record Interval(int from, int to, long mb) {}
 
     /** A bound, and where the window lies that it was found for. */
-    record Least(long mb, int window) {
-    }
+    record Least(long mb, int window) {}
 
     private final Model model;
     private final long[] used;
--- a/src/main/java/wallmoor/placement/Draft.java
+++ b/src/main/java/wallmoor/placement/Draft.java
@@ -20,8 +20,7 @@
     private static final int REPAIRS = 60;
 
     /** A copy, where it stands. */
-    private record Copy(int block, int node) {
-    }
+    private record Copy(int block, int node) {}
 
     private final Model model;
     private final long[] low;
@@ -209,13 +208,16 @@
         }
     }
 
-    /** The copy that a node is best filled with, on the fullest of those that can spare it; null where there is none. */
+    /**
+     * The copy that a node is best filled with, on the fullest of those that can spare it; null where there is none.
+     */
     private Copy spare(int to, Integer[] bySize) {
         int fits = 0;
         while (fits < bySize.length && model.mb[bySize[fits]] > low[to] - used[to]) {
             fits++;
         }
-        for (int i = 0; i < bySize.length; i++) { // first those that fit what is lacking, then the others from their end
+        // first those that fit what is lacking, then the others from their end
+        for (int i = 0; i < bySize.length; i++) {
             int block = bySize[i < bySize.length - fits ? fits + i : bySize.length - 1 - i];
             int best = -1;
             for (int from : holders[block]) {
--- a/src/main/java/wallmoor/placement/Exact.java
+++ b/src/main/java/wallmoor/placement/Exact.java
@@ -18,12 +18,10 @@
  */
 final class Exact {
     /** What a search came to: a way, or none where all was seen, or neither. */
-    record Found(List<Step> steps, long mb, boolean complete, long boundMb, int states) {
-    }
+    record Found(List<Step> steps, long mb, boolean complete, long boundMb, int states) {}
 
     /** A placement that was reached. */
-    private record Reached(String at, long cost, long estimate, Reached before, Step step) {
-    }
+    private record Reached(String at, long cost, long estimate, Reached before, Step step) {}
 
     private final Model model;
     private final int budget;
--- a/src/main/java/wallmoor/placement/Leaving.java
+++ b/src/main/java/wallmoor/placement/Leaving.java
@@ -12,8 +12,7 @@
     /** Sums looked at for a node's cover, an int each; a node that needs more gives its largest first. */
     private static final long MOST_SUMS = 1 << 22;
 
-    private Leaving() {
-    }
+    private Leaving() {}
 
     /**
      * Of the copies that stand beside another of their block, all but one of each group that don't drain: those that
--- a/src/main/java/wallmoor/placement/Model.java
+++ b/src/main/java/wallmoor/placement/Model.java
@@ -19,8 +19,7 @@
     private static final long SQUARED = (long) Fleet.MILLION * Fleet.MILLION;
 
     /** A copy's way: from one node to another. */
-    record Step(int block, int from, int to) {
-    }
+    record Step(int block, int from, int to) {}
 
     final Fleet fleet;
     final long[] disk;
--- a/src/main/java/wallmoor/placement/Move.java
+++ b/src/main/java/wallmoor/placement/Move.java
@@ -6,5 +6,4 @@
  * @param mb   megabytes
  * @param wave from 1; all moves of a wave may run at once and end in any order, once the wave before has ended
  */
-public record Move(String block, String from, String to, long mb, int wave) {
-}
+public record Move(String block, String from, String to, long mb, int wave) {}
--- a/src/main/java/wallmoor/placement/Node.java
+++ b/src/main/java/wallmoor/placement/Node.java
@@ -7,5 +7,4 @@
  * @param diskMb megabytes, 1 to {@link Fleet#MOST_MB}
  * @param drain  it gives, never takes, and ends empty
  */
-public record Node(String id, String cell, long diskMb, boolean drain) {
-}
+public record Node(String id, String cell, long diskMb, boolean drain) {}
--- a/src/main/java/wallmoor/placement/Planner.java
+++ b/src/main/java/wallmoor/placement/Planner.java
@@ -18,8 +18,7 @@
     private static final int WINDOWS = 9;
     private static final int APART = 8;
 
-    private Planner() {
-    }
+    private Planner() {}
 
     /** Plans for a fleet. */
     public static Answer plan(Fleet fleet) {
--- a/src/main/java/wallmoor/placement/Shortfall.java
+++ b/src/main/java/wallmoor/placement/Shortfall.java
@@ -7,8 +7,7 @@
  * a part of the fleet would have to hold in the end, whatever the moves were.
  */
 final class Shortfall {
-    private Shortfall() {
-    }
+    private Shortfall() {}
 
     /** Whether the blocks can't all stand where the rules let them, in the end. False proves nothing. */
     static boolean proven(Model model) {
--- a/src/main/java/wallmoor/placement/Waves.java
+++ b/src/main/java/wallmoor/placement/Waves.java
@@ -12,8 +12,7 @@
  * none: so whatever comes early, the first of the steps left is always legal, and the waves never come to a stop.
  */
 final class Waves {
-    private Waves() {
-    }
+    private Waves() {}
 
     static List<Move> of(Model model, List<Step> steps) {
         int[][] holders = model.on.clone();
--- a/src/main/java/wallmoor/platform/Platform.java
+++ b/src/main/java/wallmoor/platform/Platform.java
@@ -47,9 +47,11 @@
      * @param gatherer takes the queries
      * @param workers  where their parts go
      */
-    public Platform(Launch launch, Supplier<Launch> current, Clock clock, Gatherer gatherer, Workers workers, Consumer<String> log)
+    public Platform(Launch launch, Supplier<Launch> current, Clock clock, Gatherer gatherer, Workers workers,
+            Consumer<String> log)
             throws IOException {
-        this(launch, current, clock, gatherer, workers, log, launch.inherited() ? inherited() : Listening.at(launch.listen()));
+        this(launch, current, clock, gatherer, workers, log,
+                launch.inherited() ? inherited() : Listening.at(launch.listen()));
     }
 
     private static Listening inherited() throws IOException {
@@ -62,7 +64,8 @@
     }
 
     /** A front that takes its connections from here; it serves what {@link #serve} is given as well. */
-    public Platform(Launch launch, Supplier<Launch> current, Clock clock, Gatherer gatherer, Workers workers, Consumer<String> log,
+    public Platform(Launch launch, Supplier<Launch> current, Clock clock, Gatherer gatherer, Workers workers,
+            Consumer<String> log,
             Listening listening) {
         this.launch = launch;
         this.current = current;
@@ -70,7 +73,8 @@
         this.gatherer = gatherer;
         this.workers = workers;
         this.log = log;
-        server = new Server("api", listening, launch.mostClients(), launch.mostClients(), ConnectionTimeouts.SHORT, this::handle,
+        server = new Server("api", listening, launch.mostClients(), launch.mostClients(), ConnectionTimeouts.SHORT,
+                this::handle,
                 log);
     }
 
--- a/src/main/java/wallmoor/prune/AgreedSites.java
+++ b/src/main/java/wallmoor/prune/AgreedSites.java
@@ -15,8 +15,7 @@
     private static final String GOOD_FOR = "good_for.";
     private static final long MICROS = 1_000;
 
-    private AgreedSites() {
-    }
+    private AgreedSites() {}
 
     /**
      * Whether the site may be left out.
--- a/src/main/java/wallmoor/prune/News.java
+++ b/src/main/java/wallmoor/prune/News.java
@@ -17,11 +17,9 @@
     private static final int LONGEST_BLOCK = 200;
 
     /** What counts now at this gatherer. */
-    record Acknowledged(String block, long epoch, long version) {
-    }
+    record Acknowledged(String block, long epoch, long version) {}
 
-    private News() {
-    }
+    private News() {}
 
     static byte[] acknowledge(List<Acknowledged> all) {
         var to = new StringBuilder("{\"acknowledged\":[");
--- a/src/main/java/wallmoor/prune/Promises.java
+++ b/src/main/java/wallmoor/prune/Promises.java
@@ -40,8 +40,7 @@
     public static final String DOCUMENT = "summaries";
 
     /** A feature server and the blocks that it answers for. */
-    public record Server(String name, String address, Set<String> blocks) {
-    }
+    public record Server(String name, String address, Set<String> blocks) {}
 
     /**
      * What is left out of a query, and under which version.
@@ -49,8 +48,7 @@
      * @param under what this gatherer went by of the agreement as the query was opened; null where it agrees with
      *              nobody, and the operators' own file named the sites
      */
-    public record Cuts(Pruning.Decision decision, Act under) {
-    }
+    public record Cuts(Pruning.Decision decision, Act under) {}
 
     /** Of what is told at once more is of no use: any one of a site's takes it out. */
     private static final int MOST_TOLD = 256;
@@ -108,7 +106,8 @@
 
     private void tell(Event event) {
         log.atError().addMarker(STATE).addKeyValue("site", event.site().name())
-                .addKeyValue("block", event.site().block()).addKeyValue("event", event.getClass().getSimpleName()).log(event.text());
+                .addKeyValue("block", event.site().block()).addKeyValue("event", event.getClass().getSimpleName())
+                .log(event.text());
     }
 
     /** Begins to ask. */
--- a/src/main/java/wallmoor/prune/SiteCall.java
+++ b/src/main/java/wallmoor/prune/SiteCall.java
@@ -48,7 +48,7 @@
      * has kept has an older one.
      */
     Told.Promise promise(String block, long ticket) throws IOException, HttpProblem {
-        Message answer = ask("/summaries/promise?gatherer=" + gatherer + "&block=" + escaped(block) 
+        Message answer = ask("/summaries/promise?gatherer=" + gatherer + "&block=" + escaped(block)
                 + "&ticket=" + ticket, null);
         String lifetime = answer.header("Wallmoor-Lifetime-Ms");
         String back = answer.header("Wallmoor-Ticket");
--- a/src/main/java/wallmoor/queries/QueryBody.java
+++ b/src/main/java/wallmoor/queries/QueryBody.java
@@ -14,8 +14,7 @@
     /** Weights add up to 1 but for their rounding. */
     private static final double WEIGHT_SLACK = 0.01;
 
-    private QueryBody() {
-    }
+    private QueryBody() {}
 
     /** What is wrong with a body, in words for who sent it. */
     public static final class Bad extends Exception {
--- a/src/main/java/wallmoor/service/AgreedLimits.java
+++ b/src/main/java/wallmoor/service/AgreedLimits.java
@@ -6,8 +6,9 @@
 import wallmoor.versions.Body;
 
 /**
- * What this gatherer takes from the agreed {@code settings}: bounds that lower those of its own file and never raise them.
- * That an agreed bound goes down at once and up only by agreement is what the {@link Act} brings; here it is only read.
+ * What this gatherer takes from the agreed {@code settings}: bounds that lower those of its own file and never raise
+ * them. That an agreed bound goes down at once and up only by agreement is what the {@link Act} brings; here it is only
+ * read.
  */
 final class AgreedLimits {
     /** Queries and requests held at once; below it nothing more is taken in. */
@@ -15,8 +16,7 @@
     /** Tries of one part, the first included. */
     static final String ATTEMPTS = "limits.attempts";
 
-    private AgreedLimits() {
-    }
+    private AgreedLimits() {}
 
     /** The gatherer's own settings, lowered to what is agreed. */
     static Settings of(Settings own, Act agreed) {
--- a/src/main/java/wallmoor/service/ArchiveTraining.java
+++ b/src/main/java/wallmoor/service/ArchiveTraining.java
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Runs it, for {@value #MOST_SECONDS} s at most. Null where all went as it should, else what went wrong: the archive
-     * then lacks something, which is no reason to have no program.
+     * Runs it, for {@value #MOST_SECONDS} s at most. Null where all went as it should, else what went wrong: the
+     * archive then lacks something, which is no reason to have no program.
      */
     public static String run(Launch launch, Operator operator) throws InterruptedException {
         var fault = new AtomicReference<>("no end after " + MOST_SECONDS + " s");
@@ -64,7 +64,8 @@
         return fault.get();
     }
 
-    private static void play(Launch launch, Operator operator) throws IOException, Json.Malformed, InterruptedException {
+    private static void play(Launch launch, Operator operator)
+            throws IOException, Json.Malformed, InterruptedException {
         var alone = new ArchiveTraining(launch, free(), false);
         alone.play(new Service(alone.launch, operator, null, null));
         Path shared = shared();
@@ -82,11 +83,13 @@
         }
     }
 
-    /** A directory in which another process has left a ban and a sign of its life; the build may write in its own alone. */
+    /**
+     * A directory in which another process has left a ban and a sign of its life; the build may write in its own alone.
+     */
     private static Path shared() throws IOException {
         Path shared = Files.createTempDirectory(Path.of("target"), "rehearsal");
         long now = new Clock().getAsLong();
-        new BanFile(shared, line -> { }).write(List.of(new Mark("n2", true, now), new Mark("n3", false, now)));
+        new BanFile(shared, line -> {}).write(List.of(new Mark("n2", true, now), new Mark("n3", false, now)));
         Files.createFile(shared.resolve("process-" + "0".repeat(19) + "1-1"));
         return shared;
     }
@@ -153,14 +156,16 @@
     private void list(Socket client) throws IOException {
         while (true) {
             if (head(client.getInputStream()).startsWith("GET /api/targets HTTP")) {
-                client.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole)
-                        .getBytes(StandardCharsets.ISO_8859_1));
+                client.getOutputStream()
+                        .write(("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole)
+                                .getBytes(StandardCharsets.ISO_8859_1));
                 continue;
             }
             var lines = new StringBuilder(CHUNKED);
             for (String line : new String[] {whole, "", "{\"revision\":42,\"complete\":false,\"members\":["
-                    + member(launch, "n0", 0, "DRAINING") + "]}", "{\"revision\":43,\"complete\":false,\"members\":["
-                    + member(launch, "n0", 0, "SERVING") + "]}"}) {
+                    + member(launch, "n0", 0, "DRAINING") + "]}",
+                "{\"revision\":43,\"complete\":false,\"members\":["
+                        + member(launch, "n0", 0, "SERVING") + "]}"}) {
                 lines.append(Integer.toHexString(line.length() + 1)).append("\r\n").append(line).append("\n\r\n");
             }
             client.getOutputStream().write(lines.toString().getBytes(StandardCharsets.ISO_8859_1));
--- a/src/main/java/wallmoor/service/CalendarNodes.java
+++ b/src/main/java/wallmoor/service/CalendarNodes.java
@@ -34,17 +34,18 @@
             throws Json.Malformed {
         Consumer<String> log = LoggerFactory.getLogger(Gatherer.class)::info;
         gatherer = new Gatherer(launch.settings(), launch.classes(), launch.seed(), clock,
-                operator == null ? line -> { } : log, figures);
+                operator == null ? line -> {} : log, figures);
         list = operator == null || !operator.list().enabled() ? null : new DiscoveryWatch(launch, gatherer);
         sources = operator == null ? null : Sources.of(operator, launch, clock, gatherer, list);
         boolean listAlone = operator == null || operator.listAlone();
         links = new WorkerLinks(gatherer, WorkerLinks.Limits.of(launch, sockets,
-                listAlone ? (id, up) -> { } : sources.membership()::reached));
+                listAlone ? (id, up) -> {} : sources.membership()::reached));
     }
 
     /** Those that the configured sources name. */
     static CalendarNodes of(Launch launch, Clock clock, Operator operator, Figures figures) throws Json.Malformed {
-        return new CalendarNodes(launch, clock, operator, () -> new Socket(Proxy.NO_PROXY), figures); // no proxy's settings
+        // no proxy's settings
+        return new CalendarNodes(launch, clock, operator, () -> new Socket(Proxy.NO_PROXY), figures);
     }
 
     /** These, without any source, reached by these sockets; its timers run at once. */
--- a/src/main/java/wallmoor/service/Edge.java
+++ b/src/main/java/wallmoor/service/Edge.java
@@ -7,8 +7,8 @@
 import wallmoor.config.EdgeConfig;
 import wallmoor.config.Launch;
 import wallmoor.core.Clock;
-import wallmoor.edge.EdgeQueries;
 import wallmoor.edge.Devices;
+import wallmoor.edge.EdgeQueries;
 import wallmoor.edge.coap.EdgeCoap;
 import wallmoor.edge.http.EdgeHttp;
 import wallmoor.exchange.Rules;
@@ -25,7 +25,8 @@
     private final EdgeHttp http;
     private final EdgeCoap coap;
 
-    Edge(EdgeConfig config, Launch launch, Supplier<Launch> current, Clock clock, CalendarNodes nodes) throws IOException {
+    Edge(EdgeConfig config, Launch launch, Supplier<Launch> current, Clock clock, CalendarNodes nodes)
+            throws IOException {
         this.config = config;
         devices = new Devices(config.devices());
         var rules = new Rules(config.grace() * MICROS, config.retain() * MICROS, config.window() * MICROS,
--- a/src/main/java/wallmoor/service/Group.java
+++ b/src/main/java/wallmoor/service/Group.java
@@ -35,7 +35,8 @@
     /** {@code sharing} is told among how many what is shared is shared, whenever that changes. */
     Group(FleetConfig config, Launch launch, Consumer<LiveCount.Share> sharing) throws IOException {
         this.config = config;
-        var place = new PeerSocket.Place(config.installation(), launch.name(), config.listen(), config.address(), config.seeds());
+        var place = new PeerSocket.Place(config.installation(), launch.name(), config.listen(), config.address(),
+                config.seeds());
         socket = new PeerSocket(place, Rules.of(config.size(), config.interval() * MICROS), launch.seed(), log::warn);
         this.sharing = sharing;
         share = new LiveCount.Share(launch.settings().roots(), launch.settings().position());
@@ -82,8 +83,9 @@
     }
 
     void leave() {
-        log.info("leaving the group: {}", socket.counters().entrySet().stream().map(c -> c.getKey() + " " + c.getValue())
-                .collect(java.util.stream.Collectors.joining(" ")));
+        log.info("leaving the group: {}",
+                socket.counters().entrySet().stream().map(c -> c.getKey() + " " + c.getValue())
+                        .collect(java.util.stream.Collectors.joining(" ")));
         socket.leave();
         if (control != null) {
             control.close();
@@ -97,7 +99,8 @@
         for (View.State state : View.State.values()) {
             var names = view.members().stream().filter(m -> m.state() == state).map(View.Member::name).toList();
             if (!names.isEmpty()) {
-                text.append(' ').append(state.toString().toLowerCase(java.util.Locale.ROOT)).append('=').append(String.join(",", names));
+                text.append(' ').append(state.toString().toLowerCase(java.util.Locale.ROOT)).append('=')
+                        .append(String.join(",", names));
             }
         }
         return text.append(" because ").append(why).toString();
--- a/src/main/java/wallmoor/service/InForce.java
+++ b/src/main/java/wallmoor/service/InForce.java
@@ -11,8 +11,8 @@
 
 /**
  * What the gatherer goes by: the settings of the file in force, lowered to what is agreed on, and of what all processes
- * of this gatherer may hold together this one's part. Each of the three changes at its own time. Here alone the gatherer
- * is told of settings, whole and under one lock: at no moment it goes by more than all three allow.
+ * of this gatherer may hold together this one's part. Each of the three changes at its own time. Here alone the
+ * gatherer is told of settings, whole and under one lock: at no moment it goes by more than all three allow.
  */
 final class InForce {
     /** Who goes by them; settings that contradict themselves it refuses whole, by an IllegalArgumentException. */
--- a/src/main/java/wallmoor/service/Operations.java
+++ b/src/main/java/wallmoor/service/Operations.java
@@ -48,7 +48,10 @@
         }, new Bans(), shared == null ? null : new BanFile(shared, log), clock, log);
     }
 
-    /** The directory that the processes of this gatherer share: the platform's own, where it says so; null if there is none. */
+    /**
+     * The directory that the processes of this gatherer share: the platform's own, where it says so; null if there is
+     * none.
+     */
     static Path shared(Launch launch) {
         String named = System.getenv("TMPDIR");
         if (named == null || named.isEmpty()) {
--- a/src/main/java/wallmoor/service/Rules.java
+++ b/src/main/java/wallmoor/service/Rules.java
@@ -28,7 +28,8 @@
     Rules(RulesConfig config, Launch launch, Runnable changed) throws IOException {
         this.config = config;
         this.changed = changed;
-        agreement = new Agreement(config, launch.name(), launch.seed(), this::changed, line -> log.info(STATE, "rules: {}", line),
+        agreement = new Agreement(config, launch.name(), launch.seed(), this::changed,
+                line -> log.info(STATE, "rules: {}", line),
                 line -> log.warn("rules: {}", line));
         control = config.control() == null ? null : new RulesControl(config.control(), launch.name(), agreement);
     }
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -34,7 +34,9 @@
     /** Kept back of that time: for the end of the program itself, and for the answers to what comes last. */
     private static final long LAST_MILLIS = 150;
     private static final long LEAST_TO_ANSWER_MILLIS = 200;
-    /** A process that is to take over is given 6 s to be ready; it starts within one, and some is kept for a slow core. */
+    /**
+     * A process that is to take over is given 6 s to be ready; it starts within one, and some is kept for a slow core.
+     */
     private static final long LIST_MILLIS = 4_000;
 
     /** A fault that an operator has to mend is told each time, however often the like was told just before. */
@@ -193,9 +195,9 @@
     }
 
     /**
-     * SIGHUP: the configuration is read and checked again, and its {@code settings} and {@code discovery} are what holds
-     * from now on; of the operators' file the log's form and levels, and how DNS is asked. A faulty or incomplete file
-     * changes nothing.
+     * SIGHUP: the configuration is read and checked again, and its {@code settings} and {@code discovery} are what
+     * holds from now on; of the operators' file the log's form and levels, and how DNS is asked. A faulty or incomplete
+     * file changes nothing.
      */
     public synchronized void reload() {
         boolean taken = false;
@@ -210,7 +212,8 @@
                 features.reload(file.summaries());
             }
             taken = true;
-            log.info(STATE, "configuration read again, classes are {}, discovery is {}", changed.inForce(), changed.discovery());
+            log.info(STATE, "configuration read again, classes are {}, discovery is {}", changed.inForce(),
+                    changed.discovery());
             if (!read.settings().layout().equals(launch.settings().layout())) {
                 log.warn("settings.Domain: another layout of shards holds from the next start");
             }
--- a/src/main/java/wallmoor/service/WarmUp.java
+++ b/src/main/java/wallmoor/service/WarmUp.java
@@ -33,9 +33,9 @@
     /** For the archive: enough that all classes are loaded that serving needs, at no cost to a start. */
     public static final int ARCHIVE_QUERIES = 50;
     /**
-     * Before serving: each class of query three times. That loads, links and begins to compile the way of a query. With one
-     * round the first five seconds of a cold pair on half a core served 60 % in time, with three all (docs/start.md); more
-     * would only be waited for by clients where all gatherers start at once.
+     * Before serving: each class of query three times. That loads, links and begins to compile the way of a query. With
+     * one round the first five seconds of a cold pair on half a core served 60 % in time, with three all
+     * (docs/start.md); more would only be waited for by clients where all gatherers start at once.
      */
     private static final int ROUNDS = 3;
     /** Beyond this the time is better spent on real queries. */
@@ -44,8 +44,7 @@
     /** Of a node's parts one in so many fails, so that the archive has the ways back too; a start comes to none. */
     private static final int FAILED = 15;
 
-    private WarmUp() {
-    }
+    private WarmUp() {}
 
     /** Returns when the way of a query is loaded, or after a while: what a start does before it serves. */
     public static int run(Launch launch) {
@@ -66,7 +65,7 @@
             client.joined(served);
             var clock = new Clock();
             nodes = CalendarNodes.without(launch, clock, Worker::new, members);
-            new Platform(launch, () -> launch, clock, nodes.gatherer(), nodes.workers(), line -> { },
+            new Platform(launch, () -> launch, clock, nodes.gatherer(), nodes.workers(), line -> {},
                     Listening.at(null)).serve(served);
             var in = new HttpIn(client);
             for (; answered < queries && System.nanoTime() < until; answered++) {
@@ -86,7 +85,10 @@
         return answered;
     }
 
-    /** For the archive alone: uses once what a start needs beyond the way of a query, above all what news of nodes needs. */
+    /**
+     * For the archive alone: uses once what a start needs beyond the way of a query, above all what news of nodes
+     * needs.
+     */
     public static void load(Launch launch, wallmoor.config.Operator operator) {
         CalendarNodes nodes = null;
         try {
--- a/src/main/java/wallmoor/summaries/Condition.java
+++ b/src/main/java/wallmoor/summaries/Condition.java
@@ -13,8 +13,7 @@
      * @param key  the value's, by {@link Folding}
      * @param hash the key's
      */
-    record Equal(String property, String key, long hash) implements Condition {
-    }
+    record Equal(String property, String key, long hash) implements Condition {}
 
     /**
      * A range.
--- a/src/main/java/wallmoor/summaries/Encoding.java
+++ b/src/main/java/wallmoor/summaries/Encoding.java
@@ -32,8 +32,7 @@
     private static final int TIMELESS = 2;
     private static final int COMPLETE = 4;
 
-    private Encoding() {
-    }
+    private Encoding() {}
 
     static int utf8(String s) {
         return s.getBytes(StandardCharsets.UTF_8).length;
--- a/src/main/java/wallmoor/summaries/Folding.java
+++ b/src/main/java/wallmoor/summaries/Folding.java
@@ -19,8 +19,7 @@
     /** A longer number is none to any site; it also bounds what reading one costs. */
     private static final int LONGEST_NUMBER = 400;
 
-    private Folding() {
-    }
+    private Folding() {}
 
     /** The key of a row's value or a condition's: a text, a number, a truth value or null. */
     static String key(Object value) {
@@ -81,7 +80,7 @@
         String even = marksOff(lower.toString());
         var out = new StringBuilder(even.length());
         boolean blank = false;
-        for (int i = 0; i < even.length(); ) {
+        for (int i = 0; i < even.length();) {
             int c = even.codePointAt(i);
             i += Character.charCount(c);
             int type = Character.getType(c);
--- a/src/main/java/wallmoor/summaries/Known.java
+++ b/src/main/java/wallmoor/summaries/Known.java
@@ -42,8 +42,7 @@
         }
     }
 
-    private record Due(long at, Entry entry) {
-    }
+    private record Due(long at, Entry entry) {}
 
     private final Settings settings;
     private final Bounds bounds;
--- a/src/main/java/wallmoor/summaries/Property.java
+++ b/src/main/java/wallmoor/summaries/Property.java
@@ -157,8 +157,8 @@
     boolean covers(Property o) {
         return (missing || !o.missing) && (odd || !o.odd) && (numbers || !o.numbers) && (texts || !o.texts)
                 && least <= o.least && most >= o.most && (o.first == null || first != null
-                && first.compareTo(o.first) <= 0 && last.compareTo(o.last) >= 0
-                && firstFolded.compareTo(o.firstFolded) <= 0 && lastFolded.compareTo(o.lastFolded) >= 0)
+                        && first.compareTo(o.first) <= 0 && last.compareTo(o.last) >= 0
+                        && firstFolded.compareTo(o.firstFolded) <= 0 && lastFolded.compareTo(o.lastFolded) >= 0)
                 && o.values != null && o.values.stream().allMatch(v -> values != null ? values.contains(v)
                         : filter.may(Folding.hash(v)));
     }
@@ -219,8 +219,9 @@
     /** What it holds, for people. */
     String shown() {
         return (values == null ? "filter of " + filter.bits() + " bits, " + Math.round(100 * filter.full()) + " % full"
-                : values.size() + " values") + (least <= most ? ", numbers from " + shown(least) + " to "
-                + shown(most) : "")
+                : values.size() + " values")
+                + (least <= most ? ", numbers from " + shown(least) + " to "
+                        + shown(most) : "")
                 + (first == null ? "" : ", texts from " + first + " to " + last.replace(String.valueOf(ABOVE), "..."))
                 + (missing ? ", missing in some rows" : "") + (numbers && texts ? ", numbers and texts mixed" : "")
                 + (odd ? ", with values that can't be put in order" : "");
--- a/src/main/java/wallmoor/summaries/Pruning.java
+++ b/src/main/java/wallmoor/summaries/Pruning.java
@@ -33,8 +33,7 @@
     }
 
     /** A shard's part, and the sites that may answer it. */
-    public record Share(int shard, List<Site> holders) {
-    }
+    public record Share(int shard, List<Site> holders) {}
 
     /** A share that is left out, or would be. Its summaries are those that were held then. */
     public static final class Cut {
--- a/src/main/java/wallmoor/summaries/Summary.java
+++ b/src/main/java/wallmoor/summaries/Summary.java
@@ -148,7 +148,7 @@
                 + " boxes");
         boxes.forEach(b -> lines.add("  " + degrees(b.west()) + "," + degrees(b.south()) + ","
                 + degrees(b.west() + b.width() > Box.ROUND / 2 ? b.west() + b.width() - Box.ROUND : b.west()
-                + b.width())
+                        + b.width())
                 + "," + degrees(b.north())));
         lines.add(timeless ? "times: some rows have none, so every time may match" : "times: " + spans.size()
                 + " spans");
--- a/src/main/java/wallmoor/summaries/SummaryMaintainer.java
+++ b/src/main/java/wallmoor/summaries/SummaryMaintainer.java
@@ -13,11 +13,9 @@
  */
 public final class SummaryMaintainer {
     /** A write that waits. */
-    private record Waiting(long id, long version) {
-    }
+    private record Waiting(long id, long version) {}
 
-    private record Sent(Summary summary, long until) {
-    }
+    private record Sent(Summary summary, long until) {}
 
     /**
      * What comes of writing.
@@ -27,8 +25,7 @@
      * @param widening to be told to all of {@code tell}, in order, again until acknowledged; or null
      * @param tell     gatherers
      */
-    public record Write(long id, boolean confirm, Told.Widening widening, List<String> tell) {
-    }
+    public record Write(long id, boolean confirm, Told.Widening widening, List<String> tell) {}
 
     /** Gatherers that are promised anything at once: every write that widens waits for each of them. */
     private static final int MOST_HOLDERS = 1000;
@@ -64,7 +61,8 @@
      * @param first    whether this site never promised anything of this block before; else all writes wait for one
      *              lifetime
      */
-    public SummaryMaintainer(Settings settings, Site site, long epoch, Draft draft, long at, long lifetime, boolean first) {
+    public SummaryMaintainer(Settings settings, Site site, long epoch, Draft draft, long at, long lifetime,
+            boolean first) {
         this.settings = settings;
         this.site = site;
         this.epoch = epoch;
--- a/src/main/java/wallmoor/summaries/Told.java
+++ b/src/main/java/wallmoor/summaries/Told.java
@@ -10,8 +10,7 @@
      * @param summary  encoded
      * @param lifetime microseconds from the asking on
      */
-    record Promise(long ticket, byte[] summary, long lifetime) implements Told {
-    }
+    record Promise(long ticket, byte[] summary, long lifetime) implements Told {}
 
     /**
      * Rows are about to be confirmed. It is acknowledged once it counts.
@@ -23,6 +22,5 @@
      * @param rows  a summary of these rows alone, encoded; null where what was told has ended and is to be asked for
      *              anew
      */
-    record Widening(Site site, long epoch, long from, long to, byte[] rows) implements Told {
-    }
+    record Widening(Site site, long epoch, long from, long to, byte[] rows) implements Told {}
 }
--- a/src/main/java/wallmoor/upgrade/HeartbeatFiles.java
+++ b/src/main/java/wallmoor/upgrade/HeartbeatFiles.java
@@ -19,8 +19,8 @@
 
 /**
  * Leaves this process' sign of life as the time of a file, and its claim as the file's length, and looks for those of
- * others. Contents are never read, so that none can be torn; a directory that can't be used is logged once, and then this
- * process is alone.
+ * others. Contents are never read, so that none can be torn; a directory that can't be used is logged once, and then
+ * this process is alone.
  */
 public final class HeartbeatFiles {
     /** A bound that all processes of this gatherer keep together. */
@@ -64,7 +64,8 @@
      * @param bound asked at each look; told of changes on the same thread
      * @param told  called at each change, on one thread
      */
-    public HeartbeatFiles(Path directory, LongSupplier clock, Bound bound, Consumer<Together> told, Consumer<String> log) {
+    public HeartbeatFiles(Path directory, LongSupplier clock, Bound bound, Consumer<Together> told,
+            Consumer<String> log) {
         this.directory = directory;
         this.clock = clock;
         this.bound = bound;
@@ -136,8 +137,9 @@
             }
             if (!faulty) {
                 faulty = true;
-                log.accept("upgrade: " + directory + " can't be used: " + e + "; during an upgrade each process takes the"
-                        + " whole of what both may have: let this user write there");
+                log.accept(
+                        "upgrade: " + directory + " can't be used: " + e + "; during an upgrade each process takes the"
+                                + " whole of what both may have: let this user write there");
             }
         }
     }
--- a/src/main/java/wallmoor/upgrade/Heartbeats.java
+++ b/src/main/java/wallmoor/upgrade/Heartbeats.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Of the signs of life that the processes of one gatherer leave: how many they are, and which of them this one is. While
- * an old process and a new one serve together each takes its part of what the gatherer may have or do at once.
+ * Of the signs of life that the processes of one gatherer leave: how many they are, and which of them this one is.
+ * While an old process and a new one serve together each takes its part of what the gatherer may have or do at once.
  */
 public final class Heartbeats {
     /** A sign is left each quarter of a second; a process on part of a core may miss a few. */
@@ -38,11 +38,9 @@
     /**
      * How many there are and which one this is, from 0, in the order of their names.
      */
-    public record Together(int count, int place) {
-    }
+    public record Together(int count, int place) {}
 
-    private Heartbeats() {
-    }
+    private Heartbeats() {}
 
     /** The processes there are at this time; this one counts whether or not its own sign is among them. */
     public static Together together(String own, long now, Collection<Beat> beats) {
--- a/src/main/java/wallmoor/upgrade/SharedLimit.java
+++ b/src/main/java/wallmoor/upgrade/SharedLimit.java
@@ -4,15 +4,17 @@
 import wallmoor.upgrade.Heartbeats.Beat;
 
 /**
- * How much of one bound, which all processes of a gatherer keep together, one of them may hold. Each tells with its sign
- * of life what it claims. A process takes less by itself and then tells so; it takes more only once it has told so, and
- * then found it still free. So two never take more than the bound, however late either looks. One that leaves claims
- * ever less, and what is free goes to the one that stays.
+ * How much of one bound, which all processes of a gatherer keep together, one of them may hold. Each tells with its
+ * sign of life what it claims. A process takes less by itself and then tells so; it takes more only once it has told
+ * so, and then found it still free. So two never take more than the bound, however late either looks. One that leaves
+ * claims ever less, and what is free goes to the one that stays.
  *
  * <p>Where more than two are there, or one wakes that counted as gone, there may be more for as long as a sign takes.
  */
 public final class SharedLimit {
-    /** What one that leaves claims at least, as a share of the bound: connections that it keeps may each ask once more. */
+    /**
+     * What one that leaves claims at least, as a share of the bound: connections that it keeps may each ask once more.
+     */
     private static final int LEAVES = 8;
     /** Who leaves gives up at most this share of the bound at a look: its clients move over answer by answer. */
     private static final int STEP = 8;
--- a/src/main/java/wallmoor/versions/Act.java
+++ b/src/main/java/wallmoor/versions/Act.java
@@ -14,7 +14,9 @@
         VERSION,
         /** Under a lease as well, but a version is known that does not act yet: what it takes away holds already. */
         CAREFUL,
-        /** No lease, or a version that this program can't read: what the last versions give to one that can't be sure. */
+        /**
+         * No lease, or a version that this program can't read: what the last versions give to one that can't be sure.
+         */
         FALLBACK,
         /** Nothing is known: what the gatherer's own files say. */
         NONE
--- a/src/main/java/wallmoor/versions/Acting.java
+++ b/src/main/java/wallmoor/versions/Acting.java
@@ -2,7 +2,9 @@
 
 /** What this gatherer goes by, asked for at each act: an answer is good for that act alone. It never waits. */
 public interface Acting {
-    /** Of a program that agrees with nobody: the gatherer's own files hold. Who is given this one may know it by that. */
+    /**
+     * Of a program that agrees with nobody: the gatherer's own files hold. Who is given this one may know it by that.
+     */
     Acting NONE = new Nobody();
 
     /** What to go by of the document of this name, now. Never null. */
@@ -10,8 +12,7 @@
 
     /** Agrees with nobody. A class of its own, as every start comes by it and a lambda would be linked each time. */
     final class Nobody implements Acting {
-        private Nobody() {
-        }
+        private Nobody() {}
 
         @Override
         public Act acting(String name) {
--- a/src/main/java/wallmoor/versions/Field.java
+++ b/src/main/java/wallmoor/versions/Field.java
@@ -20,10 +20,13 @@
         UNBOUND
     }
 
-    /** Checks that what is neither way careful is careful where it is missing: else meeting would not be associative. */
+    /**
+     * Checks that what is neither way careful is careful where it is missing: else meeting would not be associative.
+     */
     public Field {
         if (careful == Careful.NEITHER && missing != Missing.NOTHING) {
-            throw new IllegalArgumentException(path + ": of what is neither way careful nothing is given where it is missing");
+            throw new IllegalArgumentException(
+                    path + ": of what is neither way careful nothing is given where it is missing");
         }
     }
 
--- a/src/main/java/wallmoor/versions/Forms.java
+++ b/src/main/java/wallmoor/versions/Forms.java
@@ -11,15 +11,15 @@
     /** Of what follows: a program that is asked to read another form refuses it by its number. */
     public static final long FORM = 1;
 
-    private Forms() {
-    }
+    private Forms() {}
 
     /** An entry as the log carries it. */
     public static byte[] write(Entry entry) {
         var to = new Writer().number(FORM);
         if (entry instanceof Entry.Propose e) {
             Proposal p = e.proposal();
-            to.number(1).text(p.name()).number(p.parentNumber()).text(p.parentHash()).text(p.author()).text(p.body()).text(p.fallback());
+            to.number(1).text(p.name()).number(p.parentNumber()).text(p.parentHash()).text(p.author()).text(p.body())
+                    .text(p.fallback());
         } else if (entry instanceof Entry.Verdict e) {
             to.number(2).text(e.member()).text(e.name()).number(e.number()).text(e.hash()).text(e.why());
         } else if (entry instanceof Entry.Close e) {
@@ -38,7 +38,8 @@
         long type = from.number();
         Entry entry;
         if (type == 1) {
-            entry = new Entry.Propose(new Proposal(from.text(), from.number(), from.text(), from.text(), from.text(), from.text()));
+            entry = new Entry.Propose(
+                    new Proposal(from.text(), from.number(), from.text(), from.text(), from.text(), from.text()));
         } else if (type == 2) {
             entry = new Entry.Verdict(from.text(), from.text(), from.number(), from.text(), from.text());
         } else if (type == 3) {
--- a/src/main/java/wallmoor/versions/Grants.java
+++ b/src/main/java/wallmoor/versions/Grants.java
@@ -14,12 +14,12 @@
 import wallmoor.versions.Message.News;
 
 /**
- * A voter's side: while it leads it gives leases, knows who may act on what until when, and says when the next version may
- * act. Times are microseconds on this process' own monotonic clock. Single-threaded.
+ * A voter's side: while it leads it gives leases, knows who may act on what until when, and says when the next version
+ * may act. Times are microseconds on this process' own monotonic clock. Single-threaded.
  *
- * <p>Of the log it needs, beside the order, a barrier: when one comes back that was begun at a time, all entries that were
- * committed anywhere before that time have been applied here. A voter that leads no more gets none back, so it need not
- * know that, and no voter's clock is compared with another's.
+ * <p>Of the log it needs, beside the order, a barrier: when one comes back that was begun at a time, all entries that
+ * were committed anywhere before that time have been applied here. A voter that leads no more gets none back, so it
+ * need not know that, and no voter's clock is compared with another's.
  */
 public final class Grants {
     /** What it does. */
@@ -39,11 +39,9 @@
     /** What was appended and has not come is appended again after a part of a term. */
     private static final int AGAIN = 5;
 
-    private record Process(String holder, long life) {
-    }
+    private record Process(String holder, long life) {}
 
-    private record Since(long number, long at) {
-    }
+    private record Since(long number, long at) {}
 
     /** One gatherer's process. */
     private static final class Lease {
@@ -215,8 +213,8 @@
     }
 
     /**
-     * Gives a lease. It counts from when it was asked for, which is before the barrier was begun; so it is over here, a term
-     * of true time after that, counted by this clock at its fastest.
+     * Gives a lease. It counts from when it was asked for, which is before the barrier was begun; so it is over here, a
+     * term of true time after that, counted by this clock at its fastest.
      */
     private void answer(Process process, Ask ask) {
         var chains = new ArrayList<Chain>();
@@ -268,7 +266,8 @@
                 again(now, new Entry.Close(ledger.epoch(), n, pending.number()));
             }
             Document head = ledger.head(n);
-            if (head != null && head.number() > ledger.acting(n) && now >= ledAt + terms.over() && all(now, n, head.number())) {
+            if (head != null && head.number() > ledger.acting(n) && now >= ledAt + terms.over()
+                    && all(now, n, head.number())) {
                 again(now, new Entry.Act(ledger.epoch(), n, head.number()));
             }
         }
--- a/src/main/java/wallmoor/versions/Hash.java
+++ b/src/main/java/wallmoor/versions/Hash.java
@@ -8,8 +8,7 @@
 
 /** SHA-256 over texts, each with its length before it, so that none runs into the next. */
 final class Hash {
-    private Hash() {
-    }
+    private Hash() {}
 
     static String of(String... texts) {
         try {
--- a/src/main/java/wallmoor/versions/Holder.java
+++ b/src/main/java/wallmoor/versions/Holder.java
@@ -13,8 +13,9 @@
 import wallmoor.versions.Message.News;
 
 /**
- * A gatherer's side: what versions it knows and how long it may act on them. Times are microseconds on this process' own
- * monotonic clock, which must go on while the process stands still. Single-threaded; the snapshot is for all to read.
+ * A gatherer's side: what versions it knows and how long it may act on them. Times are microseconds on this process'
+ * own monotonic clock, which must go on while the process stands still. Single-threaded; the snapshot is for all to
+ * read.
  */
 public final class Holder {
     /** Asks that an answer may still come to: older ones give no time any more. */
@@ -115,7 +116,8 @@
             asked.remove(asked.keySet().iterator().next());
         }
         var its = new HashMap<String, Known>();
-        known.forEach((n, versions) -> its.put(n, new Known(versions.lastKey(), versions.lastEntry().getValue().hash())));
+        known.forEach(
+                (n, versions) -> its.put(n, new Known(versions.lastKey(), versions.lastEntry().getValue().hash())));
         return new Ask(name, life, seq, its);
     }
 
@@ -152,7 +154,8 @@
     private boolean follows(Chain c) {
         var versions = known.getOrDefault(c.name(), new TreeMap<>());
         return c.documents().stream().allMatch(d -> versions.getOrDefault(d.number(), d).equals(d))
-                && (versions.isEmpty() || c.from() >= versions.firstKey() || c.documents().contains(versions.firstEntry().getValue()));
+                && (versions.isEmpty() || c.from() >= versions.firstKey()
+                        || c.documents().contains(versions.firstEntry().getValue()));
     }
 
     private void publish() {
--- a/src/main/java/wallmoor/versions/Kind.java
+++ b/src/main/java/wallmoor/versions/Kind.java
@@ -14,8 +14,8 @@
 import wallmoor.versions.Value.Text;
 
 /**
- * A kind of document: reads and checks bodies, and knows of each field which way is careful. A body is a JSON object without
- * nesting. A field that the kind does not have is refused, not skipped: what one program skips another acts on.
+ * A kind of document: reads and checks bodies, and knows of each field which way is careful. A body is a JSON object
+ * without nesting. A field that the kind does not have is refused, not skipped: what one program skips another acts on.
  */
 public final class Kind {
     private final String name;
--- a/src/main/java/wallmoor/versions/Kinds.java
+++ b/src/main/java/wallmoor/versions/Kinds.java
@@ -46,8 +46,9 @@
             Field.of("ask_again", MORE, UNBOUND),
             Field.of("summary.*", NEITHER, NOTHING), // a label: a site is asked while versions with two of them hold
             new Field("good_for.*", LOWER, UNBOUND, 0, DAY_MS)), // age of a promise
-            body -> body.fields().get("prunable") instanceof Names p && p.value().stream().anyMatch(s ->
-                    body.text("summary." + s) == null) ? "a site is prunable without a summary" : null);
+            body -> body.fields().get("prunable") instanceof Names p
+                    && p.value().stream().anyMatch(s -> body.text("summary." + s) == null)
+                            ? "a site is prunable without a summary" : null);
 
     /** Who owns which block, and what is being moved. */
     public static final Kind PLAN = new Kind("plan", List.of(
@@ -61,7 +62,8 @@
             new Field("mb.*", HIGHER, UNBOUND, 1, 1e9), // of a block
             Field.of("goal", NEITHER, NOTHING)), // the rules and the nodes that moves are planned for
             body -> body.fields().entrySet().stream().filter(e -> e.getKey().startsWith("owners.")
-                    && ((Names) e.getValue()).value().isEmpty()).map(e -> e.getKey() + " is empty").findFirst().orElse(null));
+                    && ((Names) e.getValue()).value().isEmpty()).map(e -> e.getKey() + " is empty").findFirst()
+                    .orElse(null));
 
     /** Which machines are taken out for work, and how far each is. */
     public static final Kind MAINTENANCE = new Kind("maintenance", List.of(
@@ -73,8 +75,7 @@
     private static final Map<String, Kind> ALL = Stream.of(SETTINGS, LIST, SUMMARIES, PLAN, MAINTENANCE)
             .collect(Collectors.toUnmodifiableMap(Kind::name, Function.identity()));
 
-    private Kinds() {
-    }
+    private Kinds() {}
 
     /** All kinds of this program, by name. */
     public static Map<String, Kind> all() {
--- a/src/main/java/wallmoor/versions/Ledger.java
+++ b/src/main/java/wallmoor/versions/Ledger.java
@@ -10,9 +10,9 @@
 import java.util.regex.Pattern;
 
 /**
- * All versions of all documents, as every voter has them: fed with the log's entries in their one order, it comes to the
- * same state everywhere. It assumes nothing of the log but that order, and never reads a body: programs of two releases must
- * come to the same. What a body is worth comes in as voters' verdicts. Single-threaded.
+ * All versions of all documents, as every voter has them: fed with the log's entries in their one order, it comes to
+ * the same state everywhere. It assumes nothing of the log but that order, and never reads a body: programs of two
+ * releases must come to the same. What a body is worth comes in as voters' verdicts. Single-threaded.
  */
 public final class Ledger {
     /** Characters of a body and its fallback together: the summaries of 10,000 sites with a short hash each fit. */
@@ -105,7 +105,8 @@
         }
         int waiting = line.accepted.tailMap(line.acting, false).size();
         if (waiting >= MOST_WAITING) {
-            return new Effect.Refused(key, new Refusal(Refusal.Reason.BUSY, p.name(), head.number(), "", Integer.toString(waiting)));
+            return new Effect.Refused(key,
+                    new Refusal(Refusal.Reason.BUSY, p.name(), head.number(), "", Integer.toString(waiting)));
         }
         line.pending = Document.of(p, ++line.last);
         line.verdicts.clear();
@@ -120,7 +121,8 @@
         } else if (p.body().length() + p.fallback().length() > MOST_TEXT) {
             return "has more than " + MOST_TEXT + " characters";
         }
-        return p.author().isBlank() || p.author().length() > MOST_AUTHOR ? "has no author of 1 to " + MOST_AUTHOR + " characters" : null;
+        return p.author().isBlank() || p.author().length() > MOST_AUTHOR
+                ? "has no author of 1 to " + MOST_AUTHOR + " characters" : null;
     }
 
     private List<Effect> verdict(Entry.Verdict v) {
--- a/src/main/java/wallmoor/versions/MessageForms.java
+++ b/src/main/java/wallmoor/versions/MessageForms.java
@@ -17,8 +17,7 @@
     private static final int DENIED = 3;
     private static final int NEWS = 4;
 
-    private MessageForms() {
-    }
+    private MessageForms() {}
 
     /** A message as it is sent. */
     public static byte[] write(Message message) {
--- a/src/main/java/wallmoor/versions/Records.java
+++ b/src/main/java/wallmoor/versions/Records.java
@@ -7,9 +7,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * Records as bytes of a file, and back. A log grows by one record a write: a record whose write was torn is the last one,
- * and is cut. Anything else that is not as written is damage, which nobody may skip: what was promised may stand behind it.
- * What replaces a file as a whole is closed by a record that counts the others: without it, the file before it holds.
+ * Records as bytes of a file, and back. A log grows by one record a write: a record whose write was torn is the last
+ * one, and is cut. Anything else that is not as written is damage, which nobody may skip: what was promised may stand
+ * behind it. What replaces a file as a whole is closed by a record that counts the others: without it, the file before
+ * it holds.
  */
 public final class Records {
     /** Bytes of one record: a saved ledger fits. */
@@ -23,11 +24,9 @@
      * @param records all whole ones
      * @param length  bytes that they take: what is behind is torn, and is cut before more is written
      */
-    public record Read(List<byte[]> records, int length) {
-    }
+    public record Read(List<byte[]> records, int length) {}
 
-    private Records() {
-    }
+    private Records() {}
 
     /** A record as it is appended in one write. */
     public static byte[] write(byte[] payload) {
--- a/src/main/java/wallmoor/versions/Refusal.java
+++ b/src/main/java/wallmoor/versions/Refusal.java
@@ -30,7 +30,8 @@
         return switch (reason) {
             case LOST -> version + " by " + by + " was proposed first on the same parent: look at it and propose again";
             case OLD_PARENT -> "the last version is " + version + " by " + by + ": look at it and propose again on it";
-            case UNREADABLE -> by + " cannot read " + version + " (" + detail + "): correct it, or put the newer program on " + by;
+            case UNREADABLE ->
+                by + " cannot read " + version + " (" + detail + "): correct it, or put the newer program on " + by;
             case UNHEARD -> "of " + version + " no verdict came from " + by + ": see that they run, and propose again";
             case BUSY -> detail + " versions wait until all know them: propose again once " + version + " acts";
             case MALFORMED -> name + ": " + detail;
--- a/src/main/java/wallmoor/versions/Snapshot.java
+++ b/src/main/java/wallmoor/versions/Snapshot.java
@@ -3,8 +3,9 @@
 import java.util.Map;
 
 /**
- * What a gatherer may go by, and until when. Immutable: traffic reads the last one without waiting for anybody, and asks
- * it at each act. A process that stood still asks with the time it is when it wakes, so an old snapshot does no harm.
+ * What a gatherer may go by, and until when. Immutable: traffic reads the last one without waiting for anybody, and
+ * asks it at each act. A process that stood still asks with the time it is when it wakes, so an old snapshot does no
+ * harm.
  *
  * @param until the lease's end on this process' own monotonic clock, microseconds; it is over at that time
  */
--- a/src/main/java/wallmoor/versions/Terms.java
+++ b/src/main/java/wallmoor/versions/Terms.java
@@ -1,8 +1,8 @@
 package wallmoor.versions;
 
 /**
- * The times of the promise, in microseconds: no two gatherers act on contradicting versions for longer than {@code term},
- * as long as each clock runs at a rate from {@code 1 - drift} to {@code 1 + drift} of true time.
+ * The times of the promise, in microseconds: no two gatherers act on contradicting versions for longer than {@code
+ * term}, as long as each clock runs at a rate from {@code 1 - drift} to {@code 1 + drift} of true time.
  *
  * @param term  from 100 ms to an hour
  * @param drift from 0 to 0.1
@@ -30,7 +30,9 @@
         return (long) Math.floor(term * (1 - drift));
     }
 
-    /** How long a leader waits by its own clock until a lease it may have given is over: at least a term of true time. */
+    /**
+     * How long a leader waits by its own clock until a lease it may have given is over: at least a term of true time.
+     */
     public long over() {
         return (long) Math.ceil(term * (1 + drift)) + ROUNDED;
     }
