--- a/src/test/java/wallmoor/LayersTest.java
+++ b/src/test/java/wallmoor/LayersTest.java
@@ -34,7 +34,8 @@
             entry("edge", "exchange", "queries", "core", "config", "http", "json", "decision"),
             entry("edge.http", "edge", "exchange", "queries", "config", "http"),
             entry("edge.coap", "edge", "exchange", "queries", "config"),
-            entry("ogc", "prune", "summaries", "versions", "sources", "inventory", "membership", "core", "config", "http", "json", "decision"),
+            entry("ogc", "prune", "summaries", "versions", "sources", "inventory", "membership", "core", "config",
+                    "http", "json", "decision"),
             // decides who of the gatherers is there: no I/O, and nothing of the core
             entry("peers"),
             // counts and decides for the operators' address: no I/O
@@ -55,14 +56,17 @@
             // drives the real deciders on one clock; never used by serve
             entry("model", "peers", "versions"),
             entry("peers.udp", "peers", "config", "http"),
-            entry("service", "agreement", "versions", "operator", "figures", "bans", "upgrade", "peers", "peers.udp", "edge", "edge.http", "edge.coap", "exchange", "platform", "ogc", "frames", "discovery", "inventory", "dns", "sources", "membership",
+            entry("service", "agreement", "versions", "operator", "figures", "bans", "upgrade", "peers", "peers.udp",
+                    "edge", "edge.http", "edge.coap", "exchange", "platform", "ogc", "frames", "discovery", "inventory",
+                    "dns", "sources", "membership",
                     "core", "config", "http", "json", "log", "decision"),
             // decides which sites can hold a row of a query's: no I/O, and nothing of the core
             entry("summaries"),
             // asks sites for their summaries: the I/O, and no rule
             entry("prune", "summaries", "versions", "config", "http", "json", "log"),
             entry("client"),
-            entry("cli", "moves", "moves.http", "versions", "summaries", "client", "edge", "service", "inventory", "dns", "membership", "placement", "maintenance", "config",
+            entry("cli", "moves", "moves.http", "versions", "summaries", "client", "edge", "service", "inventory",
+                    "dns", "membership", "placement", "maintenance", "config",
                     "json"));
 
     private static Map.Entry<String, Set<String>> entry(String name, String... uses) {
@@ -104,7 +108,8 @@
     /** What decides sees no socket, file, clock or thread: that is why it can be replayed and checked. */
     @Test
     public void whatDecidesDoesNoInputOrOutput() throws Exception {
-        var forbidden = Pattern.compile("java\\.(io|net|nio\\.(file|channels))|System\\.(nano|current|out|err)|Thread|Instant|slf4j");
+        var forbidden = Pattern
+                .compile("java\\.(io|net|nio\\.(file|channels))|System\\.(nano|current|out|err)|Thread|Instant|slf4j");
         for (String decides : List.of("decision", "membership", "exchange", "peers", "figures", "bans", "versions",
                 "placement", "summaries", "moves", "maintenance")) {
             try (var files = Files.list(Path.of("src/main/java/wallmoor", decides))) {
@@ -113,10 +118,12 @@
             }
         }
         for (String file : List.of("Lifetimes", "Servers", "Reply", "Cache", "Nodes")) { // the deciders of dns
-            String text = read(Path.of("src/main/java/wallmoor/dns", file + ".java")).replace("java.net.InetSocketAddress", "");
+            String text = read(Path.of("src/main/java/wallmoor/dns", file + ".java"))
+                    .replace("java.net.InetSocketAddress", "");
             assertEquals(file, List.of(), forbidden.matcher(text).results().map(r -> r.group()).toList());
         }
-        for (String file : List.of("discovery/ListClock", "http/Eviction", "agreement/Newcomer", "prune/AgreedSites")) { // those of packages with I/O
+        // those of packages with I/O
+        for (String file : List.of("discovery/ListClock", "http/Eviction", "agreement/Newcomer", "prune/AgreedSites")) {
             String text = read(Path.of("src/main/java/wallmoor", file + ".java"));
             assertEquals(file, List.of(), forbidden.matcher(text).results().map(r -> r.group()).toList());
         }
--- a/src/test/java/wallmoor/TurnedRecordsTest.java
+++ b/src/test/java/wallmoor/TurnedRecordsTest.java
@@ -16,7 +16,9 @@
 import java.util.stream.Stream;
 import org.junit.Test;
 
-/** What the build writes out for records (src/build/java) is what the JDK would put together, and all of it verifies. */
+/**
+ * What the build writes out for records (src/build/java) is what the JDK would put together, and all of it verifies.
+ */
 public class TurnedRecordsTest {
     private static final int FEWEST = 30;
 
@@ -97,7 +99,7 @@
     private static Object value(Class<?> type, int which) {
         return type == boolean.class ? which == 1 : type == char.class ? (char) ('a' + which) : type == byte.class
                 ? (byte) which : type == short.class ? (short) which : type == int.class ? which : type == long.class
-                ? (1L << 40) + which : type == float.class ? 0.5f * which : type == double.class ? 0.25 * which
-                : type == String.class ? "s" + which : null;
+                        ? (1L << 40) + which : type == float.class ? 0.5f * which : type == double.class ? 0.25 * which
+                                : type == String.class ? "s" + which : null;
     }
 }
--- a/src/test/java/wallmoor/agreement/ClocksTest.java
+++ b/src/test/java/wallmoor/agreement/ClocksTest.java
@@ -38,7 +38,7 @@
     private void start(String name, long ahead) throws Exception {
         Path kept = folder.getRoot().toPath().resolve(name);
         var config = new RulesConfig(voters, voters.get(name), TERM_MILLIS, kept, null);
-        all.put(name, new Agreement(config, name, name.charAt(0), (document, act) -> { }, line -> { }, warned::add,
+        all.put(name, new Agreement(config, name, name.charAt(0), (document, act) -> {}, line -> {}, warned::add,
                 () -> System.currentTimeMillis() + ahead));
         all.get(name).start();
     }
@@ -100,7 +100,8 @@
             Files.delete(folder.getRoot().toPath().resolve("c").resolve(file));
         }
         start("c", -FIVE_MINUTES);
-        await("it is said", () -> warned.stream().anyMatch(w -> w.contains("a process of c is older than one that was heard")));
+        await("it is said",
+                () -> warned.stream().anyMatch(w -> w.contains("a process of c is older than one that was heard")));
         assertTrue(all.get("c").acting("settings").basis() != Act.Basis.VERSION);
         again("c", FIVE_MINUTES + 1_000); // the clock was set
         agree("d");
--- a/src/test/java/wallmoor/agreement/StandingTest.java
+++ b/src/test/java/wallmoor/agreement/StandingTest.java
@@ -25,18 +25,19 @@
 import java.util.function.Consumer;
 import org.junit.Test;
 
-/** One voter of the library on a clock of the test's: it stands whenever its leader is silent, whatever it did before. */
+/**
+ * One voter of the library on a clock of the test's: it stands whenever its leader is silent, whatever it did before.
+ */
 public class StandingTest implements RaftNodeExecutor, Transport, StateMachine {
     private static final int BEATS_MISSED = 4_000;
     private static final int TICK = 20;
 
-    private record Task(long at, long order, Runnable work) {
-    }
+    private record Task(long at, long order, Runnable work) {}
 
     private final DefaultRaftModelFactory models = new DefaultRaftModelFactory();
     private final Endpoint other = new Endpoint("b");
-    private final PriorityQueue<Task> tasks =
-            new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
+    private final PriorityQueue<Task> tasks = new PriorityQueue<>(
+            Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
     private final List<RaftMessage> sent = new ArrayList<>();
     private long now = 1_000_000;
     private long order;
@@ -64,9 +65,11 @@
     };
     private final List<RaftEndpoint> all = List.of(new Endpoint("a"), other, new Endpoint("c"));
     private final RaftNode node = RaftNode.newBuilder().setGroupId(RaftForms.GROUP).setLocalEndpoint(all.get(0))
-            .setInitialGroupMembers(all).setStateMachine(this).setTransport(this).setExecutor(this).setRandom(new Random(1)).setClock(clock)
+            .setInitialGroupMembers(all).setStateMachine(this).setTransport(this).setExecutor(this)
+            .setRandom(new Random(1)).setClock(clock)
             .setConfig(RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(500).setLeaderHeartbeatPeriodSecs(1)
-                    .setLeaderHeartbeatTimeoutSecs(2).build()).build();
+                    .setLeaderHeartbeatTimeoutSecs(2).build())
+            .build();
 
     private void run(int millis, boolean mended) {
         for (long end = now + millis; now < end; now += TICK) {
@@ -86,9 +89,10 @@
     }
 
     private void lead(int term) {
-        node.handle(models.createAppendEntriesRequestBuilder().setGroupId(RaftForms.GROUP).setSender(other).setTerm(term)
-                .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setQuerySequenceNumber(0)
-                .setFlowControlSequenceNumber(0).setLogEntries(List.of()).build());
+        node.handle(
+                models.createAppendEntriesRequestBuilder().setGroupId(RaftForms.GROUP).setSender(other).setTerm(term)
+                        .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setQuerySequenceNumber(0)
+                        .setFlowControlSequenceNumber(0).setLogEntries(List.of()).build());
         run(TICK, false);
     }
 
--- a/src/test/java/wallmoor/agreement/StoreTest.java
+++ b/src/test/java/wallmoor/agreement/StoreTest.java
@@ -38,17 +38,21 @@
     }
 
     private LogEntry entry(long index, int term) {
-        return models.createLogEntryBuilder().setIndex(index).setTerm(term).setOperation(("entry " + index + " of " + term).getBytes()).build();
+        return models.createLogEntryBuilder().setIndex(index).setTerm(term)
+                .setOperation(("entry " + index + " of " + term).getBytes()).build();
     }
 
     private void vote(Store store, int term, String whom) throws Exception {
-        store.persistAndFlushTerm(models.createRaftTermPersistentStateBuilder().setTerm(term).setVotedFor(new Endpoint(whom)).build());
+        store.persistAndFlushTerm(
+                models.createRaftTermPersistentStateBuilder().setTerm(term).setVotedFor(new Endpoint(whom)).build());
     }
 
     private void chunk(Store store, long index, int number, int count) throws Exception {
-        store.persistSnapshotChunk(models.createSnapshotChunkBuilder().setIndex(index).setTerm(3).setSnapshotChunkIndex(number)
-                .setSnapshotChunkCount(count).setOperation(new byte[] {(byte) number}).setGroupMembersView(
-                        store.restored().getInitialGroupMembers()).build());
+        store.persistSnapshotChunk(
+                models.createSnapshotChunkBuilder().setIndex(index).setTerm(3).setSnapshotChunkIndex(number)
+                        .setSnapshotChunkCount(count).setOperation(new byte[] {(byte) number}).setGroupMembersView(
+                                store.restored().getInitialGroupMembers())
+                        .build());
     }
 
     @Test
--- a/src/test/java/wallmoor/agreement/VoterTest.java
+++ b/src/test/java/wallmoor/agreement/VoterTest.java
@@ -63,12 +63,15 @@
             return null;
         };
         control.submit(tick).get();
-        heard(voter, models.createVoteRequestBuilder().setGroupId(RaftForms.GROUP).setSender(new Endpoint("b")).setTerm(1)
-                .setLastLogTerm(0).setLastLogIndex(0).setSticky(false).build());
+        heard(voter,
+                models.createVoteRequestBuilder().setGroupId(RaftForms.GROUP).setSender(new Endpoint("b")).setTerm(1)
+                        .setLastLogTerm(0).setLastLogIndex(0).setSticky(false).build());
         awaitAsked(); // it gave its vote, and nothing comes
-        heard(voter, models.createAppendEntriesRequestBuilder().setGroupId(RaftForms.GROUP).setSender(new Endpoint("b")).setTerm(1)
-                .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setQuerySequenceNumber(0)
-                .setFlowControlSequenceNumber(0).setLogEntries(List.of()).build());
+        heard(voter,
+                models.createAppendEntriesRequestBuilder().setGroupId(RaftForms.GROUP).setSender(new Endpoint("b"))
+                        .setTerm(1)
+                        .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setQuerySequenceNumber(0)
+                        .setFlowControlSequenceNumber(0).setLogEntries(List.of()).build());
         asked.set(0);
         control.scheduleWithFixedDelay(() -> execute(() -> {
             try {
@@ -88,8 +91,9 @@
     @Override
     public void toVoter(String voter, Packet packet) {
         try {
-            if (packet instanceof Packet.Log log && new RaftForms(VOTERS).read(new Endpoint("a"), log.message())
-                    instanceof PreVoteRequest p && p.getTerm() == 2) {
+            if (packet instanceof Packet.Log log
+                    && new RaftForms(VOTERS).read(new Endpoint("a"), log.message()) instanceof PreVoteRequest p
+                    && p.getTerm() == 2) {
                 asked.incrementAndGet();
             }
         } catch (DamagedException e) {
--- a/src/test/java/wallmoor/cli/MaintenanceTest.java
+++ b/src/test/java/wallmoor/cli/MaintenanceTest.java
@@ -19,13 +19,17 @@
 
     @Test
     public void anOrderIsPrinted() throws Exception {
-        Console c = plan("at: 2026-12-05T20:00:00Z", "budgets: {at_once: 1, parts: 5s, cold: 18s, warm_up: 7s}", "machines:",
-                "- {id: a, centre: x}", "- {id: b, centre: x, capacity: 3}", "blocks:", "- {id: b1, on: [a, b]}", "wishes:",
+        Console c = plan("at: 2026-12-05T20:00:00Z", "budgets: {at_once: 1, parts: 5s, cold: 18s, warm_up: 7s}",
+                "machines:",
+                "- {id: a, centre: x}", "- {id: b, centre: x, capacity: 3}", "blocks:", "- {id: b1, on: [a, b]}",
+                "wishes:",
                 "- {id: w1, machine: a, lasts: 30s, who: kim}");
-        assertEquals("{\"feasible\":true,\"order\":[{\"wish\":\"w1\",\"machine\":\"a\",\"starts\":\"2026-12-05T20:00:00Z\","
-                + "\"free\":\"2026-12-05T20:00:05Z\",\"back\":\"2026-12-05T20:00:35Z\","
+        assertEquals(
+                "{\"feasible\":true,\"order\":[{\"wish\":\"w1\",\"machine\":\"a\",\"starts\":\"2026-12-05T20:00:00Z\","
+                        + "\"free\":\"2026-12-05T20:00:05Z\",\"back\":\"2026-12-05T20:00:35Z\","
                         + "\"done\":\"2026-12-05T20:01:00Z\",\"out\":1,"
-                + "\"capacity\":0.75,\"must_stay\":[\"b\"]}],\"seconds\":60,\"bound_seconds\":60}\n", c.out());
+                        + "\"capacity\":0.75,\"must_stay\":[\"b\"]}],\"seconds\":60,\"bound_seconds\":60}\n",
+                c.out());
         assertEquals(0, c.code());
         Console example = Console.run("maintenance", "plan", "example/maintenance.yaml");
         assertEquals(example.err(), 0, example.code());
@@ -33,7 +37,8 @@
 
     @Test
     public void whereNoneExistsTheFewestReasonsAreNamed() throws Exception {
-        Console c = plan("at: 2026-12-05T20:00:00Z", "budgets: {at_once: 1}", "machines:", "- {id: a, centre: x}", "blocks:",
+        Console c = plan("at: 2026-12-05T20:00:00Z", "budgets: {at_once: 1}", "machines:", "- {id: a, centre: x}",
+                "blocks:",
                 "- {id: b1, on: [a]}", "wishes:", "- {id: w1, machine: a, lasts: 30s, who: kim}");
         assertEquals("{\"feasible\":false,\"because\":[{\"rule\":\"cover\",\"machines\":[\"a\"],\"blocks\":[\"b1\"],"
                 + "\"budget\":\"\"}],\"smallest\":true,\"proven\":true}\n", c.out());
@@ -48,20 +53,28 @@
     @Test
     public void everyFaultIsNamedByKeyAndLine() throws Exception {
         Console c = plan("at: tomorrow", "budgets:", "  at_once: many", "  centres: {z: 1}", "  capacity_kept: 2",
-                "  hours: [\"22-4\"]", "  offset: east", "  cold_sahre: 0.1", "machines:", "- {id: a, centre: x, kind: door}",
-                "- {id: a, centre: x, phase: gone}", "- {id: c}", "blocks:", "- {id: b1, on: []}", "- {id: b1, on: [a, a, q]}",
-                "wishes:", "- {id: w1, machine: q, lasts: soon, who: kim}", "- {id: w2, machine: a, by: never, after: [q]}",
+                "  hours: [\"22-4\"]", "  offset: east", "  cold_sahre: 0.1", "machines:",
+                "- {id: a, centre: x, kind: door}",
+                "- {id: a, centre: x, phase: gone}", "- {id: c}", "blocks:", "- {id: b1, on: []}",
+                "- {id: b1, on: [a, a, q]}",
+                "wishes:", "- {id: w1, machine: q, lasts: soon, who: kim}",
+                "- {id: w2, machine: a, by: never, after: [q]}",
                 "- {id: w3, machine: a, lasts: 5m, who: ali}");
         assertEquals(2, c.code());
         List<String> lines = c.err().lines().map(l -> l.replaceFirst(".*?: (line .*)", "$1")).toList();
         for (String fault : List.of("line 1: at: is no time in UTC", "line 3: budgets.at_once: is no whole",
                 "line 4: budgets.centres.z: is no machine's centre", "line 5: budgets.capacity_kept: is no share",
                 "line 6: budgets.hours: holds what is no window", "line 7: budgets.offset: is no offset",
-                "line 8: budgets.cold_sahre: is unknown; did you mean cold_share?", "line 10: machines.0.kind: is neither",
-                "line 11: machines.1.id: stands twice", "line 11: machines.1.phase: is none of", "line 12: machines.2.centre: is absent",
-                "line 14: blocks.0.on: is absent", "line 15: blocks.1.id: stands twice", "line 15: blocks.1.on: names a machine twice",
-                "line 15: blocks.1.on: names a machine that is not there: q", "line 17: wishes.0.machine: is not there: q",
-                "line 17: wishes.0.lasts: is no time", "line 18: wishes.1.lasts: is absent", "line 18: wishes.1.by: is no time",
+                "line 8: budgets.cold_sahre: is unknown; did you mean cold_share?",
+                "line 10: machines.0.kind: is neither",
+                "line 11: machines.1.id: stands twice", "line 11: machines.1.phase: is none of",
+                "line 12: machines.2.centre: is absent",
+                "line 14: blocks.0.on: is absent", "line 15: blocks.1.id: stands twice",
+                "line 15: blocks.1.on: names a machine twice",
+                "line 15: blocks.1.on: names a machine that is not there: q",
+                "line 17: wishes.0.machine: is not there: q",
+                "line 17: wishes.0.lasts: is no time", "line 18: wishes.1.lasts: is absent",
+                "line 18: wishes.1.by: is no time",
                 "line 18: wishes.1.after: names a machine that is not there", "line 18: wishes.1.who: is absent",
                 "line 19: wishes.2.machine: has a wish already: a")) {
             assertTrue(fault + " in " + lines, lines.stream().anyMatch(l -> l.startsWith(fault)));
--- a/src/test/java/wallmoor/cli/RebalanceTest.java
+++ b/src/test/java/wallmoor/cli/RebalanceTest.java
@@ -21,15 +21,18 @@
     public void aPlanIsPrintedInItsOrder() throws Exception {
         Console c = plan("headroom: 0.1", "spread: cell", "nodes:", "- {id: a, cell: x, disk_mb: 1000, drain: true}",
                 "- {id: b, cell: x, disk_mb: 334, drain: false}", "blocks:", "- {id: b1, mb: 300, on: [a]}");
-        assertEquals("{\"feasible\":true,\"moves\":[{\"block\":\"b1\",\"from\":\"a\",\"to\":\"b\",\"mb\":300,\"wave\":1}],"
-                + "\"mb\":300,\"bound_mb\":300,\"exact\":true}\n", c.out());
+        assertEquals(
+                "{\"feasible\":true,\"moves\":[{\"block\":\"b1\",\"from\":\"a\",\"to\":\"b\",\"mb\":300,\"wave\":1}],"
+                        + "\"mb\":300,\"bound_mb\":300,\"exact\":true}\n",
+                c.out());
         assertEquals(0, c.code());
         assertEquals(0, Console.run("rebalance", "plan", "example/rebalance.yaml").code());
     }
 
     @Test
     public void whereNoneExistsTheFewestRulesAreNamed() throws Exception {
-        Console c = plan("headroom: 0.1", "spread: cell", "level: 0.9", "nodes:", "- {id: a, cell: x, disk_mb: 1000, drain: true}",
+        Console c = plan("headroom: 0.1", "spread: cell", "level: 0.9", "nodes:",
+                "- {id: a, cell: x, disk_mb: 1000, drain: true}",
                 "- {id: b, cell: x, disk_mb: 333}", "blocks:", "- {id: b1, mb: 300, on: [a]}");
         assertEquals("{\"feasible\":false,\"because\":[{\"rule\":\"drain\",\"nodes\":[\"a\"],\"blocks\":[]},"
                 + "{\"rule\":\"room\",\"nodes\":[\"b\"],\"blocks\":[]}],\"smallest\":true}\n", c.out());
@@ -39,14 +42,18 @@
     @Test
     public void everyFaultIsNamedByKeyAndLine() throws Exception {
         Console c = plan("headroom: 1.5", "spread: rack", "levle: 0.2", "nodes:",
-                "- {id: a, cell: x, disk_mb: -1}", "- {id: a, cell: x, disk_mb: many, drain: perhaps}", "- {id: d, disk_mb: 5}",
-                "blocks:", "- {id: b1, mb: 0, on: [a, a]}", "- {id: b1, mb: 3, on: [z]}", "- {id: b3, on: []}", "- plain");
+                "- {id: a, cell: x, disk_mb: -1}", "- {id: a, cell: x, disk_mb: many, drain: perhaps}",
+                "- {id: d, disk_mb: 5}",
+                "blocks:", "- {id: b1, mb: 0, on: [a, a]}", "- {id: b1, mb: 3, on: [z]}", "- {id: b3, on: []}",
+                "- plain");
         assertEquals(2, c.code());
         List<String> lines = c.err().lines().map(l -> l.replaceFirst(".*?: (line .*)", "$1")).toList();
         for (String fault : List.of("line 1: headroom: is no share", "line 2: spread: is neither",
                 "line 3: levle: is unknown; did you mean level?",
-                "line 5: nodes.0.disk_mb: is no whole", "line 6: nodes.1.id: stands twice", "line 6: nodes.1.disk_mb: is no whole",
-                "line 6: nodes.1.drain: is neither", "line 7: nodes.2.cell: is absent", "line 9: blocks.0.mb: is no whole",
+                "line 5: nodes.0.disk_mb: is no whole", "line 6: nodes.1.id: stands twice",
+                "line 6: nodes.1.disk_mb: is no whole",
+                "line 6: nodes.1.drain: is neither", "line 7: nodes.2.cell: is absent",
+                "line 9: blocks.0.mb: is no whole",
                 "line 9: blocks.0.on: names a node twice", "line 10: blocks.1.id: stands twice",
                 "line 10: blocks.1.on: names a node that is not there: z", "line 11: blocks.2.mb: is absent",
                 "line 11: blocks.2.on: is absent or empty", "line 12: blocks.3: is no mapping")) {
--- a/src/test/java/wallmoor/cli/ResolveTest.java
+++ b/src/test/java/wallmoor/cli/ResolveTest.java
@@ -58,20 +58,22 @@
         assertEquals("{\"target\":\"n1.example\",\"address\":\"127.0.0.1\",\"port\":9001,\"priority\":10,\"weight\":60,"
                 + "\"ttl\":60}\n"
                 + "{\"target\":\"n2.example\",\"address\":\"127.0.0.1\",\"port\":9002,\"priority\":10,"
-                        + "\"weight\":40,\"ttl\":60}\n"
+                + "\"weight\":40,\"ttl\":60}\n"
                 + "{\"target\":\"n3.example\",\"address\":\"127.0.0.1\",\"port\":9003,\"priority\":20,"
-                        + "\"weight\":0,\"ttl\":60}\n", out);
+                + "\"weight\":0,\"ttl\":60}\n", out);
         assertEquals(0, run("resolve", "--server", "127.0.0.1:" + dns.port(), SERVICE));
         assertEquals("n1.example 127.0.0.1:9001 10 60 60", out.lines().findFirst().orElse(""));
         dns.set("n1.example", Type.A);
         dns.set("n1.example", Type.AAAA, DnsServer.aaaa("n1.example", 7, "::1"));
         assertEquals(err, 0, resolve(SERVICE));
-        assertTrue(out, out.contains("\"address\":\"0:0:0:0:0:0:0:1\",\"port\":9001,\"priority\":10,\"weight\":60,\"ttl\":7"));
+        assertTrue(out,
+                out.contains("\"address\":\"0:0:0:0:0:0:0:1\",\"port\":9001,\"priority\":10,\"weight\":60,\"ttl\":7"));
     }
 
     @Test
     public void whatServersDoWrongIsToldByTheExitCode() {
-        Object[][] cases = {{Fault.SERVFAIL, 4, "SERVFAIL"}, {Fault.REFUSED, 4, "REFUSED"}, {Fault.SILENT, 4, "no answer"},
+        Object[][] cases = {{Fault.SERVFAIL, 4, "SERVFAIL"}, {Fault.REFUSED, 4, "REFUSED"},
+            {Fault.SILENT, 4, "no answer"},
             {Fault.WRONG_ID, 4, "something else"}, {Fault.WRONG_QUESTION, 4, "something else"},
             {Fault.OTHER_PORT, 4, "no answer"}, {Fault.GARBAGE, 4, "can't be read"},
             {Fault.POINTER_LOOP, 4, "can't be read"}, {Fault.TRUNCATED, 0, ""}, {Fault.FORMERR_ON_EDNS, 0, ""},
@@ -142,14 +144,18 @@
     @Test
     public void membersAreShownWithTheirCauses() throws Exception {
         Path operator = folder.newFile("members.yaml").toPath();
-        String file = "sources:\n  list: {enabled: false}\n  dns: {servers: [\"127.0.0.1:" + dns.port() + "\"], names: [{name: "
+        String file = "sources:\n  list: {enabled: false}\n  dns: {servers: [\"127.0.0.1:" + dns.port()
+                + "\"], names: [{name: "
                 + SERVICE + "}], timeout: 100ms}\n";
         Files.writeString(operator, file);
-        String[] ask = {"members", "--config", "example/config.json", "--operator", operator.toString(), "--wait", "5", "--json"};
+        String[] ask = {"members", "--config", "example/config.json", "--operator", operator.toString(), "--wait", "5",
+            "--json"};
         assertEquals(err, 0, run(ask));
         assertEquals(out, 3, out.lines().count());
-        assertTrue(out, out.startsWith("{\"node\":\"n2.example:9002/127.0.0.1\",\"address\":\"127.0.0.1:9002\",\"cell\":1,\"size\":0.8"
-                + ",\"state\":\"SERVING\",\"cause\":\"named by dns " + SERVICE + " at look-up 1\"}"));
+        assertTrue(out,
+                out.startsWith(
+                        "{\"node\":\"n2.example:9002/127.0.0.1\",\"address\":\"127.0.0.1:9002\",\"cell\":1,\"size\":0.8"
+                                + ",\"state\":\"SERVING\",\"cause\":\"named by dns " + SERVICE + " at look-up 1\"}"));
         assertTrue("tier 20 stands by: " + out, out.contains("stands by in tier 20: tier 10 serves cell 1"));
         dns.fail(Fault.SILENT);
         ask[6] = "1";
@@ -164,7 +170,8 @@
         assertEquals(2, run());
         assertEquals(2, run("serve", "now"));
         assertEquals(0, run("--help"));
-        assertTrue(out, List.of("check", "members", "resolve", "serve", "generate-completion").stream().allMatch(out::contains));
+        assertTrue(out, List.of("check", "members", "resolve", "serve", "generate-completion").stream()
+                .allMatch(out::contains));
         Path bad = folder.newFile("operator.yaml").toPath();
         Files.writeString(bad, "sources:\n  dns:\n    servers: [somewhere]\n    name: x\n    most_age: 5\n"
                 + "  list: {enabled: perhaps}\nlogging:\n  levels: {dns: loud}\nogx: 1\n");
--- a/src/test/java/wallmoor/cli/RulesCheckTest.java
+++ b/src/test/java/wallmoor/cli/RulesCheckTest.java
@@ -21,11 +21,13 @@
 
     @Test
     public void theFallbackKeepsBoundsAndGivesNothing() throws Exception {
-        Console said = check("settings", "{\"limits.open\":200,\"allowances.t\":2.5,\"allow.x\":true,\"forbid.y\":true,\"values.z\":\"q\"}");
+        Console said = check("settings",
+                "{\"limits.open\":200,\"allowances.t\":2.5,\"allow.x\":true,\"forbid.y\":true,\"values.z\":\"q\"}");
         assertEquals(0, said.code());
         assertTrue(said.out(), said.out().contains("fallback  {\"forbid.y\":true,\"limits.open\":200}"));
         assertTrue(said.out(), said.out().contains("\"allowances.t\":2.5"));
-        assertTrue(check("list", "{\"nodes\":[\"b\",\"a\"],\"draining\":[\"a\"]}").out().contains("body      {\"draining\":[\"a\"],\"nodes\":[\"a\",\"b\"]}"));
+        assertTrue(check("list", "{\"nodes\":[\"b\",\"a\"],\"draining\":[\"a\"]}").out()
+                .contains("body      {\"draining\":[\"a\"],\"nodes\":[\"a\",\"b\"]}"));
         assertEquals(0, Console.run("rules", "check", "settings", "example/settings.json").code());
     }
 
--- a/src/test/java/wallmoor/cli/SummariesTest.java
+++ b/src/test/java/wallmoor/cli/SummariesTest.java
@@ -46,8 +46,10 @@
         assertEquals("{\"ask\":[\"suva\"]", asked("--bbox", "178,-20,-178,-15"));
         assertEquals("{\"ask\":[]", asked("--where", "plate=ZZZ-1"));
         Console all = Console.run("summaries", "sites", "--dir", dir.toString(), "--json", "--where", "city=Suva");
-        assertEquals("{\"ask\":[\"suva\"],\"skip\":[{\"site\":\"clifton\",\"because\":\"city is none of its 1 values\"},"
-                + "{\"site\":\"lahore\",\"because\":\"city is none of its 1 values\"}]}\n", all.out());
+        assertEquals(
+                "{\"ask\":[\"suva\"],\"skip\":[{\"site\":\"clifton\",\"because\":\"city is none of its 1 values\"},"
+                        + "{\"site\":\"lahore\",\"because\":\"city is none of its 1 values\"}]}\n",
+                all.out());
     }
 
     @Test
@@ -66,7 +68,7 @@
     @Test
     public void badInputIsNamed() throws Exception {
         String[][] cases = {{"a,lon,lat\n1,2,3\n1,2\n", "line 3 has 2 cells"}, {"a,lon,lat\n\"x\ny\",2,3\n1,200,3\n",
-                "line 4 has no place"},
+            "line 4 has no place"},
             {"a,datetime\n1,yesterday\n", "line 2 has no datetime"}, {"a,a\n1,2\n", "is no CSV"}, {"", "has no header"},
             {"a\n\"open\n", "is no CSV"}};
         Path rows = folder.getRoot().toPath().resolve("rows.csv");
@@ -79,7 +81,7 @@
         }
         assertTrue("nothing is written of bad rows", !Files.exists(dir.resolve("s")));
         for (String[] bad : new String[][] {{"--bbox", "1,2,3"}, {"--datetime", "soon"}, {"--where", "city"},
-                {"--where", "price=9..1"}}) {
+            {"--where", "price=9..1"}}) {
             Console said = Console.run("summaries", "sites", "--dir", dir.toString(), bad[0], bad[1]);
             assertEquals(2, said.code());
             assertTrue(said.err(), said.err().contains(bad[0]));
@@ -91,7 +93,8 @@
     public void aSummaryIsShownAndExplained() {
         String file = dir.resolve("suva.summary").toString();
         String shown = Console.run("summaries", "show", file).out();
-        assertTrue(shown, shown.contains("2 rows") && shown.contains("property price: 2 values, numbers from 55 to 95"));
+        assertTrue(shown,
+                shown.contains("2 rows") && shown.contains("property price: 2 values, numbers from 55 to 95"));
         String told = Console.run("summaries", "explain", file, "--where", "city=Nadi", "--where", "hue=red",
                 "--bbox", "170,-20,-170,0").out();
         assertTrue(told, told.contains("--where city=Nadi: cannot, ") && told.contains("--where hue=red: unknown, ")
--- a/src/test/java/wallmoor/config/ClassPlacesTest.java
+++ b/src/test/java/wallmoor/config/ClassPlacesTest.java
@@ -74,8 +74,9 @@
 
     @Test
     public void aFileThatLacksAKeyIsIncomplete() throws Exception {
-        Set<String> force = keys("{\"name\":\"n\",\"known\":{\"revision\":1},\"settings\":{\"Limits\":{\"MaxAttempts\":4,\"MaxOpen\":9},"
-                + "\"Classes\":[{\"Name\":\"a\",\"GiveUp\":1},{\"Name\":\"b\",\"GiveUp\":1,"
+        Set<String> force = keys(
+                "{\"name\":\"n\",\"known\":{\"revision\":1},\"settings\":{\"Limits\":{\"MaxAttempts\":4,\"MaxOpen\":9},"
+                        + "\"Classes\":[{\"Name\":\"a\",\"GiveUp\":1},{\"Name\":\"b\",\"GiveUp\":1,"
                         + "\"DedupWindow\":5}],\"Dcs\":[\"x\"]}}");
         String sound = "{\"name\":\"n\",\"settings\":{\"Limits\":{\"MaxAttempts\":2,\"MaxOpen\":9,\"New\":1},"
                 + "\"Classes\":[{\"Name\":\"c\",\"GiveUp\":7}],\"Dcs\":[]}}";
--- a/src/test/java/wallmoor/core/GathererPropertiesTest.java
+++ b/src/test/java/wallmoor/core/GathererPropertiesTest.java
@@ -16,7 +16,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.Test;
 
-/** After any order of queries, answers, clients that leave, drains and time, each query had one end and nothing is kept. */
+/**
+ * After any order of queries, answers, clients that leave, drains and time, each query had one end and nothing is kept.
+ */
 public class GathererPropertiesTest {
     private static final int SEEDS = 200;
     private static final int EVENTS = 300;
--- a/src/test/java/wallmoor/core/GathererTest.java
+++ b/src/test/java/wallmoor/core/GathererTest.java
@@ -248,12 +248,14 @@
         var first = (Step.Send) pick(q);
         gatherer.report(first.attempts().get(0), Outcome.ERROR, null);
         var second = (Step.Send) pick(q);
-        gatherer.settings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")), List.of("any", "once"), java.util.Set.of());
+        gatherer.settings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")), List.of("any", "once"),
+                java.util.Set.of());
         gatherer.report(second.attempts().get(0), Outcome.ERROR, null);
         assertTrue(pick(q) instanceof Step.Final);
         Query r = open("r", 0);
         var only = (Step.Send) pick(r);
-        gatherer.settings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")), List.of("any", "once"), java.util.Set.of());
+        gatherer.settings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")), List.of("any", "once"),
+                java.util.Set.of());
         gatherer.report(only.attempts().get(0), Outcome.SERVED, new byte[] {1});
         assertTrue(pick(r) instanceof Step.Answer);
         assertEquals(0, gatherer.kept());
@@ -301,13 +303,16 @@
         assertFalse(seen.get());
     }
 
-    /** A drain, a removal and a whole list that leaves it out hold at once and for good, also where it is told again. */
+    /**
+     * A drain, a removal and a whole list that leaves it out hold at once and for good, also where it is told again.
+     */
     @Test
     public void whatWasDrainedOrRemovedIsAtNoMomentSeenToServe() throws Exception {
         Worker a = workerOf("a");
         gatherer.members(false, List.of(member("a", Member.State.DRAINING)));
         assertFalse(a.serving());
-        neverServes(a, i -> gatherer.members(i % 2 == 0, List.of(member("a", Member.State.DRAINING), member("b", Member.State.SERVING))));
+        neverServes(a, i -> gatherer.members(i % 2 == 0,
+                List.of(member("a", Member.State.DRAINING), member("b", Member.State.SERVING))));
         neverServes(a, i -> { // named twice: the last entry alone
             gatherer.members(false, List.of(member("a", Member.State.SERVING), member("a", Member.State.DRAINING)));
         });
@@ -315,7 +320,8 @@
         assertFalse(a.serving());
         neverServes(a, i -> { // it comes back under its id: whatever still waits for the old one does not go out
             gatherer.members(false, List.of(member("a", Member.State.SERVING)));
-            gatherer.members(i % 2 == 0, i % 2 == 0 ? List.of(member("b", Member.State.SERVING)) : List.of(member("a", Member.State.GONE)));
+            gatherer.members(i % 2 == 0,
+                    i % 2 == 0 ? List.of(member("b", Member.State.SERVING)) : List.of(member("a", Member.State.GONE)));
         });
         assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("module failed")));
     }
@@ -334,7 +340,8 @@
         });
         for (int i = 0; i < 20_000; i++) {
             gatherer.members(true, i % 2 == 0 ? List.of(member("a", Member.State.SERVING))
-                    : List.of(member("b", Member.State.SERVING), member("a", Member.State.GONE), member("a", Member.State.SERVING)));
+                    : List.of(member("b", Member.State.SERVING), member("a", Member.State.GONE),
+                            member("a", Member.State.SERVING)));
         }
         over.set(true);
         assertTrue(always.get());
--- a/src/test/java/wallmoor/decision/BrainTest.java
+++ b/src/test/java/wallmoor/decision/BrainTest.java
@@ -218,7 +218,8 @@
             var rig = new Rig(site).leaves(12);
             String q = rig.query(0, 0);
             rig.now += 400 * MS;
-            rig.ends(q + "/0", 0, rig.leafOf(0), effect == Effect.UNSAFE ? Outcome.CONNECT_FAILED : Outcome.ERROR, 400 * MS);
+            rig.ends(q + "/0", 0, rig.leafOf(0), effect == Effect.UNSAFE ? Outcome.CONNECT_FAILED : Outcome.ERROR,
+                    400 * MS);
             assertEquals(2, rig.said("assign").size());
             assertEquals(List.of(Long.MAX_VALUE, effect == Effect.KEYED ? (1_000 - 400) * MS - 2 * Rig.ROUND
                     : Long.MAX_VALUE), rig.beginWithins);
@@ -509,7 +510,9 @@
         assertTrue(rig.said("refuse").isEmpty(), "no shard counts as out of reach");
     }
 
-    /** A lost zone made connecting look slow everywhere: its leaves were blamed no more, and sent to again and again. */
+    /**
+     * A lost zone made connecting look slow everywhere: its leaves were blamed no more, and sent to again and again.
+     */
     @Test
     void slowConnectsToOneZoneBlameItsLeaves() {
         var entries = new LeafEntry[12];
@@ -523,9 +526,11 @@
             for (int attempt = 0; attempt < 2 && rig.said("assign").size() > attempt; attempt++) {
                 String leaf = rig.leafOf(attempt);
                 boolean lost = Integer.parseInt(leaf.substring(4)) % 2 == 1;
-                rig.ends(q + "/" + i % 12, attempt, leaf, lost ? Outcome.CONNECT_FAILED : Outcome.OK, (lost ? 250 : 100) * MS);
+                rig.ends(q + "/" + i % 12, attempt, leaf, lost ? Outcome.CONNECT_FAILED : Outcome.OK,
+                        (lost ? 250 : 100) * MS);
             }
-            rig.said("log").stream().filter(l -> l.contains("ill: CONNECT_FAILED")).forEach(l -> blamed.add(l.split(" ")[2]));
+            rig.said("log").stream().filter(l -> l.contains("ill: CONNECT_FAILED"))
+                    .forEach(l -> blamed.add(l.split(" ")[2]));
             rig.said.clear();
             rig.pass(20 * MS);
         }
@@ -769,7 +774,8 @@
                 rig.pass(100 * MS);
                 for (int n = 0; n < rig.said("assign").size(); n++) { // second attempts come behind
                     String[] sent = rig.said("assign").get(n).split(" ");
-                    long attempt = rig.said("assign").subList(0, n).stream().filter(l -> l.contains(sent[1] + " ")).count();
+                    long attempt = rig.said("assign").subList(0, n).stream().filter(l -> l.contains(sent[1] + " "))
+                            .count();
                     rig.ends(sent[1], (int) attempt, sent[2],
                             i == 23 && sent[2].equals("leaf0") ? Outcome.ERROR : Outcome.OK,
                             sent[2].equals("leaf0") ? 100 * MS : 200 * MS);
@@ -1033,7 +1039,6 @@
         assertEquals(2, rig.said("assign").size());
     }
 
-
     @Test
     void theModuleKeepsToItsSize() throws Exception {
         List<String> lines = Files.readAllLines(Path.of("src/main/java/wallmoor/decision/Brain.java"));
--- a/src/test/java/wallmoor/decision/ColdFleet.java
+++ b/src/test/java/wallmoor/decision/ColdFleet.java
@@ -18,9 +18,9 @@
 import wallmoor.decision.RouterApi.Settings;
 
 /**
- * Many modules and the leaves that they share on one simulated clock. The leaves of the first cell die together and come
- * back cold, so that all demand for their shards waits for what the modules send them. Each leaf keeps the times at which
- * parts reached it, and {@link #worstExcess} holds them against the bound that the settings state.
+ * Many modules and the leaves that they share on one simulated clock. The leaves of the first cell die together and
+ * come back cold, so that all demand for their shards waits for what the modules send them. Each leaf keeps the times
+ * at which parts reached it, and {@link #worstExcess} holds them against the bound that the settings state.
  */
 final class ColdFleet {
     static final long MS = 1000;
@@ -49,9 +49,9 @@
      * @param dialLasts    a first connection to a leaf takes up to this (microseconds)
      * @param toldAfter    lists tell of a start so late at the most (microseconds)
      */
-    record Day(long seed, int roots, int cells, int parts, long work, double load, double burst, double restarted, long dialLasts,
-            long toldAfter) {
-    }
+    record Day(long seed, int roots, int cells, int parts, long work, double load, double burst, double restarted,
+            long dialLasts,
+            long toldAfter) {}
 
     private record Event(long at, long order, Runnable what) implements Comparable<Event> {
         @Override
@@ -60,11 +60,9 @@
         }
     }
 
-    private record Arrival(long at, int root) {
-    }
+    private record Arrival(long at, int root) {}
 
-    private record Call(Root root, String part, int number, long sentAt, long work) {
-    }
+    private record Call(Root root, String part, int number, long sentAt, long work) {}
 
     private final Day day;
     private final Random random;
@@ -88,7 +86,10 @@
         }
     }
 
-    /** Plays the day to its end: the first cell dies at 10 s, is back at 11 to 12 s, and the burst lasts from 11 to 18 s. */
+    /**
+     * Plays the day to its end: the first cell dies at 10 s, is back at 11 to 12 s, and the burst lasts from 11 to 18
+     * s.
+     */
     ColdFleet play() {
         roots.forEach(Root::begin);
         machines.values().stream().filter(m -> m.cell == 0).forEach(m -> {
@@ -282,7 +283,8 @@
         }
 
         private void next(int mine) {
-            double each = 3.0 * CORES * 1e6 / day.work * day.load * (inBurst() ? day.burst : 1) * day.cells * (1 + SLOW) / 2
+            double each = 3.0 * CORES * 1e6 / day.work * day.load * (inBurst() ? day.burst : 1) * day.cells * (1 + SLOW)
+                    / 2
                     / day.roots / day.parts;
             in((long) (-Math.log(1 - random.nextDouble()) / each * 1e6), () -> {
                 if (mine == life) {
--- a/src/test/java/wallmoor/decision/SlowStartTest.java
+++ b/src/test/java/wallmoor/decision/SlowStartTest.java
@@ -13,8 +13,8 @@
 import wallmoor.decision.RouterApi.Settings;
 
 /**
- * Any number of modules that don't talk send a leaf that is cold no more than the settings allow all of them together, in
- * whatever window: under a burst, with restarts of modules, slow first connections and lists that tell late.
+ * Any number of modules that don't talk send a leaf that is cold no more than the settings allow all of them together,
+ * in whatever window: under a burst, with restarts of modules, slow first connections and lists that tell late.
  */
 class SlowStartTest {
     private static final int DAYS = 12;
--- a/src/test/java/wallmoor/discovery/ListClockPropertiesTest.java
+++ b/src/test/java/wallmoor/discovery/ListClockPropertiesTest.java
@@ -9,12 +9,15 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** The list's clock on the model: whatever befalls the watch, what counts as drained gets nothing new after its grace. */
+/**
+ * The list's clock on the model: whatever befalls the watch, what counts as drained gets nothing new after its grace.
+ */
 class ListClockPropertiesTest {
     private static final long SECOND = ListModel.SECOND;
 
     @Property(tries = 2000, seed = "5")
-    void whatCountsAsDrainedGetsNothingNew(@ForAll boolean pushed, @ForAll @IntRange(max = 3) int ask, @ForAll long seed) {
+    void whatCountsAsDrainedGetsNothingNew(@ForAll boolean pushed, @ForAll @IntRange(max = 3) int ask,
+            @ForAll long seed) {
         var model = new ListModel(pushed, new long[] {0, SECOND / 2, 2 * SECOND, 10 * SECOND}[ask], seed);
         play(model);
     }
@@ -111,7 +114,9 @@
         assertTrue(calls[1] <= 2 * calls[0], "calls in all: " + calls[1] + " for " + calls[0]);
     }
 
-    /** Discovery returns, a worker drains at once, and the first calls are refused, slow or in vain: 6 s all the same. */
+    /**
+     * Discovery returns, a worker drains at once, and the first calls are refused, slow or in vain: 6 s all the same.
+     */
     @Property(tries = 500, seed = "7")
     void whatDrainsAtTheReturnCountsSixSecondsLater(@ForAll boolean pushed, @ForAll @IntRange(max = 3) int unlucky,
             @ForAll @IntRange(max = 60) int outage, @ForAll long seed) {
@@ -152,13 +157,15 @@
         ListClock clock = opened(seed, spoke);
         long end = 10 * SECOND + 40_000;
         clock.lost(end);
-        assertTrue(clock.callBy() <= end + ListClock.ENDED_SPREAD, "called " + (clock.callBy() - end) + " us after the end");
+        assertTrue(clock.callBy() <= end + ListClock.ENDED_SPREAD,
+                "called " + (clock.callBy() - end) + " us after the end");
         long first = clock.callBy();
         clock.called(first);
         clock.asked(first);
         clock.lost(first + SECOND);
         long answered = clock.callBy() + 1_200_000;
-        assertTrue(answered <= end + ListClock.ENDED_TERM + 2 * SECOND, "answered " + (answered - end) + " us after the end");
+        assertTrue(answered <= end + ListClock.ENDED_TERM + 2 * SECOND,
+                "answered " + (answered - end) + " us after the end");
     }
 
     /** A discovery that ends each watch as it opens is asked no more often than one that refuses. */
@@ -181,7 +188,9 @@
         assertTrue(calls <= 4 + 60 * SECOND / (0.75 * ListClock.RETRY_PERIOD), calls + " calls in a minute");
     }
 
-    /** A call for a watch that can be spoken of in one state alone: what comes in another is a fault of the caller's. */
+    /**
+     * A call for a watch that can be spoken of in one state alone: what comes in another is a fault of the caller's.
+     */
     @Example
     void eventsOutOfTheirOrderAreRefused() {
         var clock = new ListClock(false, 10 * SECOND, 2 * SECOND, 1);
--- a/src/test/java/wallmoor/discovery/ListModel.java
+++ b/src/test/java/wallmoor/discovery/ListModel.java
@@ -7,13 +7,13 @@
 import java.util.Random;
 
 /**
- * A discovery, a gatherer that holds its list, driven by the real {@link ListClock}, the module's waits, and a judge who
- * knows what truly happened and holds the gatherer to the terms. A holder sends to each node that it has not seen drain
- * in every step. Time goes in steps of 10 ms.
+ * A discovery, a gatherer that holds its list, driven by the real {@link ListClock}, the module's waits, and a judge
+ * who knows what truly happened and holds the gatherer to the terms. A holder sends to each node that it has not seen
+ * drain in every step. Time goes in steps of 10 ms.
  *
- * <p>A change counts as told by the older terms (a silent watch, the time for asking, a pushed list), and in any case 6 s
- * after discovery had it and could be reached. That is judged by itself: calls that discovery refuses, keeps waiting or
- * loses excuse a gatherer only for the time that they took and for the wait that the clock allows after each.
+ * <p>A change counts as told by the older terms (a silent watch, the time for asking, a pushed list), and in any case 6
+ * s after discovery had it and could be reached. That is judged by itself: calls that discovery refuses, keeps waiting
+ * or loses excuse a gatherer only for the time that they took and for the wait that the clock allows after each.
  */
 final class ListModel {
     static final long STEP = 10_000;
@@ -35,8 +35,7 @@
     }
 
     /** A call that reached discovery, or was under way when it returned, and told nothing. */
-    private record Failure(long at, long took) {
-    }
+    private record Failure(long at, long took) {}
 
     final Random random;
     final boolean pushed;
@@ -120,7 +119,8 @@
 
     void reset() {
         if (state == State.WATCHING || state == State.WAITING) {
-            excusedUntil = state == State.WAITING ? now + 7 * SECOND : excusedUntil; // a call that was lost in the middle
+            // a call that was lost in the middle
+            excusedUntil = state == State.WAITING ? now + 7 * SECOND : excusedUntil;
             failures.add(new Failure(now, state == State.WAITING ? now - calledAt : 0));
             leave();
             lost();
@@ -288,7 +288,8 @@
             }
             if (reachable() && now > hadAt(d) + TERM + GRACE && !excusedOfTerm(d)) {
                 throw new AssertionError("at " + now + " sent to what drained at " + d.made + ", reachable since "
-                        + reachableSince + ", lost " + lostAt + ", called " + calledAt + ", " + state + ", " + failures);
+                        + reachableSince + ", lost " + lostAt + ", called " + calledAt + ", " + state + ", "
+                        + failures);
             }
             lastKnownAfter = Math.max(lastKnownAfter, d.told == NEVER ? 0 : now - d.told);
         }
@@ -332,7 +333,8 @@
     /** Whether discovery could not be reached for long enough before the grace was over. */
     private boolean excused(Drain d) {
         long stretch = d.told + GRACE - Math.max(lostAt, reachableSince == NEVER ? now : reachableSince);
-        long needs = silentSince != NEVER ? 5 * SECOND / 2 : pushed ? GRACE : Math.min(6 * SECOND, 2 * askWithin) + 6 * SECOND / 10;
+        long needs = silentSince != NEVER ? 5 * SECOND / 2
+                : pushed ? GRACE : Math.min(6 * SECOND, 2 * askWithin) + 6 * SECOND / 10;
         long slow = Math.max(latency, refusals > 0 ? refusalTakes : 0) - USUAL_LATENCY;
         return now < excusedUntil || stretch < needs + Math.max(0, slow);
     }
--- a/src/test/java/wallmoor/discovery/ObjectReaderTest.java
+++ b/src/test/java/wallmoor/discovery/ObjectReaderTest.java
@@ -22,7 +22,8 @@
             + "    {\"id\": \"}{[\\\"\\\\\"}\n  ]\n}";
     private static final String PLAIN = "{\"revision\":44,\"members\":[]}";
     /** Objects over lines, on one line, two on a line, and the heartbeats between them. */
-    private static final String BODY = "\n" + PLAIN + "\n" + INDENTED + "\r\n\r\n \t\n" + PLAIN + PLAIN + " \n" + PLAIN + "\n\n"
+    private static final String BODY = "\n" + PLAIN + "\n" + INDENTED + "\r\n\r\n \t\n" + PLAIN + PLAIN + " \n" + PLAIN
+            + "\n\n"
             + INDENTED;
     private static final List<String> EVENTS = List.of("", PLAIN, INDENTED, "", "", PLAIN, PLAIN, PLAIN, "", INDENTED);
 
@@ -85,7 +86,8 @@
         out.writeBytes(utf8("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
         for (int at = 0; at < body.length; at += size) {
             int length = Math.min(size, body.length - at);
-            out.writeBytes(utf8((at % 2 == 0 ? "00" : "") + Integer.toHexString(length) + (at % 3 == 0 ? ";x=y" : "") + "\r\n"));
+            out.writeBytes(utf8(
+                    (at % 2 == 0 ? "00" : "") + Integer.toHexString(length) + (at % 3 == 0 ? ";x=y" : "") + "\r\n"));
             out.write(body, at, length);
             out.writeBytes(utf8("\r\n"));
         }
@@ -120,7 +122,8 @@
     @Test
     public void aBodyWithALengthEndsByItself() throws Exception {
         byte[] body = utf8(BODY);
-        byte[] answer = utf8("HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n" + BODY + "HTTP/1.1 200 OK\r\n");
+        byte[] answer = utf8(
+                "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n" + BODY + "HTTP/1.1 200 OK\r\n");
         for (int cut = -1; cut < answer.length; cut++) {
             assertEquals("cut at " + cut, EVENTS, events(answer, cut));
         }
--- a/src/test/java/wallmoor/dns/DecisionsTest.java
+++ b/src/test/java/wallmoor/dns/DecisionsTest.java
@@ -95,12 +95,14 @@
         other.getHeader().setFlag(Flags.QR);
         other.addRecord(Record.newRecord(Name.fromString("t.example."), Type.A, DClass.IN), Section.QUESTION);
         assertTrue(!Reply.answers(query, other) && !Reply.answers(query, query));
-        Message loop = answer(query, DnsServer.cname("s.example", "t.example"), DnsServer.cname("t.example", "s.example"));
+        Message loop = answer(query, DnsServer.cname("s.example", "t.example"),
+                DnsServer.cname("t.example", "s.example"));
         assertTrue(Reply.answers(query, loop));
         assertTrue(Reply.of(query, loop) instanceof Reply.Useless);
         Message alias = answer(query, DnsServer.cname("s.example", "t.example"));
         assertEquals(new Reply.Alias(Name.fromString("t.example.")), Reply.of(query, alias));
-        Message good = answer(query, DnsServer.cname("s.example", "t.example"), DnsServer.a("t.example", 5, "127.0.0.1"),
+        Message good = answer(query, DnsServer.cname("s.example", "t.example"),
+                DnsServer.a("t.example", 5, "127.0.0.1"),
                 DnsServer.a("stranger.example", 5, "127.0.0.9"));
         assertEquals(1, ((Reply.Good) Reply.of(query, good)).records().size());
         assertEquals("the least on the way", 5, ((Reply.Good) Reply.of(query, good)).ttl());
--- a/src/test/java/wallmoor/exchange/ExchangesPropertiesTest.java
+++ b/src/test/java/wallmoor/exchange/ExchangesPropertiesTest.java
@@ -21,8 +21,7 @@
     private static final Rules RULES = new Rules(5 * SECOND, 60 * SECOND, 300 * SECOND, SECOND, 20 * SECOND, 3, 6, 5,
             12 * 1024, 6 * 1024, 1024, 50, 200, 10, SECOND, 30 * SECOND);
 
-    private record Happening(int kind, int query, int size, int after) {
-    }
+    private record Happening(int kind, int query, int size, int after) {}
 
     /** Ten queries of three devices; the even ones may not repeat. */
     private static final class World {
@@ -74,7 +73,8 @@
                 case 7 -> {
                     if (out.containsKey(i)) {
                         Decision d = exchanges.ask(now, keys[i], new long[] {i, 1, 0}, mayRepeat);
-                        assertTrue(d instanceof Decision.Conflict || d instanceof Decision.Refuse, "another body: " + d);
+                        assertTrue(d instanceof Decision.Conflict || d instanceof Decision.Refuse,
+                                "another body: " + d);
                     }
                 }
                 case 8 -> exchanges.piece(now, new Key("d" + i % 3, "up" + i), 0, new byte[h.size], 1024, false);
--- a/src/test/java/wallmoor/exchange/ExchangesTest.java
+++ b/src/test/java/wallmoor/exchange/ExchangesTest.java
@@ -25,7 +25,8 @@
 
     /** An id of version 7 that was made then. */
     static String id(long micros, int number) {
-        return new UUID(micros / 1000 << 16 | 0x7000 | number >>> 16 & 0xfff, 0x8000_0000_0000_0000L | number).toString();
+        return new UUID(micros / 1000 << 16 | 0x7000 | number >>> 16 & 0xfff, 0x8000_0000_0000_0000L | number)
+                .toString();
     }
 
     private Key key(String device) {
@@ -46,8 +47,8 @@
         Exchange e = run(key, false);
         assertSame(e, ((Decision.Attach) exchanges.ask(now, key, BODY, false)).exchange());
         assertTrue(exchanges.ask(now, key, new long[] {1, 2, 4}, false) instanceof Decision.Conflict);
-        assertTrue("another device's id is another query", exchanges.outcome(now, new Key("x", key.id()), true)
-                instanceof Decision.Unknown);
+        assertTrue("another device's id is another query",
+                exchanges.outcome(now, new Key("x", key.id()), true) instanceof Decision.Unknown);
         Outcome first = outcome(10);
         assertSame(first, exchanges.ended(now, e, first));
         assertSame("only the first counts", first, exchanges.ended(now, e, outcome(11)));
@@ -93,10 +94,12 @@
                 restarted.ask(now, before, BODY, false) instanceof Decision.Forgotten);
         now += 5 * SECOND;
         assertTrue(restarted.ask(now, key("d"), BODY, false) instanceof Decision.Run);
-        assertTrue("an id must tell its age", exchanges.ask(now, new Key("d", "mine"), BODY, false) instanceof Decision.BadId);
-        assertTrue("and not lie", exchanges.ask(now, new Key("d", id(now + 2 * SECOND, 1)), BODY, false)
-                instanceof Decision.BadId);
-        assertTrue("what may repeat has any id", exchanges.ask(now, new Key("d", "mine"), BODY, true) instanceof Decision.Run);
+        assertTrue("an id must tell its age",
+                exchanges.ask(now, new Key("d", "mine"), BODY, false) instanceof Decision.BadId);
+        assertTrue("and not lie",
+                exchanges.ask(now, new Key("d", id(now + 2 * SECOND, 1)), BODY, false) instanceof Decision.BadId);
+        assertTrue("what may repeat has any id",
+                exchanges.ask(now, new Key("d", "mine"), BODY, true) instanceof Decision.Run);
     }
 
     @Test
@@ -135,17 +138,20 @@
         Key known = key("h");
         int held = 0;
         for (int i = 0; i < 3000; i++) {
-            held += exchanges.outcome(now, known, false) instanceof Decision.Refuse r && r.why() == Decision.Why.HELD_OFF ? 1 : 0;
+            held += exchanges.outcome(now, known, false) instanceof Decision.Refuse r
+                    && r.why() == Decision.Why.HELD_OFF ? 1 : 0;
         }
         assertEquals(2000, held);
         assertTrue(exchanges.outcome(now, key("i"), false) instanceof Decision.Unknown);
         now += 60 * SECOND;
-        assertTrue("hammering is forgiven after a while", exchanges.outcome(now, known, false) instanceof Decision.Unknown);
+        assertTrue("hammering is forgiven after a while",
+                exchanges.outcome(now, known, false) instanceof Decision.Unknown);
     }
 
     @Test
     public void thoseTurnedAwayComeBackSpread() {
-        var rules = new Rules(5 * SECOND, 600 * SECOND, 3600 * SECOND, SECOND, 60 * SECOND, 4, 10, 8, 64 * 1024, 16 * 1024,
+        var rules = new Rules(5 * SECOND, 600 * SECOND, 3600 * SECOND, SECOND, 60 * SECOND, 4, 10, 8, 64 * 1024,
+                16 * 1024,
                 2048, 100, 1000, 40, SECOND, 30 * SECOND);
         var full = new Exchanges(rules, START);
         for (int i = 0; i < 10; i++) {
@@ -175,7 +181,8 @@
                 turnedAway++;
                 assertTrue("" + d, d instanceof Decision.Refuse);
             }
-            assertTrue(exchanges.held().retained() <= RULES.retainedEach() + 1 && exchanges.held().bytes() <= 17 * 1024);
+            assertTrue(
+                    exchanges.held().retained() <= RULES.retainedEach() + 1 && exchanges.held().bytes() <= 17 * 1024);
         }
         assertTrue("holds fill its share until their window is over: " + turnedAway, turnedAway > 9_900);
         assertSame(kept, ((Decision.Replay) exchanges.outcome(now, other, true)).outcome());
--- a/src/test/java/wallmoor/frames/LinksFixture.java
+++ b/src/test/java/wallmoor/frames/LinksFixture.java
@@ -26,8 +26,8 @@
 import wallmoor.decision.RouterApi.Settings;
 
 /**
- * A gatherer with a hand-turned clock, real connections to workers whose moves a test makes, and gates in the way of the
- * connections' threads. The test's thread stands for the queries': it picks their steps and hands them on.
+ * A gatherer with a hand-turned clock, real connections to workers whose moves a test makes, and gates in the way of
+ * the connections' threads. The test's thread stands for the queries': it picks their steps and hands them on.
  */
 abstract class LinksFixture {
     static final int SAFE = 0;
--- a/src/test/java/wallmoor/frames/WorkerCrossingsTest.java
+++ b/src/test/java/wallmoor/frames/WorkerCrossingsTest.java
@@ -267,7 +267,8 @@
         Query other = sent("other", ONCE);
         ManualWorker.Peer sound = worker.accept();
         assertCall("other.0", sound.frame());
-        byte[][] bad = {{0, 0, 0, 0}, {0, 0, 0, 0, 'A'}, {0x7f, 0, 0, 0, 'A'}, {-1, -1, -1, -1, 'A'}, {0, 0, 0, 9, 'A', 'b'},
+        byte[][] bad = {{0, 0, 0, 0}, {0, 0, 0, 0, 'A'}, {0x7f, 0, 0, 0, 'A'}, {-1, -1, -1, -1, 'A'},
+            {0, 0, 0, 9, 'A', 'b'},
             {0, 0}, {0, 0, 0, 1, '?'}, {0, 0, 0, 1, 'E'}, {0, 0, 0, 1, 'A'}, {0, 0, 0, 2, 'A', '\n'},
             "\0\0\0\15Ax ok 7 -\nvvv".getBytes(), "\0\0\0\17Abad.0 odd 7 -\n".getBytes()};
         for (int i = 0; i < bad.length; i++) {
--- a/src/test/java/wallmoor/http/ConnectionCrossingsTest.java
+++ b/src/test/java/wallmoor/http/ConnectionCrossingsTest.java
@@ -18,8 +18,8 @@
 import wallmoor.http.Connection.State;
 
 /**
- * Bytes that come in the very moment in which a connection is ended from here, in both orders: one side is held at a barrier
- * within its step, and the other has to wait for it.
+ * Bytes that come in the very moment in which a connection is ended from here, in both orders: one side is held at a
+ * barrier within its step, and the other has to wait for it.
  */
 public class ConnectionCrossingsTest {
     private static final byte[] REQUEST = "GET /one HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
@@ -62,8 +62,7 @@
         }
 
         @Override
-        public void resume() {
-        }
+        public void resume() {}
 
         @Override
         public void close() {
@@ -106,8 +105,7 @@
             }
 
             @Override
-            public void close() {
-            }
+            public void close() {}
         };
     }
 
@@ -221,8 +219,7 @@
             }
 
             @Override
-            public void close() {
-            }
+            public void close() {}
         };
         connection.readFrom(rest, ByteBuffer.allocate(1));
         awaitState(State.CLOSED);
--- a/src/test/java/wallmoor/http/EvictionTest.java
+++ b/src/test/java/wallmoor/http/EvictionTest.java
@@ -19,17 +19,22 @@
                 for (long idle : AGES) {
                     for (long first : AGES) {
                         assertEquals(leaving >= 500 ? State.CLOSING : State.IDLE_UNUSED,
-                                Eviction.choose(new Eviction.OldestMillis(leaving, TIMEOUTS.evictJustIdle(), silent, idle, first), TIMEOUTS));
+                                Eviction.choose(new Eviction.OldestMillis(leaving, TIMEOUTS.evictJustIdle(), silent,
+                                        idle, first), TIMEOUTS));
                         var now = new Eviction.OldestMillis(leaving, TIMEOUTS.evictJustIdle() - 1, silent, idle, first);
                         State victim = Eviction.choose(now, TIMEOUTS);
-                        boolean any = leaving >= 500 || silent >= TIMEOUTS.evictSilent() || idle >= TIMEOUTS.evictJustIdle() || first >= TIMEOUTS.evictHalfRequest();
+                        boolean any = leaving >= 500 || silent >= TIMEOUTS.evictSilent()
+                                || idle >= TIMEOUTS.evictJustIdle() || first >= TIMEOUTS.evictHalfRequest();
                         assertEquals(now.toString(), any, victim != null);
                         if (victim == State.NEW) {
-                            assertTrue(now.toString(), leaving < 500 && idle < TIMEOUTS.evictIdle() && silent >= TIMEOUTS.evictSilent());
+                            assertTrue(now.toString(),
+                                    leaving < 500 && idle < TIMEOUTS.evictIdle() && silent >= TIMEOUTS.evictSilent());
                         } else if (victim == State.IDLE) {
-                            assertTrue(now.toString(), leaving < 500 && (idle >= TIMEOUTS.evictIdle() || silent < TIMEOUTS.evictSilent()));
+                            assertTrue(now.toString(),
+                                    leaving < 500 && (idle >= TIMEOUTS.evictIdle() || silent < TIMEOUTS.evictSilent()));
                         } else if (victim == State.FIRST_REQUEST) {
-                            assertTrue(now.toString(), leaving < 500 && silent < TIMEOUTS.evictSilent() && idle < TIMEOUTS.evictJustIdle());
+                            assertTrue(now.toString(), leaving < 500 && silent < TIMEOUTS.evictSilent()
+                                    && idle < TIMEOUTS.evictJustIdle());
                         }
                     }
                 }
--- a/src/test/java/wallmoor/http/IncomingBytesTest.java
+++ b/src/test/java/wallmoor/http/IncomingBytesTest.java
@@ -48,7 +48,7 @@
 
     @Test
     public void aReadWaitsNoLongerThanItMayAndTheEndWakesIt() throws Exception {
-        var feed = new IncomingBytes(() -> { });
+        var feed = new IncomingBytes(() -> {});
         feed.timeout(20);
         assertThrows(SocketTimeoutException.class, feed::read);
         feed.timeout(0);
--- a/src/test/java/wallmoor/http/ServerCrossingsTest.java
+++ b/src/test/java/wallmoor/http/ServerCrossingsTest.java
@@ -19,7 +19,9 @@
 import org.junit.Test;
 import wallmoor.standin.Ports;
 
-/** A server on loopback, its handler held at a barrier while clients leave, send on, wait in the queue or see it end. */
+/**
+ * A server on loopback, its handler held at a barrier while clients leave, send on, wait in the queue or see it end.
+ */
 public class ServerCrossingsTest {
     private static final long WAIT_SECONDS = 15;
 
@@ -36,7 +38,7 @@
     private void start(int mostConnections) throws Exception {
         port = Ports.free();
         server = new Server("test", new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), mostConnections, 8,
-                this::handle, line -> { });
+                this::handle, line -> {});
         server.start();
     }
 
--- a/src/test/java/wallmoor/inventory/InventoryTest.java
+++ b/src/test/java/wallmoor/inventory/InventoryTest.java
@@ -42,7 +42,8 @@
         Files.writeString(file, YAML);
         Inventory inventory = inventory(file);
         assertEquals(List.of(new Entry("a", "127.0.0.1:80", 1, 0, 0, Member.State.SERVING, 1, Entry.UNTOLD, 0),
-                new Entry("b", "127.0.0.2:81", 0, 0, 1, Member.State.DRAINING, 1, Entry.UNTOLD, 0)), inventory.changed());
+                new Entry("b", "127.0.0.2:81", 0, 0, 1, Member.State.DRAINING, 1, Entry.UNTOLD, 0)),
+                inventory.changed());
         assertNull(inventory.changed());
         Files.writeString(file, YAML.replace("draining", "serving"));
         assertNull(inventory.changed());
--- a/src/test/java/wallmoor/lab/History.java
+++ b/src/test/java/wallmoor/lab/History.java
@@ -9,9 +9,9 @@
 import java.util.function.BiPredicate;
 
 /**
- * What each process said it acted on, and when; and for how long two of them acted on things that contradict each other. It
- * knows neither faults nor what the things mean: who judges says which of them contradict. Times are nanoseconds of one
- * clock; records may come from any thread and in any order.
+ * What each process said it acted on, and when; and for how long two of them acted on things that contradict each
+ * other. It knows neither faults nor what the things mean: who judges says which of them contradict. Times are
+ * nanoseconds of one clock; records may come from any thread and in any order.
  */
 public final class History {
     /**
@@ -20,16 +20,14 @@
      * @param about what it is that it goes by, such as a document's name
      * @param value what it acts on; null where it acts on nothing, or is dead or paused
      */
-    public record Act(String who, String about, long at, Object value) {
-    }
+    public record Act(String who, String about, long at, Object value) {}
 
     /**
      * Two processes that contradicted each other.
      *
      * @param nanos the longest time without a break
      */
-    public record Contradiction(String one, String other, String about, long at, long nanos) {
-    }
+    public record Contradiction(String one, String other, String about, long at, long nanos) {}
 
     private final List<Act> acts = new ArrayList<>();
 
@@ -45,7 +43,9 @@
         return ordered;
     }
 
-    /** The longest contradiction of each pair that had one, the longest of all first; what holds at the end ends then. */
+    /**
+     * The longest contradiction of each pair that had one, the longest of all first; what holds at the end ends then.
+     */
     public List<Contradiction> contradictions(long end, BiPredicate<Act, Act> contradict) {
         var latest = new HashMap<String, Map<String, Act>>();
         var since = new HashMap<List<String>, Long>();
--- a/src/test/java/wallmoor/lab/HistoryTest.java
+++ b/src/test/java/wallmoor/lab/HistoryTest.java
@@ -57,7 +57,8 @@
             assertEquals(script.faults(), new Script(5, 6, 15_000, seed).faults());
             for (Script.Fault f : script.faults()) {
                 Set<Integer> struck = script.faults().stream().filter(g -> g.atMillis() <= f.atMillis()
-                        && f.atMillis() < g.atMillis() + g.forMillis()).map(Script.Fault::who).collect(Collectors.toSet());
+                        && f.atMillis() < g.atMillis() + g.forMillis()).map(Script.Fault::who)
+                        .collect(Collectors.toSet());
                 assertTrue(script.faults().toString(), 2 * struck.size() < 5);
             }
         }
--- a/src/test/java/wallmoor/lab/Network.java
+++ b/src/test/java/wallmoor/lab/Network.java
@@ -5,10 +5,12 @@
 import wallmoor.standin.GroupRelay;
 import wallmoor.standin.TcpRelay;
 
-/** The cuts of a script on both relays at once: what is cut for datagrams is cut for connections. Each cut is counted, as faults may share a way. */
+/**
+ * The cuts of a script on both relays at once: what is cut for datagrams is cut for connections. Each cut is counted,
+ * as faults may share a way.
+ */
 public final class Network {
-    private record Way(int from, int to) {
-    }
+    private record Way(int from, int to) {}
 
     private static final double LOSS = 0.2;
     private static final int LATE_MILLIS = 40;
--- a/src/test/java/wallmoor/lab/Script.java
+++ b/src/test/java/wallmoor/lab/Script.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Faults for a group of real processes, drawn from a seed: the same seed gives the same faults at the same times. It must
- * not know what the processes say or decide. At most a minority is dead, paused or cut off at once, so that something must
- * go on; whoever is struck is made whole by the end.
+ * Faults for a group of real processes, drawn from a seed: the same seed gives the same faults at the same times. It
+ * must not know what the processes say or decide. At most a minority is dead, paused or cut off at once, so that
+ * something must go on; whoever is struck is made whole by the end.
  */
 public final class Script {
     /** What strikes. */
@@ -32,8 +32,7 @@
     }
 
     /** One fault: who, from when and for how long, in milliseconds. */
-    public record Fault(Kind kind, int who, int other, int atMillis, int forMillis) {
-    }
+    public record Fault(Kind kind, int who, int other, int atMillis, int forMillis) {}
 
     /** What a script strikes. Called by one thread. */
     public interface Target {
@@ -64,7 +63,8 @@
         var random = new Random(seed);
         while (faults.size() < number) {
             int length = LEAST_MILLIS + random.nextInt(millis / 3);
-            var next = new Fault(Kind.values()[random.nextInt(Kind.values().length)], random.nextInt(count), random.nextInt(count - 1),
+            var next = new Fault(Kind.values()[random.nextInt(Kind.values().length)], random.nextInt(count),
+                    random.nextInt(count - 1),
                     random.nextInt(millis - length), length);
             Set<Integer> beside = new HashSet<>();
             faults.stream().filter(f -> overlap(f, next)).forEach(f -> beside.add(f.who));
@@ -86,8 +86,7 @@
 
     /** Plays it: returns once the last fault is over and all is whole, even where a step fails. */
     public void play(Target target) throws Exception {
-        record Step(int at, Fault fault, boolean on) {
-        }
+        record Step(int at, Fault fault, boolean on) {}
         var steps = new ArrayList<Step>();
         faults.forEach(f -> {
             steps.add(new Step(f.atMillis, f, true));
--- a/src/test/java/wallmoor/maintenance/Fleets.java
+++ b/src/test/java/wallmoor/maintenance/Fleets.java
@@ -15,25 +15,27 @@
     static final long WARM_UP = 5_000;
     static final long PARTS = 5_000;
 
-    private Fleets() {
-    }
+    private Fleets() {}
 
     static Budgets budgets(int atOnce) {
         return new Budgets(atOnce, Map.of(), 0, 0, Budgets.Hours.ANY, COLD, 160_000, WARM_UP, PARTS, 60_000, 30_000);
     }
 
     static Budgets kept(Budgets b, int capacity, int gatherers) {
-        return new Budgets(b.atOnce(), b.centres(), capacity, gatherers, b.hours(), b.cold(), b.coldShare(), b.warmUp(), b.parts(),
+        return new Budgets(b.atOnce(), b.centres(), capacity, gatherers, b.hours(), b.cold(), b.coldShare(), b.warmUp(),
+                b.parts(),
                 b.drain(), b.late());
     }
 
     static Budgets centres(Budgets b, Map<String, Integer> centres) {
-        return new Budgets(b.atOnce(), centres, b.capacityKept(), b.gatherersKept(), b.hours(), b.cold(), b.coldShare(), b.warmUp(),
+        return new Budgets(b.atOnce(), centres, b.capacityKept(), b.gatherersKept(), b.hours(), b.cold(), b.coldShare(),
+                b.warmUp(),
                 b.parts(), b.drain(), b.late());
     }
 
     static Budgets hours(Budgets b, Budgets.Hours hours) {
-        return new Budgets(b.atOnce(), b.centres(), b.capacityKept(), b.gatherersKept(), hours, b.cold(), b.coldShare(), b.warmUp(),
+        return new Budgets(b.atOnce(), b.centres(), b.capacityKept(), b.gatherersKept(), hours, b.cold(), b.coldShare(),
+                b.warmUp(),
                 b.parts(), b.drain(), b.late());
     }
 
@@ -87,7 +89,8 @@
     }
 
     static Wish wish(String machine, long lasts, long by, String... after) {
-        return new Wish("w-" + machine, machine, lasts, by, "patch", "kim", new TreeSet<>(Arrays.asList(after)), new TreeSet<>());
+        return new Wish("w-" + machine, machine, lasts, by, "patch", "kim", new TreeSet<>(Arrays.asList(after)),
+                new TreeSet<>());
     }
 
     static State ask(State state, long now, Wish... wishes) {
--- a/src/test/java/wallmoor/maintenance/Judge.java
+++ b/src/test/java/wallmoor/maintenance/Judge.java
@@ -17,16 +17,17 @@
 final class Judge {
     private static final Map<Step, Set<Step>> MAY = Map.ofEntries(
             Map.entry(Step.ASKED, Set.of(Step.PLANNED, Step.HELD, Step.REFUSED, Step.DRAINING)),
-            Map.entry(Step.PLANNED, Set.of(Step.HELD, Step.DRAINING)), Map.entry(Step.HELD, Set.of(Step.PLANNED, Step.DRAINING)),
+            Map.entry(Step.PLANNED, Set.of(Step.HELD, Step.DRAINING)),
+            Map.entry(Step.HELD, Set.of(Step.PLANNED, Step.DRAINING)),
             Map.entry(Step.DRAINING, Set.of(Step.OUT, Step.HELD, Step.GIVEN_UP)),
             Map.entry(Step.OUT, Set.of(Step.RETURNING, Step.WARM, Step.OVERDUE, Step.DRAINING, Step.HELD)),
-            Map.entry(Step.RETURNING, Set.of(Step.WARM, Step.OVERDUE)), Map.entry(Step.OVERDUE, Set.of(Step.RETURNING, Step.WARM, Step.DRAINING, Step.HELD)),
+            Map.entry(Step.RETURNING, Set.of(Step.WARM, Step.OVERDUE)),
+            Map.entry(Step.OVERDUE, Set.of(Step.RETURNING, Step.WARM, Step.DRAINING, Step.HELD)),
             Map.entry(Step.WARM, Set.of(Step.DONE, Step.RETURNING)), Map.entry(Step.DONE, Set.of()),
             Map.entry(Step.REFUSED, Set.of()), Map.entry(Step.GIVEN_UP, Set.of()));
     private static final Set<Step> HAS = Set.of(Step.DRAINING, Step.OUT, Step.RETURNING, Step.WARM, Step.OVERDUE);
 
-    private Judge() {
-    }
+    private Judge() {}
 
     /** A version that follows another one. */
     static void version(State before, State after, Fleet f, Budgets b) {
@@ -37,7 +38,9 @@
             Step was = before.wishes().get(id).step();
             String m = s.wish().machine();
             assertTrue(was == s.step() || MAY.get(was).contains(s.step()), id + " from " + was + " to " + s.step());
-            assertFalse(Set.of(Step.HELD, Step.REFUSED, Step.OVERDUE, Step.GIVEN_UP).contains(s.step()) && s.why().isEmpty(),
+            assertFalse(
+                    Set.of(Step.HELD, Step.REFUSED, Step.OVERDUE, Step.GIVEN_UP).contains(s.step())
+                            && s.why().isEmpty(),
                     id + " has no reason");
             if (HAS.contains(was) || HAS.contains(s.step())) {
                 assertTrue(ours.add(m), m + " has two wishes out");
@@ -48,8 +51,10 @@
             if (s.step() == Step.DRAINING) {
                 drains.add(m);
                 s.wish().after().forEach(a -> assertTrue(after.wishes().values().stream().noneMatch(
-                        o -> o.wish().machine().equals(a) && !Set.of(Step.DONE, Step.GIVEN_UP, Step.REFUSED).contains(o.step())
-                                && !HAS.contains(was)), m + " began before " + a));
+                        o -> o.wish().machine().equals(a)
+                                && !Set.of(Step.DONE, Step.GIVEN_UP, Step.REFUSED).contains(o.step())
+                                && !HAS.contains(was)),
+                        m + " began before " + a));
             }
         });
         Map<String, Machine> machines = new TreeMap<>();
@@ -109,7 +114,8 @@
     /** As the document has it. */
     static State read(State state) {
         try {
-            var doc = Document.of(new Proposal("maintenance", 0, "", "me", Texts.body(state), Texts.fallback(state)), 1);
+            var doc = Document.of(new Proposal("maintenance", 0, "", "me", Texts.body(state), Texts.fallback(state)),
+                    1);
             return Texts.read(Kinds.MAINTENANCE.check(doc));
         } catch (wallmoor.versions.UnreadableException e) {
             throw new AssertionError(e);
--- a/src/test/java/wallmoor/maintenance/PlannerTest.java
+++ b/src/test/java/wallmoor/maintenance/PlannerTest.java
@@ -23,7 +23,8 @@
 /** Orders, and the fewest reasons against one. A wish of 20 s has the machine out for 48. */
 public class PlannerTest {
     private static final long EACH = 48_000;
-    private static final Fleet TWINS = fleet(List.of(node("a"), node("b"), node("c")), block("x", "a", "b"), block("y", "b", "c"));
+    private static final Fleet TWINS = fleet(List.of(node("a"), node("b"), node("c")), block("x", "a", "b"),
+            block("y", "b", "c"));
 
     private static Answer plan(Fleet f, Budgets b, Wish... wishes) {
         return Planner.plan(0, List.of(wishes), f, b);
@@ -54,8 +55,9 @@
 
     @Test
     public void timesAndPinsSetTheOrder() {
-        assertEquals(List.of("c 0", "b 48", "a 96"), starts(plan(TWINS, budgets(1), wish("a"), wish("b", 20_000, 2 * EACH),
-                wish("c", 20_000, EACH))));
+        assertEquals(List.of("c 0", "b 48", "a 96"),
+                starts(plan(TWINS, budgets(1), wish("a"), wish("b", 20_000, 2 * EACH),
+                        wish("c", 20_000, EACH))));
         assertEquals(List.of("c 0", "a 48"), starts(plan(TWINS, budgets(3), wish("a", "c"), wish("c"))));
         Budgets night = Fleets.hours(budgets(1), new Budgets.Hours(List.of(new Budgets.Hours.Window(0, 1)), 0));
         assertEquals("one a night", List.of("a 0", "c 86400"), starts(plan(TWINS, night, wish("a"), wish("c"))));
@@ -64,17 +66,21 @@
     @Test
     public void whatIsImpossibleIsRefusedWithTheFewestReasons() {
         Fleet alone = fleet(List.of(node("a"), node("b")), block("x", "a"));
-        assertTrue(refused(plan(alone, budgets(2), wish("a"), wish("b")), OutageLedger.cover(block("x", "a"))).smallest());
+        assertTrue(
+                refused(plan(alone, budgets(2), wish("a"), wish("b")), OutageLedger.cover(block("x", "a"))).smallest());
         refused(plan(TWINS, budgets(0), wish("a")), Reason.budget(Rule.AT_ONCE, "at_once"));
-        refused(plan(TWINS, Fleets.centres(budgets(3), Map.of("a", 0)), wish("a")), Reason.budget(Rule.CENTRE, "centres.a"));
-        refused(plan(TWINS, Fleets.kept(budgets(3), 700_000, 0), wish("a")), Reason.budget(Rule.CAPACITY, "capacity_kept"));
+        refused(plan(TWINS, Fleets.centres(budgets(3), Map.of("a", 0)), wish("a")),
+                Reason.budget(Rule.CENTRE, "centres.a"));
+        refused(plan(TWINS, Fleets.kept(budgets(3), 700_000, 0), wish("a")),
+                Reason.budget(Rule.CAPACITY, "capacity_kept"));
         refused(plan(TWINS, budgets(1), wish("a", "c"), wish("b", "a"), wish("c", "b")), Reason.of(Rule.PIN, "c", "a"),
                 Reason.of(Rule.PIN, "a", "b"), Reason.of(Rule.PIN, "b", "c"));
         Budgets minute = Fleets.hours(budgets(1), new Budgets.Hours(List.of(new Budgets.Hours.Window(0, 1)), 0));
         refused(plan(TWINS, minute, wish("a", 60_000, Wish.ANY_TIME)), Reason.budget(Rule.HOURS, "hours"));
         refused(plan(TWINS, budgets(1), wish("a", 20_000, EACH - 1)), Reason.of(Rule.BY, "a"));
         Budgets later = Fleets.hours(budgets(1), new Budgets.Hours(List.of(new Budgets.Hours.Window(60, 120)), 0));
-        refused(plan(TWINS, later, wish("a", 20_000, 3_600_000)), Reason.of(Rule.BY, "a"), Reason.budget(Rule.HOURS, "hours"));
+        refused(plan(TWINS, later, wish("a", 20_000, 3_600_000)), Reason.of(Rule.BY, "a"),
+                Reason.budget(Rule.HOURS, "hours"));
     }
 
     @Test
@@ -115,8 +121,10 @@
                 machines.add(node(id));
                 if (random.nextInt(4) > 0) {
                     String after = "" + (char) ('a' + random.nextInt(4));
-                    long by = random.nextBoolean() ? Wish.ANY_TIME : EACH * (1 + random.nextInt(3)) + random.nextInt(2) * 30_000;
-                    wishes.add(random.nextInt(3) == 0 && !after.equals(id) ? wish(id, 20_000, by, after) : wish(id, 20_000, by));
+                    long by = random.nextBoolean() ? Wish.ANY_TIME
+                            : EACH * (1 + random.nextInt(3)) + random.nextInt(2) * 30_000;
+                    wishes.add(random.nextInt(3) == 0 && !after.equals(id) ? wish(id, 20_000, by, after)
+                            : wish(id, 20_000, by));
                 }
             }
             Fleet f = fleet(machines, block("x", "a", "b"), block("y", "c", "d", "a"), block("z", "b", "c"));
@@ -130,7 +138,8 @@
             } else {
                 Refused r = (Refused) answer;
                 assertTrue("seed " + seed + r + wishes + b, r.smallest() && !Exact.possible(p, r.because()::contains));
-                r.because().forEach(one -> assertTrue(Exact.possible(p, x -> !x.equals(one) && r.because().contains(x))));
+                r.because()
+                        .forEach(one -> assertTrue(Exact.possible(p, x -> !x.equals(one) && r.because().contains(x))));
                 refused++;
             }
         }
--- a/src/test/java/wallmoor/maintenance/StepsTest.java
+++ b/src/test/java/wallmoor/maintenance/StepsTest.java
@@ -28,7 +28,8 @@
 
 /** Each rule of docs/maintenance.md, one by one. */
 public class StepsTest {
-    private static final Fleet THREE = fleet(List.of(node("a"), node("b"), node("c")), block("x", "a", "b"), block("y", "b", "c"));
+    private static final Fleet THREE = fleet(List.of(node("a"), node("b"), node("c")), block("x", "a", "b"),
+            block("y", "b", "c"));
     private static final Budgets TWO = budgets(2);
     private final Budgets one = budgets(1);
 
@@ -88,8 +89,10 @@
     public void theNextDoesNotBeginWithTheVersionThatEndsTheOneBefore() {
         State s = ask(State.EMPTY, 0, wish("a"), wish("b"));
         s = new State(Map.of("w-a", s.wishes().get("w-a").at(Step.WARM, 0, List.of()).life("0"), "w-b",
-                s.wishes().get("w-b").at(Step.PLANNED, 0, List.of())).entrySet().stream().collect(java.util.stream.Collectors.toMap(
-                        Map.Entry::getKey, Map.Entry::getValue, (x, y) -> x, java.util.TreeMap::new)), List.of("w-a", "w-b"), false);
+                s.wishes().get("w-b").at(Step.PLANNED, 0, List.of())).entrySet().stream()
+                .collect(java.util.stream.Collectors.toMap(
+                        Map.Entry::getKey, Map.Entry::getValue, (x, y) -> x, java.util.TreeMap::new)),
+                List.of("w-a", "w-b"), false);
         s = next(5_000, s, THREE, one);
         assertEquals(Step.DONE, step(s, "a"));
         assertEquals(Step.PLANNED, step(s, "b"));
@@ -100,15 +103,19 @@
     public void busyIsWhoHasPartsDoesNotHeedOrCannotBeAskedUntilPartsAreOver() {
         State s = begun("a");
         GathererReport asked = free("g", "a");
-        List<GathererReport> busy = List.of(new GathererReport("h", 0, Set.of("a"), Map.of("a", 1)), new GathererReport("h", 0, Set.of(), Map.of()),
+        List<GathererReport> busy = List.of(new GathererReport("h", 0, Set.of("a"), Map.of("a", 1)),
+                new GathererReport("h", 0, Set.of(), Map.of()),
                 new GathererReport("h", Fleets.PARTS - 1, Set.of("a"), Map.of()));
         for (GathererReport w : busy) {
             State t = next(1_000, s, draining(asked, w), one);
             assertEquals(w.toString(), Step.DRAINING, step(t, "a"));
             assertEquals(List.of(new Reason(Rule.BUSY, List.of("h"), List.of(), "")), why(t, "a"));
         }
-        assertEquals(Step.OUT, step(next(1_000, s, draining(asked, new GathererReport("h", Fleets.PARTS, Set.of(), Map.of("a", 3))), one), "a"));
-        Fleet fresh = with(draining(asked), new Machine("a", Kind.NODE, "a", 1, false, Phase.DRAINING, "1", Fleets.PARTS - 1, 0));
+        assertEquals(Step.OUT, step(
+                next(1_000, s, draining(asked, new GathererReport("h", Fleets.PARTS, Set.of(), Map.of("a", 3))), one),
+                "a"));
+        Fleet fresh = with(draining(asked),
+                new Machine("a", Kind.NODE, "a", 1, false, Phase.DRAINING, "1", Fleets.PARTS - 1, 0));
         assertEquals("one of two is not known", Step.DRAINING, step(next(1_000, s, fresh, one), "a"));
         assertEquals(Step.OUT, step(next(1_000, s, draining(asked), one), "a"));
         assertEquals("not seen draining", Step.DRAINING, step(next(1_000, s, words(THREE, 1, asked), one), "a"));
@@ -144,7 +151,8 @@
         State t = next(1_000, s, f, one); // one too many drain: the budget was two
         assertEquals(List.of(Step.DRAINING, Step.HELD), List.of(step(t, "a"), step(t, "c")));
         State out = next(1_000, begun("a"), draining(free("g", "a"), free("h", "a")), one);
-        assertEquals(List.of(), Act.of(out, draining(free("g", "a"), new GathererReport("h", 0, Set.of(), Map.of())), one));
+        assertEquals(List.of(),
+                Act.of(out, draining(free("g", "a"), new GathererReport("h", 0, Set.of(), Map.of())), one));
     }
 
     @Test
@@ -163,20 +171,24 @@
 
     @Test
     public void centresCapacityGatherersAndVotersAreKept() {
-        Fleet f = fleet(List.of(node("a1"), node("a2"), node("b1"), node("b2"), gatherer("g1"), gatherer("g2"), gatherer("g3")));
+        Fleet f = fleet(List.of(node("a1"), node("a2"), node("b1"), node("b2"), gatherer("g1"), gatherer("g2"),
+                gatherer("g3")));
         State nodes = ask(State.EMPTY, 0, wish("a1"), wish("a2"), wish("b1"));
         State s = next(0, nodes, f, Fleets.centres(budgets(9), Map.of("a", 1)));
-        assertEquals(List.of(Step.DRAINING, Step.PLANNED, Step.DRAINING), List.of(step(s, "a1"), step(s, "a2"), step(s, "b1")));
+        assertEquals(List.of(Step.DRAINING, Step.PLANNED, Step.DRAINING),
+                List.of(step(s, "a1"), step(s, "a2"), step(s, "b1")));
         assertEquals("centres.a", why(s, "a2").get(0).budget());
         s = next(0, nodes, f, Fleets.kept(budgets(9), 500_000, 0));
-        assertEquals(List.of(Step.DRAINING, Step.DRAINING, Step.PLANNED), List.of(step(s, "a1"), step(s, "a2"), step(s, "b1")));
+        assertEquals(List.of(Step.DRAINING, Step.DRAINING, Step.PLANNED),
+                List.of(step(s, "a1"), step(s, "a2"), step(s, "b1")));
         // a cold one gives 16 % and the rest by its age: 58 % at half of its time
         Fleet cold = with(f, machine("b2", Kind.NODE, Phase.SERVING, "1", Fleets.COLD / 2));
         assertEquals(Step.DRAINING, step(next(0, nodes, cold, Fleets.kept(budgets(9), 645_000, 0)), "a1"));
         assertEquals(Step.HELD, step(next(0, nodes, cold, Fleets.kept(budgets(9), 645_001, 0)), "a1"));
         State gatherers = ask(State.EMPTY, 0, wish("g1"), wish("g2"));
         s = next(0, gatherers, f, budgets(9));
-        assertEquals("two of three voters stay", List.of(Step.DRAINING, Step.PLANNED), List.of(step(s, "g1"), step(s, "g2")));
+        assertEquals("two of three voters stay", List.of(Step.DRAINING, Step.PLANNED),
+                List.of(step(s, "g1"), step(s, "g2")));
         assertEquals(Rule.VOTERS, why(s, "g2").get(0).rule());
         s = next(0, gatherers, f, Fleets.kept(budgets(9), 0, 3));
         assertEquals(Step.REFUSED, step(s, "g1"));
@@ -226,7 +238,8 @@
         assertEquals("not worked on: it is still there with the same start", Step.OVERDUE,
                 step(next(52_000, s, phase(THREE, "a", Phase.DRAINING), one), "a"));
         assertEquals("unless staff say so", Step.WARM, step(next(52_000, Asks.back(s, "w-a"), THREE, one), "a"));
-        assertEquals(Step.WARM, step(next(99_000, s, with(THREE, machine("a", Kind.NODE, Phase.SERVING, "2", Fleets.COLD)), one), "a"));
+        assertEquals(Step.WARM,
+                step(next(99_000, s, with(THREE, machine("a", Kind.NODE, Phase.SERVING, "2", Fleets.COLD)), one), "a"));
     }
 
     @Test
@@ -285,8 +298,9 @@
         assertEquals(begun("a"), s);
         State once = s;
         assertThrows(AskException.class, () -> Asks.ask(once, wish("a", 1, 2), 0));
-        assertThrows(AskException.class, () -> Asks.ask(once, new Wish("w2", "a", 1, 2, "", "", new java.util.TreeSet<>(),
-                new java.util.TreeSet<>()), 0));
+        assertThrows(AskException.class,
+                () -> Asks.ask(once, new Wish("w2", "a", 1, 2, "", "", new java.util.TreeSet<>(),
+                        new java.util.TreeSet<>()), 0));
     }
 
     @Test
@@ -297,7 +311,8 @@
         assertEquals(List.of(Reason.of(Rule.PIN, "b")), why(s, "a"));
         s = next(1, Asks.withdraw(s, "w-b", 1), f, budgets(9));
         assertEquals(Step.HELD, step(s, "a"));
-        var before = new Wish("w-c", "c", 20_000, Wish.ANY_TIME, "", "", new java.util.TreeSet<>(), new java.util.TreeSet<>(Set.of("a")));
+        var before = new Wish("w-c", "c", 20_000, Wish.ANY_TIME, "", "", new java.util.TreeSet<>(),
+                new java.util.TreeSet<>(Set.of("a")));
         s = next(0, ask(State.EMPTY, 0, before, wish("a")), f, budgets(9));
         assertEquals(List.of(Step.PLANNED, Step.DRAINING), List.of(step(s, "a"), step(s, "c")));
     }
--- a/src/test/java/wallmoor/maintenance/World.java
+++ b/src/test/java/wallmoor/maintenance/World.java
@@ -15,11 +15,14 @@
 import wallmoor.maintenance.Machine.Phase;
 
 /**
- * A fleet that the decider's versions are carried out on, with what is true apart from what is seen. After each version the
- * judge looks; when staff take a machine down no part may be out on it; when one is done it must be warm in truth.
+ * A fleet that the decider's versions are carried out on, with what is true apart from what is seen. After each version
+ * the judge looks; when staff take a machine down no part may be out on it; when one is done it must be warm in truth.
  */
 final class World {
-    /** A gatherer that can't be asked goes on sending for so long, and a part lasts up to so long: together the parts' time. */
+    /**
+     * A gatherer that can't be asked goes on sending for so long, and a part lasts up to so long: together the parts'
+     * time.
+     */
     static final long LEASE = 2_000;
     static final long PART = 3_000;
 
@@ -191,13 +194,13 @@
             case TELL_FREE -> {
                 if (b.up) {
                     gates.forEach((id, g) -> assertTrue(!boxes.get(id).up || g.parts.stream().noneMatch(
-                            p -> p.getKey().equals(a.machine()) && p.getValue() > now), "parts are out on " + a.machine()));
+                            p -> p.getKey().equals(a.machine()) && p.getValue() > now),
+                            "parts are out on " + a.machine()));
                     crash(a.machine());
                     b.backAt = now + 1 + random.nextInt(25_000);
                 }
             }
-            default -> {
-            }
+            default -> {}
         }
     }
 
@@ -211,11 +214,13 @@
     Fleet seen() {
         var machines = new ArrayList<Machine>();
         boxes.forEach((id, b) -> machines.add(new Machine(id, b.as.kind(), b.as.centre(), b.as.capacity(), b.as.voter(),
-                !b.up ? Phase.AWAY : b.listed ? Phase.SERVING : Phase.DRAINING, "" + b.life, now - b.phaseSince, b.served)));
+                !b.up ? Phase.AWAY : b.listed ? Phase.SERVING : Phase.DRAINING, "" + b.life, now - b.phaseSince,
+                b.served)));
         var words = new ArrayList<GathererReport>();
         gates.forEach((id, g) -> {
             if (g.last != null) {
-                words.add(new GathererReport(id, g.silentSince == 0 ? 0 : now - g.silentSince + 1, g.last.heeds(), g.last.out()));
+                words.add(new GathererReport(id, g.silentSince == 0 ? 0 : now - g.silentSince + 1, g.last.heeds(),
+                        g.last.out()));
             }
         });
         return new Fleet(machines, blocks, words, gates.size(), quorum, leader);
@@ -242,10 +247,12 @@
 
     /** Runs until nothing is left to come; then each wish is over, or held for what only a person mends. */
     void settle(long by) {
-        for (int i = 0; i < 400 && acting.wishes().values().stream().anyMatch(s -> !s.step().over() && !forPeople(s)); i++) {
+        for (int i = 0; i < 400
+                && acting.wishes().values().stream().anyMatch(s -> !s.step().over() && !forPeople(s)); i++) {
             tick(by);
         }
-        acting.wishes().forEach((id, s) -> assertTrue(s.step().over() || forPeople(s), () -> s + " in " + acting + seen()));
+        acting.wishes()
+                .forEach((id, s) -> assertTrue(s.step().over() || forPeople(s), () -> s + " in " + acting + seen()));
         boxes.forEach((id, b) -> assertTrue(b.up && b.listed, id + " does not serve"));
     }
 
--- a/src/test/java/wallmoor/maintenance/WorldTest.java
+++ b/src/test/java/wallmoor/maintenance/WorldTest.java
@@ -59,14 +59,16 @@
             case 5 -> w.gates.keySet().forEach(g -> w.cut(g, false));
             case 6 -> w.quorum = false;
             case 7, 8 -> w.quorum = true;
-            case 9 -> w.budgets = Fleets.kept(Fleets.budgets(random.nextInt(3)), random.nextInt(1_000_000), random.nextInt(3));
+            case 9 -> w.budgets = Fleets.kept(Fleets.budgets(random.nextInt(3)), random.nextInt(1_000_000),
+                    random.nextInt(3));
             case 10, 11 -> w.budgets = sane;
             case 12 -> w.skew = random.nextInt(600_000) - 300_000;
             case 13 -> w.returns = random.nextBoolean();
             case 14 -> w.acting = Asks.hold(w.acting, true);
             case 15, 16 -> w.acting = Asks.hold(w.acting, false);
             case 17 -> w.leader = gate;
-            case 18 -> machines.stream().filter(m -> m.centre().equals(gate.substring(0, 1))).forEach(m -> w.crash(m.id()));
+            case 18 ->
+                machines.stream().filter(m -> m.centre().equals(gate.substring(0, 1))).forEach(m -> w.crash(m.id()));
             case 19 -> staff(w, random, true);
             case 20 -> w.list(w.boxes.get(any), true); // by another hand
             default -> staff(w, random, false);
@@ -79,7 +81,8 @@
             }
             try {
                 w.acting = Asks.ask(w.acting, new Wish("w" + random.nextInt(100), any, 1_000 + random.nextInt(20_000),
-                        random.nextInt(5) == 0 ? w.now + random.nextInt(300_000) : Wish.ANY_TIME, "", "", after, before), w.now);
+                        random.nextInt(5) == 0 ? w.now + random.nextInt(300_000) : Wish.ANY_TIME, "", "", after,
+                        before), w.now);
             } catch (AskException e) {
                 // it has one already
             }
@@ -91,7 +94,8 @@
         if (!ids.isEmpty()) {
             String id = ids.get(random.nextInt(ids.size()));
             try {
-                w.acting = withdraws ? Asks.withdraw(w.acting, id, w.now) : Asks.hold(w.acting, id, random.nextInt(4) == 0);
+                w.acting = withdraws ? Asks.withdraw(w.acting, id, w.now)
+                        : Asks.hold(w.acting, id, random.nextInt(4) == 0);
             } catch (AskException e) {
                 // it is out
             }
@@ -108,7 +112,8 @@
     static void everyOrder(int length) {
         int events = 11;
         for (int choice = 0; choice < Math.pow(events, length); choice++) {
-            var w = new World(choice, List.of(Fleets.node("a"), Fleets.node("b"), Fleets.node("c"), Fleets.gatherer("g")),
+            var w = new World(choice,
+                    List.of(Fleets.node("a"), Fleets.node("b"), Fleets.node("c"), Fleets.gatherer("g")),
                     List.of(Fleets.block("x", "a", "b"), Fleets.block("y", "b", "c")), Fleets.budgets(2));
             w.acting = Fleets.ask(w.acting, w.now, Fleets.wish("a"), Fleets.wish("b"));
             for (int left = choice, i = 0; i < length; i++, left /= events) {
--- a/src/test/java/wallmoor/membership/RosterPropertiesTest.java
+++ b/src/test/java/wallmoor/membership/RosterPropertiesTest.java
@@ -25,8 +25,7 @@
     private static final int NODES = 8;
 
     /** Something that happens after a while. */
-    private record Happening(int kind, int node, Set<Integer> named, int after) {
-    }
+    private record Happening(int kind, int node, Set<Integer> named, int after) {}
 
     /** What a gatherer would hold: it is told of changes only. */
     private static final class World {
@@ -57,8 +56,8 @@
                 }
             });
             var addresses = new HashMap<String, String>();
-            held.values().stream().filter(m -> m.state() == State.SERVING).forEach(m ->
-                    assertEquals(null, addresses.put(m.address(), m.id()), "two serve at " + m.address()));
+            held.values().stream().filter(m -> m.state() == State.SERVING).forEach(
+                    m -> assertEquals(null, addresses.put(m.address(), m.id()), "two serve at " + m.address()));
         }
 
         void pass(long micros) {
--- a/src/test/java/wallmoor/membership/RosterTest.java
+++ b/src/test/java/wallmoor/membership/RosterTest.java
@@ -181,7 +181,8 @@
     @Test
     public void anAddressBelongsToWhoeverClaimedItLast() {
         dns("w1", "w2");
-        var taken = new Entry("w7", entry("w1", State.SERVING, 0).address(), 0, 0, 1, State.SERVING, 1, Entry.UNTOLD, 0);
+        var taken = new Entry("w7", entry("w1", State.SERVING, 0).address(), 0, 0, 1, State.SERVING, 1, Entry.UNTOLD,
+                0);
         pass(5);
         take(new News.Whole("dns", "look-up", List.of(entry("w1", State.SERVING, 0), entry("w2", State.SERVING, 0),
                 taken), false));
@@ -259,7 +260,8 @@
     @Test
     public void newsThatCannotBeTakenChangesNothing() {
         dns("w1");
-        assertThrows(IllegalArgumentException.class, () -> take(new News.Whole("dns", "x", serving("w2", "w2"), false)));
+        assertThrows(IllegalArgumentException.class,
+                () -> take(new News.Whole("dns", "x", serving("w2", "w2"), false)));
         assertThrows(IllegalArgumentException.class, () -> take(new News.Same("nobody")));
         String[] many = IntStream.range(0, 1001).mapToObj(i -> "w" + i).toArray(String[]::new);
         assertThrows(IllegalArgumentException.class, () -> dns(many));
--- a/src/test/java/wallmoor/moves/Judge.java
+++ b/src/test/java/wallmoor/moves/Judge.java
@@ -14,8 +14,8 @@
 import wallmoor.placement.Fleet;
 
 /**
- * Knows the truth: what each of a block's copies has come to by all that ran on it. It shares nothing with what decides but
- * what nodes say that they are. Copies of one content may be taken for each other: no harm can come of that.
+ * Knows the truth: what each of a block's copies has come to by all that ran on it. It shares nothing with what decides
+ * but what nodes say that they are. Copies of one content may be taken for each other: no harm can come of that.
  */
 final class Judge {
     private final MovesWorld world;
@@ -41,7 +41,8 @@
 
     void check(boolean holds, String what) {
         if (!holds) {
-            throw new AssertionError(what + " at " + world.now + ", version " + world.number + ": " + world.state.moves());
+            throw new AssertionError(
+                    what + " at " + world.now + ", version " + world.number + ": " + world.state.moves());
         }
     }
 
@@ -55,7 +56,8 @@
             long mb = n.room().heldMb();
             long usable = n.diskMb * (Fleet.MILLION - world.fleet.headroom()) / Fleet.MILLION;
             check(mb <= usable, n.id + " holds " + mb + " MB of " + usable);
-            check(mb <= heldMb.getOrDefault(n.id, mb) || mb + n.otherMb <= usable, n.id + " takes what it has no room for");
+            check(mb <= heldMb.getOrDefault(n.id, mb) || mb + n.otherMb <= usable,
+                    n.id + " takes what it has no room for");
             heldMb.put(n.id, mb);
         }
         truth.forEach((block, copies) -> {
@@ -64,7 +66,8 @@
             var there = new ArrayList<String>();
             world.nodes.values().stream().filter(n -> n.of(block).whole())
                     .forEach(n -> there.add(Arrays.toString(n.content.get(block))));
-            copies.forEach(c -> check(there.remove(Arrays.toString(c)), "a copy of " + block + " is lost: " + Arrays.toString(c)));
+            copies.forEach(c -> check(there.remove(Arrays.toString(c)),
+                    "a copy of " + block + " is lost: " + Arrays.toString(c)));
         });
     }
 
@@ -89,7 +92,8 @@
         if (!node.down) {
             reads++;
             check(node.of(block).reads() && history.get(block).contains(Arrays.toString(node.content.get(block))),
-                    "version " + version + " says that " + node.id + " holds " + block + ", but it has " + node.of(block).status());
+                    "version " + version + " says that " + node.id + " holds " + block + ", but it has "
+                            + node.of(block).status());
         }
     }
 }
--- a/src/test/java/wallmoor/moves/ModelNode.java
+++ b/src/test/java/wallmoor/moves/ModelNode.java
@@ -8,7 +8,9 @@
 import wallmoor.moves.Held.Status;
 import wallmoor.moves.Said.Verdict;
 
-/** A node on the model: what it keeps on its disk, by the rules that real nodes go by. A chunk's content is a number. */
+/**
+ * A node on the model: what it keeps on its disk, by the rules that real nodes go by. A chunk's content is a number.
+ */
 final class ModelNode {
     final String id;
     final long diskMb;
--- a/src/test/java/wallmoor/moves/MoverTest.java
+++ b/src/test/java/wallmoor/moves/MoverTest.java
@@ -45,15 +45,20 @@
     }
 
     private static final Fleet ONE = new Fleet(100_000, Spread.NODE, Fleet.NO_LEVEL,
-            List.of(new Node("a", "", 100, true), new Node("b", "", 100, false)), List.of(new Block("x", 60, List.of("a"))));
-    private static final Fleet TWO = new Fleet(100_000, Spread.CELL, Fleet.NO_LEVEL, List.of(new Node("a", "p", 100, true),
-            new Node("b", "q", 100, false), new Node("c", "r", 100, false)),
+            List.of(new Node("a", "", 100, true), new Node("b", "", 100, false)),
+            List.of(new Block("x", 60, List.of("a"))));
+    private static final Fleet TWO = new Fleet(100_000, Spread.CELL, Fleet.NO_LEVEL,
+            List.of(new Node("a", "p", 100, true),
+                    new Node("b", "q", 100, false), new Node("c", "r", 100, false)),
             List.of(new Block("x", 40, List.of("a", "c")), new Block("y", 50, List.of("a"))));
 
-    /** x must come to b and y to a, for the level; neither has room for the other's, and c for one alone, for a while. */
+    /**
+     * x must come to b and y to a, for the level; neither has room for the other's, and c for one alone, for a while.
+     */
     private static final Fleet SWAP = new Fleet(0, Spread.NODE, 0,
             List.of(new Node("a", "", 100, false), new Node("b", "", 150, false), new Node("c", "", 250, false)),
-            List.of(new Block("x", 60, List.of("a")), new Block("f", 40, List.of("a")), new Block("y", 40, List.of("b")),
+            List.of(new Block("x", 60, List.of("a")), new Block("f", 40, List.of("a")),
+                    new Block("y", 40, List.of("b")),
                     new Block("g", 60, List.of("b")), new Block("z", 200, List.of("c"))));
 
     /** Runs with faults at given steps, to the end; returns how many steps it took. */
--- a/src/test/java/wallmoor/moves/MovesWorld.java
+++ b/src/test/java/wallmoor/moves/MovesWorld.java
@@ -23,16 +23,13 @@
     private static final long TIMEOUT = 200_000;
 
     /** On the wire: a request, or a chunk for it, or what came of it. */
-    private record Letter(long due, Leader leader, Send send, Said said, Integer fetched) {
-    }
+    private record Letter(long due, Leader leader, Send send, Said said, Integer fetched) {}
 
     /** A part that runs once, on its way to a node. */
-    private record Part(long due, int id, String block, String node, long version, List<String> others) {
-    }
+    private record Part(long due, int id, String block, String node, long version, List<String> others) {}
 
     /** A query that reads, and where it will. */
-    private record Query(long due, String block, long version, SortedSet<String> owners) {
-    }
+    private record Query(long due, String block, long version, SortedSet<String> owners) {}
 
     /** One that carries out; it may stand still while another leads. */
     static final class Leader {
@@ -106,7 +103,8 @@
             accepted = null;
             leaders.stream().filter(l -> now >= l.frozenUntil).forEach(this::tell);
         }
-        List<Letter> due = wire.stream().filter(m -> m.due() <= now && (m.said() == null || now >= m.leader().frozenUntil)).toList();
+        List<Letter> due = wire.stream()
+                .filter(m -> m.due() <= now && (m.said() == null || now >= m.leader().frozenUntil)).toList();
         var rest = new ArrayList<>(wire);
         rest.removeAll(due);
         wire = rest;
@@ -116,7 +114,8 @@
                 if (l.mover.status().version() < number) {
                     tell(l);
                 }
-                var over = l.deadlines.entrySet().stream().filter(e -> e.getValue() <= now).map(Map.Entry::getKey).toList();
+                var over = l.deadlines.entrySet().stream().filter(e -> e.getValue() <= now).map(Map.Entry::getKey)
+                        .toList();
                 over.forEach(id -> {
                     l.deadlines.remove(id);
                     act(l, l.mover.onFailed(now, id, "no answer"));
@@ -157,7 +156,8 @@
                 judge.check(state.moves().isEmpty() || p.next().most() <= state.most(), "a step is too large");
                 judge.check(p.next().body().length() + p.next().fallback().length() <= p.next().most(),
                         "most is not the most");
-                judge.check(kind.within(kind.read(p.next().fallback()), kind.read(p.next().body())), "a fallback is bolder");
+                judge.check(kind.within(kind.read(p.next().fallback()), kind.read(p.next().body())),
+                        "a fallback is bolder");
             } catch (wallmoor.versions.UnreadableException e) {
                 throw new AssertionError(e);
             }
@@ -237,7 +237,8 @@
                     continue; // nobody knows what came of it: it is not told again
                 }
                 if (random.nextInt(4) == 0) { // told twice, late
-                    parts.add(new Part(now + STEP * (20 + random.nextInt(100)), p.id(), p.block(), p.node(), p.version(), List.of()));
+                    parts.add(new Part(now + STEP * (20 + random.nextInt(100)), p.id(), p.block(), p.node(),
+                            p.version(), List.of()));
                 }
                 Held h = node.of(p.block());
                 if (judge.ranOn(p.id(), node)) {
@@ -295,12 +296,14 @@
         spoilsUntil = 0;
         nodes.values().forEach(n -> n.otherMb = 0);
         for (int i = 0; i < 6_000; i++) {
-            if ((state.stopped() && state.moves().isEmpty() || state.paused() || state.frozen().size() > 0) && accepted == null) {
+            if ((state.stopped() && state.moves().isEmpty() || state.paused() || state.frozen().size() > 0)
+                    && accepted == null) {
                 accepted = state.aim(state.goal(), 4);
                 actsAt = now + STEP;
             }
             step();
-            if (leaders.get(leaders.size() - 1).mover.status().phase() == Status.Phase.FINISHED && now >= leaders.get(0).frozenUntil) {
+            if (leaders.get(leaders.size() - 1).mover.status().phase() == Status.Phase.FINISHED
+                    && now >= leaders.get(0).frozenUntil) {
                 return true;
             }
         }
--- a/src/test/java/wallmoor/moves/http/AgreedPlanTest.java
+++ b/src/test/java/wallmoor/moves/http/AgreedPlanTest.java
@@ -76,8 +76,10 @@
     }
 
     private void begin() {
-        plan = new AgreedPlan(new RulesPort(List.of(new InetSocketAddress("127.0.0.1", 1), new InetSocketAddress("127.0.0.1", 2)),
-                this::ask, "ann"), log::add);
+        plan = new AgreedPlan(
+                new RulesPort(List.of(new InetSocketAddress("127.0.0.1", 1), new InetSocketAddress("127.0.0.1", 2)),
+                        this::ask, "ann"),
+                log::add);
     }
 
     @After
@@ -118,7 +120,8 @@
         assertEquals("the same: one proposal", 1, proposed.stream().distinct().count());
         plan.propose(new Action.Propose(5, FIRST));
         assertEquals(new Plan.News(5, null), next());
-        assertTrue(proposed.get(2), proposed.get(2).contains("\"number\":5") && proposed.get(2).contains("\"author\":\"ann\""));
+        assertTrue(proposed.get(2),
+                proposed.get(2).contains("\"number\":5") && proposed.get(2).contains("\"author\":\"ann\""));
         assertTrue(log.toString(), log.contains("moves: refused: plan 6 by bob was proposed first"));
     }
 
--- a/src/test/java/wallmoor/net/AgreedPruningTest.java
+++ b/src/test/java/wallmoor/net/AgreedPruningTest.java
@@ -38,8 +38,7 @@
     private static final Pattern PRUNED = Pattern.compile("\"pruned\":(\\d+)");
 
     /** A page of nobody's rows, on the clock that all processes of a machine share. */
-    private record Page(int who, long begun, long ended, String by, int pruned) {
-    }
+    private record Page(int who, long begun, long ended, String by, int pruned) {}
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -160,7 +159,8 @@
         for (int who : FRONTS) {
             ports[who] = Ports.free();
         }
-        group = new RulesGroup(folder.getRoot().toPath(), 4, RulesGroup.VOTERS, TERM_MILLIS, "summaries", this::sections);
+        group = new RulesGroup(folder.getRoot().toPath(), 4, RulesGroup.VOTERS, TERM_MILLIS, "summaries",
+                this::sections);
         for (int who : FRONTS) {
             run(new Random(who), random -> read(who, random));
         }
--- a/src/test/java/wallmoor/net/DiskFleet.java
+++ b/src/test/java/wallmoor/net/DiskFleet.java
@@ -34,19 +34,22 @@
 import wallmoor.standin.Ports;
 import wallmoor.standin.TcpRelay;
 
-/** Three nodes with disks, who carries out, and clients, as processes and threads of a test; and what is to hold of them. */
+/**
+ * Three nodes with disks, who carries out, and clients, as processes and threads of a test; and what is to hold of
+ * them.
+ */
 final class DiskFleet implements AutoCloseable {
     /** Of a block, in megabytes, and of each node's disk and what of it is no headroom, where the scale is 1. */
     private static final int MB = 3;
     private static final int DISK = 20;
     private static final int USABLE = 18;
-    private static final Map<String, List<String>> HOLDS = new TreeMap<>(Map.of("a", List.of("x", "y", "z"), "b", List.of("w"),
-            "c", List.of("x", "v")));
+    private static final Map<String, List<String>> HOLDS = new TreeMap<>(
+            Map.of("a", List.of("x", "y", "z"), "b", List.of("w"),
+                    "c", List.of("x", "v")));
     private static final long QUERY_MILLIS = 200;
 
     /** What a client goes by; where it is not sure, a node may refuse it. */
-    record Known(long number, State state, boolean sure) {
-    }
+    record Known(long number, State state, boolean sure) {}
 
     /** How a client learns that; null where there is nothing yet. */
     interface Maps {
@@ -94,7 +97,8 @@
         relay = new TcpRelay(all);
         for (String id : HOLDS.keySet()) {
             var peers = new StringBuilder();
-            HOLDS.keySet().stream().filter(to -> !to.equals(id)).forEach(to -> peers.append(to).append(' ').append(relay.address(place(id), place(to))).append('\n'));
+            HOLDS.keySet().stream().filter(to -> !to.equals(id)).forEach(
+                    to -> peers.append(to).append(' ').append(relay.address(place(id), place(to))).append('\n'));
             Files.writeString(Files.createDirectories(dir.resolve(id)).resolve("peers"), peers);
         }
     }
@@ -131,7 +135,8 @@
         var command = new ArrayList<>(java(DiskNode.class.getName()));
         command.addAll(List.of(dir.resolve(id).toString(), "" + ports.get(id), "" + DISK * scale, "200"));
         HOLDS.get(id).forEach(b -> command.add(b + ":" + bytes + ":" + MB * scale));
-        nodes.put(id, new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(dir.resolve(id + ".out").toFile()).start());
+        nodes.put(id, new ProcessBuilder(command).redirectErrorStream(true)
+                .redirectOutput(dir.resolve(id + ".out").toFile()).start());
     }
 
     private void ready(String id) throws InterruptedException {
@@ -166,9 +171,11 @@
 
     /** Writes the file that is carried out. */
     void describe(double mbPerSecond) throws IOException {
-        var text = new StringBuilder("headroom: 0.1\nspread: node\ncarry: {mb_per_s: " + mbPerSecond + ", chunk_kb: 100, settle: "
+        var text = new StringBuilder("headroom: 0.1\nspread: node\ncarry: {mb_per_s: " + mbPerSecond
+                + ", chunk_kb: 100, settle: "
                 + settleMillis + "ms, longest_query: " + QUERY_MILLIS + "ms, patience: 800ms, again: 100ms}\nnodes:\n");
-        ports.forEach((id, port) -> text.append("- {id: ").append(id).append(", disk_mb: ").append(DISK * scale).append(", drain: ").append(id.equals("a"))
+        ports.forEach((id, port) -> text.append("- {id: ").append(id).append(", disk_mb: ").append(DISK * scale)
+                .append(", drain: ").append(id.equals("a"))
                 .append(", address: '").append(relay.address(CARRIER, place(id))).append("'}\n"));
         text.append("blocks:\n");
         for (String b : "vwxyz".split("")) {
@@ -231,7 +238,8 @@
         if (random.nextInt(4) == 0) {
             long id = ids.incrementAndGet();
             for (String node : owners) { // refused with proof that it never ran: the next owner is asked
-                if (get(node, "/once?block=" + block + "&version=" + known.number() + "&id=" + id).statusCode() == 200) {
+                if (get(node, "/once?block=" + block + "&version=" + known.number() + "&id=" + id)
+                        .statusCode() == 200) {
                     ran.put(id, node);
                     return;
                 }
@@ -248,15 +256,20 @@
                 if (answer.statusCode() != 200 && !known.sure()) {
                     continue;
                 }
-                if (answer.statusCode() != 200 || !Arrays.equals(answer.body(), DiskNode.content(block, from, DiskNode.PIECE))) {
-                    faults.add("version " + known.number() + " says that " + node + " holds " + block + ": " + answer.statusCode());
+                if (answer.statusCode() != 200
+                        || !Arrays.equals(answer.body(), DiskNode.content(block, from, DiskNode.PIECE))) {
+                    faults.add("version " + known.number() + " says that " + node + " holds " + block + ": "
+                            + answer.statusCode());
                 }
                 reads.incrementAndGet();
             }
         }
     }
 
-    /** Reads once from an owner, whoever that is now; returns how long it took, in nanoseconds, or -1 where it was not whole. */
+    /**
+     * Reads once from an owner, whoever that is now; returns how long it took, in nanoseconds, or -1 where it was not
+     * whole.
+     */
     long read(Random random, State map) throws IOException, InterruptedException {
         String block = "" + "vwxyz".charAt(random.nextInt(5));
         var owners = new ArrayList<>(map.owners().get(block));
@@ -276,8 +289,7 @@
         over = false;
         assertEquals(List.of(), List.copyOf(faults));
         assertTrue("" + reads, reads.get() > 20);
-        record Line(long at, String node, String what, String block, String more) {
-        }
+        record Line(long at, String node, String what, String block, String more) {}
         var lines = new ArrayList<Line>();
         for (String id : HOLDS.keySet()) {
             for (String l : Files.readAllLines(dir.resolve(id).resolve("journal"))) {
@@ -304,13 +316,15 @@
                 var left = copies.computeIfAbsent(l.block(), b -> new HashSet<>());
                 boolean dropped = !Set.of("OWNER", "SEALED", "FENCED").contains(more[0]);
                 if (dropped && left.remove(l.node())) {
-                    assertTrue(l + " leaves " + left, left.size() >= HOLDS.values().stream().filter(h -> h.contains(l.block())).count());
+                    assertTrue(l + " leaves " + left,
+                            left.size() >= HOLDS.values().stream().filter(h -> h.contains(l.block())).count());
                 } else if (!dropped) {
                     left.add(l.node());
                 }
                 long begin = HOLDS.values().stream().filter(h -> h.contains(l.block())).count();
                 assertTrue(l + " beside " + on, on.size() <= begin);
-                assertTrue(l.toString(), !more[0].equals("FILLING") || Long.parseLong(more[1]) + Long.parseLong(more[2]) <= USABLE * scale);
+                assertTrue(l.toString(), !more[0].equals("FILLING")
+                        || Long.parseLong(more[1]) + Long.parseLong(more[2]) <= USABLE * scale);
             }
         }
         ran.forEach((id, node) -> assertEquals("part " + id, node, journal.get(id)));
@@ -322,7 +336,8 @@
                     whole.merge(e.getKey(), 1, Integer::sum);
                     byte[] data = Files.readAllBytes(dir.resolve(id).resolve(e.getKey() + ".data"));
                     byte[] first = DiskNode.content(e.getKey(), 0, bytes);
-                    assertTrue(id + " " + e.getKey(), Arrays.equals(data, DiskNode.HEAD, bytes, first, DiskNode.HEAD, bytes));
+                    assertTrue(id + " " + e.getKey(),
+                            Arrays.equals(data, DiskNode.HEAD, bytes, first, DiskNode.HEAD, bytes));
                     var slots = java.nio.ByteBuffer.wrap(data, 0, DiskNode.HEAD);
                     for (int i = 0; i < DiskNode.SLOTS; i++) {
                         writes.computeIfAbsent(e.getKey(), b -> new HashSet<>()).add(slots.getLong());
@@ -331,12 +346,14 @@
             }
         }
         for (String b : "vwxyz".split("")) {
-            assertEquals(b, HOLDS.values().stream().filter(h -> h.contains(b)).count(), (long) whole.getOrDefault(b, 0));
+            assertEquals(b, HOLDS.values().stream().filter(h -> h.contains(b)).count(),
+                    (long) whole.getOrDefault(b, 0));
         }
         // the last part that ran in each slot of a block with one copy is still there
         var last = new HashMap<String, Long>();
         lines.stream().filter(l -> l.what().equals("ran") && !l.block().equals("x"))
-                .forEach(l -> last.put(l.block() + " " + Long.parseLong(l.more()) % DiskNode.SLOTS, Long.parseLong(l.more())));
+                .forEach(l -> last.put(l.block() + " " + Long.parseLong(l.more()) % DiskNode.SLOTS,
+                        Long.parseLong(l.more())));
         last.forEach((slot, id) -> assertTrue(slot + " lost part " + id, writes.get(slot.split(" ")[0]).contains(id)));
         clients(2);
     }
--- a/src/test/java/wallmoor/net/EdgeTest.java
+++ b/src/test/java/wallmoor/net/EdgeTest.java
@@ -74,7 +74,8 @@
         coapPort = Ports.free();
         Path operator = folder.newFile("operator.yaml").toPath();
         Files.writeString(operator, "edge:\n  devices: devices.csv\n  http: {listen: 127.0.0.1:" + httpPort
-                + "}\n  coap: {listen: 127.0.0.1:" + coapPort + "}\n  skew: 50ms\n  asks_per_s: 1000\n  ask_burst: 5000\n"
+                + "}\n  coap: {listen: 127.0.0.1:" + coapPort
+                + "}\n  skew: 50ms\n  asks_per_s: 1000\n  ask_burst: 5000\n"
                 + "  grace: 500ms\n" + more);
         program = new Program(discovery.port(), node.member("a", 0, "SERVING"), operator);
         open.add(program);
@@ -94,7 +95,8 @@
     }
 
     private static String body(String queryClass, String q, int... shards) {
-        return "{\"class\":\"" + queryClass + "\",\"deadline_ms\":1900," + Client.body(shards).substring(1).replace("c41e77d0", q);
+        return "{\"class\":\"" + queryClass + "\",\"deadline_ms\":1900,"
+                + Client.body(shards).substring(1).replace("c41e77d0", q);
     }
 
     private static HttpRequest.Builder request(int port, String device, String id) {
@@ -145,13 +147,15 @@
         String id = id();
         var first = put(id, body("once", "q", 0));
         assertEquals(text(first), 200, first.statusCode());
-        assertTrue(text(first), text(first).startsWith("{\"outcome\":\"answered\",\"complete\":true,\"hits\":[{\"shard\":0,"));
+        assertTrue(text(first),
+                text(first).startsWith("{\"outcome\":\"answered\",\"complete\":true,\"hits\":[{\"shard\":0,"));
         for (int i = 0; i < 3; i++) {
             assertArrayEquals(first.body(), put(id, body("once", "q", 0)).body());
             assertArrayEquals(first.body(), get(httpPort, id).body());
         }
         assertEquals("members in another order are the same query", 200,
-                put(id, "{\"q\":\"q\",\"shards\":[{\"weight\":1,\"shard\":0}],\"deadline_ms\":1900,\"class\":\"once\"}").statusCode());
+                put(id, "{\"q\":\"q\",\"shards\":[{\"weight\":1,\"shard\":0}],\"deadline_ms\":1900,\"class\":\"once\"}")
+                        .statusCode());
         assertEquals(1, parts(""));
         var other = put(id, body("once", "other", 0));
         assertEquals(409, other.statusCode());
@@ -171,7 +175,8 @@
         String id = id();
         assertEquals(200, put(id, body("once", "q", 0)).statusCode());
         assertEquals(404, http.send(request(httpPort, "d2", id).GET().build(), BodyHandlers.ofString()).statusCode());
-        var d2 = http.send(request(httpPort, "d2", id).PUT(HttpRequest.BodyPublishers.ofString(body("once", "mine", 0))).build(),
+        var d2 = http.send(
+                request(httpPort, "d2", id).PUT(HttpRequest.BodyPublishers.ofString(body("once", "mine", 0))).build(),
                 BodyHandlers.ofString());
         assertEquals("the same id of another device is another query", 200, d2.statusCode());
         for (String token : new String[] {"", "d1.wrong", "nobody.secret", "d1"}) {
@@ -224,7 +229,8 @@
                     try {
                         var fresh = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
                         var r = fresh.send(request(proxy.port(), "d1", id).timeout(Duration.ofSeconds(2))
-                                .PUT(HttpRequest.BodyPublishers.ofByteArray(query)).build(), BodyHandlers.ofByteArray());
+                                .PUT(HttpRequest.BodyPublishers.ofByteArray(query)).build(),
+                                BodyHandlers.ofByteArray());
                         got = r.statusCode() == 200 ? r.body() : null;
                     } catch (IOException e) {
                         // the link broke: ask again under the same id
@@ -249,9 +255,12 @@
         String etag = null;
         for (int n = 0; got.size() < whole.length; n++) {
             int cut = 3000 + 64 * n;
-            try (var proxy = new LinkProxy(httpPort, 1, (c, r) -> new Fate(-1, cut, 0, 0, false)); var client = new Client(proxy.port())) {
-                client.send("GET /queries/" + id + " HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer " + token("d1") + "\r\n"
-                        + (etag == null ? "" : "If-Range: " + etag + "\r\nRange: bytes=" + got.size() + "-\r\n") + "\r\n");
+            try (var proxy = new LinkProxy(httpPort, 1, (c, r) -> new Fate(-1, cut, 0, 0, false));
+                    var client = new Client(proxy.port())) {
+                client.send(
+                        "GET /queries/" + id + " HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer " + token("d1") + "\r\n"
+                                + (etag == null ? "" : "If-Range: " + etag + "\r\nRange: bytes=" + got.size() + "-\r\n")
+                                + "\r\n");
                 String head = Client.head(client.socket.getInputStream());
                 assertTrue(head, head.startsWith(etag == null ? "HTTP/1.1 200" : "HTTP/1.1 206"));
                 etag = head.replaceAll("(?s).*ETag: (\\S+)\r\n.*", "$1");
@@ -269,7 +278,8 @@
         }
         assertArrayEquals(whole, got.toByteArray());
         assertEquals(416, get(httpPort, id, "Range", "bytes=" + whole.length + "-").statusCode());
-        assertEquals("a stale version: all of it", 200, get(httpPort, id, "Range", "bytes=5-", "If-Range", "\"old\"").statusCode());
+        assertEquals("a stale version: all of it", 200,
+                get(httpPort, id, "Range", "bytes=5-", "If-Range", "\"old\"").statusCode());
         assertArrayEquals(Arrays.copyOfRange(whole, whole.length - 7, whole.length),
                 get(httpPort, id, "Range", "bytes=-7").body());
         for (String coding : new String[] {"gzip", "zstd"}) {
@@ -285,7 +295,8 @@
         node.value = "x".repeat(40_000);
         var tooLarge = put(id(), body("once", "q", 0, 2));
         assertEquals("no room was set aside for it", 502, tooLarge.statusCode());
-        assertTrue(text(tooLarge), text(tooLarge).contains("\"ran\":\"maybe\"") && text(tooLarge).contains("65536 bytes"));
+        assertTrue(text(tooLarge),
+                text(tooLarge).contains("\"ran\":\"maybe\"") && text(tooLarge).contains("65536 bytes"));
     }
 
     @Test
@@ -300,9 +311,11 @@
         assertEquals(200, put(httpPort, id(), packed.toByteArray(), "Content-Encoding", "gzip").statusCode());
         assertEquals(200, put(httpPort, id(), zstd, "Content-Encoding", "zstd").statusCode());
         assertEquals(415, put(httpPort, id(), zstd, "Content-Encoding", "br").statusCode());
-        assertEquals(400, put(httpPort, id(), Arrays.copyOf(zstd, zstd.length - 5), "Content-Encoding", "zstd").statusCode());
+        assertEquals(400,
+                put(httpPort, id(), Arrays.copyOf(zstd, zstd.length - 5), "Content-Encoding", "zstd").statusCode());
         byte[] bomb = com.github.luben.zstd.Zstd.compress(new byte[50_000_000]);
-        assertEquals("its window alone is too large", 400, put(httpPort, id(), bomb, "Content-Encoding", "zstd").statusCode());
+        assertEquals("its window alone is too large", 400,
+                put(httpPort, id(), bomb, "Content-Encoding", "zstd").statusCode());
         packed.reset();
         try (var gzip = new GZIPOutputStream(packed)) {
             gzip.write(new byte[50_000_000]);
@@ -458,11 +471,12 @@
                 MediaTypeRegistry.APPLICATION_CBOR)).getCode());
         assertEquals(ResponseCode.NOT_FOUND, ask(coap(coapPort, id(), ""), Request::newGet).getCode());
         String fresh = id();
-        assertEquals("a block in the middle, first", ResponseCode.REQUEST_ENTITY_INCOMPLETE, ask(coap(coapPort, fresh, "", false), () -> {
-            Request r = put(new byte[64], MediaTypeRegistry.APPLICATION_JSON);
-            r.getOptions().setBlock1(2, true, 3);
-            return r;
-        }).getCode());
+        assertEquals("a block in the middle, first", ResponseCode.REQUEST_ENTITY_INCOMPLETE,
+                ask(coap(coapPort, fresh, "", false), () -> {
+                    Request r = put(new byte[64], MediaTypeRegistry.APPLICATION_JSON);
+                    r.getOptions().setBlock1(2, true, 3);
+                    return r;
+                }).getCode());
         assertEquals(1, parts(""));
     }
 
@@ -484,9 +498,11 @@
                     throw new IllegalStateException(e);
                 }
             });
-            var one = http.sendAsync(request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(json)).build(),
+            var one = http.sendAsync(
+                    request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(json)).build(),
                     BodyHandlers.ofByteArray());
-            var two = http.sendAsync(request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(json)).build(),
+            var two = http.sendAsync(
+                    request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(json)).build(),
                     BodyHandlers.ofByteArray());
             assertArrayEquals(one.get(10, TimeUnit.SECONDS).body(), two.get(10, TimeUnit.SECONDS).body());
             assertArrayEquals(one.get().body(), overCoap.get(10, TimeUnit.SECONDS));
@@ -511,10 +527,12 @@
         assertEquals("there already", 2, command("devices", "add", "--file", devices.toString(), "counter"));
         assertEquals(0, command("devices", "list", "--file", devices.toString()));
         assertEquals(List.of("d1", "d2", "counter"), said.lines().toList());
-        Program.await("known", () -> command("device", "outcome", "--edge", "http://127.0.0.1:" + httpPort, "--token-file",
-                token.toString(), "--patience", "1", id()) != 2);
+        Program.await("known",
+                () -> command("device", "outcome", "--edge", "http://127.0.0.1:" + httpPort, "--token-file",
+                        token.toString(), "--patience", "1", id()) != 2);
         String id = id();
-        String[] ask = {"device", "ask", "--edge", "http://127.0.0.1:" + httpPort, "--token-file", token.toString(), "--class",
+        String[] ask = {"device", "ask", "--edge", "http://127.0.0.1:" + httpPort, "--token-file", token.toString(),
+            "--class",
             "once", "--shards", "0", "--id", id, "lhr"};
         assertEquals(0, command(ask));
         String first = said;
@@ -541,8 +559,9 @@
             return "ok";
         });
         String id = id();
-        var asked = http.sendAsync(request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofString(body("once", "q", 0)))
-                .build(), BodyHandlers.ofByteArray());
+        var asked = http
+                .sendAsync(request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofString(body("once", "q", 0)))
+                        .build(), BodyHandlers.ofByteArray());
         Program.await("the part", () -> parts("") == 1);
         program.process.toHandle().destroy();
         assertEquals(200, asked.get(10, TimeUnit.SECONDS).statusCode());
--- a/src/test/java/wallmoor/net/FeaturesTest.java
+++ b/src/test/java/wallmoor/net/FeaturesTest.java
@@ -21,7 +21,9 @@
 import org.junit.rules.TemporaryFolder;
 import wallmoor.standin.Ports;
 
-/** The second front of the real program, with stand-in feature servers: cell 0 holds shards 0 and 2, cell 1 the others. */
+/**
+ * The second front of the real program, with stand-in feature servers: cell 0 holds shards 0 and 2, cell 1 the others.
+ */
 public class FeaturesTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -209,8 +211,8 @@
     public void aFailedPartGoesToAnotherHolderWithAllItsPages() throws Exception {
         var failed = new AtomicBoolean();
         Function<String, String> good = pages("a", 4);
-        Function<String, String> firstFails = t ->
-                number(t, "offset") == 2 && failed.compareAndSet(false, true) ? "{\"type\":\"Feat" : good.apply(t);
+        Function<String, String> firstFails = t -> number(t, "offset") == 2 && failed.compareAndSet(false, true)
+                ? "{\"type\":\"Feat" : good.apply(t);
         var one = server(firstFails);
         var other = server(firstFails);
         start(group(one, "cell: 0", other, "cell: 0", server(pages("b", 0)), "cell: 1"));
@@ -360,6 +362,7 @@
         String said = new String(process.getErrorStream().readAllBytes());
         assertEquals(said, 2, process.exitValue());
         assertTrue(said, said.contains("line 4: ogc.colections: is unknown; did you mean collections?"));
-        assertTrue("all faults at once: " + said, said.contains("line 5: ogc.collections.x.class: is not in the settings"));
+        assertTrue("all faults at once: " + said,
+                said.contains("line 5: ogc.collections.x.class: is not in the settings"));
     }
 }
--- a/src/test/java/wallmoor/net/GroupLabTest.java
+++ b/src/test/java/wallmoor/net/GroupLabTest.java
@@ -28,7 +28,9 @@
 import wallmoor.standin.GroupRelay;
 import wallmoor.standin.Ports;
 
-/** Groups of five real processes under seeded scripts of pauses, kills, cuts and poor links; what they said is judged. */
+/**
+ * Groups of five real processes under seeded scripts of pauses, kills, cuts and poor links; what they said is judged.
+ */
 public class GroupLabTest {
     private static final int FIVE = 5;
     private static final int FAULTS = 6;
@@ -43,13 +45,13 @@
     private static final int LINES = 12;
     private static final int INTERVAL_MILLIS = 200;
     /**
-     * One that comes back holds a quorum as soon as it hears the others, which observe it for five intervals before they take
-     * it in; as long again for the machine.
+     * One that comes back holds a quorum as soon as it hears the others, which observe it for five intervals before
+     * they take it in; as long again for the machine.
      */
     private static final long MOST_NANOS = TimeUnit.MILLISECONDS.toNanos(10 * INTERVAL_MILLIS);
     /**
-     * One that stood still holds what it held until its first tick, a tenth of an interval: that may be that one is removed
-     * which was starting meanwhile, and had it removed since (8 ms where starts took over 3 s).
+     * One that stood still holds what it held until its first tick, a tenth of an interval: that may be that one is
+     * removed which was starting meanwhile, and had it removed since (8 ms where starts took over 3 s).
      */
     private static final long WAKE_NANOS = TimeUnit.MILLISECONDS.toNanos(INTERVAL_MILLIS);
     private static final String VIEW = " quorum=";
@@ -66,7 +68,8 @@
         private static Set<String> names(String line, String state) {
             String view = line.replaceAll(" because .*", " ");
             int at = view.indexOf(" " + state + "=");
-            return at < 0 ? Set.of() : new TreeSet<>(List.of(view.substring(at + state.length() + 2).split(" ")[0].split(",")));
+            return at < 0 ? Set.of()
+                    : new TreeSet<>(List.of(view.substring(at + state.length() + 2).split(" ")[0].split(",")));
         }
     }
 
@@ -76,7 +79,8 @@
         final List<Integer> ports = new ArrayList<>();
         final Process[] processes = new Process[FIVE];
         /** What a test that fails is to show: the last lines of each. */
-        final List<List<String>> said = IntStream.range(0, FIVE).mapToObj(i -> Collections.synchronizedList(new ArrayList<String>()))
+        final List<List<String>> said = IntStream.range(0, FIVE)
+                .mapToObj(i -> Collections.synchronizedList(new ArrayList<String>()))
                 .toList();
         final GroupRelay relay;
         final Network network;
@@ -92,10 +96,13 @@
         @Override
         public void start(int who) throws Exception {
             Path operator = folder.newFile().toPath();
-            Files.writeString(operator, "fleet:\n  installation: test\n  listen: 127.0.0.1:" + ports.get(who) + "\n  address: "
-                    + relay.address(who) + "\n  seeds: [\"" + relay.address(0) + "\", \"" + relay.address(1) + "\"]\n  size: " + FIVE
-                    + "\n  interval: " + INTERVAL_MILLIS + "ms\n");
-            Process process = Program.launch(Program.config("m" + who, Program.SEED + who, Ports.free(), 1, "", 1024), operator);
+            Files.writeString(operator,
+                    "fleet:\n  installation: test\n  listen: 127.0.0.1:" + ports.get(who) + "\n  address: "
+                            + relay.address(who) + "\n  seeds: [\"" + relay.address(0) + "\", \"" + relay.address(1)
+                            + "\"]\n  size: " + FIVE
+                            + "\n  interval: " + INTERVAL_MILLIS + "ms\n");
+            Process process = Program.launch(Program.config("m" + who, Program.SEED + who, Ports.free(), 1, "", 1024),
+                    operator);
             processes[who] = process;
             var reader = new Thread(() -> read(who, process), "lab-read-" + who);
             reader.setDaemon(true);
@@ -127,7 +134,8 @@
             long now = System.nanoTime();
             Object held = last(who);
             Program.signal(processes[who], name);
-            history.add("m" + who, "group", name.equals("STOP") ? System.nanoTime() : now, name.equals("STOP") ? null : held);
+            history.add("m" + who, "group", name.equals("STOP") ? System.nanoTime() : now,
+                    name.equals("STOP") ? null : held);
         }
 
         /** What it said last, be it paused or not. */
@@ -147,8 +155,10 @@
         }
 
         String lastSaid() {
-            return IntStream.range(0, FIVE).mapToObj(i -> "m" + i + (processes[i].isAlive() ? "" : " ended " + processes[i].exitValue())
-                    + ": " + last(said.get(i))).collect(Collectors.joining("\n"));
+            return IntStream.range(0, FIVE)
+                    .mapToObj(i -> "m" + i + (processes[i].isAlive() ? "" : " ended " + processes[i].exitValue())
+                            + ": " + last(said.get(i)))
+                    .collect(Collectors.joining("\n"));
         }
 
         private static List<String> last(List<String> lines) {
@@ -171,7 +181,8 @@
 
         /** Nanoseconds until all hold all five and a quorum; negative where it did not come to that. */
         long untilAgreed(long seconds) throws InterruptedException {
-            Set<String> all = IntStream.range(0, FIVE).mapToObj(i -> "m" + i).collect(Collectors.toCollection(TreeSet::new));
+            Set<String> all = IntStream.range(0, FIVE).mapToObj(i -> "m" + i)
+                    .collect(Collectors.toCollection(TreeSet::new));
             var agreed = new Holds(true, all, Set.of());
             long from = System.nanoTime();
             while (System.nanoTime() - from < TimeUnit.SECONDS.toNanos(seconds)) {
@@ -229,15 +240,19 @@
             long begun = System.nanoTime(); // one that is slow to start may be removed and taken in again before
             script.play(five);
             long took = five.untilAgreed(AGREE_SECONDS);
-            assertTrue(what + ": all agree after the last fault: " + IntStream.range(0, FIVE).mapToObj(five::last).toList(), took >= 0);
-            List<History.Contradiction> found = five.history.contradictions(System.nanoTime(), (a, b) -> ((Holds) a.value()).quorum
-                    && ((Holds) b.value()).quorum && ((Holds) a.value()).removed.contains(b.who()));
+            assertTrue(what + ": all agree after the last fault: "
+                    + IntStream.range(0, FIVE).mapToObj(five::last).toList(), took >= 0);
+            List<History.Contradiction> found = five.history.contradictions(System.nanoTime(),
+                    (a, b) -> ((Holds) a.value()).quorum
+                            && ((Holds) b.value()).quorum && ((Holds) a.value()).removed.contains(b.who()));
             System.out.println("lab seed " + seed + ": agreed after " + took / 1_000_000 + " ms, contradictions "
-                    + found.stream().map(c -> c.one() + "-" + c.other() + " " + c.nanos() / 1_000_000 + " ms").toList());
+                    + found.stream().map(c -> c.one() + "-" + c.other() + " " + c.nanos() / 1_000_000 + " ms")
+                            .toList());
             assertTrue(what + ": " + found, found.isEmpty() || found.get(0).nanos() <= MOST_NANOS);
-            List<History.Contradiction> both = new ArrayList<>(five.history.contradictions(System.nanoTime(), (a, b) -> ((Holds)
-                    a.value()).quorum && ((Holds) b.value()).quorum && ((Holds) a.value()).removed.contains(b.who())
-                    && ((Holds) b.value()).removed.contains(a.who())));
+            List<History.Contradiction> both = new ArrayList<>(five.history.contradictions(System.nanoTime(),
+                    (a, b) -> ((Holds) a.value()).quorum && ((Holds) b.value()).quorum
+                            && ((Holds) a.value()).removed.contains(b.who())
+                            && ((Holds) b.value()).removed.contains(a.who())));
             both.removeIf(c -> c.nanos() < WAKE_NANOS);
             assertEquals(what + ": two sides that removed each other", List.of(), both);
             Set<String> struck = script.faults().stream().map(f -> "m" + f.who()).collect(Collectors.toSet());
--- a/src/test/java/wallmoor/net/GroupTest.java
+++ b/src/test/java/wallmoor/net/GroupTest.java
@@ -29,14 +29,16 @@
 import wallmoor.standin.Ports;
 
 /**
- * Real processes that are a group, with a relay of faults between them; what each holds is what its own log says. One group
- * serves all cases: each begins with all five there and the network whole, and looks at what was said since.
+ * Real processes that are a group, with a relay of faults between them; what each holds is what its own log says. One
+ * group serves all cases: each begins with all five there and the network whole, and looks at what was said since.
  */
 public class GroupTest {
     private static final int INTERVAL_MILLIS = 200;
     private static final String INTERVAL = INTERVAL_MILLIS + "ms";
     private static final int FIVE = 5;
-    /** Where a datagram tells what it is for: behind its array, its version and five bytes of the installation's name. */
+    /**
+     * Where a datagram tells what it is for: behind its array, its version and five bytes of the installation's name.
+     */
     private static final int KIND_AT = 7;
 
     private static final int[] ALL = IntStream.range(0, FIVE).toArray();
@@ -72,9 +74,12 @@
             from = 0;
             Path operator = FOLDER.newFile().toPath();
             Files.writeString(operator, "fleet:\n  installation: test\n  listen: 127.0.0.1:" + PORTS.get(number)
-                    + "\n  address: " + relay.address(number) + "\n  seeds: [\"127.0.0.1:9\", \"" + relay.address(0) + "\", \""
-                    + relay.address(1) + "\"]\n  size: " + FIVE + "\n  interval: " + INTERVAL + "\n  control: 127.0.0.1:" + control + "\n");
-            process = Program.launch(Program.config("m" + number, Program.SEED + number, Ports.free(), 1, "", 1024), operator);
+                    + "\n  address: " + relay.address(number) + "\n  seeds: [\"127.0.0.1:9\", \"" + relay.address(0)
+                    + "\", \""
+                    + relay.address(1) + "\"]\n  size: " + FIVE + "\n  interval: " + INTERVAL
+                    + "\n  control: 127.0.0.1:" + control + "\n");
+            process = Program.launch(Program.config("m" + number, Program.SEED + number, Ports.free(), 1, "", 1024),
+                    operator);
             Program.read(process, log);
         }
 
@@ -112,7 +117,10 @@
             return said().stream().anyMatch(l -> l.contains(text));
         }
 
-        /** One line for each view, whatever their number: of lines that repeat the log holds back all but twenty in 10 s. */
+        /**
+         * One line for each view, whatever their number: of lines that repeat the log holds back all but twenty in 10
+         * s.
+         */
         void toldEveryView() {
             List<Integer> versions = List.copyOf(log).stream().filter(l -> l.contains(" quorum="))
                     .map(l -> Integer.valueOf(l.replaceAll(".*view ([0-9]+) quorum.*", "$1"))).toList();
@@ -157,7 +165,9 @@
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_SECONDS);
         for (int n : who) {
             while (!MEMBERS.get(n).view().startsWith(starts)) {
-                assertTrue(what + ": m" + n + " holds " + MEMBERS.get(n).view() + MEMBERS.stream().map(Member::last).toList(),
+                assertTrue(
+                        what + ": m" + n + " holds " + MEMBERS.get(n).view()
+                                + MEMBERS.stream().map(Member::last).toList(),
                         System.nanoTime() < until);
                 Thread.sleep(20);
             }
@@ -247,7 +257,10 @@
         MEMBERS.forEach(m -> assertTrue(IntStream.of(0, 1, 2, 4).noneMatch(n -> m.everSaid("cut m" + n))));
     }
 
-    /** One that hears nobody, or gets no answers alone, accuses all: the others keep their quorum and each other throughout. */
+    /**
+     * One that hears nobody, or gets no answers alone, accuses all: the others keep their quorum and each other
+     * throughout.
+     */
     @Test
     public void oneThatHearsNobodyTakesNobodysQuorum() throws Exception {
         int[] others = {0, 1, 2, 4};
@@ -264,7 +277,8 @@
         awaitAll("all are there", ALL, alive(0, 1, 2, 3, 4));
         for (int n : others) { // that the machine held one up, so that it can't tell, is none of this
             List<String> since = MEMBERS.get(n).said();
-            assertTrue(since.toString(), since.stream().noneMatch(l -> l.matches(".*quorum=false .*reachable=[0-3]/5 .*")));
+            assertTrue(since.toString(),
+                    since.stream().noneMatch(l -> l.matches(".*quorum=false .*reachable=[0-3]/5 .*")));
             assertTrue(since.toString(), since.stream().noneMatch(l -> l.matches(".*removed=(.*,)?m[0124].*")));
         }
         assertTrue(!MEMBERS.get(3).everSaid("removed="));
@@ -304,15 +318,19 @@
         MEMBERS.forEach(m -> assertTrue(m.view(), m.view().startsWith("quorum=true")));
     }
 
-    /** Late, overtaking each other and told again up to a second later; and links of one member that fail each second. */
+    /**
+     * Late, overtaking each other and told again up to a second later; and links of one member that fail each second.
+     */
     @Test
     public void lateAndRepeatedDatagramsAndAFlappingLinkRemoveNobody() throws Exception {
         relay.delayMillis = 50;
         relay.again = 0.3;
-        relay.cut = (from, to) -> (from == 2 || to == 2) && System.nanoTime() / 1_000_000 / (5 * INTERVAL_MILLIS) % 2 == 0;
+        relay.cut = (from, to) -> (from == 2 || to == 2)
+                && System.nanoTime() / 1_000_000 / (5 * INTERVAL_MILLIS) % 2 == 0;
         Thread.sleep(LONG_MILLIS);
         assertTrue(relay.dropped.get() - droppedBefore > 20);
-        MEMBERS.forEach(m -> assertTrue(m.log.toString(), IntStream.of(0, 1, 3, 4).noneMatch(n -> m.everSaid("cut m" + n))));
+        MEMBERS.forEach(
+                m -> assertTrue(m.log.toString(), IntStream.of(0, 1, 3, 4).noneMatch(n -> m.everSaid("cut m" + n))));
         relay.cut = (from, to) -> false;
         awaitAll("all are there", ALL, alive(0, 1, 2, 3, 4));
     }
@@ -349,12 +367,16 @@
         var counters = counters(at);
         assertEquals(removals + 1, counters.number("removals", 0), 0);
         assertTrue(counters.number("received", 0) > 0 && counters.number("bytes", 0) > counters.number("sent", 0));
-        assertEquals(Set.of("accusations", "bytes", "installation", "malformed", "probes", "received", "refutations", "removals", "sent",
-                "stale", "tables_failed", "tables_received", "tables_sent", "too_long", "unanswered", "unsent", "version"),
+        assertEquals(
+                Set.of("accusations", "bytes", "installation", "malformed", "probes", "received", "refutations",
+                        "removals", "sent",
+                        "stale", "tables_failed", "tables_received", "tables_sent", "too_long", "unanswered", "unsent",
+                        "version"),
                 counters.members().keySet());
         Console why = Console.run("fleet", "explain", "m3", "--at", at, "--json");
         assertEquals(0, why.code());
-        assertTrue(why.out(), why.out().lines().filter(l -> l.endsWith("\"observes\":true,\"witness\":true,\"said\":\"doubts\"}")).count() >= 3);
+        assertTrue(why.out(), why.out().lines()
+                .filter(l -> l.endsWith("\"observes\":true,\"witness\":true,\"said\":\"doubts\"}")).count() >= 3);
         assertEquals(2, Console.run("fleet", "explain", "m9", "--at", at).code());
         try (var asker = new Socket("127.0.0.1", MEMBERS.get(0).control)) { // one that asks for nothing sensible
             asker.getOutputStream().write("x".repeat(1000).getBytes());
@@ -368,7 +390,8 @@
         for (int n : new int[] {1, 2}) {
             Program.signal(MEMBERS.get(n).process, "CONT");
         }
-        assertEquals("nobody is there to answer", 4, Console.run("fleet", "members", "--at", "127.0.0.1:" + MEMBERS.get(3).control).code());
+        assertEquals("nobody is there to answer", 4,
+                Console.run("fleet", "members", "--at", "127.0.0.1:" + MEMBERS.get(3).control).code());
     }
 
     private static Json.Obj counters(String at) throws Exception {
@@ -382,7 +405,8 @@
         Path operator = FOLDER.newFile().toPath();
         Files.writeString(operator, "fleet:\n  installation: test\n  listen: 127.0.0.1:7\n  seeds: [\"127.0.0.1:9\"]\n"
                 + "  size: 5\n  control: 0.0.0.0:7947\n");
-        Console said = Console.run("fleet", "members", "--config", "example/config.json", "--operator", operator.toString());
+        Console said = Console.run("fleet", "members", "--config", "example/config.json", "--operator",
+                operator.toString());
         assertEquals(2, said.code());
         assertTrue(said.err(), said.err().contains("fleet.control") && said.err().contains("0.0.0.0:7947"));
     }
--- a/src/test/java/wallmoor/net/HandOverTest.java
+++ b/src/test/java/wallmoor/net/HandOverTest.java
@@ -12,7 +12,9 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** The real program upgraded on one socket while something else is wrong: discovery, the old process, too much to hold. */
+/**
+ * The real program upgraded on one socket while something else is wrong: discovery, the old process, too much to hold.
+ */
 public class HandOverTest extends HeldFleet {
     private static final long READY_MILLIS = 2 * 6_000;
     /** A drain that is told at discovery's return: the settings' grace, and a second for a slow machine. */
@@ -36,7 +38,8 @@
     }
 
     private String members(String phaseOfFirst) {
-        return IntStream.range(0, workers.size()).mapToObj(i -> member(i, i == 0 ? phaseOfFirst : "SERVING")).collect(Collectors.joining(","));
+        return IntStream.range(0, workers.size()).mapToObj(i -> member(i, i == 0 ? phaseOfFirst : "SERVING"))
+                .collect(Collectors.joining(","));
     }
 
     private HeldSocket.Run start(String name, int maxOpen) throws Exception {
@@ -83,7 +86,9 @@
         }
     }
 
-    /** It stands still, wakes, is told to leave, stands still again and is killed: its own clients alone lose a thing. */
+    /**
+     * It stands still, wakes, is told to leave, stands still again and is killed: its own clients alone lose a thing.
+     */
     @Test(timeout = 60_000)
     public void theOldProcessIsPausedHalfWayAndKilledAndABanHolds() throws Exception {
         HeldSocket.Run old = start("old", 400);
@@ -147,7 +152,9 @@
         return most;
     }
 
-    /** More ask at once than both may hold: as one, as two, and as the new one alone they hold what the settings allow. */
+    /**
+     * More ask at once than both may hold: as one, as two, and as the new one alone they hold what the settings allow.
+     */
     @Test(timeout = 60_000)
     public void twoProcessesHoldNoMoreTogetherThanTheSettingsAllow() throws Exception {
         workers.forEach(w -> w.delayMillis = id -> ANSWER_MILLIS);
--- a/src/test/java/wallmoor/net/HeldFleet.java
+++ b/src/test/java/wallmoor/net/HeldFleet.java
@@ -11,7 +11,9 @@
 import org.junit.Rule;
 import org.junit.rules.TemporaryFolder;
 
-/** Four workers, a list, and the listening socket that one process of a gatherer inherits after another: of its tests. */
+/**
+ * Four workers, a list, and the listening socket that one process of a gatherer inherits after another: of its tests.
+ */
 abstract class HeldFleet {
     private static final int WORKERS = 4;
     private static final long WATCHED_MILLIS = 500;
--- a/src/test/java/wallmoor/net/ListTermsTest.java
+++ b/src/test/java/wallmoor/net/ListTermsTest.java
@@ -11,8 +11,8 @@
 import org.junit.Test;
 
 /**
- * What befalls the list's watch, and a drain that it misses: once the drain counts as told and its grace of 2 s is over,
- * the real program sends the drained worker nothing new.
+ * What befalls the list's watch, and a drain that it misses: once the drain counts as told and its grace of 2 s is
+ * over, the real program sends the drained worker nothing new.
  */
 public class ListTermsTest {
     private static final long GRACE = 2_000;
@@ -111,7 +111,8 @@
     @Test
     public void aWatchTellsTheDrainIndentedOverManyLines() throws Exception {
         start("subscribe");
-        discovery.say(drain().replace(",", ",\r\n\n  ").replace("[", "[\n").replace("}]", "}\n]\n")); // counts as it is written
+        // counts as it is written
+        discovery.say(drain().replace(",", ",\r\n\n  ").replace("[", "[\n").replace("}]", "}\n]\n"));
         drainCountsAfter(0);
         assertEquals("on the first watch", 1, discovery.count("GET /api/targets"));
     }
--- a/src/test/java/wallmoor/net/LongLifeTest.java
+++ b/src/test/java/wallmoor/net/LongLifeTest.java
@@ -66,7 +66,8 @@
         }
         Thread.sleep(200); // were the list later than that, the queries would meet the generation before
         for (int i = 0; i < 30; i++) {
-            assertEquals(200, Client.post(program.port, "q" + g + "-" + i, i % 2 == 0 ? "any" : "all", 1900, 0, 1, 2, 3).status);
+            assertEquals(200,
+                    Client.post(program.port, "q" + g + "-" + i, i % 2 == 0 ? "any" : "all", 1900, 0, 1, 2, 3).status);
         }
         Client.post(program.port, "bad" + g, "all", 300, 0, 1);
         Client.post(program.port, "lost" + g, "once", 150, 0);
@@ -86,7 +87,8 @@
         assertTrue(text, process.waitFor(20, TimeUnit.SECONDS) && process.exitValue() == 0);
         var counts = new TreeMap<String, Integer>();
         text.lines().map(l -> l.trim().split("\\s+")).filter(w -> w.length >= 4 && w[0].endsWith(":"))
-                .forEach(w -> counts.merge(w[3].replaceAll("\\$\\$Lambda.*|0x.*", ""), Integer.parseInt(w[1]), Integer::sum));
+                .forEach(w -> counts.merge(w[3].replaceAll("\\$\\$Lambda.*|0x.*", ""), Integer.parseInt(w[1]),
+                        Integer::sum));
         return counts;
     }
 
@@ -107,7 +109,8 @@
         after.forEach((name, n) -> {
             int had = before.getOrDefault(name, 0);
             boolean counted = name.startsWith("wallmoor.") || name.startsWith("java.util.");
-            if (counted && n > had + Math.max(SLACK, had / 10)) { // one member kept of each generation is 12 more, all 2400
+            // one member kept of each generation is 12 more, all 2400
+            if (counted && n > had + Math.max(SLACK, had / 10)) {
                 grown.add(name + " " + had + " to " + n);
             }
         });
@@ -120,7 +123,8 @@
         worker = new StandIn.Worker(id -> "ok");
         open.add(worker);
         int port = Ports.free();
-        Process process = Program.launch(Program.config("t", Program.SEED, port, 1, worker.member("a", 0, "SERVING"), 1024), null);
+        Process process = Program
+                .launch(Program.config("t", Program.SEED, port, 1, worker.member("a", 0, "SERVING"), 1024), null);
         open.add(() -> process.destroyForcibly().onExit().join());
         var asked = new ArrayList<Client>();
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
@@ -144,7 +148,9 @@
         }
     }
 
-    /** Until the address is given up, a connection that comes while the process leaves is answered, never just closed. */
+    /**
+     * Until the address is given up, a connection that comes while the process leaves is answered, never just closed.
+     */
     @Test
     public void aNewConnectionIsAnsweredForAsLongAsConnectionsAreTaken() throws Exception {
         start();
--- a/src/test/java/wallmoor/net/MovesAgreedTest.java
+++ b/src/test/java/wallmoor/net/MovesAgreedTest.java
@@ -30,8 +30,9 @@
 import wallmoor.versions.UnreadableException;
 
 /**
- * Blocks move between real nodes by a plan that real gatherers agree on, carried out by two authors at once; the leader of the
- * voters and an author are killed and cut off, while clients go by what a gatherer says of the plan at each query.
+ * Blocks move between real nodes by a plan that real gatherers agree on, carried out by two authors at once; the leader
+ * of the voters and an author are killed and cut off, while clients go by what a gatherer says of the plan at each
+ * query.
  */
 public class MovesAgreedTest {
     private static final long TERM_MILLIS = 1_500;
@@ -74,7 +75,8 @@
             Json.Obj o = Json.object(said, 0, said.length);
             boolean leased = o.number("lease_ms", 0) > 0;
             return o.text("basis").equals("none") || !leased ? null
-                    : new DiskFleet.Known((long) o.number("from", 0), State.read(Kinds.PLAN.read(o.text("body"))), leased);
+                    : new DiskFleet.Known((long) o.number("from", 0), State.read(Kinds.PLAN.read(o.text("body"))),
+                            leased);
         } catch (Json.Malformed e) {
             throw new IOException(e); // it was killed as it answered
         } catch (UnreadableException e) {
@@ -104,7 +106,8 @@
     private void refusedBeforeAnythingMoves() throws Exception {
         Path big = folder.newFile("big.yaml").toPath();
         var text = new StringBuilder(Files.readString(fleet.file)).append(IntStream.range(0, MANY)
-                .mapToObj(i -> "- {id: " + "b".repeat(100) + i + ", mb: 1, on: [a, b]}\n").collect(Collectors.joining()));
+                .mapToObj(i -> "- {id: " + "b".repeat(100) + i + ", mb: 1, on: [a, b]}\n")
+                .collect(Collectors.joining()));
         Files.writeString(big, text);
         Console large = rebalance(3, "start", big.toString());
         assertEquals(large.err(), 2, large.code());
@@ -162,8 +165,8 @@
         long before = group.all.get(3).last.from();
         // how soon the others find a leader is RulesTest's: here it is cut off for three terms at most
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(3 * TERM_MILLIS);
-        for (RulesGroup.Look l = group.all.get(3).last; System.nanoTime() < until && (l == null || l.from() <= before);
-                l = group.all.get(3).last) {
+        for (RulesGroup.Look l = group.all.get(3).last; System.nanoTime() < until
+                && (l == null || l.from() <= before); l = group.all.get(3).last) {
             Thread.sleep(20);
         }
         group.relay.heal();
--- a/src/test/java/wallmoor/net/MovesTest.java
+++ b/src/test/java/wallmoor/net/MovesTest.java
@@ -89,8 +89,10 @@
         Files.writeString(dir("b").resolve("flip"), "");
         Files.writeString(dir("c").resolve("flip"), "");
         fleet.carry(10);
-        Program.await("copying", () -> fleet.status().contains("\"stage\":\"copy\"") && !fleet.status().contains("\"there\":0.0,"));
-        String to = fleet.status().replaceFirst("(?s).*?\"to\":\"(.)\",\"mb\":[0-9]+,\"wave\":1,\"stage\":\"copy\".*", "$1");
+        Program.await("copying",
+                () -> fleet.status().contains("\"stage\":\"copy\"") && !fleet.status().contains("\"there\":0.0,"));
+        String to = fleet.status().replaceFirst("(?s).*?\"to\":\"(.)\",\"mb\":[0-9]+,\"wave\":1,\"stage\":\"copy\".*",
+                "$1");
         Files.writeString(dir(to).resolve("other"), "14"); // something else fills it half-way
         Program.await("given up", () -> fleet.status().contains("no room any more"));
         Program.await("stuck or moved", () -> !fleet.status().contains("\"stage\":\"copy\""));
@@ -109,7 +111,8 @@
         Thread.sleep(600);
         assertEquals(there, copied());
         assertTrue(Console.run("rebalance", "status", "--dir", fleet.plan.toString()).out().startsWith("paused"));
-        assertTrue(Console.run("rebalance", "explain", "--dir", fleet.plan.toString(), "x").out().contains("fetches chunks"));
+        assertTrue(Console.run("rebalance", "explain", "--dir", fleet.plan.toString(), "x").out()
+                .contains("fetches chunks"));
         Console second = Console.run("rebalance", "start", fleet.file.toString(), "--dir", fleet.plan.toString());
         assertEquals(second.err(), 1, second.code());
         assertTrue(second.err(), second.err().contains("another process carries this plan out"));
--- a/src/test/java/wallmoor/net/OperatorsTest.java
+++ b/src/test/java/wallmoor/net/OperatorsTest.java
@@ -121,7 +121,8 @@
             assertEquals(2L, (long) told.get("workers_known"));
         }
         open.add(new SteadyLoad(socket.port, 2, PAUSE_MILLIS / 10, List.of("all"), 0));
-        Program.await("one that was slow as the machine was busy is used again", () -> run.admin().figure("workers_excluded") == 0);
+        Program.await("one that was slow as the machine was busy is used again",
+                () -> run.admin().figure("workers_excluded") == 0);
     }
 
     /** Callers that say nothing, half a head, or half a body, and stay. */
--- a/src/test/java/wallmoor/net/PlatformTest.java
+++ b/src/test/java/wallmoor/net/PlatformTest.java
@@ -53,7 +53,8 @@
             }
             var answer = client.answer();
             assertEquals(200, answer.status);
-            assertEquals("{\"complete\":true,\"hits\":[{\"shard\":0,\"doc\":\"vq1.0\"},{\"shard\":1,\"doc\":\"vq1.1\"}]}",
+            assertEquals(
+                    "{\"complete\":true,\"hits\":[{\"shard\":0,\"doc\":\"vq1.0\"},{\"shard\":1,\"doc\":\"vq1.1\"}]}",
                     answer.body);
             String body = Client.body(3);
             client.send("POST /api HTTP/1.1\r\nX-Request-Id: q2\r\nX-Class: once\r\nX-Deadline: 1900000u\r\n"
@@ -89,8 +90,8 @@
         var fails = new AtomicInteger();
         Function<String, String> first = id -> id.startsWith("busy") && fails.incrementAndGet() == 1 ? "busy"
                 : id.startsWith("err") && fails.incrementAndGet() == 1 ? "err"
-                : id.startsWith("break") && fails.incrementAndGet() == 1 ? "break"
-                : id.startsWith("garbage") && fails.incrementAndGet() == 1 ? "garbage" : "ok";
+                        : id.startsWith("break") && fails.incrementAndGet() == 1 ? "break"
+                                : id.startsWith("garbage") && fails.incrementAndGet() == 1 ? "garbage" : "ok";
         var one = worker(first);
         var other = worker(first);
         start(one.member("a", 0, "SERVING"), other.member("b", 0, "SERVING"));
@@ -215,8 +216,10 @@
         try (var client = new Client(program.port); var next = new StandIn.Discovery()) {
             client.send(Client.query("h", "all", 1900, 0));
             Program.await("the part", () -> one.count("Qh.0") == 1);
-            program.reload(0, "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"nowhere\",\"settings\":" + Program.SETTINGS + "}");
-            Program.await("the key", () -> program.log.stream().anyMatch(l -> l.contains("kept") && l.contains("discovery")));
+            program.reload(0,
+                    "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"nowhere\",\"settings\":" + Program.SETTINGS + "}");
+            Program.await("the key",
+                    () -> program.log.stream().anyMatch(l -> l.contains("kept") && l.contains("discovery")));
             next.list = "{\"revision\":7,\"complete\":true,\"members\":[" + other.member("b", 0, "SERVING")
                     + "\n    ".repeat(20_000) + "]}"; // indented, a list of some hundred nodes is over 64 KiB
             program.reload(next.port(), null);
@@ -263,9 +266,11 @@
 
     @Test
     public void aBadConfigurationNamesItsKey() throws Exception {
-        String good = "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":" + Program.SETTINGS + "}";
+        String good = "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":" + Program.SETTINGS
+                + "}";
         String[][] bad = {{good.replace("\"Round\":5000", "\"Round\":\"soon\""), "Round"},
-            {good.replace("\"Slabs\":4,", ""), "Domain.Slabs"}, {good.replace("\"listen\":\"127.0.0.1:1\",", ""), "listen"},
+            {good.replace("\"Slabs\":4,", ""), "Domain.Slabs"},
+            {good.replace("\"listen\":\"127.0.0.1:1\",", ""), "listen"},
             {good.replace("\"Name\":\"any\",", ""), "Classes.0.Name"}, {"{", "ROUTER_CONFIG"}};
         for (String[] b : bad) {
             Process process = Program.launch(b[0], null);
--- a/src/test/java/wallmoor/net/Program.java
+++ b/src/test/java/wallmoor/net/Program.java
@@ -81,7 +81,8 @@
     static String config(String name, long seed, int port, int discovery, String members, int sockets) {
         return "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:" + discovery
                 + "\",\"seed\":\"" + Long.toHexString(seed) + "\",\"limits\":{\"sockets\":" + sockets
-                + "},\"known\":{\"revision\":41,\"complete\":true,\"members\":[" + members + "]},\"settings\":" + SETTINGS + "}";
+                + "},\"known\":{\"revision\":41,\"complete\":true,\"members\":[" + members + "]},\"settings\":"
+                + SETTINGS + "}";
     }
 
     /** The configuration with an operators' address. */
--- a/src/test/java/wallmoor/net/PruneTest.java
+++ b/src/test/java/wallmoor/net/PruneTest.java
@@ -148,7 +148,8 @@
                             int n = writes.incrementAndGet();
                             fleet.write(site, "w" + n + ",city-" + random.nextInt(40) + "," + random.nextInt(60) + ","
                                     + random.nextInt(160) + "," + random.nextInt(60) + ",2026-0" + (1
-                                    + random.nextInt(9)) + "-05");
+                                            + random.nextInt(9))
+                                    + "-05");
                             Thread.sleep(30);
                             continue;
                         }
--- a/src/test/java/wallmoor/net/ReloadCrossingsTest.java
+++ b/src/test/java/wallmoor/net/ReloadCrossingsTest.java
@@ -152,7 +152,8 @@
         Program.await("out", () -> first.count("Qheld-1") + second.count("Qheld-1") == 1);
         StandIn.Worker at = first.count("Qheld-1") == 1 ? first : second;
         StandIn.Worker other = at == first ? second : first;
-        String drain = "{\"revision\":50,\"complete\":true,\"members\":[" + at.member(at == first ? "a" : "b", 0, "DRAINING")
+        String drain = "{\"revision\":50,\"complete\":true,\"members\":["
+                + at.member(at == first ? "a" : "b", 0, "DRAINING")
                 + "," + other.member(at == first ? "b" : "a", 0, "SERVING") + "]}";
         String fewer = with(with(config, ANY, ""), "[0.5,1.0,1.0]", "[1.0,1.0]").replace("[0.9,0.9,0.9]", "[0.9,0.9]")
                 .replace("[0,0,0]", "[0,0]");
@@ -197,7 +198,8 @@
         Program.await("taken", () -> run.admin().figure("in_flight") == 4);
         run.reload(with(config, "\"MaxOpen\":60", "\"MaxOpen\":4"));
         Program.await("taken", () -> isReload(run, 1, 0));
-        assertEquals("held are twice as many as there may be", 503, Client.post(socket.port, "more", "all", 1900, 0).status);
+        assertEquals("held are twice as many as there may be", 503,
+                Client.post(socket.port, "more", "all", 1900, 0).status);
         release.countDown();
         for (Client c : held) {
             assertEquals(200, c.answer().status);
--- a/src/test/java/wallmoor/net/RestingTest.java
+++ b/src/test/java/wallmoor/net/RestingTest.java
@@ -154,7 +154,8 @@
         var rested = new ArrayList<Client>();
         for (int i = 0; i < count; i++) {
             rested.add(client());
-            assertEquals(200, rested.get(i).send(Client.query("r" + rested.hashCode() + i, "all", 1900, 0)).answer().status);
+            assertEquals(200,
+                    rested.get(i).send(Client.query("r" + rested.hashCode() + i, "all", 1900, 0)).answer().status);
         }
         return rested;
     }
--- a/src/test/java/wallmoor/net/RoughTest.java
+++ b/src/test/java/wallmoor/net/RoughTest.java
@@ -102,10 +102,13 @@
         var worker = worker(id -> "ok");
         start(64, worker.member("a", 0, "SERVING"));
         String good = Client.query("x", "all", 1900, 0, 2);
-        String[] bad = {good.replace("0.5}]", "0.7}]"), good.replaceFirst("0[.]5", "-.5"), good.replaceFirst("0[.]5", "1.5"),
+        String[] bad = {good.replace("0.5}]", "0.7}]"), good.replaceFirst("0[.]5", "-.5"),
+            good.replaceFirst("0[.]5", "1.5"),
             good.replace("\"shard\":2", "\"shard\":0"), good.replace("1900m", "soon"), good.replace("1900m", "-9m"),
-            good.replace("1900m", "0m"), good.replace("X-Request-Id: x", "X-Other: 1"), good.replace("X-Class", "X-Cl ass"),
-            good.replace("Content-Length: ", "Content-Length: +"), good.replace("Content-Length: ", "Content-Length: -"),
+            good.replace("1900m", "0m"), good.replace("X-Request-Id: x", "X-Other: 1"),
+            good.replace("X-Class", "X-Cl ass"),
+            good.replace("Content-Length: ", "Content-Length: +"),
+            good.replace("Content-Length: ", "Content-Length: -"),
             good.replace("X-Class: all", "X-Class: all\r\nTransfer-Encoding\u0001: chunked"),
             good.replace("X-Class: all", "X-Class: all\r\nTransfer-Encoding: chunked"),
             good.replace("X-Class: all", "X-Class: all\r\nContent-Length: 7")};
--- a/src/test/java/wallmoor/net/RowFleet.java
+++ b/src/test/java/wallmoor/net/RowFleet.java
@@ -63,8 +63,7 @@
     }
 
     /** A gatherer's front: its port, and the program. */
-    record Front(Program program, int port, Path operator) {
-    }
+    record Front(Program program, int port, Path operator) {}
 
     /** Starts a gatherer; {@code summaries} is the section's lines, or empty where all are asked. */
     Front gatherer(String queryClass, String summaries) throws Exception {
@@ -78,7 +77,9 @@
         return new Front(program, port, operator);
     }
 
-    /** The section of a front at this port, for an operators' file in the folder; the inventory is written beside it. */
+    /**
+     * The section of a front at this port, for an operators' file in the folder; the inventory is written beside it.
+     */
     String ogc(String queryClass, int port) throws IOException {
         var inventory = new StringBuilder("host,address,zone,cell,state\n");
         var shards = new ArrayList<String>();
--- a/src/test/java/wallmoor/net/RulesGroup.java
+++ b/src/test/java/wallmoor/net/RulesGroup.java
@@ -21,15 +21,16 @@
 import wallmoor.standin.Ports;
 import wallmoor.standin.TcpRelay;
 
-/** Real gatherers that agree, a relay of faults between them, and for each a watcher that knows nothing of the faults. */
+/**
+ * Real gatherers that agree, a relay of faults between them, and for each a watcher that knows nothing of the faults.
+ */
 final class RulesGroup implements AutoCloseable {
     static final int VOTERS = 3;
     private static final int LOOK_MILLIS = 20;
     private static final long MOST_WAIT = TimeUnit.SECONDS.toNanos(30);
 
     /** What one said that it goes by, at a time of the clock that all processes of a machine share. */
-    record Look(int who, long now, long until, long from, long to, boolean acts, String leader) {
-    }
+    record Look(int who, long now, long until, long from, long to, boolean acts, String leader) {}
 
     final TcpRelay relay;
     final List<One> all = new ArrayList<>();
@@ -62,11 +63,14 @@
             var file = new StringBuilder("rules:\n  voters:\n");
             IntStream.range(0, voters).forEach(v -> file.append("    m").append(v).append(": ").append(v == number
                     ? "127.0.0.1:" + port : relay.address(number, v)).append('\n'));
-            file.append(number < voters ? "  listen: 127.0.0.1:" + port + "\n" : "").append("  term: ").append(termMillis)
-                    .append("ms\n  directory: ").append(directory).append("\n  control: 127.0.0.1:").append(control).append('\n')
+            file.append(number < voters ? "  listen: 127.0.0.1:" + port + "\n" : "").append("  term: ")
+                    .append(termMillis)
+                    .append("ms\n  directory: ").append(directory).append("\n  control: 127.0.0.1:").append(control)
+                    .append('\n')
                     .append(more.apply(number));
             Path operator = Files.writeString(folder.resolve("operator-m" + number + ".yaml"), file);
-            process = Program.launch(Program.config("m" + number, Program.SEED + number, Ports.free(), 1, "", 1024), operator);
+            process = Program.launch(Program.config("m" + number, Program.SEED + number, Ports.free(), 1, "", 1024),
+                    operator);
             logs.add(Collections.synchronizedList(new ArrayList<>()));
             Program.read(process, logs.get(logs.size() - 1));
         }
@@ -91,7 +95,10 @@
             return rules("propose", "settings", body(number).toString(), "--author", "ann", "--wait", "" + wait);
         }
 
-        /** The same beside other commands, which {@link Console} can't: what the control port answers, empty where it is killed. */
+        /**
+         * The same beside other commands, which {@link Console} can't: what the control port answers, empty where it is
+         * killed.
+         */
         String proposed(int number, int wait) {
             return proposed("{\"limits.open\":" + (54 + number) + "}", wait);
         }
@@ -100,8 +107,10 @@
         String proposed(String body, int wait) {
             try (var asker = new Socket("127.0.0.1", control)) {
                 asker.setSoTimeout((int) TimeUnit.SECONDS.toMillis(wait + 10));
-                asker.getOutputStream().write(("{\"do\":\"propose\",\"name\":\"" + document + "\",\"author\":\"bob\",\"wait_ms\":"
-                        + wait * 1_000 + ",\"body\":\"" + body.replace("\"", "\\\"") + "\"}\n").getBytes(StandardCharsets.US_ASCII));
+                asker.getOutputStream()
+                        .write(("{\"do\":\"propose\",\"name\":\"" + document + "\",\"author\":\"bob\",\"wait_ms\":"
+                                + wait * 1_000 + ",\"body\":\"" + body.replace("\"", "\\\"") + "\"}\n")
+                                .getBytes(StandardCharsets.US_ASCII));
                 return new String(asker.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             } catch (IOException e) {
                 return "";
@@ -117,8 +126,10 @@
                     byte[] said = asker.getInputStream().readAllBytes();
                     Json.Obj o = Json.object(said, 0, said.length);
                     String basis = o.text("basis");
-                    last = new Look(number, (long) o.number("now_us", 0), (long) o.number("until_us", 0), (long) o.number("from", 0),
-                            (long) o.number("to", 0), basis.equals("version") || basis.equals("careful"), o.text("leader"));
+                    last = new Look(number, (long) o.number("now_us", 0), (long) o.number("until_us", 0),
+                            (long) o.number("from", 0),
+                            (long) o.number("to", 0), basis.equals("version") || basis.equals("careful"),
+                            o.text("leader"));
                     looks.add(last);
                     Thread.sleep(LOOK_MILLIS);
                 } catch (IOException | Json.Malformed e) {
@@ -229,8 +240,8 @@
     }
 
     /**
-     * How long anybody can have acted without heeding a version that another had been seen to heed, microseconds: who was
-     * seen to act counts as acting until it was seen not to, or until the lease's end that it told.
+     * How long anybody can have acted without heeding a version that another had been seen to heed, microseconds: who
+     * was seen to act counts as acting until it was seen not to, or until the lease's end that it told.
      */
     long worst() {
         var judge = new Judge();
@@ -261,8 +272,10 @@
     /** When the last of all was first seen to go by a version wholly, microseconds of the machine's clock. */
     long lastBegan(long version) {
         synchronized (looks) {
-            return all.stream().mapToLong(o -> looks.stream().filter(l -> l.who() == o.number && l.acts() && l.from() == version)
-                    .mapToLong(Look::now).min().orElseThrow()).max().orElseThrow();
+            return all.stream()
+                    .mapToLong(o -> looks.stream().filter(l -> l.who() == o.number && l.acts() && l.from() == version)
+                            .mapToLong(Look::now).min().orElseThrow())
+                    .max().orElseThrow();
         }
     }
 
--- a/src/test/java/wallmoor/net/RulesTest.java
+++ b/src/test/java/wallmoor/net/RulesTest.java
@@ -21,8 +21,9 @@
 import wallmoor.standin.TcpRelay;
 
 /**
- * Five real gatherers, three of them voters, agree on {@code settings} while a relay and signals do them harm. One group for
- * all cases: each takes it whole and leaves it whole, but for the last one, and the versions go on. After one that failed it is begun anew.
+ * Five real gatherers, three of them voters, agree on {@code settings} while a relay and signals do them harm. One
+ * group for all cases: each takes it whole and leaves it whole, but for the last one, and the versions go on. After one
+ * that failed it is begun anew.
  */
 @FixMethodOrder(MethodSorters.NAME_ASCENDING) // the last leaves one voter out
 public class RulesTest {
@@ -130,7 +131,8 @@
     }
 
     @Test
-    public void proposalsFromBothSidesThenAllRestartedWithOneFileTornOneDamagedAndOneVotersFilesLost() throws Exception {
+    public void proposalsFromBothSidesThenAllRestartedWithOneFileTornOneDamagedAndOneVotersFilesLost()
+            throws Exception {
         int alone = group.leader();
         for (int n : group.others(alone, 3)) {
             for (int few : new int[] {alone, 3}) {
@@ -179,7 +181,9 @@
         group.awaitAll(version, group.others());
     }
 
-    /** A file that is damaged in its middle is not gone on with, and is said; the gatherer follows, and does not vote. */
+    /**
+     * A file that is damaged in its middle is not gone on with, and is said; the gatherer follows, and does not vote.
+     */
     private void damageOne(int damaged) throws Exception {
         group.all.get(damaged).kill();
         Path log = group.all.get(damaged).directory.resolve("log");
--- a/src/test/java/wallmoor/net/SourcesTest.java
+++ b/src/test/java/wallmoor/net/SourcesTest.java
@@ -89,7 +89,10 @@
         }
     }
 
-    /** Queries until it is closed, several at once, as one alone would stay with one node; counts those not answered whole. */
+    /**
+     * Queries until it is closed, several at once, as one alone would stay with one node; counts those not answered
+     * whole.
+     */
     private final class Load implements AutoCloseable {
         final AtomicInteger asked = new AtomicInteger();
         final AtomicInteger failed = new AtomicInteger();
@@ -138,18 +141,21 @@
         try (var load = new Load(0)) {
             Program.await("both used", () -> a.count("Q") > 5 && b.count("Q") > 5);
             // the list has its own name for the machine that DNS calls w1, and both go on naming it
-            discovery.say("{\"revision\":43,\"complete\":false,\"members\":[" + a.member("s-5be2", 0, "DRAINING") + "]}");
+            discovery.say(
+                    "{\"revision\":43,\"complete\":false,\"members\":[" + a.member("s-5be2", 0, "DRAINING") + "]}");
             Thread.sleep(2000);
             long before = a.count("Q");
             long look = dns.seen.size();
             Program.await("DNS heard again, still naming it", () -> dns.seen.size() > look + 3);
             assertEquals(before, a.count("Q"));
-            discovery.say("{\"revision\":44,\"complete\":false,\"members\":[" + a.member("s-5be2", 0, "DELETED") + "]}");
+            discovery
+                    .say("{\"revision\":44,\"complete\":false,\"members\":[" + a.member("s-5be2", 0, "DELETED") + "]}");
             Thread.sleep(1500);
             assertEquals("a record that outlives its node", before, a.count("Q"));
             assertEquals("no query lost", 0, load.failed.get());
         }
-        assertTrue(logged("w1 is DRAINING: its address 127.0.0.1:" + a.port() + " is s-5be2's, drained by list at revision 43"));
+        assertTrue(logged(
+                "w1 is DRAINING: its address 127.0.0.1:" + a.port() + " is s-5be2's, drained by list at revision 43"));
     }
 
     @Test
--- a/src/test/java/wallmoor/net/StandIn.java
+++ b/src/test/java/wallmoor/net/StandIn.java
@@ -6,8 +6,8 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import java.util.Collections;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.List;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
@@ -88,7 +88,7 @@
         /** How long each answer is kept back, by the part's id; where that is 0 the next part waits for the answer. */
         volatile java.util.function.ToLongFunction<String> delayMillis = id -> 0;
         /** Told what each part carries, as its frame has come. */
-        volatile java.util.function.Consumer<String> onPart = text -> { };
+        volatile java.util.function.Consumer<String> onPart = text -> {};
 
         Worker(Function<String, String> answer) throws IOException {
             this.answer = answer;
@@ -133,7 +133,8 @@
                 id = "not-" + id;
                 end = "ok";
             }
-            byte[] reply = ("garbage".equals(end) ? "?" : "A" + id + " " + end.replace("twice", "ok") + " 7 -\nv" + asked + value)
+            byte[] reply = ("garbage".equals(end) ? "?"
+                    : "A" + id + " " + end.replace("twice", "ok") + " 7 -\nv" + asked + value)
                     .getBytes(StandardCharsets.ISO_8859_1);
             var out = new java.io.ByteArrayOutputStream();
             if ("short".equals(end)) { // its length says more than comes
@@ -165,8 +166,7 @@
         /** What each watch begins with, or nothing. */
         volatile String opening = "";
 
-        Discovery() throws IOException {
-        }
+        Discovery() throws IOException {}
 
         @Override
         void serve(Socket peer) throws IOException, InterruptedException {
--- a/src/test/java/wallmoor/net/StartCrossingsTest.java
+++ b/src/test/java/wallmoor/net/StartCrossingsTest.java
@@ -80,7 +80,8 @@
             while (true) {
                 Socket call = held.accept();
                 open.add(call);
-                call.getOutputStream().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes());
+                call.getOutputStream()
+                        .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes());
             }
         } catch (IOException e) {
             // the test is over
@@ -143,22 +144,26 @@
     public void isReadyBesideNobodyOnAnInheritedSocketThoughDiscoverySaysNothing() throws Exception {
         var socket = new HeldSocket();
         open.add(0, socket);
-        HeldSocket.Run run = socket.start(folder.newFolder("tmp").toPath(), Program.config("t", Program.SEED, socket.port,
-                silentDiscovery(), worker.member("a", 0, "SERVING"), 1024));
+        HeldSocket.Run run = socket.start(folder.newFolder("tmp").toPath(),
+                Program.config("t", Program.SEED, socket.port,
+                        silentDiscovery(), worker.member("a", 0, "SERVING"), 1024));
         long took = run.awaitReady();
         assertTrue("ready after " + took + " ms", took < READY_MILLIS);
         assertEquals(200, Client.post(socket.port, "q", "all", 1900, 0).status);
     }
 
-    /** It waits for the list, is told to leave, and then the list comes: its yes would bring clients to one that ends. */
+    /**
+     * It waits for the list, is told to leave, and then the list comes: its yes would bring clients to one that ends.
+     */
     @Test(timeout = 60_000)
     public void toldToLeaveBeforeItIsReadyItNeverSaysYes() throws Exception {
         var socket = new HeldSocket();
         open.add(0, socket);
         var held = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         open.add(held);
-        HeldSocket.Run run = socket.start(folder.newFolder("tmp").toPath(), Program.config("t", Program.SEED, socket.port,
-                held.getLocalPort(), worker.member("a", 0, "SERVING"), 1024));
+        HeldSocket.Run run = socket.start(folder.newFolder("tmp").toPath(),
+                Program.config("t", Program.SEED, socket.port,
+                        held.getLocalPort(), worker.member("a", 0, "SERVING"), 1024));
         Program.await("operators are answered", () -> {
             try {
                 return Client.get(run.admin().port(), "/_vars").status == 200;
--- a/src/test/java/wallmoor/net/StartTest.java
+++ b/src/test/java/wallmoor/net/StartTest.java
@@ -24,7 +24,9 @@
  * class that the archive lacks, or a lambda that is linked as the program runs, is what makes a start slow.
  */
 public class StartTest {
-    /** The JDK links a form or two of its own as it makes the first socket, and gives it no name that an archive takes. */
+    /**
+     * The JDK links a form or two of its own as it makes the first socket, and gives it no name that an archive takes.
+     */
     private static final int MOST_OUTSIDE = 5;
     /** Lambdas of the JDK's own classes, which the build can't turn into classes. */
     private static final int MOST_LAMBDAS = 20;
--- a/src/test/java/wallmoor/net/SteadyLoad.java
+++ b/src/test/java/wallmoor/net/SteadyLoad.java
@@ -15,8 +15,7 @@
  */
 final class SteadyLoad implements AutoCloseable {
     /** What came of a query: {@code status} is -1 where no whole answer came, and {@code fault} says why. */
-    record Asked(String id, String queryClass, int status, String fault, long from, long until) {
-    }
+    record Asked(String id, String queryClass, int status, String fault, long from, long until) {}
 
     final ConcurrentLinkedQueue<Asked> all = new ConcurrentLinkedQueue<>();
     /** Answers that were not to the query asked, or came beside one. */
--- a/src/test/java/wallmoor/net/Storm.java
+++ b/src/test/java/wallmoor/net/Storm.java
@@ -63,14 +63,16 @@
         Path folder = Files.createTempDirectory("storm");
         var rows = new StringBuilder("device,sha256\n");
         for (int d = 0; d < devices; d++) {
-            rows.append("d").append(d).append(',').append(HexFormat.of().formatHex(Ask.sha256(token(d).getBytes()))).append('\n');
+            rows.append("d").append(d).append(',').append(HexFormat.of().formatHex(Ask.sha256(token(d).getBytes())))
+                    .append('\n');
         }
         Files.writeString(folder.resolve("devices.csv"), rows);
         http = Ports.free();
         coap = Ports.free();
         Path operator = folder.resolve("operator.yaml");
-        Files.writeString(operator, "edge:\n  devices: devices.csv\n  http: {listen: 127.0.0.1:" + http + "}\n  coap: {listen: 127.0.0.1:"
-                + coap + "}\n  skew: 50ms\n  asks_per_s: 100\n  ask_burst: 1000\n  open_per_device: 32\n");
+        Files.writeString(operator,
+                "edge:\n  devices: devices.csv\n  http: {listen: 127.0.0.1:" + http + "}\n  coap: {listen: 127.0.0.1:"
+                        + coap + "}\n  skew: 50ms\n  asks_per_s: 100\n  ask_burst: 1000\n  open_per_device: 32\n");
         program = new Program(discovery.port(), node.member("a", 0, "SERVING"), operator);
         Thread.sleep(150);
     }
@@ -98,12 +100,14 @@
                 var datagrams = new DatagramProxy(coap, seed, share / 2, share / 3, share / 3)) {
             each(atOnce, d -> {
                 var random = new Random((seed * 7919 + d) * 0x9E3779B97F4A7C15L);
-                try (var overCoap = d % 2 == 0 ? null : new CoapDevice(URI.create("coap://127.0.0.1:" + datagrams.port()),
-                        token(d), line -> { })) {
-                    var overHttp = new HttpDevice(URI.create("http://127.0.0.1:" + links.port()), token(d), d % 4 == 0, true,
-                            Duration.ofSeconds(3), line -> { });
+                try (var overCoap = d % 2 == 0 ? null
+                        : new CoapDevice(URI.create("coap://127.0.0.1:" + datagrams.port()),
+                                token(d), line -> {})) {
+                    var overHttp = new HttpDevice(URI.create("http://127.0.0.1:" + links.port()), token(d), d % 4 == 0,
+                            true,
+                            Duration.ofSeconds(3), line -> {});
                     var straight = new HttpDevice(URI.create("http://127.0.0.1:" + http), token(d), false, true,
-                            Duration.ofSeconds(5), line -> { });
+                            Duration.ofSeconds(5), line -> {});
                     for (int q = 0; q < queriesEach; q++) {
                         String id = Generators.timeBasedEpochGenerator().generate().toString();
                         byte[] query = query(CLASSES[random.nextInt(3)], d, q);
@@ -139,9 +143,12 @@
                         try (var client = new Client(links.port())) {
                             client.socket.setSoTimeout(3000);
                             String body = new String(query(queryClass, d, q));
-                            int status = client.send("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + d + "-" + q + "-" + tries
-                                    + "\r\nX-Class: " + queryClass + "\r\nX-Deadline: 1900m\r\nContent-Length: " + body.length()
-                                    + "\r\n\r\n" + body).answer().status;
+                            int status = client
+                                    .send("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + d + "-" + q + "-" + tries
+                                            + "\r\nX-Class: " + queryClass + "\r\nX-Deadline: 1900m\r\nContent-Length: "
+                                            + body.length()
+                                            + "\r\n\r\n" + body)
+                                    .answer().status;
                             kind = status == 200 ? Result.Kind.ANSWERED : status == 503 ? Result.Kind.REFUSED
                                     : Result.Kind.FAILED_MAY_HAVE_RUN;
                         } catch (IOException e) {
@@ -158,7 +165,8 @@
 
     /** What a query carries names its device and number, and whether it is a hold. */
     private static byte[] query(String queryClass, int device, int number) {
-        return ("{\"class\":\"" + queryClass + "\",\"deadline_ms\":1900,\"shards\":[{\"shard\":0,\"weight\":1}],\"q\":\"" + queryClass
+        return ("{\"class\":\"" + queryClass
+                + "\",\"deadline_ms\":1900,\"shards\":[{\"shard\":0,\"weight\":1}],\"q\":\"" + queryClass
                 + "-" + device + "-" + number + "\"}").getBytes();
     }
 
@@ -188,15 +196,19 @@
         }
     }
 
-    private Tally tally(ConcurrentLinkedQueue<Result> all, ConcurrentLinkedQueue<Long> millis, int differ, int cut, int lost) {
+    private Tally tally(ConcurrentLinkedQueue<Result> all, ConcurrentLinkedQueue<Long> millis, int differ, int cut,
+            int lost) {
         int[] kinds = new int[Result.Kind.values().length];
         all.forEach(r -> kinds[r.kind().ordinal()]++);
         long holds = runs.keySet().stream().filter(t -> t.startsWith("once")).count();
-        long twice = runs.entrySet().stream().filter(e -> e.getKey().startsWith("once") && e.getValue().get() > 1).count();
+        long twice = runs.entrySet().stream().filter(e -> e.getKey().startsWith("once") && e.getValue().get() > 1)
+                .count();
         int answered = kinds[Result.Kind.ANSWERED.ordinal()] + kinds[Result.Kind.PARTIAL.ordinal()];
         int refused = kinds[Result.Kind.REFUSED.ordinal()];
         int notLearnt = kinds[Result.Kind.NOT_LEARNT.ordinal()];
-        return new Tally(all.size(), answered, refused, all.size() - answered - refused - notLearnt, notLearnt, (int) holds, (int) twice, differ, cut, lost, millis.stream().mapToLong(Long::longValue).sorted().toArray());
+        return new Tally(all.size(), answered, refused, all.size() - answered - refused - notLearnt, notLearnt,
+                (int) holds, (int) twice, differ, cut, lost,
+                millis.stream().mapToLong(Long::longValue).sorted().toArray());
     }
 
     @Override
--- a/src/test/java/wallmoor/net/UpgradeTest.java
+++ b/src/test/java/wallmoor/net/UpgradeTest.java
@@ -40,8 +40,9 @@
 
     private HeldSocket.Run start(String name) throws Exception {
         String members = member(0) + "," + member(1) + "," + member(2) + "," + member(3);
-        return socket.start(temporary, Program.config(name, Program.SEED + name.hashCode(), socket.port, discovery.port(),
-                members, 1024).replace("\"MaxOpen\":60", "\"MaxOpen\":" + MOST_OPEN));
+        return socket.start(temporary,
+                Program.config(name, Program.SEED + name.hashCode(), socket.port, discovery.port(),
+                        members, 1024).replace("\"MaxOpen\":60", "\"MaxOpen\":" + MOST_OPEN));
     }
 
     /** Replaces the process by another, held up for so long once it was told to leave; returns the new one. */
@@ -122,7 +123,6 @@
         }
     }
 
-
     /** Tells the list's watches of the worker, and those that begin later of the whole list. */
     private void list(int revision, int worker, String phase, long upSince) throws Exception {
         String entry = member(worker, phase)
--- a/src/test/java/wallmoor/net/WatchCrossingsTest.java
+++ b/src/test/java/wallmoor/net/WatchCrossingsTest.java
@@ -96,7 +96,8 @@
 
     private static String member(String id, String phase, int port, long upSince) {
         return "{\"id\":\"" + id + "\",\"host_port\":\"127.0.0.1:" + port + "\",\"locality\":\"east\","
-                + "\"flavor\":\"k\",\"cell\":" + (id.equals("a") ? 0 : 1) + ",\"phase\":\"" + phase + "\",\"size\":1.0,\"up_since_ms\":" + upSince + "}";
+                + "\"flavor\":\"k\",\"cell\":" + (id.equals("a") ? 0 : 1) + ",\"phase\":\"" + phase
+                + "\",\"size\":1.0,\"up_since_ms\":" + upSince + "}";
     }
 
     private static String changes(int revision, String... members) {
@@ -120,7 +121,7 @@
     private void start(String way) throws Exception {
         Launch launch = launch(discovery.port(), way);
         var clock = new Clock();
-        gatherer = new Gatherer(launch.settings(), launch.seed(), clock, line -> { });
+        gatherer = new Gatherer(launch.settings(), launch.seed(), clock, line -> {});
         watch = new DiscoveryWatch(launch, gatherer);
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
@@ -257,7 +258,8 @@
         call.chunk(changes(43, "null", "{\"id\":7}", "[]", "{\"phase\":\"SERVING\"}",
                 "{\"id\":\"c\",\"up_since_ms\":1e300,\"cell\":-7}", member("a", DRAINING)) + "\n");
         awaitDrained(a);
-        call.chunk("{\"revision\":44,\"members\":[{\"id\":\"b\",\"phase\":\"DRAINING\"}]}\n"); // its drain needs no address
+        // its drain needs no address
+        call.chunk("{\"revision\":44,\"members\":[{\"id\":\"b\",\"phase\":\"DRAINING\"}]}\n");
         awaitDrained(b);
         assertEquals("on the first watch", null, discovery.call(0));
     }
@@ -403,7 +405,7 @@
     @Test
     public void aRevisionIsHeldOnlyOnceItsNewsWasTakenIn() throws Exception {
         Launch launch = launch(discovery.port(), "subscribe");
-        gatherer = new Gatherer(launch.settings(), launch.seed(), new Clock(), line -> { });
+        gatherer = new Gatherer(launch.settings(), launch.seed(), new Clock(), line -> {});
         watch = new DiscoveryWatch(launch, gatherer);
         var fails = new AtomicInteger(1);
         var taken = new ArrayList<News>();
@@ -491,8 +493,8 @@
     }
 
     /**
-     * Moves discovery while a call to the old one stands at a stage. The new one is asked at once; what the old one then
-     * says is not taken; and moved back, the old one is asked anew.
+     * Moves discovery while a call to the old one stands at a stage. The new one is asked at once; what the old one
+     * then says is not taken; and moved back, the old one is asked anew.
      */
     private void movesAt(Stage stage) throws Exception {
         start("subscribe");
@@ -585,10 +587,10 @@
                 }
                 ScriptedDiscovery other = scripted();
                 Launch old = launch(full.getLocalPort(), "subscribe");
-                gatherer = new Gatherer(old.settings(), old.seed(), new Clock(), line -> { });
+                gatherer = new Gatherer(old.settings(), old.seed(), new Clock(), line -> {});
                 watch = new DiscoveryWatch(old, gatherer);
                 gatherer.start(List.of());
-                watch.start(news -> { });
+                watch.start(news -> {});
                 Thread.sleep(300); // within the second that a connection may take
                 long begun = System.nanoTime();
                 watch.reload(launch(other.port(), "subscribe"));
--- a/src/test/java/wallmoor/ogc/FetchPermitTest.java
+++ b/src/test/java/wallmoor/ogc/FetchPermitTest.java
@@ -58,7 +58,7 @@
         for (String pair : SETTINGS.split(" ")) {
             pairs.put(pair.split("=")[0], pair.split("=")[1]);
         }
-        gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock::get, line -> { });
+        gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock::get, line -> {});
         gatherer.start(List.of(member(server.getLocalPort(), Member.State.SERVING)));
         var of = new OgcConfig.Collection("c", "c", "c", "c-{shard}", 0, List.of(0), List.of());
         query = gatherer.open("q", 0, clock.get() + 2_000_000, false, List.of(new Query.Ask(0, 1, -1)),
