--- a/src/test/java/wallmoor/operator/OperatorAddressTest.java
+++ b/src/test/java/wallmoor/operator/OperatorAddressTest.java
@@ -49,7 +49,8 @@
 
         Process(Path directory) throws IOException {
             at = new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.free());
-            address = new OperatorAddress(at, 32, this, bans, directory == null ? null : new BanFile(directory, log::add),
+            address = new OperatorAddress(at, 32, this, bans,
+                    directory == null ? null : new BanFile(directory, log::add),
                     MICROS::incrementAndGet, log::add);
         }
 
--- a/src/test/java/wallmoor/peers/DeafMembersTest.java
+++ b/src/test/java/wallmoor/peers/DeafMembersTest.java
@@ -16,7 +16,9 @@
 import net.jqwik.api.constraints.IntRange;
 import wallmoor.model.GroupModel;
 
-/** Members that hear nobody and accuse all: the others keep their quorum and each other; and what a cut is stays a cut. */
+/**
+ * Members that hear nobody and accuse all: the others keep their quorum and each other; and what a cut is stays a cut.
+ */
 class DeafMembersTest {
     private static final long SECOND = 1_000_000;
     private static final int SECONDS = 20;
@@ -38,7 +40,9 @@
         }
     }
 
-    /** At every tenth of a second: the others hold a quorum and have removed none of themselves, the deaf ones nobody. */
+    /**
+     * At every tenth of a second: the others hold a quorum and have removed none of themselves, the deaf ones nobody.
+     */
     private static void othersAreLeftAlone(GroupModel group, int count, Set<Integer> deaf, int seconds, String what) {
         for (int tick = 0; tick < seconds * 10; tick++) {
             group.run(SECOND / 10);
@@ -63,15 +67,20 @@
                 for (boolean answering : new boolean[] {true, false}) {
                     GroupModel group = started(count, count * 31L + deaf);
                     deafen(group, Set.of(deaf), answering);
-                    othersAreLeftAlone(group, count, Set.of(deaf), 12, count + " deaf " + deaf + " answering " + answering);
+                    othersAreLeftAlone(group, count, Set.of(deaf), 12,
+                            count + " deaf " + deaf + " answering " + answering);
                 }
             }
         }
     }
 
-    /** Any few of many: fewer than half of a small group, two or three of a larger one, whose members have some six observers. */
+    /**
+     * Any few of many: fewer than half of a small group, two or three of a larger one, whose members have some six
+     * observers.
+     */
     @Property(tries = 15, seed = "27")
-    void aFewThatHearNobodyTakeNobodysQuorum(@ForAll @IntRange(min = 5, max = 40) int count, @ForAll long seed, @ForAll boolean answering) {
+    void aFewThatHearNobodyTakeNobodysQuorum(@ForAll @IntRange(min = 5, max = 40) int count, @ForAll long seed,
+            @ForAll boolean answering) {
         var random = new Random(seed);
         var all = new ArrayList<>(IntStream.range(0, count).boxed().toList());
         Collections.shuffle(all, random);
@@ -81,7 +90,8 @@
         othersAreLeftAlone(group, count, deaf, SECONDS, count + " deaf " + deaf);
         group.link(GroupModel.SOUND);
         group.filter((from, to, m) -> false);
-        assertTrue(group.untilAgreed(30 * SECOND) >= 0, () -> "after it: " + IntStream.range(0, count).mapToObj(i -> "\n" + group.view(i)).toList());
+        assertTrue(group.untilAgreed(30 * SECOND) >= 0,
+                () -> "after it: " + IntStream.range(0, count).mapToObj(i -> "\n" + group.view(i)).toList());
     }
 
     /** With one deaf the rest still removes who is dead, and nobody else. */
@@ -96,15 +106,16 @@
         group.run(12 * SECOND);
         for (int i = 0; i < count; i++) {
             if (i != dead) {
-                assertEquals(i == deaf ? List.of() : List.of("m" + dead), group.in(i, View.State.REMOVED), "m" + i + " of " + count);
+                assertEquals(i == deaf ? List.of() : List.of("m" + dead), group.in(i, View.State.REMOVED),
+                        "m" + i + " of " + count);
             }
         }
     }
 
     /**
-     * Cut in two at random, and one deaf on a side besides: from ten intervals on one side at most holds a quorum, the larger
-     * one, and the smaller one has removed nobody; and in nine of ten runs the smaller side knew before the larger one
-     * removed any of it.
+     * Cut in two at random, and one deaf on a side besides: from ten intervals on one side at most holds a quorum, the
+     * larger one, and the smaller one has removed nobody; and in nine of ten runs the smaller side knew before the
+     * larger one removed any of it.
      */
     @Example
     void ofTwoSidesOnlyOneGoesOn() {
@@ -118,7 +129,8 @@
             var here = new HashSet<>(all.subList(0, side));
             int deaf = run % 2 == 0 ? -1 : random.nextInt(count);
             GroupModel group = started(count, run);
-            group.link((from, to, now, r) -> here.contains(from) != here.contains(to) ? -1 : GroupModel.SOUND.delay(from, to, now, r));
+            group.link((from, to, now, r) -> here.contains(from) != here.contains(to) ? -1
+                    : GroupModel.SOUND.delay(from, to, now, r));
             group.filter((from, to, m) -> to == deaf && m.kind() == Message.Kind.ACK);
             boolean both = false;
             for (int tick = 0; tick < 200; tick++) {
@@ -141,8 +153,9 @@
 
     /** Whether somebody of this side has removed one of the other. */
     private static boolean goesOn(GroupModel group, int count, Set<Integer> here, boolean side) {
-        return IntStream.range(0, count).anyMatch(i -> here.contains(i) == side && group.in(i, View.State.REMOVED).stream()
-                .anyMatch(g -> here.contains(GroupModel.number(g)) != side));
+        return IntStream.range(0, count)
+                .anyMatch(i -> here.contains(i) == side && group.in(i, View.State.REMOVED).stream()
+                        .anyMatch(g -> here.contains(GroupModel.number(g)) != side));
     }
 
     /** Whether somebody of this side holds a quorum. */
--- a/src/test/java/wallmoor/peers/LiveCountTest.java
+++ b/src/test/java/wallmoor/peers/LiveCountTest.java
@@ -13,15 +13,20 @@
 import net.jqwik.api.constraints.Size;
 import wallmoor.peers.LiveCount.Share;
 
-/** Among how many what is shared is shared: grows at once, shrinks late, and is the configured number without a quorum. */
+/**
+ * Among how many what is shared is shared: grows at once, shrinks late, and is the configured number without a quorum.
+ */
 class LiveCountTest {
     private static final long STEADY = 10;
     private static final Share CONFIGURED = new Share(9, 7);
 
     private static View view(boolean quorum, String... names) {
         return new View(1, quorum ? View.Standing.LARGER : View.Standing.SMALLER, names.length, 9, Arrays.stream(names)
-                .map(n -> new View.Member(n, n, 1, n.endsWith("?") ? View.State.SUSPECTED : n.endsWith("!") ? View.State.REMOVED
-                        : View.State.ALIVE, 0, List.of())).toList());
+                .map(n -> new View.Member(n, n, 1,
+                        n.endsWith("?") ? View.State.SUSPECTED : n.endsWith("!") ? View.State.REMOVED
+                                : View.State.ALIVE,
+                        0, List.of()))
+                .toList());
     }
 
     @Example
@@ -51,7 +56,8 @@
         long now = 0;
         for (int there : views) {
             now += 1 + there % 12;
-            String[] names = IntStream.range(0, 5).filter(i -> (there >> i & 1) != 0).mapToObj(i -> "m" + i).toArray(String[]::new);
+            String[] names = IntStream.range(0, 5).filter(i -> (there >> i & 1) != 0).mapToObj(i -> "m" + i)
+                    .toArray(String[]::new);
             boolean quorum = names.length > 2;
             double shares = 0;
             for (int i = 0; i < 5; i++) {
--- a/src/test/java/wallmoor/peers/PeersPropertiesTest.java
+++ b/src/test/java/wallmoor/peers/PeersPropertiesTest.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import java.util.Random;
 import java.util.stream.IntStream;
+import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import net.jqwik.api.Example;
 import net.jqwik.api.constraints.IntRange;
 import wallmoor.model.GroupModel;
 
@@ -97,7 +97,10 @@
         }
     }
 
-    /** In a large group a few that are cut off doubt but those that they observe: what they don't hear of counts as little. */
+    /**
+     * In a large group a few that are cut off doubt but those that they observe: what they don't hear of counts as
+     * little.
+     */
     @Example
     void ofALargeGroupAFewThatAreCutOffHoldNoQuorum() {
         for (int few : new int[] {1, 2, 6, 25}) {
@@ -111,9 +114,10 @@
     }
 
     /**
-     * Four and a half intervals after a cut nobody on the smaller side holds a quorum, though a tenth of all is lost. Before
-     * members with silent ones beside them had to know the same as another, and told each other in turn, a piece of news
-     * might be told to one of three alone: the draws 0 (nothing lost), 101 and 118 held theirs for more than eight.
+     * Four and a half intervals after a cut nobody on the smaller side holds a quorum, though a tenth of all is lost.
+     * Before members with silent ones beside them had to know the same as another, and told each other in turn, a piece
+     * of news might be told to one of three alone: the draws 0 (nothing lost), 101 and 118 held theirs for more than
+     * eight.
      */
     @Example
     void aSmallerSideHoldsNoQuorumFourAndAHalfIntervalsAfterTheCut() {
@@ -166,7 +170,9 @@
         assertEquals(views.get(0), views.get(1));
     }
 
-    /** One that hears of each doubt and says through a single other that it is there, while its observers never hear it. */
+    /**
+     * One that hears of each doubt and says through a single other that it is there, while its observers never hear it.
+     */
     @Example
     void oneThatIsHeardByOneAloneIsCutForAllItsRefutations() {
         GroupModel group = started(40, 21);
@@ -174,7 +180,8 @@
         boolean cut = false;
         for (int s = 0; s < 30 && !cut; s++) {
             group.run(SECOND);
-            cut = IntStream.range(1, 40).filter(i -> i != 9).allMatch(i -> group.in(i, View.State.REMOVED).equals(List.of("m9")));
+            cut = IntStream.range(1, 40).filter(i -> i != 9)
+                    .allMatch(i -> group.in(i, View.State.REMOVED).equals(List.of("m9")));
         }
         assertTrue(cut, group.view(1).toString());
         for (int s = 0; s < 60; s++) {
@@ -199,11 +206,15 @@
         }
         assertEquals(List.of("m30", "m31", "m32", "m33"), group.in(0, View.State.REMOVED));
         assertTrue(lists.size() <= 3, lists.toString());
-        assertTrue(group.changes(0) - before <= 4 + 2, "four suspected and at most two cuts: " + (group.changes(0) - before));
+        assertTrue(group.changes(0) - before <= 4 + 2,
+                "four suspected and at most two cuts: " + (group.changes(0) - before));
         assertTrue(group.agreed());
     }
 
-    /** With some cut, others are their observers: what these cut already they say as well, or who is behind waits for ever. */
+    /**
+     * With some cut, others are their observers: what these cut already they say as well, or who is behind waits for
+     * ever.
+     */
     @Example
     void aFifthKilledAtOnceIsGoneEverywhere() {
         GroupModel group = started(250, 3);
@@ -216,13 +227,15 @@
     @Example
     void noDeadMemberIsBackByAnOldMessage() {
         GroupModel group = started(5, 4);
-        long life = group.view(0).members().stream().filter(m -> m.name().equals("m4")).findFirst().orElseThrow().incarnation();
+        long life = group.view(0).members().stream().filter(m -> m.name().equals("m4")).findFirst().orElseThrow()
+                .incarnation();
         group.kill(4);
         assertTrue(group.untilAgreed(20 * SECOND) >= 0);
         var said = new News.Told("m4", "a4", life, life, false);
         for (int i = 0; i < 4; i++) {
             group.inject(i, new Message(Message.Kind.PROBE, said, 7, null, 0, List.of(), List.of(said)));
-            group.inject(i, new Message(Message.Kind.TABLE, said, 0, null, 0, List.of(), List.of(new News.Doubt("m0", 0, "m4", 9, true))));
+            group.inject(i, new Message(Message.Kind.TABLE, said, 0, null, 0, List.of(),
+                    List.of(new News.Doubt("m0", 0, "m4", 9, true))));
         }
         group.run(10 * SECOND);
         assertTrue(group.agreed());
@@ -246,7 +259,8 @@
             group.run(SECOND);
             for (int i = 0; i < count; i++) {
                 for (String gone : group.in(i, View.State.REMOVED)) {
-                    assertTrue(gone.equals("m9") || fault == 3 && gone.equals("m12"), fault + ": " + i + " removed " + gone);
+                    assertTrue(gone.equals("m9") || fault == 3 && gone.equals("m12"),
+                            fault + ": " + i + " removed " + gone);
                 }
             }
         }
--- a/src/test/java/wallmoor/peers/udp/TablesTest.java
+++ b/src/test/java/wallmoor/peers/udp/TablesTest.java
@@ -33,7 +33,8 @@
         byte[] bytes = new Wire("khi").write(table);
         BlockingQueue<byte[]> taken = new LinkedBlockingQueue<>();
         InetSocketAddress at = Ports.freeAddress();
-        try (var to = new Tables(at, new Counters(), taken::add); var from = new Tables(Ports.freeAddress(), new Counters(), b -> { })) {
+        try (var to = new Tables(at, new Counters(), taken::add);
+                var from = new Tables(Ports.freeAddress(), new Counters(), b -> {})) {
             to.start();
             from.start();
             assertTrue(from.offer(at, bytes));
@@ -48,7 +49,8 @@
         BlockingQueue<byte[]> taken = new LinkedBlockingQueue<>();
         InetSocketAddress at = Ports.freeAddress();
         var counters = new Counters();
-        try (var to = new Tables(at, counters, taken::add); var stalled = new Socket(); var huge = new Socket(); var cut = new Socket()) {
+        try (var to = new Tables(at, counters, taken::add); var stalled = new Socket(); var huge = new Socket();
+                var cut = new Socket()) {
             to.start();
             stalled.connect(at);
             stalled.getOutputStream().write(0);
--- a/src/test/java/wallmoor/placement/BruteForce.java
+++ b/src/test/java/wallmoor/placement/BruteForce.java
@@ -6,8 +6,9 @@
 import java.util.PriorityQueue;
 
 /**
- * The least bytes by trying everything: all placements are numbered, and all legal moves walked from the first, cheapest
- * first. Shares nothing with the planner but the records. Without a block's rule of spread its copies may share a node.
+ * The least bytes by trying everything: all placements are numbered, and all legal moves walked from the first,
+ * cheapest first. Shares nothing with the planner but the records. Without a block's rule of spread its copies may
+ * share a node.
  */
 final class BruteForce {
     private final Fleet fleet;
@@ -146,7 +147,8 @@
     }
 
     private boolean near(int a, int b) {
-        return a == b || fleet.spread() == Spread.CELL && fleet.nodes().get(a).cell().equals(fleet.nodes().get(b).cell());
+        return a == b
+                || fleet.spread() == Spread.CELL && fleet.nodes().get(a).cell().equals(fleet.nodes().get(b).cell());
     }
 
     private boolean over(int node, long mb) {
--- a/src/test/java/wallmoor/placement/PlannerPropertiesTest.java
+++ b/src/test/java/wallmoor/placement/PlannerPropertiesTest.java
@@ -32,7 +32,8 @@
 
     /** A cheaper plan than the exact one can't be sound, nor one with a move turned aside onto what may not take it. */
     @Property(tries = 150)
-    void theCheckRefusesSpoiltPlans(@ForAll @IntRange(max = 1_000_000) int seed, @ForAll @IntRange(max = 20) int which) {
+    void theCheckRefusesSpoiltPlans(@ForAll @IntRange(max = 1_000_000) int seed,
+            @ForAll @IntRange(max = 20) int which) {
         Fleet fleet = SmallFleets.of(seed, 4, 5);
         if (!(Planner.plan(fleet) instanceof Answer.Plan plan) || plan.moves().isEmpty() || !plan.exact()) {
             return;
--- a/src/test/java/wallmoor/placement/SmallFleets.java
+++ b/src/test/java/wallmoor/placement/SmallFleets.java
@@ -5,10 +5,11 @@
 import java.util.List;
 import java.util.Random;
 
-/** Small fleets by a seed: nodes over their bound, drains, copies side by side, levels; one in three hardly has room. */
+/**
+ * Small fleets by a seed: nodes over their bound, drains, copies side by side, levels; one in three hardly has room.
+ */
 final class SmallFleets {
-    private SmallFleets() {
-    }
+    private SmallFleets() {}
 
     static Fleet of(long seed, int mostNodes, int mostBlocks) {
         var random = new Random(seed * 7919 + 17);
--- a/src/test/java/wallmoor/prune/PromisesTest.java
+++ b/src/test/java/wallmoor/prune/PromisesTest.java
@@ -18,11 +18,11 @@
 import wallmoor.summaries.Condition;
 import wallmoor.summaries.Conditions;
 import wallmoor.summaries.Draft;
-import wallmoor.summaries.SummaryMaintainer;
 import wallmoor.summaries.Pruning;
 import wallmoor.summaries.Row;
 import wallmoor.summaries.Settings;
 import wallmoor.summaries.Site;
+import wallmoor.summaries.SummaryMaintainer;
 import wallmoor.summaries.Told;
 import wallmoor.versions.Act;
 import wallmoor.versions.Acting;
@@ -115,7 +115,8 @@
                     var alone = new Act(Act.Basis.VERSION, 7, 7, b);
                     assertTrue(two[0] + " " + two[1] + " " + age, AgreedSites.allow(alone, "fs1", age));
                 }
-                assertEquals("which of two counts is not known", two[0].text("summary.fs1"), two[1].text("summary.fs1"));
+                assertEquals("which of two counts is not known", two[0].text("summary.fs1"),
+                        two[1].text("summary.fs1"));
             }
         }
         assertTrue("" + allowed, allowed > 500);
@@ -180,8 +181,9 @@
             assertThrows(bad, HttpProblem.class, () -> read(bad));
         }
         for (String rows : new String[] {"", ",\"rows\":\"*\"", ",\"rows\":\"" + "A".repeat(400) + "\""}) {
-            assertEquals("what was held ends", null, read("{\"widenings\":[{\"block\":\"b\",\"epoch\":1,\"from\":3,\"to\":4"
-                    + rows + "}]}").get(0).rows());
+            assertEquals("what was held ends", null,
+                    read("{\"widenings\":[{\"block\":\"b\",\"epoch\":1,\"from\":3,\"to\":4"
+                            + rows + "}]}").get(0).rows());
         }
     }
 
--- a/src/test/java/wallmoor/service/InForceTest.java
+++ b/src/test/java/wallmoor/service/InForceTest.java
@@ -24,7 +24,9 @@
 import wallmoor.versions.Body;
 import wallmoor.versions.Value;
 
-/** Whatever changes in whatever order, the gatherer is told of nothing more than file, agreement and processes allow. */
+/**
+ * Whatever changes in whatever order, the gatherer is told of nothing more than file, agreement and processes allow.
+ */
 public class InForceTest {
     private static final Launch START = launch(243, 4);
 
@@ -38,7 +40,7 @@
                 throw new IllegalArgumentException("no class");
             }
             told.add(settings.limits());
-        }, () -> agreed, line -> { });
+        }, () -> agreed, line -> {});
     }
 
     private static Launch launch(int open, int attempts) {
--- a/src/test/java/wallmoor/standin/DiskNode.java
+++ b/src/test/java/wallmoor/standin/DiskNode.java
@@ -36,11 +36,12 @@
 import wallmoor.moves.http.Forms;
 
 /**
- * A stand-in for a node with a disk: blocks are files of a directory, requests about moves come by HTTP, and simple parts are
- * run by the version of the map. {@code DIR PORT DISK_MB DISK_MB_PER_S [BLOCK:BYTES:MB]...}. In the directory, {@code peers}
- * names the other nodes, a line {@code id host:port} each; {@code other} is what else fills the disk, in megabytes; a file
- * {@code flip} spoils the next chunk, and with {@code careless} it never says that queries suffer; {@code journal} tells what was kept and run. Killed, it loses nothing but its memory: what
- * it keeps is not forced to the disk, so a loss of power is not played.
+ * A stand-in for a node with a disk: blocks are files of a directory, requests about moves come by HTTP, and simple
+ * parts are run by the version of the map. {@code DIR PORT DISK_MB DISK_MB_PER_S [BLOCK:BYTES:MB]...}. In the
+ * directory, {@code peers} names the other nodes, a line {@code id host:port} each; {@code other} is what else fills
+ * the disk, in megabytes; a file {@code flip} spoils the next chunk, and with {@code careless} it never says that
+ * queries suffer; {@code journal} tells what was kept and run. Killed, it loses nothing but its memory: what it keeps
+ * is not forced to the disk, so a loss of power is not played.
  */
 public final class DiskNode {
     /** What runs once is written into the head of a block: a number of eight bytes by its remainder. */
@@ -85,7 +86,8 @@
                 node.held.put(f.getFileName().toString().replace(".held", ""), Forms.readHeld(Files.readAllBytes(f)));
             }
         }
-        var server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(args[1])), 50);
+        var server = HttpServer
+                .create(new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(args[1])), 50);
         server.setExecutor(Executors.newFixedThreadPool(THREADS));
         server.createContext("/", x -> {
             try (x) {
@@ -123,8 +125,9 @@
             case "/chunk" -> {
                 synchronized (lock(block)) {
                     boolean whole = of(block).whole();
-                    reply(x, whole ? 200 : 409, whole ? read(block, Long.parseLong(q.get("from")), Integer.parseInt(q.get("length")))
-                            : new byte[0]);
+                    reply(x, whole ? 200 : 409,
+                            whole ? read(block, Long.parseLong(q.get("from")), Integer.parseInt(q.get("length")))
+                                    : new byte[0]);
                 }
             }
             case "/read" -> {
@@ -135,7 +138,9 @@
                 }
                 reply(x, piece.length > 0 ? 200 : 409, piece);
             }
-            case "/once" -> reply(x, once(block, Long.parseLong(q.get("version")), Long.parseLong(q.get("id"))) ? 200 : 409, new byte[0]);
+            case "/once" ->
+                reply(x, once(block, Long.parseLong(q.get("version")), Long.parseLong(q.get("id"))) ? 200 : 409,
+                        new byte[0]);
             default -> reply(x, 404, new byte[0]);
         }
     }
@@ -248,8 +253,10 @@
         String address = Files.readAllLines(dir.resolve("peers")).stream().filter(l -> l.startsWith(from + " "))
                 .findFirst().orElse("- 127.0.0.1:1").split(" ")[1];
         try {
-            var response = client.send(HttpRequest.newBuilder(URI.create("http://" + address + "/chunk?block=" + block + "&from=" + at
-                    + "&length=" + length)).timeout(Duration.ofSeconds(5)).build(), HttpResponse.BodyHandlers.ofByteArray());
+            var response = client.send(
+                    HttpRequest.newBuilder(URI.create("http://" + address + "/chunk?block=" + block + "&from=" + at
+                            + "&length=" + length)).timeout(Duration.ofSeconds(5)).build(),
+                    HttpResponse.BodyHandlers.ofByteArray());
             return response.statusCode() == 200 && response.body().length > 0 ? response.body() : null;
         } catch (IOException e) {
             return null;
@@ -309,7 +316,8 @@
     }
 
     private synchronized void journal(String what, String block, String more) throws IOException {
-        Files.writeString(dir.resolve("journal"), System.currentTimeMillis() + " " + what + " " + block + " " + more + "\n",
+        Files.writeString(dir.resolve("journal"),
+                System.currentTimeMillis() + " " + what + " " + block + " " + more + "\n",
                 StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
 
--- a/src/test/java/wallmoor/standin/DnsServer.java
+++ b/src/test/java/wallmoor/standin/DnsServer.java
@@ -99,7 +99,8 @@
         var records = new ArrayList<Record>();
         for (String t : targets) { // HOST:PORT:PRIORITY:WEIGHT:TEXT,TEXT
             String[] p = t.split(":", 5);
-            records.add(srv(service, ttl, Integer.parseInt(p[2]), Integer.parseInt(p[3]), Integer.parseInt(p[1]), p[0]));
+            records.add(
+                    srv(service, ttl, Integer.parseInt(p[2]), Integer.parseInt(p[3]), Integer.parseInt(p[1]), p[0]));
             set(p[0], Type.A, a(p[0], ttl, "127.0.0.1"));
             set(p[0], Type.TXT, new TXTRecord(name(p[0]), DClass.IN, ttl, List.of(p[4].split(","))));
         }
@@ -193,7 +194,8 @@
                     framed[0] = (byte) (answer.length >>> 8);
                     framed[1] = (byte) answer.length;
                     System.arraycopy(answer, 0, framed, 2, answer.length);
-                    peer.getOutputStream().write(framed, 0, fault == Fault.HALF_TCP ? framed.length / 2 : framed.length);
+                    peer.getOutputStream().write(framed, 0,
+                            fault == Fault.HALF_TCP ? framed.length / 2 : framed.length);
                 }
             });
         }
@@ -202,32 +204,34 @@
     private byte[] answer(byte[] wire, boolean overTcp) throws IOException {
         Message query = new Message(wire);
         Record question = query.getQuestion();
-        seen.add((overTcp ? "tcp " : "udp ") + question.getName().toString(true) + " " + Type.string(question.getType()));
+        seen.add((overTcp ? "tcp " : "udp ") + question.getName().toString(true) + " "
+                + Type.string(question.getType()));
         var answer = new Message(fault == Fault.WRONG_ID ? query.getHeader().getID() ^ 1 : query.getHeader().getID());
         answer.getHeader().setFlag(Flags.QR);
         answer.getHeader().setOpcode(Opcode.QUERY);
         answer.addRecord(fault == Fault.WRONG_QUESTION
                 ? Record.newRecord(name("other.example"), question.getType(), DClass.IN) : question, Section.QUESTION);
         switch (fault) {
-            case SILENT:
+            case SILENT :
                 return null;
-            case SERVFAIL:
+            case SERVFAIL :
                 answer.getHeader().setRcode(Rcode.SERVFAIL);
                 return answer.toWire();
-            case REFUSED:
+            case REFUSED :
                 answer.getHeader().setRcode(Rcode.REFUSED);
                 return answer.toWire();
-            case GARBAGE:
+            case GARBAGE :
                 return new byte[] {wire[0], wire[1], (byte) 0x84, 0, 0, 1, 9, 9, 9, 9};
-            case POINTER_LOOP:
-                return new byte[] {wire[0], wire[1], (byte) 0x84, 0, 0, 1, 0, 0, 0, 0, 0, 0, (byte) 0xc0, 12, 0, 33, 0, 1};
-            case FORMERR_ON_EDNS:
+            case POINTER_LOOP :
+                return new byte[] {wire[0], wire[1], (byte) 0x84, 0, 0, 1, 0, 0, 0, 0, 0, 0, (byte) 0xc0, 12, 0, 33, 0,
+                    1};
+            case FORMERR_ON_EDNS :
                 if (query.getOPT() != null) {
                     answer.getHeader().setRcode(Rcode.FORMERR);
                     return answer.toWire();
                 }
                 break;
-            default:
+            default :
                 break;
         }
         boolean cut = fault.name().startsWith("TRUNCATED") || fault == Fault.HALF_TCP;
@@ -261,8 +265,10 @@
                             last.toString().toLowerCase() + " "));
             answer.getHeader().setRcode(known ? Rcode.NOERROR : Rcode.NXDOMAIN);
             if (soa) {
-                answer.addRecord(new SOARecord(name("example"), DClass.IN, 1, name("ns.example"), name("hostmaster.example"),
-                        1, 1, 1, 1, 1), Section.AUTHORITY);
+                answer.addRecord(
+                        new SOARecord(name("example"), DClass.IN, 1, name("ns.example"), name("hostmaster.example"),
+                                1, 1, 1, 1, 1),
+                        Section.AUTHORITY);
             }
         }
     }
--- a/src/test/java/wallmoor/standin/GroupRelay.java
+++ b/src/test/java/wallmoor/standin/GroupRelay.java
@@ -17,8 +17,8 @@
 import java.util.function.BiPredicate;
 
 /**
- * The network between the members of a group: each is reached at a port of the relay's, and who sends is told by the port
- * that a datagram comes from. What {@link #cut} says is dropped, each way of each pair apart; of the rest a share.
+ * The network between the members of a group: each is reached at a port of the relay's, and who sends is told by the
+ * port that a datagram comes from. What {@link #cut} says is dropped, each way of each pair apart; of the rest a share.
  */
 public final class GroupRelay implements AutoCloseable {
     /** Loses datagrams by what they hold. */
--- a/src/test/java/wallmoor/standin/LinkProxy.java
+++ b/src/test/java/wallmoor/standin/LinkProxy.java
@@ -13,7 +13,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A poor link for TCP: by its script it cuts a connection after so many bytes, holds bytes back, trickles or goes dead. */
+/**
+ * A poor link for TCP: by its script it cuts a connection after so many bytes, holds bytes back, trickles or goes dead.
+ */
 public final class LinkProxy implements AutoCloseable {
     /**
      * What becomes of a connection.
@@ -53,7 +55,8 @@
             while (true) {
                 Socket device = server.accept();
                 int number = numbers.getAndIncrement();
-                start(() -> connection(device, script.of(number, new Random((seed * 31 + number) * 0x9E3779B97F4A7C15L))));
+                start(() -> connection(device,
+                        script.of(number, new Random((seed * 31 + number) * 0x9E3779B97F4A7C15L))));
             }
         });
     }
--- a/src/test/java/wallmoor/standin/RowServer.java
+++ b/src/test/java/wallmoor/standin/RowServer.java
@@ -20,11 +20,11 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicLong;
 import wallmoor.summaries.Draft;
-import wallmoor.summaries.SummaryMaintainer;
 import wallmoor.summaries.Row;
 import wallmoor.summaries.Settings;
 import wallmoor.summaries.Site;
 import wallmoor.summaries.Span;
+import wallmoor.summaries.SummaryMaintainer;
 import wallmoor.summaries.Told;
 
 /**
@@ -134,7 +134,7 @@
                 crc.update(bytes, 0, bytes.length - 4);
                 java.nio.ByteBuffer.wrap(bytes).putInt(bytes.length - 4, (int) crc.getValue());
             }
-            default -> { }
+            default -> {}
         }
         return bytes;
     }
@@ -152,7 +152,8 @@
         mine.forEach(w -> list.add("{\"block\":\"" + w.site().block() + "\",\"epoch\":" + w.epoch() + ",\"from\":"
                 + w.from()
                 + ",\"to\":" + w.to() + (w.rows() == null ? "" : ",\"rows\":\"" + Base64.getEncoder()
-                        .encodeToString(w.rows()) + "\"") + "}"));
+                        .encodeToString(w.rows()) + "\"")
+                + "}"));
         return ("{\"widenings\":[" + String.join(",", list) + "]}").getBytes(StandardCharsets.UTF_8);
     }
 
--- a/src/test/java/wallmoor/standin/TcpRelay.java
+++ b/src/test/java/wallmoor/standin/TcpRelay.java
@@ -23,8 +23,8 @@
 
 /**
  * The network for connections between processes: for each ordered pair a port of loopback, at which the one reaches the
- * other. Faults are set while it runs, for each way of each pair apart. One thread does it all; what a way holds is bounded,
- * and beyond that its sender waits as it would with a full window.
+ * other. Faults are set while it runs, for each way of each pair apart. One thread does it all; what a way holds is
+ * bounded, and beyond that its sender waits as it would with a full window.
  */
 public final class TcpRelay implements AutoCloseable {
     /** Bytes held on a way: about a window, so that a sender can't take a stalled link for one that is read. */
@@ -57,11 +57,9 @@
         }
     }
 
-    private record Pair(int from, int to) {
-    }
+    private record Pair(int from, int to) {}
 
-    private record Piece(ByteBuffer bytes, long due) {
-    }
+    private record Piece(ByteBuffer bytes, long due) {}
 
     /** One way of a link. */
     private final class Way {
@@ -173,7 +171,9 @@
         });
     }
 
-    /** Resets the end of {@code told} of all its links with another, which hears nothing of it; returns their number. */
+    /**
+     * Resets the end of {@code told} of all its links with another, which hears nothing of it; returns their number.
+     */
     public int loseHalf(int told, int untold) {
         return onLinks(told, untold, link -> {
             boolean opener = link.up.pair.from == told;
--- a/src/test/java/wallmoor/summaries/Asked.java
+++ b/src/test/java/wallmoor/summaries/Asked.java
@@ -10,17 +10,16 @@
 final class Asked {
     private static final Map<Condition, String> RAW = new IdentityHashMap<>();
     private static final String[] TEXTS = {"1", "1.0", " 1", "01", "1e0", "+1", "١", "１", "10", "15", "9", "100",
-            "-0", "0",
+        "-0", "0",
         "nan", "NaN", "Infinity", "1e999", "", " ", "\u00a0", "a", "A", "a ", "b", "B", "ab", "a b", "a  b", "é",
-                "e\u0301",
+        "e\u0301",
         "E", "ß", "SS", "ss", "ﬁ", "fi", "İ", "i", "ı", "I", "σ", "ς", "Σ", "true", "TRUE", "x_y", "XZ", "[", "~",
-                "Karachi",
+        "Karachi",
         "lahore", "karachi ", "\ud800", "?", "zero\u200bwidth", "zerowidth", "2026-01-05", "2026-02-01", "long-"
                 + "x".repeat(80)};
     private static final String[] NAMES = {"city", "price", "class", "id", "note", "seats"};
 
-    private Asked() {
-    }
+    private Asked() {}
 
     /** As the condition was written, for readings that do not fold. */
     static String raw(Condition c) {
--- a/src/test/java/wallmoor/summaries/PromiseModelTest.java
+++ b/src/test/java/wallmoor/summaries/PromiseModelTest.java
@@ -21,8 +21,7 @@
     private static final long LIFETIME = 1_000_000;
     private static final Known.Bounds BOUNDS = new Known.Bounds(100, 1 << 20, 20_000);
 
-    private record Letter(long due, Runnable arrives) {
-    }
+    private record Letter(long due, Runnable arrives) {}
 
     private static final class World {
         private final Random random;
@@ -120,7 +119,7 @@
 
         private void step() {
             now += random.nextInt(60_000);
-            for (boolean more = true; more; ) {
+            for (boolean more = true; more;) {
                 var due = post.stream().filter(l -> l.due <= now).findFirst();
                 due.ifPresent(l -> {
                     post.remove(l);
@@ -187,7 +186,7 @@
         }
         total += world.cuts;
         long last = world.now;
-        for (world.now += 10 * LIFETIME; !world.post.isEmpty(); ) {
+        for (world.now += 10 * LIFETIME; !world.post.isEmpty();) {
             world.post.remove(0).arrives.run();
         }
         world.sites.forEach(s -> world.confirm(s, world.keepers.get(s).tick(world.now)));
--- a/src/test/java/wallmoor/summaries/Readings.java
+++ b/src/test/java/wallmoor/summaries/Readings.java
@@ -16,8 +16,7 @@
             s -> Normalizer.normalize(s, Normalizer.Form.NFC),
             s -> Normalizer.normalize(s.strip(), Normalizer.Form.NFKC).toLowerCase(Locale.ROOT));
 
-    private Readings() {
-    }
+    private Readings() {}
 
     /** By the properties' columns: one whose values are all numbers is compared by number, all else as texts. */
     static boolean matches(Row row, Conditions c, List<Row> all) {
--- a/src/test/java/wallmoor/upgrade/HeartbeatsTest.java
+++ b/src/test/java/wallmoor/upgrade/HeartbeatsTest.java
@@ -39,12 +39,15 @@
 
     @Test
     public void whoGivesNoSignIsGone() {
-        List<Beat> beats = List.of(new Beat("process-1", NOW - Heartbeats.GONE_MICROS, 0, false), new Beat("process-3", NOW - 1, 0, false));
+        List<Beat> beats = List.of(new Beat("process-1", NOW - Heartbeats.GONE_MICROS, 0, false),
+                new Beat("process-3", NOW - 1, 0, false));
         assertEquals(new Together(2, 0), Heartbeats.together("process-2", NOW, beats));
         assertEquals(new Together(1, 0), Heartbeats.together("process-2", NOW, List.of()));
     }
 
-    /** Two on one directory find each other; one that ends, or that is killed, is missed; strangers' files harm nothing. */
+    /**
+     * Two on one directory find each other; one that ends, or that is killed, is missed; strangers' files harm nothing.
+     */
     @Test
     public void filesTellOfTheOther() throws Exception {
         Path directory = Files.createTempDirectory("beats");
@@ -55,11 +58,11 @@
         var clock = new AtomicLong(System.currentTimeMillis() * 1000);
         List<Together> first = Collections.synchronizedList(new ArrayList<>());
         List<Together> second = Collections.synchronizedList(new ArrayList<>());
-        var old = new HeartbeatFiles(directory, clock::get, oldOne, first::add, line -> { });
+        var old = new HeartbeatFiles(directory, clock::get, oldOne, first::add, line -> {});
         old.start();
         clock.addAndGet(10);
         freshOne.held = 0;
-        var fresh = new HeartbeatFiles(directory, clock::get, freshOne, second::add, line -> { });
+        var fresh = new HeartbeatFiles(directory, clock::get, freshOne, second::add, line -> {});
         fresh.start();
         assertEquals(List.of(new Together(2, 1)), second);
         await(first, new Together(2, 0));
--- a/src/test/java/wallmoor/upgrade/SharedLimitTest.java
+++ b/src/test/java/wallmoor/upgrade/SharedLimitTest.java
@@ -48,7 +48,9 @@
         }
     }
 
-    /** Whatever they take and end in between, the old one alone at first and leaving at last: never more than the bound. */
+    /**
+     * Whatever they take and end in between, the old one alone at first and leaving at last: never more than the bound.
+     */
     @Property
     void twoNeverHoldMoreThanTheBound(@ForAll @Size(max = 60) List<@IntRange(max = 5 * ALL - 1) Integer> steps,
             @ForAll @IntRange(max = 60) int begins, @ForAll @IntRange(max = 60) int leaves) {
--- a/src/test/java/wallmoor/verify/KnownFailures.java
+++ b/src/test/java/wallmoor/verify/KnownFailures.java
@@ -14,20 +14,18 @@
 /**
  * Compares the results of a test run with {@code KNOWN-RED.txt}, the list of tests that are known to fail.
  *
- * <p>The build calls it in the phase {@code test}, after Surefire, and only where that file exists; Surefire itself then
- * leaves the verdict on failures to this class. Each line of the file reads
- * {@code wallmoor.net.SomeTest#method: cause; issue 30}.
+ * <p>The build calls it in the phase {@code test}, after Surefire, and only where that file exists; Surefire itself
+ * then leaves the verdict on failures to this class. Each line of the file reads {@code wallmoor.net.SomeTest#method:
+ * cause; issue 30}.
  */
 public final class KnownFailures {
     private static final int MAX_ENTRIES = 3;
     private static final Pattern LINE = Pattern.compile("(?<test>\\S+#.+?): (?<cause>.+); issue (?<issue>\\d+)");
 
     /** What the listed tests came to, a line each, and the reasons why the build fails, if any. */
-    record Verdict(List<String> known, List<String> problems) {
-    }
+    record Verdict(List<String> known, List<String> problems) {}
 
-    private KnownFailures() {
-    }
+    private KnownFailures() {}
 
     /**
      * Prints the known failures and ends with exit code 1 if anything else is wrong.
--- a/src/test/java/wallmoor/verify/KnownFailuresTest.java
+++ b/src/test/java/wallmoor/verify/KnownFailuresTest.java
@@ -59,7 +59,8 @@
 
     @Test
     public void aLineWithoutCauseOrIssueIsAProblem() {
-        for (String line : List.of(TEST, TEST + ": closes too early", TEST + "; issue 30", "", "SomeTest: closes; issue 30")) {
+        for (String line : List.of(TEST, TEST + ": closes too early", TEST + "; issue 30", "",
+                "SomeTest: closes; issue 30")) {
             var problems = KnownFailures.judge(List.of(line), Map.of()).problems();
             assertEquals(line, 1, problems.size());
             assertTrue(problems.get(0), problems.get(0).contains("not of the form"));
--- a/src/test/java/wallmoor/verify/SurefireReports.java
+++ b/src/test/java/wallmoor/verify/SurefireReports.java
@@ -15,8 +15,7 @@
 
 /** Reads the XML reports that Surefire writes, one for each test class. */
 final class SurefireReports {
-    private SurefireReports() {
-    }
+    private SurefireReports() {}
 
     /** The outcome of each test, by {@code class#method}, of the reports written at {@code since} or later. */
     static Map<String, TestOutcome> read(Path directory, Instant since) throws IOException {
--- a/src/test/java/wallmoor/versions/CarefulTest.java
+++ b/src/test/java/wallmoor/versions/CarefulTest.java
@@ -20,7 +20,9 @@
 import wallmoor.versions.Value.Names;
 import wallmoor.versions.Value.Text;
 
-/** The table of careful fields held against the code: what a gatherer goes by while a version is known and not acting. */
+/**
+ * The table of careful fields held against the code: what a gatherer goes by while a version is known and not acting.
+ */
 class CarefulTest {
     /** Of each direction the careful one of two values, and what is not asked of the code but said here once more. */
     private static Value careful(Careful way, Value bold, Value other) {
@@ -63,7 +65,8 @@
         var fields = new TreeMap<String, Value>();
         int i = 0;
         for (Field f : kind.fields()) {
-            for (String name : f.path().endsWith("*") ? List.of(f.path().replace("*", "n1"), f.path().replace("*", "n2"))
+            for (String name : f.path().endsWith("*")
+                    ? List.of(f.path().replace("*", "n1"), f.path().replace("*", "n2"))
                     : List.of(f.path())) {
                 int x = xs.get(i++ % xs.size());
                 if (x % 4 != 3) {
@@ -92,7 +95,8 @@
                 Value u = a.fields().get(n);
                 Value v = b.fields().get(n);
                 boolean lacks = u == null || v == null;
-                Value expected = !lacks ? careful(f.careful(), u, v) : f.missing() == Field.Missing.NOTHING ? null : u == null ? v : u;
+                Value expected = !lacks ? careful(f.careful(), u, v)
+                        : f.missing() == Field.Missing.NOTHING ? null : u == null ? v : u;
                 assertEquals(expected, met.fields().get(n), kind.name() + " " + n);
             }
         }
@@ -118,7 +122,8 @@
         var text = new StringBuilder();
         for (Kind kind : List.of(Kinds.SETTINGS, Kinds.LIST, Kinds.SUMMARIES, Kinds.PLAN, Kinds.MAINTENANCE)) {
             for (Field f : kind.fields()) {
-                String row = "| `" + kind.name() + "` | `" + f.path() + "` | " + f.careful().name().toLowerCase() + " | "
+                String row = "| `" + kind.name() + "` | `" + f.path() + "` | " + f.careful().name().toLowerCase()
+                        + " | "
                         + f.missing().name().toLowerCase() + " |";
                 text.append(row).append('\n');
             }
@@ -139,7 +144,8 @@
         }
         Body plan = Kinds.PLAN.read("{\"owners.7\": [\"a\", \"b\"], \"paused\": false, \"copies.7\": 2}");
         assertTrue(plan.has("owners.7", "b") && !plan.flag("paused", true) && plan.amount("copies.7", 0) == 2);
-        var bold = Document.of(new Proposal("settings", 0, "", "me", "{\"limits.open\": 5}", "{\"limits.open\": 6}"), 1);
+        var bold = Document.of(new Proposal("settings", 0, "", "me", "{\"limits.open\": 5}", "{\"limits.open\": 6}"),
+                1);
         assertThrows(UnreadableException.class, () -> Kinds.SETTINGS.check(bold), "a fallback is no bolder");
     }
 }
--- a/src/test/java/wallmoor/versions/HolderTest.java
+++ b/src/test/java/wallmoor/versions/HolderTest.java
@@ -17,8 +17,10 @@
 /** Both sides by hand: what a gatherer goes by, and whom a leader gives a lease. */
 class HolderTest {
     private static final Terms TERMS = Terms.usual();
-    private static final Document ONE = Document.of(new Proposal("settings", 0, "", "ann", "{\"limits.open\": 5}", "{\"limits.open\": 1}"), 1);
-    private static final Document TWO = Document.of(new Proposal("settings", 1, ONE.hash(), "ann", "{\"limits.open\": 9, \"new\": 1}", "{}"), 2);
+    private static final Document ONE = Document
+            .of(new Proposal("settings", 0, "", "ann", "{\"limits.open\": 5}", "{\"limits.open\": 1}"), 1);
+    private static final Document TWO = Document
+            .of(new Proposal("settings", 1, ONE.hash(), "ann", "{\"limits.open\": 9, \"new\": 1}", "{}"), 2);
     private static final Chain FIRST = new Chain("settings", 1, 1, List.of(ONE));
     private static final Chain BOTH = new Chain("settings", 1, 2, List.of(ONE, TWO));
 
@@ -42,7 +44,8 @@
         holder.onGrant(3_000_000, new Grant("h", 7, ask.seq(), List.of(FIRST)));
         Snapshot read = holder.snapshot();
         assertEquals(Act.Basis.VERSION, read.acting(TERMS.lease() - 1, "settings").basis());
-        assertEquals(Act.Basis.FALLBACK, read.acting(TERMS.lease(), "settings").basis(), "one that wakes with an old snapshot");
+        assertEquals(Act.Basis.FALLBACK, read.acting(TERMS.lease(), "settings").basis(),
+                "one that wakes with an old snapshot");
         assertEquals(Act.Basis.NONE, read.acting(0, "plan").basis());
         Body queries = read.acting(4_000_000, "settings").body();
         assertSame(queries, read.acting(4_000_001, "settings").body(), "nothing is made anew for each query");
@@ -52,12 +55,16 @@
     void whatItsProgramCannotReadItDoesNotActOnAndSaysSo() {
         Holder holder = holder(List.of());
         Ask ask = holder.onTick(0);
-        assertNotNull(holder.onGrant(1, new Grant("h", 7, ask.seq(), List.of(FIRST))), "it tells at once what it knows now");
+        assertNotNull(holder.onGrant(1, new Grant("h", 7, ask.seq(), List.of(FIRST))),
+                "it tells at once what it knows now");
         Ask told = holder.onNews(2, new News(List.of(BOTH)));
         assertEquals(2, told.known().get("settings").number());
-        assertEquals(new Act(Act.Basis.FALLBACK, 1, 2, new Body(new java.util.TreeMap<>(Map.of("limits.open", new Value.Amount(1))))),
+        assertEquals(
+                new Act(Act.Basis.FALLBACK, 1, 2,
+                        new Body(new java.util.TreeMap<>(Map.of("limits.open", new Value.Amount(1))))),
                 holder.snapshot().acting(3, "settings"));
-        assertTrue(holder.unreadable().get("settings").startsWith("h cannot read settings 2: settings: new is no field"));
+        assertTrue(
+                holder.unreadable().get("settings").startsWith("h cannot read settings 2: settings: new is no field"));
         assertEquals(List.of(BOTH), holder(holder.known()).known(), "what is kept is what was known");
     }
 
@@ -65,8 +72,10 @@
     void whatDoesNotFollowGivesNoLease() {
         Document other = Document.of(new Proposal("settings", 0, "", "eve", "{\"limits.open\": 99}", "{}"), 1);
         Document forged = new Document("settings", 2, 1, ONE.hash(), "eve", "{}", "{}", TWO.hash());
-        for (Chain bad : List.of(new Chain("settings", 1, 2, List.of(other, Document.of(new Proposal("settings", 1, other.hash(), "eve",
-                "{}", "{}"), 2))), new Chain("settings", 1, 2, List.of(ONE, forged)), new Chain("settings", 2, 3, List.of()))) {
+        for (Chain bad : List.of(
+                new Chain("settings", 1, 2, List.of(other, Document.of(new Proposal("settings", 1, other.hash(), "eve",
+                        "{}", "{}"), 2))),
+                new Chain("settings", 1, 2, List.of(ONE, forged)), new Chain("settings", 2, 3, List.of()))) {
             Holder holder = holder(List.of(FIRST));
             holder.onGrant(1, new Grant("h", 7, holder.onTick(0).seq(), List.of(bad)));
             assertEquals(Act.Basis.FALLBACK, basis(holder, 1), bad.toString());
--- a/src/test/java/wallmoor/versions/LeasesTest.java
+++ b/src/test/java/wallmoor/versions/LeasesTest.java
@@ -39,7 +39,8 @@
             if (head == before && t % 500 == 0) {
                 propose(model, open);
             }
-            if (head > before && IntStream.range(0, count).allMatch(i -> model.act(i).basis() == Act.Basis.VERSION && model.act(i).from() == head)) {
+            if (head > before && IntStream.range(0, count)
+                    .allMatch(i -> model.act(i).basis() == Act.Basis.VERSION && model.act(i).from() == head)) {
                 return model.world().now() - begun;
             }
         }
@@ -75,7 +76,8 @@
         propose(model, 9);
         model.world().run(SECOND);
         assertEquals(Act.Basis.CAREFUL, model.act(7).basis());
-        assertEquals(3, model.act(7).body().amount("limits.open", -1), "what is added waits for the one that is cut off");
+        assertEquals(3, model.act(7).body().amount("limits.open", -1),
+                "what is added waits for the one that is cut off");
         propose(model, 2);
         model.world().run(SECOND);
         assertEquals(Act.Basis.CAREFUL, model.act(7).basis());
@@ -145,7 +147,7 @@
 
     /** All that may befall three that vote, of which the first leads, and a gatherer beside them. */
     private static final List<BiConsumer<VersionsModel, boolean[]>> ALL = List.of(
-            (m, cut) -> { },
+            (m, cut) -> {},
             (m, cut) -> cut[0] = true,
             (m, cut) -> cut[1] = true,
             (m, cut) -> cut[3] = true,
@@ -162,9 +164,9 @@
             (m, cut) -> m.elect(1));
 
     /**
-     * Two versions among four, the leader's clock as fast and another's as slow as may be; each order of {@link #ALL} in
-     * so many steps, which are a part of a term apart so that leases begin and end between them; and that begun in so many
-     * phases of the renewals.
+     * Two versions among four, the leader's clock as fast and another's as slow as may be; each order of {@link #ALL}
+     * in so many steps, which are a part of a term apart so that leases begin and end between them; and that begun in
+     * so many phases of the renewals.
      */
     static long[] everyOrder(int steps, Terms terms, long tick, int phases) {
         long worst = Long.MIN_VALUE;
@@ -174,7 +176,8 @@
             boolean[] cut = new boolean[5];
             model.world().clock(0, 1 + TERMS.drift(), 5);
             model.world().clock(3, 1 - TERMS.drift(), 77);
-            model.world().link((from, to, now, r) -> from != to && (cut[from] || cut[to] || cut[4] && to == 3) ? -1 : 2_000);
+            model.world()
+                    .link((from, to, now, r) -> from != to && (cut[from] || cut[to] || cut[4] && to == 3) ? -1 : 2_000);
             model.startAll();
             model.elect(0);
             model.world().run(SECOND);
--- a/src/test/java/wallmoor/versions/LedgerTest.java
+++ b/src/test/java/wallmoor/versions/LedgerTest.java
@@ -20,7 +20,8 @@
     private final Ledger ledger = new Ledger(VOTERS);
 
     private static Proposal settings(Document parent, String author, int open) {
-        return new Proposal("settings", parent == null ? 0 : parent.number(), parent == null ? "" : parent.hash(), author,
+        return new Proposal("settings", parent == null ? 0 : parent.number(), parent == null ? "" : parent.hash(),
+                author,
                 "{\"limits.open\": " + open + "}", "{\"limits.open\": 1}");
     }
 
@@ -67,14 +68,16 @@
         Document again = ((Effect.Pending) propose(settings(first, "cleo", 7))).document();
         assertEquals(3, again.number(), "a number that was refused is not given again");
         assertEquals(List.of(), ledger.apply(Kinds.verdict("c", Kinds.all(), next)), "a late verdict does nothing");
-        assertEquals(List.of(), ledger.apply(Kinds.verdict("x", Kinds.all(), again)), "nor that of one who has no vote");
+        assertEquals(List.of(), ledger.apply(Kinds.verdict("x", Kinds.all(), again)),
+                "nor that of one who has no vote");
         ledger.apply(new Entry.Lead("a", 1));
         assertEquals("a, b, c", refused(ledger.apply(new Entry.Close(1, "settings", 3)).get(0)).by());
         Document last = ((Effect.Pending) propose(settings(first, "cleo", 7))).document();
         ledger.apply(Kinds.verdict("a", Kinds.all(), last));
         ledger.apply(Kinds.verdict("c", Kinds.all(), last));
         assertEquals(List.of(), ledger.apply(new Entry.Close(0, "settings", last.number())), "of an older leader");
-        assertEquals(List.of(new Effect.Accepted(last.proposal().key(), last)), ledger.apply(new Entry.Close(1, "settings", 4)));
+        assertEquals(List.of(new Effect.Accepted(last.proposal().key(), last)),
+                ledger.apply(new Entry.Close(1, "settings", 4)));
     }
 
     @Example
@@ -100,7 +103,8 @@
         assertEquals(Reason.MALFORMED, refused(propose(new Proposal("Bad Name", 0, "", "me", "{}", "{}"))).reason());
         assertEquals(Reason.MALFORMED, refused(propose(new Proposal("plan", 4, "00", "me", "{}", "{}"))).reason());
         assertEquals(Reason.MALFORMED, refused(propose(new Proposal("plan", 0, "", " ", "{}", "{}"))).reason());
-        assertEquals(Reason.MALFORMED, refused(propose(new Proposal("plan", 0, "", "me", "x".repeat(Ledger.MOST_TEXT + 1), "{}"))).reason());
+        assertEquals(Reason.MALFORMED,
+                refused(propose(new Proposal("plan", 0, "", "me", "x".repeat(Ledger.MOST_TEXT + 1), "{}"))).reason());
     }
 
     /** Any entries, in any order: two ledgers come to the same, also where one was saved and restored on the way. */
@@ -113,7 +117,8 @@
         for (int i = 0; i < 60; i++) {
             Document head = ledger.head("settings");
             Document pending = ledger.pending("settings");
-            var choices = new ArrayList<Entry>(List.of(new Entry.Propose(settings(random.nextInt(4) == 0 ? null : head, "ann", random.nextInt(9))),
+            var choices = new ArrayList<Entry>(List.of(
+                    new Entry.Propose(settings(random.nextInt(4) == 0 ? null : head, "ann", random.nextInt(9))),
                     new Entry.Lead(VOTERS.get(random.nextInt(3)), i), new Entry.Act(ledger.epoch(), "settings", last),
                     new Entry.Act(ledger.epoch() - 1, "settings", last)));
             if (pending != null) {
--- a/src/test/java/wallmoor/versions/RecordsTest.java
+++ b/src/test/java/wallmoor/versions/RecordsTest.java
@@ -84,7 +84,8 @@
 
     /** A record whose contents look like a record does not hide a torn one. */
     @Property(tries = 200, seed = "8")
-    void whatIsWrittenIsRead(@ForAll List<@Size(max = 40) byte[]> payloads, @ForAll @IntRange(min = 0, max = 39) int cut)
+    void whatIsWrittenIsRead(@ForAll List<@Size(max = 40) byte[]> payloads,
+            @ForAll @IntRange(min = 0, max = 39) int cut)
             throws Exception {
         var all = new ArrayList<>(payloads);
         all.add(new byte[cut]);
