--- a/src/test/java/wallmoor/core/GathererPropertiesTest.java
+++ b/src/test/java/wallmoor/core/GathererPropertiesTest.java
@@ -6,6 +6,7 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
+import java.util.Deque;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Random;
@@ -172,6 +173,44 @@
         }
     }
 
+    /** Workers that queue each attempt for whoever answers, and note a second copy of a part. */
+    private final class QueueingWorkers implements Workers {
+        private final Deque<Attempt> answers;
+        private final Set<String> copies;
+        private final List<String> faults;
+
+        QueueingWorkers(Deque<Attempt> answers, Set<String> copies, List<String> faults) {
+            this.answers = answers;
+            this.copies = copies;
+            this.faults = faults;
+        }
+
+        @Override
+        public void send(Step.Send send) {
+            synchronized (answers) {
+                for (Attempt a : send.attempts()) {
+                    if (!copies.add(a.partId())) {
+                        faults.add("a second copy of " + a.partId());
+                    }
+                    answers.add(a);
+                }
+                answers.notifyAll();
+            }
+        }
+
+        @Override
+        public void cancel(Step.Cancel cancel) {
+            boolean here;
+            synchronized (answers) {
+                here = answers.remove(cancel.attempt());
+            }
+            if (here) { // else its answer is on its way
+                copies.remove(cancel.attempt().partId());
+                gatherer.report(cancel.attempt(), cancel.as(), null);
+            }
+        }
+    }
+
     /** The same with a thread a query, workers that answer from others, and clients that leave from yet others. */
     @Test(timeout = 60_000)
     public void withThreadsEachQueryEndsOnceAndNothingIsKept() throws Exception {
@@ -195,32 +234,7 @@
                         if (leaves != null) {
                             leaves.start();
                         }
-                        gatherer.run(q, new Workers() {
-                            @Override
-                            public void send(Step.Send send) {
-                                synchronized (answers) {
-                                    for (Attempt a : send.attempts()) {
-                                        if (!copies.add(a.partId())) {
-                                            faults.add("a second copy of " + a.partId());
-                                        }
-                                        answers.add(a);
-                                    }
-                                    answers.notifyAll();
-                                }
-                            }
-
-                            @Override
-                            public void cancel(Step.Cancel cancel) {
-                                boolean here;
-                                synchronized (answers) {
-                                    here = answers.remove(cancel.attempt());
-                                }
-                                if (here) { // else its answer is on its way
-                                    copies.remove(cancel.attempt().partId());
-                                    gatherer.report(cancel.attempt(), cancel.as(), null);
-                                }
-                            }
-                        });
+                        gatherer.run(q, new QueueingWorkers(answers, copies, faults));
                         ends.incrementAndGet();
                         if (leaves != null) {
                             leaves.join();
--- a/src/test/java/wallmoor/discovery/ListModel.java
+++ b/src/test/java/wallmoor/discovery/ListModel.java
@@ -189,6 +189,19 @@
                 ask();
             }
         }
+        call();
+        if (state != State.IDLE && now >= clock.due()) {
+            if (state == State.WAITING) {
+                unlucky();
+            } else {
+                lost();
+            }
+        }
+        judge();
+    }
+
+    /** The call goes on, as far as it can in this step. */
+    private void call() {
         if (state == State.IDLE && (wanted || clockAsks && clock.callBy() <= now)) {
             calls++;
             calledAt = now;
@@ -220,14 +233,6 @@
                 && (!unknown.isEmpty() || now >= nextLine)) {
             line();
         }
-        if (state != State.IDLE && now >= clock.due()) {
-            if (state == State.WAITING) {
-                unlucky();
-            } else {
-                lost();
-            }
-        }
-        judge();
     }
 
     /** The call has failed at discovery, through no fault of the gatherer's. */
--- a/src/test/java/wallmoor/discovery/ObjectReaderTest.java
+++ b/src/test/java/wallmoor/discovery/ObjectReaderTest.java
@@ -18,7 +18,8 @@
 
 /** A watch's body is read alike wherever the network, the chunks or the lines cut it. */
 public class ObjectReaderTest {
-    private static final String INDENTED = "{\n  \"revision\": 43,\r\n\r\n \t\n  \"members\": [\n    {\"id\": \"s-\u00e9\u20ac\ud83d\ude00\"},\n\n"
+    private static final String INDENTED = "{\n  \"revision\": 43,\r\n\r\n \t\n  \"members\": [\n"
+            + "    {\"id\": \"s-\u00e9\u20ac\ud83d\ude00\"},\n\n"
             + "    {\"id\": \"}{[\\\"\\\\\"}\n  ]\n}";
     private static final String PLAIN = "{\"revision\":44,\"members\":[]}";
     /** Objects over lines, on one line, two on a line, and the heartbeats between them. */
