--- a/src/main/java/wallmoor/decision/Brain.java
+++ b/src/main/java/wallmoor/decision/Brain.java
@@ -390,8 +390,7 @@
                 boolean slow = allSlow();
                 fleet.leaves().forEach(l -> markLate(l, slow));
             }
-            pace.warm(now, fleet.leaves().stream().filter(l -> !l.ill && warm(l)).mapToDouble(l -> l.size)
-                    .summaryStatistics());
+            pace.warm(now, fleet.sizes(l -> !l.ill && warm(l)));
             touched.clear();
             open.queries().forEach(this::decide);
         } else {
--- a/src/main/java/wallmoor/decision/Fleet.java
+++ b/src/main/java/wallmoor/decision/Fleet.java
@@ -1,6 +1,7 @@
 package wallmoor.decision;
 
 import java.util.Collection;
+import java.util.DoubleSummaryStatistics;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.IdentityHashMap;
@@ -11,6 +12,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Function;
+import java.util.function.Predicate;
 import wallmoor.decision.RouterApi.Layout;
 import wallmoor.decision.RouterApi.LeafEntry;
 import wallmoor.decision.RouterApi.LeafState;
@@ -74,6 +76,17 @@
         gone.forEach(this::forget);
     }
 
+    /** The sizes of those leaves of which this holds. A loop: a stream's classes would be made at each start. */
+    DoubleSummaryStatistics sizes(Predicate<Leaf> which) {
+        var sizes = new DoubleSummaryStatistics();
+        for (Leaf leaf : leaves()) {
+            if (which.test(leaf)) {
+                sizes.accept(leaf.size);
+            }
+        }
+        return sizes;
+    }
+
     /** Drops a leaf that is gone once nothing is out there: new ones come all day, and none comes back as it was. */
     void forget(Leaf leaf) {
         if (leaf.out.isEmpty() && byId.remove(leaf.id, leaf)) {
