--- a/src/main/java/wallmoor/core/Attempt.java
+++ b/src/main/java/wallmoor/core/Attempt.java
@@ -13,6 +13,8 @@
     final long until;
     /** It begins before this or never: a repeat is harmless for some time only. */
     private final long beginBefore;
+    /** When the dial began that it waits for or waited for, if that was before it was sent. */
+    private volatile long dialledAt;
     /** Set under the gatherer's lock, once; read without it by who writes. */
     volatile boolean calledOff;
     boolean ended;
@@ -23,6 +25,7 @@
         this.number = number;
         this.worker = worker;
         this.sentAt = sentAt;
+        this.dialledAt = sentAt;
         this.until = until;
         this.beginBefore = beginBefore;
     }
@@ -81,6 +84,19 @@
         return (until - now) / LEAST_TIME;
     }
 
+    /**
+     * It waits for a connection whose dial began at this time, on the gatherer's clock: should that fail, it took that
+     * long for whoever joined late as well.
+     */
+    public void joinsDial(long begunAt) {
+        dialledAt = Math.min(sentAt, begunAt);
+    }
+
+    /** Since when its end counts: a dial that failed counts from its begin. */
+    long since(Outcome outcome) {
+        return outcome == Outcome.NO_CONNECTION ? dialledAt : sentAt;
+    }
+
     /** When it is given up, on the gatherer's clock. */
     public long until() {
         return until;
--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -346,7 +346,7 @@
         if (closed && a.query.out.isEmpty()) {
             forget(a.query);
         }
-        brain.onOutcome(now, new AttemptEnded(a.part.id, a.number, a.worker.id(), outcome.code, now - a.sentAt,
+        brain.onOutcome(now, new AttemptEnded(a.part.id, a.number, a.worker.id(), outcome.code, now - a.since(outcome),
                 closed || outcome == Outcome.SERVED, Map.of()));
     }
 
--- a/src/main/java/wallmoor/frames/WorkerConnection.java
+++ b/src/main/java/wallmoor/frames/WorkerConnection.java
@@ -37,6 +37,8 @@
     private static final long STUCK_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     private static final int FRAME_MILLIS = 50;
+    /** A dial that lasts longer than this share of its limit is slow: calls from then on get a connection of their own. */
+    private static final int SLOW_DIAL_SHARE = 4;
 
     private enum State { QUEUED, WRITING, WRITTEN }
 
@@ -75,6 +77,8 @@
     private final Socket socket;
     /** A frame that began to come in must go on coming. */
     private final int frameMillis;
+    private final long dialledAt;
+    private boolean connected;
     private boolean closed;
     private boolean retired;
     /** When a whole frame came last. */
@@ -91,6 +95,7 @@
         this.socket = limits.sockets().get();
         this.frameMillis = (int) Math.max(FRAME_MILLIS, TimeUnit.NANOSECONDS.toMillis(4 * limits.silentNanos()));
         this.address = Launch.address("host_port", at);
+        this.dialledAt = gatherer.now();
     }
 
     String name() {
@@ -122,11 +127,16 @@
                 && System.nanoTime() - entry.writtenAt > limits.silentNanos();
     }
 
+    /** Whether it is still being dialled, and for so long that it may never come up. */
+    private boolean dialIsSlow() {
+        return !connected && gatherer.now() - dialledAt > 1000L * limits.connectMillis() / SLOW_DIAL_SHARE;
+    }
+
     /** Takes a call if there is room and the connection is not about to be retired; one that is silent if need be. */
     boolean offer(Step.Send send, boolean evenSilent) {
         lock.lock();
         try {
-            if (!evenSilent && !out.isEmpty() && silent(out.values().iterator().next())) {
+            if (!evenSilent && (dialIsSlow() || !out.isEmpty() && silent(out.values().iterator().next()))) {
                 return false;
             }
             if (closed || retired || out.size() + send.attempts().size() > limits.streams() || stuck()
@@ -138,7 +148,12 @@
                     return false;
                 }
             }
-            send.attempts().forEach(a -> out.put(a.partId(), new Entry(a)));
+            for (Attempt a : send.attempts()) {
+                out.put(a.partId(), new Entry(a));
+                if (!connected) {
+                    a.joinsDial(dialledAt);
+                }
+            }
             frames.add(new Frame(send, null));
             work.signal();
             return true;
@@ -168,7 +183,7 @@
         } finally {
             lock.unlock();
         }
-        gatherer.report(attempt, as == Outcome.TIMED_OUT ? Outcome.NO_CONNECTION : Outcome.NEVER_SENT, null);
+        gatherer.report(attempt, Outcome.NEVER_SENT, null); // whether the worker can be reached is not known yet
         return true;
     }
 
@@ -269,6 +284,12 @@
             }
             throw e;
         }
+        lock.lock();
+        try {
+            connected = true;
+        } finally {
+            lock.unlock();
+        }
         limits.reach().accept(id, true);
     }
 
@@ -413,8 +434,7 @@
         var ended = new LinkedHashMap<Attempt, Outcome>();
         lock.lock();
         try {
-            out.values().forEach(e -> ended.put(e.attempt, e.calledOff != null ? e.calledOff
-                    : e.state == State.WRITTEN ? Outcome.RESET : Outcome.NO_CONNECTION));
+            out.values().forEach(e -> ended.put(e.attempt, endOf(e)));
             out.clear();
             frames.clear();
         } finally {
@@ -425,6 +445,21 @@
         }
     }
 
+    /**
+     * What the connection's end means for an attempt. One that waits on a connection that had come up is no failure of
+     * its worker's: idle connections are closed at any time.
+     */
+    private Outcome endOf(Entry entry) {
+        if (entry.calledOff != null) {
+            return entry.calledOff;
+        }
+        return switch (entry.state) {
+            case WRITTEN -> Outcome.RESET;
+            case WRITING -> Outcome.NO_CONNECTION;
+            case QUEUED -> connected ? Outcome.NEVER_SENT : Outcome.NO_CONNECTION;
+        };
+    }
+
     // ---- reading ------------------------------------------------------------------------------------------
 
     private void read() {
--- a/src/main/java/wallmoor/frames/WorkerLinks.java
+++ b/src/main/java/wallmoor/frames/WorkerLinks.java
@@ -71,6 +71,7 @@
     @Override
     public void send(Step.Send send) {
         WorkerConnection fresh = null;
+        Outcome otherwise = Outcome.NEVER_SENT; // our own bound: no worker is to blame
         synchronized (this) {
             List<WorkerConnection> connections = links.computeIfAbsent(send.worker().id(), id -> new ArrayList<>());
             String address = send.worker().address();
@@ -96,6 +97,7 @@
                     }
                 } catch (ConfigException e) {
                     fresh = null; // discovery gave no address that can be connected to
+                    otherwise = Outcome.NO_CONNECTION;
                 }
             }
             if (fresh == null && connections.stream().anyMatch(c -> c.offer(send, true))) {
@@ -104,7 +106,9 @@
         }
         if (fresh == null || !start(fresh)) {
             var ended = new HashMap<Attempt, Outcome>();
-            send.attempts().forEach(a -> ended.put(a, Outcome.NO_CONNECTION));
+            for (Attempt attempt : send.attempts()) {
+                ended.put(attempt, otherwise);
+            }
             gatherer.report(ended);
         }
     }
--- a/src/test/java/wallmoor/frames/LinksFixture.java
+++ b/src/test/java/wallmoor/frames/LinksFixture.java
@@ -35,6 +35,7 @@
     static final int ONCE = 2;
     static final long DEDUP_MICROS = 600_000;
     static final long GIVE_UP_MICROS = 2_000_000;
+    static final long CONNECT_MICROS = 250_000;
     private static final String CLASS = " Classes.%d.Aim=1000000 Classes.%d.GiveUp=2000000 Classes.%d.Worth=1"
             + " Classes.%d.LateWorth=0.1 Classes.%d.Repeat=%s Classes.%d.DedupWindow=" + DEDUP_MICROS;
     private static final String SETTINGS = "Classes.count=3" + classAt(0, "free") + classAt(1, "guarded")
@@ -42,7 +43,7 @@
             + " Domain.Sets=1 Domain.Slabs=4 Discovery=subscribe Instances=1 Position=0 Round=5000 Limits.MaxAttempts=4"
             + " Limits.MaxOpen=400 Limits.Cancelling=true Limits.RetryAfter=true Limits.MaxRetryAfter=2000000"
             + " Contract.DrainGrace=2000000 Contract.ColdShare=0.16 Contract.Cold=18000000 Contract.FallMultiple=2"
-            + " Contract.OverloadFor=2000000";
+            + " Contract.OverloadFor=2000000 Limits.ConnectTimeout=" + CONNECT_MICROS;
 
     final AtomicLong clock = new AtomicLong(1_000_000_000);
     final List<String> log = new java.util.concurrent.CopyOnWriteArrayList<>();
--- a/src/test/java/wallmoor/frames/WorkerCrossingsTest.java
+++ b/src/test/java/wallmoor/frames/WorkerCrossingsTest.java
@@ -238,6 +238,69 @@
         assertTrue(pick(refused) instanceof Step.Answer);
     }
 
+    private boolean blamed() {
+        return log.stream().anyMatch(l -> l.contains("ill: CONNECT_FAILED"));
+    }
+
+    @Test
+    public void aSoundConnectionThatEndsBlamesNobodyForACallThatWaits() throws Exception {
+        ManualWorker worker = worker();
+        start(worker);
+        GatedSocket socket = prepare();
+        socket.afterWrite.shut();
+        Query first = sent("first", SAFE);
+        ManualWorker.Peer peer = worker.accept();
+        peer.frame();
+        peer.answer("first.0", "ok");
+        assertTrue(pick(first) instanceof Step.Answer);
+        Query waits = sent("waits", ONCE); // behind the writer, which is not back from the first
+        peer.finish();
+        await("the end", socket::isClosed);
+        socket.afterWrite.open();
+        send(waits);
+        ManualWorker.Peer there = worker.accept();
+        assertCall("waits.0", there.frame());
+        there.answer("waits.0", "ok");
+        assertTrue(pick(waits) instanceof Step.Answer);
+        assertFalse(log.toString(), blamed());
+    }
+
+    @Test
+    public void whoJoinsADialIsToldThatItTookAsLongAsForTheFirst() throws Exception {
+        ManualWorker worker = worker();
+        start(worker);
+        GatedSocket socket = prepare();
+        socket.beforeConnect.shut();
+        Query first = sent("first", ONCE);
+        socket.beforeConnect.awaitHeld();
+        clock.addAndGet(CONNECT_MICROS - 100_000);
+        Query joins = sent("joins", ONCE);
+        clock.addAndGet(150_000); // longer than a connect may take, but not for the one that joined
+        socket.close();
+        socket.beforeConnect.open();
+        send(first);
+        send(joins);
+        assertFalse("connecting is slow, no worker died: " + log, blamed());
+    }
+
+    @Test
+    public void aSlowDialIsNotJoined() throws Exception {
+        ManualWorker worker = worker();
+        start(worker);
+        GatedSocket socket = prepare();
+        socket.beforeConnect.shut();
+        sent("first", ONCE);
+        socket.beforeConnect.awaitHeld();
+        clock.addAndGet(1_000L * connectMillis / 4 + 1);
+        Query second = sent("second", ONCE);
+        ManualWorker.Peer peer = worker.accept(); // a connection of its own
+        assertCall("second.0", peer.frame());
+        peer.answer("second.0", "ok");
+        assertTrue(pick(second) instanceof Step.Answer);
+        socket.beforeConnect.open();
+        assertCall("first.0", worker.accept().frame());
+    }
+
     @Test
     public void atTheLimitOfConnectionsWhatHasNoRoomNeverRan() throws Exception {
         mostConnections = 1;
@@ -253,6 +316,7 @@
         assertEquals("nothing of it was written", "end", peer.frame());
         links.send(next);
         assertTrue("it may have run", pick(first) instanceof Step.Fail);
+        assertFalse("the bound is ours: " + log, blamed());
     }
 
     // ---- bad answers --------------------------------------------------------------------------------------
