--- a/src/main/java/wallmoor/Main.java
+++ b/src/main/java/wallmoor/Main.java
@@ -15,8 +15,8 @@
 import wallmoor.config.Operator;
 import wallmoor.json.Json;
 import wallmoor.log.Logging;
-import wallmoor.service.DressRehearsal;
-import wallmoor.service.Rehearsal;
+import wallmoor.service.ArchiveTraining;
+import wallmoor.service.WarmUp;
 import wallmoor.service.Service;
 import wallmoor.signals.HangUp;
 
@@ -28,6 +28,8 @@
 public final class Main {
     /** The gatherer, once it is there to be told of a new configuration. */
     private static volatile Service service;
+    /** SIGHUP has come at least once. */
+    private static volatile boolean hungUp;
 
     static { // named, the provider needs not be looked for in every library's jar, which a start on part of a core feels
         System.setProperty("slf4j.provider", "wallmoor.log.Provider");
@@ -66,10 +68,10 @@
         onHangUp();
         Launch launch = Launch.read(System.getenv());
         Operator operator = Operator.read(System.getenv(), launch);
-        Rehearsal.run(launch, Rehearsal.ARCHIVE_QUERIES);
-        Rehearsal.load(launch, operator);
+        WarmUp.run(launch, WarmUp.ARCHIVE_QUERIES);
+        WarmUp.load(launch, operator);
         Logging.apply(operator.logging());
-        String fault = DressRehearsal.run(launch, operator);
+        String fault = ArchiveTraining.run(launch, operator);
         if (fault != null) {
             System.err.println("wallmoor: a start will be slower, as the rehearsal broke off: " + fault);
         }
@@ -81,10 +83,13 @@
             onHangUp();
             Launch launch = Launch.read(System.getenv());
             Operator operator = Operator.read(System.getenv(), launch);
-            Rehearsal.run(launch); // before the address is listened on: what connects meanwhile would have to wait
+            WarmUp.run(launch); // before the address is listened on: what connects meanwhile would have to wait
             Logging.apply(operator.logging());
             var made = new Service(launch, operator);
             service = made;
+            if (hungUp) {
+                made.reload();
+            }
             Runtime.getRuntime().addShutdownHook(made.leaving());
             made.start();
             Thread.currentThread().join();
@@ -99,10 +104,11 @@
         }
     }
 
-    /** A signal before there is a gatherer changes nothing: that one reads the files itself. */
+    /** A signal before there is a gatherer is kept for it: the files that it was made by may be those of before. */
     private static void onHangUp() {
         try {
             boolean heard = HangUp.runs(() -> {
+                hungUp = true; // first: whoever sets the gatherer looks here after that
                 Service told = service;
                 if (told != null) {
                     told.reload();
--- a/src/main/java/wallmoor/decision/RouterApi.java
+++ b/src/main/java/wallmoor/decision/RouterApi.java
@@ -112,9 +112,12 @@
             List<QueryClass> classes, List<Tenant> tenants, double overShareWorth, boolean worthByWork,
             boolean clientsMarkRetry, Layout layout, Limits limits, Rules rules, Costs costs) {
 
-        /** The window over which a cold leaf's parts count: as long as one may fall over in, and a round. */
+        /**
+         * The window over which a cold leaf's parts count: as long as one may fall over in, and a round and a connect
+         * more, as parts that wait for a connection reach the leaf together.
+         */
         long coldWindow() {
-            return rules.overloadFor() + round;
+            return rules.overloadFor() + round + Math.max(0, limits.connectTimeout());
         }
 
         /** The same among so many roots, of which this one has another place. */
@@ -193,8 +196,13 @@
 
     /** What the module may do. Each call takes effect at the time of the event being handled. */
     public interface Actions {
-        /** Starts an attempt; attempts of a part are numbered from 0 in the order of these calls. */
-        void assign(String part, String leaf, long giveUpAfter);
+        /**
+         * Starts an attempt; attempts of a part are numbered from 0 in the order of these calls.
+         *
+         * @param beginWithin its first byte goes out sooner than this from now, or never ({@link Outcome#MOOT});
+         *                    {@link Long#MAX_VALUE} where nothing but {@code giveUpAfter} bounds it
+         */
+        void assign(String part, String leaf, long giveUpAfter, long beginWithin);
 
         /** Stops waiting for an attempt. */
         void cancel(String part, int attempt);
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -22,8 +22,8 @@
 import wallmoor.ogc.Features;
 import wallmoor.platform.Platform;
 import wallmoor.sources.Membership;
-import wallmoor.upgrade.BeatFiles;
-import wallmoor.upgrade.Beats;
+import wallmoor.upgrade.HeartbeatFiles;
+import wallmoor.upgrade.Heartbeats;
 import wallmoor.versions.Acting;
 
 /** A gatherer with all that its configuration switches on: made, started, told of changes, and told to leave. */
@@ -52,9 +52,11 @@
     private final Group group;
     private final Rules rules;
     private final Operations operations;
-    private final BeatFiles beats;
+    private final HeartbeatFiles beats;
     private volatile boolean ready;
     private volatile boolean leaving;
+    /** Guards whether it is ready, which a start and a leaving may both set. */
+    private final Object readiness = new Object();
 
     /** Makes it; its fronts listen from now on, and answer from {@link #start} on. */
     public Service(Launch launch, Operator operator) throws IOException, Json.Malformed {
@@ -90,12 +92,12 @@
         });
         operations = launch.admin() == null ? null
                 : new Operations(launch, inForce::file, clock, nodes.gatherer(), figures, () -> ready, shared);
-        beats = shared == null || !launch.inherited() ? null : new BeatFiles(shared, clock, new Open(),
+        beats = shared == null || !launch.inherited() ? null : new HeartbeatFiles(shared, clock, new Open(),
                 this::together, log::info);
     }
 
     /** Queries and parts held at once, which the settings bound for all processes of this gatherer together. */
-    private final class Open implements BeatFiles.Bound {
+    private final class Open implements HeartbeatFiles.Bound {
         @Override
         public int all() {
             return inForce.allOpen();
@@ -118,7 +120,7 @@
     }
 
     /** Old and new process are one gatherer while both are there: each has its part of what that may hold and send. */
-    private void together(Beats.Together now) {
+    private void together(Heartbeats.Together now) {
         platform.among(now.count());
         if (group == null) {
             Settings s = launch.settings();
@@ -161,11 +163,18 @@
         if (rules != null) {
             rules.start();
         }
-        platform.ready(true);
-        ready = true;
+        ready(true);
         log.info("serving as {} on {}", launch.name(), launch.listen());
     }
 
+    /** Whether it takes clients: once it was told to leave it never does, however far its start had come. */
+    private void ready(boolean yes) {
+        synchronized (readiness) {
+            ready = yes && !leaving;
+            platform.ready(ready);
+        }
+    }
+
     private void await() {
         try {
             long begun = System.nanoTime();
@@ -230,9 +239,8 @@
      * can still be answered before SIGKILL.
      */
     public void leave() {
-        ready = false;
         leaving = true;
-        platform.ready(false);
+        ready(false);
         log.info("told to leave");
         if (group != null) {
             group.leave();
