--- a/src/test/java/wallmoor/net/RestingTest.java
+++ b/src/test/java/wallmoor/net/RestingTest.java
@@ -125,7 +125,8 @@
     @Test
     public void aBodyFarTooLargeIsReadAwayAndItsAnswerComes() throws Exception {
         Client client = client();
-        client.send("POST /api HTTP/1.1\r\nX-Request-Id: big\r\nX-Class: all\r\nX-Deadline: 1900m\r\nContent-Length: 3000000\r\n\r\n");
+        client.send("POST /api HTTP/1.1\r\nX-Request-Id: big\r\nX-Class: all\r\nX-Deadline: 1900m\r\nContent-Length: "
+                + "3000000\r\n\r\n");
         byte[] much = new byte[3_000_000];
         var writer = new Thread(() -> {
             try {
@@ -153,7 +154,8 @@
         var rested = new ArrayList<Client>();
         for (int i = 0; i < count; i++) {
             rested.add(client());
-            assertEquals(200, rested.get(i).send(Client.query("r" + rested.hashCode() + i, "all", 1900, 0)).answer().status);
+            assertEquals(200,
+                    rested.get(i).send(Client.query("r" + rested.hashCode() + i, "all", 1900, 0)).answer().status);
         }
         return rested;
     }
