--- a/src/main/java/wallmoor/cli/RulesCommand.java
+++ b/src/main/java/wallmoor/cli/RulesCommand.java
@@ -25,7 +25,8 @@
 @Command(name = "rules", mixinStandardHelpOptions = true,
         description = "Show and change what all gatherers agree on, over a running gatherer on this machine.",
         footer = {"It must have rules.control set in its operators' file.",
-            "Exits 0, 2 on a faulty file or configuration, 3 where a proposal was refused or show finds nothing that acts under",
+            "Exits 0, 2 on a faulty file or configuration, 3 where a proposal was refused or show finds nothing that "
+                    + "acts under",
             "a lease, 4 where the gatherer can't be asked, 5 where it is not known what came of it."})
 final class RulesCommand extends Parent {
     private static final int REFUSED = 3;
@@ -75,7 +76,8 @@
         private int wait;
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Print what the gatherer goes by, of each document or of one.")
+    @Command(name = "show", mixinStandardHelpOptions = true,
+            description = "Print what the gatherer goes by, of each document or of one.")
     int show(@Mixin Where where, @Parameters(paramLabel = "NAME", arity = "0..1") String name,
             @Option(names = "--watch", description = "Go on, and print again whenever that changes.") boolean watch)
             throws InterruptedException {
@@ -108,19 +110,22 @@
     }
 
     @Command(name = "explain", mixinStandardHelpOptions = true,
-            description = "Print why the gatherer goes by what it does: its lease, its leader, each version that holds.")
+            description = "Print why the gatherer goes by what it does: its lease, its leader, each version that "
+                    + "holds.")
     int explain(@Mixin Where where) {
         return told(where, asked("explain"), SPARE_MILLIS);
     }
 
     @Command(name = "propose", mixinStandardHelpOptions = true,
-            description = "Propose a body as the next version; waits until it acts everywhere, or prints why it was refused.")
+            description = "Propose a body as the next version; waits until it acts everywhere, or prints why it was "
+                    + "refused.")
     int propose(@Mixin Where where, @Mixin Change change, @Parameters(paramLabel = "NAME") String name,
             @Parameters(paramLabel = "FILE") Path file,
-            @Option(names = "--fallback", paramLabel = "FILE", description = "What a gatherer goes by that can't be sure; else the "
-                    + "body's bounds, and nothing of what it gives.") Path fallback,
-            @Option(names = "--parent", paramLabel = "N", description = "The version that it was made from; else the last one.")
-            Long parent) {
+            @Option(names = "--fallback", paramLabel = "FILE",
+                    description = "What a gatherer goes by that can't be sure; else the "
+                            + "body's bounds, and nothing of what it gives.") Path fallback,
+            @Option(names = "--parent", paramLabel = "N",
+                    description = "The version that it was made from; else the last one.") Long parent) {
         Map<String, Object> asked = change(change, "propose", name);
         try {
             asked.put("body", read(file));
@@ -136,7 +141,8 @@
         return told(where, asked, change.wait * SECOND_MILLIS + SPARE_MILLIS);
     }
 
-    @Command(name = "rollback", mixinStandardHelpOptions = true, description = "Propose an older version's body as a new version.")
+    @Command(name = "rollback", mixinStandardHelpOptions = true,
+            description = "Propose an older version's body as a new version.")
     int rollback(@Mixin Where where, @Mixin Change change, @Parameters(paramLabel = "NAME") String name,
             @Parameters(paramLabel = "N") long number) {
         Map<String, Object> asked = change(change, "rollback", name);
@@ -145,7 +151,8 @@
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Read a body by this program's rules, without telling anybody; print the fallback it would get.")
+            description = "Read a body by this program's rules, without telling anybody; print the fallback it would "
+                    + "get.")
     int check(@Parameters(paramLabel = "NAME") String name, @Parameters(paramLabel = "FILE") Path file) {
         Kind kind = Kinds.all().get(name);
         if (kind == null) {
@@ -243,7 +250,8 @@
         for (String l : lines) {
             try {
                 Json.Obj o = ControlPort.object(l);
-                steady.append(o.text("name")).append(o.get("version")).append(o.get("from")).append(o.get("basis")).append(o.get("leader"))
+                steady.append(o.text("name")).append(o.get("version")).append(o.get("from")).append(o.get("basis"))
+                        .append(o.get("leader"))
                         .append(o.get("denied")).append(o.number("acting", 0) > 0 ? " acts" : "").append('\n');
             } catch (Json.Malformed e) {
                 steady.append(l);
@@ -259,7 +267,8 @@
             for (String field : List.of("name", "version", "acting", "basis", "lease_ms", "leader", "since", "body",
                     "unreadable", "denied")) {
                 if (o.get(field) != null) {
-                    text.append(text.isEmpty() ? "" : "  ").append(field).append(' ').append(ControlPort.plain(o.get(field)));
+                    text.append(text.isEmpty() ? "" : "  ").append(field).append(' ')
+                            .append(ControlPort.plain(o.get(field)));
                 }
             }
             return text.toString();
--- a/src/main/java/wallmoor/frames/WorkerLinks.java
+++ b/src/main/java/wallmoor/frames/WorkerLinks.java
@@ -71,6 +71,7 @@
     @Override
     public void send(Step.Send send) {
         WorkerConnection fresh = null;
+        Outcome otherwise = Outcome.NEVER_SENT; // our own bound: no worker is to blame
         synchronized (this) {
             List<WorkerConnection> connections = links.computeIfAbsent(send.worker().id(), id -> new ArrayList<>());
             String address = send.worker().address();
@@ -86,7 +87,8 @@
             }
             if (connections.size() < MOST_CONNECTIONS && open < limits.mostConnections()) {
                 try {
-                    fresh = new WorkerConnection(gatherer, limits, "worker-" + numbers.incrementAndGet(), send.worker());
+                    fresh = new WorkerConnection(gatherer, limits, "worker-" + numbers.incrementAndGet(),
+                            send.worker());
                     if (fresh.offer(send, false)) {
                         connections.add(fresh);
                         open++;
@@ -95,6 +97,7 @@
                     }
                 } catch (ConfigException e) {
                     fresh = null; // discovery gave no address that can be connected to
+                    otherwise = Outcome.NO_CONNECTION;
                 }
             }
             if (fresh == null && connections.stream().anyMatch(c -> c.offer(send, true))) {
@@ -103,32 +106,30 @@
         }
         if (fresh == null || !start(fresh)) {
             var ended = new HashMap<Attempt, Outcome>();
-            send.attempts().forEach(a -> ended.put(a, Outcome.NO_CONNECTION));
+            for (Attempt attempt : send.attempts()) {
+                ended.put(attempt, otherwise);
+            }
             gatherer.report(ended);
         }
     }
 
     private boolean start(WorkerConnection connection) {
         try {
-            Threads.start(connection.name() + "-write", () -> {
-                try {
-                    connection.run();
-                } finally {
-                    synchronized (this) {
-                        open--;
-                    }
-                }
-            });
+            Threads.start(connection.name() + "-write", () -> connection.run(this::freePlace));
             return true;
         } catch (OutOfMemoryError e) {
+            freePlace();
             synchronized (this) {
-                open--;
                 links.values().forEach(l -> l.remove(connection));
             }
             return false;
         }
     }
 
+    private synchronized void freePlace() {
+        open--;
+    }
+
     @Override
     public void cancel(Step.Cancel cancel) {
         List<WorkerConnection> connections;
--- a/src/main/java/wallmoor/peers/Rings.java
+++ b/src/main/java/wallmoor/peers/Rings.java
@@ -15,8 +15,9 @@
 
 /**
  * Who observes whom: members stand on several rings, in an order of each ring's own that follows from names alone, and
- * each observes the next one on every ring (as in Rapid, ATC 2018). So each has some observers and some subjects, as many
- * as there are rings at most, whatever the group's size, and everybody who knows the same members knows the same ones.
+ * each observes the next one on every ring (as in Rapid, ATC 2018). So each has some observers and some subjects, as
+ * many as there are rings at most, whatever the group's size, and everybody who knows the same members knows the same
+ * ones.
  *
  * <p>Members that come and go are put in their places together, when somebody next asks: a thousand that join cost one
  * pass over the rings and not a thousand.
@@ -61,8 +62,8 @@
     }
 
     /**
-     * Members whose word reaches this one: those that it hears itself; and those that more of the reached ones which observe
-     * them hear than others doubt.
+     * Members whose word reaches this one: those that it hears itself; and those that more of the reached ones which
+     * observe them hear than others doubt.
      *
      * @param doubted whether the observer named first says that it does not hear the subject named second, or its word
      *                is of no use
@@ -197,8 +198,8 @@
 
     /** Spreads a number over all bits (the finalizer of SplitMix64, Steele et al., OOPSLA 2014). */
     static long mix(long z) {
-        z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-        z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-        return z ^ z >>> 31;
+        long once = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
+        long twice = (once ^ once >>> 27) * 0x94d049bb133111ebL;
+        return twice ^ twice >>> 31;
     }
 }
--- a/src/test/java/wallmoor/operator/OperatorAddressTest.java
+++ b/src/test/java/wallmoor/operator/OperatorAddressTest.java
@@ -28,6 +28,7 @@
 import wallmoor.bans.Mark;
 import wallmoor.standin.Ports;
 
+/** The operators' address: requests, answers and bans. */
 public class OperatorAddressTest {
     private static final AtomicLong MICROS = new AtomicLong(1_000_000);
 
@@ -48,7 +49,8 @@
 
         Process(Path directory) throws IOException {
             at = new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.free());
-            address = new OperatorAddress(at, 32, this, bans, directory == null ? null : new BanFile(directory, log::add),
+            address = new OperatorAddress(at, 32, this, bans,
+                    directory == null ? null : new BanFile(directory, log::add),
                     MICROS::incrementAndGet, log::add);
         }
 
