--- a/src/test/java/wallmoor/net/MovesTest.java
+++ b/src/test/java/wallmoor/net/MovesTest.java
@@ -88,7 +88,7 @@
     public void aFlippedByteIsCopiedAgainAndAFullDiskMakesAnotherPlan() throws Exception {
         Files.writeString(dir("b").resolve("flip"), "");
         Files.writeString(dir("c").resolve("flip"), "");
-        fleet.carry(10);
+        fleet.carry(5); // slow enough for a look at every copy on its way
         Program.await("copying",
                 () -> fleet.status().contains("\"stage\":\"copy\"") && !fleet.status().contains("\"there\":0.0,"));
         String to = fleet.status().replaceFirst("(?s).*?\"to\":\"(.)\",\"mb\":[0-9]+,\"wave\":1,\"stage\":\"copy\".*",
