--- a/src/main/java/wallmoor/frames/WorkerConnection.java
+++ b/src/main/java/wallmoor/frames/WorkerConnection.java
@@ -37,7 +37,7 @@
     private static final long STUCK_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     private static final int FRAME_MILLIS = 50;
-    /** A dial that lasts longer than this share of its limit is slow: calls from then on get a connection of their own. */
+    /** A dial that lasts longer than its limit over this is slow: further calls get a connection of their own. */
     private static final int SLOW_DIAL_SHARE = 4;
 
     private enum State { QUEUED, WRITING, WRITTEN }
