--- a/src/main/java/wallmoor/http/Connection.java
+++ b/src/main/java/wallmoor/http/Connection.java
@@ -136,15 +136,20 @@
 
     /** No thread is left to read what has begun: it was not begun upon, and its client may ask again. */
     private void turnAway() {
+        if (refuse()) {
+            halfClose(lingerAfterRequest());
+        } else {
+            close();
+        }
+    }
+
+    /** Whoever has begun to ask is told to come again, if the connection takes that at once; whether it did. */
+    private boolean refuse() {
         try {
-            if (wire.offer(TOO_BUSY)) {
-                halfClose(lingerAfterRequest());
-                return;
-            }
+            return wire.offer(TOO_BUSY);
         } catch (IOException e) {
-            // it has gone
+            return false; // it has gone
         }
-        close();
     }
 
     // ---- a request, by a thread of the pool ---------------------------------------------------------------
@@ -320,7 +325,7 @@
             close = hasBeen(in, millis);
             if (close) {
                 if (in == State.FIRST_REQUEST) {
-                    refuse();
+                    refuse(); // its request may have come whole this moment
                 }
                 close();
             }
@@ -328,15 +333,6 @@
         return close;
     }
 
-    /** Whoever has begun to ask is told to come again: its request may have come whole this moment. */
-    private void refuse() {
-        try {
-            wire.offer(TOO_BUSY);
-        } catch (IOException e) {
-            // it has gone
-        }
-    }
-
     private boolean hasBeen(State in, long millis) {
         return state == in && System.nanoTime() - since >= TimeUnit.MILLISECONDS.toNanos(millis);
     }
--- a/src/main/java/wallmoor/ogc/Fetch.java
+++ b/src/main/java/wallmoor/ogc/Fetch.java
@@ -147,7 +147,7 @@
     }
 
     private long millisLeft() {
-        return (attempt.until() - gatherer.now()) / 1000;
+        return attempt.millisLeft(gatherer.now());
     }
 
     private Upstream.Share pages(Upstream asked) throws IOException, HttpProblem, Json.Malformed, Refused, Forbidden {
--- a/src/test/java/wallmoor/frames/LinksFixture.java
+++ b/src/test/java/wallmoor/frames/LinksFixture.java
@@ -174,6 +174,13 @@
         assertTrue(frame, frame.matches("(?s)Q" + part.replace(".", "\\.") + " 0 d=\\d+ 8\nc41e77d0"));
     }
 
+    /** This part comes next on this connection, and its answer ends the query. */
+    void assertServed(Query query, String part, ManualWorker.Peer peer) throws Exception {
+        assertCall(part, peer.frame());
+        peer.answer(part, "ok");
+        assertTrue(pick(query) instanceof Step.Answer);
+    }
+
     /** The time told in a call, in milliseconds. */
     static long told(String frame) {
         return Long.parseLong(frame.replaceAll("(?s).* d=(\\d+) .*", "$1"));
--- a/src/test/java/wallmoor/frames/PermitAtTheWriteTest.java
+++ b/src/test/java/wallmoor/frames/PermitAtTheWriteTest.java
@@ -37,9 +37,7 @@
     /** Another query's call is the next frame: the one before it was never written. */
     private void assertNotWritten() throws Exception {
         Query last = sent("last", SAFE);
-        assertCall("last.0", peer.frame());
-        peer.answer("last.0", "ok");
-        assertTrue(pick(last) instanceof Step.Answer);
+        assertServed(last, "last.0", peer);
     }
 
     private void finishFirst() throws Exception {
@@ -114,9 +112,7 @@
         goOn();
         send(query); // it never ran: it goes again, though it may run once
         ManualWorker.Peer there = elsewhere.accept();
-        assertCall("q.0", there.frame());
-        there.answer("q.0", "ok");
-        assertTrue(pick(query) instanceof Step.Answer);
+        assertServed(query, "q.0", there);
         finishFirst();
         assertEquals("the old connection ends once nothing is out on it", "end", peer.frame());
     }
--- a/src/test/java/wallmoor/frames/RepeatWindowTest.java
+++ b/src/test/java/wallmoor/frames/RepeatWindowTest.java
@@ -44,9 +44,7 @@
         clock.addAndGet(DEDUP_MICROS - MARGIN_MICROS - 300_000 - 1);
         socket.beforeConnect.open();
         ManualWorker.Peer peer = repeatedAt.accept();
-        assertCall("q.0", peer.frame());
-        peer.answer("q.0", "ok");
-        assertTrue(pick(query) instanceof Step.Answer);
+        assertServed(query, "q.0", peer);
         assertNothingHeld();
     }
 
--- a/src/test/java/wallmoor/frames/WorkerCrossingsTest.java
+++ b/src/test/java/wallmoor/frames/WorkerCrossingsTest.java
@@ -66,9 +66,7 @@
         assertCall("q.0", there.frame());
         peer.answer("q.0", "err");
         Query next = sent("next", SAFE);
-        assertCall("next.0", peer.frame()); // which took no harm
-        peer.answer("next.0", "ok");
-        assertTrue(pick(next) instanceof Step.Answer);
+        assertServed(next, "next.0", peer); // which took no harm
         there.answer("q.0", "ok");
         assertTrue(pick(second) instanceof Step.Answer);
         assertNothingHeld();
@@ -82,9 +80,7 @@
         start(worker);
         Query query = sent("q", ONCE);
         ManualWorker.Peer peer = worker.accept();
-        assertCall("q.0", peer.frame());
-        peer.answer("q.0", "ok");
-        assertTrue(pick(query) instanceof Step.Answer);
+        assertServed(query, "q.0", peer);
         gatherer.gone(query);
         assertTrue("the answer stands", pick(query) instanceof Step.Answer);
         Query next = sent("next", SAFE);
@@ -110,9 +106,7 @@
         socket.afterRead.open();
         assertTrue(pick(query) instanceof Step.Gone);
         Query next = sent("next", SAFE);
-        assertCall("next.0", peer.frame());
-        peer.answer("next.0", "ok");
-        assertTrue(pick(next) instanceof Step.Answer);
+        assertServed(next, "next.0", peer);
         assertNothingHeld();
     }
 
@@ -144,9 +138,7 @@
         assertEquals("half a frame", "end", worker.accept().frame());
         send(query); // it goes again, though it may run once
         ManualWorker.Peer there = worker.accept();
-        assertCall("q.0", there.frame());
-        there.answer("q.0", "ok");
-        assertTrue(pick(query) instanceof Step.Answer);
+        assertServed(query, "q.0", there);
         assertNothingHeld();
     }
 
@@ -233,9 +225,7 @@
         await("its place is free", () -> log.contains("reach a false") || socket.isClosed());
         send(refused); // it never came up: it goes again, and there is room for another
         ManualWorker.Peer peer = worker.accept();
-        assertCall("refused.0", peer.frame());
-        peer.answer("refused.0", "ok");
-        assertTrue(pick(refused) instanceof Step.Answer);
+        assertServed(refused, "refused.0", peer);
     }
 
     private boolean blamed() {
@@ -259,9 +249,7 @@
         socket.afterWrite.open();
         send(waits);
         ManualWorker.Peer there = worker.accept();
-        assertCall("waits.0", there.frame());
-        there.answer("waits.0", "ok");
-        assertTrue(pick(waits) instanceof Step.Answer);
+        assertServed(waits, "waits.0", there);
         assertFalse(log.toString(), blamed());
     }
 
@@ -294,9 +282,7 @@
         clock.addAndGet(1_000L * connectMillis / 4 + 1);
         Query second = sent("second", ONCE);
         ManualWorker.Peer peer = worker.accept(); // a connection of its own
-        assertCall("second.0", peer.frame());
-        peer.answer("second.0", "ok");
-        assertTrue(pick(second) instanceof Step.Answer);
+        assertServed(second, "second.0", peer);
         socket.beforeConnect.open();
         assertCall("first.0", worker.accept().frame());
     }
