--- /dev/null
+++ b/src/test/java/wallmoor/agreement/StoreGoldenTest.java
@@ -0,0 +1,144 @@
+package wallmoor.agreement;
+
+import static org.junit.Assert.assertArrayEquals;
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertFalse;
+
+import io.microraft.model.impl.DefaultRaftModelFactory;
+import io.microraft.model.log.LogEntry;
+import io.microraft.model.log.SnapshotChunk;
+import io.microraft.persistence.RestoredRaftState;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.Rule;
+import org.junit.Test;
+import org.junit.rules.TemporaryFolder;
+import wallmoor.versions.Chain;
+import wallmoor.versions.Document;
+import wallmoor.versions.MessageForms;
+import wallmoor.versions.Proposal;
+
+/** The files that a voter keeps, and the versions that any gatherer keeps, are those of the versions before. */
+public class StoreGoldenTest {
+    private static final String FILE = "store.hex";
+    private static final List<String> VOTERS = List.of("a", "b", "c");
+    private static final long NOW = 1_700_000_000_000_000L;
+    private static final Document FIRST = Document.of(
+            new Proposal("settings", 0, "", "ann", "{\"limits.open\": 200}", "{\"limits.open\": 100}"), 3);
+    private static final Document SECOND = Document.of(
+            new Proposal("settings", 3, FIRST.hash(), "Zoë ✓", "{\"limits.open\": 210}", "{}"), 5);
+    private static final List<Chain> KNOWN = List.of(new Chain("settings", 3, 5, List.of(FIRST, SECOND)),
+            new Chain("list", 0, 0, List.of()));
+
+    @Rule
+    public final TemporaryFolder folder = new TemporaryFolder();
+    private final DefaultRaftModelFactory models = new DefaultRaftModelFactory();
+
+    private Path at(String file) {
+        return folder.getRoot().toPath().resolve(file);
+    }
+
+    private Store open() throws Exception {
+        return new Store(new Directory(folder.getRoot().toPath()), "a", VOTERS, NOW);
+    }
+
+    private LogEntry entry(long index, int term) {
+        return models.createLogEntryBuilder().setIndex(index).setTerm(term)
+                .setOperation(("entry " + index + " of " + term).getBytes()).build();
+    }
+
+    private SnapshotChunk chunk(Store store, long index, int number) {
+        return models.createSnapshotChunkBuilder().setIndex(index).setTerm(6).setSnapshotChunkIndex(number)
+                .setSnapshotChunkCount(2).setOperation(new byte[] {(byte) number, -1})
+                .setGroupMembersView(store.restored().getInitialGroupMembers()).build();
+    }
+
+    /** What stands in the files after each step of a small history. */
+    Map<String, byte[]> played() throws Exception {
+        Map<String, byte[]> files = new LinkedHashMap<>();
+        Store store = open();
+        files.put("log-fresh", Files.readAllBytes(at("log")));
+        store.begin(4, 5);
+        files.put("vote-learns", Files.readAllBytes(at("vote")));
+        store.persistAndFlushTerm(models.createRaftTermPersistentStateBuilder().setTerm(6).build());
+        store.persistLogEntries(List.of(entry(1, 6), entry(2, 6), entry(3, 6), entry(4, 6), entry(5, 6)));
+        store.truncateLogEntriesFrom(4);
+        store.persistLogEntries(List.of(entry(4, 7), entry(5, 7)));
+        store.persistSnapshotChunk(chunk(store, 2, 1));
+        store.deleteSnapshotChunks(2, 2);
+        store.persistSnapshotChunk(chunk(store, 3, 0));
+        store.persistSnapshotChunk(chunk(store, 3, 1));
+        store.learned();
+        store.persistAndFlushTerm(
+                models.createRaftTermPersistentStateBuilder().setTerm(7).setVotedFor(new Endpoint("b")).build());
+        store.flush();
+        files.put("vote", Files.readAllBytes(at("vote")));
+        files.put("log", Files.readAllBytes(at("log")));
+        store.truncateLogEntriesUntil(3);
+        store.flush();
+        files.put("log-compacted", Files.readAllBytes(at("log")));
+        store.close();
+        open().close();
+        files.put("vote-reopened", Files.readAllBytes(at("vote")));
+        new Directory(folder.getRoot().toPath()).replace("known", MessageForms.keep(KNOWN));
+        files.put("known", Files.readAllBytes(at("known")));
+        return files;
+    }
+
+    @Test
+    public void theSameHistoryGivesTheSameFiles() throws Exception {
+        Golden.assertSame(FILE, played());
+    }
+
+    private void put(Map<String, byte[]> golden, String sample, String file) throws IOException {
+        Files.write(at(file), golden.get(sample));
+    }
+
+    @Test
+    public void filesOfTheVersionBeforeAreReadAndLeftAsTheyAre() throws Exception {
+        Map<String, byte[]> golden = Golden.read(FILE);
+        for (String log : List.of("log", "log-compacted")) {
+            put(golden, "vote", "vote");
+            put(golden, log, "log");
+            Store store = open();
+            assertFalse(store.isFresh());
+            assertEquals(NOW + 1, store.life());
+            assertEquals(7, store.term());
+            assertEquals(0, store.least());
+            RestoredRaftState state = store.restored();
+            assertEquals(new Endpoint("b"), state.getTermPersistentState().getVotedFor());
+            assertEquals(3, state.getSnapshotEntry().getIndex());
+            assertEquals(6, state.getSnapshotEntry().getTerm());
+            List<?> chunks = (List<?>) state.getSnapshotEntry().getOperation();
+            assertEquals(2, chunks.size());
+            assertArrayEquals(new byte[] {1, -1}, (byte[]) ((SnapshotChunk) chunks.get(1)).getOperation());
+            assertEquals(List.of(4L, 5L), state.getLogEntries().stream().map(LogEntry::getIndex).toList());
+            assertEquals(List.of(7, 7), state.getLogEntries().stream().map(LogEntry::getTerm).toList());
+            assertArrayEquals("entry 5 of 7".getBytes(), (byte[]) state.getLogEntries().get(1).getOperation());
+            store.close();
+            assertArrayEquals(golden.get(log), Files.readAllBytes(at("log")));
+            assertArrayEquals(golden.get("vote-reopened"), Files.readAllBytes(at("vote")));
+        }
+    }
+
+    @Test
+    public void aVoterThatWasStillLearningGoesOnLearning() throws Exception {
+        Map<String, byte[]> golden = Golden.read(FILE);
+        put(golden, "vote-learns", "vote");
+        put(golden, "log-fresh", "log");
+        Store store = open();
+        assertEquals(4, store.term());
+        assertEquals(5, store.least());
+        store.close();
+    }
+
+    @Test
+    public void theVersionsThatAGathererKnewAreRead() throws Exception {
+        put(Golden.read(FILE), "known", "known");
+        assertEquals(KNOWN, MessageForms.kept(new Directory(folder.getRoot().toPath()).whole("known")));
+    }
+}
