--- /dev/null
+++ b/src/test/java/wallmoor/operator/BanFileGoldenTest.java
@@ -0,0 +1,38 @@
+package wallmoor.operator;
+
+import static org.junit.Assert.assertArrayEquals;
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import org.junit.Test;
+
+/** The file of bans that an earlier version left in the shared directory is found, read and replaced alike. */
+public class BanFileGoldenTest {
+    @Test
+    public void theFileIsReadAndWrittenAlike() throws Exception {
+        Path directory = Files.createTempDirectory("bans");
+        byte[] golden = golden();
+        Files.write(directory.resolve("bans"), golden);
+        var file = new BanFile(directory, line -> {
+            throw new AssertionError(line);
+        });
+        assertTrue(file.refresh());
+        assertEquals(5, file.content().size());
+        Files.delete(directory.resolve("bans"));
+        assertTrue(file.write(file.content()));
+        assertArrayEquals(golden, Files.readAllBytes(directory.resolve("bans")));
+        try (var left = Files.list(directory)) {
+            assertEquals(List.of(directory.resolve("bans")), left.toList());
+        }
+    }
+
+    private static byte[] golden() throws IOException {
+        try (var in = BanFileGoldenTest.class.getResourceAsStream("/golden/bans/bans")) {
+            return in.readAllBytes();
+        }
+    }
+}
