--- a/src/main/java/wallmoor/moves/http/Forms.java
+++ b/src/main/java/wallmoor/moves/http/Forms.java
@@ -4,7 +4,6 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -20,6 +19,20 @@
     /** An answer: of all blocks of a node, some 120 bytes each, 50,000 at most. */
     public static final int MOST_BYTES = 8 << 20;
 
+    /** The requests' names on the wire: they stay, whatever the types are called. */
+    private static final Map<Class<? extends Ask>, String> WORDS = Map.ofEntries(
+            Map.entry(Ask.Look.class, "look"),
+            Map.entry(Ask.Prepare.class, "prepare"),
+            Map.entry(Ask.Pull.class, "pull"),
+            Map.entry(Ask.Sums.class, "sums"),
+            Map.entry(Ask.Seal.class, "seal"),
+            Map.entry(Ask.Fence.class, "fence"),
+            Map.entry(Ask.Unfence.class, "unfence"),
+            Map.entry(Ask.Admit.class, "admit"),
+            Map.entry(Ask.Discard.class, "discard"),
+            Map.entry(Ask.Drop.class, "drop"),
+            Map.entry(Ask.Tell.class, "tell"));
+
     /** A request as it came. */
     public record Request(String block, long number, Ask ask) {}
 
@@ -29,8 +42,7 @@
     public static String write(String block, long number, Ask ask) {
         var to = new StringBuilder("{\"block\":");
         Json.quote(to, block);
-        to.append(",\"number\":").append(number).append(",\"ask\":\"")
-                .append(ask.getClass().getSimpleName().toLowerCase(Locale.ROOT)).append('"');
+        to.append(",\"number\":").append(number).append(",\"ask\":\"").append(WORDS.get(ask.getClass())).append('"');
         if (ask instanceof Ask.Prepare p) {
             to.append(",\"bytes\":").append(p.bytes()).append(",\"chunk\":").append(p.chunk()).append(",\"mb\":")
                     .append(p.mb())
