--- /dev/null
+++ b/src/test/java/wallmoor/summaries/EncodingGoldenTest.java
@@ -0,0 +1,106 @@
+package wallmoor.summaries;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.MethodSource;
+
+/**
+ * Encoded summaries as an earlier version wrote them: they are read, mean the same, and are written alike. Each file in
+ * {@code golden/summaries} is a summary in hexadecimal, and beside it what it holds, in lines for people.
+ */
+class EncodingGoldenTest {
+    private static final Settings USUAL = Settings.usual();
+    /** So few values are kept that four make a filter. */
+    private static final Settings FEW_VALUES = new Settings(16 * 1024, 32, 3, 8, 256, 12, 8);
+    /** More properties than are told of. */
+    private static final Settings FEW_PROPERTIES = new Settings(16 * 1024, 2, 64, 64, 1 << 16, 2, 2);
+    /** So few bytes that values become filters, and filters shrink. */
+    private static final Settings FEW_BYTES = new Settings(Settings.LEAST_BYTES, 32, 64, 64, 1 << 12, 4, 4);
+
+    /** Summaries by the name of their file, made of rows. */
+    private static Map<String, Summary> summaries() {
+        var all = new HashMap<String, Summary>();
+        all.put("no-rows", of(USUAL, List.of()));
+        all.put("texts",
+                of(USUAL, column("city", "Karachi", "lahore", "Multan", "zhob-a-text-of-more-than-24-characters")));
+        all.put("numbers", of(USUAL, column("price", 12L, -0.5, 1.5f, 1e300)));
+        all.put("numbers-and-texts", of(USUAL, column("seats", 4L, "5", "many")));
+        all.put("odd-values", of(USUAL, column("note", true, Double.NaN, "\u00e9\u0661", "x_y", "Multan ")));
+        all.put("missing-values", of(USUAL, List.of(new Row(Map.of("id", "k1", "city", ""), null, null),
+                new Row(Map.of("id", "k2", "class", "van"), null, null))));
+        all.put("filter-by-count", of(FEW_VALUES, column("id", "k1", "k2", "k3", "k4", "k5")));
+        all.put("filter-by-length", of(FEW_VALUES, column("id", "longer than eight bytes")));
+        all.put("properties-left-out", of(FEW_PROPERTIES,
+                List.of(new Row(new TreeMap<>(Map.of("a", 1L, "b", 2L, "c", 3L, "d", 4L)), null, null))));
+        all.put("made-to-fit", of(FEW_BYTES, IntStream.range(0, 60)
+                .mapToObj(i -> new Row(Map.of("id", "number-" + i, "half", "half-" + i / 2, "third", i / 3), null,
+                        null))
+                .collect(Collectors.toList())));
+        all.put("boxes", of(USUAL, List.of(at(67.01, 24.86), at(179.9, -17), at(-179.9, -17.5), at(12.5, 90))));
+        all.put("spans", of(USUAL, List.of(during("2026-01-05T06:07:08Z"), during("2026-02-01"),
+                during("../2020-01-01T00:00:00.000001Z"), during("2030-05-06T00:00:00+05:00/.."))));
+        all.put("boxes-and-spans-joined", of(FEW_PROPERTIES, IntStream.range(0, 9)
+                .mapToObj(i -> new Row(Map.of(), Row.Place.of(60 + i * i, 20 + i),
+                        new Span(i * i * 1_000_000L, (i * i + 1) * 1_000_000L)))
+                .collect(Collectors.toList())));
+        return all;
+    }
+
+    private static Summary of(Settings settings, List<Row> rows) {
+        var draft = new Draft(settings, "khi-1", "kar\u0101chi", 1_767_225_600_000_001L);
+        rows.forEach(draft::add);
+        return draft.told(7);
+    }
+
+    private static List<Row> column(String property, Object... values) {
+        return List.of(values).stream().map(v -> new Row(Map.of(property, v), null, null)).toList();
+    }
+
+    private static Row at(double longitude, double latitude) {
+        return new Row(Map.of(), Row.Place.of(longitude, latitude), null);
+    }
+
+    private static Row during(String time) {
+        return new Row(Map.of(), null, Span.parse(time));
+    }
+
+    static List<String> names() {
+        return summaries().keySet().stream().sorted().toList();
+    }
+
+    private static String resource(String name) throws IOException {
+        try (InputStream in = EncodingGoldenTest.class.getResourceAsStream("/golden/summaries/" + name)) {
+            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    private static byte[] golden(String name) throws IOException {
+        return HexFormat.of().parseHex(resource(name + ".hex").replaceAll("\\s", ""));
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void rowsAreEncodedAsBefore(String name) throws Exception {
+        assertArrayEquals(golden(name), Encoding.encode(summaries().get(name)));
+    }
+
+    @ParameterizedTest
+    @MethodSource("names")
+    void bytesWrittenBeforeAreReadAndWrittenAlike(String name) throws Exception {
+        Summary read = Encoding.decode(golden(name));
+        assertArrayEquals(golden(name), Encoding.encode(read));
+        assertEquals(resource(name + ".txt"), String.join("\n", read.lines()) + "\n");
+    }
+}
