--- a/src/bench/java/wallmoor/sources/RefreshTime.java
+++ b/src/bench/java/wallmoor/sources/RefreshTime.java
@@ -7,6 +7,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
+import org.slf4j.helpers.NOPLogger;
 import wallmoor.config.SettingsReader;
 import wallmoor.core.AttemptOutcome;
 import wallmoor.core.Gatherer;
@@ -89,7 +90,7 @@
             pairs.put(pair.split("=")[0], pair.split("=")[1]);
         }
         var clock = new MonotonicClock();
-        var gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock, line -> {});
+        var gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock, NOPLogger.NOP_LOGGER);
         var policy = RegistryPolicy.of(List.of(new RegistryPolicy.SourcePolicy("dns x", false, 0, 1, 20_000)));
         var membership = new EndpointUpdater(policy, clock, gatherer, List.of(new Script(entries(0))));
         membership.start();
@@ -118,7 +119,7 @@
                 membership.apply(new WatchEvent.EndpointSnapshot("dns x", "" + refreshes, entries(refreshes), false));
             } else if (how.equals("at once")) {
                 int turn = refreshes;
-                gatherer.mergeEndpoints(
+                gatherer.control().mergeEndpoints(
                         entries(turn).stream().map(e -> new WorkerEndpoint(e.id(), e.address(), e.zone(), e.kind(),
                                 e.cell(), e.state(), 1 + turn % 2, 0)).toList());
             }
--- a/src/main/java/wallmoor/core/Attempt.java
+++ b/src/main/java/wallmoor/core/Attempt.java
@@ -1,9 +1,12 @@
 package wallmoor.core;
 
-/** One attempt of one part at one worker. It ends exactly once, by {@link Gatherer#report}. */
+/**
+ * One attempt of one part at one worker. It ends exactly once, by {@link Gatherer#report}. Times are microseconds on the
+ * gatherer's clock.
+ */
 public final class Attempt {
     /** Workers are told of their time in whole milliseconds: with less left than one there is none to tell. */
-    private static final long LEAST_TIME = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     final Query query;
     final Query.QueryPart part;
@@ -11,23 +14,25 @@
     final Worker worker;
     final long assignedAt;
     final long deadline;
-    /** It begins before this or never: a repeat is harmless for some time only. */
-    private final long beginBefore;
-    /** When the dial began that it waits for or waited for, if that was before it was sent. */
-    private volatile long dialledAt;
-    /** Set under the gatherer's lock, once; read without it by who writes. */
+    /** It begins before this or never: an idempotency key protects a retry for some time only. */
+    private final long startBefore;
+    /** When the connect began that it waits or waited for, if that was before it was assigned. */
+    private volatile long connectStartedAt;
+    /** Set once under the gatherer's lock; read without it by whoever writes. */
     volatile boolean cancelled;
+    /** Whether its end has been reported. Guarded by the gatherer's lock. */
     boolean ended;
 
-    Attempt(Query query, Query.QueryPart part, int number, Worker worker, long sentAt, long until, long beginBefore) {
+    Attempt(Query query, Query.QueryPart part, int number, Worker worker, long assignedAt, long deadline,
+            long startBefore) {
         this.query = query;
         this.part = part;
         this.number = number;
         this.worker = worker;
-        this.assignedAt = sentAt;
-        this.dialledAt = sentAt;
-        this.deadline = until;
-        this.beginBefore = beginBefore;
+        this.assignedAt = assignedAt;
+        this.connectStartedAt = assignedAt;
+        this.deadline = deadline;
+        this.startBefore = startBefore;
     }
 
     /** The query that this attempt is for. */
@@ -40,18 +45,18 @@
         return part.id;
     }
 
-    /** The shard that is asked for. */
+    /** The shard that is requested. */
     public int shard() {
         return part.shard;
     }
 
-    /** Where it goes. */
+    /** The worker that it goes to. */
     public Worker worker() {
         return worker;
     }
 
     /**
-     * Whether it may begin now on a connection to this address. Takes no lock: it is asked for each attempt at the
+     * Whether it may begin now on a connection to this address. Takes no lock: it is called for each attempt at the
      * moment of writing.
      *
      * @param now     on the gatherer's clock
@@ -73,31 +78,28 @@
         if (!worker.address().equals(address)) {
             return SendPermission.ADDRESS_CHANGED;
         }
-        if (now + LEAST_TIME > deadline) {
+        if (now + MICROS_PER_MILLI > deadline) {
             return SendPermission.DEADLINE_EXCEEDED;
         }
-        return now < beginBefore ? SendPermission.GRANTED : SendPermission.IDEMPOTENCY_WINDOW_EXPIRED;
+        return now < startBefore ? SendPermission.GRANTED : SendPermission.IDEMPOTENCY_WINDOW_EXPIRED;
     }
 
-    /** The milliseconds that its worker is told to have, at this moment: never more than the client has left. */
+    /** The milliseconds that its worker is told to have, at this moment: never more than are left to its deadline. */
     public long remainingMillis(long now) {
-        return (deadline - now) / LEAST_TIME;
+        return (deadline - now) / MICROS_PER_MILLI;
     }
 
-    /**
-     * It waits for a connection whose dial began at this time, on the gatherer's clock: should that fail, it took that
-     * long for whoever joined late as well.
-     */
-    public void waitsForConnect(long begunAt) {
-        dialledAt = Math.min(assignedAt, begunAt);
+    /** It waits for a connect that began at this time: if that fails, it took that long for late joiners as well. */
+    public void waitsForConnect(long startedAt) {
+        connectStartedAt = Math.min(assignedAt, startedAt);
     }
 
-    /** Since when its end counts: a dial that failed counts from its begin. */
+    /** Since when its duration counts: that of a failed connect from the connect's begin. */
     long startedAt(AttemptOutcome outcome) {
-        return outcome == AttemptOutcome.CONNECT_FAILED ? dialledAt : assignedAt;
+        return outcome == AttemptOutcome.CONNECT_FAILED ? connectStartedAt : assignedAt;
     }
 
-    /** When it is given up, on the gatherer's clock. */
+    /** When it times out. */
     public long deadline() {
         return deadline;
     }
--- a/src/main/java/wallmoor/core/AttemptOutcome.java
+++ b/src/main/java/wallmoor/core/AttemptOutcome.java
@@ -2,13 +2,13 @@
 
 import wallmoor.decision.RouterApi;
 
-/** How an attempt ended, in the words of the fronts. */
+/** How an attempt ended, as transports report it. */
 public enum AttemptOutcome {
     /** Served: the value is in. */
     SERVED(RouterApi.AttemptEndReason.OK),
     /** The worker answered with an error; it may have run. */
     ERROR(RouterApi.AttemptEndReason.ERROR),
-    /** Turned away unseen. */
+    /** Rejected before it ran. */
     REJECTED(RouterApi.AttemptEndReason.REJECTED),
     /** No answer in time; it may have run. */
     TIMED_OUT(RouterApi.AttemptEndReason.TIMEOUT),
@@ -16,11 +16,12 @@
     CONNECT_FAILED(RouterApi.AttemptEndReason.CONNECT_FAILED),
     /** The connection broke after the last byte was written; it may have run. */
     RESET(RouterApi.AttemptEndReason.RESET),
-    /** Called off; it may have run. */
+    /** Cancelled; it may have run. */
     CANCELLED(RouterApi.AttemptEndReason.CANCELLED),
-    /** Called off before any byte was written: never ran. */
+    /** Cancelled or no longer permitted before any byte was written: never ran. */
     NOT_SENT(RouterApi.AttemptEndReason.NOT_STARTED);
 
+    /** The same as the routing policy reads it. */
     final RouterApi.AttemptEndReason code;
 
     AttemptOutcome(RouterApi.AttemptEndReason code) {
--- a/src/main/java/wallmoor/core/WorkerTransport.java
+++ b/src/main/java/wallmoor/core/WorkerTransport.java
@@ -1,10 +1,10 @@
 package wallmoor.core;
 
-/** What a front's query threads use to reach workers. Neither call waits for a worker. */
+/** The transport from the threads of queries to workers. Neither call waits for a worker. */
 public interface WorkerTransport {
     /** Starts the attempts of one call; each is reported once, later. */
     void send(Step.Send send);
 
-    /** Calls an attempt off; it is reported once nothing of it is out any more, so that no second copy ever is. */
+    /** Cancels an attempt; it is reported once nothing of it is in flight any more, so that no duplicate ever is. */
     void cancel(Step.Cancel cancel);
 }
--- a/src/main/java/wallmoor/core/package-info.java
+++ b/src/main/java/wallmoor/core/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The blocking facade of the decision module: {@code Gatherer}, and the types in which fronts and network code speak
- * with it. One lock, never held during I/O.
+ * The blocking facade of the routing policy: {@code Gatherer} for traffic, {@code GathererControl} for endpoints, bans
+ * and settings, and the types in which fronts and transports speak with them. One lock guards the policy and all tables
+ * here; it is never held during I/O.
  */
 package wallmoor.core;
--- a/src/main/java/wallmoor/discovery/DiscoveryWatch.java
+++ b/src/main/java/wallmoor/discovery/DiscoveryWatch.java
@@ -108,7 +108,7 @@
         }
         if (moves) {
             close(open); // its reader finds that the source is another one
-            gatherer.requestWatch();
+            gatherer.control().requestWatch();
         }
     }
 
@@ -116,7 +116,7 @@
     private void run() {
         while (!Thread.currentThread().isInterrupted()) {
             try {
-                gatherer.awaitWatchRequest(callBy());
+                gatherer.control().awaitWatchRequest(callBy());
             } catch (InterruptedException e) {
                 return;
             }
@@ -197,9 +197,9 @@
                     (now - clock.staleSince()) / 1000, (clock.notifiedAt(now) - now) / 1000);
         }
         if (failed) {
-            gatherer.watchFailed();
+            gatherer.control().watchFailed();
         } else {
-            gatherer.watchReconnecting();
+            gatherer.control().watchReconnecting();
         }
     }
 
@@ -250,7 +250,7 @@
             if (from == place) {
                 to.accept(new WatchEvent.EndpointsUnchanged(name()));
                 if (first) { // the module waits to hear from the list, be it that nothing has changed
-                    gatherer.updateEndpoints(false, List.of());
+                    gatherer.control().updateEndpoints(false, List.of());
                 }
             }
             first = false;
--- a/src/main/java/wallmoor/edge/EdgeRequest.java
+++ b/src/main/java/wallmoor/edge/EdgeRequest.java
@@ -64,7 +64,8 @@
     private static long[] digest(String name, long millis, List<Query.PartRequest> parts, String q) {
         var text = new StringBuilder(name).append('\n').append(millis);
         parts.forEach(
-                p -> text.append('\n').append(p.shard()).append(' ').append(p.weight()).append(' ').append(p.hint()));
+                p -> text.append('\n').append(p.shard()).append(' ').append(p.weight()).append(' ')
+                        .append(p.workHint()));
         text.append('\n').append(q);
         byte[] hash = sha256(text.toString().getBytes(StandardCharsets.UTF_8));
         var words = java.nio.ByteBuffer.wrap(hash);
--- a/src/main/java/wallmoor/ogc/FeaturesFront.java
+++ b/src/main/java/wallmoor/ogc/FeaturesFront.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
-import java.util.function.Consumer;
+import org.slf4j.Logger;
 import wallmoor.config.LaunchConfig;
 import wallmoor.config.OgcConfig;
 import wallmoor.config.OgcConfig.Collection;
@@ -56,7 +56,6 @@
     private final OgcConfig config;
     private final RoutingSettings settings;
     private final MonotonicClock clock;
-    private final Consumer<String> log;
     private final Gatherer gatherer;
     private final FeatureServerTransport servers;
     private final EndpointUpdater membership;
@@ -74,10 +73,9 @@
      */
     public FeaturesFront(OgcConfig config, SummariesConfig pruning, RuleReader acting, LaunchConfig launch,
             MonotonicClock clock,
-            Consumer<String> log) throws IOException {
+            Logger log) throws IOException {
         this.config = config;
         this.clock = clock;
-        this.log = log;
         settings = launch.settings().withLayout(config.layout());
         gatherer = new Gatherer(settings, launch.seed(), clock, log);
         servers = new FeatureServerTransport(gatherer, launch.connectMillis(), launch.sockets() / 8);
@@ -87,7 +85,8 @@
         sites = pruning == null ? null : new FeatureServerDirectory(config, inventory, promises);
         membership = new EndpointUpdater(RegistryPolicy.of(List.of(policy)), clock, gatherer,
                 List.of(sites == null ? inventory : sites));
-        server = new Server("ogc", config.listen(), launch.sockets() / 16, launch.sockets() / 16, this::handle, log);
+        server = new Server("ogc", config.listen(), launch.sockets() / 16, launch.sockets() / 16, this::handle,
+                log::info);
     }
 
     /** Begins to serve. */
@@ -101,7 +100,7 @@
      * So many gatherers share what they have in common from now on, and this is this one's place among them, from 0.
      */
     public void setFleetPosition(int count, int place) {
-        gatherer.setFleetPosition(count, place);
+        gatherer.control().setFleetPosition(count, place);
     }
 
     /** Asks clients to leave, takes what still comes, and answers all of it. */
--- a/src/main/java/wallmoor/service/CalendarNodes.java
+++ b/src/main/java/wallmoor/service/CalendarNodes.java
@@ -3,9 +3,10 @@
 import java.net.Proxy;
 import java.net.Socket;
 import java.util.List;
-import java.util.function.Consumer;
 import java.util.function.Supplier;
+import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.slf4j.helpers.NOPLogger;
 import wallmoor.config.LaunchConfig;
 import wallmoor.config.OperatorConfig;
 import wallmoor.core.Gatherer;
@@ -33,9 +34,8 @@
     private CalendarNodes(LaunchConfig launch, MonotonicClock clock, OperatorConfig operator, Supplier<Socket> sockets,
             GathererMetrics figures)
             throws Json.Malformed {
-        Consumer<String> log = LoggerFactory.getLogger(Gatherer.class)::info;
-        gatherer = new Gatherer(launch.settings(), launch.classes(), launch.seed(), clock,
-                operator == null ? line -> {} : log, figures);
+        Logger log = operator == null ? NOPLogger.NOP_LOGGER : LoggerFactory.getLogger(Gatherer.class);
+        gatherer = new Gatherer(launch.settings(), launch.classes(), launch.seed(), clock, log, figures);
         list = operator == null || !operator.list().enabled() ? null : new DiscoveryWatch(launch, gatherer);
         sources = operator == null ? null : Sources.of(operator, launch, clock, gatherer, list);
         boolean listAlone = operator == null || operator.listAlone();
@@ -55,7 +55,7 @@
             List<WorkerEndpoint> members) {
         try {
             var nodes = new CalendarNodes(launch, clock, null, sockets, new GathererMetrics());
-            nodes.gatherer.start(members);
+            nodes.gatherer.control().start(members);
             nodes.timers = Threads.start("rehearsal-timers", nodes.gatherer::runTimers);
             return nodes;
         } catch (Json.Malformed e) {
--- a/src/main/java/wallmoor/service/Operations.java
+++ b/src/main/java/wallmoor/service/Operations.java
@@ -10,6 +10,7 @@
 import wallmoor.bans.BanRegister;
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.Gatherer;
+import wallmoor.core.GathererControl;
 import wallmoor.core.MonotonicClock;
 import wallmoor.metrics.GathererMetrics;
 import wallmoor.operator.BanFile;
@@ -33,18 +34,18 @@
 
             @Override
             public String metricsText() {
-                Gatherer.WorkerCounts known = gatherer.workerCounts();
+                GathererControl.WorkerCounts known = gatherer.control().workerCounts();
                 return figures.render(current.get().inForce(), known.known(), known.excluded());
             }
 
             @Override
             public boolean isKnownWorker(String id) {
-                return gatherer.isKnownWorker(id);
+                return gatherer.control().isKnownWorker(id);
             }
 
             @Override
             public void setBanned(String id, boolean out) {
-                gatherer.setBanned(id, out);
+                gatherer.control().setBanned(id, out);
             }
         }, new BanRegister(), shared == null ? null : new BanFile(shared, log), clock, log);
     }
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -79,7 +79,7 @@
         nodes = CalendarNodes.of(launch, clock, operator, figures);
         rules = operator.rules() == null ? null : new RulesService(operator.rules(), launch, this::agreed);
         RuleReader acting = rules == null ? RuleReader.NONE : rules.reader();
-        inForce = new EffectiveSettings(launch, nodes.gatherer()::updateSettings,
+        inForce = new EffectiveSettings(launch, nodes.gatherer().control()::updateSettings,
                 () -> acting.effectiveRule("settings"),
                 line -> log.info(STATE, line));
         Consumer<String> platformLog = LoggerFactory.getLogger(PlatformFront.class)::info;
@@ -90,7 +90,7 @@
         features = operator.ogc() == null ? null : features(clock, acting);
         edge = operator.edge() == null ? null : new EdgeService(operator.edge(), launch, inForce::launch, clock, nodes);
         group = operator.fleet() == null ? null : new GroupService(operator.fleet(), launch, share -> {
-            nodes.gatherer().setFleetPosition(share.memberCount(), share.rank());
+            nodes.gatherer().control().setFleetPosition(share.memberCount(), share.rank());
             if (features != null) {
                 features.setFleetPosition(share.memberCount(), share.rank());
             }
@@ -129,13 +129,14 @@
         platform.setProcessCount(now.count());
         if (group == null) {
             RoutingSettings s = launch.settings();
-            nodes.gatherer().setFleetPosition(s.gatherers() * now.count(), s.position() + s.gatherers() * now.index());
+            nodes.gatherer().control().setFleetPosition(s.gatherers() * now.count(),
+                    s.position() + s.gatherers() * now.index());
         }
     }
 
     private FeaturesFront features(MonotonicClock clock, RuleReader acting) throws IOException {
-        Consumer<String> featuresLog = LoggerFactory.getLogger(FeaturesFront.class)::info;
-        return new FeaturesFront(operator.ogc(), operator.summaries(), acting, launch, clock, featuresLog);
+        return new FeaturesFront(operator.ogc(), operator.summaries(), acting, launch, clock,
+                LoggerFactory.getLogger(FeaturesFront.class));
     }
 
     /** Begins to serve; beside a process that serves already, once the list is heard. */
--- a/src/main/java/wallmoor/sources/EndpointUpdater.java
+++ b/src/main/java/wallmoor/sources/EndpointUpdater.java
@@ -75,9 +75,9 @@
                 }
             }
         }
-        gatherer.start(known);
+        gatherer.control().start(known);
         if (sources.stream().noneMatch(s -> s.name().equals("list"))) {
-            gatherer.updateEndpoints(false, List.of()); // there is no list to ask for
+            gatherer.control().updateEndpoints(false, List.of()); // there is no list to ask for
         }
         if (sources.size() > 1 || !sources.get(0).name().equals("list")) { // a list alone has no timed rules
             Threads.start("membership", this::runTimers);
@@ -156,13 +156,13 @@
         ordered.sort((a, b) -> Boolean.compare(a.state() == WorkerEndpoint.EndpointState.SERVING,
                 b.state() == WorkerEndpoint.EndpointState.SERVING));
         if (list) { // the module counts on hearing from the list, be it that nothing has changed
-            gatherer.updateEndpoints(false, ordered.subList(0, Math.min(AT_ONCE, ordered.size())));
+            gatherer.control().updateEndpoints(false, ordered.subList(0, Math.min(AT_ONCE, ordered.size())));
         }
         for (int from = list ? AT_ONCE : 0; from < ordered.size(); from += AT_ONCE) {
             if (from > 0) { // the lock is not a fair one: whoever waits for it would not get it in between
                 LockSupport.parkNanos(PAUSE_NANOS);
             }
-            gatherer.mergeEndpoints(ordered.subList(from, Math.min(ordered.size(), from + AT_ONCE)));
+            gatherer.control().mergeEndpoints(ordered.subList(from, Math.min(ordered.size(), from + AT_ONCE)));
         }
     }
 
--- a/src/test/java/wallmoor/core/GathererPropertiesTest.java
+++ b/src/test/java/wallmoor/core/GathererPropertiesTest.java
@@ -16,6 +16,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.Test;
+import wallmoor.standin.RecordingLogger;
 
 /**
  * After any order of queries, answers, clients that leave, drains and time, each query had one end and nothing is kept.
@@ -30,14 +31,14 @@
     private final AtomicLong clock = new AtomicLong(1_000_000_000);
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
     private final Gatherer gatherer = new Gatherer(GathererTest.settings(GathererTest.SETTINGS.replace("MaxOpen=20",
-            "MaxOpen=200")), 7, clock::get, log::add);
+            "MaxOpen=200")), 7, clock::get, new RecordingLogger(log::add));
 
     private static WorkerEndpoint member(String id, WorkerEndpoint.EndpointState state) {
         return new WorkerEndpoint(id, id, 0, 0, 0, state, 1, 0);
     }
 
     private void start() {
-        gatherer.start(List.of(member("a", WorkerEndpoint.EndpointState.SERVING),
+        gatherer.control().start(List.of(member("a", WorkerEndpoint.EndpointState.SERVING),
                 member("b", WorkerEndpoint.EndpointState.SERVING),
                 member("c", WorkerEndpoint.EndpointState.SERVING)));
     }
@@ -86,8 +87,9 @@
                     clock.addAndGet(random.nextInt(60_000));
                     gatherer.tick(0);
                 }
-                case 6 -> gatherer.updateEndpoints(false, List.of(member("" + (char) ('a' + random.nextInt(3)),
-                        WorkerEndpoint.EndpointState.values()[random.nextInt(3)])));
+                case 6 ->
+                    gatherer.control().updateEndpoints(false, List.of(member("" + (char) ('a' + random.nextInt(3)),
+                            WorkerEndpoint.EndpointState.values()[random.nextInt(3)])));
                 default -> {
                     if (!open.isEmpty()) {
                         pickAll(open.get(random.nextInt(open.size())));
@@ -154,7 +156,7 @@
             assertEquals("one end each", opened, ended);
             assertEquals(0, gatherer.openQueriesAndParts());
             assertEquals(0, gatherer.retainedEntries());
-            assertEquals(List.of(), log.stream().filter(l -> l.contains("module failed")).toList());
+            assertEquals(List.of(), log.stream().filter(l -> l.contains("routing policy failed")).toList());
         }
     }
 
@@ -281,6 +283,6 @@
         assertEquals(THREADS * QUERIES_EACH, ends.get());
         assertEquals(0, gatherer.openQueriesAndParts());
         assertEquals(0, gatherer.retainedEntries());
-        assertEquals(List.of(), log.stream().filter(l -> l.contains("module failed")).toList());
+        assertEquals(List.of(), log.stream().filter(l -> l.contains("routing policy failed")).toList());
     }
 }
--- a/src/test/java/wallmoor/core/GathererTest.java
+++ b/src/test/java/wallmoor/core/GathererTest.java
@@ -20,6 +20,7 @@
 import org.junit.Test;
 import wallmoor.config.SettingsReader;
 import wallmoor.decision.RouterApi.RoutingSettings;
+import wallmoor.standin.RecordingLogger;
 
 /** The facade with a hand-turned clock and no sockets. */
 public class GathererTest {
@@ -40,8 +41,8 @@
 
     @Before
     public void start() {
-        gatherer = new Gatherer(settings(SETTINGS), 7, clock::get, this::log);
-        gatherer.start(List.of(member("a", WorkerEndpoint.EndpointState.SERVING),
+        gatherer = new Gatherer(settings(SETTINGS), 7, clock::get, new RecordingLogger(this::log));
+        gatherer.control().start(List.of(member("a", WorkerEndpoint.EndpointState.SERVING),
                 member("b", WorkerEndpoint.EndpointState.SERVING)));
     }
 
@@ -110,11 +111,11 @@
     @Test
     public void aDrainHoldsForWhatWasDecidedButNotYetPicked() throws Exception {
         Query q = open("q", 1);
-        gatherer.updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.DRAINING)));
+        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.DRAINING)));
         var send = (Step.Send) pick(q);
         assertEquals("b", send.worker().id());
         Query r = open("r", 1);
-        gatherer.updateEndpoints(true, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(true, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
         assertEquals("b is gone from a whole list", "a", ((Step.Send) pick(r)).worker().id());
     }
 
@@ -147,7 +148,7 @@
         assertTrue(pick(late) instanceof Step.Cancel);
         assertTrue("it may have run: no refusal", pick(late) instanceof Step.Fail f && f.timedOut());
         assertEquals(0, gatherer.openQueries());
-        assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("module failed")));
+        assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("routing policy failed")));
     }
 
     /** The client leaves between the decision and the hand-over. The other order is the test above. */
@@ -235,7 +236,7 @@
         var send = (Step.Send) pick(q);
         // the module would log that it is ill
         gatherer.report(send.attempts().get(0), AttemptOutcome.CONNECT_FAILED, null);
-        assertTrue(log.toString(), log.stream().anyMatch(l -> l.contains("module failed")));
+        assertTrue(log.toString(), log.stream().anyMatch(l -> l.contains("routing policy failed")));
         clock.addAndGet(2_000_000 + 5_000);
         assertTrue(pick(q) instanceof Step.Fail);
         assertEquals(0, gatherer.retainedEntries());
@@ -250,13 +251,15 @@
         var first = (Step.Send) pick(q);
         gatherer.report(first.attempts().get(0), AttemptOutcome.ERROR, null);
         var second = (Step.Send) pick(q);
-        gatherer.updateSettings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")), List.of("any", "once"),
+        gatherer.control().updateSettings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")),
+                List.of("any", "once"),
                 java.util.Set.of());
         gatherer.report(second.attempts().get(0), AttemptOutcome.ERROR, null);
         assertTrue(pick(q) instanceof Step.FinalStep);
         Query r = open("r", 0);
         var only = (Step.Send) pick(r);
-        gatherer.updateSettings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")), List.of("any", "once"),
+        gatherer.control().updateSettings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")),
+                List.of("any", "once"),
                 java.util.Set.of());
         gatherer.report(only.attempts().get(0), AttemptOutcome.SERVED, new byte[] {1});
         assertTrue(pick(r) instanceof Step.Answer);
@@ -266,19 +269,19 @@
     /** A ban holds over all that lists say, also for a node that leaves them and comes back; one call lifts it. */
     @Test
     public void aBanStandsAboveTheList() throws Exception {
-        gatherer.setBanned("a", true);
-        gatherer.setBanned("a", true);
-        gatherer.updateEndpoints(true, List.of(member("b", WorkerEndpoint.EndpointState.SERVING)));
-        gatherer.updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
-        assertEquals(new Gatherer.WorkerCounts(2, 1), gatherer.workerCounts());
+        gatherer.control().setBanned("a", true);
+        gatherer.control().setBanned("a", true);
+        gatherer.control().updateEndpoints(true, List.of(member("b", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
+        assertEquals(new GathererControl.WorkerCounts(2, 1), gatherer.control().workerCounts());
         for (int i = 0; i < 8; i++) {
             assertEquals("b", ((Step.Send) gatherer.awaitStep(open("q" + i, 0))).worker().id());
         }
-        gatherer.setBanned("a", false);
-        gatherer.updateEndpoints(true, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().setBanned("a", false);
+        gatherer.control().updateEndpoints(true, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
         assertEquals("a", ((Step.Send) gatherer.awaitStep(open("back", 0))).worker().id());
-        assertTrue(gatherer.isKnownWorker("b")); // formerly
-        assertFalse(gatherer.isKnownWorker("c"));
+        assertTrue(gatherer.control().isKnownWorker("b")); // formerly
+        assertFalse(gatherer.control().isKnownWorker("c"));
     }
 
     private interface Lists {
@@ -311,24 +314,24 @@
     @Test
     public void whatWasDrainedOrRemovedIsAtNoMomentSeenToServe() throws Exception {
         Worker a = workerOf("a");
-        gatherer.updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.DRAINING)));
+        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.DRAINING)));
         assertFalse(a.isServing());
-        neverServes(a, i -> gatherer.updateEndpoints(i % 2 == 0,
+        neverServes(a, i -> gatherer.control().updateEndpoints(i % 2 == 0,
                 List.of(member("a", WorkerEndpoint.EndpointState.DRAINING),
                         member("b", WorkerEndpoint.EndpointState.SERVING))));
         neverServes(a, i -> { // named twice: the last entry alone
-            gatherer.updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING),
+            gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING),
                     member("a", WorkerEndpoint.EndpointState.DRAINING)));
         });
-        gatherer.updateEndpoints(true, List.of(member("b", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(true, List.of(member("b", WorkerEndpoint.EndpointState.SERVING)));
         assertFalse(a.isServing());
         neverServes(a, i -> { // it comes back under its id: whatever still waits for the old one does not go out
-            gatherer.updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
-            gatherer.updateEndpoints(i % 2 == 0,
+            gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
+            gatherer.control().updateEndpoints(i % 2 == 0,
                     i % 2 == 0 ? List.of(member("b", WorkerEndpoint.EndpointState.SERVING))
                             : List.of(member("a", WorkerEndpoint.EndpointState.GONE)));
         });
-        assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("module failed")));
+        assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("routing policy failed")));
     }
 
     /** One that stays in a whole list serves at every moment: a call that is being written must not be turned back. */
@@ -344,14 +347,15 @@
             return served;
         });
         for (int i = 0; i < 20_000; i++) {
-            gatherer.updateEndpoints(true, i % 2 == 0 ? List.of(member("a", WorkerEndpoint.EndpointState.SERVING))
-                    : List.of(member("b", WorkerEndpoint.EndpointState.SERVING),
-                            member("a", WorkerEndpoint.EndpointState.GONE),
-                            member("a", WorkerEndpoint.EndpointState.SERVING)));
+            gatherer.control().updateEndpoints(true,
+                    i % 2 == 0 ? List.of(member("a", WorkerEndpoint.EndpointState.SERVING))
+                            : List.of(member("b", WorkerEndpoint.EndpointState.SERVING),
+                                    member("a", WorkerEndpoint.EndpointState.GONE),
+                                    member("a", WorkerEndpoint.EndpointState.SERVING)));
         }
         over.set(true);
         assertTrue(always.get());
-        gatherer.updateEndpoints(true, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(true, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
         assertEquals("a", ((Step.Send) pick(open("still", 0))).worker().id());
     }
 
@@ -359,16 +363,16 @@
     @Test
     public void aBanAndADrainStandApart() throws Exception {
         Worker a = workerOf("a");
-        gatherer.setBanned("a", true);
-        gatherer.updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.DRAINING)));
-        gatherer.setBanned("a", false);
+        gatherer.control().setBanned("a", true);
+        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.DRAINING)));
+        gatherer.control().setBanned("a", false);
         assertFalse("the list's drain stands", a.isServing());
-        gatherer.setBanned("a", true);
-        gatherer.updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().setBanned("a", true);
+        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
         assertFalse("the ban stands", a.isServing());
-        gatherer.updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.GONE)));
-        gatherer.setBanned("a", false); // of one that is gone
-        gatherer.updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.GONE)));
+        gatherer.control().setBanned("a", false); // of one that is gone
+        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
         assertFalse(a.isServing());
         assertTrue("another start of it", workerOf("a").isServing());
     }
--- a/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
+++ b/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
@@ -24,6 +24,7 @@
 import wallmoor.core.Step;
 import wallmoor.core.WorkerEndpoint;
 import wallmoor.decision.RouterApi.RoutingSettings;
+import wallmoor.standin.RecordingLogger;
 
 /**
  * A gatherer with a hand-turned clock, real connections to workers whose moves a test makes, and gates in the way of
@@ -71,7 +72,7 @@
             pairs.put(pair.split("=")[0], pair.split("=")[1]);
         }
         RoutingSettings settings = new SettingsReader(pairs).settings();
-        gatherer = new Gatherer(settings, 7, clock::get, log::add);
+        gatherer = new Gatherer(settings, 7, clock::get, new RecordingLogger(log::add));
     }
 
     @After
@@ -83,7 +84,7 @@
         for (AutoCloseable o : opened) {
             o.close();
         }
-        assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("module failed")));
+        assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("routing policy failed")));
     }
 
     ManualWorker worker() throws IOException {
@@ -101,7 +102,7 @@
         for (int i = 0; i < workers.length; i++) {
             members.add(member(i, workers[i], WorkerEndpoint.EndpointState.SERVING));
         }
-        gatherer.start(members);
+        gatherer.control().start(members);
     }
 
     static WorkerEndpoint member(int place, ManualWorker worker, WorkerEndpoint.EndpointState state) {
--- a/src/test/java/wallmoor/frames/SendPermissionAtWriteTest.java
+++ b/src/test/java/wallmoor/frames/SendPermissionAtWriteTest.java
@@ -72,7 +72,7 @@
     public void whatIsCalledOffWhileQueuedIsNotWrittenNorItsEnd() throws Exception {
         Query query = sent("q", SAFE);
         ManualWorker other = worker();
-        gatherer.updateEndpoints(false, List.of(member(1, other, WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(false, List.of(member(1, other, WorkerEndpoint.EndpointState.SERVING)));
         pass(700); // late: the module calls it off, and the query's own thread does not run yet
         goOn();
         Step next = pick(query);
@@ -89,7 +89,7 @@
     public void aDrainThatIsToldWhileTheCallIsQueuedHolds() throws Exception {
         Query query = sent("q", ONCE);
         ManualWorker other = worker();
-        gatherer.updateEndpoints(false, List.of(member(0, worker, WorkerEndpoint.EndpointState.DRAINING),
+        gatherer.control().updateEndpoints(false, List.of(member(0, worker, WorkerEndpoint.EndpointState.DRAINING),
                 member(1, other, WorkerEndpoint.EndpointState.SERVING)));
         goOn();
         send(query); // it never ran: it goes again, though it may run once
@@ -108,7 +108,7 @@
     public void aCallForAWorkerThatMovedIsNotWrittenToItsOldAddress() throws Exception {
         Query query = sent("q", ONCE);
         ManualWorker elsewhere = worker();
-        gatherer.updateEndpoints(false, List.of(member(0, elsewhere, WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(false, List.of(member(0, elsewhere, WorkerEndpoint.EndpointState.SERVING)));
         goOn();
         send(query); // it never ran: it goes again, though it may run once
         ManualWorker.Peer there = elsewhere.accept();
@@ -123,7 +123,7 @@
         goOn();
         assertCall("q.0", peer.frame());
         ManualWorker elsewhere = worker();
-        gatherer.updateEndpoints(false, List.of(member(0, elsewhere, WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(false, List.of(member(0, elsewhere, WorkerEndpoint.EndpointState.SERVING)));
         peer.answer("q.0", "ok");
         assertTrue(pick(query) instanceof Step.Answer);
         finishFirst();
--- a/src/test/java/wallmoor/frames/WorkerConnectionRaceTest.java
+++ b/src/test/java/wallmoor/frames/WorkerConnectionRaceTest.java
@@ -26,7 +26,7 @@
         Query query = sent("q", SAFE);
         ManualWorker.Peer peer = one.accept();
         assertCall("q.0", peer.frame());
-        gatherer.updateEndpoints(false, List.of(member(1, other, WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(false, List.of(member(1, other, WorkerEndpoint.EndpointState.SERVING)));
         pass(700);
         socket.beforeWrite.shut();
         cancel(query);
@@ -157,7 +157,7 @@
         Query query = sent("q", ONCE);
         socket.beforeWrite.awaitHeld(); // offered while all was well
         Query behind = sent("behind", ONCE);
-        gatherer.updateEndpoints(false, List.of(member(1, worker, WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(false, List.of(member(1, worker, WorkerEndpoint.EndpointState.SERVING)));
         peer.finish(); // an idle connection is closed early
         await("the end", socket::isClosed);
         socket.beforeWrite.open();
@@ -220,7 +220,7 @@
         assertTrue(pick(query) instanceof Step.ClientGone);
         assertNothingHeld();
         Query refused = sent("refused", SAFE); // waits on the one connection there may be
-        gatherer.updateEndpoints(false, List.of(member(1, worker, WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(false, List.of(member(1, worker, WorkerEndpoint.EndpointState.SERVING)));
         socket.close();
         socket.beforeConnect.open();
         await("its place is free", () -> log.contains("reach a false") || socket.isClosed());
@@ -324,7 +324,8 @@
             "\0\0\0\15Ax ok 7 -\nvvv".getBytes(), "\0\0\0\17Abad.0 odd 7 -\n".getBytes()};
         for (int i = 0; i < bad.length; i++) {
             ManualWorker spoilt = worker();
-            gatherer.updateEndpoints(true, List.of(member(1 + i, spoilt, WorkerEndpoint.EndpointState.SERVING)));
+            gatherer.control().updateEndpoints(true,
+                    List.of(member(1 + i, spoilt, WorkerEndpoint.EndpointState.SERVING)));
             Query query = sent("bad" + i, ONCE);
             ManualWorker.Peer peer = spoilt.accept();
             assertCall("bad" + i + ".0", peer.frame());
--- a/src/test/java/wallmoor/net/WatchCrossingsTest.java
+++ b/src/test/java/wallmoor/net/WatchCrossingsTest.java
@@ -22,6 +22,7 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
+import org.slf4j.helpers.NOPLogger;
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.Gatherer;
 import wallmoor.core.MonotonicClock;
@@ -121,7 +122,7 @@
     private void start(String way) throws Exception {
         LaunchConfig launch = launch(discovery.port(), way);
         var clock = new MonotonicClock();
-        gatherer = new Gatherer(launch.settings(), launch.seed(), clock, line -> {});
+        gatherer = new Gatherer(launch.settings(), launch.seed(), clock, NOPLogger.NOP_LOGGER);
         watch = new DiscoveryWatch(launch, gatherer);
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
@@ -158,7 +159,7 @@
     }
 
     private void awaitListed(int count) throws InterruptedException {
-        Program.await(count + " nodes listed", () -> gatherer.workerCounts().known() == count);
+        Program.await(count + " nodes listed", () -> gatherer.control().workerCounts().known() == count);
     }
 
     // ---- where an object begins and ends ------------------------------------------------------------------
@@ -270,7 +271,7 @@
         call.chunk("{\"revision\":43,\"complete\":true}\n");
         var next = discovery.call();
         assertEquals(LIST, next.target());
-        assertEquals("nobody is gone by that", 2, gatherer.workerCounts().known());
+        assertEquals("nobody is gone by that", 2, gatherer.control().workerCounts().known());
         assertTrue(a.isServing() && b.isServing());
         next.answer(200, whole(43)); // what a whole list doesn't name is gone
         awaitListed(0);
@@ -350,17 +351,17 @@
     @Test
     public void aDrainAndABanTogether() throws Exception {
         var call = watched();
-        gatherer.setBanned("a", true);
+        gatherer.control().setBanned("a", true);
         assertFalse(a.isServing());
         call.chunk(changes(43, member("a", DRAINING), member("b", DRAINING)));
         awaitDrained(b);
-        gatherer.setBanned("a", false);
+        gatherer.control().setBanned("a", false);
         assertFalse("the list drains it still", a.isServing());
-        gatherer.setBanned("b", true);
+        gatherer.control().setBanned("b", true);
         call.chunk(changes(44, member("a", SERVING), member("b", SERVING)));
         Program.await("a serves", a::isServing);
         assertFalse("an operator took it out", b.isServing());
-        gatherer.setBanned("b", false);
+        gatherer.control().setBanned("b", false);
         assertTrue(b.isServing());
     }
 
@@ -405,11 +406,11 @@
     @Test
     public void aRevisionIsHeldOnlyOnceItsNewsWasTakenIn() throws Exception {
         LaunchConfig launch = launch(discovery.port(), "subscribe");
-        gatherer = new Gatherer(launch.settings(), launch.seed(), new MonotonicClock(), line -> {});
+        gatherer = new Gatherer(launch.settings(), launch.seed(), new MonotonicClock(), NOPLogger.NOP_LOGGER);
         watch = new DiscoveryWatch(launch, gatherer);
         var fails = new AtomicInteger(1);
         var taken = new ArrayList<WatchEvent>();
-        gatherer.start(List.of());
+        gatherer.control().start(List.of());
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
         timers.start();
@@ -587,9 +588,9 @@
                 }
                 ScriptedDiscovery other = scripted();
                 LaunchConfig old = launch(full.getLocalPort(), "subscribe");
-                gatherer = new Gatherer(old.settings(), old.seed(), new MonotonicClock(), line -> {});
+                gatherer = new Gatherer(old.settings(), old.seed(), new MonotonicClock(), NOPLogger.NOP_LOGGER);
                 watch = new DiscoveryWatch(old, gatherer);
-                gatherer.start(List.of());
+                gatherer.control().start(List.of());
                 watch.start(news -> {});
                 Thread.sleep(300); // within the second that a connection may take
                 long begun = System.nanoTime();
--- a/src/test/java/wallmoor/ogc/FetchPermissionTest.java
+++ b/src/test/java/wallmoor/ogc/FetchPermissionTest.java
@@ -20,6 +20,7 @@
 import org.junit.After;
 import org.junit.Before;
 import org.junit.Test;
+import org.slf4j.helpers.NOPLogger;
 import wallmoor.config.OgcConfig;
 import wallmoor.config.SettingsReader;
 import wallmoor.core.Gatherer;
@@ -59,8 +60,8 @@
         for (String pair : SETTINGS.split(" ")) {
             pairs.put(pair.split("=")[0], pair.split("=")[1]);
         }
-        gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock::get, line -> {});
-        gatherer.start(List.of(member(server.getLocalPort(), WorkerEndpoint.EndpointState.SERVING)));
+        gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock::get, NOPLogger.NOP_LOGGER);
+        gatherer.control().start(List.of(member(server.getLocalPort(), WorkerEndpoint.EndpointState.SERVING)));
         var of = new OgcConfig.Collection("c", "c", "c", "c-{shard}", 0, List.of(0), List.of());
         query = gatherer.open("q", 0, clock.get() + 2_000_000, false, List.of(new Query.PartRequest(0, 1, -1)),
                 new FeatureQuery(of, "", null, 10, Map.of(0, 0), true));
@@ -107,7 +108,8 @@
 
     @Test
     public void aDrainThatIsToldBeforeTheFirstRequestHolds() throws Exception {
-        gatherer.updateEndpoints(false, List.of(member(server.getLocalPort(), WorkerEndpoint.EndpointState.DRAINING)));
+        gatherer.control().updateEndpoints(false,
+                List.of(member(server.getLocalPort(), WorkerEndpoint.EndpointState.DRAINING)));
         Future<FeatureFetch.PooledConnection> fetch = fetch();
         assertEquals("", all(server.accept()));
         fetch.get(15, TimeUnit.SECONDS);
