--- a/src/main/java/wallmoor/consensus/DurableStore.java
+++ b/src/main/java/wallmoor/consensus/DurableStore.java
@@ -16,6 +16,8 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.TreeMap;
+import wallmoor.rules.ByteReader;
+import wallmoor.rules.ByteWriter;
 import wallmoor.rules.CorruptDataException;
 import wallmoor.rules.LogEntryCodec;
 import wallmoor.rules.RecordFile;
@@ -65,7 +67,7 @@
             incarnation = now;
             log = directory.createLog(LOG, List.of());
         } else {
-            var from = new LogEntryCodec.ByteReader(vote.get(0)).readFormatVersion();
+            var from = new ByteReader(vote.get(0)).readFormatVersion();
             incarnation = Math.max(now, from.readLong() + 1);
             term = (int) from.readLong();
             votedFor = from.readText();
@@ -170,7 +172,7 @@
 
     private void vote() throws IOException {
         directory.replace(VOTE,
-                List.of(new LogEntryCodec.ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(incarnation)
+                List.of(new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(incarnation)
                         .writeLong(term).writeText(votedFor)
                         .writeLong(minimumLeaderTerm).toByteArray()));
     }
@@ -186,7 +188,7 @@
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
         entries.tailMap(index, true).clear();
-        append(new LogEntryCodec.ByteWriter().writeLong(CUT).writeLong(index).toByteArray());
+        append(new ByteWriter().writeLong(CUT).writeLong(index).toByteArray());
     }
 
     @Override
@@ -212,7 +214,7 @@
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
         chunks.remove(index);
-        append(new LogEntryCodec.ByteWriter().writeLong(DROP).writeLong(index).toByteArray());
+        append(new ByteWriter().writeLong(DROP).writeLong(index).toByteArray());
     }
 
     @Override
@@ -233,19 +235,19 @@
     }
 
     private static byte[] of(LogEntry e) {
-        return new LogEntryCodec.ByteWriter().writeLong(ENTRY).writeLong(e.getIndex()).writeLong(e.getTerm())
+        return new ByteWriter().writeLong(ENTRY).writeLong(e.getIndex()).writeLong(e.getTerm())
                 .writeBytes((byte[]) e.getOperation())
                 .toByteArray();
     }
 
     private static byte[] of(SnapshotChunk c) {
-        return new LogEntryCodec.ByteWriter().writeLong(CHUNK).writeLong(c.getIndex()).writeLong(c.getTerm())
+        return new ByteWriter().writeLong(CHUNK).writeLong(c.getIndex()).writeLong(c.getTerm())
                 .writeLong(c.getSnapshotChunkIndex())
                 .writeLong(c.getSnapshotChunkCount()).writeBytes((byte[]) c.getOperation()).toByteArray();
     }
 
     private void take(byte[] record) throws CorruptDataException {
-        var from = new LogEntryCodec.ByteReader(record);
+        var from = new ByteReader(record);
         long type = from.readLong();
         long index = from.readLong();
         if (type == ENTRY) {
--- a/src/main/java/wallmoor/consensus/Packet.java
+++ b/src/main/java/wallmoor/consensus/Packet.java
@@ -2,6 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import wallmoor.rules.ByteReader;
+import wallmoor.rules.ByteWriter;
 import wallmoor.rules.CorruptDataException;
 import wallmoor.rules.LeaseMessage;
 import wallmoor.rules.LeaseMessageCodec;
@@ -59,7 +61,7 @@
 
     /** As a frame carries it. */
     static byte[] encode(Packet packet) {
-        var to = new LogEntryCodec.ByteWriter();
+        var to = new ByteWriter();
         if (packet instanceof Handshake p) {
             to.writeLong(1).writeLong(MAGIC).writeText(p.group()).writeText(p.name()).writeLong(p.incarnation());
         } else if (packet instanceof RaftEnvelope p) {
@@ -89,7 +91,7 @@
 
     /** What a frame carried. */
     static Packet decode(byte[] bytes) throws CorruptDataException {
-        var from = new LogEntryCodec.ByteReader(bytes);
+        var from = new ByteReader(bytes);
         int type = (int) from.readLong();
         Packet packet = switch (type) {
             case 1 -> {
@@ -117,7 +119,7 @@
         return packet;
     }
 
-    private static ClientRequest request(LogEntryCodec.ByteReader from) throws CorruptDataException {
+    private static ClientRequest request(ByteReader from) throws CorruptDataException {
         long id = from.readLong();
         String name = from.readText();
         byte[] entry = from.readBytes();
@@ -130,7 +132,7 @@
         return new ClientRequest(id, name, p.proposal());
     }
 
-    private static ClientResponse reply(LogEntryCodec.ByteReader from) throws CorruptDataException {
+    private static ClientResponse reply(ByteReader from) throws CorruptDataException {
         long id = from.readLong();
         String state = from.readText();
         long number = from.readLong();
--- a/src/main/java/wallmoor/consensus/RaftMessageCodec.java
+++ b/src/main/java/wallmoor/consensus/RaftMessageCodec.java
@@ -19,8 +19,9 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import wallmoor.rules.ByteReader;
+import wallmoor.rules.ByteWriter;
 import wallmoor.rules.CorruptDataException;
-import wallmoor.rules.LogEntryCodec;
 
 /** The library's messages as bytes, and back; who sent one and who votes is not taken from the bytes. */
 final class RaftMessageCodec {
@@ -47,7 +48,7 @@
     }
 
     static byte[] encode(RaftMessage message) {
-        var to = new LogEntryCodec.ByteWriter();
+        var to = new ByteWriter();
         if (message instanceof AppendEntriesRequest m) {
             to.writeLong(APPEND).writeLong(m.getTerm()).writeLong(m.getPreviousLogTerm())
                     .writeLong(m.getPreviousLogIndex())
@@ -99,7 +100,7 @@
     }
 
     RaftMessage decode(VoterEndpoint sender, byte[] bytes) throws CorruptDataException {
-        var from = new LogEntryCodec.ByteReader(bytes);
+        var from = new ByteReader(bytes);
         int type = (int) from.readLong();
         int term = (int) from.readLong();
         RaftMessage message = switch (type) {
@@ -140,7 +141,7 @@
         return message;
     }
 
-    private List<LogEntry> entries(LogEntryCodec.ByteReader from) throws CorruptDataException {
+    private List<LogEntry> entries(ByteReader from) throws CorruptDataException {
         var entries = new ArrayList<LogEntry>();
         for (long n = from.readCount(); n > 0; n--) {
             entries.add(models.createLogEntryBuilder().setIndex(from.readLong()).setTerm((int) from.readLong())
@@ -149,7 +150,7 @@
         return entries;
     }
 
-    private RaftMessage install(VoterEndpoint sender, int term, LogEntryCodec.ByteReader from)
+    private RaftMessage install(VoterEndpoint sender, int term, ByteReader from)
             throws CorruptDataException {
         boolean leader = from.readLong() == 1;
         int snapshotTerm = (int) from.readLong();
--- a/src/main/java/wallmoor/rules/LeaseMessageCodec.java
+++ b/src/main/java/wallmoor/rules/LeaseMessageCodec.java
@@ -10,103 +10,124 @@
 import wallmoor.rules.LeaseMessage.LeaseRequest;
 import wallmoor.rules.LeaseMessage.VersionUpdate;
 
-/** What gatherers and voters say as bytes, and what a gatherer knows as records of a file; none of it is trusted. */
+/**
+ * Binary codec of {@link LeaseMessage}, and of the version chains that a lease holder stores over a restart. Neither
+ * the type numbers nor the order of fields may change: gatherers of another release read them.
+ */
 public final class LeaseMessageCodec {
-    private static final int ASK = 1;
+    private static final int REQUEST = 1;
     private static final int GRANT = 2;
-    private static final int DENIED = 3;
-    private static final int NEWS = 4;
+    private static final int DENIAL = 3;
+    private static final int UPDATE = 4;
 
     private LeaseMessageCodec() {}
 
-    /** A message as it is sent. */
+    /** Encodes a message as it is sent. */
     public static byte[] encode(LeaseMessage message) {
-        var to = new LogEntryCodec.ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION);
-        if (message instanceof LeaseRequest a) {
-            to.writeLong(ASK).writeText(a.holder()).writeLong(a.incarnation()).writeLong(a.sequence())
-                    .writeLong(a.knownVersions().size());
-            a.knownVersions().forEach((name, k) -> to.writeText(name).writeLong(k.version()).writeText(k.hash()));
-        } else if (message instanceof LeaseGrant g) {
-            to.writeLong(GRANT).writeText(g.holder()).writeLong(g.incarnation()).writeLong(g.sequence());
-            chains(to, g.chains());
-        } else if (message instanceof LeaseDenial d) {
-            to.writeLong(DENIED).writeText(d.holder()).writeLong(d.incarnation()).writeLong(d.sequence())
-                    .writeText(d.reason());
-        } else if (message instanceof VersionUpdate n) {
-            to.writeLong(NEWS);
-            chains(to, n.chains());
+        var to = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION);
+        if (message instanceof LeaseRequest request) {
+            to.writeLong(REQUEST).writeText(request.holder()).writeLong(request.incarnation())
+                    .writeLong(request.sequence());
+            writeKnownVersions(to, request.knownVersions());
+        } else if (message instanceof LeaseGrant grant) {
+            to.writeLong(GRANT).writeText(grant.holder()).writeLong(grant.incarnation()).writeLong(grant.sequence());
+            writeChains(to, grant.chains());
+        } else if (message instanceof LeaseDenial denial) {
+            to.writeLong(DENIAL).writeText(denial.holder()).writeLong(denial.incarnation())
+                    .writeLong(denial.sequence()).writeText(denial.reason());
+        } else if (message instanceof VersionUpdate update) {
+            to.writeLong(UPDATE);
+            writeChains(to, update.chains());
         }
         return to.toByteArray();
     }
 
-    /** The message that was written. */
+    /**
+     * Decodes a message.
+     *
+     * @throws CorruptDataException if the bytes are not exactly one message of this format version
+     */
     public static LeaseMessage decode(byte[] bytes) throws CorruptDataException {
-        var from = new LogEntryCodec.ByteReader(bytes).readFormatVersion();
-        long type = from.readLong();
-        LeaseMessage message;
-        if (type == ASK) {
-            String holder = from.readText();
-            long life = from.readLong();
-            long seq = from.readLong();
-            Map<String, KnownVersion> known = new HashMap<>();
-            for (long n = from.readCount(); n > 0; n--) {
-                known.put(from.readText(), new KnownVersion(from.readLong(), from.readText()));
-            }
-            message = new LeaseRequest(holder, life, seq, known);
-        } else if (type == GRANT) {
-            message = new LeaseGrant(from.readText(), from.readLong(), from.readLong(), chains(from));
-        } else if (type == DENIED) {
-            message = new LeaseDenial(from.readText(), from.readLong(), from.readLong(), from.readText());
-        } else if (type == NEWS) {
-            message = new VersionUpdate(chains(from));
-        } else {
-            throw new CorruptDataException("a message of unknown type " + type, Long.BYTES);
-        }
+        var from = new ByteReader(bytes).readFormatVersion();
+        LeaseMessage message = readMessage(from, from.readLong());
         from.expectEnd();
         return message;
     }
 
-    /** What a gatherer knows, as a file's records. */
+    /** Encodes what a lease holder knows as the records of a file, one for each document. */
     public static List<byte[]> encodeKnownVersions(List<VersionChain> known) {
-        return known.stream().map(c -> {
-            var to = new LogEntryCodec.ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION);
-            chains(to, List.of(c));
-            return to.toByteArray();
-        }).toList();
+        return known.stream().map(LeaseMessageCodec::encodeChain).toList();
     }
 
-    /** What was kept. */
+    /**
+     * Decodes the records of such a file.
+     *
+     * @throws CorruptDataException if a record is not what {@link #encodeKnownVersions} wrote
+     */
     public static List<VersionChain> decodeKnownVersions(List<byte[]> records) throws CorruptDataException {
         var all = new ArrayList<VersionChain>();
-        for (byte[] r : records) {
-            var from = new LogEntryCodec.ByteReader(r).readFormatVersion();
-            all.addAll(chains(from));
+        for (byte[] record : records) {
+            var from = new ByteReader(record).readFormatVersion();
+            all.addAll(readChains(from));
             from.expectEnd();
         }
         return List.copyOf(all);
     }
 
-    private static void chains(LogEntryCodec.ByteWriter to, List<VersionChain> chains) {
+    private static byte[] encodeChain(VersionChain chain) {
+        var to = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION);
+        writeChains(to, List.of(chain));
+        return to.toByteArray();
+    }
+
+    private static LeaseMessage readMessage(ByteReader from, long type) throws CorruptDataException {
+        if (type == REQUEST) {
+            return new LeaseRequest(from.readText(), from.readLong(), from.readLong(), readKnownVersions(from));
+        } else if (type == GRANT) {
+            return new LeaseGrant(from.readText(), from.readLong(), from.readLong(), readChains(from));
+        } else if (type == DENIAL) {
+            return new LeaseDenial(from.readText(), from.readLong(), from.readLong(), from.readText());
+        } else if (type == UPDATE) {
+            return new VersionUpdate(readChains(from));
+        }
+        throw new CorruptDataException("a message of unknown type " + type, Long.BYTES);
+    }
+
+    private static void writeKnownVersions(ByteWriter to, Map<String, KnownVersion> known) {
+        to.writeLong(known.size());
+        known.forEach((name, version) -> to.writeText(name).writeLong(version.version()).writeText(version.hash()));
+    }
+
+    private static Map<String, KnownVersion> readKnownVersions(ByteReader from) throws CorruptDataException {
+        var known = new HashMap<String, KnownVersion>();
+        for (long left = from.readCount(); left > 0; left--) {
+            known.put(from.readText(), new KnownVersion(from.readLong(), from.readText()));
+        }
+        return known;
+    }
+
+    private static void writeChains(ByteWriter to, List<VersionChain> chains) {
         to.writeLong(chains.size());
-        for (VersionChain c : chains) {
-            to.writeText(c.name()).writeLong(c.activeVersion()).writeLong(c.latestVersion())
-                    .writeLong(c.documents().size());
-            c.documents().forEach(to::writeDocument);
+        for (VersionChain chain : chains) {
+            to.writeText(chain.name()).writeLong(chain.activeVersion()).writeLong(chain.latestVersion())
+                    .writeLong(chain.documents().size());
+            chain.documents().forEach(to::writeDocument);
         }
     }
 
-    private static List<VersionChain> chains(LogEntryCodec.ByteReader from) throws CorruptDataException {
+    private static List<VersionChain> readChains(ByteReader from) throws CorruptDataException {
         var chains = new ArrayList<VersionChain>();
-        for (long n = from.readCount(); n > 0; n--) {
-            String name = from.readText();
-            long acts = from.readLong();
-            long last = from.readLong();
-            var documents = new ArrayList<RuleDocument>();
-            for (long d = from.readCount(); d > 0; d--) {
-                documents.add(from.readDocument());
-            }
-            chains.add(new VersionChain(name, acts, last, documents));
+        for (long left = from.readCount(); left > 0; left--) {
+            chains.add(new VersionChain(from.readText(), from.readLong(), from.readLong(), readDocuments(from)));
         }
         return List.copyOf(chains);
     }
+
+    private static List<RuleDocument> readDocuments(ByteReader from) throws CorruptDataException {
+        var documents = new ArrayList<RuleDocument>();
+        for (long left = from.readCount(); left > 0; left--) {
+            documents.add(from.readDocument());
+        }
+        return documents;
+    }
 }
--- a/src/main/java/wallmoor/rules/RuleStateMachine.java
+++ b/src/main/java/wallmoor/rules/RuleStateMachine.java
@@ -267,7 +267,7 @@
 
     /** All of it as bytes, for a snapshot of the log. */
     public byte[] takeSnapshot() {
-        var to = new LogEntryCodec.ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(leaderEpoch)
+        var to = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(leaderEpoch)
                 .writeText(leader).writeLong(incarnation).writeLong(documents.size());
         documents.forEach((name, line) -> {
             to.writeText(name).writeLong(line.activeVersion).writeLong(line.highestNumber)
@@ -286,7 +286,7 @@
     public static RuleStateMachine restoreSnapshot(Collection<String> voters, byte[] saved)
             throws CorruptDataException {
         var ledger = new RuleStateMachine(voters);
-        var from = new LogEntryCodec.ByteReader(saved).readFormatVersion();
+        var from = new ByteReader(saved).readFormatVersion();
         ledger.leaderEpoch = from.readLong();
         ledger.leader = from.readText();
         ledger.incarnation = from.readLong();
