--- a/src/test/java/wallmoor/verify/KnownFailuresTest.java
+++ b/src/test/java/wallmoor/verify/KnownFailuresTest.java
@@ -68,18 +68,19 @@
     }
 
     @Test
-    public void reportsTellOutcomesAfterReruns() throws IOException {
+    public void oneFailedAttemptIsAFailureInReports() throws IOException {
         report("TEST-a.T.xml", START, "<testcase name='passes' classname='a.T'/>"
                 + "<testcase name='fails' classname='a.T'><failure/><rerunFailure/></testcase>"
                 + "<testcase name='throws' classname='a.T'><error/></testcase>"
                 + "<testcase name='flaky' classname='a.T'><flakyFailure/></testcase>"
+                + "<testcase name='flakyError' classname='a.T'><flakyError/></testcase>"
                 + "<testcase name='ignored' classname='a.T'><skipped/></testcase>"
                 + "<testcase name='repeated' classname='a.T'><failure/></testcase>"
                 + "<testcase name='repeated' classname='a.T'/>");
         report("TEST-a.Renamed.xml", START.minusSeconds(1), "<testcase name='gone' classname='a.Renamed'/>");
         assertEquals(Map.of("a.T#passes", TestOutcome.PASSED, "a.T#fails", TestOutcome.FAILED,
-                "a.T#throws", TestOutcome.FAILED, "a.T#flaky", TestOutcome.PASSED, "a.T#ignored", TestOutcome.SKIPPED,
-                "a.T#repeated", TestOutcome.FAILED),
+                "a.T#throws", TestOutcome.FAILED, "a.T#flaky", TestOutcome.FAILED, "a.T#flakyError", TestOutcome.FAILED,
+                "a.T#ignored", TestOutcome.SKIPPED, "a.T#repeated", TestOutcome.FAILED),
                 SurefireReports.read(folder.getRoot().toPath(), START));
     }
 
--- a/src/test/java/wallmoor/verify/SurefireReports.java
+++ b/src/test/java/wallmoor/verify/SurefireReports.java
@@ -6,6 +6,7 @@
 import java.nio.file.Path;
 import java.time.Instant;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import javax.xml.parsers.DocumentBuilderFactory;
 import javax.xml.parsers.ParserConfigurationException;
@@ -15,6 +16,10 @@
 
 /** Reads the XML reports that Surefire writes, one for each test class. */
 final class SurefireReports {
+    /** Each of these children of a test case tells of a failed attempt; all but the first two come with reruns only. */
+    private static final List<String> FAILURES = List.of("failure", "error", "flakyFailure", "flakyError",
+            "rerunFailure", "rerunError");
+
     private SurefireReports() {}
 
     /** The outcome of each test, by {@code class#method}, of the reports written at {@code since} or later. */
@@ -45,9 +50,9 @@
         }
     }
 
-    /** A test that passes at a rerun has only {@code flakyFailure} or {@code flakyError}. */
+    /** One failed attempt is a failure, whatever a rerun (asked for on the command line) came to. */
     private static TestOutcome outcomeOf(Element test) {
-        if (has(test, "failure") || has(test, "error")) {
+        if (FAILURES.stream().anyMatch(child -> has(test, child))) {
             return TestOutcome.FAILED;
         }
         return has(test, "skipped") ? TestOutcome.SKIPPED : TestOutcome.PASSED;
