--- /dev/null
+++ b/src/test/java/wallmoor/net/EdgeCoapTest.java
@@ -0,0 +1,158 @@
+package wallmoor.net;
+
+import static org.junit.Assert.assertArrayEquals;
+import static org.junit.Assert.assertEquals;
+import static org.junit.Assert.assertTrue;
+
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
+import java.net.http.HttpRequest;
+import java.net.http.HttpResponse.BodyHandlers;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.TimeUnit;
+import org.eclipse.californium.core.CoapClient;
+import org.eclipse.californium.core.CoapResponse;
+import org.eclipse.californium.core.coap.CoAP.ResponseCode;
+import org.eclipse.californium.core.coap.MediaTypeRegistry;
+import org.eclipse.californium.core.coap.Option;
+import org.eclipse.californium.core.coap.Request;
+import org.eclipse.californium.core.coap.option.StandardOptionRegistry;
+import org.eclipse.californium.core.config.CoapConfig;
+import org.eclipse.californium.core.network.CoapEndpoint;
+import org.eclipse.californium.elements.config.Configuration;
+import org.junit.Test;
+import wallmoor.standin.DatagramProxy;
+
+/** The edge asked over CoAP, by a client that was not written here, and over both wires at once. */
+public class EdgeCoapTest extends EdgeFixture {
+    private CoapClient coap(int port, String id, String more) throws Exception {
+        return coap(port, id, more, true);
+    }
+
+    private CoapClient coap(int port, String id, String more, boolean blockwise) throws Exception {
+        Configuration config = Configuration.createStandardWithoutFile();
+        config.set(CoapConfig.ACK_TIMEOUT, 200, TimeUnit.MILLISECONDS);
+        config.set(CoapConfig.MAX_RETRANSMIT, 8);
+        config.set(CoapConfig.PREFERRED_BLOCK_SIZE, 64);
+        config.set(CoapConfig.MAX_MESSAGE_SIZE, 64);
+        if (!blockwise) {
+            config.set(CoapConfig.MAX_RESOURCE_BODY_SIZE, 0);
+        }
+        var endpoint = CoapEndpoint.builder().setConfiguration(config).build();
+        endpoint.start();
+        var client = new CoapClient("coap://127.0.0.1:" + port + "/queries/" + id + "?token=" + token("d1") + more);
+        client.setEndpoint(endpoint).setTimeout(15_000L);
+        open.add(endpoint::destroy);
+        return client;
+    }
+
+    /** As a device does: what is challenged is asked again with the challenge's Echo. */
+    private static CoapResponse ask(CoapClient client, java.util.function.Supplier<Request> request) throws Exception {
+        CoapResponse response = client.advanced(request.get());
+        for (int i = 0; i < 3 && response != null && response.getCode() == ResponseCode.UNAUTHORIZED; i++) {
+            byte[] echo = null;
+            for (Option o : response.getOptions().asSortedList()) {
+                echo = o.getNumber() == StandardOptionRegistry.ECHO.getNumber() ? o.getValue() : echo;
+            }
+            if (echo == null) {
+                return response;
+            }
+            Request again = request.get();
+            again.getOptions().addOption(new Option(StandardOptionRegistry.ECHO, echo));
+            response = client.advanced(again);
+        }
+        return response;
+    }
+
+    private static Request put(byte[] body, int format) {
+        Request put = Request.newPut();
+        put.setPayload(body);
+        put.getOptions().setContentFormat(format);
+        return put;
+    }
+
+    @Test
+    public void coapAsksInBlocksOverABadLinkAndHttpHasTheSameAnswer() throws Exception {
+        start(id -> {
+            sleep(40);
+            return "ok";
+        });
+        String id = id();
+        byte[] json = body("once", "q".repeat(700), 0).getBytes();
+        byte[] cbor = new CBORMapper().writeValueAsBytes(new ObjectMapper().readTree(json));
+        try (var link = new DatagramProxy(coapPort, 7, 0.1, 0.2, 0.2)) {
+            CoapResponse taken = ask(coap(link.port(), id, ""), () -> put(cbor, MediaTypeRegistry.APPLICATION_CBOR));
+            assertTrue("" + taken, taken != null && taken.isSuccess());
+            link.rebind(); // a NAT that has forgotten: the device comes from elsewhere
+            CoapResponse got = ask(coap(link.port(), id, "&wait=10"), Request::newGet);
+            assertTrue("" + got, got != null && got.getCode() == ResponseCode.CONTENT);
+            assertTrue(got.getResponseText(), got.getResponseText().startsWith("{\"outcome\":\"answered\""));
+            assertArrayEquals("over the other wire", got.getPayload(), put(httpPort, id, json).body());
+            CoapResponse packed = ask(coap(link.port(), id, ""), () -> {
+                Request get = Request.newGet();
+                get.getOptions().setAccept(MediaTypeRegistry.APPLICATION_CBOR);
+                return get;
+            });
+            assertEquals(new ObjectMapper().readTree(got.getPayload()), new CBORMapper().readTree(packed.getPayload()));
+            assertTrue("the link was bad: " + link.lost.get(), link.lost.get() > 0);
+        }
+        assertEquals("no datagram that came twice ran it twice", 1, parts(""));
+    }
+
+    @Test
+    public void coapRefusesWhatItMust() throws Exception {
+        start(id -> "ok");
+        String id = id();
+        byte[] json = body("once", "q", 0).getBytes();
+        CoapResponse challenged = coap(coapPort, id, "").advanced(put(json, MediaTypeRegistry.APPLICATION_JSON));
+        assertEquals("an address that has proven nothing", ResponseCode.UNAUTHORIZED, challenged.getCode());
+        assertEquals(0, challenged.getPayloadSize());
+        assertEquals(0, parts(""));
+        var client = coap(coapPort, id, "");
+        assertEquals(ResponseCode.CREATED, ask(client, () -> put(json, MediaTypeRegistry.APPLICATION_JSON)).getCode());
+        assertEquals(ResponseCode.CHANGED, ask(client, () -> put(json, MediaTypeRegistry.APPLICATION_JSON)).getCode());
+        assertEquals(ResponseCode.CONFLICT, ask(client, () -> put(body("once", "other", 0).getBytes(),
+                MediaTypeRegistry.APPLICATION_JSON)).getCode());
+        assertEquals(ResponseCode.BAD_REQUEST, ask(coap(coapPort, id(), ""), () -> put(new byte[] {1, 2},
+                MediaTypeRegistry.APPLICATION_CBOR)).getCode());
+        assertEquals(ResponseCode.NOT_FOUND, ask(coap(coapPort, id(), ""), Request::newGet).getCode());
+        String fresh = id();
+        assertEquals("a block in the middle, first", ResponseCode.REQUEST_ENTITY_INCOMPLETE,
+                ask(coap(coapPort, fresh, "", false), () -> {
+                    Request r = put(new byte[64], MediaTypeRegistry.APPLICATION_JSON);
+                    r.getOptions().setBlock1(2, true, 3);
+                    return r;
+                }).getCode());
+        assertEquals(1, parts(""));
+    }
+
+    @Test
+    public void askedTwiceInParallelOverBothWiresItRunsOnce() throws Exception {
+        start(id -> {
+            sleep(100);
+            return "ok";
+        });
+        byte[] json = body("once", "q", 0).getBytes();
+        for (int i = 0; i < 5; i++) {
+            String id = id();
+            long before = parts("");
+            var overCoap = CompletableFuture.supplyAsync(() -> {
+                try {
+                    ask(coap(coapPort, id, ""), () -> put(json, MediaTypeRegistry.APPLICATION_JSON));
+                    return ask(coap(coapPort, id, "&wait=10"), Request::newGet).getPayload();
+                } catch (Exception e) {
+                    throw new IllegalStateException(e);
+                }
+            });
+            var one = http.sendAsync(
+                    request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(json)).build(),
+                    BodyHandlers.ofByteArray());
+            var two = http.sendAsync(
+                    request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(json)).build(),
+                    BodyHandlers.ofByteArray());
+            assertArrayEquals(one.get(10, TimeUnit.SECONDS).body(), two.get(10, TimeUnit.SECONDS).body());
+            assertArrayEquals(one.get().body(), overCoap.get(10, TimeUnit.SECONDS));
+            assertEquals(before + 1, parts(""));
+        }
+    }
+}
--- a/src/test/java/wallmoor/net/EdgeTest.java
+++ b/src/test/java/wallmoor/net/EdgeTest.java
@@ -5,142 +5,25 @@
 import static org.junit.Assert.assertNotEquals;
 import static org.junit.Assert.assertTrue;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.dataformat.cbor.databind.CBORMapper;
-import com.fasterxml.uuid.Generators;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
-import java.net.http.HttpResponse;
 import java.net.http.HttpResponse.BodyHandlers;
 import java.nio.file.Files;
-import java.nio.file.Path;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.HexFormat;
-import java.util.List;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Function;
 import java.util.zip.GZIPOutputStream;
-import org.eclipse.californium.core.CoapClient;
-import org.eclipse.californium.core.CoapResponse;
-import org.eclipse.californium.core.coap.CoAP.ResponseCode;
-import org.eclipse.californium.core.coap.MediaTypeRegistry;
-import org.eclipse.californium.core.coap.Option;
-import org.eclipse.californium.core.coap.Request;
-import org.eclipse.californium.core.coap.option.StandardOptionRegistry;
-import org.eclipse.californium.core.config.CoapConfig;
-import org.eclipse.californium.core.network.CoapEndpoint;
-import org.eclipse.californium.elements.config.Configuration;
 import org.junit.After;
-import org.junit.Rule;
 import org.junit.Test;
-import org.junit.rules.TemporaryFolder;
-import wallmoor.edge.Ask;
-import wallmoor.standin.DatagramProxy;
 import wallmoor.standin.LinkProxy;
 import wallmoor.standin.LinkProxy.Fate;
-import wallmoor.standin.Ports;
-
-/** The edge of the real program, asked by clients that were not written here, over links that break. */
-public class EdgeTest {
-    @Rule
-    public final TemporaryFolder folder = new TemporaryFolder();
-    private final List<AutoCloseable> open = new ArrayList<>();
-    private final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(Duration.ofSeconds(5)).build();
-    private Program program;
-    private StandIn.Worker node;
-    private Path devices;
-    private int httpPort;
-    private int coapPort;
-
-    private void start(Function<String, String> answer) throws Exception {
-        start(answer, "");
-    }
-
-    private void start(Function<String, String> answer, String more) throws Exception {
-        node = new StandIn.Worker(answer);
-        open.add(node);
-        var discovery = new StandIn.Discovery();
-        open.add(discovery);
-        devices = folder.newFile("devices.csv").toPath();
-        Files.writeString(devices, "device,sha256\n" + row("d1") + row("d2"));
-        httpPort = Ports.free();
-        coapPort = Ports.free();
-        Path operator = folder.newFile("operator.yaml").toPath();
-        Files.writeString(operator, "edge:\n  devices: devices.csv\n  http: {listen: 127.0.0.1:" + httpPort
-                + "}\n  coap: {listen: 127.0.0.1:" + coapPort
-                + "}\n  skew: 50ms\n  asks_per_s: 1000\n  ask_burst: 5000\n"
-                + "  grace: 500ms\n" + more);
-        program = new Program(discovery.port(), node.member("a", 0, "SERVING"), operator);
-        open.add(program);
-        Thread.sleep(150); // ids of the first moments may be older than the start, by the clocks' slack
-    }
-
-    private static String row(String device) {
-        return device + "," + HexFormat.of().formatHex(Ask.sha256(token(device).getBytes())) + "\n";
-    }
-
-    private static String token(String device) {
-        return device + ".secret-of-" + device;
-    }
-
-    private static String id() {
-        return Generators.timeBasedEpochGenerator().generate().toString();
-    }
-
-    private static String body(String queryClass, String q, int... shards) {
-        return "{\"class\":\"" + queryClass + "\",\"deadline_ms\":1900,"
-                + Client.body(shards).substring(1).replace("c41e77d0", q);
-    }
-
-    private static HttpRequest.Builder request(int port, String device, String id) {
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/queries/" + id))
-                .timeout(Duration.ofSeconds(10)).header("Authorization", "Bearer " + token(device));
-    }
-
-    private HttpResponse<byte[]> put(String id, String body, String... headers) throws Exception {
-        return put(httpPort, id, body.getBytes(), headers);
-    }
-
-    private HttpResponse<byte[]> put(int port, String id, byte[] body, String... headers) throws Exception {
-        var r = request(port, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(body));
-        return http.send((headers.length == 0 ? r : r.headers(headers)).build(), BodyHandlers.ofByteArray());
-    }
-
-    private HttpResponse<byte[]> get(int port, String id, String... headers) throws Exception {
-        var r = request(port, "d1", id).GET();
-        return http.send((headers.length == 0 ? r : r.headers(headers)).build(), BodyHandlers.ofByteArray());
-    }
-
-    private static String text(HttpResponse<byte[]> r) {
-        return new String(r.body());
-    }
-
-    private long parts(String start) {
-        return node.count(start.isEmpty() ? "Q" : start);
-    }
-
-    private static void sleep(long millis) {
-        try {
-            Thread.sleep(millis);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
-    }
-
-    @After
-    public void stop() throws Exception {
-        for (AutoCloseable o : open) {
-            o.close();
-        }
-    }
 
+/** The edge of the real program, asked over HTTP by a client that was not written here, over links that break. */
+public class EdgeTest extends EdgeFixture {
     @Test
     public void aQueryAskedAgainHasTheSameAnswerAndRanOnce() throws Exception {
         start(id -> "ok");
@@ -377,181 +260,6 @@
         assertTrue(Integer.parseInt(refused.headers().firstValue("Retry-After").orElse("0")) >= 1);
     }
 
-    // ---- CoAP ---------------------------------------------------------------------------------------------
-
-    private CoapClient coap(int port, String id, String more) throws Exception {
-        return coap(port, id, more, true);
-    }
-
-    private CoapClient coap(int port, String id, String more, boolean blockwise) throws Exception {
-        Configuration config = Configuration.createStandardWithoutFile();
-        config.set(CoapConfig.ACK_TIMEOUT, 200, TimeUnit.MILLISECONDS);
-        config.set(CoapConfig.MAX_RETRANSMIT, 8);
-        config.set(CoapConfig.PREFERRED_BLOCK_SIZE, 64);
-        config.set(CoapConfig.MAX_MESSAGE_SIZE, 64);
-        if (!blockwise) {
-            config.set(CoapConfig.MAX_RESOURCE_BODY_SIZE, 0);
-        }
-        var endpoint = CoapEndpoint.builder().setConfiguration(config).build();
-        endpoint.start();
-        var client = new CoapClient("coap://127.0.0.1:" + port + "/queries/" + id + "?token=" + token("d1") + more);
-        client.setEndpoint(endpoint).setTimeout(15_000L);
-        open.add(endpoint::destroy);
-        return client;
-    }
-
-    /** As a device does: what is challenged is asked again with the challenge's Echo. */
-    private static CoapResponse ask(CoapClient client, java.util.function.Supplier<Request> request) throws Exception {
-        CoapResponse response = client.advanced(request.get());
-        for (int i = 0; i < 3 && response != null && response.getCode() == ResponseCode.UNAUTHORIZED; i++) {
-            byte[] echo = null;
-            for (Option o : response.getOptions().asSortedList()) {
-                echo = o.getNumber() == StandardOptionRegistry.ECHO.getNumber() ? o.getValue() : echo;
-            }
-            if (echo == null) {
-                return response;
-            }
-            Request again = request.get();
-            again.getOptions().addOption(new Option(StandardOptionRegistry.ECHO, echo));
-            response = client.advanced(again);
-        }
-        return response;
-    }
-
-    private static Request put(byte[] body, int format) {
-        Request put = Request.newPut();
-        put.setPayload(body);
-        put.getOptions().setContentFormat(format);
-        return put;
-    }
-
-    @Test
-    public void coapAsksInBlocksOverABadLinkAndHttpHasTheSameAnswer() throws Exception {
-        start(id -> {
-            sleep(40);
-            return "ok";
-        });
-        String id = id();
-        byte[] json = body("once", "q".repeat(700), 0).getBytes();
-        byte[] cbor = new CBORMapper().writeValueAsBytes(new ObjectMapper().readTree(json));
-        try (var link = new DatagramProxy(coapPort, 7, 0.1, 0.2, 0.2)) {
-            CoapResponse taken = ask(coap(link.port(), id, ""), () -> put(cbor, MediaTypeRegistry.APPLICATION_CBOR));
-            assertTrue("" + taken, taken != null && taken.isSuccess());
-            link.rebind(); // a NAT that has forgotten: the device comes from elsewhere
-            CoapResponse got = ask(coap(link.port(), id, "&wait=10"), Request::newGet);
-            assertTrue("" + got, got != null && got.getCode() == ResponseCode.CONTENT);
-            assertTrue(got.getResponseText(), got.getResponseText().startsWith("{\"outcome\":\"answered\""));
-            assertArrayEquals("over the other wire", got.getPayload(), put(httpPort, id, json).body());
-            CoapResponse packed = ask(coap(link.port(), id, ""), () -> {
-                Request get = Request.newGet();
-                get.getOptions().setAccept(MediaTypeRegistry.APPLICATION_CBOR);
-                return get;
-            });
-            assertEquals(new ObjectMapper().readTree(got.getPayload()), new CBORMapper().readTree(packed.getPayload()));
-            assertTrue("the link was bad: " + link.lost.get(), link.lost.get() > 0);
-        }
-        assertEquals("no datagram that came twice ran it twice", 1, parts(""));
-    }
-
-    @Test
-    public void coapRefusesWhatItMust() throws Exception {
-        start(id -> "ok");
-        String id = id();
-        byte[] json = body("once", "q", 0).getBytes();
-        CoapResponse challenged = coap(coapPort, id, "").advanced(put(json, MediaTypeRegistry.APPLICATION_JSON));
-        assertEquals("an address that has proven nothing", ResponseCode.UNAUTHORIZED, challenged.getCode());
-        assertEquals(0, challenged.getPayloadSize());
-        assertEquals(0, parts(""));
-        var client = coap(coapPort, id, "");
-        assertEquals(ResponseCode.CREATED, ask(client, () -> put(json, MediaTypeRegistry.APPLICATION_JSON)).getCode());
-        assertEquals(ResponseCode.CHANGED, ask(client, () -> put(json, MediaTypeRegistry.APPLICATION_JSON)).getCode());
-        assertEquals(ResponseCode.CONFLICT, ask(client, () -> put(body("once", "other", 0).getBytes(),
-                MediaTypeRegistry.APPLICATION_JSON)).getCode());
-        assertEquals(ResponseCode.BAD_REQUEST, ask(coap(coapPort, id(), ""), () -> put(new byte[] {1, 2},
-                MediaTypeRegistry.APPLICATION_CBOR)).getCode());
-        assertEquals(ResponseCode.NOT_FOUND, ask(coap(coapPort, id(), ""), Request::newGet).getCode());
-        String fresh = id();
-        assertEquals("a block in the middle, first", ResponseCode.REQUEST_ENTITY_INCOMPLETE,
-                ask(coap(coapPort, fresh, "", false), () -> {
-                    Request r = put(new byte[64], MediaTypeRegistry.APPLICATION_JSON);
-                    r.getOptions().setBlock1(2, true, 3);
-                    return r;
-                }).getCode());
-        assertEquals(1, parts(""));
-    }
-
-    @Test
-    public void askedTwiceInParallelOverBothWiresItRunsOnce() throws Exception {
-        start(id -> {
-            sleep(100);
-            return "ok";
-        });
-        byte[] json = body("once", "q", 0).getBytes();
-        for (int i = 0; i < 5; i++) {
-            String id = id();
-            long before = parts("");
-            var overCoap = CompletableFuture.supplyAsync(() -> {
-                try {
-                    ask(coap(coapPort, id, ""), () -> put(json, MediaTypeRegistry.APPLICATION_JSON));
-                    return ask(coap(coapPort, id, "&wait=10"), Request::newGet).getPayload();
-                } catch (Exception e) {
-                    throw new IllegalStateException(e);
-                }
-            });
-            var one = http.sendAsync(
-                    request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(json)).build(),
-                    BodyHandlers.ofByteArray());
-            var two = http.sendAsync(
-                    request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(json)).build(),
-                    BodyHandlers.ofByteArray());
-            assertArrayEquals(one.get(10, TimeUnit.SECONDS).body(), two.get(10, TimeUnit.SECONDS).body());
-            assertArrayEquals(one.get().body(), overCoap.get(10, TimeUnit.SECONDS));
-            assertEquals(before + 1, parts(""));
-        }
-    }
-
-    private static String said;
-
-    private static int command(String... args) {
-        var console = wallmoor.cli.Console.run(args);
-        said = console.out().trim();
-        return console.code();
-    }
-
-    @Test
-    public void aPersonAddsADeviceAndAsksByTheCommandLine() throws Exception {
-        start(id -> "ok");
-        assertEquals(0, command("devices", "add", "--file", devices.toString(), "counter"));
-        Path token = folder.newFile("token").toPath();
-        Files.writeString(token, said + "\n");
-        assertEquals("there already", 2, command("devices", "add", "--file", devices.toString(), "counter"));
-        assertEquals(0, command("devices", "list", "--file", devices.toString()));
-        assertEquals(List.of("d1", "d2", "counter"), said.lines().toList());
-        Program.await("known",
-                () -> command("device", "outcome", "--edge", "http://127.0.0.1:" + httpPort, "--token-file",
-                        token.toString(), "--patience", "1", id()) != 2);
-        String id = id();
-        String[] ask = {"device", "ask", "--edge", "http://127.0.0.1:" + httpPort, "--token-file", token.toString(),
-            "--class",
-            "once", "--shards", "0", "--id", id, "lhr"};
-        assertEquals(0, command(ask));
-        String first = said;
-        assertTrue(first, first.startsWith("{\"outcome\":\"answered\",\"complete\":true"));
-        ask[3] = "coap://127.0.0.1:" + coapPort;
-        assertEquals(0, command(ask));
-        assertEquals(first, said);
-        assertEquals(1, parts(""));
-        ask[ask.length - 1] = "other";
-        assertEquals("a conflict", 2, command(ask));
-        ask[ask.length - 1] = "lhr";
-        ask[9] = "1";
-        ask[11] = id();
-        assertEquals("refused: nobody holds it", 6, command(ask));
-        assertEquals(0, command("devices", "revoke", "--file", devices.toString(), "counter"));
-        ask[3] = "http://127.0.0.1:" + httpPort;
-        Program.await("refused", () -> command(ask) == 2);
-    }
-
     @Test
     public void sigtermEndsNothingThatIsHalfDelivered() throws Exception {
         start(id -> {
