--- a/src/test/java/wallmoor/net/EdgeFixture.java
+++ b/src/test/java/wallmoor/net/EdgeFixture.java
@@ -16,7 +16,7 @@
 import org.junit.After;
 import org.junit.Rule;
 import org.junit.rules.TemporaryFolder;
-import wallmoor.edge.Ask;
+import wallmoor.edge.EdgeRequest;
 import wallmoor.standin.Ports;
 
 /** The edge of the real program, for clients that were not written here, over links that break. */
@@ -56,7 +56,7 @@
     }
 
     static String row(String device) {
-        return device + "," + HexFormat.of().formatHex(Ask.sha256(token(device).getBytes())) + "\n";
+        return device + "," + HexFormat.of().formatHex(EdgeRequest.sha256(token(device).getBytes())) + "\n";
     }
 
     static String token(String device) {
--- a/src/test/java/wallmoor/net/WatchCrossingsTest.java
+++ b/src/test/java/wallmoor/net/WatchCrossingsTest.java
@@ -121,11 +121,11 @@
         call.chunk("{\"revision\":43,\"complete\":true}\n");
         var next = discovery.call();
         assertEquals(LIST, next.target());
-        assertEquals("nobody is gone by that", 2, gatherer.known().listed());
-        assertTrue(a.serving() && b.serving());
+        assertEquals("nobody is gone by that", 2, gatherer.workerCounts().known());
+        assertTrue(a.isServing() && b.isServing());
         next.answer(200, whole(43)); // what a whole list doesn't name is gone
         awaitListed(0);
-        assertFalse(a.serving() || b.serving());
+        assertFalse(a.isServing() || b.isServing());
         opened(next, 43).chunk(whole(44, member("a", SERVING)));
         awaitListed(1);
     }
@@ -150,7 +150,7 @@
                 member("b", SERVING), member("b", "DELETED")));
         awaitListed(1);
         assertEquals("a", assigned(0).id());
-        assertFalse(b.serving());
+        assertFalse(b.isServing());
     }
 
     @Test
@@ -162,9 +162,9 @@
         awaitDrained(b);
         var next = discovery.call();
         assertEquals("the whole list says what holds", LIST, next.target());
-        assertFalse(a.serving());
+        assertFalse(a.isServing());
         next.answer(200, whole(42, member("a", SERVING), member("b", DRAINING)));
-        Program.await("the whole list", a::serving);
+        Program.await("the whole list", a::isServing);
         assertEquals(from(42), next.target());
     }
 
@@ -173,7 +173,7 @@
         var call = watched();
         call.chunk(whole(5, member("b", SERVING))); // it was started anew, and counts anew
         awaitListed(1);
-        assertFalse(a.serving());
+        assertFalse(a.isServing());
         call.end();
         assertEquals(from(5), discovery.call().target());
     }
@@ -192,26 +192,26 @@
         a = assigned(0);
         assertNotSame(gone, a);
         assertEquals("127.0.0.1:7001", a.address());
-        assertFalse("what waits for the old one must not go out", gone.serving());
+        assertFalse("what waits for the old one must not go out", gone.isServing());
         call.chunk(changes(46, member("b", SERVING, 7002, now))); // cold, without having been away
         Program.await("the new address", () -> b.address().equals("127.0.0.1:7002"));
-        assertTrue(b.serving());
+        assertTrue(b.isServing());
     }
 
     @Test
     public void aDrainAndABanTogether() throws Exception {
         var call = watched();
-        gatherer.ban("a", true);
-        assertFalse(a.serving());
+        gatherer.setBanned("a", true);
+        assertFalse(a.isServing());
         call.chunk(changes(43, member("a", DRAINING), member("b", DRAINING)));
         awaitDrained(b);
-        gatherer.ban("a", false);
-        assertFalse("the list drains it still", a.serving());
-        gatherer.ban("b", true);
+        gatherer.setBanned("a", false);
+        assertFalse("the list drains it still", a.isServing());
+        gatherer.setBanned("b", true);
         call.chunk(changes(44, member("a", SERVING), member("b", SERVING)));
-        Program.await("a serves", a::serving);
-        assertFalse("an operator took it out", b.serving());
-        gatherer.ban("b", false);
-        assertTrue(b.serving());
+        Program.await("a serves", a::isServing);
+        assertFalse("an operator took it out", b.isServing());
+        gatherer.setBanned("b", false);
+        assertTrue(b.isServing());
     }
 }
--- a/src/test/java/wallmoor/net/WatchEndsTest.java
+++ b/src/test/java/wallmoor/net/WatchEndsTest.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.Test;
-import wallmoor.config.Launch;
-import wallmoor.core.Clock;
+import wallmoor.config.LaunchConfig;
 import wallmoor.core.Gatherer;
+import wallmoor.core.MonotonicClock;
 import wallmoor.discovery.DiscoveryWatch;
-import wallmoor.membership.News;
+import wallmoor.endpoints.WatchEvent;
 
 /** What follows the end of a watch, and calls that fail. */
 public class WatchEndsTest extends WatchFixture {
@@ -46,7 +46,7 @@
         call.reset();
         var next = discovery.call();
         if (next.target().equals(from(43))) {
-            assertFalse(a.serving());
+            assertFalse(a.isServing());
             next.open();
         } else {
             next.open().chunk(changes(43, member("a", DRAINING)));
@@ -62,20 +62,20 @@
     /** What could not be taken in is asked for again. */
     @Test
     public void aRevisionIsHeldOnlyOnceItsNewsWasTakenIn() throws Exception {
-        Launch launch = launch(discovery.port(), "subscribe");
-        gatherer = new Gatherer(launch.settings(), launch.seed(), new Clock(), line -> {});
+        LaunchConfig launch = launch(discovery.port(), "subscribe");
+        gatherer = new Gatherer(launch.settings(), launch.seed(), new MonotonicClock(), line -> {});
         watch = new DiscoveryWatch(launch, gatherer);
         var fails = new AtomicInteger(1);
-        var taken = new ArrayList<News>();
+        var taken = new ArrayList<WatchEvent>();
         gatherer.start(List.of());
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
         timers.start();
         watch.start(news -> {
-            if (news instanceof News.Failed) {
+            if (news instanceof WatchEvent.SourceFailure) {
                 throw new IllegalStateException("as well");
             }
-            if (news instanceof News.Changes && fails.getAndDecrement() > 0) {
+            if (news instanceof WatchEvent.EndpointDelta && fails.getAndDecrement() > 0) {
                 throw new IllegalStateException("a fault of the program's own");
             }
             synchronized (taken) {
@@ -88,7 +88,7 @@
         next.open().chunk(changes(43, member("a", DRAINING)));
         Program.await("the news", () -> {
             synchronized (taken) {
-                return taken.stream().anyMatch(n -> n instanceof News.Changes);
+                return taken.stream().anyMatch(n -> n instanceof WatchEvent.EndpointDelta);
             }
         });
     }
--- a/src/test/java/wallmoor/net/WatchFixture.java
+++ b/src/test/java/wallmoor/net/WatchFixture.java
@@ -14,15 +14,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.After;
 import org.junit.Before;
-import wallmoor.config.Launch;
-import wallmoor.core.Clock;
+import wallmoor.config.LaunchConfig;
 import wallmoor.core.Gatherer;
+import wallmoor.core.MonotonicClock;
 import wallmoor.core.Query;
 import wallmoor.core.Step;
 import wallmoor.core.Worker;
 import wallmoor.discovery.DiscoveryWatch;
-import wallmoor.membership.Policy;
-import wallmoor.sources.Membership;
+import wallmoor.endpoints.RegistryPolicy;
+import wallmoor.sources.EndpointUpdater;
 
 /**
  * The list's watch over loopback: discovery does what the test says, when it says so, and holds each call until then.
@@ -69,13 +69,13 @@
         return made;
     }
 
-    static Launch launch(int port, String way) throws IOException {
+    static LaunchConfig launch(int port, String way) throws IOException {
         Path file = Files.createTempFile("wallmoor", ".json");
         file.toFile().deleteOnExit();
         String known = member("a", SERVING) + "," + member("b", SERVING);
         Files.writeString(file, Program.config("t", Program.SEED, 1, port, known, 64)
                 .replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"" + way + "\""));
-        return Launch.read(Map.of("ROUTER_CONFIG", file.toString()));
+        return LaunchConfig.read(Map.of("ROUTER_CONFIG", file.toString()));
     }
 
     static String member(String id, String phase) {
@@ -107,18 +107,18 @@
 
     /** Starts the gatherer; its first call is to be taken from the discovery. */
     void start(String way) throws Exception {
-        Launch launch = launch(discovery.port(), way);
-        var clock = new Clock();
+        LaunchConfig launch = launch(discovery.port(), way);
+        var clock = new MonotonicClock();
         gatherer = new Gatherer(launch.settings(), launch.seed(), clock, line -> {});
         watch = new DiscoveryWatch(launch, gatherer);
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
         timers.start();
-        var list = new Policy.Source("list", true, 0, 1, 1000);
-        new Membership(Policy.of(List.of(list)), clock, gatherer, List.of(watch)).start();
+        var list = new RegistryPolicy.SourcePolicy("list", true, 0, 1, 1000);
+        new EndpointUpdater(RegistryPolicy.of(List.of(list)), clock, gatherer, List.of(watch)).start();
         a = assigned(0);
         b = assigned(1);
-        assertTrue(a.id().equals("a") && b.id().equals("b") && a.serving() && b.serving());
+        assertTrue(a.id().equals("a") && b.id().equals("b") && a.isServing() && b.isServing());
     }
 
     /** A watch that has been opened and has spoken. */
@@ -135,17 +135,17 @@
     /** Who is given a part of this shard now; null for nobody. */
     Worker assigned(int shard) throws InterruptedException {
         Query query = gatherer.open("q" + queries.incrementAndGet(), 1, gatherer.now() + 300_000, false,
-                List.of(new Query.Ask(shard, 1, -1)), null);
-        Step step = gatherer.pick(query);
-        gatherer.gone(query);
+                List.of(new Query.PartRequest(shard, 1, -1)), null);
+        Step step = gatherer.awaitStep(query);
+        gatherer.clientDisconnected(query);
         return step instanceof Step.Send send ? send.worker() : null;
     }
 
     static void awaitDrained(Worker worker) throws InterruptedException {
-        Program.await("the drain of " + worker.id(), () -> !worker.serving());
+        Program.await("the drain of " + worker.id(), () -> !worker.isServing());
     }
 
     void awaitListed(int count) throws InterruptedException {
-        Program.await(count + " nodes listed", () -> gatherer.known().listed() == count);
+        Program.await(count + " nodes listed", () -> gatherer.workerCounts().known() == count);
     }
 }
--- a/src/test/java/wallmoor/net/WatchMovesTest.java
+++ b/src/test/java/wallmoor/net/WatchMovesTest.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
-import wallmoor.config.Launch;
-import wallmoor.core.Clock;
+import wallmoor.config.LaunchConfig;
 import wallmoor.core.Gatherer;
+import wallmoor.core.MonotonicClock;
 import wallmoor.discovery.DiscoveryWatch;
 
 /** Discovery moves to another address, as a reload after SIGHUP has it, while a call to the old one is out. */
@@ -41,15 +41,15 @@
         awaitDrained(a);
         left.chunkInVain(changes(44, member("b", DRAINING)) + "\n"); // and after
         left.awaitLeft();
-        assertTrue(b.serving());
+        assertTrue(b.isServing());
         watch.reload(launch(old.port(), "subscribe"));
         var back = old.call(AT_ONCE_MILLIS);
         assertNotNull("asked at once", back);
         assertEquals(LIST, back.target());
         call.chunkInVain(changes(8, member("b", DRAINING)) + "\n");
         back.answer(200, whole(44, member("a", SERVING), member("b", SERVING)));
-        Program.await("the old one's list", a::serving);
-        assertTrue(b.serving());
+        Program.await("the old one's list", a::isServing);
+        assertTrue(b.isServing());
     }
 
     @Test
@@ -103,7 +103,7 @@
         back.answer(200, whole(41, member("a", SERVING), member("b", SERVING)));
         opened(back, 41).chunk(changes(42, member("a", DRAINING)));
         awaitDrained(a);
-        assertTrue(b.serving());
+        assertTrue(b.isServing());
     }
 
     @Test
@@ -116,8 +116,8 @@
                     filling.add(new Socket("127.0.0.1", full.getLocalPort()));
                 }
                 ScriptedDiscovery other = scripted();
-                Launch old = launch(full.getLocalPort(), "subscribe");
-                gatherer = new Gatherer(old.settings(), old.seed(), new Clock(), line -> {});
+                LaunchConfig old = launch(full.getLocalPort(), "subscribe");
+                gatherer = new Gatherer(old.settings(), old.seed(), new MonotonicClock(), line -> {});
                 watch = new DiscoveryWatch(old, gatherer);
                 gatherer.start(List.of());
                 watch.start(news -> {});
