--- a/src/bench/java/wallmoor/peers/BaselineProtocol.java
+++ b/src/bench/java/wallmoor/peers/BaselineProtocol.java
@@ -1,19 +1,23 @@
 package wallmoor.peers;
 
 import java.util.List;
+import wallmoor.peers.MembershipUpdate.Announcement;
 
-/** What the ways have in common that are measured beside ours: they know all members from the start and never leave. */
+/**
+ * What the protocols have in common that are measured beside ours: they know all members from the start and never
+ * leave.
+ */
 abstract class BaselineProtocol implements MembershipProtocol {
-    final MembershipParameters rules;
-    final Output actions;
-    /** This member's own news. */
-    MembershipUpdate.Announcement self;
+    final MembershipParameters parameters;
+    final Output output;
+    /** This member's own announcement. */
+    Announcement self;
     private GroupView view;
 
-    BaselineProtocol(MembershipUpdate.Announcement self, MembershipParameters rules, Output actions) {
+    BaselineProtocol(Announcement self, MembershipParameters parameters, Output output) {
         this.self = self;
-        this.rules = rules;
-        this.actions = actions;
+        this.parameters = parameters;
+        this.output = output;
     }
 
     @Override
@@ -26,13 +30,12 @@
         return view;
     }
 
-    /** These are held of all members now: a view of its own if the last one holds others. */
-    final void hold(List<GroupView.Member> members) {
+    /** Publishes these members if the last view holds others. */
+    final void publish(List<GroupView.Member> members) {
         if (view == null || !view.members().equals(members)) {
             view = new GroupView(view == null ? 1 : view.version() + 1, GroupView.PartitionSide.CANT_TELL,
-                    members.size(),
-                    rules.groupSize(), members);
-            actions.viewChanged(view, "");
+                    members.size(), parameters.groupSize(), members);
+            output.viewChanged(view, "");
         }
     }
 }
--- a/src/bench/java/wallmoor/peers/HeartbeatBaseline.java
+++ b/src/bench/java/wallmoor/peers/HeartbeatBaseline.java
@@ -3,55 +3,60 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
+import wallmoor.peers.GroupView.MemberState;
+import wallmoor.peers.MembershipUpdate.Announcement;
 
 /**
- * The plainest way, as a baseline: all members are known from the start, each tells all others every interval that it
- * is there, and who was not heard for five intervals is removed until it is heard again.
+ * All-to-all heartbeats, as a baseline: all members are known from the start, each sends all others a heartbeat every
+ * interval, and who was not heard for five intervals is removed until it is heard again.
  */
 public final class HeartbeatBaseline extends BaselineProtocol {
-    private static final int PATIENCE = 5;
+    private static final int TIMEOUT_INTERVALS = 5;
 
-    private final TreeMap<String, MembershipUpdate.Announcement> others = new TreeMap<>();
-    private final TreeMap<String, Long> heard = new TreeMap<>();
-    private long beatAt;
+    private final TreeMap<String, Announcement> others = new TreeMap<>();
+    private final TreeMap<String, Long> heardAt = new TreeMap<>();
+    private long nextHeartbeatAt;
 
-    public HeartbeatBaseline(String name, String address, long boot, List<MembershipUpdate.Announcement> all,
-            MembershipParameters rules, Output actions) {
-        super(new MembershipUpdate.Announcement(name, address, boot, boot, false), rules, actions);
-        all.stream().filter(t -> !t.name().equals(name)).forEach(t -> others.put(t.name(), t));
+    /** A member that knows all others. */
+    public HeartbeatBaseline(String name, String address, long bootId, List<Announcement> all,
+            MembershipParameters parameters, Output output) {
+        super(new Announcement(name, address, bootId, bootId, false), parameters, output);
+        all.stream().filter(a -> !a.name().equals(name)).forEach(a -> others.put(a.name(), a));
     }
 
     @Override
     public void onStart(long now) {
-        others.keySet().forEach(n -> heard.put(n, now));
-        look(now);
+        others.keySet().forEach(name -> heardAt.put(name, now));
+        publish(now);
     }
 
     @Override
     public void onTick(long now) {
-        if (now >= beatAt) {
-            beatAt = now + rules.probeInterval();
-            others.values().forEach(t -> actions.send(t.address(),
-                    new GroupMessage(GroupMessage.MessageKind.PROBE, self, 0, null, 0, List.of(), List.of())));
+        if (now >= nextHeartbeatAt) {
+            nextHeartbeatAt = now + parameters.probeInterval();
+            var heartbeat = new GroupMessage(GroupMessage.MessageKind.PROBE, self, 0, null, 0, List.of(), List.of());
+            others.values().forEach(other -> output.send(other.address(), heartbeat));
         }
-        look(now);
+        publish(now);
     }
 
     @Override
-    public void onMessage(long now, GroupMessage m) {
-        heard.put(m.sender().name(), now);
-        others.put(m.sender().name(), m.sender());
+    public void onMessage(long now, GroupMessage message) {
+        heardAt.put(message.sender().name(), now);
+        others.put(message.sender().name(), message.sender());
     }
 
-    private void look(long now) {
+    private void publish(long now) {
         var members = new ArrayList<GroupView.Member>();
-        others.forEach((n, t) -> members.add(new GroupView.Member(n, t.address(), t.incarnation(),
-                now - heard.get(n) > PATIENCE * rules.probeInterval() ? GroupView.MemberState.REMOVED
-                        : GroupView.MemberState.ALIVE,
-                0,
-                List.of())));
-        members.add(new GroupView.Member(self.name(), self.address(), self.incarnation(), GroupView.MemberState.ALIVE,
-                0, List.of()));
-        hold(members);
+        others.forEach((name, other) -> {
+            boolean isSilent = now - heardAt.get(name) > TIMEOUT_INTERVALS * parameters.probeInterval();
+            members.add(member(other, isSilent ? MemberState.REMOVED : MemberState.ALIVE));
+        });
+        members.add(member(self, MemberState.ALIVE));
+        publish(members);
+    }
+
+    private static GroupView.Member member(Announcement a, MemberState state) {
+        return new GroupView.Member(a.name(), a.address(), a.incarnation(), state, 0, List.of());
     }
 }
--- a/src/bench/java/wallmoor/peers/SwimBaseline.java
+++ b/src/bench/java/wallmoor/peers/SwimBaseline.java
@@ -7,6 +7,10 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
+import wallmoor.peers.GroupMessage.MessageKind;
+import wallmoor.peers.GroupView.MemberState;
+import wallmoor.peers.MembershipUpdate.Announcement;
+import wallmoor.peers.MembershipUpdate.Suspicion;
 
 /**
  * SWIM as its paper has it (Das, Gupta, Motivala, DSN 2002), as a baseline: one member probed an interval in a shuffled
@@ -14,170 +18,197 @@
  * after four times the decimal logarithm of the group's size in intervals. All members are known from the start.
  */
 public final class SwimBaseline extends BaselineProtocol {
-    private static final int SUSPICION = 4;
-    private static final int SPREAD = 3;
+    private static final int SUSPICION_FACTOR = 4;
+    private static final int RETRANSMIT_FACTOR = 3;
 
     private static final class Member {
-        MembershipUpdate.Announcement told;
-        GroupView.MemberState state = GroupView.MemberState.ALIVE;
-        long suspectedAt;
+        private Announcement announcement;
+        private MemberState state = MemberState.ALIVE;
+        private long suspectedAt;
     }
 
     private final Random random;
     private final TreeMap<String, Member> members = new TreeMap<>();
-    private final DisseminationQueue gossip = new DisseminationQueue();
-    private final Map<Long, GroupMessage> asked = new HashMap<>();
+    private final DisseminationQueue queue = new DisseminationQueue();
+    /** Requests for indirect probes by this member's number of the probe. */
+    private final Map<Long, GroupMessage> relayed = new HashMap<>();
     private final List<String> round = new ArrayList<>();
-    private long seq;
+    private long lastSequence;
+    /** The subject of this interval, or null once it has answered. */
     private String probed;
-    private long probedSeq;
+    private long probeSequence;
     private long probedAt;
-    private boolean helped;
-    private boolean dirty = true;
+    private boolean probedIndirectly;
+    private boolean viewIsStale = true;
 
-    public SwimBaseline(String name, String address, long boot, List<MembershipUpdate.Announcement> all,
-            MembershipParameters rules, long seed, Output actions) {
-        super(new MembershipUpdate.Announcement(name, address, boot, boot, false), rules, actions);
+    /** A member that knows all others. */
+    public SwimBaseline(String name, String address, long bootId, List<Announcement> all,
+            MembershipParameters parameters, long seed, Output output) {
+        super(new Announcement(name, address, bootId, bootId, false), parameters, output);
         random = new Random(seed);
-        all.forEach(t -> members.computeIfAbsent(t.name(), n -> new Member()).told = t);
-        members.get(name).told = self;
+        all.forEach(a -> members.computeIfAbsent(a.name(), n -> new Member()).announcement = a);
+        members.get(name).announcement = self;
     }
 
     @Override
     public void onStart(long now) {
-        gossip.enqueue(new DisseminationQueue.Topic(self.name(), false));
-        probedAt = now - random.nextLong(rules.probeInterval());
-        look();
+        queue.enqueue(new DisseminationQueue.Topic(self.name(), false));
+        probedAt = now - random.nextLong(parameters.probeInterval());
+        publish();
     }
 
     @Override
     public void onTick(long now) {
-        if (probed != null && !helped && now - probedAt > rules.probeTimeout()) {
-            helped = true;
-            for (int i = 0; i < rules.indirectProbers(); i++) {
-                String helper = next();
-                if (helper != null && !helper.equals(probed)) {
-                    send(helper, GroupMessage.MessageKind.INDIRECT_PROBE, probedSeq, probed);
-                }
-            }
+        if (probed != null && !probedIndirectly && now - probedAt > parameters.probeTimeout()) {
+            probeIndirectly();
         }
-        if (now - probedAt >= rules.probeInterval()) {
-            if (probed != null) {
-                suspect(now, members.get(probed).told);
-            }
-            probed = next();
-            probedSeq = ++seq;
-            probedAt = now;
-            helped = false;
-            if (probed != null) {
-                send(probed, GroupMessage.MessageKind.PROBE, probedSeq, null);
+        if (now - probedAt >= parameters.probeInterval()) {
+            beginInterval(now);
+        }
+        confirmSuspicions(now);
+        publish();
+    }
+
+    private void probeIndirectly() {
+        probedIndirectly = true;
+        for (int i = 0; i < parameters.indirectProbers(); i++) {
+            String helper = nextSubject();
+            if (helper != null && !helper.equals(probed)) {
+                send(helper, MessageKind.INDIRECT_PROBE, probeSequence, probed);
             }
-            asked.clear();
         }
-        long patience = (long) (SUSPICION * Math.max(1, Math.log10(members.size())) * rules.probeInterval());
+    }
+
+    private void beginInterval(long now) {
+        if (probed != null) {
+            suspect(now, members.get(probed).announcement);
+        }
+        probed = nextSubject();
+        probeSequence = ++lastSequence;
+        probedAt = now;
+        probedIndirectly = false;
+        if (probed != null) {
+            send(probed, MessageKind.PROBE, probeSequence, null);
+        }
+        relayed.clear();
+    }
+
+    private void confirmSuspicions(long now) {
+        long timeout = (long) (SUSPICION_FACTOR * Math.max(1, Math.log10(members.size()))
+                * parameters.probeInterval());
         for (Member m : members.values()) {
-            if (m.state == GroupView.MemberState.SUSPECTED && now - m.suspectedAt > patience) {
-                MembershipUpdate.Announcement t = m.told;
-                take(now, new MembershipUpdate.Announcement(t.name(), t.address(), t.bootId(), t.incarnation(), true));
+            if (m.state == MemberState.SUSPECTED && now - m.suspectedAt > timeout) {
+                Announcement a = m.announcement;
+                process(now, new Announcement(a.name(), a.address(), a.bootId(), a.incarnation(), true));
             }
         }
-        look();
     }
 
     @Override
-    public void onMessage(long now, GroupMessage m) {
-        m.updates().forEach(n -> take(now, n));
-        take(now, m.sender());
-        switch (m.kind()) {
-            case PROBE -> send(m.sender().name(), GroupMessage.MessageKind.ACK, m.sequence(), null);
+    public void onMessage(long now, GroupMessage message) {
+        message.updates().forEach(update -> process(now, update));
+        process(now, message.sender());
+        switch (message.kind()) {
+            case PROBE -> send(message.sender().name(), MessageKind.ACK, message.sequence(), null);
             case INDIRECT_PROBE -> {
-                asked.put(++seq, m);
-                send(m.target(), GroupMessage.MessageKind.PROBE, seq, null);
+                relayed.put(++lastSequence, message);
+                send(message.target(), MessageKind.PROBE, lastSequence, null);
             }
-            case ACK -> {
-                GroupMessage origin = asked.remove(m.sequence());
-                if (origin != null) {
-                    send(origin.sender().name(), GroupMessage.MessageKind.ACK, origin.sequence(), m.sender().name());
-                } else if (m.sequence() == probedSeq) {
-                    probed = null;
-                }
-            }
-            default -> {}
+            case ACK -> onAck(message);
+            default -> {} // it has no anti-entropy
+        }
+    }
+
+    private void onAck(GroupMessage ack) {
+        GroupMessage request = relayed.remove(ack.sequence());
+        if (request != null) {
+            send(request.sender().name(), MessageKind.ACK, request.sequence(), ack.sender().name());
+        } else if (ack.sequence() == probeSequence) {
+            probed = null;
         }
     }
 
-    private String next() {
+    private String nextSubject() {
         for (int tries = 0; tries < 2 * members.size(); tries++) {
             if (round.isEmpty()) {
                 round.addAll(members.keySet());
                 Collections.shuffle(round, random);
             }
             String name = round.remove(round.size() - 1);
-            if (!name.equals(self.name()) && members.get(name).state != GroupView.MemberState.REMOVED) {
+            if (!name.equals(self.name()) && members.get(name).state != MemberState.REMOVED) {
                 return name;
             }
         }
         return null;
     }
 
-    private void send(String to, GroupMessage.MessageKind kind, long number, String about) {
-        var news = new ArrayList<MembershipUpdate>();
-        gossip.appendTo(rules.maxUpdateBytes(), SPREAD * (1 + (int) (Math.log(members.size()) / Math.log(2))),
-                this::known, news);
-        actions.send(members.get(to).told.address(), new GroupMessage(kind, self, number, about, 0, List.of(), news));
+    private void send(String to, MessageKind kind, long sequence, String target) {
+        var updates = new ArrayList<MembershipUpdate>();
+        int transmissions = RETRANSMIT_FACTOR * (1 + (int) (Math.log(members.size()) / Math.log(2)));
+        queue.appendTo(parameters.maxUpdateBytes(), transmissions, this::known, updates);
+        output.send(members.get(to).announcement.address(),
+                new GroupMessage(kind, self, sequence, target, 0, List.of(), updates));
     }
 
-    private List<MembershipUpdate> known(DisseminationQueue.Topic piece) {
-        Member m = members.get(piece.name());
-        return !piece.suspicions() ? List.of(m.told) : m.state != GroupView.MemberState.SUSPECTED ? List.of()
-                : List.of(new MembershipUpdate.Suspicion(piece.name(), m.told.incarnation(), self.name(), 0, true));
+    private List<MembershipUpdate> known(DisseminationQueue.Topic topic) {
+        Member m = members.get(topic.name());
+        if (!topic.suspicions()) {
+            return List.of(m.announcement);
+        }
+        return m.state != MemberState.SUSPECTED ? List.of()
+                : List.of(new Suspicion(topic.name(), m.announcement.incarnation(), self.name(), 0, true));
     }
 
-    private void suspect(long now, MembershipUpdate.Announcement t) {
-        take(now, new MembershipUpdate.Suspicion(t.name(), t.incarnation(), self.name(), ++seq, true));
+    private void suspect(long now, Announcement subject) {
+        process(now, new Suspicion(subject.name(), subject.incarnation(), self.name(), ++lastSequence, true));
     }
 
-    private void take(long now, MembershipUpdate n) {
-        Member m = members.get(n.name());
-        if (n.name().equals(self.name())) {
-            if ((n instanceof MembershipUpdate.Suspicion || n instanceof MembershipUpdate.Announcement t && t.left())
-                    && n.incarnation() >= self.incarnation()) {
-                self = new MembershipUpdate.Announcement(self.name(), self.address(), self.bootId(),
-                        n.incarnation() + 1, false);
-                m.told = self;
-                gossip.enqueue(new DisseminationQueue.Topic(self.name(), false));
-            }
-            return;
+    private void process(long now, MembershipUpdate update) {
+        if (update.name().equals(self.name())) {
+            refute(update);
+        } else if (merge(now, members.get(update.name()), update)) {
+            viewIsStale = true;
+            queue.enqueue(new DisseminationQueue.Topic(update.name(), update instanceof Suspicion));
         }
-        boolean told = false;
-        if (n instanceof MembershipUpdate.Announcement t) {
-            if (t.left() && t.incarnation() >= m.told.incarnation() && m.state != GroupView.MemberState.REMOVED) {
-                m.state = GroupView.MemberState.REMOVED;
-                m.told = t;
-                told = true;
-            } else if (!t.left() && t.incarnation() > m.told.incarnation()) {
-                m.state = GroupView.MemberState.ALIVE;
-                m.told = t;
-                told = true;
+    }
+
+    private void refute(MembershipUpdate update) {
+        boolean isAgainst = update instanceof Suspicion || (update instanceof Announcement a && a.left());
+        if (isAgainst && update.incarnation() >= self.incarnation()) {
+            self = new Announcement(self.name(), self.address(), self.bootId(), update.incarnation() + 1, false);
+            members.get(self.name()).announcement = self;
+            queue.enqueue(new DisseminationQueue.Topic(self.name(), false));
+        }
+    }
+
+    /** Whether the update was news. */
+    private static boolean merge(long now, Member known, MembershipUpdate update) {
+        if (!(update instanceof Announcement a)) {
+            boolean isNews = update.incarnation() == known.announcement.incarnation()
+                    && known.state == MemberState.ALIVE;
+            if (isNews) {
+                known.state = MemberState.SUSPECTED;
+                known.suspectedAt = now;
             }
-        } else if (n.incarnation() == m.told.incarnation() && m.state == GroupView.MemberState.ALIVE) {
-            m.state = GroupView.MemberState.SUSPECTED;
-            m.suspectedAt = now;
-            told = true;
+            return isNews;
         }
-        if (told) {
-            dirty = true;
-            gossip.enqueue(new DisseminationQueue.Topic(n.name(), n instanceof MembershipUpdate.Suspicion));
+        boolean isRemoval = a.left() && a.incarnation() >= known.announcement.incarnation()
+                && known.state != MemberState.REMOVED;
+        boolean isNewer = !a.left() && a.incarnation() > known.announcement.incarnation();
+        if (isRemoval || isNewer) {
+            known.state = isRemoval ? MemberState.REMOVED : MemberState.ALIVE;
+            known.announcement = a;
         }
+        return isRemoval || isNewer;
     }
 
-    private void look() {
-        if (dirty) {
-            dirty = false;
+    private void publish() {
+        if (viewIsStale) {
+            viewIsStale = false;
             var all = new ArrayList<GroupView.Member>();
-            members.forEach((name, m) -> all.add(
-                    new GroupView.Member(name, m.told.address(), m.told.incarnation(), m.state, 0, List.of())));
-            hold(all);
+            members.forEach((name, m) -> all.add(new GroupView.Member(name, m.announcement.address(),
+                    m.announcement.incarnation(), m.state, 0, List.of())));
+            publish(all);
         }
     }
 }
