--- a/src/bench/java/wallmoor/experiment/GroupTrial.java
+++ b/src/bench/java/wallmoor/experiment/GroupTrial.java
@@ -117,7 +117,7 @@
             Map<String, Long> figures) {
         int sick = fault.sick(n);
         long[] before = changes(group, n);
-        group.link(fault.link(n));
+        group.setLink(fault.link(n));
         long detected = -1;
         if (fault.kills()) {
             IntStream.range(n - sick, n).forEach(group::kill);
@@ -138,7 +138,7 @@
         figures.put("detected_ms", detected);
         figures.put("changes", most(changes(group, up), before));
         long[] healed = changes(group, up);
-        group.link(RELIABLE);
+        group.setLink(RELIABLE);
         figures.put("agreed_ms", millis(group.runUntilConverged(SETTLE)));
         figures.put("changes_after", most(changes(group, up), healed));
         int sound = n - sick;
--- a/src/main/java/wallmoor/peers/DisseminationQueue.java
+++ b/src/main/java/wallmoor/peers/DisseminationQueue.java
@@ -7,75 +7,77 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.function.Function;
 
 /**
- * What is still to be told: what was sent least goes first, and each piece so many times at most. A piece is a member's
- * own news, or all doubts of it together, as they stand when they are sent: of a member that many observers doubt there
- * is one piece and not one for each. Taking one costs the same however many there are.
+ * Topics that are still to be disseminated: what was sent least goes first, and each a limited number of times (SWIM,
+ * 4.1). A topic is a member's own announcement, or all suspicions of it together, as they stand when they are sent: of
+ * a member that many observers suspect there is one topic and not one for each. Taking one costs the same however many
+ * there are.
  */
 final class DisseminationQueue {
-    /** Whom it is about, and whether it is what others say of its being heard. */
+    /** The member that it is about, and whether it is what others report of hearing it. */
     record Topic(String name, boolean suspicions) {}
 
     /** By how often they were sent; of each what waits longest first. */
-    private final List<LinkedHashSet<Topic>> bySent = new ArrayList<>();
-    private final Map<Topic, Integer> sent = new HashMap<>();
+    private final List<Set<Topic>> byTransmissions = new ArrayList<>();
+    private final Map<Topic, Integer> transmissions = new HashMap<>();
 
-    /** Something new is to be told of it. */
-    void enqueue(Topic piece) {
-        Integer before = sent.put(piece, 0);
+    /** Something new is to be told on this topic. */
+    void enqueue(Topic topic) {
+        Integer before = transmissions.put(topic, 0);
         if (before != null) {
-            bySent.get(before).remove(piece);
+            byTransmissions.get(before).remove(topic);
         }
-        at(0).add(piece);
+        sentTimes(0).add(topic);
     }
 
     /** Whether there is nothing left to tell. */
     boolean isEmpty() {
-        return sent.isEmpty();
+        return transmissions.isEmpty();
     }
 
     /**
-     * Adds the next pieces to a message.
+     * Adds the updates of the next topics to a message.
      *
-     * @param room   for so many bytes by {@link MembershipUpdate#encodedSize}; at least one piece goes all the same
-     * @param enough times that each piece is sent in all
-     * @param known  what there is to say of a piece now
+     * @param room   for so many bytes by {@link MembershipUpdate#encodedSize}; one topic goes all the same
+     * @param limit  times that each topic is sent in all
+     * @param source what there is to say on a topic now
      */
-    void appendTo(int room, int enough, Function<Topic, List<MembershipUpdate>> known, List<MembershipUpdate> to) {
+    void appendTo(int room, int limit, Function<Topic, List<MembershipUpdate>> source, List<MembershipUpdate> message) {
         int left = room;
-        var again = new LinkedHashMap<Topic, Integer>(); // for this message once each
-        for (int times = 0; times < bySent.size() && left > 0; times++) {
-            Iterator<Topic> waiting = bySent.get(times).iterator();
+        var sent = new LinkedHashMap<Topic, Integer>(); // queued again at the end: for this message once each
+        for (int times = 0; times < byTransmissions.size() && left > 0; times++) {
+            Iterator<Topic> waiting = byTransmissions.get(times).iterator();
             while (left > 0 && waiting.hasNext()) {
-                Topic next = waiting.next();
-                List<MembershipUpdate> news = times < enough ? known.apply(next) : List.of();
-                int size = news.stream().mapToInt(MembershipUpdate::encodedSize).sum();
+                Topic topic = waiting.next();
+                List<MembershipUpdate> updates = times < limit ? source.apply(topic) : List.of();
+                int size = updates.stream().mapToInt(MembershipUpdate::encodedSize).sum();
                 if (size > left && left < room) {
                     left = 0; // the next message begins with it
                     continue;
                 }
                 waiting.remove();
-                if (news.isEmpty()) {
-                    sent.remove(next);
+                if (updates.isEmpty()) {
+                    transmissions.remove(topic);
                     continue;
                 }
                 left -= size;
-                news.stream().filter(n -> !to.contains(n)).forEach(to::add);
-                again.put(next, times + 1);
+                updates.stream().filter(u -> !message.contains(u)).forEach(message::add);
+                sent.put(topic, times + 1);
             }
         }
-        again.forEach((piece, times) -> {
-            at(times).add(piece);
-            sent.put(piece, times);
+        sent.forEach((topic, times) -> {
+            sentTimes(times).add(topic);
+            transmissions.put(topic, times);
         });
     }
 
-    private LinkedHashSet<Topic> at(int times) {
-        while (bySent.size() <= times) {
-            bySent.add(new LinkedHashSet<>());
+    private Set<Topic> sentTimes(int times) {
+        while (byTransmissions.size() <= times) {
+            byTransmissions.add(new LinkedHashSet<>());
         }
-        return bySent.get(times);
+        return byTransmissions.get(times);
     }
 }
--- a/src/main/java/wallmoor/peers/GroupView.java
+++ b/src/main/java/wallmoor/peers/GroupView.java
@@ -5,35 +5,43 @@
 /**
  * Who is there, as one member sees it.
  *
- * @param version   of this process' own; each change has the next
- * @param side  what this member's side of the group is, as far as it can tell
- * @param reachable members not in doubt, this one included
- * @param configuredSize      members that there are meant to be
- * @param members   by name
+ * @param version        of this process' own; each change has the next
+ * @param side           this member's side of a network partition, as far as it can tell
+ * @param reachable      members that this one reaches, itself included
+ * @param configuredSize members that there are meant to be
+ * @param members        by name
  */
 public record GroupView(long version, PartitionSide side, int reachable, int configuredSize, List<Member> members) {
 
-    /** A side's place in the group. */
+    /** A side of a network partition. The log and the control port write these names. */
     public enum PartitionSide {
         /** More than half of the group is here. */
         LARGER,
         /** Fewer than half are. */
         SMALLER,
         /**
-         * Just half; or more members than there are meant to be; or this process has stood still, or most don't hear
-         * it.
+         * Just half; or more members than there are meant to be; or this process was paused, or most don't hear it.
          */
         CANT_TELL
     }
 
-    /** What is held of a member. */
-    public enum MemberState { ALIVE, SUSPECTED, LEFT, REMOVED }
+    /** State of a member. The log and the control port write these names. */
+    public enum MemberState {
+        /** Takes part, and nobody whose word counts suspects it. */
+        ALIVE,
+        /** Takes part, and an observer suspects it. */
+        SUSPECTED,
+        /** Has left with notice. */
+        LEFT,
+        /** Was removed, and has not been admitted again. */
+        REMOVED
+    }
 
     /**
      * One member.
      *
-     * @param since   when it came to this state, on the caller's clock
-     * @param suspectedBy who does not hear it
+     * @param since       when it came to this state, in microseconds on the caller's clock
+     * @param suspectedBy observers that suspect it and whose word counts
      */
     public record Member(String name, String address, long incarnation, MemberState state, long since,
             List<String> suspectedBy) {
--- a/src/main/java/wallmoor/peers/LiveMemberCount.java
+++ b/src/main/java/wallmoor/peers/LiveMemberCount.java
@@ -4,25 +4,28 @@
 import java.util.TreeSet;
 
 /**
- * Among how many gatherers what they have in common is shared, such as what a cold node may be sent, and which place
- * this one has among them. Counted are those that the view holds to be there. Who joins counts at once, so that the
- * shares never add up to more than all; who goes counts on until the view has been steady for a while, as the others
- * may not know yet. Without a quorum, and until the view has been steady for as long after one came back, the
- * configured number holds. All who know the same members count the same and give each another place.
+ * Among how many gatherers the quotas that they have in common are divided, such as what a node that is warming up
+ * may be sent, and this one's rank among them. Counted are those that are present in the view. Who joins counts at
+ * once, so that the shares never add up to more than all; who goes counts on until the view has been stable for a
+ * while, as the others may not know yet. Without a quorum, and until the view has been stable for as long after one
+ * came back, the configured number holds. All who know the same members count the same and have different ranks.
+ * Times are microseconds on the caller's clock.
  */
 public final class LiveMemberCount {
     /**
-     * @param memberCount gatherers that share, this one included
-     * @param rank this one's among them, from 0
+     * This gatherer's position among those that divide what they have in common.
+     *
+     * @param memberCount gatherers that divide it, this one included
+     * @param rank        this one's among them, from 0
      */
     public record GroupPosition(int memberCount, int rank) {}
 
     private final String self;
     private final GroupPosition configured;
-    private final long steady;
-    /** Those there by the last view; null without a quorum. */
-    private Set<String> live;
-    private long liveSince;
+    private final long stableTime;
+    /** Those present in the last view; null without a quorum. */
+    private Set<String> present;
+    private long presentSince;
     /** Those that count; null where the configured number does. */
     private TreeSet<String> counted;
 
@@ -31,40 +34,42 @@
      *
      * @param self       this gatherer's name
      * @param configured what holds without a quorum
-     * @param steady     the view must stay as it is for so long before anybody ceases to count
+     * @param stableTime microseconds that the view must stay as it is before anybody ceases to count
      */
-    public LiveMemberCount(String self, GroupPosition configured, long steady) {
+    public LiveMemberCount(String self, GroupPosition configured, long stableTime) {
         this.self = self;
         this.configured = configured;
-        this.steady = steady;
+        this.stableTime = stableTime;
     }
 
     /** The view has changed. */
     public void onView(long now, GroupView view) {
-        TreeSet<String> there = null;
-        if (view.hasQuorum()) {
-            there = new TreeSet<>();
-            for (GroupView.Member m : view.members()) {
-                if (m.isPresent()) {
-                    there.add(m.name());
-                }
-            }
+        Set<String> next = view.hasQuorum() ? presentMembers(view) : null;
+        if (next == null || !next.equals(present)) {
+            present = next;
+            presentSince = now;
         }
-        if (there == null || !there.equals(live)) {
-            live = there;
-            liveSince = now;
-        }
-        if (there == null) {
+        if (next == null) {
             counted = null;
         } else if (counted != null) {
-            counted.addAll(there);
+            counted.addAll(next);
+        }
+    }
+
+    private static Set<String> presentMembers(GroupView view) {
+        var names = new TreeSet<String>();
+        for (GroupView.Member member : view.members()) {
+            if (member.isPresent()) {
+                names.add(member.name());
+            }
         }
+        return names;
     }
 
-    /** The share as it is now. */
+    /** The position as it is now. */
     public GroupPosition position(long now) {
-        if (live != null && now - liveSince >= steady) {
-            counted = new TreeSet<>(live);
+        if (present != null && now - presentSince >= stableTime) {
+            counted = new TreeSet<>(present);
         }
         return counted == null || !counted.contains(self) ? configured
                 : new GroupPosition(counted.size(), counted.headSet(self).size());
--- a/src/main/java/wallmoor/peers/MembershipProtocol.java
+++ b/src/main/java/wallmoor/peers/MembershipProtocol.java
@@ -1,12 +1,12 @@
 package wallmoor.peers;
 
 /**
- * What decides for one member of a group: events with their time in, messages and changes of view out. The model and
- * the socket drive any such; so ways can be measured side by side. Times are microseconds on a clock that only goes
- * forward.
+ * A group membership protocol as one member runs it: events with their time in, messages and changes of view out. The
+ * simulation and the transport drive any such; so protocols can be measured side by side. Times are microseconds on a
+ * clock that only goes forward.
  */
 public interface MembershipProtocol {
-    /** What a decider does. */
+    /** Where the protocol's actions go. */
     interface Output {
         /** Sends a message to the member at this address. */
         void send(String address, GroupMessage message);
@@ -24,7 +24,7 @@
     /** A message has come. */
     void onMessage(long now, GroupMessage message);
 
-    /** The member leaves with notice: nothing is told or decided after it. */
+    /** The member leaves with notice: nothing is sent or decided after it. */
     void leave(long now);
 
     /** The view as it is. */
--- a/src/main/java/wallmoor/peers/MembershipUpdate.java
+++ b/src/main/java/wallmoor/peers/MembershipUpdate.java
@@ -1,42 +1,51 @@
 package wallmoor.peers;
 
-/** What messages carry of members beside their own purpose. */
+/** An update of what is known of a member, which messages carry beside their own purpose (SWIM, 4.1). */
 public sealed interface MembershipUpdate {
-    /** Whom it is about. */
+    /** The member that it is about. */
     String name();
 
-    /** The life of it that is meant: a member that refutes a doubt, or comes back, has a higher one. */
+    /**
+     * The incarnation that is meant: a member that refutes a suspicion, or comes back, begins a newer one (SWIM, 4.2).
+     */
     long incarnation();
 
-    /** Bytes that it takes on its way, about: numbers here are some ten bytes each. */
+    /** Bytes that it takes in a message, about: numbers here are some ten bytes each. */
     int encodedSize();
 
     /**
-     * A member is there, or has left with notice.
+     * A member is there, or has left with notice. Only the member itself announces that, others repeat it.
      *
      * @param address where it can be reached
-     * @param bootId    tells two processes of one name apart
+     * @param bootId  tells two processes of one name apart: the start on the wall clock, in microseconds
+     * @param left    whether it has left
      */
-    record Announcement(String name, String address, long bootId, long incarnation,
-            boolean left) implements MembershipUpdate {
+    record Announcement(String name, String address, long bootId, long incarnation, boolean left)
+            implements
+                MembershipUpdate {
+        private static final int FIXED_BYTES = 24;
+
         @Override
         public int encodedSize() {
-            return 24 + name.length() + address.length();
+            return FIXED_BYTES + name.length() + address.length();
         }
     }
 
     /**
-     * An observer does not hear a member, or hears it again.
+     * An observer does not hear a member, or hears it again (Rapid: an alert).
      *
-     * @param observer  the observer
-     * @param sequence the observer's own count: the latest holds
-     * @param isActive  whether it doubts
+     * @param observer whose report it is
+     * @param sequence the observer's own count: the latest report holds
+     * @param isActive whether it suspects the member; false where that is taken back
      */
-    record Suspicion(String name, long incarnation, String observer, long sequence,
-            boolean isActive) implements MembershipUpdate {
+    record Suspicion(String name, long incarnation, String observer, long sequence, boolean isActive)
+            implements
+                MembershipUpdate {
+        private static final int FIXED_BYTES = 14;
+
         @Override
         public int encodedSize() {
-            return 14 + observer.length(); // those of one member follow each other, and name it once
+            return FIXED_BYTES + observer.length(); // those of one member follow each other, and name it once
         }
     }
 }
--- a/src/main/java/wallmoor/peers/UnreachableMembers.java
+++ b/src/main/java/wallmoor/peers/UnreachableMembers.java
@@ -5,57 +5,63 @@
 import java.util.Set;
 
 /**
- * Which members are not heard by the group, from who accuses whom: those that more than half of their observers accuse.
- * The word of such a member counts no more, neither for nor against others, and those that the most of their observers
- * accuse go first: so many dead ones don't vouch for each other by their silence, and a few that hear nobody, and
- * accuse all, are found out before they could be believed, or never are believed.
+ * Which members the group does not hear: those that more than half of their observers suspect. The word of such a
+ * member no longer counts, neither for nor against others, and those that the largest share of their observers suspects
+ * go first: so many dead ones don't vouch for each other by their silence, and a few that hear nobody, and suspect all,
+ * are found out before they are believed, or never are believed.
  */
 final class UnreachableMembers {
     /**
-     * Who is said of a member.
+     * Who suspects a member.
      *
-     * @param suspectedBy        observers that accuse it
-     * @param observers all that observe it, the accusers included
+     * @param suspectedBy observers that suspect it
+     * @param observers   all that observe it, the suspecting ones included
      */
     record SuspectedMember(Set<String> suspectedBy, Set<String> observers) {}
 
     private UnreachableMembers() {}
 
-    /** Those of the accused that are not heard. */
-    static Set<String> of(Map<String, SuspectedMember> accused) {
-        var unheard = new HashSet<String>();
+    /** Those of the suspected members that are unreachable. */
+    static Set<String> of(Map<String, SuspectedMember> suspected) {
+        var unreachable = new HashSet<String>();
         while (true) {
-            var worst = new HashSet<String>();
-            long by = 1;
-            long of = 2; // more than half is asked for
-            for (var e : accused.entrySet()) {
-                if (unheard.contains(e.getKey())) {
-                    continue;
-                }
-                long itsBy = counting(e.getValue().suspectedBy, unheard);
-                long itsOf = counting(e.getValue().observers, unheard);
-                long more = itsBy * of - by * itsOf; // of two shares
-                if (more > 0) {
-                    worst.clear();
-                    by = itsBy;
-                    of = itsOf;
-                }
-                if (more > 0 || more == 0 && !worst.isEmpty()) {
-                    worst.add(e.getKey());
-                }
+            Set<String> next = mostSuspected(suspected, unreachable);
+            if (next.isEmpty()) {
+                return unreachable;
             }
-            if (worst.isEmpty()) {
-                return unheard;
+            unreachable.addAll(next);
+        }
+    }
+
+    /** Those that the largest share of credible observers suspects, where it is more than half; none otherwise. */
+    private static Set<String> mostSuspected(Map<String, SuspectedMember> suspected, Set<String> unreachable) {
+        var most = new HashSet<String>();
+        long numerator = 1; // of the share to beat
+        long denominator = 2;
+        for (var member : suspected.entrySet()) {
+            if (unreachable.contains(member.getKey())) {
+                continue;
+            }
+            long suspecting = countCredible(member.getValue().suspectedBy(), unreachable);
+            long observing = countCredible(member.getValue().observers(), unreachable);
+            long difference = suspecting * denominator - numerator * observing;
+            if (difference > 0) {
+                most.clear();
+                numerator = suspecting;
+                denominator = observing;
+            }
+            if (difference > 0 || (difference == 0 && !most.isEmpty())) {
+                most.add(member.getKey());
             }
-            unheard.addAll(worst);
         }
+        return most;
     }
 
-    private static int counting(Set<String> names, Set<String> unheard) {
-        int n = 0;
-        for (String name : names) {
-            n += unheard.contains(name) ? 0 : 1;
+    private static int countCredible(Set<String> observers, Set<String> unreachable) {
+        int count = 0;
+        for (String name : observers) {
+            count += unreachable.contains(name) ? 0 : 1;
         }
-        return n;
+        return count;
     }
 }
--- a/src/main/java/wallmoor/peers/udp/GroupMessageCodec.java
+++ b/src/main/java/wallmoor/peers/udp/GroupMessageCodec.java
@@ -9,24 +9,31 @@
 import java.util.ArrayList;
 import java.util.List;
 import wallmoor.peers.GroupMessage;
+import wallmoor.peers.GroupMessage.MessageKind;
 import wallmoor.peers.MembershipUpdate;
+import wallmoor.peers.MembershipUpdate.Announcement;
+import wallmoor.peers.MembershipUpdate.Suspicion;
 
 /**
- * A message as a datagram: a CBOR array of the form's version, the installation's name and the message's fields, in a
- * fixed order. What does not have exactly this form is told apart by why, and nothing of it is used.
+ * Encodes messages: a CBOR array (RFC 8949) of the form's version, the installation's name and the message's fields, in
+ * a fixed order. What does not have exactly this form is dropped with a {@link DropReason}, and nothing of it is used.
  */
 final class GroupMessageCodec {
     /** A datagram with its headers fits an Ethernet frame, tunnels included. */
     static final int MAX_DATAGRAM_BYTES = 1_200;
-    /** Bytes of a table at most, which go by themselves: some 60 for each of ten thousand members, and doubts. */
+    /** Bytes of a table at most, which go by themselves: some 60 for each of ten thousand members, and suspicions. */
     static final int MAX_TABLE_BYTES = 2 * 1024 * 1024;
     private static final int VERSION = 2;
-    private static final int MOST_TEXT = 128;
-    private static final int MOST_GROUPS = 64;
-    /** The least that a piece of news takes: more of them than that can't be there. */
-    private static final int LEAST_NEWS = 6;
-    private static final int TOLD = 0;
-    private static final int DOUBTS = 1;
+    private static final int MAX_TEXT_CHARS = 128;
+    private static final int MAX_BUCKETS = 64;
+    /** The least that an update takes: more of them than that can't be there. */
+    private static final int MIN_UPDATE_BYTES = 6;
+    private static final int ANNOUNCEMENT = 0;
+    private static final int SUSPICIONS = 1;
+    private static final int TYPICAL_BYTES = 256;
+    /** A kind is its place in this list. */
+    private static final List<MessageKind> KINDS = List.of(MessageKind.PROBE, MessageKind.ACK,
+            MessageKind.INDIRECT_PROBE, MessageKind.DIGEST, MessageKind.UPDATES);
 
     private final CBORFactory factory = new CBORFactory();
     private final String installation;
@@ -35,171 +42,182 @@
         this.installation = installation;
     }
 
-    /** Why a datagram was dropped. */
-    static final class DroppedMessageException extends Exception {
-        private static final long serialVersionUID = 1;
-        final transient DropReason reason;
-
-        DroppedMessageException(DropReason why) {
-            super(why.toString(), null, false, false);
-            this.reason = why;
-        }
-    }
-
-    /** Kinds of what is dropped, counted apart. */
-    enum DropReason {
-        MALFORMED, VERSION, INSTALLATION, TOO_LONG, UNSENT
-    }
-
-    /** The bytes of a message: of its news as much as fits a datagram, and all of a table. */
-    byte[] encode(GroupMessage m) throws IOException {
-        for (int n = m.updates().size();; n--) {
-            byte[] bytes = encode(m, m.updates().subList(0, n));
-            if (bytes.length <= MAX_DATAGRAM_BYTES || n == 0 || m.kind() == GroupMessage.MessageKind.UPDATES) {
-                return bytes;
-            }
+    /** The bytes of a message: of its updates as many as fit a datagram, and all of a table's. */
+    byte[] encode(GroupMessage message) throws IOException {
+        int count = message.updates().size();
+        byte[] bytes = encode(message, message.updates());
+        while (bytes.length > MAX_DATAGRAM_BYTES && count > 0 && message.kind() != MessageKind.UPDATES) {
+            count--;
+            bytes = encode(message, message.updates().subList(0, count));
         }
+        return bytes;
     }
 
-    private byte[] encode(GroupMessage m, List<MembershipUpdate> news) throws IOException {
-        var to = new ByteArrayOutputStream(256);
-        try (CBORGenerator out = factory.createGenerator(to)) {
+    private byte[] encode(GroupMessage message, List<MembershipUpdate> updates) throws IOException {
+        var bytes = new ByteArrayOutputStream(TYPICAL_BYTES);
+        try (CBORGenerator out = factory.createGenerator(bytes)) {
             out.writeStartArray();
             out.writeNumber(VERSION);
             out.writeString(installation);
-            out.writeNumber(m.kind().ordinal());
-            told(out, m.sender());
-            out.writeNumber(m.sequence());
-            out.writeString(m.target() == null ? "" : m.target());
-            out.writeNumber(m.digest());
-            out.writeNumber(m.bucketDigests().size());
-            for (long group : m.bucketDigests()) {
-                out.writeNumber(group);
-            }
-            out.writeNumber(news.size());
-            for (int i = 0; i < news.size(); i++) {
-                if (news.get(i) instanceof MembershipUpdate.Announcement t) {
-                    out.writeNumber(TOLD);
-                    told(out, t);
-                } else {
-                    i += doubts(out, news.subList(i, news.size())) - 1;
-                }
+            out.writeNumber(KINDS.indexOf(message.kind()));
+            encodeAnnouncement(out, message.sender());
+            out.writeNumber(message.sequence());
+            out.writeString(message.target() == null ? "" : message.target());
+            out.writeNumber(message.digest());
+            out.writeNumber(message.bucketDigests().size());
+            for (long digest : message.bucketDigests()) {
+                out.writeNumber(digest);
             }
+            encodeUpdates(out, updates);
             out.writeEndArray();
         }
-        return to.toByteArray();
+        return bytes.toByteArray();
+    }
+
+    private static void encodeUpdates(CBORGenerator out, List<MembershipUpdate> updates) throws IOException {
+        out.writeNumber(updates.size());
+        int done = 0;
+        while (done < updates.size()) {
+            if (updates.get(done) instanceof Announcement announcement) {
+                out.writeNumber(ANNOUNCEMENT);
+                encodeAnnouncement(out, announcement);
+                done++;
+            } else {
+                done += encodeSuspicions(out, updates.subList(done, updates.size()));
+            }
+        }
     }
 
-    /** Those doubts of one life that come first, together; how many they were. */
-    private static int doubts(CBORGenerator out, List<MembershipUpdate> news) throws IOException {
-        MembershipUpdate first = news.get(0);
-        int n = 1;
-        while (n < news.size() && news.get(n) instanceof MembershipUpdate.Suspicion d && d.name().equals(first.name())
-                && d.incarnation() == first.incarnation()) {
-            n++;
+    /** Those suspicions of one incarnation that come first, together; how many they were. */
+    private static int encodeSuspicions(CBORGenerator out, List<MembershipUpdate> updates) throws IOException {
+        MembershipUpdate first = updates.get(0);
+        int count = 1;
+        while (count < updates.size() && updates.get(count) instanceof Suspicion s && s.name().equals(first.name())
+                && s.incarnation() == first.incarnation()) {
+            count++;
         }
-        out.writeNumber(DOUBTS);
+        out.writeNumber(SUSPICIONS);
         out.writeString(first.name());
         out.writeNumber(first.incarnation());
-        out.writeNumber(n);
-        for (MembershipUpdate each : news.subList(0, n)) {
-            MembershipUpdate.Suspicion d = (MembershipUpdate.Suspicion) each;
-            out.writeString(d.observer());
-            out.writeNumber(d.sequence());
-            out.writeBoolean(d.isActive());
+        out.writeNumber(count);
+        for (MembershipUpdate update : updates.subList(0, count)) {
+            Suspicion suspicion = (Suspicion) update;
+            out.writeString(suspicion.observer());
+            out.writeNumber(suspicion.sequence());
+            out.writeBoolean(suspicion.isActive());
         }
-        return n;
+        return count;
     }
 
-    private static void told(CBORGenerator out, MembershipUpdate.Announcement t) throws IOException {
-        out.writeString(t.name());
-        out.writeString(t.address());
-        out.writeNumber(t.bootId());
-        out.writeNumber(t.incarnation());
-        out.writeBoolean(t.left());
+    private static void encodeAnnouncement(CBORGenerator out, Announcement announcement) throws IOException {
+        out.writeString(announcement.name());
+        out.writeString(announcement.address());
+        out.writeNumber(announcement.bootId());
+        out.writeNumber(announcement.incarnation());
+        out.writeBoolean(announcement.left());
     }
 
-    /** The message in a datagram, or in a table's connection with its own bound. */
+    /**
+     * The message in a datagram, or in a table's connection.
+     *
+     * @param length bytes that came
+     * @param most   bytes that may come that way
+     */
     GroupMessage decode(byte[] bytes, int length, int most) throws DroppedMessageException {
         if (length > most) {
             throw new DroppedMessageException(DropReason.TOO_LONG);
         }
         try (JsonParser in = factory.createParser(bytes, 0, length)) {
             expect(in.nextToken() == JsonToken.START_ARRAY);
-            if (whole(in) != VERSION) {
+            if (decodeLong(in) != VERSION) {
                 throw new DroppedMessageException(DropReason.VERSION);
             }
-            if (!text(in).equals(installation)) {
+            if (!decodeText(in).equals(installation)) {
                 throw new DroppedMessageException(DropReason.INSTALLATION);
             }
-            long kind = whole(in);
-            expect(kind >= 0 && kind < GroupMessage.MessageKind.values().length);
-            MembershipUpdate.Announcement from = told(in);
-            expect(!from.name().isEmpty());
-            long seq = whole(in);
-            String about = text(in);
-            long digest = whole(in);
-            long of = whole(in);
-            expect(of >= 0 && of <= MOST_GROUPS);
-            var groups = new ArrayList<Long>();
-            for (long i = 0; i < of; i++) {
-                groups.add(whole(in));
-            }
-            long count = whole(in);
-            expect(count >= 0 && count <= length / LEAST_NEWS);
-            var news = new ArrayList<MembershipUpdate>();
-            while (news.size() < count) {
-                long form = whole(in);
-                expect(form == TOLD || form == DOUBTS);
-                if (form == TOLD) {
-                    news.add(told(in));
-                } else {
-                    doubts(in, count - news.size(), news);
-                }
-            }
+            GroupMessage message = decodeMessage(in, length);
             expect(in.nextToken() == JsonToken.END_ARRAY && in.nextToken() == null);
-            return new GroupMessage(GroupMessage.MessageKind.values()[(int) kind], from, seq,
-                    about.isEmpty() ? null : about, digest,
-                    groups,
-                    news);
+            return message;
         } catch (IOException | RuntimeException e) {
-            // the library's own complaints may be of either kind
-            throw new DroppedMessageException(DropReason.MALFORMED);
+            throw new DroppedMessageException(DropReason.MALFORMED); // the library's own faults may be of either type
+        }
+    }
+
+    private static GroupMessage decodeMessage(JsonParser in, int length) throws IOException, DroppedMessageException {
+        long kind = decodeLong(in);
+        expect(kind >= 0 && kind < KINDS.size());
+        Announcement sender = decodeAnnouncement(in);
+        expect(!sender.name().isEmpty());
+        long sequence = decodeLong(in);
+        String target = decodeText(in);
+        long digest = decodeLong(in);
+        List<Long> bucketDigests = decodeBucketDigests(in);
+        List<MembershipUpdate> updates = decodeUpdates(in, length);
+        return new GroupMessage(KINDS.get((int) kind), sender, sequence, target.isEmpty() ? null : target, digest,
+                bucketDigests, updates);
+    }
+
+    private static List<Long> decodeBucketDigests(JsonParser in) throws IOException, DroppedMessageException {
+        long count = decodeLong(in);
+        expect(count >= 0 && count <= MAX_BUCKETS);
+        var digests = new ArrayList<Long>();
+        for (long i = 0; i < count; i++) {
+            digests.add(decodeLong(in));
+        }
+        return digests;
+    }
+
+    private static List<MembershipUpdate> decodeUpdates(JsonParser in, int length)
+            throws IOException,
+            DroppedMessageException {
+        long count = decodeLong(in);
+        expect(count >= 0 && count <= length / MIN_UPDATE_BYTES);
+        var updates = new ArrayList<MembershipUpdate>();
+        while (updates.size() < count) {
+            long form = decodeLong(in);
+            expect(form == ANNOUNCEMENT || form == SUSPICIONS);
+            if (form == ANNOUNCEMENT) {
+                updates.add(decodeAnnouncement(in));
+            } else {
+                decodeSuspicions(in, count - updates.size(), updates);
+            }
         }
+        return updates;
     }
 
-    private static void doubts(JsonParser in, long most, List<MembershipUpdate> to)
-            throws IOException, DroppedMessageException {
-        String name = text(in);
-        long incarnation = whole(in);
-        long n = whole(in);
-        expect(n > 0 && n <= most);
-        for (long i = 0; i < n; i++) {
-            to.add(new MembershipUpdate.Suspicion(name, incarnation, text(in), whole(in), flag(in)));
+    private static void decodeSuspicions(JsonParser in, long most, List<MembershipUpdate> updates)
+            throws IOException,
+            DroppedMessageException {
+        String name = decodeText(in);
+        long incarnation = decodeLong(in);
+        long count = decodeLong(in);
+        expect(count > 0 && count <= most);
+        for (long i = 0; i < count; i++) {
+            updates.add(new Suspicion(name, incarnation, decodeText(in), decodeLong(in), decodeFlag(in)));
         }
     }
 
-    private static MembershipUpdate.Announcement told(JsonParser in) throws IOException, DroppedMessageException {
-        return new MembershipUpdate.Announcement(text(in), text(in), whole(in), whole(in), flag(in));
+    private static Announcement decodeAnnouncement(JsonParser in) throws IOException, DroppedMessageException {
+        return new Announcement(decodeText(in), decodeText(in), decodeLong(in), decodeLong(in), decodeFlag(in));
     }
 
-    private static void expect(boolean so) throws DroppedMessageException {
-        if (!so) {
+    private static void expect(boolean isSo) throws DroppedMessageException {
+        if (!isSo) {
             throw new DroppedMessageException(DropReason.MALFORMED);
         }
     }
 
-    private static long whole(JsonParser in) throws IOException, DroppedMessageException {
+    private static long decodeLong(JsonParser in) throws IOException, DroppedMessageException {
         expect(in.nextToken() == JsonToken.VALUE_NUMBER_INT);
         return in.getLongValue();
     }
 
-    private static String text(JsonParser in) throws IOException, DroppedMessageException {
-        expect(in.nextToken() == JsonToken.VALUE_STRING && in.getTextLength() <= MOST_TEXT);
+    private static String decodeText(JsonParser in) throws IOException, DroppedMessageException {
+        expect(in.nextToken() == JsonToken.VALUE_STRING && in.getTextLength() <= MAX_TEXT_CHARS);
         return in.getText();
     }
 
-    private static boolean flag(JsonParser in) throws IOException, DroppedMessageException {
+    private static boolean decodeFlag(JsonParser in) throws IOException, DroppedMessageException {
         JsonToken token = in.nextToken();
         expect(token == JsonToken.VALUE_TRUE || token == JsonToken.VALUE_FALSE);
         return token == JsonToken.VALUE_TRUE;
--- a/src/main/java/wallmoor/peers/udp/GroupTransport.java
+++ b/src/main/java/wallmoor/peers/udp/GroupTransport.java
@@ -11,120 +11,124 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import java.util.function.Consumer;
 import java.util.function.ToLongFunction;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import wallmoor.config.LaunchConfig;
 import wallmoor.http.Threads;
 import wallmoor.peers.GroupMembership;
 import wallmoor.peers.GroupMessage;
 import wallmoor.peers.GroupView;
 import wallmoor.peers.MemberEvidence;
+import wallmoor.peers.MembershipCounts;
 import wallmoor.peers.MembershipParameters;
 import wallmoor.peers.MembershipProtocol;
 
 /**
- * The group's I/O: one datagram socket, a thread that reads it and one that ticks the decider; what no datagram
- * holds goes by {@link TableTransfer}. One lock stands round the
- * decider; what it decides is sent and told after the lock is given back, so that no send and no subscriber holds it
- * up. The kernel's receive buffer is the only queue: what does not fit there is lost, as datagrams may be.
+ * The group's I/O: one datagram socket, a thread that reads it and one that ticks the protocol; what no datagram
+ * holds goes by {@link TableTransfer}. One lock stands round the protocol; its messages and changes of view go out
+ * after the lock is given back, so that no send and no subscriber holds it up. The kernel's receive buffer is the
+ * only queue: what does not fit there is lost, as datagrams may be.
  */
 public final class GroupTransport {
-    private static final int RECEIVE_BUFFER = 256 * 1024;
+    private static final Logger LOG = LoggerFactory.getLogger(GroupTransport.class);
+    private static final int RECEIVE_BUFFER_BYTES = 256 * 1024;
+    private static final long NANOS_PER_MICRO = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     /** Where this member takes part. All of it is checked where it is read. */
     public record LocalMember(String installation, String name, InetSocketAddress listen, String address,
             List<String> seeds) {}
 
-    private record OutgoingDatagram(String address, byte[] bytes) {}
-
     private record ViewChange(GroupView view, String why) {}
 
     private final DatagramSocket socket;
     private final TableTransfer tables;
-    private final GroupMessageCodec wire;
-    private final GroupMembership peers;
+    private final GroupMessageCodec codec;
+    /** Guards itself and all that its events give. */
+    private final GroupMembership membership;
     private final long tickMillis;
-    private final Consumer<String> log;
     private final List<BiConsumer<GroupView, String>> subscribers = new ArrayList<>();
-    private final List<OutgoingDatagram> out = new ArrayList<>();
+    private final List<OutgoingMessage> outgoing = new ArrayList<>();
     private final List<ViewChange> changes = new ArrayList<>();
     /** Held while changes are handed on, so that subscribers get them in order. */
-    private final Object telling = new Object();
+    private final Object notifying = new Object();
     private final TransportCounters counters = new TransportCounters();
     private final Counter received = counters.counter("received");
     private final Counter sent = counters.counter("sent");
-    private final Counter bytes = counters.counter("bytes");
-    private final Map<GroupMessageCodec.DropReason, Counter> dropped = new EnumMap<>(
-            GroupMessageCodec.DropReason.class);
+    private final Counter sentBytes = counters.counter("bytes");
+    private final Map<DropReason, Counter> dropped = new EnumMap<>(DropReason.class);
     private volatile boolean closed;
 
-    /** Binds the socket; {@link #start} begins to take part. */
-    public GroupTransport(LocalMember place, MembershipParameters rules, long seed, Consumer<String> log)
-            throws IOException {
-        this.log = log;
-        wire = new GroupMessageCodec(place.installation());
-        for (GroupMessageCodec.DropReason why : GroupMessageCodec.DropReason.values()) {
-            dropped.put(why, counters.counter(why.toString().toLowerCase(Locale.ROOT)));
+    /**
+     * Binds the socket; {@link #start} begins to take part.
+     *
+     * @throws IOException where the address can't be bound
+     */
+    public GroupTransport(LocalMember local, MembershipParameters parameters, long seed) throws IOException {
+        codec = new GroupMessageCodec(local.installation());
+        for (DropReason reason : DropReason.values()) {
+            dropped.put(reason, counters.counter(reason.toString().toLowerCase(Locale.ROOT)));
         }
-        socket = new DatagramSocket(place.listen());
-        tables = new TableTransfer(place.listen(), counters,
-                bytes -> take(bytes, bytes.length, GroupMessageCodec.MAX_TABLE_BYTES));
-        socket.setReceiveBufferSize(RECEIVE_BUFFER);
-        tickMillis = Math.max(1, rules.tickInterval() / 1000);
-        long boot = System.currentTimeMillis() * 1000 + seed % 1000;
-        peers = new GroupMembership(place.name(), place.address(), Math.abs(boot), place.seeds(), rules, seed,
-                new TransportOutput());
-        counted("probes", GroupMembership.MembershipCounts::probes);
-        counted("unanswered", GroupMembership.MembershipCounts::unansweredProbes);
-        counted("accusations", GroupMembership.MembershipCounts::suspicions);
-        counted("refutations", GroupMembership.MembershipCounts::refutations);
-        counted("removals", GroupMembership.MembershipCounts::removals);
-        counted("stale", GroupMembership.MembershipCounts::staleMessages);
-    }
-
-    /** Tells of each change of view in order, with its evidence. To be called before {@link #start}. */
+        socket = new DatagramSocket(local.listen());
+        tables = new TableTransfer(local.listen(), counters,
+                table -> receive(table, table.length, GroupMessageCodec.MAX_TABLE_BYTES));
+        socket.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
+        tickMillis = Math.max(1, parameters.tickInterval() / MICROS_PER_MILLI);
+        long bootId = System.currentTimeMillis() * MICROS_PER_MILLI + seed % MICROS_PER_MILLI;
+        membership = new GroupMembership(local.name(), local.address(), Math.abs(bootId), local.seeds(), parameters,
+                seed, new ProtocolOutput());
+        gauge("probes", MembershipCounts::probes);
+        gauge("unanswered", MembershipCounts::unansweredProbes);
+        gauge("accusations", MembershipCounts::suspicions);
+        gauge("refutations", MembershipCounts::refutations);
+        gauge("removals", MembershipCounts::removals);
+        gauge("stale", MembershipCounts::staleMessages);
+    }
+
+    /** Notifies of each change of view in order, with its evidence. To be called before {@link #start}. */
     public void subscribe(BiConsumer<GroupView, String> subscriber) {
         subscribers.add(subscriber);
     }
 
     /** Begins to take part. */
     public void start() {
-        decide(() -> peers.onStart(nowMicros()));
+        handle(() -> membership.onStart(nowMicros()));
         tables.start();
-        Threads.start("peers-read", this::read);
+        Threads.start("peers-read", this::readDatagrams);
         Threads.start("peers-tick", this::tick);
     }
 
     /** Leaves with notice and closes. */
     public void leave() {
-        decide(() -> peers.leave(nowMicros()));
+        handle(() -> membership.leave(nowMicros()));
         closed = true;
         socket.close();
         try {
             tables.close();
         } catch (IOException e) {
-            log.accept("peers can't close: " + e);
+            LOG.warn("peers can't close: {}", e.toString());
         }
     }
 
     /** The view as it is. */
     public GroupView view() {
-        synchronized (peers) {
-            return peers.view();
+        synchronized (membership) {
+            return membership.view();
         }
     }
 
-    /** Why a member is where it is; null where there is none of this name. */
+    /** Why a member is in its state; null where there is none of this name. */
     public MemberEvidence explain(String member) {
-        synchronized (peers) {
-            return peers.explain(nowMicros(), member);
+        synchronized (membership) {
+            return membership.explain(nowMicros(), member);
         }
     }
 
-    private void counted(String name, ToLongFunction<GroupMembership.MembershipCounts> count) {
+    private void gauge(String name, ToLongFunction<MembershipCounts> count) {
         counters.gauge(name, () -> {
-            synchronized (peers) {
-                return count.applyAsLong(peers.counts());
+            synchronized (membership) {
+                return count.applyAsLong(membership.counts());
             }
         });
     }
@@ -136,97 +140,118 @@
 
     /** Microseconds that only go forward: a wall clock that is set moves nothing here. */
     public static long nowMicros() {
-        return System.nanoTime() / 1000;
+        return System.nanoTime() / NANOS_PER_MICRO;
     }
 
     private void tick() {
         try {
             while (!closed) {
                 Thread.sleep(tickMillis);
-                decide(() -> peers.onTick(nowMicros()));
+                handle(() -> membership.onTick(nowMicros()));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void read() {
+    private void readDatagrams() {
         byte[] buffer = new byte[2 * GroupMessageCodec.MAX_DATAGRAM_BYTES];
         while (!closed) {
             try {
                 var packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
                 received.inc();
-                take(buffer, packet.getLength(), GroupMessageCodec.MAX_DATAGRAM_BYTES);
+                receive(buffer, packet.getLength(), GroupMessageCodec.MAX_DATAGRAM_BYTES);
             } catch (IOException e) {
                 if (!closed) {
-                    log.accept("peers can't read: " + e);
+                    LOG.warn("peers can't read: {}", e.toString());
                 }
             }
         }
     }
 
-    private void take(byte[] bytes, int length, int most) {
+    private void receive(byte[] bytes, int length, int most) {
         try {
-            GroupMessage message = wire.decode(bytes, length, most);
-            decide(() -> peers.onMessage(nowMicros(), message));
-        } catch (GroupMessageCodec.DroppedMessageException e) {
-            dropped.get(e.reason).inc();
+            GroupMessage message = codec.decode(bytes, length, most);
+            handle(() -> membership.onMessage(nowMicros(), message));
+        } catch (DroppedMessageException e) {
+            dropped.get(e.reason()).inc();
         }
     }
 
-    private void decide(Runnable event) {
-        List<OutgoingDatagram> toSend;
-        synchronized (peers) {
+    /** Runs one event of the protocol under its lock, then sends and tells what came of it. */
+    private void handle(Runnable event) {
+        List<OutgoingMessage> toSend;
+        synchronized (membership) {
             try {
                 event.run();
-            } catch (RuntimeException e) {
-                log.accept("peers failed: " + e);
+            } catch (RuntimeException e) { // one message must not end the thread that all others come by
+                LOG.warn("peers failed: {}", e.toString());
             }
-            toSend = List.copyOf(out);
-            out.clear();
+            toSend = List.copyOf(outgoing);
+            outgoing.clear();
         }
         toSend.forEach(this::send);
-        tell();
+        notifySubscribers();
     }
 
-    private void tell() {
-        synchronized (telling) {
+    private void notifySubscribers() {
+        synchronized (notifying) {
             List<ViewChange> toTell;
-            synchronized (peers) {
+            synchronized (membership) {
                 toTell = List.copyOf(changes);
                 changes.clear();
             }
-            toTell.forEach(c -> subscribers.forEach(s -> s.accept(c.view(), c.why())));
+            toTell.forEach(change -> subscribers.forEach(s -> s.accept(change.view(), change.why())));
         }
     }
 
-    private void send(OutgoingDatagram o) {
+    private void send(OutgoingMessage message) {
         try {
             // looks no name up, whatever others told
-            InetSocketAddress to = LaunchConfig.address("address", o.address());
-            if (o.bytes().length > GroupMessageCodec.MAX_DATAGRAM_BYTES) {
-                if (!tables.offer(to, o.bytes())) {
-                    dropped.get(GroupMessageCodec.DropReason.UNSENT).inc();
+            InetSocketAddress to = LaunchConfig.address("address", message.address());
+            byte[] bytes = message.bytes();
+            if (bytes.length > GroupMessageCodec.MAX_DATAGRAM_BYTES) {
+                if (!tables.offer(to, bytes)) {
+                    dropped.get(DropReason.UNSENT).inc();
                 }
                 return;
             }
-            socket.send(new DatagramPacket(o.bytes(), o.bytes().length, to));
+            socket.send(new DatagramPacket(bytes, bytes.length, to));
             sent.inc();
-            bytes.inc(o.bytes().length);
+            sentBytes.inc(bytes.length);
         } catch (IOException | RuntimeException e) {
-            // as good as lost on its way: what others said is no address, say
-            dropped.get(GroupMessageCodec.DropReason.UNSENT).inc();
+            dropped.get(DropReason.UNSENT).inc(); // as good as lost on its way: what others told is no address, say
+        }
+    }
+
+    /** A message that waits for the lock to be given back. */
+    private static final class OutgoingMessage {
+        private final String address;
+        private final byte[] bytes;
+
+        OutgoingMessage(String address, byte[] bytes) {
+            this.address = address;
+            this.bytes = bytes;
+        }
+
+        String address() {
+            return address;
+        }
+
+        byte[] bytes() {
+            return bytes;
         }
     }
 
-    private final class TransportOutput implements MembershipProtocol.Output {
+    /** Keeps what an event gives until the lock is given back. */
+    private final class ProtocolOutput implements MembershipProtocol.Output {
         @Override
         public void send(String address, GroupMessage message) {
             try {
-                out.add(new OutgoingDatagram(address, wire.encode(message)));
+                outgoing.add(new OutgoingMessage(address, codec.encode(message)));
             } catch (IOException e) {
-                dropped.get(GroupMessageCodec.DropReason.UNSENT).inc();
+                dropped.get(DropReason.UNSENT).inc();
             }
         }
 
--- a/src/main/java/wallmoor/peers/udp/SequentialAcceptor.java
+++ b/src/main/java/wallmoor/peers/udp/SequentialAcceptor.java
@@ -6,11 +6,11 @@
 import java.net.Socket;
 import wallmoor.http.Threads;
 
-/** Takes connections one after another on one thread, and closes each once it has been dealt with. */
+/** Accepts connections one after another on one thread, and closes each once it has been handled. */
 final class SequentialAcceptor implements AutoCloseable {
-    /** Deals with a connection, within a time of its own. */
+    /** Handles a connection, within a time of its own. */
     interface ConnectionHandler {
-        void take(Socket from) throws IOException;
+        void handle(Socket from) throws IOException;
     }
 
     private final ServerSocket server;
@@ -23,21 +23,25 @@
         server.bind(listen, backlog);
     }
 
-    /** Begins to take; {@code failed} is told of each that was not dealt with while this listens. */
-    void start(String thread, ConnectionHandler taker, Runnable failed) {
+    /** Begins to accept; {@code onFailure} runs for each that was not handled while this listens. */
+    void start(String thread, ConnectionHandler handler, Runnable onFailure) {
         Threads.start(thread, () -> {
             while (!isClosed()) {
-                try (Socket from = server.accept()) {
-                    taker.take(from);
-                } catch (IOException e) {
-                    if (!isClosed()) {
-                        failed.run();
-                    }
-                }
+                acceptOne(handler, onFailure);
             }
         });
     }
 
+    private void acceptOne(ConnectionHandler handler, Runnable onFailure) {
+        try (Socket from = server.accept()) {
+            handler.handle(from);
+        } catch (IOException e) {
+            if (!isClosed()) {
+                onFailure.run();
+            }
+        }
+    }
+
     boolean isClosed() {
         return server.isClosed();
     }
--- a/src/main/java/wallmoor/service/GroupService.java
+++ b/src/main/java/wallmoor/service/GroupService.java
@@ -1,7 +1,11 @@
 package wallmoor.service;
 
 import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Locale;
 import java.util.function.Consumer;
+import java.util.stream.Collectors;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.Marker;
@@ -11,85 +15,92 @@
 import wallmoor.http.Threads;
 import wallmoor.log.Logging;
 import wallmoor.peers.GroupView;
+import wallmoor.peers.GroupView.MemberState;
 import wallmoor.peers.LiveMemberCount;
+import wallmoor.peers.LiveMemberCount.GroupPosition;
 import wallmoor.peers.MembershipParameters;
 import wallmoor.peers.udp.FleetControlServer;
 import wallmoor.peers.udp.GroupTransport;
 
 /** This gatherer's part in the group, and its log: one line for each change of view, with its evidence. */
 final class GroupService {
-    private static final long MICROS = 1000;
-
+    private static final Logger LOG = LoggerFactory.getLogger(GroupService.class);
     private static final Marker STATE = MarkerFactory.getMarker(Logging.STATE);
+    private static final long MICROS_PER_MILLI = 1000;
     /** Who goes counts on until the view has stayed as it is for so many intervals: by then the others know it too. */
-    private static final int STEADY = 10;
+    private static final int STABLE_INTERVALS = 10;
 
-    private final Logger log = LoggerFactory.getLogger(GroupService.class);
+    private final long intervalMillis;
     private final LiveMemberCount live;
-    private final Consumer<LiveMemberCount.GroupPosition> sharing;
-    private LiveMemberCount.GroupPosition share;
-    private final GroupTransport socket;
+    private final Consumer<GroupPosition> positionListener;
+    private final GroupTransport transport;
+    /** Null where nobody may ask. */
     private final FleetControlServer control;
-    private final FleetConfig config;
+    private final InetSocketAddress controlAddress;
+    private GroupPosition position;
 
-    /** {@code sharing} is told among how many what is shared is shared, whenever that changes. */
-    GroupService(FleetConfig config, LaunchConfig launch, Consumer<LiveMemberCount.GroupPosition> sharing)
-            throws IOException {
-        this.config = config;
-        var place = new GroupTransport.LocalMember(config.installation(), launch.name(), config.listen(),
-                config.address(),
-                config.seeds());
-        socket = new GroupTransport(place, MembershipParameters.of(config.size(), config.interval() * MICROS),
-                launch.seed(), log::warn);
-        this.sharing = sharing;
-        share = new LiveMemberCount.GroupPosition(launch.settings().gatherers(), launch.settings().position());
-        live = new LiveMemberCount(launch.name(), share, STEADY * config.interval() * MICROS);
-        control = config.control() == null ? null : new FleetControlServer(config.control(), launch.name(), socket);
-        socket.subscribe((view, why) -> {
-            log.info(STATE, "view {}", line(view, why));
-            count(view);
+    /**
+     * Binds the group's sockets; {@link #start} begins to take part.
+     *
+     * @param positionListener is given this gatherer's position among those that divide shared quotas, whenever that
+     *                         changes
+     */
+    GroupService(FleetConfig config, LaunchConfig launch, Consumer<GroupPosition> positionListener) throws IOException {
+        this.positionListener = positionListener;
+        intervalMillis = config.interval();
+        long intervalMicros = intervalMillis * MICROS_PER_MILLI;
+        var local = new GroupTransport.LocalMember(config.installation(), launch.name(), config.listen(),
+                config.address(), config.seeds());
+        transport = new GroupTransport(local, MembershipParameters.of(config.size(), intervalMicros), launch.seed());
+        position = new GroupPosition(launch.settings().gatherers(), launch.settings().position());
+        live = new LiveMemberCount(launch.name(), position, STABLE_INTERVALS * intervalMicros);
+        control = config.control() == null ? null : new FleetControlServer(config.control(), launch.name(), transport);
+        controlAddress = config.control();
+        transport.subscribe((view, why) -> {
+            LOG.info(STATE, "view {}", line(view, why));
+            updatePosition(view);
         });
     }
 
     void start() {
-        socket.start();
-        Threads.start("group-share", this::share);
+        transport.start();
+        Threads.start("group-share", this::watchPosition);
         if (control != null) {
             control.start();
-            log.info("telling of the group on {}", config.control());
+            LOG.info("telling of the group on {}", controlAddress);
         }
     }
 
-    private void share() {
+    private void watchPosition() {
         try {
             while (true) {
-                Thread.sleep(config.interval());
-                count(null);
+                Thread.sleep(intervalMillis);
+                updatePosition(null);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The view has changed, or time has gone on since. */
-    private synchronized void count(GroupView changed) {
+    /** The view has changed, or if it is null only time has gone on since. */
+    private synchronized void updatePosition(GroupView changed) {
         long now = GroupTransport.nowMicros();
         if (changed != null) {
             live.onView(now, changed);
         }
-        LiveMemberCount.GroupPosition next = live.position(now);
-        if (!next.equals(share)) {
-            share = next;
-            log.info(STATE, "shares as one of {}, place {}", next.memberCount(), next.rank());
-            sharing.accept(next);
+        GroupPosition next = live.position(now);
+        if (!next.equals(position)) {
+            position = next;
+            LOG.info(STATE, "shares as one of {}, place {}", next.memberCount(), next.rank());
+            positionListener.accept(next);
         }
     }
 
     void leave() {
-        log.info("leaving the group: {}",
-                socket.counters().entrySet().stream().map(c -> c.getKey() + " " + c.getValue())
-                        .collect(java.util.stream.Collectors.joining(" ")));
-        socket.leave();
+        String counters = transport.counters().entrySet().stream().map(c -> c.getKey() + " " + c.getValue())
+                .collect(Collectors.joining(" "));
+        LOG.info("leaving the group: {}", counters);
+        transport.leave();
         if (control != null) {
             control.close();
         }
@@ -98,13 +109,13 @@
     /** A view as the log has it. */
     static String line(GroupView view, String why) {
         var text = new StringBuilder().append(view.version()).append(" quorum=").append(view.hasQuorum())
-                .append(" side=")
-                .append(view.side()).append(" reachable=").append(view.reachable()).append('/')
+                .append(" side=").append(view.side()).append(" reachable=").append(view.reachable()).append('/')
                 .append(view.configuredSize());
-        for (GroupView.MemberState state : GroupView.MemberState.values()) {
-            var names = view.members().stream().filter(m -> m.state() == state).map(GroupView.Member::name).toList();
+        for (MemberState state : MemberState.values()) {
+            List<String> names = view.members().stream().filter(m -> m.state() == state)
+                    .map(GroupView.Member::name).toList();
             if (!names.isEmpty()) {
-                text.append(' ').append(state.toString().toLowerCase(java.util.Locale.ROOT)).append('=')
+                text.append(' ').append(state.toString().toLowerCase(Locale.ROOT)).append('=')
                         .append(String.join(",", names));
             }
         }
--- a/src/test/java/wallmoor/peers/DeafMembersTest.java
+++ b/src/test/java/wallmoor/peers/DeafMembersTest.java
@@ -34,9 +34,10 @@
     /** Makes them deaf: they get nothing; or all but answers, so that they go on answering. */
     private static void deafen(GroupSimulation group, Set<Integer> deaf, boolean answering) {
         if (answering) {
-            group.filter((from, to, m) -> deaf.contains(to) && m.kind() == GroupMessage.MessageKind.ACK);
+            group.setFilter((from, to, m) -> deaf.contains(to) && m.kind() == GroupMessage.MessageKind.ACK);
         } else {
-            group.link((from, to, now, r) -> deaf.contains(to) ? -1 : GroupSimulation.RELIABLE.delay(from, to, now, r));
+            group.setLink(
+                    (from, to, now, r) -> deaf.contains(to) ? -1 : GroupSimulation.RELIABLE.delay(from, to, now, r));
         }
     }
 
@@ -89,8 +90,8 @@
         GroupSimulation group = started(count, seed);
         deafen(group, deaf, answering);
         othersAreLeftAlone(group, count, deaf, SECONDS, count + " deaf " + deaf);
-        group.link(GroupSimulation.RELIABLE);
-        group.filter((from, to, m) -> false);
+        group.setLink(GroupSimulation.RELIABLE);
+        group.setFilter((from, to, m) -> false);
         assertTrue(group.runUntilConverged(30 * SECOND) >= 0,
                 () -> "after it: " + IntStream.range(0, count).mapToObj(i -> "\n" + group.view(i)).toList());
     }
@@ -131,9 +132,9 @@
             var here = new HashSet<>(all.subList(0, side));
             int deaf = run % 2 == 0 ? -1 : random.nextInt(count);
             GroupSimulation group = started(count, run);
-            group.link((from, to, now, r) -> here.contains(from) != here.contains(to) ? -1
+            group.setLink((from, to, now, r) -> here.contains(from) != here.contains(to) ? -1
                     : GroupSimulation.RELIABLE.delay(from, to, now, r));
-            group.filter((from, to, m) -> to == deaf && m.kind() == GroupMessage.MessageKind.ACK);
+            group.setFilter((from, to, m) -> to == deaf && m.kind() == GroupMessage.MessageKind.ACK);
             boolean both = false;
             for (int tick = 0; tick < 200; tick++) {
                 group.run(SECOND / 10);
--- a/src/test/java/wallmoor/peers/GroupMembershipPropertiesTest.java
+++ b/src/test/java/wallmoor/peers/GroupMembershipPropertiesTest.java
@@ -37,9 +37,9 @@
             int a = random.nextInt(count);
             int b = random.nextInt(count);
             switch (random.nextInt(6)) {
-                case 0 -> group.link((from, to, now, r) -> r.nextDouble() < 0.3 ? -1 : 1_000 + r.nextLong(50_000));
-                case 1 -> group.link((from, to, now, r) -> from == a && to != b ? -1 : 2_000);
-                case 2 -> group.link((from, to, now, r) -> from <= a != to <= a ? -1 : 2_000);
+                case 0 -> group.setLink((from, to, now, r) -> r.nextDouble() < 0.3 ? -1 : 1_000 + r.nextLong(50_000));
+                case 1 -> group.setLink((from, to, now, r) -> from == a && to != b ? -1 : 2_000);
+                case 2 -> group.setLink((from, to, now, r) -> from <= a != to <= a ? -1 : 2_000);
                 case 3 -> group.pause(a, SECOND * (1 + random.nextInt(20)));
                 case 4 -> {
                     group.kill(a);
@@ -52,7 +52,7 @@
             }
             group.run(random.nextInt(8) * SECOND);
         }
-        group.link(GroupSimulation.RELIABLE);
+        group.setLink(GroupSimulation.RELIABLE);
         for (int i = 2; i < count; i++) { // a quorum must be there to remove those that are not
             if (down[i] && IntStream.range(0, count).filter(n -> !down[n]).count() * 2 <= count + 1) {
                 group.start(i);
@@ -77,7 +77,7 @@
                 for (int dead = -1; dead < count; dead++) {
                     GroupSimulation group = started(count, side * 31L + dead);
                     int here = side;
-                    group.link((from, to, now, r) -> (here >> from & 1) != (here >> to & 1) ? -1 : 2_000);
+                    group.setLink((from, to, now, r) -> (here >> from & 1) != (here >> to & 1) ? -1 : 2_000);
                     if (dead >= 0) {
                         group.kill(dead);
                     }
@@ -106,7 +106,7 @@
     void ofALargeGroupAFewThatAreCutOffHoldNoQuorum() {
         for (int few : new int[] {1, 2, 6, 25}) {
             GroupSimulation group = started(60, few);
-            group.link((from, to, now, r) -> from < few != to < few ? -1 : 2_000);
+            group.setLink((from, to, now, r) -> from < few != to < few ? -1 : 2_000);
             group.run(20 * SECOND);
             for (int i = 0; i < 60; i++) {
                 assertEquals(i >= few, group.view(i).hasQuorum(), few + ": m" + i + " " + group.view(i).reachable());
@@ -133,7 +133,7 @@
             double loss = draw == 0 ? 0 : 0.1;
             GroupSimulation group = started(count, draw);
             group.run(random.nextInt(20) * SECOND / 2);
-            group.link((from, to, now, r) -> small.contains(from) != small.contains(to) || r.nextDouble() < loss ? -1
+            group.setLink((from, to, now, r) -> small.contains(from) != small.contains(to) || r.nextDouble() < loss ? -1
                     : GroupSimulation.RELIABLE.delay(from, to, now, r));
             group.run(9 * SECOND / 2);
             for (int tick = 0; tick < 45; tick++) {
@@ -148,7 +148,7 @@
     @Example
     void oneThatAccusesAllTakesNobodysQuorum() {
         GroupSimulation group = started(12, 6);
-        group.link((from, to, now, r) -> to == 3 && r.nextDouble() < 0.97 ? -1 : 2_000);
+        group.setLink((from, to, now, r) -> to == 3 && r.nextDouble() < 0.97 ? -1 : 2_000);
         for (int s = 0; s < 60; s++) {
             group.run(SECOND);
             for (int i = 0; i < 12; i++) {
@@ -162,7 +162,7 @@
         var views = new ArrayList<List<GroupView>>();
         for (int run = 0; run < 2; run++) {
             GroupSimulation group = started(7, seed);
-            group.link((from, to, now, r) -> r.nextDouble() < 0.2 ? -1 : 1_000 + r.nextLong(20_000));
+            group.setLink((from, to, now, r) -> r.nextDouble() < 0.2 ? -1 : 1_000 + r.nextLong(20_000));
             group.pause(3, 9 * SECOND);
             group.kill(5);
             group.run(30 * SECOND);
@@ -177,7 +177,7 @@
     @Example
     void oneThatIsHeardByOneAloneIsCutForAllItsRefutations() {
         GroupSimulation group = started(40, 21);
-        group.link((from, to, now, r) -> from == 9 && to != 0 ? -1 : 2_000);
+        group.setLink((from, to, now, r) -> from == 9 && to != 0 ? -1 : 2_000);
         boolean cut = false;
         for (int s = 0; s < 30 && !cut; s++) {
             group.run(SECOND);
@@ -190,7 +190,7 @@
             assertEquals(List.of("m9"), group.membersIn(1, GroupView.MemberState.REMOVED),
                     "its word alone does not bring it back");
         }
-        group.link(GroupSimulation.RELIABLE);
+        group.setLink(GroupSimulation.RELIABLE);
         assertTrue(group.runUntilConverged(20 * SECOND) >= 0, group.view(1).toString());
     }
 
@@ -250,7 +250,7 @@
     void oneBadLinkOrMemberHasNobodyElseRemoved(@ForAll @IntRange(min = 0, max = 3) int fault, @ForAll long seed) {
         int count = 30;
         GroupSimulation group = started(count, seed);
-        group.link((from, to, now, r) -> switch (fault) {
+        group.setLink((from, to, now, r) -> switch (fault) {
             case 0 -> from == 9 && r.nextDouble() < 0.8 ? -1 : 2_000;
             case 1 -> to == 9 && r.nextDouble() < 0.8 ? -1 : 2_000;
             case 2 -> (from == 9 || to == 9) && now / SECOND % 2 == 0 ? -1 : 2_000;
--- a/src/test/java/wallmoor/peers/udp/RecordedRunsTest.java
+++ b/src/test/java/wallmoor/peers/udp/RecordedRunsTest.java
@@ -140,10 +140,10 @@
         for (int i = 0; i < FAULTS; i++) {
             int a = random.nextInt(count);
             switch (i % 6) {
-                case 0 -> group.link((from, to, now, r) -> r.nextDouble() < 0.3 ? -1 : 1_000 + r.nextLong(50_000));
-                case 1 -> group.link((from, to, now, r) -> from <= a != to <= a ? -1 : 2_000);
+                case 0 -> group.setLink((from, to, now, r) -> r.nextDouble() < 0.3 ? -1 : 1_000 + r.nextLong(50_000));
+                case 1 -> group.setLink((from, to, now, r) -> from <= a != to <= a ? -1 : 2_000);
                 case 2 -> {
-                    group.link(GroupSimulation.RELIABLE);
+                    group.setLink(GroupSimulation.RELIABLE);
                     group.pause(a, SECOND * (1 + random.nextInt(10)));
                 }
                 case 3 -> {
@@ -151,14 +151,14 @@
                     down[a] = true;
                 }
                 case 4 -> {
-                    group.link((from, to, now, r) -> from == a ? -1 : 1_500);
+                    group.setLink((from, to, now, r) -> from == a ? -1 : 1_500);
                     if (!down[(a + 1) % count]) {
                         group.leave((a + 1) % count);
                         down[(a + 1) % count] = true;
                     }
                 }
                 default -> {
-                    group.link(GroupSimulation.RELIABLE);
+                    group.setLink(GroupSimulation.RELIABLE);
                     for (int n = 0; n < count; n++) {
                         if (down[n]) {
                             group.start(n);
@@ -169,7 +169,7 @@
             }
             group.run((2 + random.nextInt(8)) * SECOND);
         }
-        group.link(GroupSimulation.RELIABLE);
+        group.setLink(GroupSimulation.RELIABLE);
         group.run(20 * SECOND);
         return trace.line();
     }
