--- a/src/bench/java/wallmoor/net/MigrationServiceBenchmark.java
+++ b/src/bench/java/wallmoor/net/MigrationServiceBenchmark.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import java.util.concurrent.atomic.AtomicBoolean;
 import wallmoor.migration.http.DirectoryPlanStore;
-import wallmoor.migration.http.MigrationRunner;
+import wallmoor.migration.http.PlanDocuments;
 
 /**
  * Service while moving against quiet: reads on a schedule, from three real nodes whose disks do 200 MB/s and one thing
@@ -57,7 +57,7 @@
                             // counted from when it should have been asked
                             long behind = Math.max(0, System.nanoTime() - at);
                             long nanos = fleet.read(random,
-                                    MigrationRunner.decode(new DirectoryPlanStore(fleet.plan).read()));
+                                    PlanDocuments.decode(new DirectoryPlanStore(fleet.plan).read()));
                             if (at - first > WARM_SECONDS * 1_000_000_000L || nanos < 0) {
                                 took.add(nanos < 0 ? Long.MAX_VALUE : nanos + behind);
                             }
--- a/src/main/java/wallmoor/cli/PlanLocation.java
+++ b/src/main/java/wallmoor/cli/PlanLocation.java
@@ -8,14 +8,14 @@
 import wallmoor.config.LaunchConfig;
 import wallmoor.migration.http.PlanControlClient;
 
-/** Where the plan is kept: in a directory with one author, or by all gatherers. */
+/** Options that say where the plan is kept: in a directory with one writer, or agreed on by all gatherers. */
 final class PlanLocation {
-    /**
-     * Who finds no leader is asked again, and others, for so long: a change of leader takes a term and some seconds.
-     */
+    /** How long a command looks for a leader: a change of leader takes a term and some seconds. */
     static final long WAIT_MILLIS = 30_000;
-    /** Answers of control ports, each version of the plan that is kept in them. */
+    /** Bound of a control port's answer, which may hold every version of the plan that is kept. */
     private static final int MAX_RESPONSE_BYTES = 64 << 20;
+    /** Characters of the random part of an author's name. */
+    private static final int UNIQUE_LENGTH = 8;
 
     @Option(names = "--dir", paramLabel = "DIR", required = true,
             description = "Where the plan is kept, one for each fleet.")
@@ -26,11 +26,11 @@
                     + "plan.")
     List<String> rules;
 
-    /** How gatherers are asked, proposing under a name that no other process has. */
+    /** A client of the gatherers, which proposes under a name that no other process has. */
     PlanControlClient client(String command) throws ConfigException {
         String author = "rebalance " + command + " by " + System.getProperty("user.name", "unknown") + ' '
-                + UUID.randomUUID().toString().substring(0, 8);
-        return new PlanControlClient(rules.stream().map(a -> LaunchConfig.address("--rules", a)).toList(),
-                (at, line, millis) -> ControlClient.ask(at, line, millis, MAX_RESPONSE_BYTES), author);
+                + UUID.randomUUID().toString().substring(0, UNIQUE_LENGTH);
+        return new PlanControlClient(rules.stream().map(address -> LaunchConfig.address("--rules", address)).toList(),
+                (address, line, millis) -> ControlClient.ask(address, line, millis, MAX_RESPONSE_BYTES), author);
     }
 }
--- a/src/main/java/wallmoor/cli/RebalanceControlCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceControlCommand.java
@@ -1,32 +1,33 @@
 package wallmoor.cli;
 
 import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.ArgGroup;
 import picocli.CommandLine.Command;
 import wallmoor.config.ConfigException;
-import wallmoor.migration.MigrationCoordinator;
+import wallmoor.migration.MigrationCoordinator.OperatorCommand;
 import wallmoor.migration.MigrationPlan;
 import wallmoor.migration.http.DirectoryPlanStore;
 import wallmoor.migration.http.PlanControlClient;
+import wallmoor.migration.http.PlanControlClient.PlanVersion;
 import wallmoor.migration.http.PlanStoreException;
 
 /**
- * Tells who carries out what an operator wishes; where nobody does, who begins to. Where gatherers agree on the plan
- * the wish is a version of it, at whichever of them it is said.
+ * Gives an operator's command to whoever carries migrations out. In a directory it is left for the present writer or
+ * the next one; where gatherers agree on the plan, it is proposed as a version of it.
  */
 abstract class RebalanceControlCommand implements Callable<Integer> {
-    @ArgGroup(exclusive = true, multiplicity = "1")
-    private PlanLocation place;
+    private static final int OWN_ERROR = 1;
+    private static final long RETRY_MILLIS = 200;
 
-    private static final long AGAIN_MILLIS = 200;
+    @ArgGroup(exclusive = true, multiplicity = "1")
+    private PlanLocation location;
 
-    private final String word;
+    private final OperatorCommand command;
 
-    RebalanceControlCommand(String word) {
-        this.word = word;
+    RebalanceControlCommand(OperatorCommand command) {
+        this.command = command;
     }
 
     /** Nothing more is begun or copied. */
@@ -34,67 +35,55 @@
             description = "Begin no move and copy nothing; what is being handed over is ended.")
     static final class Pause extends RebalanceControlCommand {
         Pause() {
-            super("pause");
+            super(OperatorCommand.PAUSE);
         }
     }
 
-    /** It goes on. */
+    /** Migrations go on. */
     @Command(name = "resume", mixinStandardHelpOptions = true, description = "Go on after a pause.")
     static final class Resume extends RebalanceControlCommand {
         Resume() {
-            super("resume");
+            super(OperatorCommand.RESUME);
         }
     }
 
-    /** What may be taken back is. */
+    /** What can be rolled back is. */
     @Command(name = "stop", mixinStandardHelpOptions = true,
             description = "Take back what is not handed over, end the rest, and end; start begins anew.")
     static final class Stop extends RebalanceControlCommand {
         Stop() {
-            super("stop");
+            super(OperatorCommand.STOP);
         }
     }
 
     @Override
     public Integer call() throws InterruptedException {
-        if (place.rules != null) {
-            return agree();
+        if (location.rules != null) {
+            return proposeToGatherers();
         }
-        Path dir = place.dir;
-        if (!Files.exists(dir.resolve("plan"))) {
-            System.err.println(dir + " holds no plan; rebalance start makes one");
+        if (!Files.exists(location.dir.resolve("plan"))) {
+            System.err.println(location.dir + " holds no plan; rebalance start makes one");
             return Commands.USAGE;
         }
-        try (var plan = new DirectoryPlanStore(dir)) {
-            plan.wish(word);
+        try (var store = new DirectoryPlanStore(location.dir)) {
+            store.setCommand(command);
             return 0;
         } catch (PlanStoreException e) {
             System.err.println(e.getMessage());
-            return 1;
+            return OWN_ERROR;
         }
     }
 
-    /**
-     * It is proposed on the last version, whether that acts already or not: no step of who carries out comes before it.
-     */
-    private int agree() throws InterruptedException {
+    private int proposeToGatherers() throws InterruptedException {
         try {
-            PlanControlClient port = place.client(word);
+            PlanControlClient client = location.client(command.name().toLowerCase(Locale.ROOT));
             while (true) {
-                PlanControlClient.PlanVersion last = port.latest(PlanLocation.WAIT_MILLIS);
-                if (last == null) {
+                PlanVersion latest = client.latest(PlanLocation.WAIT_MILLIS);
+                if (latest == null) {
                     System.err.println("the gatherers agree on no plan; rebalance start makes one");
                     return Commands.USAGE;
                 }
-                MigrationPlan next = last.plan()
-                        .withCommand(MigrationCoordinator.OperatorCommand.valueOf(word.toUpperCase(Locale.ROOT)));
-                if (next.equals(last.plan()) && last.active()) {
-                    return 0;
-                }
-                // what waits to act already says it: asked again until it acts
-                if (next.equals(last.plan())) {
-                    Thread.sleep(AGAIN_MILLIS);
-                } else if (port.proposeAndAwait(last.number(), next, PlanLocation.WAIT_MILLIS).isActive()) {
+                if (isReflected(client, latest)) {
                     return 0;
                 }
             }
@@ -103,7 +92,23 @@
             return Commands.USAGE;
         } catch (PlanStoreException e) {
             System.err.println(e.getMessage());
-            return 1;
+            return OWN_ERROR;
+        }
+    }
+
+    /**
+     * Proposes the command on the latest version, active or not, so that no other author's step comes between. False
+     * where it has to be tried again: another proposal won, or the version that reflects the command is not active yet.
+     */
+    private boolean isReflected(PlanControlClient client, PlanVersion latest)
+            throws PlanStoreException, InterruptedException {
+        MigrationPlan next = latest.plan().withCommand(command);
+        if (!next.equals(latest.plan())) {
+            return client.proposeAndAwait(latest.number(), next, PlanLocation.WAIT_MILLIS).isActive();
+        }
+        if (!latest.active()) {
+            Thread.sleep(RETRY_MILLIS);
         }
+        return latest.active();
     }
 }
--- a/src/main/java/wallmoor/cli/RebalanceStartCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceStartCommand.java
@@ -9,6 +9,9 @@
 import picocli.CommandLine.Parameters;
 import wallmoor.config.ConfigException;
 import wallmoor.config.RebalanceFile;
+import wallmoor.config.RebalanceFile.MigrationConfig;
+import wallmoor.config.RebalanceFile.RebalancePlanInput;
+import wallmoor.migration.IncompatibleTargetException;
 import wallmoor.migration.MigrationCoordinator;
 import wallmoor.migration.MigrationPlan;
 import wallmoor.migration.MigrationSettings;
@@ -17,8 +20,11 @@
 import wallmoor.migration.http.DirectoryPlanStore;
 import wallmoor.migration.http.MigrationRunner;
 import wallmoor.migration.http.PlanControlClient;
+import wallmoor.migration.http.PlanControlClient.PlanVersion;
+import wallmoor.migration.http.PlanDocuments;
 import wallmoor.migration.http.PlanStore;
 import wallmoor.migration.http.PlanStoreException;
+import wallmoor.placement.InvalidProblemException;
 import wallmoor.rules.RuleDocument;
 
 /** Carries moves out, in this process, until they are done or stopped. */
@@ -28,29 +34,33 @@
             "Ends when all is moved, or stopped. Exits 0 then, 1 where the plan can't be kept, 2 on a faulty file."})
 final class RebalanceStartCommand implements Callable<Integer> {
     private static final int OWN_ERROR = 1;
-    private static final double BYTES_OF_MB = 1e6;
+    private static final double BYTES_PER_MB = 1e6;
+    private static final int BYTES_PER_KB = 1_024;
+
+    /** The file is well-formed, but does not fit the present plan or the gatherers. */
+    private static final class UnsuitableFileException extends Exception {
+        private static final long serialVersionUID = 1L;
+
+        UnsuitableFileException(String message) {
+            super(message);
+        }
+    }
 
     @Parameters(paramLabel = "FILE", description = "Nodes with addresses, blocks and rules, in YAML.")
     private Path file;
 
     @ArgGroup(exclusive = true, multiplicity = "1")
-    private PlanLocation place;
+    private PlanLocation location;
 
     @Override
     public Integer call() throws InterruptedException {
-        RebalanceFile.RebalancePlanInput whole;
-        try {
-            whole = RebalanceFile.readWhole(file);
-        } catch (ConfigException e) {
-            System.err.println(e.getMessage());
-            return Commands.USAGE;
-        }
         try {
-            return place.rules == null ? byDirectory(whole) : agreed(whole);
+            RebalancePlanInput input = RebalanceFile.readWhole(file);
+            return location.rules == null ? runInDirectory(input) : runByGatherers(input);
         } catch (ConfigException e) {
             System.err.println(e.getMessage());
             return Commands.USAGE;
-        } catch (IllegalArgumentException e) {
+        } catch (UnsuitableFileException | IncompatibleTargetException | InvalidProblemException e) {
             System.err.println(file + ": " + e.getMessage());
             return Commands.USAGE;
         } catch (PlanStoreException e) {
@@ -59,75 +69,76 @@
         }
     }
 
-    private int byDirectory(RebalanceFile.RebalancePlanInput whole) throws PlanStoreException, InterruptedException {
-        try (var plan = new DirectoryPlanStore(place.dir)) {
-            plan.acquireLock();
-            RuleDocument last = plan.read();
-            MigrationPlan before = last == null ? null : MigrationRunner.decode(last);
-            MigrationPlan now = begin(whole, before, place.dir + " holds", "name another directory");
-            if (!now.equals(before)) {
-                plan.propose(last == null ? 0 : last.version(), now.body(), now.fallback());
+    private int runInDirectory(RebalancePlanInput input)
+            throws PlanStoreException, UnsuitableFileException, IncompatibleTargetException, InterruptedException {
+        try (var store = new DirectoryPlanStore(location.dir)) {
+            store.acquireLock();
+            RuleDocument last = store.read();
+            MigrationPlan before = last == null ? null : PlanDocuments.decode(last);
+            MigrationPlan wanted = wantedPlan(input, before, location.dir + " holds", "name another directory");
+            if (!wanted.equals(before)) {
+                store.propose(last == null ? 0 : last.version(), wanted.body(), wanted.fallback());
             }
-            return carry(whole, plan);
+            return run(input, store);
         }
     }
 
-    private int agreed(RebalanceFile.RebalancePlanInput whole) throws PlanStoreException, InterruptedException {
-        PlanControlClient port = place.client("start");
-        long term = port.termMillis(PlanLocation.WAIT_MILLIS);
-        var c = whole.carrying();
-        if (c.settleMillis() < term + c.longestQueryMillis()) {
-            throw new IllegalArgumentException("carry.settle is " + c.settleMillis()
-                    + " ms, less than the gatherers' term"
-                    + " and carry.longest_query together (" + term + " and " + c.longestQueryMillis()
-                    + " ms): a query could"
-                    + " go to a copy that is dropped; set it to " + (term + c.longestQueryMillis()) + "ms at least");
-        }
-        while (true) {
-            PlanControlClient.PlanVersion last = port.latest(PlanLocation.WAIT_MILLIS);
-            MigrationPlan before = last == null ? null : last.plan();
-            MigrationPlan now = begin(whole, before, "the gatherers agree on",
+    private int runByGatherers(RebalancePlanInput input)
+            throws PlanStoreException, UnsuitableFileException, IncompatibleTargetException, InterruptedException {
+        PlanControlClient client = location.client("start");
+        checkSettleTime(input.carrying(), client.termMillis(PlanLocation.WAIT_MILLIS));
+        boolean active = false;
+        while (!active) {
+            PlanVersion latest = client.latest(PlanLocation.WAIT_MILLIS);
+            MigrationPlan before = latest == null ? null : latest.plan();
+            MigrationPlan wanted = wantedPlan(input, before, "the gatherers agree on",
                     "add or take out blocks by rules propose plan first");
-            if (PlanControlClient.sizeFault(now) != null) {
-                throw new IllegalArgumentException(PlanControlClient.sizeFault(now));
-            }
-            if (now.equals(before)
-                    || port.proposeAndAwait(last == null ? 0 : last.number(), now, PlanLocation.WAIT_MILLIS)
-                            .isActive()) {
-                break;
+            String sizeFault = PlanControlClient.sizeFault(wanted);
+            if (sizeFault != null) {
+                throw new UnsuitableFileException(sizeFault);
             }
+            active = wanted.equals(before) || client.proposeAndAwait(latest == null ? 0 : latest.number(), wanted,
+                    PlanLocation.WAIT_MILLIS).isActive();
         }
-        try (var plan = new ConsensusPlanStore(port, System.err::println)) {
-            return carry(whole, plan);
+        try (var store = new ConsensusPlanStore(client)) {
+            return run(input, store);
+        }
+    }
+
+    private static void checkSettleTime(MigrationConfig config, long termMillis) throws UnsuitableFileException {
+        long leastMillis = termMillis + config.longestQueryMillis();
+        if (config.settleMillis() < leastMillis) {
+            throw new UnsuitableFileException("carry.settle is " + config.settleMillis()
+                    + " ms, less than the gatherers' term and carry.longest_query together (" + termMillis + " and "
+                    + config.longestQueryMillis() + " ms): a query could go to a copy that is dropped; set it to "
+                    + leastMillis + "ms at least");
         }
     }
 
-    /** What the file asks for; what the plan says of owners is newer than the file. */
-    private MigrationPlan begin(RebalanceFile.RebalancePlanInput whole, MigrationPlan before, String who,
-            String otherwise) {
-        int atOnce = whole.carrying().atOnce();
-        MigrationPlan now = MigrationPlan.initial(whole.fleet(), atOnce);
+    /** The plan that the file asks for. What the present plan says of owners is newer than the file. */
+    private static MigrationPlan wantedPlan(RebalancePlanInput input, MigrationPlan before, String holder,
+            String remedy) throws UnsuitableFileException, IncompatibleTargetException {
+        int maxConcurrent = input.carrying().atOnce();
+        MigrationPlan initial = MigrationPlan.initial(input.fleet(), maxConcurrent);
         if (before == null) {
-            return now;
+            return initial;
         }
-        if (!before.owners().keySet().equals(now.owners().keySet())) {
-            throw new IllegalArgumentException(who + " a plan of other blocks than this file; " + otherwise);
+        if (!before.owners().keySet().equals(initial.owners().keySet())) {
+            throw new UnsuitableFileException(holder + " a plan of other blocks than this file; " + remedy);
         }
-        return before.stopped() || !PlacementTarget.of(whole.fleet()).equals(before.target())
-                || before.maxConcurrent() != atOnce
-                        ? before.retargeted(PlacementTarget.of(whole.fleet()), atOnce) : before;
+        PlacementTarget target = PlacementTarget.of(input.fleet());
+        boolean unchanged = !before.stopped() && target.equals(before.target())
+                && before.maxConcurrent() == maxConcurrent;
+        return unchanged ? before : before.retargeted(target, maxConcurrent);
     }
 
-    private static int carry(RebalanceFile.RebalancePlanInput whole, PlanStore plan)
-            throws PlanStoreException, InterruptedException {
-        var c = whole.carrying();
-        var settings = new MigrationSettings((long) (c.mbPerSecond() * BYTES_OF_MB), c.chunkKb() * 1_024,
-                micros(c.settleMillis()),
-                micros(c.patienceMillis()), micros(c.againMillis()));
-        System.out.println(
-                new MigrationRunner(new MigrationCoordinator(settings), plan, c.addresses(), System.err::println).run()
-                        .name()
-                        .toLowerCase(Locale.ROOT));
+    private static int run(RebalancePlanInput input, PlanStore store) throws PlanStoreException, InterruptedException {
+        MigrationConfig config = input.carrying();
+        var settings = new MigrationSettings((long) (config.mbPerSecond() * BYTES_PER_MB),
+                config.chunkKb() * BYTES_PER_KB, micros(config.settleMillis()), micros(config.patienceMillis()),
+                micros(config.againMillis()));
+        var runner = new MigrationRunner(new MigrationCoordinator(settings), store, config.addresses());
+        System.out.println(runner.run().name().toLowerCase(Locale.ROOT));
         return 0;
     }
 
--- a/src/main/java/wallmoor/cli/RebalanceStatusCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceStatusCommand.java
@@ -52,7 +52,7 @@
     /** What there is to show; null where there is nothing, which is said then. */
     private static String progress(PlanLocation place) throws InterruptedException {
         try {
-            String progress = place.rules == null ? new DirectoryPlanStore(place.dir).progress()
+            String progress = place.rules == null ? new DirectoryPlanStore(place.dir).readProgress()
                     : json(place.client("status").latest(PlanLocation.WAIT_MILLIS));
             if (progress == null) {
                 System.err.println(
--- a/src/main/java/wallmoor/migration/CopyRateLimiter.java
+++ b/src/main/java/wallmoor/migration/CopyRateLimiter.java
@@ -1,63 +1,68 @@
 package wallmoor.migration;
 
 /**
- * How fast is copied: a bucket of bytes that fills by the time events come with. It gives way to queries: where a node
- * says that they suffer the rate is halved, and it comes back step by step.
+ * Token bucket for the bytes copied by all migrations together, refilled by the times that events come with. It yields
+ * to queries: when a node reports that they suffer, the rate is halved; otherwise it grows by a constant step
+ * (additive increase, multiplicative decrease).
  */
 final class CopyRateLimiter {
-    /** The bucket holds what comes in this time: a late tick costs nothing, and a burst is short. */
-    private static final long BURST = 250_000;
-    /** The rate changes once in this time at most: what it was changed for shows in answers of after it. */
-    private static final long STEP = 200_000;
-    /** From a standstill back to the whole rate in 32 steps, 6.4 s. */
-    private static final int UP = 32;
-    /** Never slower than this part of the bound: a move must end. */
-    private static final int SLOWEST = 64;
-    /** From this load on queries come first. */
-    private static final double SUFFERS = 0.5;
+    /** The bucket holds what accrues in this time: a late tick loses nothing, and a burst stays short. */
+    private static final long BURST_MICROS = 250_000;
+    /** Least time between two changes of the rate, so that responses show the effect of the last one. */
+    private static final long ADJUST_MICROS = 200_000;
+    /** Steps from zero to the full rate: 6.4 s. */
+    private static final int INCREASE_STEPS = 32;
+    /** The rate stays above this fraction of its maximum, as a migration must end. */
+    private static final int MAX_REDUCTION = 64;
+    /** From this reported load on queries take precedence. */
+    private static final double LOAD_THRESHOLD = 0.5;
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final long NEVER = Long.MIN_VALUE;
 
-    private final long most;
-    private double rate;
-    private double there;
-    private long at = Long.MIN_VALUE;
-    private long changed = Long.MIN_VALUE;
+    private final long maxBytesPerSecond;
+    private double bytesPerSecond;
+    private double availableBytes;
+    private long refilledAt = NEVER;
+    private long adjustedAt = NEVER;
 
-    /** {@code most} is bytes a second. */
-    CopyRateLimiter(long most) {
-        this.most = most;
-        rate = most;
+    CopyRateLimiter(long maxBytesPerSecond) {
+        this.maxBytesPerSecond = maxBytesPerSecond;
+        bytesPerSecond = maxBytesPerSecond;
     }
 
     /**
-     * Whether so many bytes may be copied now; they are taken then. More than the bucket holds may be taken from a full
-     * one.
+     * Takes tokens for a copy of so many bytes, if they are available. A full bucket also grants more than it holds.
+     *
+     * @param now microseconds
      */
     boolean tryAcquire(long now, long bytes) {
-        if (at == Long.MIN_VALUE) {
-            at = now;
+        if (refilledAt == NEVER) {
+            refilledAt = now;
         }
-        double full = rate * BURST / 1e6;
-        there = Math.min(full, there + rate * Math.max(0, now - at) / 1e6);
-        at = Math.max(at, now);
-        if (there < Math.min(bytes, full)) {
+        double capacity = bytesPerSecond * BURST_MICROS / MICROS_PER_SECOND;
+        double refill = bytesPerSecond * Math.max(0, now - refilledAt) / MICROS_PER_SECOND;
+        availableBytes = Math.min(capacity, availableBytes + refill);
+        refilledAt = Math.max(refilledAt, now);
+        if (availableBytes < Math.min(bytes, capacity)) {
             return false;
         }
-        there -= bytes; // below nothing for a chunk that is larger than the bucket: it fills again before the next
+        availableBytes -= bytes; // negative after a chunk larger than the bucket: the next one waits for the refill
         return true;
     }
 
-    /** A node has said how its queries fare. */
+    /** Adjusts the rate to the load that a node reports, 0 to 1. */
     void onLoad(long now, double load) {
-        if (changed != Long.MIN_VALUE && now - changed < STEP) {
+        if (adjustedAt != NEVER && now - adjustedAt < ADJUST_MICROS) {
             return;
         }
-        changed = now;
-        rate = load >= SUFFERS ? Math.max(rate / 2, (double) most / SLOWEST)
-                : Math.min(most, rate + (double) most / UP);
+        adjustedAt = now;
+        bytesPerSecond = load >= LOAD_THRESHOLD
+                ? Math.max(bytesPerSecond / 2, (double) maxBytesPerSecond / MAX_REDUCTION)
+                : Math.min(maxBytesPerSecond, bytesPerSecond + (double) maxBytesPerSecond / INCREASE_STEPS);
     }
 
-    /** Bytes a second, now. */
-    long rate() {
-        return (long) rate;
+    /** The present rate, bytes a second. */
+    long bytesPerSecond() {
+        return (long) bytesPerSecond;
     }
 }
--- a/src/main/java/wallmoor/migration/DiskSpace.java
+++ b/src/main/java/wallmoor/migration/DiskSpace.java
@@ -3,12 +3,12 @@
 /**
  * A node's disk, in megabytes.
  *
- * @param otherMb what is not of blocks, rounded up
- * @param replicasMb  blocks, with the room that is kept for those that come
+ * @param otherMb    used by anything but replicas, rounded up
+ * @param replicasMb used by replicas, or reserved for copies in progress
  */
 public record DiskSpace(long diskMb, long otherMb, long replicasMb) {
-    /** Whether so much more stays within a bound. */
-    public boolean fits(long mb, long mostMb) {
-        return otherMb + replicasMb + mb <= mostMb;
+    /** Whether {@code additionalMb} more would stay within {@code limitMb}. */
+    public boolean fits(long additionalMb, long limitMb) {
+        return otherMb + replicasMb + additionalMb <= limitMb;
     }
 }
--- a/src/main/java/wallmoor/migration/Migration.java
+++ b/src/main/java/wallmoor/migration/Migration.java
@@ -3,59 +3,68 @@
 import java.util.Locale;
 
 /**
- * A move that is being carried out.
+ * One migration in progress: a replica of a block moves from one node to another.
  *
  * @param sizeMb     of the block, as planned
- * @param wave   from 1; begins when all of the wave before have ended
- * @param fenced whether the source was fenced: then what is copied again is copied under the fence
- * @param copyRounds how often the copy was not the source's
+ * @param wave       from 1; begins when all migrations of the wave before have ended
+ * @param fenced     whether the source was fenced; chunks that are copied again are then copied under the fence
+ * @param copyRounds how often the copy turned out to differ from the source
  */
 public record Migration(String block, String from, String to, long sizeMb, int wave, MigrationStage stage,
         boolean fenced, int copyRounds) {
-    /** One that is not begun. */
-    public static Migration planned(String block, String from, String to, long mb, int wave) {
-        return new Migration(block, from, to, mb, wave, MigrationStage.PLANNED, false, 0);
+    /** Fields of the encoded form. */
+    private static final int FIELDS = 8;
+    private static final String FENCED = "fenced";
+    private static final String NOT_FENCED = "open";
+
+    /** A migration that has not begun. */
+    public static Migration planned(String block, String from, String to, long sizeMb, int wave) {
+        return new Migration(block, from, to, sizeMb, wave, MigrationStage.PLANNED, false, 0);
     }
 
-    /** The same at another stage. */
     Migration withStage(MigrationStage next) {
         return new Migration(block, from, to, sizeMb, wave, next, fenced || next == MigrationStage.HAND, copyRounds);
     }
 
-    /** The same, copying once more. */
+    /** Back to copying, because the copy differs from the source. */
     Migration copyingAgain() {
         return new Migration(block, from, to, sizeMb, wave, MigrationStage.COPY, fenced, copyRounds + 1);
     }
 
-    /** As it stands in the document. */
+    /** The form stored in the document {@code plan}: fields separated by spaces. */
     String encode() {
-        return String.join(" ", quoted(block), quoted(from), quoted(to), Long.toString(sizeMb), Integer.toString(wave),
-                stage.name().toLowerCase(Locale.ROOT), fenced ? "fenced" : "open", Integer.toString(copyRounds));
+        return String.join(" ", escape(block), escape(from), escape(to), Long.toString(sizeMb),
+                Integer.toString(wave), stage.name().toLowerCase(Locale.ROOT), fenced ? FENCED : NOT_FENCED,
+                Integer.toString(copyRounds));
     }
 
-    /** Characters of its text at the most, whatever stage it comes to. */
+    /** Upper bound, in characters, of the encoded form at any later stage. */
     int maxEncodedLength() {
-        return new Migration(block, from, to, sizeMb, wave, MigrationStage.PREPARE, true, MigrationTask.MOST_ROUNDS)
-                .encode().length();
+        return new Migration(block, from, to, sizeMb, wave, MigrationStage.PREPARE, true,
+                MigrationTask.MAX_COPY_ROUNDS).encode().length();
     }
 
-    /** @throws IllegalArgumentException where the text is none */
-    static Migration decode(String text) {
-        String[] part = text.split(" ", -1);
-        if (part.length != 8 || !part[6].matches("fenced|open")) {
-            throw new IllegalArgumentException("no move: " + text);
+    /** Reverses {@link #encode}. */
+    static Migration decode(String text) throws UnreadablePlanException {
+        String[] field = text.split(" ", -1);
+        if (field.length != FIELDS || !field[6].equals(FENCED) && !field[6].equals(NOT_FENCED)) {
+            throw new UnreadablePlanException("no move: " + text);
+        }
+        try {
+            return new Migration(unescape(field[0]), unescape(field[1]), unescape(field[2]),
+                    Long.parseLong(field[3]), Integer.parseInt(field[4]),
+                    MigrationStage.valueOf(field[5].toUpperCase(Locale.ROOT)), field[6].equals(FENCED),
+                    Integer.parseInt(field[7]));
+        } catch (IllegalArgumentException e) { // no number, or no stage
+            throw new UnreadablePlanException("no move: " + text, e);
         }
-        return new Migration(plain(part[0]), plain(part[1]), plain(part[2]), Long.parseLong(part[3]),
-                Integer.parseInt(part[4]),
-                MigrationStage.valueOf(part[5].toUpperCase(Locale.ROOT)), part[6].equals("fenced"),
-                Integer.parseInt(part[7]));
     }
 
-    private static String quoted(String id) {
+    private static String escape(String id) {
         return id.replace("%", "%25").replace(" ", "%20");
     }
 
-    private static String plain(String quoted) {
-        return quoted.replace("%20", " ").replace("%25", "%");
+    private static String unescape(String escaped) {
+        return escaped.replace("%20", " ").replace("%25", "%");
     }
 }
--- a/src/main/java/wallmoor/migration/MigrationAction.java
+++ b/src/main/java/wallmoor/migration/MigrationAction.java
@@ -1,16 +1,23 @@
 package wallmoor.migration;
 
-/** What is to be done. */
+/** What the coordinator's caller has to do. */
 public sealed interface MigrationAction {
-    /** Propose this as the version after the one of this number. Told again until it is said what came of it. */
+    /**
+     * Propose a plan as the successor of a version. Issued again until the outcome is reported, so proposing must be
+     * idempotent.
+     *
+     * @param parentVersion version that the proposal was made from
+     */
     record ProposePlan(long parentVersion, MigrationPlan plan) implements MigrationAction {}
 
     /**
-     * Ask a node, and say what it answered, or that it did not.
+     * Send a request to a node, and report its response or that there was none.
      *
-     * @param requestId     of this asking alone
-     * @param fencingToken of the version that acts: a node refuses what is older than what it has seen
+     * @param requestId    unique among this coordinator's requests
+     * @param block        empty for {@link ReplicaRequest.ListReplicas}
+     * @param fencingToken number of the active version: a node rejects requests with a lower token than it has seen
      */
-    record SendRequest(long requestId, String node, String block, long fencingToken,
-            ReplicaRequest request) implements MigrationAction {}
+    record SendRequest(long requestId, String node, String block, long fencingToken, ReplicaRequest request)
+            implements
+                MigrationAction {}
 }
--- a/src/main/java/wallmoor/migration/MigrationCoordinator.java
+++ b/src/main/java/wallmoor/migration/MigrationCoordinator.java
@@ -11,230 +11,262 @@
 import java.util.TreeSet;
 import wallmoor.migration.MigrationAction.ProposePlan;
 import wallmoor.migration.MigrationAction.SendRequest;
+import wallmoor.migration.MigrationStatus.MigrationPhase;
+import wallmoor.migration.MigrationStatus.MigrationProgress;
 
 /**
- * Carries out what the plan says, one version after another: asks nodes, and proposes the version that their answers
- * allow. It acts on the version that acts and on nothing else, so two of these do no harm beside each other, and one
- * that was stopped at any point goes on from the plan and from what nodes say. Times are microseconds on any clock that
- * goes on.
+ * Carries out the plan, one version after another: has requests sent to nodes, and proposes the successor that their
+ * responses allow. It acts on the active version alone, so that two coordinators beside each other do no harm, and one
+ * that was killed at any point is continued from the plan and from the nodes' records. Not thread-safe.
  */
 public final class MigrationCoordinator {
-    /** What operators want of it. */
+    /** What an operator wants of all migrations. The names are stored, in lower case. */
     public enum OperatorCommand {
         PAUSE, RESUME, STOP
     }
 
+    private static final long NO_VERSION = -1;
+    /** The "block" of requests to list all replicas. */
+    private static final String NO_BLOCK = "";
+
     private final MigrationSettings settings;
-    private final CopyRateLimiter pace;
-    private final Map<String, MigrationTask> works = new TreeMap<>();
-    private final Map<Long, String> asked = new HashMap<>();
+    private final CopyRateLimiter limiter;
+    private final Map<String, MigrationTask> tasksByBlock = new TreeMap<>();
+    private final Map<Long, String> blockByRequest = new HashMap<>();
     private final ReplicaSurvey survey;
-    private long number = -1;
-    private MigrationPlan state;
-    private ProposePlan proposed;
+    private long version = NO_VERSION;
+    private MigrationPlan plan;
+    private ProposePlan proposal;
     private long proposedAt;
-    private long quiet = Long.MIN_VALUE;
-    private long ids;
-    private OperatorCommand wish;
-    private String last = "";
+    private long proposeNotBefore = Long.MIN_VALUE;
+    private long lastRequestId;
+    private OperatorCommand pendingCommand;
+    private String lastFailure = "";
 
-    /** One that knows nothing yet. */
+    /** A coordinator that knows no plan yet. */
     public MigrationCoordinator(MigrationSettings settings) {
         this.settings = settings;
-        this.pace = new CopyRateLimiter(settings.bytesPerSecond());
+        this.limiter = new CopyRateLimiter(settings.bytesPerSecond());
         this.survey = new ReplicaSurvey(settings);
     }
 
-    /** A version acts, here and everywhere: nobody acts on the one before alone. */
-    public List<MigrationAction> onVersionActive(long now, long version, MigrationPlan says) {
-        if (version > number) {
-            number = version;
-            state = says;
-            proposed = null;
-            quiet = Long.MIN_VALUE;
-            works.values().removeIf(w -> !w.carry.equals(says.migrations().get(w.carry.block())));
-            says.migrations().forEach((b, c) -> works.computeIfAbsent(b, k -> new MigrationTask(c, settings, now)));
-            asked.values().removeIf(b -> !b.isEmpty() && !works.containsKey(b));
-            survey.forget();
-        }
-        return go(now);
-    }
-
-    /** The proposal after this version did not become the next: another one did, or nobody could say. */
-    public List<MigrationAction> onProposalRejected(long now, long parent) {
-        if (proposed != null && proposed.parentVersion() == parent) {
-            proposed = null;
-            quiet = now + settings.retryMicros(); // the version that won is on its way
-        }
-        return go(now);
-    }
-
-    /** A node has answered. */
-    public List<MigrationAction> onResponse(long now, long id, ReplicaResponse said) {
-        pace.onLoad(now, said.load());
-        String block = asked.remove(id);
-        if (block != null && block.isEmpty()) {
-            survey.answered(id, said);
-        } else if (block != null && works.get(block) != null && works.get(block).out == id) {
-            MigrationTask w = works.get(block);
-            w.answered(now, said, state.target().usableMb(w.carry.to(), said.space().diskMb()));
-            if (!w.waits.isEmpty() && w.next != null) {
-                last = block + ": " + w.waits;
+    /** A version became active everywhere: nobody acts on its parent alone any more. */
+    public List<MigrationAction> onVersionActive(long now, long newVersion, MigrationPlan newPlan) {
+        if (newVersion > version) {
+            version = newVersion;
+            plan = newPlan;
+            proposal = null;
+            proposeNotBefore = Long.MIN_VALUE;
+            tasksByBlock.values().removeIf(t -> !t.migration.equals(newPlan.migrations().get(t.migration.block())));
+            newPlan.migrations().forEach((block, migration) -> tasksByBlock.computeIfAbsent(block,
+                    k -> new MigrationTask(migration, settings, now)));
+            blockByRequest.values().removeIf(block -> !block.equals(NO_BLOCK) && !tasksByBlock.containsKey(block));
+            survey.reset();
+        }
+        return proceed(now);
+    }
+
+    /** The proposal after this version did not become the next one: another did, or the outcome is unknown. */
+    public List<MigrationAction> onProposalRejected(long now, long parentVersion) {
+        if (proposal != null && proposal.parentVersion() == parentVersion) {
+            proposal = null;
+            proposeNotBefore = now + settings.retryMicros(); // the version that won is on its way
+        }
+        return proceed(now);
+    }
+
+    /** A node responded. */
+    public List<MigrationAction> onResponse(long now, long requestId, ReplicaResponse response) {
+        limiter.onLoad(now, response.load());
+        String block = blockByRequest.remove(requestId);
+        if (NO_BLOCK.equals(block)) {
+            survey.onResponse(requestId, response);
+        } else {
+            MigrationTask task = outstandingTask(block, requestId);
+            if (task != null) {
+                long limitMb = plan.target().usableMb(task.migration.to(), response.space().diskMb());
+                task.onResponse(now, response, limitMb);
+                if (!task.waitingFor.isEmpty() && task.successor() != null) {
+                    lastFailure = block + ": " + task.waitingFor;
+                }
             }
         }
-        return go(now);
+        return proceed(now);
     }
 
-    /** A node did not answer in time, or could not be reached. */
-    public List<MigrationAction> onRequestFailed(long now, long id, String why) {
-        String block = asked.remove(id);
-        if (block != null && block.isEmpty()) {
-            survey.failed(id, now, why);
-        } else if (block != null && works.get(block) != null && works.get(block).out == id) {
-            works.get(block).failed(now, why);
+    /** A node did not respond in time, or could not be reached. */
+    public List<MigrationAction> onRequestFailed(long now, long requestId, String reason) {
+        String block = blockByRequest.remove(requestId);
+        if (NO_BLOCK.equals(block)) {
+            survey.onFailure(requestId, now, reason);
+        } else {
+            MigrationTask task = outstandingTask(block, requestId);
+            if (task != null) {
+                task.onFailure(now, reason);
+            }
         }
-        return go(now);
+        return proceed(now);
+    }
+
+    /** The task that waits for this request; null where none does any more. */
+    private MigrationTask outstandingTask(String block, long requestId) {
+        MigrationTask task = block == null ? null : tasksByBlock.get(block);
+        return task != null && task.isOutstanding(requestId) ? task : null;
     }
 
-    /** Time goes on. */
+    /** Time passed. */
     public List<MigrationAction> onTick(long now) {
-        return go(now);
+        return proceed(now);
     }
 
-    /** An operator wants something; the last wish holds until a version says it. */
-    public List<MigrationAction> onCommand(long now, OperatorCommand said) {
-        wish = said;
-        return go(now);
+    /** An operator gave a command; the last one holds until a version of the plan reflects it. */
+    public List<MigrationAction> onCommand(long now, OperatorCommand command) {
+        pendingCommand = command;
+        return proceed(now);
     }
 
-    /** Where it stands. */
+    /** The present state, for operators. */
     public MigrationStatus status() {
-        var moves = new ArrayList<MigrationStatus.MigrationProgress>();
-        if (state != null) {
-            state.migrations().values().forEach(c -> {
-                MigrationTask w = works.get(c.block());
-                moves.add(
-                        new MigrationStatus.MigrationProgress(c, w == null ? 0 : w.there(), w == null ? "" : w.waits));
+        var progress = new ArrayList<MigrationProgress>();
+        if (plan != null) {
+            plan.migrations().values().forEach(m -> {
+                MigrationTask task = tasksByBlock.get(m.block());
+                progress.add(new MigrationProgress(m, task == null ? 0 : task.copiedFraction(),
+                        task == null ? "" : task.waitingFor));
             });
         }
-        return new MigrationStatus(number,
-                state == null ? MigrationStatus.MigrationPhase.UNKNOWN
-                        : state.stopped() && moves.isEmpty() ? MigrationStatus.MigrationPhase.STOPPED
-                                : !moves.isEmpty()
-                                        ? state.paused() ? MigrationStatus.MigrationPhase.PAUSED
-                                                : MigrationStatus.MigrationPhase.MOVING
-                                        : survey.finished() ? MigrationStatus.MigrationPhase.FINISHED
-                                                : survey.stuck().isEmpty() ? MigrationStatus.MigrationPhase.PLANNING
-                                                        : MigrationStatus.MigrationPhase.STUCK,
-                moves, survey.stuck(), pace.rate(), last);
+        return new MigrationStatus(version, phase(), progress, survey.blockedReason(), limiter.bytesPerSecond(),
+                lastFailure);
     }
 
-    private List<MigrationAction> go(long now) {
+    private MigrationPhase phase() {
+        if (plan == null) {
+            return MigrationPhase.UNKNOWN;
+        }
+        if (!plan.migrations().isEmpty()) {
+            return plan.paused() ? MigrationPhase.PAUSED : MigrationPhase.MOVING;
+        }
+        if (plan.stopped()) {
+            return MigrationPhase.STOPPED;
+        }
+        if (survey.isTargetReached()) {
+            return MigrationPhase.FINISHED;
+        }
+        return survey.blockedReason().isEmpty() ? MigrationPhase.PLANNING : MigrationPhase.STUCK;
+    }
+
+    private List<MigrationAction> proceed(long now) {
         var actions = new ArrayList<MigrationAction>();
-        if (state == null) {
+        if (plan == null) {
             return actions;
         }
-        works.forEach((block, w) -> {
-            MigrationTask.NextRequest next = w.next(now, state, pace,
-                    state.target().usableMb(w.carry.to(), Long.MAX_VALUE));
-            if (next != null) {
-                w.out = send(actions, next.node(), block, next.ask());
-            }
-        });
-        if (proposed != null) {
+        sendRequests(now, actions);
+        if (proposal != null) {
             if (now - proposedAt >= settings.retryMicros()) {
                 proposedAt = now;
-                actions.add(proposed);
+                actions.add(proposal);
             }
-            return actions;
-        }
-        if (now < quiet) {
-            return actions;
-        }
-        MigrationPlan next = wished();
-        if (next.equals(state)) {
-            next = changed();
-        }
-        if (next.equals(state) && state.migrations().isEmpty() && !state.stopped() && !state.paused()) {
-            for (String node : survey.due(now, state.target())) {
-                survey.asked(send(actions, node, "", new ReplicaRequest.ListReplicas()), node);
+        } else if (now >= proposeNotBefore) {
+            MigrationPlan successor = successor(now, actions);
+            if (!successor.equals(plan)) {
+                proposal = new ProposePlan(version, successor);
+                proposedAt = now;
+                actions.add(proposal);
             }
-            next = Objects.requireNonNullElse(survey.plan(now, state), state);
-        }
-        if (!next.equals(state)) {
-            proposed = new ProposePlan(number, next);
-            proposedAt = now;
-            actions.add(proposed);
         }
         return actions;
     }
 
-    private long send(List<MigrationAction> to, String node, String block, ReplicaRequest ask) {
-        asked.put(++ids, block);
-        to.add(new SendRequest(ids, node, block, number, ask));
-        return ids;
+    private void sendRequests(long now, List<MigrationAction> actions) {
+        tasksByBlock.forEach((block, task) -> {
+            long limitMb = plan.target().usableMb(task.migration.to(), Long.MAX_VALUE);
+            MigrationTask.NextRequest next = task.nextRequest(now, plan, limiter, limitMb);
+            if (next != null) {
+                task.onSent(send(actions, next.node(), block, next.request()));
+            }
+        });
+    }
+
+    private long send(List<MigrationAction> actions, String node, String block, ReplicaRequest request) {
+        lastRequestId++;
+        blockByRequest.put(lastRequestId, block);
+        actions.add(new SendRequest(lastRequestId, node, block, version, request));
+        return lastRequestId;
+    }
+
+    /** What the plan should become: by an operator's command, else by what the tasks did, else by a new survey. */
+    private MigrationPlan successor(long now, List<MigrationAction> actions) {
+        MigrationPlan successor = applyCommand();
+        if (successor.equals(plan)) {
+            successor = applyTasks();
+        }
+        if (successor.equals(plan) && plan.migrations().isEmpty() && !plan.stopped() && !plan.paused()) {
+            for (String node : survey.nodesToAsk(now, plan.target())) {
+                survey.onSent(send(actions, node, NO_BLOCK, new ReplicaRequest.ListReplicas()), node);
+            }
+            successor = Objects.requireNonNullElse(survey.planMigrations(now, plan), plan);
+        }
+        return successor;
     }
 
-    private MigrationPlan wished() {
-        MigrationPlan next = wish == null ? state : state.withCommand(wish);
-        if (next.equals(state)) {
-            wish = null; // the plan says it
+    private MigrationPlan applyCommand() {
+        MigrationPlan successor = pendingCommand == null ? plan : plan.withCommand(pendingCommand);
+        if (successor.equals(plan)) {
+            pendingCommand = null; // the plan reflects it
         }
-        return next;
+        return successor;
     }
 
-    /** The plan with what has come of its moves, and with those that may begin. */
-    private MigrationPlan changed() {
-        SortedMap<String, Migration> moves = new TreeMap<>(state.migrations());
-        SortedMap<String, SortedSet<String>> owners = new TreeMap<>(state.owners());
-        boolean given = false;
-        for (MigrationTask w : works.values()) {
-            if (w.over) {
-                moves.remove(w.carry.block());
-            } else if (w.next != null && step(w, owners)) {
-                moves.put(w.carry.block(), w.next);
-                given |= w.next.stage() == MigrationStage.BACK;
+    /** The plan with the tasks' results, and with the migrations that may begin. */
+    private MigrationPlan applyTasks() {
+        SortedMap<String, Migration> migrations = new TreeMap<>(plan.migrations());
+        SortedMap<String, SortedSet<String>> owners = new TreeMap<>(plan.owners());
+        boolean rolledBack = false;
+        for (MigrationTask task : tasksByBlock.values()) {
+            if (task.isComplete()) {
+                migrations.remove(task.migration.block());
+            } else if (task.successor() != null && updateOwners(task, owners)) {
+                migrations.put(task.migration.block(), task.successor());
+                rolledBack |= task.successor().stage() == MigrationStage.BACK;
             }
         }
-        if (given) {
-            // the rest was planned with it: a new plan is made
-            moves.values().removeIf(c -> c.stage() == MigrationStage.PLANNED);
+        if (rolledBack) { // the rest was planned together with it: it is planned anew
+            migrations.values().removeIf(m -> m.stage() == MigrationStage.PLANNED);
         }
-        begin(moves);
-        return state.withMigrations(moves, owners);
+        beginPlanned(migrations);
+        return plan.withMigrations(migrations, owners);
     }
 
-    /** Changes the owners for a step; false where it may not be taken. */
-    private boolean step(MigrationTask w, SortedMap<String, SortedSet<String>> owners) {
-        String block = w.carry.block();
-        var on = new TreeSet<>(owners.get(block));
-        if (w.next.stage() == MigrationStage.JOIN) {
-            on.add(w.carry.to());
-        } else if (w.next.stage() == MigrationStage.SETTLE) {
-            on.remove(w.carry.from());
-            if (on.size() < state.minCopies().getOrDefault(block, 1)) {
-                w.waits = "fewer than " + state.minCopies().get(block) + " copies would be left";
+    /** Updates the owners for a task's next stage; false where too few replicas would remain. */
+    private boolean updateOwners(MigrationTask task, SortedMap<String, SortedSet<String>> owners) {
+        String block = task.migration.block();
+        var nodes = new TreeSet<>(owners.get(block));
+        if (task.successor().stage() == MigrationStage.JOIN) {
+            nodes.add(task.migration.to());
+        } else if (task.successor().stage() == MigrationStage.SETTLE) {
+            nodes.remove(task.migration.from());
+            if (nodes.size() < plan.minCopies().getOrDefault(block, 1)) {
+                task.waitingFor = "fewer than " + plan.minCopies().get(block) + " copies would be left";
                 return false;
             }
         }
-        owners.put(block, on);
+        owners.put(block, nodes);
         return true;
     }
 
-    private void begin(SortedMap<String, Migration> moves) {
-        if (state.paused() || state.stopped()) {
+    /** Begins planned migrations of the lowest wave, up to the limit of concurrent ones. */
+    private void beginPlanned(SortedMap<String, Migration> migrations) {
+        if (plan.paused() || plan.stopped()) {
             return;
         }
-        int wave = moves.values().stream().mapToInt(Migration::wave).min().orElse(0);
-        long busy = moves.values().stream()
-                .filter(c -> c.stage() != MigrationStage.PLANNED && c.stage() != MigrationStage.SETTLE
-                        && c.stage() != MigrationStage.FORGET)
-                .count();
-        for (Migration c : List.copyOf(moves.values())) {
-            if (busy < state.maxConcurrent() && c.stage() == MigrationStage.PLANNED && c.wave() == wave
-                    && !state.frozenBlocks().contains(c.block())) {
-                moves.put(c.block(), c.withStage(MigrationStage.PREPARE));
-                busy++;
+        int wave = migrations.values().stream().mapToInt(Migration::wave).min().orElse(0);
+        long active = migrations.values().stream().filter(m -> m.stage() != MigrationStage.PLANNED
+                && m.stage() != MigrationStage.SETTLE && m.stage() != MigrationStage.FORGET).count();
+        for (Migration m : List.copyOf(migrations.values())) {
+            if (active < plan.maxConcurrent() && m.stage() == MigrationStage.PLANNED && m.wave() == wave
+                    && !plan.frozenBlocks().contains(m.block())) {
+                migrations.put(m.block(), m.withStage(MigrationStage.PREPARE));
+                active++;
             }
         }
     }
--- a/src/main/java/wallmoor/migration/MigrationPlan.java
+++ b/src/main/java/wallmoor/migration/MigrationPlan.java
@@ -1,7 +1,5 @@
 package wallmoor.migration;
 
-import java.util.ArrayList;
-import java.util.Collection;
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
@@ -9,232 +7,168 @@
 import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import java.util.function.Consumer;
-import wallmoor.json.Json;
+import wallmoor.migration.MigrationCoordinator.OperatorCommand;
 import wallmoor.placement.BlockReplicas;
 import wallmoor.placement.PlacementPlanner;
 import wallmoor.placement.PlacementProblem;
 import wallmoor.placement.PlacementResult;
-import wallmoor.rules.FieldValue;
+import wallmoor.placement.StorageNode;
 import wallmoor.rules.RuleBody;
 
 /**
- * What the document {@code plan} says: who owns which block, and which moves are out. {@code versions.Kinds.PLAN}
- * checks its fields.
+ * One version of the replicated document {@code plan}: who owns which block, and the migrations in progress. Immutable;
+ * each change is a new version. {@link MigrationPlanCodec} has its stored form.
  *
- * @param owners of each block: whole copies that queries may be sent to
- * @param sizesMb     of each block
- * @param minCopies of each block that must be there before one is taken away
- * @param migrations  by block: a block moves once at a time
- * @param frozenBlocks blocks that no move is begun of
- * @param target   what is planned for; null before the first
+ * @param owners        by block, the nodes with a complete replica that queries may be sent to
+ * @param sizesMb       by block
+ * @param minCopies     by block, the replicas that must remain when one is dropped
+ * @param migrations    by block: a block has one migration at a time
+ * @param frozenBlocks  blocks of which no migration is begun
+ * @param maxConcurrent migrations that copy at one time
+ * @param target        what is planned for; null before the first
  */
 public record MigrationPlan(SortedMap<String, SortedSet<String>> owners, SortedMap<String, Long> sizesMb,
-        SortedMap<String, Integer> minCopies,
-        SortedMap<String, Migration> migrations, SortedSet<String> frozenBlocks, int maxConcurrent, boolean paused,
-        boolean stopped,
-        PlacementTarget target) {
-    private static final String OWNERS = "owners.";
-    private static final String MB = "mb.";
-    private static final String COPIES = "copies.";
-
+        SortedMap<String, Integer> minCopies, SortedMap<String, Migration> migrations, SortedSet<String> frozenBlocks,
+        int maxConcurrent, boolean paused, boolean stopped, PlacementTarget target) {
+    /** Takes copies of the collections. */
     public MigrationPlan {
-        var kept = new TreeMap<String, SortedSet<String>>();
-        owners.forEach((b, on) -> kept.put(b, Collections.unmodifiableSortedSet(new TreeSet<>(on))));
-        owners = Collections.unmodifiableSortedMap(kept);
+        var copiedOwners = new TreeMap<String, SortedSet<String>>();
+        owners.forEach((block, nodes) -> copiedOwners.put(block,
+                Collections.unmodifiableSortedSet(new TreeSet<>(nodes))));
+        owners = Collections.unmodifiableSortedMap(copiedOwners);
         sizesMb = Collections.unmodifiableSortedMap(new TreeMap<>(sizesMb));
         minCopies = Collections.unmodifiableSortedMap(new TreeMap<>(minCopies));
         migrations = Collections.unmodifiableSortedMap(new TreeMap<>(migrations));
         frozenBlocks = Collections.unmodifiableSortedSet(new TreeSet<>(frozenBlocks));
     }
 
-    /** Nothing moved yet. */
-    public static MigrationPlan initial(PlacementProblem fleet, int atOnce) {
+    /** The first version: no migration yet. */
+    public static MigrationPlan initial(PlacementProblem problem, int maxConcurrent) {
         var owners = new TreeMap<String, SortedSet<String>>();
-        var mb = new TreeMap<String, Long>();
-        var copies = new TreeMap<String, Integer>();
-        for (BlockReplicas b : fleet.blocks()) {
-            owners.put(b.id(), new TreeSet<>(b.holders()));
-            mb.put(b.id(), b.sizeMb());
-            copies.put(b.id(), b.holders().size());
+        var sizesMb = new TreeMap<String, Long>();
+        var minCopies = new TreeMap<String, Integer>();
+        for (BlockReplicas block : problem.blocks()) {
+            owners.put(block.id(), new TreeSet<>(block.holders()));
+            sizesMb.put(block.id(), block.sizeMb());
+            minCopies.put(block.id(), block.holders().size());
         }
-        return new MigrationPlan(owners, mb, copies, new TreeMap<>(), new TreeSet<>(), atOnce, false, false,
-                PlacementTarget.of(fleet));
+        return new MigrationPlan(owners, sizesMb, minCopies, new TreeMap<>(), new TreeSet<>(), maxConcurrent, false,
+                false, PlacementTarget.of(problem));
     }
 
     /**
-     * With another goal, running again; its moves are planned anew. Nodes that the goal does not have are gone, and
-     * what they held.
+     * The plan for another target, neither paused nor stopped. Migrations that have not begun are planned anew. Nodes
+     * that the target lacks are taken for lost, with their replicas.
      *
-     * @throws IllegalArgumentException where a block's only copies are gone, or a node that a move can't end without
+     * @throws IncompatibleTargetException where a block would lose its last replica, or a migration past its point of
+     *                                     no return would lose a node
      */
-    public MigrationPlan retargeted(PlacementTarget next, int most) {
-        var own = new TreeMap<String, SortedSet<String>>();
-        var needed = new TreeMap<>(minCopies);
-        owners.forEach((b, on) -> {
-            var left = new TreeSet<>(on);
-            left.removeIf(n -> !next.hasNode(n));
-            if (left.isEmpty()) {
-                throw new IllegalArgumentException(
-                        "block " + b + " has copies on " + on + " alone, which the file does not have");
+    public MigrationPlan retargeted(PlacementTarget newTarget, int newMaxConcurrent)
+            throws IncompatibleTargetException {
+        var remainingOwners = new TreeMap<String, SortedSet<String>>();
+        var remainingCopies = new TreeMap<>(minCopies);
+        for (Map.Entry<String, SortedSet<String>> entry : owners.entrySet()) {
+            String block = entry.getKey();
+            var remaining = new TreeSet<>(entry.getValue());
+            remaining.removeIf(node -> !newTarget.hasNode(node));
+            if (remaining.isEmpty()) {
+                throw new IncompatibleTargetException("block " + block + " has copies on " + entry.getValue()
+                        + " alone, which the file does not have");
             }
-            own.put(b, left);
-            needed.merge(b, left.size(), Math::min);
-        });
-        migrations.values().stream()
-                .filter(c -> !c.stage().isRevocable() && c.stage() != MigrationStage.BACK
-                        && c.stage() != MigrationStage.PLANNED
-                        && !(next.hasNode(c.from()) && next.hasNode(c.to())))
-                .findFirst().ifPresent(c -> {
-                    throw new IllegalArgumentException(
-                            "the move of " + c.block() + " from " + c.from() + " to " + c.to()
-                                    + " is handed over and not ended; it needs both nodes in the file");
-                });
-        return new MigrationPlan(own, sizesMb, needed, unbegun(false), frozenBlocks, most, false, false, next);
-    }
-
-    /** As an operator wants it. */
-    public MigrationPlan withCommand(MigrationCoordinator.OperatorCommand wish) {
-        return wish == MigrationCoordinator.OperatorCommand.STOP ? withStopped()
-                : withPaused(wish == MigrationCoordinator.OperatorCommand.PAUSE);
-    }
-
-    /**
-     * Characters of its body and fallback together, at the most that they come to while its moves are carried out: each
-     * may be fenced, be at the stage with the longest name, and have its target beside its source as an owner.
-     */
-    public int maxEncodedLength() {
-        int more = (paused ? 1 : 0) + (stopped ? 2 : 0); // false is longer than true
-        for (Migration c : migrations.values()) {
-            more += c.maxEncodedLength() - c.encode().length();
-            if (!owners.getOrDefault(c.block(), Collections.emptySortedSet()).contains(c.to())) {
-                var owner = new StringBuilder(",");
-                Json.quote(owner, c.to());
-                more += 2 * owner.length();
+            remainingOwners.put(block, remaining);
+            remainingCopies.merge(block, remaining.size(), Math::min);
+        }
+        for (Migration m : migrations.values()) {
+            if (isIrrevocable(m) && !(newTarget.hasNode(m.from()) && newTarget.hasNode(m.to()))) {
+                throw new IncompatibleTargetException("the move of " + m.block() + " from " + m.from() + " to "
+                        + m.to() + " is handed over and not ended; it needs both nodes in the file");
             }
         }
-        return body().length() + fallback().length() + more;
+        return new MigrationPlan(remainingOwners, sizesMb, remainingCopies, begunMigrations(), frozenBlocks,
+                newMaxConcurrent, false, false, newTarget);
     }
 
-    /** Whether nothing has to move any more, as far as the plan says: no node was asked what room it has. */
+    private static boolean isIrrevocable(Migration m) {
+        return !m.stage().isRevocable() && m.stage() != MigrationStage.BACK && m.stage() != MigrationStage.PLANNED;
+    }
+
+    /** The plan after an operator's command. */
+    public MigrationPlan withCommand(OperatorCommand command) {
+        return command == OperatorCommand.STOP ? withStopped() : withPaused(command == OperatorCommand.PAUSE);
+    }
+
+    /** Whether the target is reached as far as the plan knows; no node was asked for its actual disk space. */
     public boolean isTargetReached() {
         if (target == null || !migrations.isEmpty()) {
             return false;
         }
-        var rooms = new TreeMap<String, DiskSpace>();
-        target.nodes().forEach(n -> rooms.put(n.id(), new DiskSpace(n.diskMb(), 0, 0)));
-        return PlacementPlanner.plan(fleet(rooms)) instanceof PlacementResult.Plan plan && plan.moves().isEmpty();
+        var space = new TreeMap<String, DiskSpace>();
+        target.nodes().forEach(n -> space.put(n.id(), new DiskSpace(n.diskMb(), 0, 0)));
+        return PlacementPlanner.plan(toProblem(space)) instanceof PlacementResult.Plan plan && plan.moves().isEmpty();
     }
 
-    MigrationPlan withPaused(boolean pause) {
-        return new MigrationPlan(owners, sizesMb, minCopies, migrations, frozenBlocks, maxConcurrent, pause, stopped,
-                target);
+    MigrationPlan withPaused(boolean newPaused) {
+        return new MigrationPlan(owners, sizesMb, minCopies, migrations, frozenBlocks, maxConcurrent, newPaused,
+                stopped, target);
     }
 
-    /** Nothing more is begun, and what may be taken back is. */
+    /** Nothing more is begun, and what can be rolled back is. */
     MigrationPlan withStopped() {
-        var next = unbegun(false);
-        next.replaceAll((b, c) -> c.stage().isRevocable() ? c.withStage(MigrationStage.BACK) : c);
-        return new MigrationPlan(owners, sizesMb, minCopies, next, frozenBlocks, maxConcurrent, paused, true, target);
-    }
-
-    /** With other moves and owners. */
-    MigrationPlan withMigrations(SortedMap<String, Migration> others, SortedMap<String, SortedSet<String>> own) {
-        return new MigrationPlan(own, sizesMb, minCopies, others, frozenBlocks, maxConcurrent, paused, stopped, target);
-    }
-
-    /** Its moves, with those that are not begun or without. */
-    SortedMap<String, Migration> unbegun(boolean kept) {
-        var left = new TreeMap<>(migrations);
-        left.values().removeIf(c -> !kept && c.stage() == MigrationStage.PLANNED);
-        return left;
+        SortedMap<String, Migration> remaining = begunMigrations();
+        remaining.replaceAll((block, m) -> m.stage().isRevocable() ? m.withStage(MigrationStage.BACK) : m);
+        return new MigrationPlan(owners, sizesMb, minCopies, remaining, frozenBlocks, maxConcurrent, paused, true,
+                target);
     }
 
-    /** Reads a body that its kind has checked. @throws IllegalArgumentException where a move or the goal is none */
-    public static MigrationPlan decode(RuleBody body) {
-        var owners = new TreeMap<String, SortedSet<String>>();
-        var mb = new TreeMap<String, Long>();
-        var copies = new TreeMap<String, Integer>();
-        body.fields().forEach((field, value) -> {
-            if (field.startsWith(OWNERS)) {
-                owners.put(field.substring(OWNERS.length()), ((FieldValue.Names) value).value());
-            } else if (field.startsWith(MB)) {
-                mb.put(field.substring(MB.length()), (long) ((FieldValue.Amount) value).value());
-            } else if (field.startsWith(COPIES)) {
-                copies.put(field.substring(COPIES.length()), (int) ((FieldValue.Amount) value).value());
-            }
-        });
-        var moves = new TreeMap<String, Migration>();
-        for (String text : names(body, "moves")) {
-            Migration c = Migration.decode(text);
-            moves.put(c.block(), c);
-        }
-        String goal = body.text("goal");
-        return new MigrationPlan(owners, mb, copies, moves, names(body, "frozen"),
-                (int) body.amount("moves_at_once", 0),
-                body.flag("paused", false), body.flag("stopped", false),
-                goal == null ? null : PlacementTarget.decode(goal));
+    MigrationPlan withMigrations(SortedMap<String, Migration> newMigrations,
+            SortedMap<String, SortedSet<String>> newOwners) {
+        return new MigrationPlan(newOwners, sizesMb, minCopies, newMigrations, frozenBlocks, maxConcurrent, paused,
+                stopped, target);
     }
 
-    private static SortedSet<String> names(RuleBody body, String field) {
-        return body.fields().get(field) instanceof FieldValue.Names n ? n.value() : Collections.emptySortedSet();
+    private SortedMap<String, Migration> begunMigrations() {
+        var begun = new TreeMap<>(migrations);
+        begun.values().removeIf(m -> m.stage() == MigrationStage.PLANNED);
+        return begun;
     }
 
-    /** As a document's body. */
+    /** The document's body. */
     public String body() {
-        return json(migrations.values(), paused);
+        return MigrationPlanCodec.body(this);
     }
 
-    /** As a document's fallback: the owners are known, and nothing is moved by one that can't be sure. */
+    /** The document's fallback, for gatherers without a lease: owners are known, and nothing is migrated by it. */
     public String fallback() {
-        return json(List.of(), true);
-    }
-
-    private String json(Collection<Migration> some, boolean pause) {
-        var to = new StringBuilder("{");
-        owners.forEach((b, on) -> names(field(to, OWNERS + b), on));
-        sizesMb.forEach((b, n) -> field(to, MB + b).append(n));
-        minCopies.forEach((b, n) -> field(to, COPIES + b).append(n));
-        var texts = new ArrayList<String>();
-        some.forEach(c -> texts.add(c.encode()));
-        names(field(to, "moves"), texts);
-        names(field(to, "frozen"), frozenBlocks);
-        field(to, "moves_at_once").append(maxConcurrent);
-        field(to, "paused").append(pause);
-        field(to, "stopped").append(stopped);
-        if (target != null) {
-            Json.quote(field(to, "goal"), target.encode());
-        }
-        return to.append('}').toString();
+        return MigrationPlanCodec.fallback(this);
     }
 
-    private static StringBuilder field(StringBuilder to, String name) {
-        Json.quote(to.append(to.length() == 1 ? "" : ","), name);
-        return to.append(':');
+    /** Upper bound of body and fallback together, in characters, while the present migrations are carried out. */
+    public int maxEncodedLength() {
+        return MigrationPlanCodec.maxEncodedLength(this);
     }
 
-    private static void names(StringBuilder to, Collection<String> names) {
-        to.append('[');
-        Consumer<String> each = n -> Json.quote(to.append(to.charAt(to.length() - 1) == '[' ? "" : ","), n);
-        names.forEach(each);
-        to.append(']');
+    /** Reads a body that the document's kind has validated. */
+    public static MigrationPlan decode(RuleBody body) throws UnreadablePlanException {
+        return MigrationPlanCodec.decode(body);
     }
 
-    /** Blocks as they lie, on nodes as large as they are now. */
-    PlacementProblem fleet(Map<String, DiskSpace> rooms) {
-        var nodes = target.nodes().stream().map(n -> {
-            DiskSpace r = rooms.get(n.id());
-            // what is not ours is as if the disk were smaller
-            long usable = target.usableMb(n.id(), r.diskMb()) - r.otherMb();
-            long disk = Math.max(0, usable) * PlacementProblem.MILLION / (PlacementProblem.MILLION - target.headroom());
-            while (disk * (PlacementProblem.MILLION - target.headroom()) / PlacementProblem.MILLION < Math.max(1,
-                    usable)) {
-                disk++; // shares are rounded down twice
-            }
-            return new wallmoor.placement.StorageNode(n.id(), n.cell(), disk, n.draining());
-        }).toList();
-        var blocks = owners.entrySet().stream()
+    /** The placement problem that is left: blocks as they are placed now, on disks with the space reported. */
+    PlacementProblem toProblem(Map<String, DiskSpace> spaceByNode) {
+        List<StorageNode> nodes = target.nodes().stream().map(n -> new StorageNode(n.id(), n.cell(),
+                plannableDiskMb(n.id(), spaceByNode.get(n.id())), n.draining())).toList();
+        List<BlockReplicas> blocks = owners.entrySet().stream()
                 .map(e -> new BlockReplicas(e.getKey(), sizesMb.get(e.getKey()), List.copyOf(e.getValue()))).toList();
         return new PlacementProblem(target.headroom(), target.spread(), target.level(), nodes, blocks);
     }
+
+    /** The size of a disk on which blocks alone have as much usable space as they have on the node's. */
+    private long plannableDiskMb(String node, DiskSpace space) {
+        long unreserved = PlacementProblem.MILLION - target.headroom();
+        long usableMb = target.usableMb(node, space.diskMb()) - space.otherMb();
+        long diskMb = Math.max(0, usableMb) * PlacementProblem.MILLION / unreserved;
+        while (diskMb * unreserved / PlacementProblem.MILLION < Math.max(1, usableMb)) {
+            diskMb++; // shares are rounded down twice
+        }
+        return diskMb;
+    }
 }
--- a/src/main/java/wallmoor/migration/MigrationSettings.java
+++ b/src/main/java/wallmoor/migration/MigrationSettings.java
@@ -1,25 +1,23 @@
 package wallmoor.migration;
 
 /**
- * How moves are carried out.
+ * How migrations are carried out.
  *
- * @param bytesPerSecond copied at most, by all moves together
- * @param chunkBytes          bytes fetched by one request; more where a block would have over
- *                            {@link ReplicaStateMachine#MAX_CHUNKS}
- * @param settleMicros         microseconds that an old owner keeps its copy after it is no owner: the longest query,
- *                             and the
- *                       longest that a gatherer acts on an older version
- * @param silenceTimeoutMicros       microseconds that a node may be silent before its move is given up
- * @param retryMicros          microseconds before a node that did not answer is asked again; and before a new plan
+ * @param bytesPerSecond       most that is copied, by all migrations together
+ * @param chunkBytes           bytes fetched by one request; larger where a block would have more than {@link
+ *                             ReplicaStateMachine#MAX_CHUNKS} chunks
+ * @param settleMicros         how long a source keeps its replica after it stopped being an owner: the longest query
+ *                             plus the longest time that a gatherer acts on an older version
+ * @param silenceTimeoutMicros how long a node may be silent before its migration is rolled back
+ * @param retryMicros          delay before a request or a proposal is repeated, and before the next survey
  */
 public record MigrationSettings(long bytesPerSecond, int chunkBytes, long settleMicros, long silenceTimeoutMicros,
         long retryMicros) {
-    /** @throws IllegalArgumentException where one is out of bounds */
+    /** @throws IllegalArgumentException where a value is out of bounds */
     public MigrationSettings {
         if (bytesPerSecond < 1 || chunkBytes < 1 || settleMicros < 0 || silenceTimeoutMicros < 0 || retryMicros < 1) {
-            throw new IllegalArgumentException(
-                    "moves' settings: " + bytesPerSecond + ' ' + chunkBytes + ' ' + settleMicros + ' '
-                            + silenceTimeoutMicros + ' ' + retryMicros);
+            throw new IllegalArgumentException("migration settings out of bounds: " + bytesPerSecond + ' ' + chunkBytes
+                    + ' ' + settleMicros + ' ' + silenceTimeoutMicros + ' ' + retryMicros);
         }
     }
 }
--- a/src/main/java/wallmoor/migration/MigrationStage.java
+++ b/src/main/java/wallmoor/migration/MigrationStage.java
@@ -1,27 +1,30 @@
 package wallmoor.migration;
 
-/** Where a move is. Each change is a version of the document {@code plan}. */
+/**
+ * A migration's step. Each transition is a version of the document {@code plan}, in which the names are stored in lower
+ * case.
+ */
 public enum MigrationStage {
     /** Not begun. */
     PLANNED,
-    /** The target is asked for room, and keeps it. */
+    /** The target reserves disk space. */
     PREPARE,
-    /** The target fetches what it lacks, chunk by chunk. */
+    /** The target fetches the chunks that it lacks. */
     COPY,
-    /** The target compares its chunks with the source's, and takes no more of them where they are the same. */
+    /** The target compares its chunks with the source's checksums, and seals its copy if they are equal. */
     CONFIRM,
-    /** The source refuses what runs once, with proof that it never ran; what it holds then is confirmed again. */
+    /** The source is fenced: it rejects non-idempotent parts. Its final content is compared once more. */
     HAND,
-    /** Both are owners. The target is let run what runs once. From here on a move is carried to its end. */
+    /** Source and target are both owners; the target is told to take ownership. From here on there is no rollback. */
     JOIN,
-    /** The target is an owner and the source is none; queries that began before end. */
+    /** The target is the owner, the source is not; queries that were opened before may still read the source. */
     SETTLE,
-    /** The source drops its copy. */
+    /** The source drops its replica. */
     FORGET,
-    /** Given up before {@link #JOIN}: the target throws away what it has, the source runs again what runs once. */
+    /** Rolled back before {@link #JOIN}: the target discards its copy, the source is unfenced. */
     BACK;
 
-    /** Whether it may still be taken back: nothing has run on the target, and nobody was told to go there. */
+    /** Whether the migration can still be rolled back: nothing ran on the target, and no query was routed there. */
     public boolean isRevocable() {
         return this == PREPARE || this == COPY || this == CONFIRM || this == HAND;
     }
--- a/src/main/java/wallmoor/migration/MigrationStatus.java
+++ b/src/main/java/wallmoor/migration/MigrationStatus.java
@@ -3,28 +3,29 @@
 import java.util.List;
 
 /**
- * Where carrying out stands, for operators.
+ * A coordinator's state as operators see it.
  *
- * @param version of the plan that acts
- * @param blockedReason   why nothing is planned, or an empty text
- * @param bytesPerSecond    bytes a second that copying may take now
- * @param lastFailure    why the last move was given up, or an empty text
+ * @param version        of the active plan
+ * @param blockedReason  why nothing can be planned, or empty
+ * @param bytesPerSecond present limit of the copy rate
+ * @param lastFailure    why the last migration was rolled back, or empty
  */
 public record MigrationStatus(long version, MigrationPhase phase, List<MigrationProgress> migrations,
         String blockedReason, long bytesPerSecond, String lastFailure) {
-    /** What is being done. */
+    /** What the coordinator is doing. The names are shown to operators in lower case. */
     public enum MigrationPhase {
         UNKNOWN, PLANNING, MOVING, PAUSED, STOPPED, FINISHED, STUCK
     }
 
     /**
-     * A move.
+     * One migration.
      *
-     * @param copiedFraction share of the copy that is there
-     * @param waitingFor for what, or an empty text
+     * @param copiedFraction share of the block that is at the target, 0 to 1
+     * @param waitingFor     what it waits for, or empty
      */
     public record MigrationProgress(Migration migration, double copiedFraction, String waitingFor) {}
 
+    /** Takes a copy of the list. */
     public MigrationStatus {
         migrations = List.copyOf(migrations);
     }
--- a/src/main/java/wallmoor/migration/MigrationTask.java
+++ b/src/main/java/wallmoor/migration/MigrationTask.java
@@ -1,258 +1,151 @@
 package wallmoor.migration;
 
-import java.util.List;
 import wallmoor.migration.ReplicaRecord.ReplicaState;
 import wallmoor.migration.ReplicaResponse.ResponseCode;
 
 /**
- * One move at one stage: what to ask next, and what an answer means. It keeps nothing that the plan or a node would not
- * say again: whoever leads after a crash makes it anew.
+ * Carries out one stage of one migration: at most one outstanding request, retries, and rollback after a fault. It
+ * remembers nothing that the plan or a node would not say again, so after a crash the next leader makes it anew.
  */
 final class MigrationTask {
-    /** A copy that was another one so often is given up: its target or the way to it spoils what it carries. */
-    static final int MOST_ROUNDS = 8;
-
-    /** What is to be asked of whom. */
-    record NextRequest(String node, ReplicaRequest ask) {}
+    /** Copies that may differ from the source before the target, or the way to it, is taken to corrupt data. */
+    static final int MAX_COPY_ROUNDS = 8;
+    /** Value of {@link #outstandingRequest} where none is outstanding: ids begin at 1. */
+    private static final long NO_REQUEST = 0;
+    private static final long NOT_SILENT = Long.MAX_VALUE;
+
+    /** A request and the node that it is for. */
+    record NextRequest(String node, ReplicaRequest request) {}
+
+    final Migration migration;
+    final MigrationSettings settings;
+    /** What the migration waits for, as operators see it; empty where for nothing. */
+    String waitingFor = "";
+
+    private final StageProtocol protocol;
+    private long outstandingRequest = NO_REQUEST;
+    private long notBefore = Long.MIN_VALUE;
+    private long silentSince = NOT_SILENT;
+    private NextRequest requested;
+    private Migration successor;
+    private boolean complete;
+
+    MigrationTask(Migration migration, MigrationSettings settings, long now) {
+        this.migration = migration;
+        this.settings = settings;
+        this.protocol = StageProtocol.of(this, now);
+    }
 
-    final Migration carry;
-    /** The request that is out, or 0. */
-    long out;
-    /** No request before this time. */
-    long notBefore = Long.MIN_VALUE;
-    /** Since when nobody has answered; none: {@link Long#MAX_VALUE}. */
-    long silent = Long.MAX_VALUE;
-    /** What it waits for, for the operator. */
-    String waits = "";
-    /** What the move is to become; null while that is not known. */
-    Migration next;
-    /** Whether the move is over. */
-    boolean over;
+    /** What the migration is to become in the next version of the plan; null while that is open. */
+    Migration successor() {
+        return successor;
+    }
 
-    private final long began;
-    private final MigrationSettings settings;
-    private NextRequest asked;
-    private int step;
-    private long bytes;
-    private int lacking = -1;
-    private long chunkBytes;
-    private List<String> sums = List.of();
-    private boolean discarded;
-    private boolean unfenced;
+    /** Whether the migration is to leave the plan: it is completed, or rolled back. */
+    boolean isComplete() {
+        return complete;
+    }
 
-    MigrationTask(Migration carry, MigrationSettings settings, long now) {
-        this.carry = carry;
-        this.settings = settings;
-        this.began = now;
-        unfenced = !carry.fenced(); // its source was never asked to be
+    /** The request that was sent last. */
+    NextRequest requested() {
+        return requested;
     }
 
-    /** How much of the copy is there, as a share, as far as it was told. */
-    double there() {
-        return bytes == 0 ? 0 : 1 - Math.min(1, (double) lacking * chunkBytes / bytes);
+    /** Share of the block that is at the target, as far as it is known. */
+    double copiedFraction() {
+        return protocol.copiedFraction();
     }
 
-    /** What to ask now; null where nothing. */
-    NextRequest next(long now, MigrationPlan state, CopyRateLimiter pace, long usable) {
-        if (out != 0 || now < notBefore || next != null || over) {
+    /** The request to send now; null where there is none. */
+    NextRequest nextRequest(long now, MigrationPlan plan, CopyRateLimiter limiter, long targetLimitMb) {
+        if (outstandingRequest != NO_REQUEST || now < notBefore || successor != null || complete) {
             return null;
         }
-        asked = decide(now, state, pace, usable);
-        return asked;
+        requested = protocol.nextRequest(now, plan, limiter, targetLimitMb);
+        return requested;
     }
 
-    private NextRequest decide(long now, MigrationPlan state, CopyRateLimiter pace, long usable) {
-        switch (carry.stage()) {
-            case PREPARE :
-                return step == 0 ? new NextRequest(carry.from(), new ReplicaRequest.ReadReplica())
-                        : new NextRequest(carry.to(),
-                                new ReplicaRequest.ReserveSpace(bytes, chunk(), carry.sizeMb(), usable));
-            case COPY :
-                if (step == 0) {
-                    return new NextRequest(carry.to(), new ReplicaRequest.ReadReplica());
-                }
-                if (state.paused() && !carry.fenced()) {
-                    waits = "paused";
-                    return null;
-                }
-                return pace.tryAcquire(now, chunkBytes)
-                        ? new NextRequest(carry.to(), new ReplicaRequest.FetchChunk(carry.from(), step - 1, usable))
-                        : null;
-            case CONFIRM :
-            case HAND :
-                if (step == 0) {
-                    // tells the size of its chunks
-                    return new NextRequest(carry.to(), new ReplicaRequest.ReadReplica());
-                }
-                return step == 1
-                        ? new NextRequest(carry.from(),
-                                carry.stage() == MigrationStage.HAND ? new ReplicaRequest.Fence(chunk())
-                                        : new ReplicaRequest.ComputeChecksums(chunk()))
-                        : new NextRequest(carry.to(), new ReplicaRequest.Seal(sums));
-            case JOIN :
-                return new NextRequest(carry.to(), new ReplicaRequest.TakeOwnership());
-            case SETTLE :
-                if (now - began >= settings.settleMicros()) {
-                    next = carry.withStage(MigrationStage.FORGET);
-                }
-                waits = "for queries that began before";
-                return null;
-            case FORGET :
-                return step == 0 ? new NextRequest(carry.to(), new ReplicaRequest.ReadReplica())
-                        : new NextRequest(carry.from(), new ReplicaRequest.DropReplica());
-            case BACK :
-                unfenced |= !state.target().hasNode(carry.from());
-                discarded |= !state.target().hasNode(carry.to()); // gone for good, the operator says
-                over = unfenced && discarded;
-                return over ? null
-                        : !unfenced && (step % 2 == 0 || discarded)
-                                ? new NextRequest(carry.from(), new ReplicaRequest.Unfence())
-                                : new NextRequest(carry.to(), new ReplicaRequest.DiscardCopy());
-            default :
-                return null;
-        }
+    /** The request was sent under this id. */
+    void onSent(long requestId) {
+        outstandingRequest = requestId;
     }
 
-    private int chunk() {
-        return (int) Math.max(chunkBytes > 0 ? chunkBytes : settings.chunkBytes(),
-                (bytes + ReplicaStateMachine.MAX_CHUNKS - 1) / ReplicaStateMachine.MAX_CHUNKS);
+    boolean isOutstanding(long requestId) {
+        return outstandingRequest == requestId;
     }
 
-    /** The node did not answer, or could not do it now. */
-    void failed(long now, String why) {
-        out = 0;
+    /** The node did not respond, or could not do what was requested. */
+    void onFailure(long now, String reason) {
+        outstandingRequest = NO_REQUEST;
         notBefore = now + settings.retryMicros();
-        waits = asked.node() + ": " + why;
-        silent = Math.min(silent, now);
-        if (carry.stage() == MigrationStage.BACK) {
-            step++; // the other need not wait for this one
-        } else if (carry.stage().isRevocable() && now - silent >= settings.silenceTimeoutMicros()) {
-            back(waits);
+        waitingFor = requested.node() + ": " + reason;
+        silentSince = Math.min(silentSince, now);
+        protocol.onFailure();
+        if (migration.stage().isRevocable() && now - silentSince >= settings.silenceTimeoutMicros()) {
+            rollBack(waitingFor);
         }
     }
 
-    void answered(long now, ReplicaResponse said, long usable) {
-        out = 0;
-        waits = "";
-        if (said.code() == ResponseCode.OLD) {
-            notBefore = now + settings.retryMicros(); // somebody has gone on: the version will come
-            waits = "a newer version is out";
-            return;
-        }
-        if (said.code() == ResponseCode.NO_SOURCE) {
-            failed(now, "does not get it from " + carry.from());
-            return;
-        }
-        silent = Long.MAX_VALUE;
-        ReplicaRecord held = said.replica();
-        if (asked.node().equals(carry.to()) && carry.stage().isRevocable()) {
-            if (said.code() == ResponseCode.NO_ROOM
-                    || held.state() != ReplicaState.ABSENT && !said.space().fits(0, usable)) {
-                back(carry.to() + " has no room any more");
-                return;
-            }
-        }
-        if (said.code() == ResponseCode.WRONG && carry.stage().isRevocable()) {
-            back(asked.node() + " holds " + held.state() + " where " + asked.ask() + " was asked");
-            return;
+    /** @param targetLimitMb megabytes that the target node may hold in total */
+    void onResponse(long now, ReplicaResponse response, long targetLimitMb) {
+        outstandingRequest = NO_REQUEST;
+        waitingFor = "";
+        if (response.code() == ResponseCode.OLD) { // another leader has proceeded: its version will arrive
+            notBefore = now + settings.retryMicros();
+            waitingFor = "a newer version is out";
+        } else if (response.code() == ResponseCode.NO_SOURCE) {
+            onFailure(now, "does not get it from " + migration.from());
+        } else {
+            silentSince = NOT_SILENT;
+            onAnswer(now, response, targetLimitMb);
         }
-        take(now, said, held);
     }
 
-    private void take(long now, ReplicaResponse said, ReplicaRecord held) {
-        switch (carry.stage()) {
-            case PREPARE :
-                if (step == 1) {
-                    next = carry.withStage(MigrationStage.COPY);
-                } else if (held.state() != ReplicaState.OWNER) {
-                    back(carry.from() + " does not hold it");
-                } else {
-                    bytes = held.sizeBytes();
-                    step = 1;
-                }
-                break;
-            case COPY :
-                copied(held);
-                break;
-            case CONFIRM :
-            case HAND :
-                confirmed(said, held);
-                break;
-            case JOIN :
-                if (held.state() == ReplicaState.OWNER) {
-                    next = carry.withStage(MigrationStage.SETTLE);
-                } else {
-                    stuck(now, carry.to() + " lost its copy; bring its disk back");
-                }
-                break;
-            case FORGET :
-                if (step == 0 && held.state() == ReplicaState.OWNER) {
-                    step = 1;
-                } else if (step == 1 && held.state() == ReplicaState.ABSENT) {
-                    over = true;
-                } else {
-                    stuck(now, asked.node() + " holds " + held.state() + "; nothing is dropped until " + carry.to()
-                            + " owns a whole copy");
-                }
-                break;
-            case BACK :
-                if (asked.ask() instanceof ReplicaRequest.Unfence) {
-                    unfenced = true;
-                } else {
-                    discarded = true;
-                }
-                step++;
-                over = unfenced && discarded;
-                break;
-            default :
+    private void onAnswer(long now, ReplicaResponse response, long targetLimitMb) {
+        boolean revocable = migration.stage().isRevocable();
+        if (revocable && requested.node().equals(migration.to()) && lacksSpace(response, targetLimitMb)) {
+            rollBack(migration.to() + " has no room any more");
+        } else if (revocable && response.code() == ResponseCode.WRONG) {
+            rollBack(requested.node() + " holds " + response.replica().state() + " where "
+                    + requested.request().operation() + " was asked");
+        } else {
+            protocol.onResponse(now, response);
         }
     }
 
-    private void copied(ReplicaRecord held) {
-        size(held);
-        if (held.state() == ReplicaState.ABSENT) {
-            back(carry.to() + " lost its copy");
-        } else if (held.missingChunks().isEmpty()) {
-            next = carry.withStage(carry.fenced() ? MigrationStage.HAND : MigrationStage.CONFIRM);
-        } else {
-            step = held.missingChunks().first() + 1;
-        }
+    private static boolean lacksSpace(ReplicaResponse response, long limitMb) {
+        return response.code() == ResponseCode.NO_ROOM
+                || response.replica().state() != ReplicaState.ABSENT && !response.space().fits(0, limitMb);
+    }
+
+    /** This stage is done. */
+    void advanceTo(MigrationStage next) {
+        successor = migration.withStage(next);
     }
 
-    private void confirmed(ReplicaResponse said, ReplicaRecord held) {
-        if (step == 0) {
-            size(held);
-            if (held.state() == ReplicaState.ABSENT) {
-                back(carry.to() + " lost its copy");
-                return;
-            }
-            step = 1;
-        } else if (step == 1) {
-            sums = said.checksums();
-            step = 2;
-        } else if (held.state() == ReplicaState.SEALED) {
-            next = carry.withStage(carry.stage() == MigrationStage.HAND ? MigrationStage.JOIN : MigrationStage.HAND);
-        } else if (carry.copyRounds() + 1 >= MOST_ROUNDS) {
-            back("what " + carry.to() + " has was another one " + MOST_ROUNDS + " times");
+    /** The copy differs from the source: its differing chunks are copied again, unless that happened too often. */
+    void copyAgain() {
+        if (migration.copyRounds() + 1 >= MAX_COPY_ROUNDS) {
+            rollBack("what " + migration.to() + " has was another one " + MAX_COPY_ROUNDS + " times");
         } else {
-            next = carry.copyingAgain();
+            successor = migration.copyingAgain();
         }
     }
 
-    private void size(ReplicaRecord held) {
-        bytes = held.sizeBytes();
-        chunkBytes = held.chunkBytes();
-        lacking = held.missingChunks().size();
+    void rollBack(String reason) {
+        waitingFor = reason;
+        successor = migration.withStage(MigrationStage.BACK);
     }
 
-    private void back(String why) {
-        waits = why;
-        next = carry.withStage(MigrationStage.BACK);
+    /** Nothing is left to do. */
+    void complete() {
+        complete = true;
     }
 
-    private void stuck(long now, String why) {
-        step = 0;
-        waits = why;
+    /** The stage cannot proceed: its requests are sent once more after a delay, from the first. */
+    void startOver(long now, String reason) {
+        protocol.step = 0;
+        waitingFor = reason;
         notBefore = now + settings.retryMicros();
     }
 }
--- a/src/main/java/wallmoor/migration/PlacementTarget.java
+++ b/src/main/java/wallmoor/migration/PlacementTarget.java
@@ -8,18 +8,25 @@
 import wallmoor.placement.PlacementProblem;
 import wallmoor.placement.StorageNode;
 
-/** What the placement is to come to: the rules, and the nodes with their disks. */
+/**
+ * What migrations are planned for: the placement rules, and the nodes with their disks.
+ *
+ * @param headroom millionths of each disk that stay free
+ * @param spread   failure domain that no two replicas of a block share
+ * @param level    millionths that the fullest node may be above the emptiest, or {@link PlacementProblem#NO_LEVEL}
+ */
 public record PlacementTarget(int headroom, FailureDomain spread, int level, List<StorageNode> nodes) {
+    /** Takes a copy of the list. */
     public PlacementTarget {
         nodes = List.copyOf(nodes);
     }
 
-    /** Of a fleet, all but its blocks. */
-    public static PlacementTarget of(PlacementProblem fleet) {
-        return new PlacementTarget(fleet.headroom(), fleet.spread(), fleet.level(), fleet.nodes());
+    /** The target of a placement problem: everything but its blocks. */
+    public static PlacementTarget of(PlacementProblem problem) {
+        return new PlacementTarget(problem.headroom(), problem.spread(), problem.level(), problem.nodes());
     }
 
-    /** What a node may hold in all, in megabytes: its disk less its headroom. */
+    /** Megabytes that a node may hold in total: its disk less its headroom; 0 for an unknown node. */
     long usableMb(String node, long diskMb) {
         for (StorageNode n : nodes) {
             if (n.id().equals(node)) {
@@ -29,37 +36,40 @@
         return 0;
     }
 
-    /** Whether there is such a node. */
+    /** Whether the node is one of the target's. */
     public boolean hasNode(String node) {
         return nodes.stream().anyMatch(n -> n.id().equals(node));
     }
 
+    /** The form stored in the document {@code plan}: a JSON object. */
     String encode() {
-        var to = new StringBuilder("{\"headroom\":").append(headroom).append(",\"spread\":\"").append(spread)
+        var json = new StringBuilder("{\"headroom\":").append(headroom).append(",\"spread\":\"").append(spread)
                 .append("\",\"level\":").append(level).append(",\"nodes\":[");
         for (int i = 0; i < nodes.size(); i++) {
-            StorageNode n = nodes.get(i);
-            Json.quote(to.append(i == 0 ? "[" : ",["), n.id());
-            Json.quote(to.append(','), n.cell());
-            to.append(',').append(n.diskMb()).append(',').append(n.draining()).append(']');
+            StorageNode node = nodes.get(i);
+            Json.quote(json.append(i == 0 ? "[" : ",["), node.id());
+            Json.quote(json.append(','), node.cell());
+            json.append(',').append(node.diskMb()).append(',').append(node.draining()).append(']');
         }
-        return to.append("]}").toString();
+        return json.append("]}").toString();
     }
 
-    /** @throws IllegalArgumentException where the text is none */
-    static PlacementTarget decode(String text) {
+    /** Reverses {@link #encode}. */
+    static PlacementTarget decode(String text) throws UnreadablePlanException {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         try {
-            Json.Obj all = Json.object(bytes, 0, bytes.length);
+            Json.Obj json = Json.object(bytes, 0, bytes.length);
             var nodes = new ArrayList<StorageNode>();
-            for (Object o : all.list("nodes")) {
-                var n = (List<?>) o;
-                nodes.add(new StorageNode((String) n.get(0), (String) n.get(1), (Long) n.get(2), (Boolean) n.get(3)));
+            for (Object each : json.list("nodes")) {
+                var node = (List<?>) each;
+                nodes.add(new StorageNode((String) node.get(0), (String) node.get(1), (Long) node.get(2),
+                        (Boolean) node.get(3)));
             }
-            return new PlacementTarget((int) all.number("headroom", -1), FailureDomain.valueOf(all.text("spread")),
-                    (int) all.number("level", PlacementProblem.NO_LEVEL), nodes);
-        } catch (Json.Malformed | ClassCastException | NullPointerException | IndexOutOfBoundsException e) {
-            throw new IllegalArgumentException("no goal: " + text, e);
+            return new PlacementTarget((int) json.number("headroom", -1), FailureDomain.valueOf(json.text("spread")),
+                    (int) json.number("level", PlacementProblem.NO_LEVEL), nodes);
+        } catch (Json.Malformed | ClassCastException | NullPointerException | IndexOutOfBoundsException
+                | IllegalArgumentException e) {
+            throw new UnreadablePlanException("no goal: " + text, e);
         }
     }
 }
--- a/src/main/java/wallmoor/migration/ReplicaRecord.java
+++ b/src/main/java/wallmoor/migration/ReplicaRecord.java
@@ -5,81 +5,85 @@
 import java.util.TreeSet;
 
 /**
- * What a node holds of a block; it is kept on its disk before it is said.
+ * A node's durable record of its replica of one block. A node writes it to disk before it answers.
  *
- * @param fencingToken   the highest that a request about this block came with: lower ones are refused; kept when the
- *                       block is
- *   gone
- * @param sizeBytes   of the whole block; 0 where nothing is held
- * @param chunkBytes   bytes of a chunk; 0 for a copy that was not copied
- * @param reservedMb      room that is kept for it
- * @param missingChunks chunks that it does not have yet
- * @param minMapVersion   the lowest version of the map whose parts that run once may run here
+ * @param fencingToken  the highest token of any request about the block; lower ones are rejected. Kept after the
+ *                      replica is gone
+ * @param sizeBytes     of the complete block; 0 without a replica
+ * @param chunkBytes    size of a chunk; 0 for a replica that was not migrated here
+ * @param reservedMb    disk space reserved for it, in megabytes
+ * @param missingChunks indexes of chunks not written yet
+ * @param minMapVersion the lowest version of the map whose non-idempotent parts may run here
  */
 public record ReplicaRecord(ReplicaState state, long fencingToken, long sizeBytes, int chunkBytes, long reservedMb,
         SortedSet<Integer> missingChunks, long minMapVersion) {
-    /** Nothing, and nothing was ever asked. */
+    /** No replica, and no request ever. */
     public static final ReplicaRecord NONE = new ReplicaRecord(ReplicaState.ABSENT, 0, 0, 0, 0,
             Collections.emptySortedSet(), 0);
 
-    /** What a copy is good for. */
+    /** What a replica may serve. The names are sent on the wire and stored. */
     public enum ReplicaState {
-        /** There is none. Whatever is asked of it is refused, with proof that it never ran. */
+        /** No replica. Every part is rejected, with proof that it never ran. */
         ABSENT,
-        /** It is being copied. Refuses as well. */
+        /** Being copied. Every part is rejected as well. */
         FILLING,
-        /** Confirmed: reads are answered, what runs once is refused. */
+        /** Verified: serves reads, rejects non-idempotent parts. */
         SEALED,
-        /** All is run. */
+        /** Serves everything. */
         OWNER,
-        /** Reads are answered; what runs once is refused, with proof that it never ran. */
+        /** Serves reads; rejects non-idempotent parts, with proof that they never ran. */
         FENCED
     }
 
+    /** Takes a copy of the set. */
     public ReplicaRecord {
         missingChunks = Collections.unmodifiableSortedSet(new TreeSet<>(missingChunks));
     }
 
-    /** A block that lies there from the start. */
-    public static ReplicaRecord owned(long bytes, long mb) {
-        return new ReplicaRecord(ReplicaState.OWNER, 0, bytes, 0, mb, Collections.emptySortedSet(), 0);
+    /** A replica that the node has owned from the start. */
+    public static ReplicaRecord owned(long sizeBytes, long reservedMb) {
+        return new ReplicaRecord(ReplicaState.OWNER, 0, sizeBytes, 0, reservedMb, Collections.emptySortedSet(), 0);
     }
 
-    /** Whether its content is all there and no longer changes by copying. */
+    /** Whether all content is there, and copying no longer changes it. */
     public boolean isComplete() {
         return state == ReplicaState.SEALED || state == ReplicaState.OWNER || state == ReplicaState.FENCED;
     }
 
-    /** Whether a query that reads is answered. */
+    /** Whether a query that only reads is answered. */
     public boolean servesReads() {
         return isComplete();
     }
 
-    /** Whether a part that runs once may run, of a query that was opened under this version of the map. */
-    public boolean servesNonIdempotent(long version) {
-        return state == ReplicaState.OWNER && version >= minMapVersion;
+    /** Whether a non-idempotent part may run, of a query that was opened under this version of the map. */
+    public boolean servesNonIdempotent(long mapVersion) {
+        return state == ReplicaState.OWNER && mapVersion >= minMapVersion;
     }
 
-    /** After a part that runs once was refused, of this version: it never runs here any more, also if told twice. */
-    public ReplicaRecord afterRejecting(long version) {
-        return version < minMapVersion ? this
-                : new ReplicaRecord(state, fencingToken, sizeBytes, chunkBytes, reservedMb, missingChunks, version + 1);
+    /**
+     * The record after a non-idempotent part of this map version was rejected. The rejection is proof that the part
+     * never ran, so no part of that version or of an older one may run here afterwards, whatever the replica becomes.
+     */
+    public ReplicaRecord afterRejecting(long mapVersion) {
+        return mapVersion < minMapVersion ? this
+                : new ReplicaRecord(state, fencingToken, sizeBytes, chunkBytes, reservedMb, missingChunks,
+                        mapVersion + 1);
     }
 
-    ReplicaRecord withState(ReplicaState next, long at) {
-        return new ReplicaRecord(next, at, sizeBytes, chunkBytes, reservedMb, missingChunks, minMapVersion);
+    ReplicaRecord withState(ReplicaState next, long token) {
+        return new ReplicaRecord(next, token, sizeBytes, chunkBytes, reservedMb, missingChunks, minMapVersion);
     }
 
-    ReplicaRecord withMissingChunks(ReplicaState next, long at, SortedSet<Integer> lacks) {
-        return new ReplicaRecord(next, at, sizeBytes, chunkBytes, reservedMb, lacks, minMapVersion);
+    ReplicaRecord withMissingChunks(ReplicaState next, long token, SortedSet<Integer> missing) {
+        return new ReplicaRecord(next, token, sizeBytes, chunkBytes, reservedMb, missing, minMapVersion);
     }
 
-    ReplicaRecord asOwner(long at) {
-        return new ReplicaRecord(ReplicaState.OWNER, at, sizeBytes, chunkBytes, reservedMb, missingChunks,
-                Math.max(minMapVersion, at));
+    ReplicaRecord asOwner(long token) {
+        return new ReplicaRecord(ReplicaState.OWNER, token, sizeBytes, chunkBytes, reservedMb, missingChunks,
+                Math.max(minMapVersion, token));
     }
 
-    ReplicaRecord asAbsent(long at) {
-        return new ReplicaRecord(ReplicaState.ABSENT, at, 0, 0, 0, Collections.emptySortedSet(), minMapVersion);
+    ReplicaRecord asAbsent(long token) {
+        return new ReplicaRecord(ReplicaState.ABSENT, token, 0, 0, 0, Collections.emptySortedSet(), minMapVersion);
     }
 }
--- a/src/main/java/wallmoor/migration/ReplicaRequest.java
+++ b/src/main/java/wallmoor/migration/ReplicaRequest.java
@@ -2,56 +2,123 @@
 
 import java.util.List;
 
-/** What is asked of a node about one block. Each is safe to repeat, and safe to come late: its number tells. */
+/**
+ * A request to a node about its replica of one block. Every request is idempotent, and harmless when it arrives late:
+ * it carries a fencing token, and a node rejects tokens lower than the highest it has seen for the block.
+ */
 public sealed interface ReplicaRequest {
-    /** What it holds of the block, and what room it has. */
-    record ReadReplica() implements ReplicaRequest {}
+    /** The operation's name, on the wire and in messages for operators. */
+    String operation();
+
+    /** Reads the replica's record and the node's disk space. */
+    record ReadReplica() implements ReplicaRequest {
+        @Override
+        public String operation() {
+            return "look";
+        }
+    }
 
     /**
-     * To keep room for a copy.
+     * Reserves disk space for a copy (admission by capacity).
      *
-     * @param sizeBytes  of the whole block
-     * @param chunkBytes  bytes of a chunk
-     * @param reserveMb     room to keep
-     * @param limitMb what the node may hold in all, with what is not ours: its disk less its headroom
+     * @param sizeBytes  of the complete block
+     * @param chunkBytes size of a chunk
+     * @param reserveMb  megabytes to reserve
+     * @param limitMb    megabytes that the node may hold in total, other data included: its disk less its headroom
      */
-    record ReserveSpace(long sizeBytes, int chunkBytes, long reserveMb, long limitMb) implements ReplicaRequest {}
+    record ReserveSpace(long sizeBytes, int chunkBytes, long reserveMb, long limitMb) implements ReplicaRequest {
+        @Override
+        public String operation() {
+            return "prepare";
+        }
+    }
 
     /**
-     * To fetch one chunk from another node, and to write it.
+     * Fetches one chunk from another node and writes it.
      *
-     * @param limitMb as in {@link ReserveSpace}: something else may have filled the disk meanwhile
+     * @param source     node to fetch from
+     * @param chunkIndex from 0
+     * @param limitMb    as in {@link ReserveSpace}: other data may have filled the disk since
      */
-    record FetchChunk(String source, int chunkIndex, long limitMb) implements ReplicaRequest {}
+    record FetchChunk(String source, int chunkIndex, long limitMb) implements ReplicaRequest {
+        @Override
+        public String operation() {
+            return "pull";
+        }
+    }
 
-    /** The sums of a copy's chunks, in order. */
-    record ComputeChecksums(int chunkBytes) implements ReplicaRequest {}
+    /** Computes the checksums of a replica's chunks, in order. */
+    record ComputeChecksums(int chunkBytes) implements ReplicaRequest {
+        @Override
+        public String operation() {
+            return "sums";
+        }
+    }
 
     /**
-     * To compare its own chunks with these sums: the same, and it takes no chunk any more; else those that differ are
-     * missing.
+     * Compares the replica's own chunks with these checksums. If all are equal the replica is sealed and accepts no
+     * more chunks; otherwise the chunks that differ are recorded as missing.
      */
     record Seal(List<String> checksums) implements ReplicaRequest {
+        /** Takes a copy of the list. */
         public Seal {
             checksums = List.copyOf(checksums);
         }
+
+        @Override
+        public String operation() {
+            return "seal";
+        }
     }
 
-    /** To refuse what runs once from now on, with proof that it never ran; answered with the sums of its chunks. */
-    record Fence(int chunkBytes) implements ReplicaRequest {}
+    /**
+     * Rejects non-idempotent parts from now on, with proof that they never ran. Answered with the checksums of the
+     * replica's chunks.
+     */
+    record Fence(int chunkBytes) implements ReplicaRequest {
+        @Override
+        public String operation() {
+            return "fence";
+        }
+    }
 
-    /** To run again what runs once. */
-    record Unfence() implements ReplicaRequest {}
+    /** Accepts non-idempotent parts again after a {@link Fence}. */
+    record Unfence() implements ReplicaRequest {
+        @Override
+        public String operation() {
+            return "unfence";
+        }
+    }
 
-    /** To run what runs once, as the new owner. */
-    record TakeOwnership() implements ReplicaRequest {}
+    /** Makes a sealed replica an owner, which accepts non-idempotent parts. */
+    record TakeOwnership() implements ReplicaRequest {
+        @Override
+        public String operation() {
+            return "admit";
+        }
+    }
 
-    /** To throw away a copy that was not handed over. */
-    record DiscardCopy() implements ReplicaRequest {}
+    /** Deletes a copy whose migration was abandoned. */
+    record DiscardCopy() implements ReplicaRequest {
+        @Override
+        public String operation() {
+            return "discard";
+        }
+    }
 
-    /** To delete a fenced copy that another has taken over. */
-    record DropReplica() implements ReplicaRequest {}
+    /** Deletes a fenced replica whose successor owns the block. */
+    record DropReplica() implements ReplicaRequest {
+        @Override
+        public String operation() {
+            return "drop";
+        }
+    }
 
-    /** All that the node holds; of no block. */
-    record ListReplicas() implements ReplicaRequest {}
+    /** Lists all replicas of the node; refers to no block. */
+    record ListReplicas() implements ReplicaRequest {
+        @Override
+        public String operation() {
+            return "tell";
+        }
+    }
 }
--- a/src/main/java/wallmoor/migration/ReplicaResponse.java
+++ b/src/main/java/wallmoor/migration/ReplicaResponse.java
@@ -4,29 +4,31 @@
 import java.util.Map;
 
 /**
- * A node's answer.
+ * A node's response to a {@link ReplicaRequest}.
  *
- * @param replica  of the block asked for, after what was asked
- * @param checksums  of its chunks, where they were asked for; else empty
- * @param load  0 where queries don't suffer; towards 1 the more they do
- * @param replicas of {@link ReplicaRequest.ListReplicas}: all blocks; else empty
+ * @param replica   record of the requested block, after the request
+ * @param space     the node's disk
+ * @param checksums of the replica's chunks, where the request asks for them; else empty
+ * @param load      0 where queries do not suffer from copying; towards 1 the more they do
+ * @param replicas  by block, in response to {@link ReplicaRequest.ListReplicas}; else empty
  */
 public record ReplicaResponse(ResponseCode code, ReplicaRecord replica, DiskSpace space, List<String> checksums,
         double load, Map<String, ReplicaRecord> replicas) {
-    /** What came of what was asked. */
+    /** Outcome of a request. The names are sent on the wire. */
     public enum ResponseCode {
-        /** Done, now or before. */
+        /** Done, by this request or an earlier one. */
         OK,
-        /** A request with a higher number came before. */
+        /** Rejected: a request with a higher fencing token came before. */
         OLD,
-        /** There is no room for it within the bound. */
+        /** Rejected: not enough disk space within the limit. */
         NO_ROOM,
-        /** The copy is not in a state to which this can be done. */
+        /** Rejected: the replica's state does not allow it. */
         WRONG,
-        /** The other node did not give what was to be fetched. */
+        /** The source node did not deliver the chunk. */
         NO_SOURCE
     }
 
+    /** Takes copies of the collections. */
     public ReplicaResponse {
         checksums = List.copyOf(checksums);
         replicas = Map.copyOf(replicas);
--- a/src/main/java/wallmoor/migration/ReplicaStateMachine.java
+++ b/src/main/java/wallmoor/migration/ReplicaStateMachine.java
@@ -8,125 +8,152 @@
 import wallmoor.migration.ReplicaResponse.ResponseCode;
 
 /**
- * A node's side: what a request does to a copy. A node holds a lock of the block's while it decides, does and keeps
- * what came of it, and runs the block's parts under the same lock. What it fetches it decides on again when it is
- * there.
+ * A node's side of the protocol: the replica's next record for each request. The node holds the block's lock while it
+ * decides, acts and stores the record, and runs the block's parts under the same lock. A fetched chunk is decided on
+ * once more when it has arrived.
  */
 public final class ReplicaStateMachine {
-    /** A copy has so many chunks at most: their sums and what is missing fit one answer (a sum has 64 characters). */
+    /** Most chunks of a block, so that their checksums of 64 characters fit one response. */
     public static final int MAX_CHUNKS = 4_096;
 
     private ReplicaStateMachine() {}
 
     /**
-     * What comes of a request.
+     * The outcome of a request.
      *
-     * @param replica what to keep before it is answered
+     * @param replica record to store before the request is answered
      */
     public record Transition(ResponseCode code, ReplicaRecord replica) {}
 
     /**
-     * Decides on a request. For {@link ReplicaRequest.FetchChunk} it says whether to fetch: what was fetched is for
-     * {@link #handleFetchedChunk}.
+     * Decides on a request. For {@link ReplicaRequest.FetchChunk} it says whether to fetch; the fetched chunk then
+     * goes to {@link #handleFetchedChunk}.
      *
-     * @param own the sums of the chunks that lie there, read if they are needed
+     * @param ownChecksums of the chunks on disk, computed if they are needed
      */
-    public static Transition handle(ReplicaRecord held, long number, ReplicaRequest ask, DiskSpace room,
-            Supplier<List<String>> own) {
-        if (number < held.fencingToken()) {
-            return new Transition(ResponseCode.OLD, held);
+    public static Transition handle(ReplicaRecord replica, long token, ReplicaRequest request, DiskSpace space,
+            Supplier<List<String>> ownChecksums) {
+        if (token < replica.fencingToken()) {
+            return new Transition(ResponseCode.OLD, replica);
         }
-        ReplicaState s = held.state();
-        // seen: what has a lower number may come late, and does nothing any more
-        ReplicaRecord at = held.withState(s, number);
-        if (ask instanceof ReplicaRequest.ReserveSpace p) {
-            return prepare(held, number, p, room);
-        } else if (ask instanceof ReplicaRequest.FetchChunk p) {
-            return s != ReplicaState.FILLING || p.chunkIndex() < 0 || p.chunkIndex() >= chunkCount(held) ? wrong(at)
-                    : ok(at);
-        } else if (ask instanceof ReplicaRequest.ComputeChecksums) {
-            return held.isComplete() ? ok(at) : wrong(at);
-        } else if (ask instanceof ReplicaRequest.Seal seal) {
-            return seal(held, number, seal, own);
-        } else if (ask instanceof ReplicaRequest.Fence) {
-            return s == ReplicaState.OWNER || s == ReplicaState.FENCED ? ok(held.withState(ReplicaState.FENCED, number))
-                    : wrong(at);
-        } else if (ask instanceof ReplicaRequest.Unfence) {
-            return s == ReplicaState.FENCED ? ok(held.asOwner(number)) : s == ReplicaState.OWNER ? ok(at) : wrong(at);
-        } else if (ask instanceof ReplicaRequest.TakeOwnership) {
-            return s == ReplicaState.SEALED ? ok(held.asOwner(number)) : s == ReplicaState.OWNER ? ok(at) : wrong(at);
-        } else if (ask instanceof ReplicaRequest.DiscardCopy) {
-            return s == ReplicaState.OWNER || s == ReplicaState.FENCED ? wrong(at) : ok(held.asAbsent(number));
-        } else if (ask instanceof ReplicaRequest.DropReplica) {
-            return s == ReplicaState.FENCED || s == ReplicaState.ABSENT ? ok(held.asAbsent(number)) : wrong(at);
+        if (request instanceof ReplicaRequest.ReserveSpace reserve) {
+            return reserveSpace(replica, token, reserve, space);
+        } else if (request instanceof ReplicaRequest.FetchChunk fetch) {
+            return requireState(isFetchable(replica, fetch.chunkIndex()), replica, token);
+        } else if (request instanceof ReplicaRequest.ComputeChecksums) {
+            return requireState(replica.isComplete(), replica, token);
+        } else if (request instanceof ReplicaRequest.Seal seal) {
+            return seal(replica, token, seal, ownChecksums);
         }
-        return ok(at);
+        return changeState(replica, token, request);
     }
 
-    /** What comes of a chunk that was fetched and is to be written now. Where it is not OK it must not be written. */
-    public static Transition handleFetchedChunk(ReplicaRecord held, long number, int index, DiskSpace room,
-            long mostMb) {
-        if (number < held.fencingToken()) {
-            return new Transition(ResponseCode.OLD, held);
+    /** Requests that change the state, or read it, and need nothing but the record. */
+    private static Transition changeState(ReplicaRecord replica, long token, ReplicaRequest request) {
+        ReplicaState state = replica.state();
+        boolean owned = state == ReplicaState.OWNER || state == ReplicaState.FENCED;
+        if (request instanceof ReplicaRequest.Fence) {
+            return owned ? ok(replica.withState(ReplicaState.FENCED, token)) : wrong(replica, token);
+        } else if (request instanceof ReplicaRequest.Unfence) {
+            return becomeOwner(replica, token, ReplicaState.FENCED);
+        } else if (request instanceof ReplicaRequest.TakeOwnership) {
+            return becomeOwner(replica, token, ReplicaState.SEALED);
+        } else if (request instanceof ReplicaRequest.DiscardCopy) {
+            return owned ? wrong(replica, token) : ok(replica.asAbsent(token));
+        } else if (request instanceof ReplicaRequest.DropReplica) {
+            boolean droppable = state == ReplicaState.FENCED || state == ReplicaState.ABSENT;
+            return droppable ? ok(replica.asAbsent(token)) : wrong(replica, token);
         }
-        if (held.state() != ReplicaState.FILLING || index < 0 || index >= chunkCount(held)) {
-            return wrong(held);
+        return ok(replica.withState(state, token));
+    }
+
+    private static Transition becomeOwner(ReplicaRecord replica, long token, ReplicaState from) {
+        if (replica.state() == from) {
+            return ok(replica.asOwner(token));
+        }
+        return requireState(replica.state() == ReplicaState.OWNER, replica, token);
+    }
+
+    /** Decides on a chunk that was fetched. Unless the outcome is OK it must not be written. */
+    public static Transition handleFetchedChunk(ReplicaRecord replica, long token, int chunkIndex, DiskSpace space,
+            long limitMb) {
+        if (token < replica.fencingToken()) {
+            return new Transition(ResponseCode.OLD, replica);
+        }
+        if (!isFetchable(replica, chunkIndex)) {
+            return new Transition(ResponseCode.WRONG, replica);
         }
-        if (!room.fits(0, mostMb)) { // its own room is kept: something else has grown
-            return new Transition(ResponseCode.NO_ROOM, held);
+        if (!space.fits(0, limitMb)) { // its own space is reserved: other data has grown
+            return new Transition(ResponseCode.NO_ROOM, replica);
         }
-        var lacks = new TreeSet<>(held.missingChunks());
-        lacks.remove(index);
-        return ok(held.withMissingChunks(ReplicaState.FILLING, number, lacks));
+        var missing = new TreeSet<>(replica.missingChunks());
+        missing.remove(chunkIndex);
+        return ok(replica.withMissingChunks(ReplicaState.FILLING, token, missing));
     }
 
-    /** How many chunks a copy has. */
-    public static int chunkCount(ReplicaRecord held) {
-        return held.chunkBytes() == 0 ? 0 : (int) ((held.sizeBytes() + held.chunkBytes() - 1) / held.chunkBytes());
+    private static boolean isFetchable(ReplicaRecord replica, int chunkIndex) {
+        return replica.state() == ReplicaState.FILLING && chunkIndex >= 0 && chunkIndex < chunkCount(replica);
     }
 
-    private static Transition prepare(ReplicaRecord held, long number, ReplicaRequest.ReserveSpace p, DiskSpace room) {
-        if (held.state() == ReplicaState.OWNER || held.state() == ReplicaState.FENCED || p.sizeBytes() < 1
-                || p.chunkBytes() < 1
-                || (p.sizeBytes() + p.chunkBytes() - 1) / p.chunkBytes() > MAX_CHUNKS) {
-            return wrong(held.withState(held.state(), number));
+    /** The number of chunks of a copy; 0 for a replica that was not migrated here. */
+    public static int chunkCount(ReplicaRecord replica) {
+        return replica.chunkBytes() == 0 ? 0 : (int) chunkCount(replica.sizeBytes(), replica.chunkBytes());
+    }
+
+    private static long chunkCount(long sizeBytes, int chunkBytes) {
+        return (sizeBytes + chunkBytes - 1) / chunkBytes;
+    }
+
+    private static Transition reserveSpace(ReplicaRecord replica, long token, ReplicaRequest.ReserveSpace request,
+            DiskSpace space) {
+        ReplicaState state = replica.state();
+        if (state == ReplicaState.OWNER || state == ReplicaState.FENCED || request.sizeBytes() < 1
+                || request.chunkBytes() < 1 || chunkCount(request.sizeBytes(), request.chunkBytes()) > MAX_CHUNKS) {
+            return wrong(replica, token);
         }
-        if (held.state() == ReplicaState.FILLING && held.fencingToken() == number
-                && held.sizeBytes() == p.sizeBytes()) {
-            return ok(held);
+        if (state == ReplicaState.FILLING && replica.fencingToken() == token
+                && replica.sizeBytes() == request.sizeBytes()) {
+            return ok(replica); // the same request once more
         }
-        if (!room.fits(p.reserveMb() - held.reservedMb(), p.limitMb())) {
-            return new Transition(ResponseCode.NO_ROOM, held.withState(held.state(), number));
+        if (!space.fits(request.reserveMb() - replica.reservedMb(), request.limitMb())) {
+            return new Transition(ResponseCode.NO_ROOM, replica.withState(state, token));
         }
-        var all = new TreeSet<Integer>();
-        for (int i = 0; i * (long) p.chunkBytes() < p.sizeBytes(); i++) {
-            all.add(i);
+        var missing = new TreeSet<Integer>();
+        for (int i = 0; i * (long) request.chunkBytes() < request.sizeBytes(); i++) {
+            missing.add(i);
         }
-        return ok(new ReplicaRecord(ReplicaState.FILLING, number, p.sizeBytes(), p.chunkBytes(), p.reserveMb(), all,
-                held.minMapVersion()));
+        return ok(new ReplicaRecord(ReplicaState.FILLING, token, request.sizeBytes(), request.chunkBytes(),
+                request.reserveMb(), missing, replica.minMapVersion()));
     }
 
-    private static Transition seal(ReplicaRecord held, long number, ReplicaRequest.Seal seal,
-            Supplier<List<String>> own) {
-        if (held.state() != ReplicaState.FILLING && held.state() != ReplicaState.SEALED
-                || seal.checksums().size() != chunkCount(held)) {
-            return wrong(held.withState(held.state(), number));
+    private static Transition seal(ReplicaRecord replica, long token, ReplicaRequest.Seal request,
+            Supplier<List<String>> ownChecksums) {
+        boolean copy = replica.state() == ReplicaState.FILLING || replica.state() == ReplicaState.SEALED;
+        int chunks = chunkCount(replica);
+        if (!copy || request.checksums().size() != chunks) {
+            return wrong(replica, token);
         }
-        List<String> there = own.get();
-        SortedSet<Integer> lacks = new TreeSet<>(held.missingChunks());
-        for (int i = 0; i < chunkCount(held); i++) {
-            if (i >= there.size() || !there.get(i).equals(seal.checksums().get(i))) {
-                lacks.add(i);
+        List<String> own = ownChecksums.get();
+        SortedSet<Integer> missing = new TreeSet<>(replica.missingChunks());
+        for (int i = 0; i < chunks; i++) {
+            if (i >= own.size() || !own.get(i).equals(request.checksums().get(i))) {
+                missing.add(i);
             }
         }
-        return ok(held.withMissingChunks(lacks.isEmpty() ? ReplicaState.SEALED : ReplicaState.FILLING, number, lacks));
+        ReplicaState next = missing.isEmpty() ? ReplicaState.SEALED : ReplicaState.FILLING;
+        return ok(replica.withMissingChunks(next, token, missing));
+    }
+
+    private static Transition requireState(boolean holds, ReplicaRecord replica, long token) {
+        return holds ? ok(replica.withState(replica.state(), token)) : wrong(replica, token);
     }
 
     private static Transition ok(ReplicaRecord next) {
         return new Transition(ResponseCode.OK, next);
     }
 
-    private static Transition wrong(ReplicaRecord next) {
-        return new Transition(ResponseCode.WRONG, next);
+    /** Rejected; the token counts as seen, so that an older request that arrives late does nothing. */
+    private static Transition wrong(ReplicaRecord replica, long token) {
+        return new Transition(ResponseCode.WRONG, replica.withState(replica.state(), token));
     }
 }
--- a/src/main/java/wallmoor/migration/ReplicaSurvey.java
+++ b/src/main/java/wallmoor/migration/ReplicaSurvey.java
@@ -10,128 +10,145 @@
 import wallmoor.migration.ReplicaRecord.ReplicaState;
 import wallmoor.placement.Move;
 import wallmoor.placement.PlacementPlanner;
+import wallmoor.placement.PlacementProblem;
 import wallmoor.placement.PlacementResult;
 import wallmoor.placement.PlanVerifier;
 import wallmoor.placement.StorageNode;
 
-/** Asks all nodes what they hold and what room they have, and has moves planned from that: while no move is out. */
+/**
+ * Asks all nodes for their replicas and disk space while no migration is in progress, and plans migrations from the
+ * responses. A plan needs the response of every node, all from about the same time.
+ */
 final class ReplicaSurvey {
+    /** Discrepancies named in one message. */
+    private static final int MAX_NAMED = 5;
+
     private final MigrationSettings settings;
-    private final Map<Long, String> out = new HashMap<>();
-    private final Map<String, ReplicaResponse> said = new TreeMap<>();
-    private final Map<String, String> silent = new TreeMap<>();
+    private final Map<Long, String> nodeByRequest = new HashMap<>();
+    private final Map<String, ReplicaResponse> responses = new TreeMap<>();
+    private final Map<String, String> failures = new TreeMap<>();
     private long notBefore = Long.MIN_VALUE;
-    private boolean finished;
-    private String stuck = "";
+    private boolean targetReached;
+    private String blockedReason = "";
 
     ReplicaSurvey(MigrationSettings settings) {
         this.settings = settings;
     }
 
-    /** What was said may be over: a version has come. */
-    void forget() {
-        out.clear();
-        said.clear();
-        silent.clear();
-        finished = false;
-        stuck = "";
+    /** A new version is active: responses so far may be outdated. */
+    void reset() {
+        nodeByRequest.clear();
+        responses.clear();
+        failures.clear();
+        targetReached = false;
+        blockedReason = "";
         notBefore = Long.MIN_VALUE;
     }
 
-    boolean finished() {
-        return finished;
+    /** Whether all responded and nothing has to migrate. */
+    boolean isTargetReached() {
+        return targetReached;
     }
 
-    String stuck() {
-        return stuck;
+    /** Why nothing can be planned, for operators; empty where nothing is in the way. */
+    String blockedReason() {
+        return blockedReason;
     }
 
-    /** Who is to be asked now. */
-    List<String> due(long now, PlacementTarget goal) {
-        var due = new ArrayList<String>();
-        if (!finished && now >= notBefore) {
-            for (StorageNode n : goal.nodes()) {
-                if (!said.containsKey(n.id()) && !out.containsValue(n.id())) {
-                    due.add(n.id());
+    /** The nodes to send {@link ReplicaRequest.ListReplicas} to now. */
+    List<String> nodesToAsk(long now, PlacementTarget target) {
+        var nodes = new ArrayList<String>();
+        if (!targetReached && now >= notBefore) {
+            for (StorageNode node : target.nodes()) {
+                if (!responses.containsKey(node.id()) && !nodeByRequest.containsValue(node.id())) {
+                    nodes.add(node.id());
                 }
             }
         }
-        return due;
+        return nodes;
     }
 
-    void asked(long id, String node) {
-        out.put(id, node);
+    void onSent(long requestId, String node) {
+        nodeByRequest.put(requestId, node);
     }
 
-    void answered(long id, ReplicaResponse what) {
-        String node = out.remove(id);
+    void onResponse(long requestId, ReplicaResponse response) {
+        String node = nodeByRequest.remove(requestId);
         if (node != null) {
-            said.put(node, what);
-            silent.remove(node);
+            responses.put(node, response);
+            failures.remove(node);
         }
     }
 
-    void failed(long id, long now, String why) {
-        String node = out.remove(id);
+    void onFailure(long requestId, long now, String reason) {
+        String node = nodeByRequest.remove(requestId);
         if (node != null) {
-            silent.put(node, why);
+            failures.put(node, reason);
             notBefore = now + settings.retryMicros();
-            said.clear(); // a plan is made of what all say at about one time
-            stuck = "no answer from " + silent + "; start it, or start again with a file without it and its copies";
+            responses.clear(); // a plan needs responses of about the same time
+            blockedReason = "no answer from " + failures
+                    + "; start it, or start again with a file without it and its copies";
         }
     }
 
-    /** The plan with moves planned; null where there are none, or none can be planned yet. */
-    MigrationPlan plan(long now, MigrationPlan state) {
-        if (finished || now < notBefore || !state.target().nodes().stream().allMatch(n -> said.containsKey(n.id()))) {
+    /** The plan with new migrations; null where there are none, or none can be planned yet. */
+    MigrationPlan planMigrations(long now, MigrationPlan plan) {
+        boolean allResponded = plan.target().nodes().stream().allMatch(n -> responses.containsKey(n.id()));
+        if (targetReached || now < notBefore || !allResponded) {
             return null;
         }
-        stuck = unlike(state);
-        if (stuck.isEmpty()) {
-            var rooms = said.entrySet().stream()
-                    .collect(Collectors.toMap(Map.Entry::getKey, e -> e.getValue().space()));
-            var fleet = state.fleet(rooms);
-            PlacementResult answer = PlacementPlanner.plan(fleet);
-            if (answer instanceof PlacementResult.Plan plan && PlanVerifier.violations(fleet, plan).isEmpty()) {
-                finished = plan.moves().isEmpty();
-                return finished ? null : planned(state, plan);
+        blockedReason = discrepancies(plan);
+        if (blockedReason.isEmpty()) {
+            PlacementProblem problem = plan.toProblem(responses.entrySet().stream()
+                    .collect(Collectors.toMap(Map.Entry::getKey, e -> e.getValue().space())));
+            PlacementResult result = PlacementPlanner.plan(problem);
+            if (result instanceof PlacementResult.Plan found && PlanVerifier.violations(problem, found).isEmpty()) {
+                targetReached = found.moves().isEmpty();
+                return targetReached ? null : withMigrations(plan, found);
             }
-            stuck = answer instanceof PlacementResult.Infeasible none
-                    ? "no plan exists; together these can't be kept: " + none.conflict()
+            blockedReason = result instanceof PlacementResult.Infeasible infeasible
+                    ? "no plan exists; together these can't be kept: " + infeasible.conflict()
                     : "no plan was found; give more room or a wider level";
         }
-        said.clear();
+        responses.clear();
         notBefore = now + settings.retryMicros();
         return null;
     }
 
-    private static MigrationPlan planned(MigrationPlan state, PlacementResult.Plan plan) {
-        var moves = new TreeMap<String, Migration>();
-        for (Move m : plan.moves()) { // a block's second move is planned again when the first is over
-            moves.putIfAbsent(m.block(), Migration.planned(m.block(), m.from(), m.to(), m.sizeMb(), m.wave()));
+    /** A block has one migration at a time, so a plan is cut before the first wave that needs a second one. */
+    private static MigrationPlan withMigrations(MigrationPlan plan, PlacementResult.Plan found) {
+        var migrations = new TreeMap<String, Migration>();
+        for (Move move : found.moves()) {
+            migrations.putIfAbsent(move.block(),
+                    Migration.planned(move.block(), move.from(), move.to(), move.sizeMb(), move.wave()));
         }
-        int cut = plan.moves().stream().filter(m -> moves.get(m.block()).wave() != m.wave()).mapToInt(Move::wave).min()
-                .orElse(Integer.MAX_VALUE);
-        moves.values().removeIf(c -> c.wave() >= cut); // what follows it counts on it
-        return state.withMigrations(moves, state.owners());
+        int firstSecondWave = found.moves().stream()
+                .filter(move -> migrations.get(move.block()).wave() != move.wave())
+                .mapToInt(Move::wave).min().orElse(Integer.MAX_VALUE);
+        migrations.values().removeIf(m -> m.wave() >= firstSecondWave); // later waves rely on the second migration
+        return plan.withMigrations(migrations, plan.owners());
     }
 
-    /** How what the nodes hold is not what the plan says; an empty text where it is. */
-    private String unlike(MigrationPlan state) {
-        var faults = new TreeSet<String>();
-        state.owners().forEach((b, on) -> on.forEach(n -> {
-            if (!said.containsKey(n)
-                    || said.get(n).replicas().getOrDefault(b, ReplicaRecord.NONE).state() != ReplicaState.OWNER) {
-                faults.add(n + " does not hold " + b);
+    /** How the nodes' replicas differ from the plan's owners; empty where they do not. */
+    private String discrepancies(MigrationPlan plan) {
+        var found = new TreeSet<String>();
+        plan.owners().forEach((block, nodes) -> nodes.forEach(node -> {
+            if (!responses.containsKey(node) || replica(node, block).state() != ReplicaState.OWNER) {
+                found.add(node + " does not hold " + block);
             }
         }));
-        said.forEach((n, s) -> s.replicas().forEach((b, h) -> {
-            if (h.state() != ReplicaState.ABSENT && !state.owners().getOrDefault(b, new TreeSet<>()).contains(n)) {
-                faults.add(n + " holds " + b + " (" + h.state() + ")");
+        responses.forEach((node, response) -> response.replicas().forEach((block, replica) -> {
+            boolean owner = plan.owners().getOrDefault(block, new TreeSet<>()).contains(node);
+            if (replica.state() != ReplicaState.ABSENT && !owner) {
+                found.add(node + " holds " + block + " (" + replica.state() + ")");
             }
         }));
-        return faults.isEmpty() ? "" : "the nodes hold what the plan does not say, or lack what it says: "
-                + faults.stream().limit(5).collect(Collectors.joining("; "))
+        return found.isEmpty() ? "" : "the nodes hold what the plan does not say, or lack what it says: "
+                + found.stream().limit(MAX_NAMED).collect(Collectors.joining("; "))
                 + "; mend that, or start with a file that says it";
     }
+
+    private ReplicaRecord replica(String node, String block) {
+        return responses.get(node).replicas().getOrDefault(block, ReplicaRecord.NONE);
+    }
 }
--- /dev/null
+++ b/src/main/java/wallmoor/migration/UnreadablePlanException.java
@@ -0,0 +1,14 @@
+package wallmoor.migration;
+
+/** A stored or received version of the plan cannot be decoded. */
+public final class UnreadablePlanException extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    UnreadablePlanException(String message) {
+        super(message);
+    }
+
+    UnreadablePlanException(String message, Throwable cause) {
+        super(message, cause);
+    }
+}
--- a/src/main/java/wallmoor/migration/http/ConsensusPlanStore.java
+++ b/src/main/java/wallmoor/migration/http/ConsensusPlanStore.java
@@ -4,116 +4,124 @@
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import wallmoor.http.Threads;
 import wallmoor.migration.MigrationAction;
+import wallmoor.migration.MigrationCoordinator.OperatorCommand;
 
 /**
- * The plan that gatherers agree on, which has any number of authors: one thread looks which version acts, one tells
- * what is proposed until it is known what came of it. Nothing is kept here: who is started again reads what was agreed.
+ * The plan that gatherers agree on by consensus, with any number of proposers. One thread polls which version is
+ * active, another repeats a proposal until its outcome is known. It keeps no state of its own: after a crash the agreed
+ * plan is read again.
  */
 public final class ConsensusPlanStore implements PlanStore {
-    /** How soon a rival's step is heard of; what was proposed here is told at once. */
-    private static final long LOOK_MILLIS = 100;
-
-    private final PlanControlClient port;
-    private final Consumer<String> log;
-    private final Queue<PlanUpdate> news = new ConcurrentLinkedQueue<>();
-    private final Thread looking;
-    private final Thread proposing;
+    private static final Logger LOG = LoggerFactory.getLogger(ConsensusPlanStore.class);
+    /** How soon another proposer's version is seen; the outcome of the own proposal is known at once. */
+    private static final long POLL_MILLIS = 100;
+
+    private final PlanControlClient client;
+    private final Queue<PlanUpdate> updates = new ConcurrentLinkedQueue<>();
+    private final Thread poller;
+    private final Thread proposer;
     private final Object lock = new Object();
-    private MigrationAction.ProposePlan wanted;
+    private MigrationAction.ProposePlan pendingProposal;
     private boolean closed;
-    private volatile long sureUntil = System.nanoTime();
-    private volatile PlanStoreException failed;
-
-    /** Begins to look. */
-    public ConsensusPlanStore(PlanControlClient port, Consumer<String> log) {
-        this.port = port;
-        this.log = log;
-        looking = Threads.start("plan-look", this::look);
-        proposing = Threads.start("plan-propose", this::propose);
+    private volatile long leaseExpiryNanos = System.nanoTime();
+    private volatile PlanStoreException failure;
+
+    /** Begins to poll. */
+    public ConsensusPlanStore(PlanControlClient client) {
+        this.client = client;
+        poller = Threads.start("plan-poll", this::pollActiveVersions);
+        proposer = Threads.start("plan-propose", this::sendProposals);
     }
 
     @Override
-    public void propose(MigrationAction.ProposePlan next) throws PlanStoreException {
-        String fault = PlanControlClient.sizeFault(next.plan());
+    public void propose(MigrationAction.ProposePlan proposal) throws PlanStoreException {
+        String fault = PlanControlClient.sizeFault(proposal.plan());
         if (fault != null) {
-            throw new PlanStoreException(fault, null);
+            throw new PlanStoreException(fault);
         }
         synchronized (lock) {
-            wanted = next;
+            pendingProposal = proposal;
             lock.notifyAll();
         }
     }
 
     @Override
     public PlanUpdate poll() throws PlanStoreException {
-        if (failed != null) {
-            throw failed;
+        if (failure != null) {
+            throw failure;
         }
-        return news.poll();
+        return updates.poll();
     }
 
     @Override
     public boolean isCurrent() {
-        return System.nanoTime() - sureUntil < 0;
+        return System.nanoTime() - leaseExpiryNanos < 0;
     }
 
     @Override
-    public String wish() {
-        return ""; // who wishes something proposes it
+    public OperatorCommand pendingCommand() {
+        return null; // a command is itself proposed as a version
     }
 
     @Override
     public void clearCommand() {
-        // the same
+        // none is ever pending
     }
 
     @Override
-    public void progress(String json) {
-        // the plan itself tells the stages, at any gatherer
+    public void publishProgress(String json) {
+        // any gatherer shows the agreed plan with its stages
     }
 
-    private void look() {
+    private void pollActiveVersions() {
         long known = 0;
-        boolean deaf = false;
+        boolean suspended = false;
         try {
             while (!isClosed()) {
                 try {
-                    long asked = System.nanoTime();
-                    PlanControlClient.LeasedPlan shown = port.readLeased(known);
-                    sureUntil = asked + TimeUnit.MILLISECONDS.toNanos(shown.leaseMillis());
-                    if (deaf) {
-                        deaf = false;
-                        log.accept("moves: hears what is agreed on again");
-                    }
-                    if (shown.version() > known && shown.plan() != null) {
-                        known = shown.version();
-                        acted(known);
-                        news.add(new PlanUpdate(known, shown.plan()));
+                    known = pollOnce(known);
+                    if (suspended) {
+                        suspended = false;
+                        LOG.info("a gatherer with a lease is reachable again; requests to nodes resume");
                     }
                 } catch (IOException e) {
-                    if (!deaf && !isCurrent()) { // others were asked meanwhile
-                        deaf = true;
-                        log.accept("moves: nothing is asked of nodes until a gatherer with a lease is heard: "
-                                + e.getMessage());
+                    if (!suspended && !isCurrent()) { // the other gatherers were asked meanwhile
+                        suspended = true;
+                        LOG.warn("no gatherer with a lease is reachable; requests to nodes are suspended: {}",
+                                e.getMessage());
                     }
                 }
-                Thread.sleep(LOOK_MILLIS);
+                Thread.sleep(POLL_MILLIS);
             }
         } catch (PlanStoreException e) {
-            failed = e;
+            failure = e;
         } catch (InterruptedException e) {
-            // it ends
+            // the store was closed
+        }
+    }
+
+    /** Reads the active version under a lease, and returns the highest version known then. */
+    private long pollOnce(long known) throws IOException, PlanStoreException {
+        long askedAt = System.nanoTime();
+        PlanControlClient.LeasedPlan read = client.readLeased(known);
+        leaseExpiryNanos = askedAt + TimeUnit.MILLISECONDS.toNanos(read.leaseMillis());
+        if (read.version() <= known || read.plan() == null) {
+            return known;
         }
+        dropSuperseded(read.version());
+        updates.add(new PlanUpdate(read.version(), read.plan()));
+        return read.version();
     }
 
-    /** What was proposed on an older version has become one, or never will. */
-    private void acted(long number) {
+    /** A proposal on an older version has become a version, or never will. */
+    private void dropSuperseded(long activeVersion) {
         synchronized (lock) {
-            if (wanted != null && wanted.parentVersion() < number) {
-                wanted = null;
+            if (pendingProposal != null && pendingProposal.parentVersion() < activeVersion) {
+                pendingProposal = null;
             }
         }
     }
@@ -124,34 +132,42 @@
         }
     }
 
-    private void propose() {
+    private void sendProposals() {
         try {
             while (!isClosed()) {
-                MigrationAction.ProposePlan next;
-                synchronized (lock) {
-                    while (wanted == null) {
-                        lock.wait();
-                    }
-                    next = wanted;
-                }
-                PlanControlClient.ProposalOutcome outcome = port.propose(next.parentVersion(), next.plan());
+                MigrationAction.ProposePlan proposal = awaitProposal();
+                PlanControlClient.ProposalOutcome outcome = client.propose(proposal.parentVersion(), proposal.plan());
                 if (outcome == null) {
-                    Thread.sleep(LOOK_MILLIS); // the same again, of the next gatherer
-                    continue;
-                }
-                synchronized (lock) {
-                    wanted = next.equals(wanted) ? null : wanted;
-                }
-                if (!outcome.isActive()) {
-                    log.accept("moves: refused: " + outcome.rejection());
+                    Thread.sleep(POLL_MILLIS); // unknown: the same again, to the next gatherer
+                } else {
+                    settle(proposal, outcome);
                 }
-                news.add(outcome.isActive() ? new PlanUpdate(outcome.version(), next.plan())
-                        : new PlanUpdate(next.parentVersion(), null));
             }
         } catch (PlanStoreException e) {
-            failed = e;
+            failure = e;
         } catch (InterruptedException e) {
-            // it ends
+            // the store was closed
+        }
+    }
+
+    private MigrationAction.ProposePlan awaitProposal() throws InterruptedException {
+        synchronized (lock) {
+            while (pendingProposal == null) {
+                lock.wait();
+            }
+            return pendingProposal;
+        }
+    }
+
+    private void settle(MigrationAction.ProposePlan proposal, PlanControlClient.ProposalOutcome outcome) {
+        synchronized (lock) {
+            pendingProposal = proposal.equals(pendingProposal) ? null : pendingProposal;
+        }
+        if (outcome.isActive()) {
+            updates.add(new PlanUpdate(outcome.version(), proposal.plan()));
+        } else {
+            LOG.info("plan proposal rejected: {}", outcome.rejection());
+            updates.add(new PlanUpdate(proposal.parentVersion(), null));
         }
     }
 
@@ -160,7 +176,7 @@
         synchronized (lock) {
             closed = true;
         }
-        looking.interrupt();
-        proposing.interrupt();
+        poller.interrupt();
+        proposer.interrupt();
     }
 }
--- a/src/main/java/wallmoor/migration/http/MigrationRunner.java
+++ b/src/main/java/wallmoor/migration/http/MigrationRunner.java
@@ -8,215 +8,186 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ThreadPoolExecutor;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import java.util.function.Supplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import wallmoor.http.Threads;
-import wallmoor.json.Json;
 import wallmoor.migration.MigrationAction;
 import wallmoor.migration.MigrationCoordinator;
+import wallmoor.migration.MigrationCoordinator.OperatorCommand;
 import wallmoor.migration.MigrationPlan;
 import wallmoor.migration.MigrationStatus;
+import wallmoor.migration.MigrationStatus.MigrationPhase;
 import wallmoor.migration.ReplicaResponse;
-import wallmoor.rules.DocumentSchemas;
-import wallmoor.rules.InvalidRuleException;
-import wallmoor.rules.RuleDocument;
 
-/** Carries out what a {@link MigrationCoordinator} decides: one thread for its state, a few that wait for nodes. */
+/**
+ * Runs a {@link MigrationCoordinator}: the calling thread owns it and the plan, a pool of threads waits for the nodes'
+ * responses and hands them over through a bounded queue.
+ */
 public final class MigrationRunner {
-    /** Requests at once: a move has one out, and a survey one a node; more are told as failed and asked again. */
-    private static final int AT_ONCE = 32;
-    /** Answers that wait for the one thread: one a request. */
-    private static final int QUEUE = 2 * AT_ONCE;
-    private static final Duration CONNECT = Duration.ofSeconds(2);
-    /** A chunk is fetched, or a block's chunks are read for their sums, in this time. */
-    private static final Duration ANSWER = Duration.ofSeconds(20);
+    private static final Logger LOG = LoggerFactory.getLogger(MigrationRunner.class);
+    /** Concurrent requests: one for a migration, one for each node of a survey; more fail and are retried. */
+    private static final int MAX_REQUESTS = 32;
+    /** Responses waiting for the owning thread; each thread of the pool has one at most. */
+    private static final int QUEUE_CAPACITY = 2 * MAX_REQUESTS;
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+    /** Covers the fetch of a chunk, and reading a whole block for its checksums. */
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(20);
     private static final long TICK_MILLIS = 10;
-    private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    /** How often operators' commands are read and progress is published. */
+    private static final long OPERATOR_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    private static final int HTTP_OK = 200;
 
-    private final MigrationCoordinator mover;
-    private final PlanStore plan;
-    private final Map<String, String> addresses;
-    private final Consumer<String> log;
-    private final HttpClient client = HttpClient.newBuilder().connectTimeout(CONNECT)
+    private final MigrationCoordinator coordinator;
+    private final PlanStore store;
+    private final Map<String, String> addressByNode;
+    private final HttpClient client = HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT)
             .version(HttpClient.Version.HTTP_1_1).build();
-    private final ThreadPoolExecutor waiting = Threads.pool("moves-ask", AT_ONCE);
-    private final BlockingQueue<Supplier<List<MigrationAction>>> events = new ArrayBlockingQueue<>(QUEUE);
-    private long looked = System.nanoTime() - LOOK_NANOS;
-    private String said = "";
-    private MigrationPlan state;
+    private final ThreadPoolExecutor requestThreads = Threads.pool("migration-request", MAX_REQUESTS);
+    private final BlockingQueue<Supplier<List<MigrationAction>>> events = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+    private long operatorServedAt = System.nanoTime() - OPERATOR_NANOS;
+    private String loggedSummary = "";
+    private MigrationPlan plan;
 
-    /** One by this plan. {@code addresses} are host:port by node. */
-    public MigrationRunner(MigrationCoordinator mover, PlanStore plan, Map<String, String> addresses,
-            Consumer<String> log) {
-        this.mover = mover;
-        this.plan = plan;
-        this.addresses = Map.copyOf(addresses);
-        this.log = log;
+    /** @param addressByNode host:port */
+    public MigrationRunner(MigrationCoordinator coordinator, PlanStore store, Map<String, String> addressByNode) {
+        this.coordinator = coordinator;
+        this.store = store;
+        this.addressByNode = Map.copyOf(addressByNode);
     }
 
-    /** Carries out until all is moved or it was stopped; says which. */
-    public MigrationStatus.MigrationPhase run() throws PlanStoreException, InterruptedException {
+    /** Runs until everything is migrated or migrations were stopped, and returns which. */
+    public MigrationPhase run() throws PlanStoreException, InterruptedException {
         try {
             while (true) {
-                hear();
-                if (plan.isCurrent()) {
-                    Supplier<List<MigrationAction>> event = events.poll(TICK_MILLIS, TimeUnit.MILLISECONDS);
-                    act(event == null ? mover.onTick(now()) : event.get());
-                } else {
-                    TimeUnit.MILLISECONDS.sleep(TICK_MILLIS); // somebody may have paused it: nothing is asked of a node
+                takePlanUpdates();
+                proceed();
+                MigrationStatus status = coordinator.status();
+                boolean ended = status.phase() == MigrationPhase.FINISHED || status.phase() == MigrationPhase.STOPPED;
+                if (ended || System.nanoTime() - operatorServedAt >= OPERATOR_NANOS) {
+                    operatorServedAt = System.nanoTime();
+                    takeCommand();
+                    publish(status);
                 }
-                MigrationStatus status = mover.status();
-                if (System.nanoTime() - looked >= LOOK_NANOS) {
-                    looked = System.nanoTime();
-                    wish();
-                    tell(status);
-                }
-                if (status.phase() == MigrationStatus.MigrationPhase.FINISHED
-                        || status.phase() == MigrationStatus.MigrationPhase.STOPPED) {
-                    wish();
-                    tell(status);
+                if (ended) {
                     return status.phase();
                 }
             }
         } finally {
-            waiting.shutdownNow();
+            requestThreads.shutdownNow();
         }
     }
 
-    private void hear() throws PlanStoreException {
-        for (PlanStore.PlanUpdate n = plan.poll(); n != null; n = plan.poll()) {
-            if (n.plan() == null) {
-                act(mover.onProposalRejected(now(), n.version()));
+    private void takePlanUpdates() throws PlanStoreException {
+        for (PlanStore.PlanUpdate update = store.poll(); update != null; update = store.poll()) {
+            if (update.isRejection()) {
+                perform(coordinator.onProposalRejected(nowMicros(), update.version()));
             } else {
-                state = n.plan();
-                act(mover.onVersionActive(now(), n.version(), state));
+                plan = update.plan();
+                perform(coordinator.onVersionActive(nowMicros(), update.version(), plan));
             }
         }
     }
 
-    private void wish() throws PlanStoreException {
-        String word = plan.wish();
-        if (word.isEmpty() || state == null) {
+    /** Takes the next response, or lets time pass; nothing is requested while the plan may be outdated. */
+    private void proceed() throws PlanStoreException, InterruptedException {
+        if (store.isCurrent()) {
+            Supplier<List<MigrationAction>> event = events.poll(TICK_MILLIS, TimeUnit.MILLISECONDS);
+            perform(event == null ? coordinator.onTick(nowMicros()) : event.get());
+        } else {
+            TimeUnit.MILLISECONDS.sleep(TICK_MILLIS);
+        }
+    }
+
+    private void takeCommand() throws PlanStoreException {
+        OperatorCommand command = plan == null ? null : store.pendingCommand();
+        if (command == null) {
             return;
         }
-        try {
-            MigrationCoordinator.OperatorCommand wish = MigrationCoordinator.OperatorCommand
-                    .valueOf(word.toUpperCase(Locale.ROOT));
-            if (wish == MigrationCoordinator.OperatorCommand.STOP ? state.stopped()
-                    : state.paused() == (wish == MigrationCoordinator.OperatorCommand.PAUSE)) {
-                plan.clearCommand();
-            } else {
-                act(mover.onCommand(now(), wish));
-            }
-        } catch (IllegalArgumentException e) {
-            log.accept("moves: no wish: " + word);
-            plan.clearCommand();
+        boolean reflected = command == OperatorCommand.STOP ? plan.stopped()
+                : plan.paused() == (command == OperatorCommand.PAUSE);
+        if (reflected) {
+            store.clearCommand();
+        } else {
+            perform(coordinator.onCommand(nowMicros(), command));
         }
     }
 
-    private void tell(MigrationStatus status) throws PlanStoreException {
-        plan.progress(json(status, System.currentTimeMillis()));
-        String line = status.phase() + (status.blockedReason().isEmpty() ? "" : ": " + status.blockedReason())
-                + (status.lastFailure().isEmpty() ? "" : "; given up: " + status.lastFailure());
-        if (!line.equals(said)) {
-            said = line;
-            log.accept("moves: version " + status.version() + ": " + line);
+    private void publish(MigrationStatus status) throws PlanStoreException {
+        store.publishProgress(ProgressReport.encode(status, System.currentTimeMillis()));
+        String summary = status.phase() + "|" + status.blockedReason() + "|" + status.lastFailure();
+        if (!summary.equals(loggedSummary)) {
+            loggedSummary = summary;
+            LOG.info("migration status: version={} phase={} stuck=\"{}\" given_up=\"{}\"", status.version(),
+                    status.phase(), status.blockedReason(), status.lastFailure());
         }
     }
 
-    private void act(List<MigrationAction> actions) throws PlanStoreException {
-        for (MigrationAction a : actions) {
-            if (a instanceof MigrationAction.ProposePlan p) {
-                plan.propose(p);
-            } else if (a instanceof MigrationAction.SendRequest s) {
+    private void perform(List<MigrationAction> actions) throws PlanStoreException {
+        for (MigrationAction action : actions) {
+            if (action instanceof MigrationAction.ProposePlan proposal) {
+                store.propose(proposal);
+            } else if (action instanceof MigrationAction.SendRequest request) {
                 try {
-                    waiting.execute(() -> ask(s));
+                    requestThreads.execute(() -> exchange(request));
                 } catch (RejectedExecutionException e) {
-                    act(mover.onRequestFailed(now(), s.requestId(), "too many requests are out"));
+                    perform(coordinator.onRequestFailed(nowMicros(), request.requestId(),
+                            "too many requests are out"));
                 }
             }
         }
     }
 
-    /** What a document says. */
-    public static MigrationPlan decode(RuleDocument document) throws PlanStoreException {
-        try {
-            return MigrationPlan.decode(DocumentSchemas.PLAN.validate(document));
-        } catch (InvalidRuleException | IllegalArgumentException e) {
-            throw new PlanStoreException(
-                    "version " + document.version() + " of the plan can't be read by this program: "
-                            + e.getMessage() + "; use the program that wrote it",
-                    e);
-        }
-    }
-
-    private void ask(MigrationAction.SendRequest s) {
-        Supplier<List<MigrationAction>> event;
+    /** Sends a request and queues its outcome; on a thread of the pool. */
+    private void exchange(MigrationAction.SendRequest request) {
         try {
-            String address = addresses.get(s.node());
-            if (address == null) {
-                throw new IOException("has no address in the file");
+            Supplier<List<MigrationAction>> event;
+            try {
+                ReplicaResponse response = send(request);
+                event = () -> coordinator.onResponse(nowMicros(), request.requestId(), response);
+            } catch (IOException e) {
+                event = () -> coordinator.onRequestFailed(nowMicros(), request.requestId(), "no answer (" + e + ")");
             }
-            HttpResponse<InputStream> response = client.send(
-                    HttpRequest.newBuilder(URI.create("http://" + address + "/moves"))
-                            .timeout(ANSWER)
-                            .POST(HttpRequest.BodyPublishers
-                                    .ofString(MigrationCodec.encode(s.block(), s.fencingToken(), s.request())))
-                            .build(),
-                    HttpResponse.BodyHandlers.ofInputStream());
-            byte[] body;
-            try (var in = response.body()) {
-                body = in.readNBytes(MigrationCodec.MAX_RESPONSE_BYTES);
-            }
-            if (response.statusCode() != 200) {
-                throw new IOException("answers " + response.statusCode());
-            }
-            ReplicaResponse answer = MigrationCodec.decodeResponse(body);
-            event = () -> mover.onResponse(now(), s.requestId(), answer);
-        } catch (IOException | IllegalArgumentException e) {
-            event = () -> mover.onRequestFailed(now(), s.requestId(), "no answer (" + e + ")");
-        } catch (InterruptedException e) {
-            return; // it ends
-        }
-        try {
             events.put(event);
         } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
+            Thread.currentThread().interrupt(); // the run has ended
         }
     }
 
-    private static long now() {
-        return System.nanoTime() / 1_000;
+    private ReplicaResponse send(MigrationAction.SendRequest request) throws IOException, InterruptedException {
+        String address = addressByNode.get(request.node());
+        if (address == null) {
+            throw new IOException("has no address in the file");
+        }
+        String message = MigrationCodec.encode(request.block(), request.fencingToken(), request.request());
+        HttpResponse<InputStream> response = client.send(httpRequest(address, message),
+                HttpResponse.BodyHandlers.ofInputStream());
+        byte[] body;
+        try (InputStream in = response.body()) {
+            body = in.readNBytes(MigrationCodec.MAX_RESPONSE_BYTES);
+        }
+        if (response.statusCode() != HTTP_OK) {
+            throw new IOException("answers " + response.statusCode());
+        }
+        return MigrationCodec.decodeResponse(body);
     }
 
-    /** A status as JSON, with the time it was true at. */
-    static String json(MigrationStatus status, long at) {
-        var to = new StringBuilder("{\"version\":").append(status.version()).append(",\"phase\":\"")
-                .append(status.phase().name().toLowerCase(Locale.ROOT)).append("\",\"bytes_per_second\":")
-                .append(status.bytesPerSecond())
-                .append(",\"at_ms\":").append(at).append(",\"pid\":").append(ProcessHandle.current().pid());
-        Json.quote(to.append(",\"stuck\":"), status.blockedReason());
-        Json.quote(to.append(",\"given_up\":"), status.lastFailure());
-        to.append(",\"moves\":[");
-        for (int i = 0; i < status.migrations().size(); i++) {
-            MigrationStatus.MigrationProgress m = status.migrations().get(i);
-            Json.quote(to.append(i == 0 ? "{" : ",{").append("\"block\":"), m.migration().block());
-            Json.quote(to.append(",\"from\":"), m.migration().from());
-            Json.quote(to.append(",\"to\":"), m.migration().to());
-            to.append(",\"mb\":").append(m.migration().sizeMb()).append(",\"wave\":").append(m.migration().wave())
-                    .append(",\"stage\":\"")
-                    .append(m.migration().stage().name().toLowerCase(Locale.ROOT)).append("\",\"there\":")
-                    .append(Math.round(m.copiedFraction() * 1000) / 1000.0);
-            Json.quote(to.append(",\"waits\":"), m.waitingFor());
-            to.append('}');
+    private static HttpRequest httpRequest(String address, String message) throws IOException {
+        try {
+            return HttpRequest.newBuilder(URI.create("http://" + address + "/moves")).timeout(RESPONSE_TIMEOUT)
+                    .POST(HttpRequest.BodyPublishers.ofString(message)).build();
+        } catch (IllegalArgumentException e) {
+            throw new IOException("has no valid address in the file: " + address, e);
         }
-        return to.append("]}").toString();
+    }
+
+    private static long nowMicros() {
+        return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 }
--- a/src/main/java/wallmoor/migration/http/PlanControlClient.java
+++ b/src/main/java/wallmoor/migration/http/PlanControlClient.java
@@ -5,221 +5,231 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import wallmoor.json.Json;
 import wallmoor.migration.MigrationPlan;
-import wallmoor.rules.DocumentSchemas;
-import wallmoor.rules.InvalidRuleException;
 import wallmoor.rules.RuleStateMachine;
 
 /**
- * The document {@code plan} that gatherers agree on, over their control ports: one is asked until it can't be asked or
- * has no lease, then the next. Used by any number of threads.
+ * Client of the gatherers' control ports for the document {@code plan}. It stays with one gatherer until that cannot be
+ * reached or has no lease, then fails over to the next. Thread-safe.
  */
 public final class PlanControlClient {
-    /**
-     * How long one gatherer is waited for with a proposal: the same is then told to the next, and is one proposal
-     * there.
-     */
+    /** How long one gatherer may take to decide on a proposal; then the same proposal goes to the next one. */
     private static final long PROPOSE_MILLIS = 2_000;
-    /** What a gatherer takes beside what it was told to wait: it may stand still for a moment. */
+    /** Added to the time that a gatherer was told to wait: it may pause for a moment. */
     private static final long SPARE_MILLIS = 3_000;
-    /** A gatherer asks the leader for its history so long. */
+    /** How long a gatherer waits for the leader's history. */
     private static final long HISTORY_MILLIS = 5_000 + SPARE_MILLIS;
-    private static final long AGAIN_MILLIS = 100;
-    private static final long NANOS = 1_000_000;
-
-    /** Carries a line to a control port and all lines of its answer back. */
+    private static final long RETRY_MILLIS = 100;
+    private static final String SHOW = "{\"do\":\"show\",\"name\":\"plan\"}";
+    private static final String HISTORY = "{\"do\":\"history\",\"name\":\"plan\"}";
+    /** A gatherer goes by one complete version. */
+    private static final String BASIS_VERSION = "version";
+    /** A gatherer goes by what several versions have in common. */
+    private static final String BASIS_CAREFUL = "careful";
+
+    /** Carries a line to a control port, and all lines of the answer back. */
     @FunctionalInterface
     public interface ControlTransport {
-        /** Asks; waits so long for each piece of the answer. */
-        String ask(InetSocketAddress at, String line, long millis) throws IOException;
+        /** @param timeoutMillis longest wait for each piece of the answer */
+        String ask(InetSocketAddress address, String line, long timeoutMillis) throws IOException;
     }
 
-    /** A version that the voters keep; one that does not act yet is accepted. */
+    /**
+     * A version that the voters have accepted.
+     *
+     * @param active whether it is active already
+     */
     public record PlanVersion(long number, MigrationPlan plan, boolean active, String author) {}
 
     /**
      * What one gatherer goes by.
      *
-     * @param leaseMillis that it may at least, from when it was asked
-     * @param version      the version that acts wholly; 0 where none does, or a later one is known
-     * @param plan       what it says; null where it was known before
+     * @param leaseMillis for how long it may at least, from when it was asked
+     * @param version     the version that is active everywhere; 0 where there is none, or a later one is known
+     * @param plan        what it says; null where the caller knows it
      */
     record LeasedPlan(long leaseMillis, long version, MigrationPlan plan) {}
 
-    /** What came of a proposal: its number, and why it was refused; empty where it acts. */
+    /**
+     * What became of a proposal.
+     *
+     * @param rejection why it was rejected; empty where it is active
+     */
     public record ProposalOutcome(long version, String rejection) {
-        /** Whether it acts. */
+        /** Whether the proposal is the active version. */
         public boolean isActive() {
             return rejection.isEmpty();
         }
     }
 
-    private final List<InetSocketAddress> at;
-    private final ControlTransport asking;
+    /** A call to one gatherer. */
+    private interface ControlCall<T> {
+        T call(int gatherer) throws IOException, PlanStoreException;
+    }
+
+    private final List<InetSocketAddress> addresses;
+    private final ControlTransport transport;
     private final String author;
+    /** Index of the present gatherer, modulo their number. */
     private final AtomicInteger turn = new AtomicInteger();
 
-    /** One that asks these in turn, and proposes as this author: one of its own for each process. */
-    public PlanControlClient(List<InetSocketAddress> at, ControlTransport asking, String author) {
-        this.at = List.copyOf(at);
-        this.asking = asking;
+    /** @param author unique to this process */
+    public PlanControlClient(List<InetSocketAddress> addresses, ControlTransport transport, String author) {
+        this.addresses = List.copyOf(addresses);
+        this.transport = transport;
         this.author = author;
     }
 
-    /** The last version that the voters have accepted, or null where there is none. Tries for so long. */
-    public PlanVersion latest(long millis) throws PlanStoreException, InterruptedException {
-        String line = "{\"do\":\"history\",\"name\":\"plan\"}";
-        return until(millis, turn -> {
+    /** The last version that the voters have accepted, or null; retries until the timeout. */
+    public PlanVersion latest(long timeoutMillis) throws PlanStoreException, InterruptedException {
+        return callUntil(timeoutMillis, gatherer -> {
             PlanVersion last = null;
-            for (Json.Obj o : lines(turn, line, HISTORY_MILLIS)) {
-                if (o.text("body") != null) {
-                    long number = (long) o.number("version", 0);
-                    boolean acts = !"accepted".equals(o.text("state"));
-                    last = new PlanVersion(number, state(number, o.text("body")), acts, o.text("author"));
+            for (Json.Obj line : ask(gatherer, HISTORY, HISTORY_MILLIS)) {
+                String body = line.text("body");
+                if (body != null) {
+                    long number = (long) line.number("version", 0);
+                    boolean active = !"accepted".equals(line.text("state"));
+                    last = new PlanVersion(number, PlanDocuments.decode(number, body), active, line.text("author"));
                 }
             }
-            return new PlanVersion[] {last};
-        })[0];
+            return last;
+        });
     }
 
-    /** The gatherers' term, milliseconds. Tries for so long. */
-    public long termMillis(long millis) throws PlanStoreException, InterruptedException {
-        return until(millis, turn -> {
-            List<Json.Obj> said = lines(turn, "{\"do\":\"show\",\"name\":\"plan\"}", SPARE_MILLIS);
-            if (said.isEmpty() || said.get(0).get("term_ms") == null) {
+    /** The gatherers' lease term, in milliseconds; retries until the timeout. */
+    public long termMillis(long timeoutMillis) throws PlanStoreException, InterruptedException {
+        return callUntil(timeoutMillis, gatherer -> {
+            List<Json.Obj> answer = ask(gatherer, SHOW, SPARE_MILLIS);
+            if (answer.isEmpty() || answer.get(0).get("term_ms") == null) {
                 throw new IOException("tells no term: it runs an older program");
             }
-            return (long) said.get(0).number("term_ms", 0);
+            return (long) answer.get(0).number("term_ms", 0);
         });
     }
 
-    /** Proposes until it is known what came of it. Tries for so long. */
-    public ProposalOutcome proposeAndAwait(long parent, MigrationPlan next, long millis)
+    /** Proposes a version and returns the outcome; repeats the proposal until the timeout. */
+    public ProposalOutcome proposeAndAwait(long parentVersion, MigrationPlan plan, long timeoutMillis)
             throws PlanStoreException, InterruptedException {
-        return until(millis, turn -> propose(turn, parent, next));
+        return callUntil(timeoutMillis, gatherer -> propose(gatherer, parentVersion, plan));
     }
 
-    /** Tells a proposal to one gatherer; null where it is not known what came of it. */
-    ProposalOutcome propose(long parent, MigrationPlan next) throws PlanStoreException {
+    /** Proposes a version to one gatherer; null where the outcome is unknown. */
+    ProposalOutcome propose(long parentVersion, MigrationPlan plan) throws PlanStoreException {
         try {
-            return once(turn -> propose(turn, parent, next));
+            return call(gatherer -> propose(gatherer, parentVersion, plan));
         } catch (IOException e) {
             return null;
         }
     }
 
     /**
-     * What a gatherer goes by under a lease. What acts as {@code known} is not told again.
+     * Reads what a gatherer goes by under its lease.
      *
-     * @throws IOException where this one has no lease or can't be asked; the next is asked the next time
+     * @param known version whose plan need not be sent again
+     * @throws IOException where this gatherer has no lease or cannot be reached; the next call goes to the next one
      */
     LeasedPlan readLeased(long known) throws PlanStoreException, IOException {
-        return once(turn -> {
-            List<Json.Obj> said = lines(turn, "{\"do\":\"show\",\"name\":\"plan\",\"known\":" + known + "}",
-                    SPARE_MILLIS);
-            Json.Obj o = said.isEmpty() ? null : said.get(0);
-            long lease = o == null ? 0 : (long) o.number("lease_ms", 0);
-            String basis = o == null ? "" : o.text("basis");
-            if (lease == 0 || !basis.equals("version") && !basis.equals("careful")) {
-                throw new IOException("the gatherer at " + address(turn) + ": has no lease");
+        String line = "{\"do\":\"show\",\"name\":\"plan\",\"known\":" + known + "}";
+        return call(gatherer -> {
+            List<Json.Obj> answer = ask(gatherer, line, SPARE_MILLIS);
+            long leaseMillis = answer.isEmpty() ? 0 : (long) answer.get(0).number("lease_ms", 0);
+            String basis = answer.isEmpty() ? "" : answer.get(0).text("basis");
+            if (leaseMillis == 0 || !BASIS_VERSION.equals(basis) && !BASIS_CAREFUL.equals(basis)) {
+                throw new IOException("the gatherer at " + name(gatherer) + ": has no lease");
             }
-            long number = basis.equals("version") ? (long) o.number("acting", 0) : 0;
-            return new LeasedPlan(lease, number,
-                    number == 0 || o.text("body") == null ? null : state(number, o.text("body")));
+            long version = BASIS_VERSION.equals(basis) ? (long) answer.get(0).number("acting", 0) : 0;
+            String body = answer.get(0).text("body");
+            return new LeasedPlan(leaseMillis, version,
+                    version == 0 || body == null ? null : PlanDocuments.decode(version, body));
         });
     }
 
-    /** What a version is too large by, or null: what is agreed on is bounded. */
-    public static String sizeFault(MigrationPlan next) {
-        return next.maxEncodedLength() <= RuleStateMachine.MAX_BODY_CHARS ? null
-                : "the plan has " + next.maxEncodedLength() + " characters while its moves are"
-                        + " out, and gatherers agree on " + RuleStateMachine.MAX_BODY_CHARS
-                        + " at most: drain fewer nodes at once, give blocks and"
-                        + " nodes shorter ids, or carry it out by one author with --dir";
+    /** Why a plan is too large to be agreed on, for operators; null where it is not. */
+    public static String sizeFault(MigrationPlan plan) {
+        int length = plan.maxEncodedLength();
+        return length <= RuleStateMachine.MAX_BODY_CHARS ? null
+                : "the plan has " + length + " characters while its moves are out, and gatherers agree on "
+                        + RuleStateMachine.MAX_BODY_CHARS
+                        + " at most: drain fewer nodes at once, give blocks and nodes shorter ids,"
+                        + " or carry it out by one author with --dir";
     }
 
-    private ProposalOutcome propose(int turn, long parent, MigrationPlan next) throws IOException, PlanStoreException {
-        var line = new StringBuilder("{\"do\":\"propose\",\"name\":\"plan\",\"number\":").append(parent)
+    private ProposalOutcome propose(int gatherer, long parentVersion, MigrationPlan plan) throws IOException {
+        var line = new StringBuilder("{\"do\":\"propose\",\"name\":\"plan\",\"number\":").append(parentVersion)
                 .append(",\"wait_ms\":").append(PROPOSE_MILLIS);
         Json.quote(line.append(",\"author\":"), author);
-        Json.quote(line.append(",\"body\":"), next.body());
-        Json.quote(line.append(",\"fallback\":"), next.fallback());
-        List<Json.Obj> said = lines(turn, line.append('}').toString(), PROPOSE_MILLIS + SPARE_MILLIS);
-        if (said.isEmpty()) {
+        Json.quote(line.append(",\"body\":"), plan.body());
+        Json.quote(line.append(",\"fallback\":"), plan.fallback());
+        List<Json.Obj> answer = ask(gatherer, line.append('}').toString(), PROPOSE_MILLIS + SPARE_MILLIS);
+        if (answer.isEmpty()) {
             throw new IOException("it did not answer");
         }
-        String refused = said.get(0).text("refused");
-        return new ProposalOutcome((long) said.get(0).number("version", 0), refused == null ? "" : refused);
+        String rejection = answer.get(0).text("refused");
+        return new ProposalOutcome((long) answer.get(0).number("version", 0), rejection == null ? "" : rejection);
     }
 
-    private static MigrationPlan state(long number, String body) throws PlanStoreException {
-        try {
-            return MigrationPlan.decode(DocumentSchemas.PLAN.parse(body));
-        } catch (InvalidRuleException | IllegalArgumentException e) {
-            throw new PlanStoreException(
-                    "version " + number + " of the plan can't be read by this program: " + e.getMessage()
-                            + "; use the program that wrote it",
-                    e);
-        }
+    private InetSocketAddress address(int gatherer) {
+        return addresses.get(Math.floorMod(gatherer, addresses.size()));
     }
 
-    private String address(int turn) {
-        InetSocketAddress a = at.get(Math.floorMod(turn, at.size()));
-        return a.getHostString() + ':' + a.getPort();
+    private String name(int gatherer) {
+        InetSocketAddress address = address(gatherer);
+        return address.getHostString() + ':' + address.getPort();
     }
 
-    /** An answer that is no fault; what is not known is told as one that can't be asked, as the next may know. */
-    private List<Json.Obj> lines(int turn, String line, long millis) throws IOException {
+    /**
+     * The lines of an answer.
+     *
+     * @throws IOException also where the answer is a fault, or that the gatherer does not know: the next may
+     */
+    private List<Json.Obj> ask(int gatherer, String line, long timeoutMillis) throws IOException {
         try {
-            var all = new ArrayList<Json.Obj>();
-            for (String l : asking.ask(at.get(Math.floorMod(turn, at.size())), line, millis).split("\n")) {
-                byte[] bytes = l.getBytes(StandardCharsets.UTF_8);
-                if (!l.isEmpty()) {
-                    all.add(Json.object(bytes, 0, bytes.length));
+            var lines = new ArrayList<Json.Obj>();
+            for (String text : transport.ask(address(gatherer), line, timeoutMillis).split("\n")) {
+                byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+                if (bytes.length > 0) {
+                    lines.add(Json.object(bytes, 0, bytes.length));
                 }
             }
-            for (Json.Obj o : all) {
-                String why = o.text("unknown") != null ? o.text("unknown") : o.text("fault");
-                if (why != null) {
-                    throw new IOException(why);
+            for (Json.Obj each : lines) {
+                String fault = each.text("unknown") != null ? each.text("unknown") : each.text("fault");
+                if (fault != null) {
+                    throw new IOException(fault);
                 }
             }
-            return all;
+            return lines;
         } catch (IOException | Json.Malformed e) {
-            throw new IOException("the gatherer at " + address(turn) + ": " + e.getMessage(), e);
+            throw new IOException("the gatherer at " + name(gatherer) + ": " + e.getMessage(), e);
         }
     }
 
-    private interface ControlCall<T> {
-        T once(int turn) throws IOException, PlanStoreException;
-    }
-
-    /** Asks the one whose turn it is; where it fails the turn is the next one's. */
-    private <T> T once(ControlCall<T> each) throws IOException, PlanStoreException {
-        int now = turn.get();
+    /** Calls the present gatherer; where that fails, the next call goes to the next one. */
+    private <T> T call(ControlCall<T> call) throws IOException, PlanStoreException {
+        int gatherer = turn.get();
         try {
-            return each.once(now);
+            return call.call(gatherer);
         } catch (IOException e) {
-            turn.compareAndSet(now, now + 1);
+            turn.compareAndSet(gatherer, gatherer + 1);
             throw e;
         }
     }
 
-    private <T> T until(long millis, ControlCall<T> each) throws PlanStoreException, InterruptedException {
-        long until = System.nanoTime() + millis * NANOS;
+    private <T> T callUntil(long timeoutMillis, ControlCall<T> call) throws PlanStoreException, InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         while (true) {
             try {
-                return once(each);
+                return call(call);
             } catch (IOException e) {
-                if (System.nanoTime() - until >= 0) {
+                if (System.nanoTime() - deadline >= 0) {
                     throw new PlanStoreException(e.getMessage() + "; none of those in --rules could say more for "
-                            + millis / 1_000
+                            + TimeUnit.MILLISECONDS.toSeconds(timeoutMillis)
                             + " s: see that more than half of the voters run and hear each other (rules explain)", e);
                 }
             }
-            Thread.sleep(AGAIN_MILLIS);
+            Thread.sleep(RETRY_MILLIS);
         }
     }
 }
--- a/src/main/java/wallmoor/migration/http/PlanStore.java
+++ b/src/main/java/wallmoor/migration/http/PlanStore.java
@@ -1,37 +1,45 @@
 package wallmoor.migration.http;
 
 import wallmoor.migration.MigrationAction;
+import wallmoor.migration.MigrationCoordinator.OperatorCommand;
 import wallmoor.migration.MigrationPlan;
 
 /**
- * Where the plan is kept: which version acts, and what becomes of one that is proposed. Nothing here waits for long.
+ * Keeps the versions of the plan: tells which one is active, and what became of proposals. No method blocks for long.
  */
 public interface PlanStore extends AutoCloseable {
     /**
-     * What is new.
+     * News of the plan.
      *
-     * @param version of the version that acts; where the state is null, of the one after which a proposal was refused
-     * @param plan  what that version says
+     * @param version of the active plan; where {@code plan} is null, the parent version of a rejected proposal
+     * @param plan    what that version says; null where a proposal was rejected
      */
-    record PlanUpdate(long version, MigrationPlan plan) {}
+    record PlanUpdate(long version, MigrationPlan plan) {
+        boolean isRejection() {
+            return plan == null;
+        }
+    }
 
-    /** Proposes; what becomes of it is news later. Told again it is the same proposal. */
-    void propose(MigrationAction.ProposePlan next) throws PlanStoreException;
+    /** Proposes a version; its outcome is an update later. Idempotent. */
+    void propose(MigrationAction.ProposePlan proposal) throws PlanStoreException;
 
-    /** What is new, or null. */
+    /** The next update, or null. */
     PlanUpdate poll() throws PlanStoreException;
 
-    /** Whether what was told last may be gone by still: if not, somebody may have paused the moves meanwhile. */
+    /**
+     * Whether the last update may still be acted on. If not, migrations may have been paused meanwhile, and nothing
+     * must be requested from nodes.
+     */
     boolean isCurrent();
 
-    /** What an operator wishes beside the plan: a word, or an empty text. */
-    String wish();
+    /** A command that an operator left beside the plan, or null. */
+    OperatorCommand pendingCommand() throws PlanStoreException;
 
-    /** The plan says what was wished. */
+    /** The plan reflects the command: it is no longer pending. */
     void clearCommand() throws PlanStoreException;
 
-    /** How far it has come, for who looks. */
-    void progress(String json) throws PlanStoreException;
+    /** Publishes the progress, a JSON object, for operators. */
+    void publishProgress(String json) throws PlanStoreException;
 
     @Override
     void close();
--- a/src/main/java/wallmoor/migration/http/PlanStoreException.java
+++ b/src/main/java/wallmoor/migration/http/PlanStoreException.java
@@ -1,9 +1,13 @@
 package wallmoor.migration.http;
 
-/** The plan's directory can't be used. The message says what an operator can do. */
+/** The plan cannot be read or written where it is kept. The message says what an operator can do. */
 public final class PlanStoreException extends Exception {
     private static final long serialVersionUID = 1L;
 
+    PlanStoreException(String message) {
+        super(message);
+    }
+
     PlanStoreException(String message, Throwable cause) {
         super(message, cause);
     }
--- a/src/main/java/wallmoor/migration/http/package-info.java
+++ b/src/main/java/wallmoor/migration/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Carries requests about moves to nodes and keeps the plan in a directory. It holds no rule: those are in {@code
- * moves}. It knows nothing of queries.
+ * I/O of migrations: requests to nodes over HTTP, and the stores that keep the plan, in a directory or agreed on by
+ * gatherers. No rule is decided here; those are in {@code migration}. Nothing here knows of queries.
  */
 package wallmoor.migration.http;
--- a/src/main/java/wallmoor/migration/package-info.java
+++ b/src/main/java/wallmoor/migration/package-info.java
@@ -1,6 +1,8 @@
 /**
- * Carries moves of blocks out: which step of which move comes next, what is asked of which node, and what a node may do
- * with what it is asked. Decides; no I/O, no clock, no threads. All that must outlive a process stands in the document
- * {@code plan} or is said by the nodes. The rules stand in docs/moves.md.
+ * Migration of blocks between storage nodes, decided without I/O, clock or threads: {@link
+ * wallmoor.migration.MigrationCoordinator} drives all migrations of a plan as a deterministic state machine, and {@link
+ * wallmoor.migration.ReplicaStateMachine} is the node's side of each request. All state that must survive a process is
+ * in the replicated document {@code plan} ({@link wallmoor.migration.MigrationPlan}) or in the nodes' own {@link
+ * wallmoor.migration.ReplicaRecord}s. Times are microseconds of any monotonic clock. The rules are in docs/moves.md.
  */
 package wallmoor.migration;
--- a/src/main/java/wallmoor/placement/PlacementProblem.java
+++ b/src/main/java/wallmoor/placement/PlacementProblem.java
@@ -17,7 +17,7 @@
     public static final int NO_LEVEL = -1;
     public static final int MILLION = 1_000_000;
 
-    /** @throws IllegalArgumentException where a value is out of bounds, stands twice or names nothing */
+    /** @throws InvalidProblemException where a value is out of bounds, stands twice or names nothing */
     public PlacementProblem {
         nodes = List.copyOf(nodes);
         blocks = List.copyOf(blocks);
@@ -50,7 +50,7 @@
 
     private static void require(boolean holds, String what) {
         if (!holds) {
-            throw new IllegalArgumentException(what);
+            throw new InvalidProblemException(what);
         }
     }
 }
--- a/src/test/java/wallmoor/migration/MigrationCoordinatorTest.java
+++ b/src/test/java/wallmoor/migration/MigrationCoordinatorTest.java
@@ -168,11 +168,11 @@
         for (long now = 10_000_000; now < 12_000_000; now += 50_000) {
             pace.onLoad(now, 0.9);
         }
-        assertEquals(1_000_000 / 64, pace.rate());
+        assertEquals(1_000_000 / 64, pace.bytesPerSecond());
         for (long now = 12_000_000; now < 19_000_000; now += 50_000) {
             pace.onLoad(now, 0.1);
         }
-        assertEquals(1_000_000, pace.rate());
+        assertEquals(1_000_000, pace.bytesPerSecond());
     }
 
     @Example
--- a/src/test/java/wallmoor/migration/MigrationSimulation.java
+++ b/src/test/java/wallmoor/migration/MigrationSimulation.java
@@ -159,7 +159,7 @@
                         "most is not the most");
                 judge.check(kind.isAtMostAsPermissive(kind.parse(p.plan().fallback()), kind.parse(p.plan().body())),
                         "a fallback is bolder");
-            } catch (wallmoor.rules.InvalidRuleException e) {
+            } catch (wallmoor.rules.InvalidRuleException | UnreadablePlanException e) {
                 throw new AssertionError(e);
             }
         } else if (p.parentVersion() != number || !p.plan().equals(accepted)) {
@@ -292,6 +292,14 @@
         }
     }
 
+    private MigrationPlan restarted() {
+        try {
+            return state.retargeted(state.target(), 4);
+        } catch (IncompatibleTargetException e) {
+            throw new AssertionError(e);
+        }
+    }
+
     /** What an operator does at last: starts it again, with all that was broken mended. */
     boolean ends() {
         loseRequestsUntil = 0;
@@ -301,7 +309,7 @@
         for (int i = 0; i < 6_000; i++) {
             if ((state.stopped() && state.migrations().isEmpty() || state.paused() || state.frozenBlocks().size() > 0)
                     && accepted == null) {
-                accepted = state.retargeted(state.target(), 4);
+                accepted = restarted();
                 actsAt = now + STEP;
             }
             step();
--- a/src/test/java/wallmoor/migration/http/ConsensusPlanStoreTest.java
+++ b/src/test/java/wallmoor/migration/http/ConsensusPlanStoreTest.java
@@ -6,6 +6,9 @@
 import static org.junit.Assert.assertThrows;
 import static org.junit.Assert.assertTrue;
 
+import ch.qos.logback.classic.Logger;
+import ch.qos.logback.classic.spi.ILoggingEvent;
+import ch.qos.logback.core.AppenderBase;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -13,7 +16,9 @@
 import java.util.List;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import org.junit.After;
+import org.junit.Before;
 import org.junit.Test;
+import org.slf4j.LoggerFactory;
 import wallmoor.json.Json;
 import wallmoor.migration.MigrationAction;
 import wallmoor.migration.MigrationPlan;
@@ -33,8 +38,22 @@
     private final ConcurrentLinkedQueue<String> answers = new ConcurrentLinkedQueue<>();
     private volatile String show = "";
     private volatile boolean firstIsGone;
+    private final Logger logger = (Logger) LoggerFactory.getLogger(ConsensusPlanStore.class);
+    private final AppenderBase<ILoggingEvent> appender = new AppenderBase<>() {
+        @Override
+        protected void append(ILoggingEvent event) {
+            log.add(event.getLevel() + " " + event.getFormattedMessage());
+        }
+    };
     private ConsensusPlanStore plan;
 
+    @Before
+    public void captureLog() {
+        appender.setContext(logger.getLoggerContext());
+        appender.start();
+        logger.addAppender(appender);
+    }
+
     private static MigrationPlan of(int blocks) {
         var all = new ArrayList<BlockReplicas>();
         for (int i = 0; i < blocks; i++) {
@@ -81,13 +100,13 @@
         plan = new ConsensusPlanStore(
                 new PlanControlClient(
                         List.of(new InetSocketAddress("127.0.0.1", 1), new InetSocketAddress("127.0.0.1", 2)),
-                        this::ask, "ann"),
-                log::add);
+                        this::ask, "ann"));
     }
 
     @After
     public void end() {
         plan.close();
+        logger.detachAppender(appender);
     }
 
     @Test
@@ -125,7 +144,7 @@
         assertEquals(new PlanStore.PlanUpdate(5, null), next());
         assertTrue(proposed.get(2),
                 proposed.get(2).contains("\"number\":5") && proposed.get(2).contains("\"author\":\"ann\""));
-        assertTrue(log.toString(), log.contains("moves: refused: plan 6 by bob was proposed first"));
+        assertTrue(log.toString(), log.contains("INFO plan proposal rejected: plan 6 by bob was proposed first"));
     }
 
     @Test
--- a/src/test/java/wallmoor/migration/http/MigrationGoldenFilesTest.java
+++ b/src/test/java/wallmoor/migration/http/MigrationGoldenFilesTest.java
@@ -111,8 +111,7 @@
             assertEquals(2, second.version());
             assertEquals(lines.get(2), second.body());
             assertEquals(lines.get(3), second.fallback());
-            assertEquals(MigrationPlan.decode(DocumentSchemas.PLAN.parse(lines.get(2))),
-                    MigrationRunner.decode(second));
+            assertEquals(MigrationPlan.decode(DocumentSchemas.PLAN.parse(lines.get(2))), PlanDocuments.decode(second));
         }
         Path fresh = folder.newFolder("fresh").toPath();
         try (var plan = new DirectoryPlanStore(fresh)) {
@@ -141,7 +140,7 @@
                     .valueOf(o.text("phase").toUpperCase(Locale.ROOT));
             var status = new MigrationStatus((long) o.number("version", 0), phase, moves, o.text("stuck"),
                     (long) o.number("bytes_per_second", 0), o.text("given_up"));
-            String written = MigrationRunner.json(status, (long) o.number("at_ms", 0));
+            String written = ProgressReport.encode(status, (long) o.number("at_ms", 0));
             assertEquals(line, written.replace(pid, "\"pid\":1"));
             phases.add(phase);
         }
