--- a/src/test/java/wallmoor/net/DiskFleet.java
+++ b/src/test/java/wallmoor/net/DiskFleet.java
@@ -28,7 +28,7 @@
 import wallmoor.migration.MigrationPlan;
 import wallmoor.migration.ReplicaRecord;
 import wallmoor.migration.http.DirectoryPlanStore;
-import wallmoor.migration.http.MigrationRunner;
+import wallmoor.migration.http.PlanDocuments;
 import wallmoor.migration.http.PlanStoreException;
 import wallmoor.standin.DiskNode;
 import wallmoor.standin.Ports;
@@ -190,7 +190,7 @@
     }
 
     String status() {
-        String s = new DirectoryPlanStore(plan).progress();
+        String s = new DirectoryPlanStore(plan).readProgress();
         return s == null ? "" : s;
     }
 
@@ -223,7 +223,7 @@
 
     private Known byDirectory(Random random) throws PlanStoreException {
         var document = new DirectoryPlanStore(plan).read();
-        return document == null ? null : new Known(document.version(), MigrationRunner.decode(document), true);
+        return document == null ? null : new Known(document.version(), PlanDocuments.decode(document), true);
     }
 
     private void query(Random random) throws IOException, InterruptedException, PlanStoreException {
--- a/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
+++ b/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
@@ -25,6 +25,7 @@
 import wallmoor.json.Json;
 import wallmoor.migration.MigrationPlan;
 import wallmoor.migration.ReplicaRecord;
+import wallmoor.migration.UnreadablePlanException;
 import wallmoor.rules.DocumentSchemas;
 import wallmoor.rules.InvalidRuleException;
 import wallmoor.standin.DiskNode;
@@ -80,7 +81,7 @@
                             leased);
         } catch (Json.Malformed e) {
             throw new IOException(e); // it was killed as it answered
-        } catch (InvalidRuleException e) {
+        } catch (InvalidRuleException | UnreadablePlanException e) {
             throw new AssertionError(e);
         }
     }
