--- a/src/main/java/wallmoor/adapter/MessageLine.java
+++ b/src/main/java/wallmoor/adapter/MessageLine.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import wallmoor.decision.RouterApi;
-import wallmoor.decision.RouterApi.LoadMetric;
+import wallmoor.decision.Absent;
+import wallmoor.decision.LoadMetric;
 
 /** One line of the wire: a message's name and its values, taken in order. */
 final class MessageLine {
@@ -136,6 +136,6 @@
     /** The wire's absent time is absent or 0. */
     long timeOrAbsent(String field) {
         long value = longOr(field, 0);
-        return value <= 0 ? RouterApi.ABSENT : value;
+        return value <= 0 ? Absent.VALUE : value;
     }
 }
--- a/src/main/java/wallmoor/adapter/SimulatorAdapter.java
+++ b/src/main/java/wallmoor/adapter/SimulatorAdapter.java
@@ -13,16 +13,17 @@
 import java.util.Set;
 import wallmoor.config.ConfigException;
 import wallmoor.config.SettingsReader;
-import wallmoor.decision.RouterApi;
-import wallmoor.decision.RouterApi.AttemptEndReason;
-import wallmoor.decision.RouterApi.AttemptEnded;
-import wallmoor.decision.RouterApi.LoadMetric;
-import wallmoor.decision.RouterApi.PartArrived;
-import wallmoor.decision.RouterApi.QueryArrived;
-import wallmoor.decision.RouterApi.WorkerListEntry;
-import wallmoor.decision.RouterApi.WorkerListKind;
-import wallmoor.decision.RouterApi.WorkerStatus;
+import wallmoor.decision.Absent;
+import wallmoor.decision.AttemptEndReason;
+import wallmoor.decision.AttemptEnded;
+import wallmoor.decision.LoadMetric;
+import wallmoor.decision.PartArrived;
+import wallmoor.decision.QueryArrived;
+import wallmoor.decision.RoutingActions;
 import wallmoor.decision.RoutingPolicy;
+import wallmoor.decision.WorkerListEntry;
+import wallmoor.decision.WorkerListKind;
+import wallmoor.decision.WorkerStatus;
 
 /** Hosts many roots in one process and speaks the simulator's wire for them. It decides nothing. */
 public final class SimulatorAdapter {
@@ -188,13 +189,13 @@
         int tenant = line.intOr("Realm", 0);
         String key = line.optional("PartitionKey");
         long deadline = line.longValue("Deadline");
-        long hint = line.longOr("WorkHint", RouterApi.ABSENT);
+        long hint = line.longOr("WorkHint", Absent.VALUE);
         long number = line.longValue("Query");
         int shard = line.intValue("SegmentNo");
         double amount = line.doubleOr("ShareOrCount", shard < 0 ? 0 : 1);
         int attrs = line.intOr("Attrs", 0);
         if ((attrs & HINT_BIT) == 0) {
-            hint = RouterApi.ABSENT;
+            hint = Absent.VALUE;
         }
         if (shard < 0) {
             brain.onQueryArrived(now,
@@ -226,7 +227,7 @@
     }
 
     /** Writes one root's actions. */
-    private final class Replies implements RouterApi.RoutingActions {
+    private final class Replies implements RoutingActions {
         private final int number;
 
         Replies(int number) {
--- a/src/main/java/wallmoor/config/ClassIndexes.java
+++ b/src/main/java/wallmoor/config/ClassIndexes.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import wallmoor.decision.RouterApi.QueryClass;
+import wallmoor.decision.QueryClass;
 
 /**
  * Where each class of query stands, over all settings of a process' life. A class keeps its place, so that what is
--- a/src/main/java/wallmoor/config/LaunchConfig.java
+++ b/src/main/java/wallmoor/config/LaunchConfig.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.IntStream;
-import wallmoor.decision.RouterApi.QueryClass;
-import wallmoor.decision.RouterApi.RoutingSettings;
+import wallmoor.decision.QueryClass;
+import wallmoor.decision.RoutingSettings;
 import wallmoor.json.Json;
 
 /**
--- a/src/main/java/wallmoor/config/OgcConfig.java
+++ b/src/main/java/wallmoor/config/OgcConfig.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import wallmoor.decision.RouterApi.ShardLayout;
+import wallmoor.decision.ShardLayout;
 
 /**
  * The second front's section of the operators' file: where it listens, its collections and its inventory.
--- a/src/main/java/wallmoor/config/SettingsReader.java
+++ b/src/main/java/wallmoor/config/SettingsReader.java
@@ -3,15 +3,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wallmoor.decision.RouterApi.CostModel;
-import wallmoor.decision.RouterApi.Idempotency;
-import wallmoor.decision.RouterApi.LoadMetric;
-import wallmoor.decision.RouterApi.PlatformLimits;
-import wallmoor.decision.RouterApi.PlatformRules;
-import wallmoor.decision.RouterApi.QueryClass;
-import wallmoor.decision.RouterApi.RoutingSettings;
-import wallmoor.decision.RouterApi.ShardLayout;
-import wallmoor.decision.RouterApi.Tenant;
+import wallmoor.decision.CostModel;
+import wallmoor.decision.Idempotency;
+import wallmoor.decision.LoadMetric;
+import wallmoor.decision.PlatformLimits;
+import wallmoor.decision.PlatformRules;
+import wallmoor.decision.QueryClass;
+import wallmoor.decision.RoutingSettings;
+import wallmoor.decision.ShardLayout;
+import wallmoor.decision.Tenant;
 
 /**
  * Turns settings, flattened to path=value pairs as in the simulator's START, into what the module takes; unknown keys
--- a/src/main/java/wallmoor/core/AttemptOutcome.java
+++ b/src/main/java/wallmoor/core/AttemptOutcome.java
@@ -1,29 +1,29 @@
 package wallmoor.core;
 
-import wallmoor.decision.RouterApi;
+import wallmoor.decision.AttemptEndReason;
 
 /** How an attempt ended, in the words of the fronts. */
 public enum AttemptOutcome {
     /** Served: the value is in. */
-    SERVED(RouterApi.AttemptEndReason.OK),
+    SERVED(AttemptEndReason.OK),
     /** The worker answered with an error; it may have run. */
-    ERROR(RouterApi.AttemptEndReason.ERROR),
+    ERROR(AttemptEndReason.ERROR),
     /** Turned away unseen. */
-    REJECTED(RouterApi.AttemptEndReason.REJECTED),
+    REJECTED(AttemptEndReason.REJECTED),
     /** No answer in time; it may have run. */
-    TIMED_OUT(RouterApi.AttemptEndReason.TIMEOUT),
+    TIMED_OUT(AttemptEndReason.TIMEOUT),
     /** The connection never came up, or broke before the last byte was written: never ran. */
-    CONNECT_FAILED(RouterApi.AttemptEndReason.CONNECT_FAILED),
+    CONNECT_FAILED(AttemptEndReason.CONNECT_FAILED),
     /** The connection broke after the last byte was written; it may have run. */
-    RESET(RouterApi.AttemptEndReason.RESET),
+    RESET(AttemptEndReason.RESET),
     /** Called off; it may have run. */
-    CANCELLED(RouterApi.AttemptEndReason.CANCELLED),
+    CANCELLED(AttemptEndReason.CANCELLED),
     /** Called off before any byte was written: never ran. */
-    NOT_SENT(RouterApi.AttemptEndReason.NOT_STARTED);
+    NOT_SENT(AttemptEndReason.NOT_STARTED);
 
-    final RouterApi.AttemptEndReason code;
+    final AttemptEndReason code;
 
-    AttemptOutcome(RouterApi.AttemptEndReason code) {
+    AttemptOutcome(AttemptEndReason code) {
         this.code = code;
     }
 }
--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -15,15 +15,16 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import wallmoor.decision.RouterApi;
-import wallmoor.decision.RouterApi.AttemptEnded;
-import wallmoor.decision.RouterApi.PartArrived;
-import wallmoor.decision.RouterApi.QueryArrived;
-import wallmoor.decision.RouterApi.RoutingSettings;
-import wallmoor.decision.RouterApi.WorkerListEntry;
-import wallmoor.decision.RouterApi.WorkerListKind;
-import wallmoor.decision.RouterApi.WorkerStatus;
+import wallmoor.decision.Absent;
+import wallmoor.decision.AttemptEnded;
+import wallmoor.decision.PartArrived;
+import wallmoor.decision.QueryArrived;
+import wallmoor.decision.RoutingActions;
 import wallmoor.decision.RoutingPolicy;
+import wallmoor.decision.RoutingSettings;
+import wallmoor.decision.WorkerListEntry;
+import wallmoor.decision.WorkerListKind;
+import wallmoor.decision.WorkerStatus;
 import wallmoor.metrics.GathererMetrics;
 import wallmoor.metrics.GathererMetrics.QueryEnd;
 
@@ -123,7 +124,7 @@
             query.parts.forEach(p -> byPart.put(p.id, query));
             long number = ++numbers;
             round(() -> {
-                brain.onQueryArrived(now, new QueryArrived(id, number, queryClass, 0, null, deadline, RouterApi.ABSENT,
+                brain.onQueryArrived(now, new QueryArrived(id, number, queryClass, 0, null, deadline, Absent.VALUE,
                         asks.size(), repeat));
                 for (int i = 0; i < asks.size(); i++) {
                     Query.PartRequest ask = asks.get(i);
@@ -578,7 +579,7 @@
                 case GONE -> WorkerStatus.REMOVED;
             };
             entries.add(new WorkerListEntry(m.id(), m.zone(), m.kind(), m.cell(), state, m.size(),
-                    m.upSince() <= 0 ? RouterApi.ABSENT : m.upSince()));
+                    m.upSince() <= 0 ? Absent.VALUE : m.upSince()));
         }
         brain.onWorkerList(now, kind, entries);
         members.values().stream().filter(m -> m.state() == WorkerEndpoint.EndpointState.GONE)
@@ -655,7 +656,7 @@
     }
 
     /** Turns the module's actions into steps. Runs inside a round. */
-    private final class Decided implements RouterApi.RoutingActions {
+    private final class Decided implements RoutingActions {
 
         @Override
         public void startAttempt(String part, String leaf, long giveUpAfter, long beginWithin) {
--- a/src/main/java/wallmoor/decision/ClassFairness.java
+++ b/src/main/java/wallmoor/decision/ClassFairness.java
@@ -3,7 +3,6 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Set;
-import wallmoor.decision.RouterApi.QueryClass;
 
 /**
  * What each class was served of the worth it asked for, fading with queries. Where the operators count the class that
--- a/src/main/java/wallmoor/decision/ClassLatencies.java
+++ b/src/main/java/wallmoor/decision/ClassLatencies.java
@@ -2,8 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import wallmoor.decision.RouterApi.QueryArrived;
-import wallmoor.decision.RouterApi.RoutingSettings;
 
 /** What a root has learnt of each class's times, by the class's place in the settings, which it keeps for good. */
 final class ClassLatencies {
--- a/src/main/java/wallmoor/decision/RequestTable.java
+++ b/src/main/java/wallmoor/decision/RequestTable.java
@@ -44,7 +44,7 @@
     }
 
     /** Whether more queries and parts are held than the settings allow. */
-    boolean isFull(RouterApi.RoutingSettings settings) {
+    boolean isFull(RoutingSettings settings) {
         int held = queries.size();
         for (TrackedQuery q : queries.values()) {
             held += q.parts.size();
--- a/src/main/java/wallmoor/decision/RoutingPolicy.java
+++ b/src/main/java/wallmoor/decision/RoutingPolicy.java
@@ -3,11 +3,10 @@
 import java.util.*;
 import wallmoor.decision.GossipMessage.QuarantineNotice;
 import wallmoor.decision.GossipMessage.WorkerReport;
-import wallmoor.decision.RouterApi.*;
 import wallmoor.decision.State.*;
 
 /**
- * All decisions of one root. What it takes in and gives out is in {@link RouterApi}. Single-threaded, no
+ * All decisions of one root. What it takes in and gives out is in {@link RoutingActions}. Single-threaded, no
  * clock and no input or output of its own: equal events after an equal start give equal actions. The ordinary
  * path is the Dummy Queues policy of docs/design.md; all else is marked with what it guards against.
  */
@@ -113,7 +112,7 @@
     // ---- state --------------------------------------------------------------------------------------------
 
     private RoutingSettings settings;
-    private final RouterApi.RoutingActions actions;
+    private final RoutingActions actions;
     private final Random random;
     private final WorkerTable fleet;
     private final RequestTable open = new RequestTable();
@@ -157,7 +156,7 @@
      *
      * @throws IllegalArgumentException if the settings contradict themselves
      */
-    public RoutingPolicy(RoutingSettings settings, long seed, RouterApi.RoutingActions actions) {
+    public RoutingPolicy(RoutingSettings settings, long seed, RoutingActions actions) {
         SettingsValidator.check(settings);
         this.settings = settings;
         this.actions = Objects.requireNonNull(actions, "actions are null");
@@ -1020,7 +1019,7 @@
     }
 
     private boolean cold(TrackedWorker leaf) {
-        return leaf.slowStartFrom != RouterApi.ABSENT && now - leaf.slowStartFrom < settings.rules().slowStartWindow();
+        return leaf.slowStartFrom != Absent.VALUE && now - leaf.slowStartFrom < settings.rules().slowStartWindow();
     }
 
     private boolean warm(TrackedWorker leaf) {
@@ -1085,7 +1084,7 @@
 
     private void entry(WorkerListEntry e) {
         TrackedWorker leaf = fleet.update(e, id -> new TrackedWorker(id, LATENCY_STEP, KNEE_START, FAIL_HALF_LIFE));
-        if (e.startedAt() != RouterApi.ABSENT && e.startedAt() > leaf.slowStartFrom) {
+        if (e.startedAt() != Absent.VALUE && e.startedAt() > leaf.slowStartFrom) {
             if (now - e.startedAt() < settings.rules().slowStartWindow()) {
                 leaf.forgetProcess();
             }
--- a/src/main/java/wallmoor/decision/SettingsValidator.java
+++ b/src/main/java/wallmoor/decision/SettingsValidator.java
@@ -1,10 +1,6 @@
 package wallmoor.decision;
 
 import java.util.Objects;
-import wallmoor.decision.RouterApi.Idempotency;
-import wallmoor.decision.RouterApi.PlatformRules;
-import wallmoor.decision.RouterApi.QueryClass;
-import wallmoor.decision.RouterApi.RoutingSettings;
 
 /** Refuses settings that are absent or contradict themselves, with a message that names them. */
 public final class SettingsValidator {
--- a/src/main/java/wallmoor/decision/State.java
+++ b/src/main/java/wallmoor/decision/State.java
@@ -7,9 +7,6 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import wallmoor.decision.RouterApi.QueryArrived;
-import wallmoor.decision.RouterApi.QueryClass;
-import wallmoor.decision.RouterApi.WorkerStatus;
 
 /** What a root remembers of leaves, queries, parts and attempts. {@link RoutingPolicy} alone reads and changes it. */
 final class State {
@@ -22,7 +19,7 @@
         WorkerStatus status = WorkerStatus.UP;
         /** As the list has it, for comparison with others. */
         double size = 1;
-        long slowStartFrom = RouterApi.ABSENT;
+        long slowStartFrom = Absent.VALUE;
         /** What it was sent, also while it was not known to be cold; null before the first part. */
         private SlidingWindowSum recordSent;
         final MovingAverage latency;
--- a/src/main/java/wallmoor/decision/WorkerTable.java
+++ b/src/main/java/wallmoor/decision/WorkerTable.java
@@ -13,9 +13,6 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.function.Predicate;
-import wallmoor.decision.RouterApi.ShardLayout;
-import wallmoor.decision.RouterApi.WorkerListEntry;
-import wallmoor.decision.RouterApi.WorkerStatus;
 import wallmoor.decision.State.TrackedWorker;
 
 /** The leaves that lists have named, found by id, by the tag of peer messages, and by the shards they hold. */
--- a/src/main/java/wallmoor/edge/EdgeRequest.java
+++ b/src/main/java/wallmoor/edge/EdgeRequest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.Query;
-import wallmoor.decision.RouterApi.Idempotency;
+import wallmoor.decision.Idempotency;
 import wallmoor.json.Json;
 import wallmoor.queries.QueryBody;
 
--- a/src/main/java/wallmoor/inventory/InventorySource.java
+++ b/src/main/java/wallmoor/inventory/InventorySource.java
@@ -21,7 +21,7 @@
 import wallmoor.config.ConfigException;
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.WorkerEndpoint;
-import wallmoor.decision.RouterApi.ShardLayout;
+import wallmoor.decision.ShardLayout;
 import wallmoor.endpoints.SourceEndpoint;
 import wallmoor.endpoints.WatchEvent;
 import wallmoor.http.Threads;
--- a/src/main/java/wallmoor/service/AgreedLimits.java
+++ b/src/main/java/wallmoor/service/AgreedLimits.java
@@ -1,7 +1,7 @@
 package wallmoor.service;
 
-import wallmoor.decision.RouterApi.PlatformLimits;
-import wallmoor.decision.RouterApi.RoutingSettings;
+import wallmoor.decision.PlatformLimits;
+import wallmoor.decision.RoutingSettings;
 import wallmoor.rules.EffectiveRule;
 import wallmoor.rules.RuleBody;
 
--- a/src/main/java/wallmoor/service/EffectiveSettings.java
+++ b/src/main/java/wallmoor/service/EffectiveSettings.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import wallmoor.config.LaunchConfig;
-import wallmoor.decision.RouterApi.PlatformLimits;
-import wallmoor.decision.RouterApi.RoutingSettings;
+import wallmoor.decision.PlatformLimits;
+import wallmoor.decision.RoutingSettings;
 import wallmoor.rules.EffectiveRule;
 
 /**
--- a/src/test/java/wallmoor/LayersTest.java
+++ b/src/test/java/wallmoor/LayersTest.java
@@ -101,7 +101,7 @@
             try (var files = Files.list(Path.of("src/main/java/wallmoor", front))) {
                 String text = files.map(LayersTest::read).collect(Collectors.joining());
                 assertTrue(front,
-                        Pattern.compile("decision\\.(?!RouterApi\\.(RoutingSettings|Idempotency|ShardLayout);)")
+                        Pattern.compile("decision\\.(?!(RoutingSettings|Idempotency|ShardLayout);)")
                                 .matcher(text)
                                 .results().findAny().isEmpty());
             }
--- a/src/test/java/wallmoor/config/ClassIndexesTest.java
+++ b/src/test/java/wallmoor/config/ClassIndexesTest.java
@@ -14,8 +14,8 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.Test;
-import wallmoor.decision.RouterApi.Idempotency;
-import wallmoor.decision.RouterApi.QueryClass;
+import wallmoor.decision.Idempotency;
+import wallmoor.decision.QueryClass;
 import wallmoor.json.Json;
 
 /** Places of classes over settings that change, and files that lack a key. */
--- a/src/test/java/wallmoor/core/GathererTest.java
+++ b/src/test/java/wallmoor/core/GathererTest.java
@@ -19,7 +19,7 @@
 import org.junit.Before;
 import org.junit.Test;
 import wallmoor.config.SettingsReader;
-import wallmoor.decision.RouterApi.RoutingSettings;
+import wallmoor.decision.RoutingSettings;
 
 /** The facade with a hand-turned clock and no sockets. */
 public class GathererTest {
--- a/src/test/java/wallmoor/decision/AdmissionControlTest.java
+++ b/src/test/java/wallmoor/decision/AdmissionControlTest.java
@@ -4,7 +4,6 @@
 
 import java.util.List;
 import org.junit.Test;
-import wallmoor.decision.RouterApi.Idempotency;
 
 /** Seen on the bench: the first one-part query of a class was refused with its whole time left. */
 public class AdmissionControlTest {
@@ -13,7 +12,7 @@
     /** The one leaf answers in 0.9 s, which an aim of 2 s can live with if a query has one part. */
     private static PolicyHarness slowWorker() {
         var site = new PolicyHarness.SiteSettings();
-        site.layout = new RouterApi.ShardLayout(12, 1, 1);
+        site.layout = new ShardLayout(12, 1, 1);
         site.classes = List.of(PolicyHarness.SiteSettings.allParts(Idempotency.IDEMPOTENT),
                 PolicyHarness.SiteSettings.allParts(Idempotency.NOT_IDEMPOTENT));
         var rig = new PolicyHarness(site).workers(1);
@@ -41,7 +40,7 @@
     /** Two leaves hold each shard, one class earns a hundredth of the other. */
     private static PolicyHarness poorAndRich(int latency) {
         var site = new PolicyHarness.SiteSettings();
-        var rich = new RouterApi.QueryClass(100, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, 1, 1, 0.9, 0);
+        var rich = new QueryClass(100, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, 1, 1, 0.9, 0);
         site.classes = List.of(rich, PolicyHarness.SiteSettings.allParts(Idempotency.IDEMPOTENT));
         var rig = new PolicyHarness(site).workers(12);
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/wallmoor/decision/ClassFairnessTest.java
+++ b/src/test/java/wallmoor/decision/ClassFairnessTest.java
@@ -5,7 +5,6 @@
 
 import java.util.List;
 import org.junit.Test;
-import wallmoor.decision.RouterApi.Idempotency;
 
 /** The class that is served worst counts by itself where the operators say so. */
 public class ClassFairnessTest {
--- a/src/test/java/wallmoor/decision/LongRunningServiceTest.java
+++ b/src/test/java/wallmoor/decision/LongRunningServiceTest.java
@@ -5,9 +5,6 @@
 
 import java.util.List;
 import org.junit.Test;
-import wallmoor.decision.RouterApi.Idempotency;
-import wallmoor.decision.RouterApi.WorkerListKind;
-import wallmoor.decision.RouterApi.WorkerStatus;
 
 /** What the module must not do on the days of service; each was seen on the bench. */
 public class LongRunningServiceTest {
@@ -16,7 +13,7 @@
     /** One leaf that answered in 0.9 s when all was slow. */
     private static PolicyHarness afterAStall() {
         var site = new PolicyHarness.SiteSettings();
-        site.layout = new RouterApi.ShardLayout(12, 1, 1);
+        site.layout = new ShardLayout(12, 1, 1);
         site.classes = List.of(PolicyHarness.SiteSettings.allParts(Idempotency.IDEMPOTENT));
         var rig = new PolicyHarness(site).workers(1);
         rig.query(0, 0);
@@ -40,10 +37,10 @@
     public void anUnusedWorkerComesBackWithoutAFailureElsewhere() {
         // one that had been slow was never asked again while another was at hand
         var site = new PolicyHarness.SiteSettings();
-        site.layout = new RouterApi.ShardLayout(1, 1, 1);
+        site.layout = new ShardLayout(1, 1, 1);
         var rig = new PolicyHarness(site);
-        rig.completeList(new RouterApi.WorkerListEntry("one", 0, 0, 0, WorkerStatus.UP, 1, RouterApi.ABSENT),
-                new RouterApi.WorkerListEntry("two", 0, 0, 0, WorkerStatus.UP, 1, RouterApi.ABSENT));
+        rig.completeList(new WorkerListEntry("one", 0, 0, 0, WorkerStatus.UP, 1, Absent.VALUE),
+                new WorkerListEntry("two", 0, 0, 0, WorkerStatus.UP, 1, Absent.VALUE));
         String slow = null;
         for (int i = 0; i < 400; i++) {
             rig.actions.clear();
@@ -79,7 +76,7 @@
     public void workersInSlowStartAreNotStarvedByWhatLittleIsSent() {
         // where most leaves were cold, little was sent, and the less was sent the less a cold one was allowed
         var site = new PolicyHarness.SiteSettings();
-        site.layout = new RouterApi.ShardLayout(1, 1, 1);
+        site.layout = new ShardLayout(1, 1, 1);
         var rig = new PolicyHarness(site).workers(1).warmUp(1);
         for (int i = 0; i < 40; i++) {
             rig.actions.clear();
@@ -101,13 +98,13 @@
     public void whatTouchesNoQueryIsLeftToTheSweep() {
         // each event had all open queries decided: the more a busy root held, the further it fell behind
         var site = new PolicyHarness.SiteSettings();
-        site.layout = new RouterApi.ShardLayout(1, 1, 1);
+        site.layout = new ShardLayout(1, 1, 1);
         var rig = new PolicyHarness(site).workers(1);
         rig.query(0, 0);
-        rig.endAttempt("q0/0", 0, "leaf0", RouterApi.AttemptEndReason.CONNECT_FAILED, 1);
+        rig.endAttempt("q0/0", 0, "leaf0", AttemptEndReason.CONNECT_FAILED, 1);
         assertEquals("out of reach for now", 1, rig.actions("assign").size());
         rig.policy.onWorkerList(rig.now, WorkerListKind.CHANGES, List.of(
-                new RouterApi.WorkerListEntry("other", 0, 0, 0, WorkerStatus.UP, 1, RouterApi.ABSENT)));
+                new WorkerListEntry("other", 0, 0, 0, WorkerStatus.UP, 1, Absent.VALUE)));
         rig.policy.onRoundEnd(rig.now);
         assertEquals(1, rig.actions("assign").size());
         rig.advance(20 * MS);
@@ -117,7 +114,7 @@
     @Test
     public void whatIsGoneIsForgotten() {
         // on a day in service new workers replace the old ones all the time
-        var fleet = new WorkerTable(new RouterApi.ShardLayout(12, 12, 2));
+        var fleet = new WorkerTable(new ShardLayout(12, 12, 2));
         for (int i = 0; i < 100; i++) {
             fleet.update(entry(i, WorkerStatus.UP), LongRunningServiceTest::leaf);
             fleet.update(entry(i, WorkerStatus.REMOVED), LongRunningServiceTest::leaf);
@@ -135,8 +132,8 @@
         assertEquals(0, fleet.workers().size());
     }
 
-    private static RouterApi.WorkerListEntry entry(int i, WorkerStatus state) {
-        return new RouterApi.WorkerListEntry("w" + i, 0, 0, i % 12, state, 1, RouterApi.ABSENT);
+    private static WorkerListEntry entry(int i, WorkerStatus state) {
+        return new WorkerListEntry("w" + i, 0, 0, i % 12, state, 1, Absent.VALUE);
     }
 
     private static State.TrackedWorker leaf(String id) {
--- a/src/test/java/wallmoor/decision/ManyGatherersTest.java
+++ b/src/test/java/wallmoor/decision/ManyGatherersTest.java
@@ -8,8 +8,6 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import wallmoor.decision.RouterApi.WorkerListKind;
-import wallmoor.decision.RouterApi.WorkerStatus;
 
 /** Many modules side by side on one clock, as gatherers that share nothing but discovery and the leaves. */
 class ManyGatherersTest {
@@ -58,7 +56,7 @@
                     free = false;
                     served++;
                     rig.policy.onWorkerList(rig.now, WorkerListKind.COMPLETE,
-                            List.of(PolicyHarness.worker(0, WorkerStatus.UP, RouterApi.ABSENT)));
+                            List.of(PolicyHarness.worker(0, WorkerStatus.UP, Absent.VALUE)));
                     askAt.remove(rig);
                 } else {
                     rig.policy.onWorkerList(rig.now, WorkerListKind.WATCH_FAILED, List.of());
--- a/src/test/java/wallmoor/decision/PolicyHarness.java
+++ b/src/test/java/wallmoor/decision/PolicyHarness.java
@@ -3,24 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import wallmoor.decision.RouterApi.AttemptEndReason;
-import wallmoor.decision.RouterApi.AttemptEnded;
-import wallmoor.decision.RouterApi.CostModel;
-import wallmoor.decision.RouterApi.Idempotency;
-import wallmoor.decision.RouterApi.PartArrived;
-import wallmoor.decision.RouterApi.PlatformLimits;
-import wallmoor.decision.RouterApi.PlatformRules;
-import wallmoor.decision.RouterApi.QueryArrived;
-import wallmoor.decision.RouterApi.QueryClass;
-import wallmoor.decision.RouterApi.RoutingSettings;
-import wallmoor.decision.RouterApi.ShardLayout;
-import wallmoor.decision.RouterApi.Tenant;
-import wallmoor.decision.RouterApi.WorkerListEntry;
-import wallmoor.decision.RouterApi.WorkerListKind;
-import wallmoor.decision.RouterApi.WorkerStatus;
 
 /** One Brain with a hand-turned clock; every action is written down as a line of words. */
-final class PolicyHarness implements RouterApi.RoutingActions {
+final class PolicyHarness implements RoutingActions {
     static final long MS = 1000;
     static final long ROUND = 5 * MS;
 
@@ -104,7 +89,7 @@
     PolicyHarness workers(int cells) {
         var entries = new WorkerListEntry[cells];
         for (int i = 0; i < cells; i++) {
-            entries[i] = worker(i, WorkerStatus.UP, RouterApi.ABSENT);
+            entries[i] = worker(i, WorkerStatus.UP, Absent.VALUE);
         }
         return completeList(entries);
     }
@@ -121,11 +106,11 @@
 
     private String query(int queryClass, long left, boolean repeat, int... shards) {
         String id = "q" + queries;
-        policy.onQueryArrived(now, new QueryArrived(id, queries, queryClass, 0, null, now + left, RouterApi.ABSENT,
+        policy.onQueryArrived(now, new QueryArrived(id, queries, queryClass, 0, null, now + left, Absent.VALUE,
                 shards.length, repeat));
         for (int shard : shards) {
             policy.onPartArrived(now, new PartArrived(id + "/" + shard, queries, shard, 1.0 / shards.length,
-                    RouterApi.ABSENT));
+                    Absent.VALUE));
         }
         queries++;
         policy.onRoundEnd(now);
--- a/src/test/java/wallmoor/decision/RoutingPolicyTest.java
+++ b/src/test/java/wallmoor/decision/RoutingPolicyTest.java
@@ -15,14 +15,6 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import wallmoor.decision.GossipMessage.WorkerReport;
-import wallmoor.decision.RouterApi.AttemptEndReason;
-import wallmoor.decision.RouterApi.Idempotency;
-import wallmoor.decision.RouterApi.PartArrived;
-import wallmoor.decision.RouterApi.QueryArrived;
-import wallmoor.decision.RouterApi.QueryClass;
-import wallmoor.decision.RouterApi.WorkerListEntry;
-import wallmoor.decision.RouterApi.WorkerListKind;
-import wallmoor.decision.RouterApi.WorkerStatus;
 
 class RoutingPolicyTest {
     private static final long MS = PolicyHarness.MS;
@@ -139,7 +131,7 @@
         var site = new PolicyHarness.SiteSettings().onlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6));
         site.classes = List.of(PolicyHarness.SiteSettings.someParts(0.6, 0.6),
                 PolicyHarness.SiteSettings.allParts(Idempotency.IDEMPOTENT));
-        site.layout = new RouterApi.ShardLayout(24, 24, 1);
+        site.layout = new ShardLayout(24, 24, 1);
         var rig = new PolicyHarness(site).workers(24);
         for (int shard = 12; shard < 24; shard++) {
             rig.query(1, shard);
@@ -179,7 +171,7 @@
         var rig = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12);
         String q = rig.query(0, 0, 2);
         rig.policy.onAttemptEnded(rig.now,
-                new RouterApi.AttemptEnded(q + "/0", 0, rig.workerOf(0), AttemptEndReason.ERROR, 5 * MS,
+                new AttemptEnded(q + "/0", 0, rig.workerOf(0), AttemptEndReason.ERROR, 5 * MS,
                         true, Map.of()));
         rig.policy.onRoundEnd(rig.now);
         assertEquals(2, rig.actions("assign").size());
@@ -269,8 +261,8 @@
     @Test
     void aDrainingOrRemovedWorkerGetsNothing() {
         var rig = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12);
-        rig.completeList(PolicyHarness.worker(0, WorkerStatus.DRAINING, RouterApi.ABSENT),
-                PolicyHarness.worker(2, WorkerStatus.UP, RouterApi.ABSENT));
+        rig.completeList(PolicyHarness.worker(0, WorkerStatus.DRAINING, Absent.VALUE),
+                PolicyHarness.worker(2, WorkerStatus.UP, Absent.VALUE));
         rig.query(0, 0); // leaf0 drains, leaf1 is missing from the whole list
         assertTrue(rig.actions("assign").isEmpty());
     }
@@ -426,8 +418,8 @@
         rig.endAttempt(q + "/0", 0, rig.workerOf(0), AttemptEndReason.OK, 10 * MS);
         rig.endAttempt(q + "/2", 0, rig.actions("assign").get(1).split(" ")[2], AttemptEndReason.OK, 10 * MS);
         assertEquals(1, rig.actions("answer").size());
-        rig.policy.onPartArrived(rig.now, new PartArrived("x", 0, 0, 0.5, RouterApi.ABSENT));
-        rig.policy.onPartArrived(rig.now, new PartArrived("y", 0, 2, 0.5, RouterApi.ABSENT));
+        rig.policy.onPartArrived(rig.now, new PartArrived("x", 0, 0, 0.5, Absent.VALUE));
+        rig.policy.onPartArrived(rig.now, new PartArrived("y", 0, 2, 0.5, Absent.VALUE));
         rig.policy.onRoundEnd(rig.now);
         assertEquals(4, rig.actions("assign").size());
         rig.endAttempt("x", 0, rig.workerOf(2), AttemptEndReason.OK, 10 * MS);
@@ -442,7 +434,7 @@
     void aHalfOpenTrialGetsANewConnectionInTheOwnZoneOnly() {
         for (int zone = 0; zone < 2; zone++) {
             var rig = new PolicyHarness(new PolicyHarness.SiteSettings());
-            rig.completeList(new WorkerListEntry("leaf0", zone, 0, 0, WorkerStatus.UP, 1, RouterApi.ABSENT));
+            rig.completeList(new WorkerListEntry("leaf0", zone, 0, 0, WorkerStatus.UP, 1, Absent.VALUE));
             String q = rig.query(0, 0);
             rig.endAttempt(q + "/0", 0, "leaf0", AttemptEndReason.RESET, 100 * MS);
             rig.advance(1_000 * MS);
@@ -508,7 +500,7 @@
     @Test
     void aSlowConnectIsNoRestart() {
         var rig = new PolicyHarness(new PolicyHarness.SiteSettings())
-                .completeList(PolicyHarness.worker(0, WorkerStatus.UP, RouterApi.ABSENT));
+                .completeList(PolicyHarness.worker(0, WorkerStatus.UP, Absent.VALUE));
         String q = rig.query(0, 0);
         rig.endAttempt(q + "/0", 0, "leaf0", AttemptEndReason.CONNECT_FAILED, 250 * MS);
         rig.advance(1_000 * MS);
@@ -543,7 +535,7 @@
     void connectTimeoutsToOneZoneBlameItsWorkers() {
         var entries = new WorkerListEntry[12];
         for (int i = 0; i < 12; i++) {
-            entries[i] = new WorkerListEntry("leaf" + i, i % 2, 0, i, WorkerStatus.UP, 1, RouterApi.ABSENT);
+            entries[i] = new WorkerListEntry("leaf" + i, i % 2, 0, i, WorkerStatus.UP, 1, Absent.VALUE);
         }
         var rig = new PolicyHarness(new PolicyHarness.SiteSettings()).completeList(entries).warmUp(12);
         var blamed = new java.util.TreeSet<String>();
@@ -629,7 +621,7 @@
         String q = rig.query(1, 0);
         rig.advance(900 * MS);
         rig.endAttempt(q + "/0", 0, rig.workerOf(0), AttemptEndReason.OK, 900 * MS);
-        rig.policy.onPartArrived(rig.now, new PartArrived("x", Long.parseLong(q.substring(1)), 0, 1, RouterApi.ABSENT));
+        rig.policy.onPartArrived(rig.now, new PartArrived("x", Long.parseLong(q.substring(1)), 0, 1, Absent.VALUE));
         rig.policy.onRoundEnd(rig.now);
         assertEquals(1, rig.actions("assign x").size());
         rig.advance(520 * MS);
@@ -727,7 +719,7 @@
     @Test
     void anUnreachableWorkerIsTriedLessAndLess() {
         var site = new PolicyHarness.SiteSettings();
-        site.layout = new RouterApi.ShardLayout(12, 1, 1);
+        site.layout = new ShardLayout(12, 1, 1);
         var rig = new PolicyHarness(site).workers(1).warmUp(1);
         int tried = 0;
         for (int i = 0; i < 900; i++) {
@@ -836,7 +828,7 @@
         rig.now += 5_000 * MS;
         rig.policy.onTimer(rig.now, "ask");
         assertEquals(2, rig.actions("subscribe").size());
-        rig.completeList(PolicyHarness.worker(0, WorkerStatus.UP, RouterApi.ABSENT));
+        rig.completeList(PolicyHarness.worker(0, WorkerStatus.UP, Absent.VALUE));
         rig.now += 5_000 * MS;
         rig.policy.onTimer(rig.now, "ask");
         assertEquals(2, rig.actions("subscribe").size());
@@ -980,15 +972,15 @@
     @Test
     void wrongListsBreakNothing() {
         var rig = new PolicyHarness(new PolicyHarness.SiteSettings()).completeList(
-                PolicyHarness.worker(12, WorkerStatus.UP, RouterApi.ABSENT),
-                PolicyHarness.worker(-1, WorkerStatus.UP, RouterApi.ABSENT),
+                PolicyHarness.worker(12, WorkerStatus.UP, Absent.VALUE),
+                PolicyHarness.worker(-1, WorkerStatus.UP, Absent.VALUE),
                 PolicyHarness.worker(1, WorkerStatus.UP, LATER));
         rig.policy.onWorkerList(rig.now, WorkerListKind.CHANGES,
-                List.of(PolicyHarness.worker(7, WorkerStatus.REMOVED, RouterApi.ABSENT)));
+                List.of(PolicyHarness.worker(7, WorkerStatus.REMOVED, Absent.VALUE)));
         rig.policy.onWorkerList(rig.now, WorkerListKind.CACHED, List.of());
         rig.query(0, 0);
         assertTrue(rig.actions("assign").isEmpty(), "the last whole list was empty");
-        rig.completeList(PolicyHarness.worker(12, WorkerStatus.UP, RouterApi.ABSENT),
+        rig.completeList(PolicyHarness.worker(12, WorkerStatus.UP, Absent.VALUE),
                 PolicyHarness.worker(1, WorkerStatus.UP, LATER),
                 PolicyHarness.worker(1, WorkerStatus.UP, LATER));
         rig.query(0, 0);
--- a/src/test/java/wallmoor/decision/SlowStartSimulation.java
+++ b/src/test/java/wallmoor/decision/SlowStartSimulation.java
@@ -7,15 +7,6 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import wallmoor.decision.RouterApi.AttemptEndReason;
-import wallmoor.decision.RouterApi.AttemptEnded;
-import wallmoor.decision.RouterApi.PartArrived;
-import wallmoor.decision.RouterApi.PlatformRules;
-import wallmoor.decision.RouterApi.QueryArrived;
-import wallmoor.decision.RouterApi.RoutingSettings;
-import wallmoor.decision.RouterApi.WorkerListEntry;
-import wallmoor.decision.RouterApi.WorkerListKind;
-import wallmoor.decision.RouterApi.WorkerStatus;
 
 /**
  * Many modules and the leaves that they share on one simulated clock. The leaves of the first cell die together and
@@ -148,7 +139,7 @@
         private int busy;
         private boolean away;
         private int life;
-        private long startedAt = RouterApi.ABSENT;
+        private long startedAt = Absent.VALUE;
 
         SimulatedWorker(String id, int cell, double speed) {
             this.id = id;
@@ -159,13 +150,13 @@
 
         double warmth(long at) {
             PlatformRules rules = settings.rules();
-            return startedAt == RouterApi.ABSENT || at - startedAt >= rules.slowStartWindow() ? 1
+            return startedAt == Absent.VALUE || at - startedAt >= rules.slowStartWindow() ? 1
                     : rules.slowStartShare()
                             + (1 - rules.slowStartShare()) * (at - startedAt) / rules.slowStartWindow();
         }
 
         private boolean cold(long at) {
-            return startedAt != RouterApi.ABSENT && at - startedAt < settings.rules().slowStartWindow();
+            return startedAt != Absent.VALUE && at - startedAt < settings.rules().slowStartWindow();
         }
 
         void crash() {
@@ -189,7 +180,7 @@
 
         WorkerListEntry entry() {
             return new WorkerListEntry(id, 0, 0, cell, WorkerStatus.UP, size,
-                    startedAt == RouterApi.ABSENT ? RouterApi.ABSENT : startedAt / 1000 * 1000);
+                    startedAt == Absent.VALUE ? Absent.VALUE : startedAt / 1000 * 1000);
         }
 
         void take(Call call) {
@@ -242,7 +233,7 @@
     }
 
     /** A module with what stands round it: timers, connections, queries of its own clients. */
-    private final class SimulatedGatherer implements RouterApi.RoutingActions {
+    private final class SimulatedGatherer implements RoutingActions {
         final int place;
         private RoutingPolicy brain;
         private int life;
@@ -262,7 +253,7 @@
             brain.onWorkerList(now, WorkerListKind.CACHED,
                     machines.values().stream().map(SimulatedWorker::entry).toList());
             brain.onRoundEnd(now);
-            machines.values().stream().filter(m -> m.startedAt != RouterApi.ABSENT)
+            machines.values().stream().filter(m -> m.startedAt != Absent.VALUE)
                     .forEach(m -> m.toldAt.putIfAbsent(place, now));
             next(life);
         }
@@ -300,13 +291,13 @@
         private void query() {
             String id = "q" + place + "-" + life + "-" + numbers;
             brain.onQueryArrived(now,
-                    new QueryArrived(id, numbers, 0, 0, null, now + 4 * SECOND, RouterApi.ABSENT, day.parts,
+                    new QueryArrived(id, numbers, 0, 0, null, now + 4 * SECOND, Absent.VALUE, day.parts,
                             false));
             int first = random.nextInt(settings.layout().shards());
             for (int i = 0; i < day.parts; i++) {
                 int shard = (first + i) % settings.layout().shards();
                 brain.onPartArrived(now,
-                        new PartArrived(id + "/" + i, numbers, shard, 1.0 / day.parts, RouterApi.ABSENT));
+                        new PartArrived(id + "/" + i, numbers, shard, 1.0 / day.parts, Absent.VALUE));
             }
             numbers++;
             brain.onRoundEnd(now);
--- a/src/test/java/wallmoor/decision/SlowStartTest.java
+++ b/src/test/java/wallmoor/decision/SlowStartTest.java
@@ -7,10 +7,6 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import wallmoor.decision.RouterApi.PlatformLimits;
-import wallmoor.decision.RouterApi.PlatformRules;
-import wallmoor.decision.RouterApi.RoutingSettings;
-import wallmoor.decision.RouterApi.ShardLayout;
 
 /**
  * Any number of modules that don't talk send a leaf that is cold no more than the settings allow all of them together,
--- a/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
+++ b/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
@@ -23,7 +23,7 @@
 import wallmoor.core.Query;
 import wallmoor.core.Step;
 import wallmoor.core.WorkerEndpoint;
-import wallmoor.decision.RouterApi.RoutingSettings;
+import wallmoor.decision.RoutingSettings;
 
 /**
  * A gatherer with a hand-turned clock, real connections to workers whose moves a test makes, and gates in the way of
--- a/src/test/java/wallmoor/inventory/InventorySourceTest.java
+++ b/src/test/java/wallmoor/inventory/InventorySourceTest.java
@@ -13,7 +13,7 @@
 import org.junit.rules.TemporaryFolder;
 import wallmoor.config.ConfigException;
 import wallmoor.core.WorkerEndpoint;
-import wallmoor.decision.RouterApi.ShardLayout;
+import wallmoor.decision.ShardLayout;
 import wallmoor.endpoints.SourceEndpoint;
 
 /** Inventories in YAML and CSV: what is read, and which faults are named. */
--- a/src/test/java/wallmoor/service/EffectiveSettingsTest.java
+++ b/src/test/java/wallmoor/service/EffectiveSettingsTest.java
@@ -19,7 +19,7 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.Test;
 import wallmoor.config.LaunchConfig;
-import wallmoor.decision.RouterApi.PlatformLimits;
+import wallmoor.decision.PlatformLimits;
 import wallmoor.rules.EffectiveRule;
 import wallmoor.rules.FieldValue;
 import wallmoor.rules.RuleBody;
