--- a/src/main/java/wallmoor/core/AttemptLifecycle.java
+++ b/src/main/java/wallmoor/core/AttemptLifecycle.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
-import wallmoor.decision.RouterApi.AttemptEnded;
+import wallmoor.decision.AttemptEnded;
 import wallmoor.decision.RoutingPolicy;
 
 /**
--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
-import wallmoor.decision.RouterApi;
-import wallmoor.decision.RouterApi.PartArrived;
-import wallmoor.decision.RouterApi.QueryArrived;
-import wallmoor.decision.RouterApi.RoutingSettings;
+import wallmoor.decision.Absent;
+import wallmoor.decision.PartArrived;
+import wallmoor.decision.QueryArrived;
 import wallmoor.decision.RoutingPolicy;
+import wallmoor.decision.RoutingSettings;
 import wallmoor.metrics.GathererMetrics;
 
 /**
@@ -108,7 +108,7 @@
             driver.run(() -> {
                 RoutingPolicy policy = driver.policy();
                 policy.onQueryArrived(driver.now(), new QueryArrived(id, number, queryClass, 0, null, deadline,
-                        RouterApi.ABSENT, parts.size(), retry));
+                        Absent.VALUE, parts.size(), retry));
                 for (int i = 0; i < parts.size(); i++) {
                     Query.PartRequest part = parts.get(i);
                     policy.onPartArrived(driver.now(), new PartArrived(query.parts.get(i).id, number, part.shard(),
--- a/src/main/java/wallmoor/core/GathererControl.java
+++ b/src/main/java/wallmoor/core/GathererControl.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.LongSupplier;
-import wallmoor.decision.RouterApi.RoutingSettings;
-import wallmoor.decision.RouterApi.WorkerListKind;
+import wallmoor.decision.RoutingSettings;
+import wallmoor.decision.WorkerListKind;
 
 /**
  * The control side of a {@link Gatherer}: the endpoint list and its watch, bans by operators, settings. Every call
--- a/src/main/java/wallmoor/core/PolicyActions.java
+++ b/src/main/java/wallmoor/core/PolicyActions.java
@@ -4,13 +4,13 @@
 import java.util.Iterator;
 import java.util.List;
 import org.slf4j.Logger;
-import wallmoor.decision.RouterApi;
+import wallmoor.decision.RoutingActions;
 
 /**
  * Turns the actions of the routing policy into steps of queries, timers and requests for a watch. Called in a round
  * alone, so guarded by the gatherer's lock.
  */
-final class PolicyActions implements RouterApi.RoutingActions {
+final class PolicyActions implements RoutingActions {
     /** A query that ends this close to its deadline has run out of time (microseconds). */
     private static final long NEAR_DEADLINE_MICROS = 100_000;
 
--- a/src/main/java/wallmoor/core/WorkerRegistry.java
+++ b/src/main/java/wallmoor/core/WorkerRegistry.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import java.util.Set;
 import wallmoor.core.WorkerEndpoint.EndpointState;
-import wallmoor.decision.RouterApi;
-import wallmoor.decision.RouterApi.WorkerListEntry;
-import wallmoor.decision.RouterApi.WorkerStatus;
+import wallmoor.decision.Absent;
+import wallmoor.decision.WorkerListEntry;
+import wallmoor.decision.WorkerStatus;
 
 /**
  * The workers that the endpoint list names, and those that operators banned: a ban overrides the list, and holds for an
@@ -102,7 +102,7 @@
             case DRAINING -> WorkerStatus.DRAINING;
             case GONE -> WorkerStatus.REMOVED;
         };
-        long upSince = endpoint.upSince() <= 0 ? RouterApi.ABSENT : endpoint.upSince();
+        long upSince = endpoint.upSince() <= 0 ? Absent.VALUE : endpoint.upSince();
         return new WorkerListEntry(endpoint.id(), endpoint.zone(), endpoint.kind(), endpoint.cell(), state,
                 endpoint.size(),
                 upSince);
--- a/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
+++ b/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
@@ -23,7 +23,7 @@
 import wallmoor.core.Query;
 import wallmoor.core.Step;
 import wallmoor.core.WorkerEndpoint;
-import wallmoor.decision.RouterApi.RoutingSettings;
+import wallmoor.decision.RoutingSettings;
 import wallmoor.standin.RecordingLogger;
 
 /**
