--- a/src/main/java/wallmoor/rules/DocumentSchema.java
+++ b/src/main/java/wallmoor/rules/DocumentSchema.java
@@ -1,138 +1,133 @@
 package wallmoor.rules;
 
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Function;
 import wallmoor.json.Json;
-import wallmoor.rules.FieldValue.Amount;
-import wallmoor.rules.FieldValue.Flag;
-import wallmoor.rules.FieldValue.Names;
-import wallmoor.rules.FieldValue.Text;
 
 /**
- * A kind of document: reads and checks bodies, and knows of each field which way is careful. A body is a JSON object
- * without nesting. A field that the kind does not have is refused, not skipped: what one program skips another acts on.
+ * Schema of one kind of document: parses and checks bodies, and merges the bodies of several versions in effect. A body
+ * is a JSON object without nesting. A field that the schema lacks makes the body invalid instead of being skipped: what
+ * one program skips another acts on.
  */
 public final class DocumentSchema {
     private final String name;
     private final List<FieldSchema> fields;
-    private final Function<RuleBody, String> rule;
+    private final Function<RuleBody, String> invariant;
 
     /**
-     * A kind.
+     * Creates a schema.
      *
-     * @param name   of its documents
-     * @param fields all that a body may have; the first that fits a name is that name's
-     * @param rule   what is wrong between fields, or null
+     * @param name      of its documents
+     * @param fields    all that a body may have; the first that matches a name is that name's
+     * @param invariant between fields: returns what is wrong with a body, or null
      */
-    public DocumentSchema(String name, List<FieldSchema> fields, Function<RuleBody, String> rule) {
+    public DocumentSchema(String name, List<FieldSchema> fields, Function<RuleBody, String> invariant) {
         this.name = name;
         this.fields = List.copyOf(fields);
-        this.rule = rule;
+        this.invariant = invariant;
     }
 
-    /** The name of its documents. */
+    /** Returns the name of its documents. */
     public String name() {
         return name;
     }
 
-    /** The table of fields. */
+    /** Returns the fields that a body may have. */
     public List<FieldSchema> fields() {
         return fields;
     }
 
-    /** Reads a body. */
+    /**
+     * Parses a body and checks it against this schema.
+     *
+     * @throws InvalidRuleException if it is no JSON object, has a field or value that the schema lacks, or breaks the
+     *                              invariant between fields
+     */
     public RuleBody parse(String json) throws InvalidRuleException {
         byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
-        var read = new TreeMap<String, FieldValue>();
+        var values = new TreeMap<String, FieldValue>();
         try {
-            for (Map.Entry<String, Object> m : Json.object(bytes, 0, bytes.length).members().entrySet()) {
-                FieldSchema field = field(m.getKey());
-                if (field == null) {
-                    throw new InvalidRuleException(name + ": " + m.getKey() + " is no field of this program's");
-                }
-                FieldValue value = value(m.getValue());
-                String fault = value == null ? "is no number, text, yes or no, or list of names"
-                        : field.violation(value);
-                if (fault != null) {
-                    throw new InvalidRuleException(name + ": " + m.getKey() + " " + fault);
-                }
-                read.put(m.getKey(), value);
+            for (Map.Entry<String, Object> member : Json.object(bytes, 0, bytes.length).members().entrySet()) {
+                values.put(member.getKey(), parseField(member.getKey(), member.getValue()));
             }
         } catch (Json.Malformed e) {
-            throw new InvalidRuleException(name + ": " + e.getMessage());
+            throw invalid(e.getMessage());
         }
-        var body = new RuleBody(read);
-        String fault = rule.apply(body);
+        var body = new RuleBody(values);
+        String fault = invariant.apply(body);
         if (fault != null) {
-            throw new InvalidRuleException(name + ": " + fault);
+            throw invalid(fault);
         }
         return body;
     }
 
-    /** Reads a document, both what it says and its fallback, which may be no bolder. Returns what it says. */
+    private FieldValue parseField(String fieldName, Object json) throws InvalidRuleException {
+        FieldSchema field = field(fieldName);
+        if (field == null) {
+            throw invalid(fieldName + " is no field of this program's");
+        }
+        FieldValue value = FieldValue.ofJson(json);
+        String violation = value == null ? "is no number, text, yes or no, or list of names" : field.violation(value);
+        if (violation != null) {
+            throw invalid(fieldName + " " + violation);
+        }
+        return value;
+    }
+
+    private InvalidRuleException invalid(String fault) {
+        return new InvalidRuleException(name + ": " + fault);
+    }
+
+    /**
+     * Parses a document's body and its fallback, and checks that the fallback permits nothing that the body does not.
+     *
+     * @return the body
+     */
     public RuleBody validate(RuleDocument document) throws InvalidRuleException {
         RuleBody body = parse(document.body());
         if (!isAtMostAsPermissive(parse(document.fallback()), body)) {
-            throw new InvalidRuleException(name + ": the fallback gives what the body does not");
+            throw invalid("the fallback gives what the body does not");
         }
         return body;
     }
 
-    /** Field by field the careful one of both. It need not keep the rule between fields: it only takes away. */
+    /**
+     * Merges two bodies field by field into the more restrictive of each. The result need not keep the invariant
+     * between fields.
+     */
     public RuleBody meet(RuleBody a, RuleBody b) {
         var names = new TreeSet<>(a.fields().keySet());
         names.addAll(b.fields().keySet());
-        var met = new TreeMap<String, FieldValue>();
-        for (String n : names) {
-            FieldValue v = field(n).meet(a.fields().get(n), b.fields().get(n));
-            if (v != null) {
-                met.put(n, v);
+        var merged = new TreeMap<String, FieldValue>();
+        for (String fieldName : names) {
+            FieldValue value = field(fieldName).meet(a.fields().get(fieldName), b.fields().get(fieldName));
+            if (value != null) {
+                merged.put(fieldName, value);
             }
         }
-        return new RuleBody(met);
+        return new RuleBody(merged);
     }
 
-    /** The boldest fallback that a body allows and that gives nothing: its bounds stay, what it gives goes. */
+    /** Returns the fallback that keeps all restrictions of a body and permits nothing. */
     public RuleBody minimalFallback(RuleBody body) {
         return meet(body, RuleBody.EMPTY);
     }
 
-    /** Whether the first gives nothing that the second does not. */
+    /** Returns whether the first body permits nothing that the second does not. */
     public boolean isAtMostAsPermissive(RuleBody a, RuleBody b) {
         return meet(a, b).equals(a);
     }
 
-    /** The field of this name, or null. */
-    FieldSchema field(String of) {
-        for (FieldSchema f : fields) {
-            if (f.matches(of)) {
-                return f;
-            }
-        }
-        return null;
-    }
-
-    private static FieldValue value(Object o) {
-        if (o instanceof Number n && Double.isFinite(n.doubleValue())) {
-            return new Amount(n.doubleValue());
-        } else if (o instanceof Boolean b) {
-            return new Flag(b);
-        } else if (o instanceof String s) {
-            return new Text(s);
-        } else if (o instanceof List<?> l) {
-            var names = new ArrayList<String>();
-            for (Object e : l) {
-                if (!(e instanceof String s)) {
-                    return null;
-                }
-                names.add(s);
+    /** Returns the schema of the field of this name, or null. */
+    FieldSchema field(String fieldName) {
+        for (FieldSchema field : fields) {
+            if (field.matches(fieldName)) {
+                return field;
             }
-            return Names.of(names);
         }
         return null;
     }
--- a/src/main/java/wallmoor/rules/DocumentSchemas.java
+++ b/src/main/java/wallmoor/rules/DocumentSchemas.java
@@ -17,11 +17,11 @@
 import java.util.stream.Stream;
 import wallmoor.rules.FieldValue.Names;
 
-/** The kinds of documents that gatherers agree on, each with its table of fields. */
+/** The schemas of all documents that gatherers agree on. docs/versions.md shows the same table of fields. */
 public final class DocumentSchemas {
     private static final long DAY_MS = 86_400_000;
 
-    /** What would be in each gatherer's own file. Times are milliseconds. */
+    /** Settings that would otherwise stand in each gatherer's own file. Times are milliseconds. */
     public static final DocumentSchema SETTINGS = new DocumentSchema("settings", List.of(
             new FieldSchema("limits.*", LOWER, UNBOUND, 0, 1e9),
             new FieldSchema("allowances.*", LOWER, NOTHING, 0, 1e9), // of a tenant, in queries a second
@@ -79,29 +79,42 @@
 
     private DocumentSchemas() {}
 
-    /** All kinds of this program, by name. */
+    /** Returns all schemas of this program, by name. */
     public static Map<String, DocumentSchema> all() {
         return ALL;
     }
 
-    /** What a voter says of a document that was proposed: whether its own program can read it. */
-    public static LogEntry.VoterVerdict verdict(String member, Map<String, DocumentSchema> kinds,
+    /**
+     * Returns the schema of a document's name.
+     *
+     * @throws InvalidRuleException if there is none
+     */
+    static DocumentSchema require(Map<String, DocumentSchema> schemas, String name) throws InvalidRuleException {
+        DocumentSchema schema = schemas.get(name);
+        if (schema == null) {
+            throw new InvalidRuleException("this program has no kind " + name);
+        }
+        return schema;
+    }
+
+    /** Returns a voter's verdict on a pending version: whether a program with these schemas can read it. */
+    public static LogEntry.VoterVerdict verdict(String voter, Map<String, DocumentSchema> schemas,
             RuleDocument document) {
-        String why = "";
-        DocumentSchema kind = kinds.get(document.name());
+        String objection = "";
         try {
-            if (kind == null) {
-                throw new InvalidRuleException("this program has no kind " + document.name());
-            }
-            kind.validate(document);
+            require(schemas, document.name()).validate(document);
         } catch (InvalidRuleException e) {
-            why = e.getMessage();
+            objection = e.getMessage();
         }
-        return new LogEntry.VoterVerdict(member, document.name(), document.version(), document.hash(), why);
+        return new LogEntry.VoterVerdict(voter, document.name(), document.version(), document.hash(), objection);
     }
 
-    private static String missingFrom(RuleBody body, String part, String whole) {
-        return body.fields().get(part) instanceof Names p && !(body.fields().get(whole) instanceof Names w
-                && w.value().containsAll(p.value())) ? part + " holds what " + whole + " does not" : null;
+    private static String missingFrom(RuleBody body, String subset, String superset) {
+        if (!(body.fields().get(subset) instanceof Names names)) {
+            return null;
+        }
+        boolean contained = body.fields().get(superset) instanceof Names all
+                && all.value().containsAll(names.value());
+        return contained ? null : subset + " holds what " + superset + " does not";
     }
 }
--- a/src/main/java/wallmoor/rules/EffectiveRule.java
+++ b/src/main/java/wallmoor/rules/EffectiveRule.java
@@ -1,24 +1,23 @@
 package wallmoor.rules;
 
 /**
- * What a gatherer goes by. A query keeps the one that it was opened under to its end.
+ * The version of a document that is in effect for a gatherer at one moment. A query keeps the one that it was opened
+ * under to its end.
  *
- * @param activeVersion the version that acts, of which all holds; 0 where none does
- * @param latestVersion   the last version known, and those between, of which what they take away holds
- * @param body by field; empty where nothing is known
+ * @param activeVersion the version of which everything holds; 0 where none does
+ * @param latestVersion the latest version known: of it and those between, only what they restrict holds
+ * @param body          the fields in effect; empty where nothing is known
  */
 public record EffectiveRule(Basis basis, long activeVersion, long latestVersion, RuleBody body) {
-    /** Why it may go by it. */
+    /** By what right a gatherer acts on it. The names are shown to operators. */
     public enum Basis {
-        /** A version that acts, under a lease. */
+        /** Under a lease, the active version. */
         VERSION,
-        /** Under a lease as well, but a version is known that does not act yet: what it takes away holds already. */
+        /** Under a lease, with a later version known that is not active yet: what that restricts holds already. */
         CAREFUL,
-        /**
-         * No lease, or a version that this program can't read: what the last versions give to one that can't be sure.
-         */
+        /** Without a lease, or with a version that this program can't read: the versions' fallbacks. */
         FALLBACK,
-        /** Nothing is known: what the gatherer's own files say. */
+        /** Nothing is known: the gatherer's own files hold. */
         NONE
     }
 }
--- a/src/main/java/wallmoor/rules/FieldSchema.java
+++ b/src/main/java/wallmoor/rules/FieldSchema.java
@@ -1,29 +1,30 @@
 package wallmoor.rules;
 
+import java.util.Locale;
 import wallmoor.rules.FieldValue.Amount;
 
 /**
- * A field that bodies of a kind may have.
+ * A field that bodies of a schema may have.
  *
- * @param path    its name; a last part of {@code *} stands for any one name, which is a node, a block or a tenant
- * @param merge which way is careful
- * @param missing what it means where the field is not there
- * @param minimum   of numbers, the least
- * @param maximum    of numbers, the most
+ * @param path    its name; a last part of {@code *} stands for any one name, such as a node's, a block's or a tenant's
+ * @param merge   which of two values is the more restrictive
+ * @param missing what it means where a body lacks the field
+ * @param minimum of numbers
+ * @param maximum of numbers
  */
 public record FieldSchema(String path, RestrictiveMerge merge, MissingFieldMeaning missing, double minimum,
         double maximum) {
-    /** What a field that is not there means. */
+    private static final double MAX_NUMBER = 1e15;
+
+    /** What it means that a body lacks a field. */
     public enum MissingFieldMeaning {
-        /** Nothing is given: as careful as can be. */
+        /** Nothing is permitted: the most restrictive meaning. */
         NOTHING,
-        /** Nothing is taken away: as bold as can be. */
+        /** Nothing is restricted: the most permissive meaning. */
         UNBOUND
     }
 
-    /**
-     * Checks that what is neither way careful is careful where it is missing: else meeting would not be associative.
-     */
+    /** Checks that a field without an order permits nothing where it is missing: else merging is not associative. */
     public FieldSchema {
         if (merge == RestrictiveMerge.NEITHER && missing != MissingFieldMeaning.NOTHING) {
             throw new IllegalArgumentException(
@@ -31,12 +32,12 @@
         }
     }
 
-    /** One that is no number, or has no bounds but zero. */
-    static FieldSchema of(String path, RestrictiveMerge careful, MissingFieldMeaning missing) {
-        return new FieldSchema(path, careful, missing, 0, 1e15);
+    /** Returns a field that is no number. */
+    static FieldSchema of(String path, RestrictiveMerge merge, MissingFieldMeaning missing) {
+        return new FieldSchema(path, merge, missing, 0, MAX_NUMBER);
     }
 
-    /** Whether it is this field's name. */
+    /** Returns whether a name in a body is this field's. */
     boolean matches(String name) {
         if (!path.endsWith("*")) {
             return path.equals(name);
@@ -45,16 +46,16 @@
         return name.length() > prefix && name.startsWith(path.substring(0, prefix));
     }
 
-    /** What is wrong with a value, or null. */
+    /** Returns what is wrong with a value, or null. The type's name is part of verdicts in the log. */
     String violation(FieldValue value) {
         if (!merge.valueType.isInstance(value)) {
-            return "is no " + merge.valueType.getSimpleName().toLowerCase(java.util.Locale.ROOT);
+            return "is no " + merge.valueType.getSimpleName().toLowerCase(Locale.ROOT);
         }
         return value instanceof Amount a && !(a.value() >= minimum && a.value() <= maximum)
                 ? "is " + a.value() + ", not from " + minimum + " to " + maximum : null;
     }
 
-    /** The careful one of both; null stands for a field that is not there. */
+    /** Returns the more restrictive of two values; null stands for a missing field. */
     FieldValue meet(FieldValue a, FieldValue b) {
         if (a == null || b == null) {
             return missing == MissingFieldMeaning.NOTHING ? null : a == null ? b : a;
--- a/src/main/java/wallmoor/rules/InvalidRuleException.java
+++ b/src/main/java/wallmoor/rules/InvalidRuleException.java
@@ -1,10 +1,10 @@
 package wallmoor.rules;
 
-/** A body that this program cannot read. The message says which field and why. */
+/** A rule's body does not match this program's schema. The message says which field and why. */
 public final class InvalidRuleException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** What is wrong, for the operator. */
+    /** Creates one that says what is wrong, for the operator. */
     public InvalidRuleException(String message) {
         super(message);
     }
--- a/src/main/java/wallmoor/rules/LeaseHolder.java
+++ b/src/main/java/wallmoor/rules/LeaseHolder.java
@@ -1,35 +1,30 @@
 package wallmoor.rules;
 
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
-import wallmoor.rules.LeaseMessage.KnownVersion;
 import wallmoor.rules.LeaseMessage.LeaseDenial;
 import wallmoor.rules.LeaseMessage.LeaseGrant;
 import wallmoor.rules.LeaseMessage.LeaseRequest;
 import wallmoor.rules.LeaseMessage.VersionUpdate;
 
 /**
- * A gatherer's side: what versions it knows and how long it may act on them. Times are microseconds on this process'
- * own monotonic clock, which must go on while the process stands still. Single-threaded; the snapshot is for all to
- * read.
+ * The holder's side of leases (Gray and Cheriton 1989): a gatherer's lease, renewed well before it expires, and the
+ * versions that it knows. Times are microseconds on this process's own monotonic clock, which must go on while the
+ * process is paused. Single-threaded; any thread may read a {@link #snapshot()}.
  */
 public final class LeaseHolder {
-    /** Asks that an answer may still come to: older ones give no time any more. */
+    /** Requests that may still be answered: an answer to an older one would grant no time any more. */
     private static final int MAX_OPEN_REQUESTS = 16;
 
     private final String name;
     private final long incarnation;
     private final LeaseTiming timing;
-    private final Map<String, DocumentSchema> schemas;
-    private final Map<String, TreeMap<Long, RuleDocument>> knownVersions = new TreeMap<>();
-    private final Map<String, Long> activeVersions = new HashMap<>();
-    /** When each ask was made that is not answered yet. */
+    private final RuleEvaluator evaluator;
+    private final KnownVersions known = new KnownVersions();
+    /** By sequence number, when each unanswered request was made. */
     private final LinkedHashMap<Long, Long> openRequests = new LinkedHashMap<>();
-    private final Map<String, String> invalidDocuments = new TreeMap<>();
+    private Map<String, String> invalidDocuments = Map.of();
     private String denialReason = "";
     private long sequence;
     private long nextRequestAt = Long.MIN_VALUE;
@@ -37,170 +32,104 @@
     private RuleSnapshot snapshot = new RuleSnapshot(leaseExpiry, Map.of(), Map.of());
 
     /**
-     * One that has no lease yet.
+     * Creates a holder without a lease.
      *
-     * @param life  of this process: never the same for two of one name
-     * @param kinds of this program, by name
-     * @param kept  what the process before it kept of {@link #knownVersions()}: its fallbacks hold until more is known
+     * @param incarnation of this process: never the same for two processes of one name
+     * @param schemas     of the documents that this program reads, by name
+     * @param stored      {@link #knownVersions()} of the process before: their fallbacks hold until more is known
      */
-    public LeaseHolder(String name, long life, LeaseTiming terms, Map<String, DocumentSchema> kinds,
-            List<VersionChain> kept) {
+    public LeaseHolder(String name, long incarnation, LeaseTiming timing, Map<String, DocumentSchema> schemas,
+            List<VersionChain> stored) {
         this.name = name;
-        this.incarnation = life;
-        this.timing = terms;
-        this.schemas = Map.copyOf(kinds);
-        learn(kept);
+        this.incarnation = incarnation;
+        this.timing = timing;
+        evaluator = new RuleEvaluator(name, schemas);
+        learn(stored);
     }
 
-    /** Time goes on: what to ask the leader now, or null. The ask is to be sent at once, and not again. */
+    /** Time has passed. Returns a request to send to the leader at once, and never again later; or null. */
     public LeaseRequest onTick(long now) {
         return now < nextRequestAt ? null : newRequest(now);
     }
 
-    /** An answer has come. Returns an ask to send at once, which tells the leader what is known now; or null. */
+    /**
+     * The leader has granted a lease, which counts from when it was requested. Returns a request to send at once that
+     * tells the leader of versions just learned; or null.
+     */
     public LeaseRequest onGrant(long now, LeaseGrant grant) {
-        Long at = grant.incarnation() == incarnation && grant.holder().equals(name)
-                ? openRequests.remove(grant.sequence()) : null;
-        if (at == null) {
-            return null; // of another process, told twice, or asked so long ago that it is over
+        Long requestedAt = takeOpenRequest(grant.holder(), grant.incarnation(), grant.sequence());
+        if (requestedAt == null) {
+            return null; // for another process, a duplicate, or requested so long ago that the lease is over
         }
-        boolean more = learn(grant.chains());
-        for (VersionChain c : grant.chains()) { // what holds must be known before any of it is acted on for longer
-            RuleDocument last = latestKnown(c.name());
-            if (c.latestVersion() > 0 && (last == null || last.version() < c.latestVersion())) {
-                denialReason = "what came of " + c.name() + " " + c.latestVersion()
+        boolean newVersion = learn(grant.chains());
+        for (VersionChain chain : grant.chains()) { // the lease holds only for who knows every version in effect
+            RuleDocument latest = known.latest(chain.name());
+            if (chain.latestVersion() > 0 && (latest == null || latest.version() < chain.latestVersion())) {
+                denialReason = "what came of " + chain.name() + " " + chain.latestVersion()
                         + " does not follow from what is known here";
                 return null;
             }
         }
         denialReason = "";
-        leaseExpiry = Math.max(leaseExpiry, at + timing.holderDuration());
+        leaseExpiry = Math.max(leaseExpiry, requestedAt + timing.holderDuration());
         snapshot = new RuleSnapshot(leaseExpiry, snapshot.underLease(), snapshot.withoutLease());
-        return more ? newRequest(now) : null;
+        return newVersion ? newRequest(now) : null;
     }
 
-    /** No lease was given. */
-    public void onDenial(LeaseDenial answer) {
-        if (answer.incarnation() == incarnation && answer.holder().equals(name)
-                && openRequests.remove(answer.sequence()) != null) {
-            denialReason = answer.reason();
+    /** The leader has denied a lease. */
+    public void onDenial(LeaseDenial denial) {
+        if (takeOpenRequest(denial.holder(), denial.incarnation(), denial.sequence()) != null) {
+            denialReason = denial.reason();
         }
     }
 
-    /** Something new holds. Returns an ask to send at once, which tells the leader that it is known here; or null. */
-    public LeaseRequest onVersionUpdate(long now, VersionUpdate news) {
-        return learn(news.chains()) ? newRequest(now) : null;
+    /** A version was accepted or activated. Returns a request to send at once that tells the leader; or null. */
+    public LeaseRequest onVersionUpdate(long now, VersionUpdate update) {
+        return learn(update.chains()) ? newRequest(now) : null;
     }
 
-    /** What to act on; it changes only in the events above. */
+    /** Returns what to act on. It changes only in the events above. */
     public RuleSnapshot snapshot() {
         return snapshot;
     }
 
-    /** What is known, to be kept over a restart. */
+    /** Returns the known versions of each document, to be stored over a restart. */
     public List<VersionChain> knownVersions() {
-        return knownVersions.entrySet().stream()
-                .map(e -> new VersionChain(e.getKey(), activeVersions.getOrDefault(e.getKey(), 0L),
-                        e.getValue().lastKey(), List.copyOf(e.getValue().values())))
-                .toList();
+        return known.chains();
     }
 
-    /** Documents of which a version that holds can't be read by this program, and why. */
+    /** Returns, by document's name, why this program can't read one of its versions in effect. */
     public Map<String, String> invalidDocuments() {
         return Map.copyOf(invalidDocuments);
     }
 
-    /** Why the leader gave no lease when last asked, or an empty text. */
+    /** Returns why the leader's last answer gave no lease; empty where it gave one. */
     public String denialReason() {
         return denialReason;
     }
 
+    /** Returns when the request was made, and forgets it; null if it is not an open one of this process. */
+    private Long takeOpenRequest(String holder, long itsIncarnation, long itsSequence) {
+        return itsIncarnation == incarnation && holder.equals(name) ? openRequests.remove(itsSequence) : null;
+    }
+
     private LeaseRequest newRequest(long now) {
         nextRequestAt = now + timing.renewalInterval();
         openRequests.put(++sequence, now);
         if (openRequests.size() > MAX_OPEN_REQUESTS) {
             openRequests.remove(openRequests.keySet().iterator().next());
         }
-        var its = new HashMap<String, KnownVersion>();
-        knownVersions.forEach(
-                (n, versions) -> its.put(n,
-                        new KnownVersion(versions.lastKey(), versions.lastEntry().getValue().hash())));
-        return new LeaseRequest(name, incarnation, sequence, its);
+        return new LeaseRequest(name, incarnation, sequence, known.latestOfEach());
     }
 
-    private RuleDocument latestKnown(String of) {
-        var versions = knownVersions.get(of);
-        return versions == null ? null : versions.lastEntry().getValue();
-    }
-
-    /** Whether a version has come to be known that was not. */
+    /** Learns what continues the known versions; returns whether one is known now that was not. */
     private boolean learn(List<VersionChain> chains) {
-        boolean more = false;
-        boolean acts = false;
-        for (VersionChain c : chains) {
-            RuleDocument last = latestKnown(c.name());
-            if (!c.documents().isEmpty() && c.latestVersion() > (last == null ? 0 : last.version()) && c.isLinked()
-                    && follows(c)) {
-                var versions = knownVersions.computeIfAbsent(c.name(), n -> new TreeMap<>());
-                c.documents().forEach(d -> versions.put(d.version(), d));
-                more = true;
-            }
-            var versions = knownVersions.getOrDefault(c.name(), new TreeMap<>());
-            if (versions.containsKey(c.activeVersion())
-                    && c.activeVersion() > activeVersions.getOrDefault(c.name(), 0L)) {
-                activeVersions.put(c.name(), c.activeVersion());
-                acts = true;
-            }
-            versions.headMap(activeVersions.getOrDefault(c.name(), 0L), false).clear();
+        KnownVersions.Learned learned = known.learn(chains);
+        if (learned.changed()) {
+            RuleEvaluator.Evaluation evaluation = evaluator.evaluate(known.chains());
+            invalidDocuments = evaluation.invalid();
+            snapshot = new RuleSnapshot(leaseExpiry, evaluation.underLease(), evaluation.withoutLease());
         }
-        if (more || acts) {
-            publish();
-        }
-        return more;
-    }
-
-    /** Whether what is known is not other than what came. */
-    private boolean follows(VersionChain c) {
-        var versions = knownVersions.getOrDefault(c.name(), new TreeMap<>());
-        return c.documents().stream().allMatch(d -> versions.getOrDefault(d.version(), d).equals(d))
-                && (versions.isEmpty() || c.activeVersion() >= versions.firstKey()
-                        || c.documents().contains(versions.firstEntry().getValue()));
-    }
-
-    private void publish() {
-        var leased = new HashMap<String, EffectiveRule>();
-        var unsure = new HashMap<String, EffectiveRule>();
-        invalidDocuments.clear();
-        knownVersions.forEach((n, versions) -> {
-            long from = activeVersions.getOrDefault(n, 0L);
-            long to = versions.lastKey();
-            var bodies = new ArrayList<RuleBody>();
-            var fallbacks = new ArrayList<RuleBody>();
-            DocumentSchema kind = schemas.get(n);
-            for (RuleDocument d : versions.values()) {
-                try {
-                    if (kind == null) {
-                        throw new InvalidRuleException("this program has no kind " + n);
-                    }
-                    bodies.add(kind.validate(d));
-                    fallbacks.add(kind.parse(d.fallback()));
-                } catch (InvalidRuleException e) {
-                    invalidDocuments.put(n, name + " cannot read " + n + " " + d.version() + ": " + e.getMessage());
-                }
-            }
-            if (fallbacks.isEmpty()) {
-                return;
-            }
-            var least = new EffectiveRule(EffectiveRule.Basis.FALLBACK, from, to,
-                    fallbacks.stream().reduce(kind::meet).orElseThrow());
-            unsure.put(n, least);
-            // what was never told to act acts nowhere, not even what it gives beside a fallback
-            leased.put(n,
-                    from == 0 || invalidDocuments.containsKey(n) ? least
-                            : new EffectiveRule(from == to ? EffectiveRule.Basis.VERSION
-                                    : EffectiveRule.Basis.CAREFUL, from, to,
-                                    bodies.stream().reduce(kind::meet).orElseThrow()));
-        });
-        snapshot = new RuleSnapshot(leaseExpiry, leased, unsure);
+        return learned.newVersion();
     }
 }
--- a/src/main/java/wallmoor/rules/LeaseMessage.java
+++ b/src/main/java/wallmoor/rules/LeaseMessage.java
@@ -3,33 +3,38 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a gatherer and the leader of the voters say to each other. */
+/** Messages between a lease holder and the leader. Any of them may be lost, late or repeated. */
 public sealed interface LeaseMessage {
-    /** What a gatherer knows of a document: the last version's number and hash. */
+    /** The latest version of a document that a lease holder knows: its number and hash. */
     record KnownVersion(long version, String hash) {}
 
     /**
-     * A gatherer asks for a lease, and gives its word: from when it asked on it does nothing that a version it knows
-     * takes away. That gives up what leases it had on older ones.
+     * Requests a lease on all documents. With it the holder promises that since the request was made it does nothing
+     * that a version it knows restricts, and so gives up its leases on older versions.
      *
-     * @param incarnation tells two processes of one name apart
-     * @param sequence  goes up; the lease counts from when the ask of this number was made
+     * @param incarnation   tells two processes of one name apart
+     * @param sequence      increases; the lease counts from when the request of this number was made
+     * @param knownVersions by document's name
      */
     record LeaseRequest(String holder, long incarnation, long sequence,
             Map<String, KnownVersion> knownVersions) implements LeaseMessage {
-        /** Keeps a copy that nobody changes. */
+        /** Copies the map. */
         public LeaseRequest {
             knownVersions = Map.copyOf(knownVersions);
         }
     }
 
-    /** The leader gives a lease on all documents, as an answer to an ask. */
+    /**
+     * Grants the lease that a request asked for.
+     *
+     * @param chains the versions in effect of each document, without the documents that the holder knows already
+     */
     record LeaseGrant(String holder, long incarnation, long sequence,
             List<VersionChain> chains) implements LeaseMessage {}
 
-    /** No lease: {@code why} is for the operator. */
+    /** Denies a lease, with a reason for the operator. */
     record LeaseDenial(String holder, long incarnation, long sequence, String reason) implements LeaseMessage {}
 
-    /** Something was accepted, or acts; no lease comes with it. */
+    /** A version was accepted or activated; no lease comes with it. */
     record VersionUpdate(List<VersionChain> chains) implements LeaseMessage {}
 }
--- a/src/main/java/wallmoor/rules/ProposalRejection.java
+++ b/src/main/java/wallmoor/rules/ProposalRejection.java
@@ -1,30 +1,31 @@
 package wallmoor.rules;
 
 /**
- * Why a proposal was refused.
+ * Why a proposal was rejected.
  *
- * @param aboutVersion of the version that it is about: the one refused, or the one that won
- * @param opponent     who stands against it: a voter's name, or the winner's author
- * @param detail what there is to say beside
+ * @param name         of the document
+ * @param aboutVersion the version rejected, or the one that won over it
+ * @param opponent     the voter that objects or is silent, or the winner's author
+ * @param detail       by reason, such as a voter's objection or the winner's hash
  */
 public record ProposalRejection(Reason reason, String name, long aboutVersion, String opponent, String detail) {
-    /** The reasons. */
+    /** Reasons for a rejection. */
     public enum Reason {
-        /** Another proposal on the same parent came first. */
+        /** Another proposal on the same parent was first in the log. */
         LOST,
-        /** The parent is not the last version. */
+        /** The parent is not the latest accepted version. */
         OLD_PARENT,
         /** A voter's program can't read it. */
         UNREADABLE,
-        /** Too few voters said that they can read it. */
+        /** Fewer than a majority of voters sent a verdict in time. */
         UNHEARD,
-        /** Too many accepted versions don't act yet. */
+        /** Too many accepted versions are not active yet. */
         BUSY,
-        /** It is too large, or its name is none. */
+        /** It is too large, or its name, author or parent is invalid. */
         MALFORMED
     }
 
-    /** What happened and what the author can do. */
+    /** Returns a sentence for the author: what happened and what to do. */
     public String message() {
         String version = name + " " + aboutVersion;
         return switch (reason) {
--- a/src/main/java/wallmoor/rules/RestrictiveMerge.java
+++ b/src/main/java/wallmoor/rules/RestrictiveMerge.java
@@ -7,57 +7,51 @@
 import wallmoor.rules.FieldValue.Text;
 
 /**
- * Which way a field is careful. Two values meet in the one that takes away at least as much as either; meeting is
- * associative, commutative and idempotent, so that it does not matter in which order versions come to be known.
+ * Which of two values of a field is the more restrictive. The values of a field form a meet-semilattice: {@link #meet}
+ * is associative, commutative and idempotent, so the order in which versions become known does not matter. The names
+ * stand in docs/versions.md.
  */
 public enum RestrictiveMerge {
     /** The smaller number. */
     LOWER(Amount.class),
     /** The larger number. */
     HIGHER(Amount.class),
-    /** No. */
+    /** False. */
     OFF(Flag.class),
-    /** Yes. */
+    /** True. */
     ON(Flag.class),
-    /** Names that both have. */
+    /** The names in both sets. */
     FEWER(Names.class),
-    /** Names that either has. */
+    /** The names in either set. */
     MORE(Names.class),
-    /** None of two that differ: the field is not there until all agree, and who reads it does without. */
+    /** Neither of two that differ: the field is missing until all versions in effect agree, and readers do without. */
     NEITHER(Text.class);
 
-    /** What such a field holds. */
+    /** The type of such a field's values. */
     final Class<? extends FieldValue> valueType;
 
-    RestrictiveMerge(Class<? extends FieldValue> type) {
-        this.valueType = type;
+    RestrictiveMerge(Class<? extends FieldValue> valueType) {
+        this.valueType = valueType;
     }
 
-    /** The careful one of both, or null where there is none. */
+    /** Returns the more restrictive of both, or null where they differ and have no order. */
     FieldValue meet(FieldValue a, FieldValue b) {
-        switch (this) {
-            case LOWER, HIGHER -> {
-                double x = ((Amount) a).value();
-                double y = ((Amount) b).value();
-                return new Amount(this == LOWER ? Math.min(x, y) : Math.max(x, y));
-            }
-            case OFF, ON -> {
-                boolean x = ((Flag) a).value();
-                boolean y = ((Flag) b).value();
-                return new Flag(this == OFF ? x && y : x || y);
-            }
-            case FEWER, MORE -> {
+        return switch (this) {
+            case LOWER -> new Amount(Math.min(((Amount) a).value(), ((Amount) b).value()));
+            case HIGHER -> new Amount(Math.max(((Amount) a).value(), ((Amount) b).value()));
+            case OFF -> new Flag(((Flag) a).value() && ((Flag) b).value());
+            case ON -> new Flag(((Flag) a).value() || ((Flag) b).value());
+            case FEWER -> {
                 var names = new TreeSet<>(((Names) a).value());
-                if (this == FEWER) {
-                    names.retainAll(((Names) b).value());
-                } else {
-                    names.addAll(((Names) b).value());
-                }
-                return new Names(names);
+                names.retainAll(((Names) b).value());
+                yield new Names(names);
             }
-            default -> {
-                return a.equals(b) ? a : null;
+            case MORE -> {
+                var names = new TreeSet<>(((Names) a).value());
+                names.addAll(((Names) b).value());
+                yield new Names(names);
             }
-        }
+            case NEITHER -> a.equals(b) ? a : null;
+        };
     }
 }
--- a/src/main/java/wallmoor/rules/RuleBody.java
+++ b/src/main/java/wallmoor/rules/RuleBody.java
@@ -2,6 +2,7 @@
 
 import java.util.Collections;
 import java.util.SortedMap;
+import java.util.SortedSet;
 import java.util.TreeMap;
 import wallmoor.json.Json;
 import wallmoor.rules.FieldValue.Amount;
@@ -9,62 +10,73 @@
 import wallmoor.rules.FieldValue.Names;
 import wallmoor.rules.FieldValue.Text;
 
-/** What a document says, by field. Immutable: traffic reads it without waiting. */
+/** A rule's body: its values by field. Immutable, so that any thread reads it without waiting. */
 public record RuleBody(SortedMap<String, FieldValue> fields) {
-    /** Whole numbers below are told without a fraction. */
-    private static final double EXACT = 1e15;
-    /** A body that says nothing. */
+    /** A body without fields. */
     public static final RuleBody EMPTY = new RuleBody(new TreeMap<>());
 
-    /** Keeps a copy that nobody changes. */
+    /** Integers below this are written without a fraction; a double holds them all exactly. */
+    private static final double MAX_EXACT_INTEGER = 1e15;
+
+    /** Copies the map. */
     public RuleBody {
         fields = Collections.unmodifiableSortedMap(new TreeMap<>(fields));
     }
 
-    /** As a JSON object, which {@link DocumentSchema#parse} reads as this body again. */
+    /** Returns a JSON object, which {@link DocumentSchema#parse} reads as this body again. */
     public String toJson() {
         var to = new StringBuilder("{");
         fields.forEach((name, value) -> {
             to.append(to.length() == 1 ? "" : ",");
             Json.quote(to, name);
             to.append(':');
-            if (value instanceof Amount a) {
-                double n = a.value();
-                to.append(n == Math.rint(n) && Math.abs(n) < EXACT ? Long.toString((long) n) : Double.toString(n));
-            } else if (value instanceof Flag f) {
-                to.append(f.value());
-            } else if (value instanceof Text t) {
-                Json.quote(to, t.value());
-            } else if (value instanceof Names names) {
-                String separator = "[";
-                for (String n : names.value()) {
-                    to.append(separator);
-                    Json.quote(to, n);
-                    separator = ",";
-                }
-                to.append(names.value().isEmpty() ? "[]" : "]");
-            }
+            append(to, value);
         });
         return to.append('}').toString();
     }
 
-    /** A number, or the other where it is not there. */
-    public double amount(String field, double otherwise) {
-        return fields.get(field) instanceof Amount a ? a.value() : otherwise;
+    private static void append(StringBuilder to, FieldValue value) {
+        if (value instanceof Amount amount) {
+            double number = amount.value();
+            boolean isInteger = number == Math.rint(number) && Math.abs(number) < MAX_EXACT_INTEGER;
+            to.append(isInteger ? Long.toString((long) number) : Double.toString(number));
+        } else if (value instanceof Flag flag) {
+            to.append(flag.value());
+        } else if (value instanceof Text text) {
+            Json.quote(to, text.value());
+        } else if (value instanceof Names names) {
+            appendNames(to, names.value());
+        }
+    }
+
+    private static void appendNames(StringBuilder to, SortedSet<String> names) {
+        String separator = "";
+        to.append('[');
+        for (String name : names) {
+            to.append(separator);
+            Json.quote(to, name);
+            separator = ",";
+        }
+        to.append(']');
+    }
+
+    /** Returns a number, or the default where the field is missing. */
+    public double amount(String field, double defaultValue) {
+        return fields.get(field) instanceof Amount amount ? amount.value() : defaultValue;
     }
 
-    /** Yes or no, or the other where it is not there. */
-    public boolean flag(String field, boolean otherwise) {
-        return fields.get(field) instanceof Flag f ? f.value() : otherwise;
+    /** Returns a flag, or the default where the field is missing. */
+    public boolean flag(String field, boolean defaultValue) {
+        return fields.get(field) instanceof Flag flag ? flag.value() : defaultValue;
     }
 
-    /** A text, or null where it is not there. */
+    /** Returns a text, or null where the field is missing. */
     public String text(String field) {
-        return fields.get(field) instanceof Text t ? t.value() : null;
+        return fields.get(field) instanceof Text text ? text.value() : null;
     }
 
-    /** Whether a field has this name in it; not where the field is not there. */
+    /** Returns whether a set of names contains this one; false where the field is missing. */
     public boolean containsName(String field, String name) {
-        return fields.get(field) instanceof Names n && n.value().contains(name);
+        return fields.get(field) instanceof Names names && names.value().contains(name);
     }
 }
--- a/src/main/java/wallmoor/rules/RuleEvent.java
+++ b/src/main/java/wallmoor/rules/RuleEvent.java
@@ -1,19 +1,24 @@
 package wallmoor.rules;
 
-/** What an entry came to. */
+/** What a log entry changed when {@link RuleStateMachine} applied it. */
 public sealed interface RuleEvent {
-    /** A version has its number and waits for the voters' verdicts. */
+    /** A proposal has become a version with a number, which waits for the voters' verdicts. */
     record VersionPending(RuleDocument document) implements RuleEvent {}
 
-    /** The voters can read it: what it takes away holds wherever it is known. {@code key} is the proposal's. */
+    /** A version is accepted: what it restricts holds wherever it is known. */
     record VersionAccepted(String idempotencyKey, RuleDocument document) implements RuleEvent {}
 
-    /** A proposal has come to nothing. {@code key} is the proposal's. */
+    /** A proposal is rejected, before or after it got a number. */
     record ProposalRejected(String idempotencyKey, ProposalRejection rejection) implements RuleEvent {}
 
-    /** The version acts: what it adds holds as well. */
+    /** An accepted version has become the active one: what it permits holds as well. */
     record VersionActivated(String name, long version) implements RuleEvent {}
 
-    /** Another leader, or another process of the same. */
+    /**
+     * Another voter leads, or another process of the same.
+     *
+     * @param incarnation tells two processes of one voter apart
+     * @param leaderEpoch the leader's fencing token
+     */
     record LeaderChanged(String voter, long incarnation, long leaderEpoch) implements RuleEvent {}
 }
--- a/src/main/java/wallmoor/rules/RuleReader.java
+++ b/src/main/java/wallmoor/rules/RuleReader.java
@@ -1,16 +1,14 @@
 package wallmoor.rules;
 
-/** What this gatherer goes by, asked for at each act: an answer is good for that act alone. It never waits. */
+/** Source of the rules in effect for this gatherer. An answer is good for one act; it never blocks. */
 public interface RuleReader {
-    /**
-     * Of a program that agrees with nobody: the gatherer's own files hold. Who is given this one may know it by that.
-     */
+    /** For a program that agrees with nobody: its own files hold. Code may compare with it to learn that. */
     RuleReader NONE = new Standalone();
 
-    /** What to go by of the document of this name, now. Never null. */
+    /** Returns the rule in effect now of the document of this name; never null. */
     EffectiveRule effectiveRule(String name);
 
-    /** Agrees with nobody. A class of its own, as every start comes by it and a lambda would be linked each time. */
+    /** Agrees with nobody. A class of its own, as every start loads it and a lambda would be linked each time. */
     final class Standalone implements RuleReader {
         private Standalone() {}
 
--- a/src/main/java/wallmoor/rules/RuleStateMachine.java
+++ b/src/main/java/wallmoor/rules/RuleStateMachine.java
@@ -1,6 +1,7 @@
 package wallmoor.rules;
 
 import java.util.Collection;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -8,48 +9,39 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.regex.Pattern;
+import wallmoor.rules.ProposalRejection.Reason;
 
 /**
- * All versions of all documents, as every voter has them: fed with the log's entries in their one order, it comes to
- * the same state everywhere. It assumes nothing of the log but that order, and never reads a body: programs of two
- * releases must come to the same. What a body is worth comes in as voters' verdicts. Single-threaded.
+ * The replicated state machine behind the log, as in Raft: every voter applies the same entries in the same order and
+ * so reaches the same state, which is all versions of all documents and who leads. It assumes nothing of the log but
+ * that order. It never parses a document's body, as voters may run different releases; whether a body can be read comes
+ * in as {@link LogEntry.VoterVerdict}. Single-threaded.
  */
 public final class RuleStateMachine {
     /** Characters of a body and its fallback together: the summaries of 10,000 sites with a short hash each fit. */
     public static final int MAX_BODY_CHARS = 1 << 19;
-    /** Accepted versions that don't act yet: a gatherer keeps and meets them all. */
+    /** Accepted versions of a document that are not active yet: every lease holder keeps and merges them all. */
     static final int MAX_INACTIVE_VERSIONS = 4;
-    /** Versions kept of a document that act no more, for rollbacks and to tell what went before. */
-    private static final int MAX_SUPERSEDED_VERSIONS = 32;
-    /** Characters of them; with those that hold, six documents are 21 Mi at worst, a third of a gatherer of 64 MB. */
-    private static final int MAX_SUPERSEDED_CHARS = 1 << 20;
-    /** Documents: there are four kinds, and room for two of later programs. */
+    /** Versions kept of a document that came before the active one, for rollbacks and the history shown. */
+    static final int MAX_SUPERSEDED_VERSIONS = 32;
+    /** Characters of these; with the versions in effect, six documents take 21 Mi at worst, a third of a 64 MB heap. */
+    static final int MAX_SUPERSEDED_CHARS = 1 << 20;
+    /** Documents: one for each schema of this release, and room for those of later ones. */
     private static final int MAX_DOCUMENTS = 6;
     private static final int MAX_AUTHOR_CHARS = 256;
     private static final Pattern NAME = Pattern.compile("[a-z][a-z0-9_-]{0,31}");
 
-    /** One document. */
-    static final class DocumentState {
-        final TreeMap<Long, RuleDocument> accepted = new TreeMap<>();
-        /** What each voter said of the pending one: empty where it can read it. */
-        final TreeMap<String, String> verdicts = new TreeMap<>();
-        RuleDocument pending;
-        long activeVersion;
-        /** The highest number ever given. */
-        long highestNumber;
-
-        RuleDocument latestAccepted() {
-            return accepted.isEmpty() ? null : accepted.lastEntry().getValue();
-        }
-    }
-
     private final Set<String> voters;
     private final Map<String, DocumentState> documents = new TreeMap<>();
     private long leaderEpoch;
     private String leader = "";
-    private long incarnation;
+    private long leaderIncarnation;
 
-    /** An empty one. {@code voters} are the names of all that vote, up or not. */
+    /**
+     * Creates the state before the first entry.
+     *
+     * @param voters the names of all voters, whether they run or not
+     */
     public RuleStateMachine(Collection<String> voters) {
         this.voters = new TreeSet<>(voters);
         if (voters.isEmpty() || this.voters.size() != voters.size()) {
@@ -57,256 +49,139 @@
         }
     }
 
-    /** Takes the next entry; what came of it. An entry that is not current any more comes to nothing. */
+    /**
+     * Applies the next entry of the log.
+     *
+     * @return what changed; nothing where the entry is outdated, such as one of an older leader
+     */
     public List<RuleEvent> apply(LogEntry entry) {
-        if (entry instanceof LogEntry.ProposeVersion p) {
-            return List.of(propose(p.proposal()));
-        } else if (entry instanceof LogEntry.VoterVerdict v) {
-            return verdict(v);
-        } else if (entry instanceof LogEntry.CloseVerdicts c) {
-            return close(c);
-        } else if (entry instanceof LogEntry.LeaderElected l) {
-            leader = l.voter();
-            incarnation = l.incarnation();
-            return List.of(new RuleEvent.LeaderChanged(leader, incarnation, ++leaderEpoch));
-        }
-        return act((LogEntry.ActivateVersion) entry);
-    }
-
-    private RuleEvent propose(RuleProposal p) {
-        DocumentState line = documents.get(p.name());
-        String key = p.idempotencyKey();
-        String malformed = malformed(p, line);
+        if (entry instanceof LogEntry.ProposeVersion propose) {
+            return List.of(propose(propose.proposal()));
+        } else if (entry instanceof LogEntry.VoterVerdict verdict) {
+            DocumentState state = documents.get(verdict.name());
+            return state == null ? List.of() : state.addVerdict(verdict, voters);
+        } else if (entry instanceof LogEntry.CloseVerdicts close) {
+            DocumentState state = documents.get(close.name());
+            return state == null || close.leaderEpoch() != leaderEpoch ? List.of()
+                    : state.closeVerdicts(close.version(), voters);
+        } else if (entry instanceof LogEntry.LeaderElected elected) {
+            leader = elected.voter();
+            leaderIncarnation = elected.incarnation();
+            return List.of(new RuleEvent.LeaderChanged(leader, leaderIncarnation, ++leaderEpoch));
+        }
+        var activate = (LogEntry.ActivateVersion) entry;
+        DocumentState state = documents.get(activate.name());
+        return state == null || activate.leaderEpoch() != leaderEpoch ? List.of()
+                : state.activate(activate.name(), activate.version());
+    }
+
+    private RuleEvent propose(RuleProposal proposal) {
+        String malformed = malformed(proposal);
         if (malformed != null) {
-            return new RuleEvent.ProposalRejected(key,
-                    new ProposalRejection(ProposalRejection.Reason.MALFORMED, p.name(), 0, "", malformed));
-        }
-        if (line == null) {
-            line = new DocumentState();
-            documents.put(p.name(), line);
-        }
-        if (line.pending != null && line.pending.proposal().equals(p)) {
-            return new RuleEvent.VersionPending(line.pending); // told twice
+            return new RuleEvent.ProposalRejected(proposal.idempotencyKey(),
+                    new ProposalRejection(Reason.MALFORMED, proposal.name(), 0, "", malformed));
         }
-        for (RuleDocument d : line.accepted.values()) {
-            if (d.proposal().equals(p)) {
-                return new RuleEvent.VersionAccepted(key, d);
-            }
-        }
-        RuleDocument head = line.latestAccepted();
-        boolean onHead = p.parentVersion() == number(head) && p.parentHash().equals(head == null ? "" : head.hash());
-        RuleDocument winner = line.pending != null && onHead ? line.pending : head;
-        if (winner != null && (!onHead || line.pending != null)) {
-            boolean lost = winner.parentVersion() == p.parentVersion() && winner.parentHash().equals(p.parentHash());
-            return new RuleEvent.ProposalRejected(key,
-                    new ProposalRejection(lost ? ProposalRejection.Reason.LOST : ProposalRejection.Reason.OLD_PARENT,
-                            p.name(),
-                            winner.version(), winner.author(), winner.hash()));
-        } else if (!onHead) {
-            return new RuleEvent.ProposalRejected(key,
-                    new ProposalRejection(ProposalRejection.Reason.MALFORMED, p.name(), 0, "",
-                            "there is no version yet, so it can have no parent"));
-        }
-        int waiting = line.accepted.tailMap(line.activeVersion, false).size();
-        if (waiting >= MAX_INACTIVE_VERSIONS) {
-            return new RuleEvent.ProposalRejected(key,
-                    new ProposalRejection(ProposalRejection.Reason.BUSY, p.name(), head.version(), "",
-                            Integer.toString(waiting)));
-        }
-        line.pending = RuleDocument.of(p, ++line.highestNumber);
-        line.verdicts.clear();
-        return new RuleEvent.VersionPending(line.pending);
+        return documents.computeIfAbsent(proposal.name(), name -> new DocumentState()).propose(proposal);
     }
 
-    private String malformed(RuleProposal p, DocumentState line) {
-        if (!NAME.matcher(p.name()).matches()) {
+    /** Returns what is wrong with the proposal's form, or null. */
+    private String malformed(RuleProposal proposal) {
+        if (!NAME.matcher(proposal.name()).matches()) {
             return "is no name of a document";
-        } else if (line == null && documents.size() >= MAX_DOCUMENTS) {
+        } else if (!documents.containsKey(proposal.name()) && documents.size() >= MAX_DOCUMENTS) {
             return "there are " + MAX_DOCUMENTS + " documents already";
-        } else if (p.body().length() + p.fallback().length() > MAX_BODY_CHARS) {
+        } else if (proposal.body().length() + proposal.fallback().length() > MAX_BODY_CHARS) {
             return "has more than " + MAX_BODY_CHARS + " characters";
         }
-        return p.author().isBlank() || p.author().length() > MAX_AUTHOR_CHARS
+        return proposal.author().isBlank() || proposal.author().length() > MAX_AUTHOR_CHARS
                 ? "has no author of 1 to " + MAX_AUTHOR_CHARS + " characters" : null;
     }
 
-    private List<RuleEvent> verdict(LogEntry.VoterVerdict v) {
-        DocumentState line = documents.get(v.name());
-        if (line == null || line.pending == null || line.pending.version() != v.version()
-                || !line.pending.hash().equals(v.hash()) || !voters.contains(v.voter())) {
-            return List.of();
-        }
-        line.verdicts.put(v.voter(), v.objection());
-        if (!v.objection().isEmpty()) {
-            return List.of(refuse(line, ProposalRejection.Reason.UNREADABLE, v.voter(), v.objection()));
-        }
-        return line.verdicts.size() == voters.size() ? List.of(accept(line)) : List.of();
-    }
-
-    private List<RuleEvent> close(LogEntry.CloseVerdicts c) {
-        DocumentState line = documents.get(c.name());
-        if (c.leaderEpoch() != leaderEpoch || line == null || line.pending == null
-                || line.pending.version() != c.version()) {
-            return List.of();
-        }
-        if (2 * line.verdicts.size() > voters.size()) {
-            return List.of(accept(line));
-        }
-        return List.of(
-                refuse(line, ProposalRejection.Reason.UNHEARD, String.join(", ", votersWithoutVerdict(c.name())), ""));
-    }
-
-    private static RuleEvent accept(DocumentState line) {
-        RuleDocument d = line.pending;
-        line.pending = null;
-        line.accepted.put(d.version(), d);
-        return new RuleEvent.VersionAccepted(d.proposal().idempotencyKey(), d);
-    }
-
-    private static RuleEvent refuse(DocumentState line, ProposalRejection.Reason why, String by, String detail) {
-        RuleDocument d = line.pending;
-        line.pending = null;
-        return new RuleEvent.ProposalRejected(d.proposal().idempotencyKey(),
-                new ProposalRejection(why, d.name(), d.version(), by, detail));
-    }
-
-    private List<RuleEvent> act(LogEntry.ActivateVersion a) {
-        DocumentState line = documents.get(a.name());
-        if (a.leaderEpoch() != leaderEpoch || line == null || a.version() <= line.activeVersion
-                || !line.accepted.containsKey(a.version())) {
-            return List.of();
-        }
-        line.activeVersion = a.version();
-        long text = 0;
-        int kept = 0;
-        for (RuleDocument d : List.copyOf(line.accepted.headMap(line.activeVersion, false).descendingMap().values())) {
-            text += d.body().length() + d.fallback().length();
-            if (++kept > MAX_SUPERSEDED_VERSIONS || text > MAX_SUPERSEDED_CHARS) {
-                line.accepted.remove(d.version());
-            }
-        }
-        return List.of(new RuleEvent.VersionActivated(a.name(), a.version()));
-    }
-
-    // ---- what is asked of it ------------------------------------------------------------------------------
-
-    /** How often a voter has come to lead. */
+    /** Returns how many leaders there have been: the fencing token of entries that a leader appends. */
     public long leaderEpoch() {
         return leaderEpoch;
     }
 
-    /** Whether this process of this voter leads. */
-    public boolean isLeader(String member, long itsLife) {
-        return leader.equals(member) && incarnation == itsLife;
+    /** Returns whether this process of this voter is the leader. */
+    public boolean isLeader(String voter, long incarnation) {
+        return leader.equals(voter) && leaderIncarnation == incarnation;
     }
 
-    /** Who leads, or an empty text. */
+    /** Returns the name of the leader; empty before the first. */
     public String leader() {
         return leader;
     }
 
-    /** All that vote. */
+    /** Returns the names of all voters. */
     public Set<String> voters() {
         return Set.copyOf(voters);
     }
 
-    /** The names of all documents. */
+    /** Returns the names of all documents, sorted. */
     public List<String> documentNames() {
         return List.copyOf(documents.keySet());
     }
 
-    /** Versions of a document that are kept, the oldest first. */
+    /** Returns the accepted versions of a document that are kept, the oldest first. */
     public List<RuleDocument> history(String name) {
-        DocumentState line = documents.get(name);
-        return line == null ? List.of() : List.copyOf(line.accepted.values());
+        DocumentState state = documents.get(name);
+        return state == null ? List.of() : state.history();
     }
 
-    /** The last accepted version, or null. */
+    /** Returns the latest accepted version, or null. */
     public RuleDocument latestAccepted(String name) {
-        DocumentState line = documents.get(name);
-        return line == null ? null : line.latestAccepted();
+        DocumentState state = documents.get(name);
+        return state == null ? null : state.latestAccepted();
     }
 
-    /** The version that acts, or 0. */
+    /** Returns the number of the active version, or 0. */
     public long activeVersion(String name) {
-        DocumentState line = documents.get(name);
-        return line == null ? 0 : line.activeVersion;
+        DocumentState state = documents.get(name);
+        return state == null ? 0 : state.activeVersion();
     }
 
-    /** The version that waits for verdicts, or null. */
+    /** Returns the version that waits for verdicts, or null. */
     public RuleDocument pending(String name) {
-        DocumentState line = documents.get(name);
-        return line == null ? null : line.pending;
+        DocumentState state = documents.get(name);
+        return state == null ? null : state.pending();
     }
 
-    /** Voters of which no verdict has come on the version that waits for them. */
+    /** Returns the voters that have sent no verdict on the pending version; none where nothing is pending. */
     public SortedSet<String> votersWithoutVerdict(String name) {
-        var silent = new TreeSet<>(voters);
-        DocumentState line = documents.get(name);
-        if (line == null || line.pending == null) {
-            silent.clear();
-        } else {
-            silent.removeAll(line.verdicts.keySet());
-        }
-        return silent;
+        DocumentState state = documents.get(name);
+        return state == null ? Collections.emptySortedSet() : state.votersWithoutVerdict(voters);
     }
 
-    /** The versions that hold: the one that acts, if any, and those after it. */
+    /** Returns the active version of a document, if any, and those accepted after it. */
     public VersionChain chain(String name) {
-        DocumentState line = documents.get(name);
-        List<RuleDocument> from = line == null ? List.of()
-                : List.copyOf(line.accepted.tailMap(line.activeVersion, true).values());
-        return new VersionChain(name, activeVersion(name), number(latestAccepted(name)), from);
-    }
-
-    private static long number(RuleDocument d) {
-        return d == null ? 0 : d.version();
+        DocumentState state = documents.get(name);
+        return state == null ? new VersionChain(name, 0, 0, List.of()) : state.chain(name);
     }
 
-    // ---- as bytes -----------------------------------------------------------------------------------------
-
-    /** All of it as bytes, for a snapshot of the log. */
+    /** Returns the complete state as bytes, for a snapshot of the log; equal states give equal bytes. */
     public byte[] takeSnapshot() {
-        var to = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(leaderEpoch)
-                .writeText(leader).writeLong(incarnation).writeLong(documents.size());
-        documents.forEach((name, line) -> {
-            to.writeText(name).writeLong(line.activeVersion).writeLong(line.highestNumber)
-                    .writeLong(line.pending == null ? 0 : 1);
-            if (line.pending != null) {
-                to.writeDocument(line.pending).writeLong(line.verdicts.size());
-                line.verdicts.forEach((m, why) -> to.writeText(m).writeText(why));
-            }
-            to.writeLong(line.accepted.size());
-            line.accepted.values().forEach(to::writeDocument);
-        });
+        var to = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(leaderEpoch).writeText(leader)
+                .writeLong(leaderIncarnation).writeLong(documents.size());
+        documents.forEach((name, state) -> state.writeTo(to.writeText(name)));
         return to.toByteArray();
     }
 
-    /** The one that was saved. */
-    public static RuleStateMachine restoreSnapshot(Collection<String> voters, byte[] saved)
+    /**
+     * Restores the state from a snapshot.
+     *
+     * @throws CorruptDataException if the bytes are not what {@link #takeSnapshot} returned
+     */
+    public static RuleStateMachine restoreSnapshot(Collection<String> voters, byte[] snapshot)
             throws CorruptDataException {
-        var ledger = new RuleStateMachine(voters);
-        var from = new ByteReader(saved).readFormatVersion();
-        ledger.leaderEpoch = from.readLong();
-        ledger.leader = from.readText();
-        ledger.incarnation = from.readLong();
-        for (long n = from.readCount(); n > 0; n--) {
-            var line = new DocumentState();
-            ledger.documents.put(from.readText(), line);
-            line.activeVersion = from.readLong();
-            line.highestNumber = from.readLong();
-            if (from.readLong() == 1) {
-                line.pending = from.readDocument();
-                for (long v = from.readCount(); v > 0; v--) {
-                    line.verdicts.put(from.readText(), from.readText());
-                }
-            }
-            for (long d = from.readCount(); d > 0; d--) {
-                RuleDocument document = from.readDocument();
-                line.accepted.put(document.version(), document);
-            }
+        var restored = new RuleStateMachine(voters);
+        var from = new ByteReader(snapshot).readFormatVersion();
+        restored.leaderEpoch = from.readLong();
+        restored.leader = from.readText();
+        restored.leaderIncarnation = from.readLong();
+        for (long left = from.readCount(); left > 0; left--) {
+            restored.documents.put(from.readText(), DocumentState.readFrom(from));
         }
         from.expectEnd();
-        return ledger;
+        return restored;
     }
 }
--- a/src/main/java/wallmoor/rules/Sha256.java
+++ b/src/main/java/wallmoor/rules/Sha256.java
@@ -6,21 +6,22 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 over texts, each with its length before it, so that none runs into the next. */
+/** SHA-256 over texts, each after its length so that no two lists of texts give the same input. */
 final class Sha256 {
     private Sha256() {}
 
+    /** Returns the hash in hexadecimal digits. */
     static String of(String... texts) {
         try {
-            MessageDigest sha = MessageDigest.getInstance("SHA-256");
-            for (String t : texts) {
-                byte[] bytes = t.getBytes(StandardCharsets.UTF_8);
-                sha.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
-                sha.update(bytes);
+            MessageDigest digest = MessageDigest.getInstance("SHA-256");
+            for (String text : texts) {
+                byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+                digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(bytes.length).array());
+                digest.update(bytes);
             }
-            return HexFormat.of().formatHex(sha.digest());
+            return HexFormat.of().formatHex(digest.digest());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every Java platform has it
+            throw new AssertionError("every Java platform has SHA-256", e);
         }
     }
 }
--- a/src/main/java/wallmoor/rules/VersionChain.java
+++ b/src/main/java/wallmoor/rules/VersionChain.java
@@ -3,35 +3,42 @@
 import java.util.List;
 
 /**
- * The versions of one document that hold: of the one that acts all, of those after it what they take away.
+ * The versions of one document that are in effect: the active one and the accepted ones after it.
  *
- * @param activeVersion      the number of the one that acts; 0 where none does yet
- * @param latestVersion        the number of the last one accepted
- * @param documents all of them, the oldest first; or none, for one who knows them
+ * @param activeVersion 0 where none is active yet
+ * @param latestVersion the latest accepted
+ * @param documents     all of them, the oldest first; or none for a receiver that knows them
  */
 public record VersionChain(String name, long activeVersion, long latestVersion, List<RuleDocument> documents) {
-    /** Keeps a copy that nobody changes. */
+    /** Copies the list. */
     public VersionChain {
         documents = List.copyOf(documents);
     }
 
-    /** The same for one who has the documents. */
+    /** Returns the same chain for a receiver that knows the documents. */
     VersionChain withoutDocuments() {
         return new VersionChain(name, activeVersion, latestVersion, List.of());
     }
 
-    /** Whether each document is the parent of the next, none is altered, and none is missing. */
+    /** Returns whether each document is the parent of the next, none is altered, and none is missing. */
     boolean isLinked() {
-        RuleDocument before = null;
-        for (RuleDocument d : documents) {
-            if (!d.name().equals(name) || !d.hasValidHash() || before != null && (d.parentVersion() != before.version()
-                    || !d.parentHash().equals(before.hash()))) {
+        RuleDocument previous = null;
+        for (RuleDocument document : documents) {
+            if (!document.name().equals(name) || !document.hasValidHash()
+                    || previous != null && !isParent(previous, document)) {
                 return false;
             }
-            before = d;
+            previous = document;
         }
-        return before == null || before.version() == latestVersion
-                && (activeVersion == 0 ? documents.get(0).parentVersion() == 0
-                        : documents.get(0).version() == activeVersion);
+        return previous == null || previous.version() == latestVersion && startsAtActiveVersion();
+    }
+
+    private static boolean isParent(RuleDocument parent, RuleDocument child) {
+        return child.parentVersion() == parent.version() && child.parentHash().equals(parent.hash());
+    }
+
+    private boolean startsAtActiveVersion() {
+        RuleDocument first = documents.get(0);
+        return activeVersion == 0 ? first.parentVersion() == 0 : first.version() == activeVersion;
     }
 }
