--- a/src/bench/java/wallmoor/endpoints/EndpointRegistryBenchmark.java
+++ b/src/bench/java/wallmoor/endpoints/EndpointRegistryBenchmark.java
@@ -37,8 +37,8 @@
     @Setup(Level.Trial)
     public void fill() {
         roster = new EndpointRegistry(
-                RegistryPolicy.of(List.of(new RegistryPolicy.SourcePolicy("list", true, 0, 1, 20_000),
-                        new RegistryPolicy.SourcePolicy("dns", false, 0, 0.2, 20_000))));
+                RegistryPolicy.of(List.of(new SourcePolicy("list", true, 0, 1, 20_000),
+                        new SourcePolicy("dns", false, 0, 0.2, 20_000))));
         all = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             all.add(entry(i, WorkerEndpoint.EndpointState.SERVING));
--- a/src/bench/java/wallmoor/sources/RefreshTime.java
+++ b/src/bench/java/wallmoor/sources/RefreshTime.java
@@ -17,6 +17,7 @@
 import wallmoor.core.WorkerTransport;
 import wallmoor.endpoints.RegistryPolicy;
 import wallmoor.endpoints.SourceEndpoint;
+import wallmoor.endpoints.SourcePolicy;
 import wallmoor.endpoints.WatchEvent;
 
 /**
@@ -90,7 +91,7 @@
         }
         var clock = new MonotonicClock();
         var gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock, line -> {});
-        var policy = RegistryPolicy.of(List.of(new RegistryPolicy.SourcePolicy("dns x", false, 0, 1, 20_000)));
+        var policy = RegistryPolicy.of(List.of(new SourcePolicy("dns x", false, 0, 1, 20_000)));
         var membership = new EndpointUpdater(policy, clock, gatherer, List.of(new Script(entries(0))));
         membership.start();
         var over = new AtomicBoolean();
--- a/src/main/java/wallmoor/cli/MembersCommand.java
+++ b/src/main/java/wallmoor/cli/MembersCommand.java
@@ -7,7 +7,7 @@
 import wallmoor.config.ConfigException;
 import wallmoor.config.LaunchConfig;
 import wallmoor.config.OperatorConfig;
-import wallmoor.endpoints.EndpointRegistry;
+import wallmoor.endpoints.EndpointStatus;
 import wallmoor.json.Json;
 import wallmoor.service.EndpointPreview;
 
@@ -45,7 +45,7 @@
         }
     }
 
-    private void print(EndpointRegistry.EndpointStatus s) {
+    private void print(EndpointStatus s) {
         var m = s.endpoint();
         if (!json) {
             System.out.println(m.id() + " " + m.address() + " cell " + m.cell() + " size " + m.size() + " " + m.state()
--- a/src/main/java/wallmoor/endpoints/FlapDamping.java
+++ b/src/main/java/wallmoor/endpoints/FlapDamping.java
@@ -1,102 +1,93 @@
 package wallmoor.endpoints;
 
 /**
- * How long a node is held out that comes and goes, or that nobody can connect to, though its records say that it
- * serves. Both times grow by doubling, up to a bound, and are forgotten after a quiet while: the damping of RFC 2439
- * without its decay curve, which a bounded doubling does not need. Times are microseconds.
+ * How long an endpoint is suppressed that comes and goes, or that can't be connected to, though its sources say that it
+ * serves. Both times double up to a bound, and are forgotten after a quiet while: the flap damping of RFC 2439 without
+ * its decay curve, which a bounded exponential backoff does not need. Times are microseconds.
  */
 final class FlapDamping {
+    /** Doublings beyond this many change nothing, as every bound is lower. */
+    private static final int MAX_DOUBLINGS = 20;
+    private static final long NEVER = Long.MIN_VALUE;
 
-    /**
-     * The figures.
-     *
-     * @param first      the first hold of a node that flaps: its second return within {@code quiet} has it
-     * @param most       no hold of a node that flaps is longer
-     * @param quiet      so long without a departure, and earlier ones are forgotten
-     * @param failures   connections in a row that must have failed before an address counts as dead
-     * @param failing    and the time they must span
-     * @param mostDead   no hold of a dead address is longer: then it is tried again
-     */
-    public record DampingParameters(long first, long most, long quiet, int failures, long failing, long mostDead) {
-        /** Starting values. */
-        public static final DampingParameters USUAL = new DampingParameters(5_000_000, 300_000_000, 600_000_000, 3,
-                2_000_000, 30_000_000);
-
-        /** Checks the bounds. */
-        public DampingParameters {
-            if (first <= 0 || most < first || quiet <= 0 || failures < 1 || failing < 0 || mostDead < first) {
-                throw new IllegalArgumentException("holds are out of bounds");
-            }
-        }
-    }
-
-    private final DampingParameters figures;
+    private final DampingParameters parameters;
     private int returns;
-    private long leftAt = Long.MIN_VALUE;
-    private int failures;
+    private long removedAt = NEVER;
+    private int connectFailures;
     private long failingSince;
-    private int deaths;
-    private long suppressedUntil = Long.MIN_VALUE;
-    private long deadUntil = Long.MIN_VALUE;
+    private int unreachablePeriods;
+    private long suppressedUntil = NEVER;
+    private long unreachableUntil = NEVER;
     private String suppressionReason;
 
-    FlapDamping(DampingParameters figures) {
-        this.figures = figures;
+    FlapDamping(DampingParameters parameters) {
+        this.parameters = parameters;
     }
 
-    /** The sources have ceased to name it as serving. */
+    /** The sources have ceased to name the endpoint as serving. */
     void onRemoved(long now) {
-        if (leftAt != Long.MIN_VALUE && now - leftAt > figures.quiet()) {
+        if (removedAt != NEVER && now - removedAt > parameters.quiet()) {
             returns = 0;
         }
-        leftAt = now;
+        removedAt = now;
     }
 
-    /** They name it again. The first return is free: a node may be restarted once without being suspected. */
+    /** They name it again. The first return is free: an endpoint may be restarted once without being suppressed. */
     void onReturned(long now) {
-        returns = leftAt != Long.MIN_VALUE && now - leftAt <= figures.quiet() ? returns + 1 : 0;
+        boolean removedLately = removedAt != NEVER && now - removedAt <= parameters.quiet();
+        returns = removedLately ? returns + 1 : 0;
         if (returns > 1) {
-            hold(now, doubled(returns - 2, figures.most()), "returned " + returns + " times");
+            suppress(now, backoff(returns - 2, parameters.most()), "returned " + returns + " times");
         }
     }
 
     /** A connection came up. */
     void onConnectSucceeded() {
-        failures = 0;
-        deaths = 0;
+        connectFailures = 0;
+        unreachablePeriods = 0;
     }
 
-    /** A connection did not come up. Whether the address counts as dead from now on. */
+    /**
+     * A connection did not come up.
+     *
+     * @return whether the address counts as unreachable from now on
+     */
     boolean onConnectFailed(long now) {
-        if (failures++ == 0) {
+        if (connectFailures++ == 0) {
             failingSince = now;
         }
-        boolean trial = deaths > 0; // one that was held out has one try to show that it is back
-        if (isSuppressed(now) || !trial && (failures < figures.failures() || now - failingSince < figures.failing())) {
+        if (isSuppressed(now) || !hasFailedEnough(now)) {
             return false;
         }
-        hold(now, doubled(deaths++, figures.mostDead()), "can't be connected to");
-        failures = 0;
-        deadUntil = suppressedUntil;
+        suppress(now, backoff(unreachablePeriods++, parameters.mostDead()), "can't be connected to");
+        connectFailures = 0;
+        unreachableUntil = suppressedUntil;
         return true;
     }
 
-    /** Whether it is held out because nobody can connect to it. */
+    /** One that was suppressed before has a single attempt to show that it is back. */
+    private boolean hasFailedEnough(long now) {
+        boolean onProbation = unreachablePeriods > 0;
+        return onProbation
+                || (connectFailures >= parameters.failures() && now - failingSince >= parameters.failing());
+    }
+
+    /** Whether it is suppressed because it can't be connected to. */
     boolean isUnreachable(long now) {
-        return now < deadUntil;
+        return now < unreachableUntil;
     }
 
     boolean isSuppressed(long now) {
         return now < suppressedUntil;
     }
 
-    /** Whether a departure lately bears on what a return means. */
+    /** Whether a recent removal still bears on what a return means. */
     boolean hasHistory(long now) {
-        return leftAt != Long.MIN_VALUE && now < historyExpiresAt();
+        return removedAt != NEVER && now < historyExpiresAt();
     }
 
     long historyExpiresAt() {
-        return leftAt + figures.quiet();
+        return removedAt + parameters.quiet();
     }
 
     long suppressedUntil() {
@@ -107,14 +98,14 @@
         return suppressionReason;
     }
 
-    private void hold(long now, long time, String reason) {
+    private void suppress(long now, long time, String reason) {
         if (now + time > suppressedUntil) {
             suppressedUntil = now + time;
             suppressionReason = reason;
         }
     }
 
-    private long doubled(int times, long most) {
-        return Math.min(most, figures.first() << Math.min(times, 20));
+    private long backoff(int doublings, long most) {
+        return Math.min(most, parameters.first() << Math.min(doublings, MAX_DOUBLINGS));
     }
 }
--- a/src/main/java/wallmoor/endpoints/RegistryPolicy.java
+++ b/src/main/java/wallmoor/endpoints/RegistryPolicy.java
@@ -1,53 +1,50 @@
 package wallmoor.endpoints;
 
+import java.util.HashSet;
 import java.util.List;
+import java.util.Set;
 
 /**
- * The figures of a roster. Times are microseconds.
+ * The tuning parameters of an {@link EndpointRegistry}. Times are microseconds.
  *
- * @param sources  from the one whose word goes first to the one whose word goes last
- * @param removalWindowMicros     no more than a share of a source's nodes leaves on its word within this time
- * @param confirmations  so many good replies in a row must lack a node, where too many are lacking to be believed at
- *                       once
- * @param drainMicros   a node that leaves drains for so long before it is gone: more than the longest deadline
- * @param tombstoneMicros a node said to be gone stays so for this long after the last lower source has ceased to name
- *                        it
+ * @param sources             by rank, from the one whose claim goes first to the one whose claim goes last
+ * @param removalWindowMicros no more than a share of a source's endpoints is removed on its claim within this time
+ * @param confirmations       this many consecutive good snapshots must lack an endpoint, where too many are lacking to
+ *                            be believed at once
+ * @param drainMicros         how long an endpoint drains before it is gone: more than the longest deadline
+ * @param tombstoneMicros     how long the claim that an endpoint is gone is kept after the last lower source has ceased
+ *                            to name it
+ * @param damping             when endpoints that flap or can't be reached are suppressed
  */
 public record RegistryPolicy(List<SourcePolicy> sources, long removalWindowMicros, int confirmations, long drainMicros,
-        long tombstoneMicros, FlapDamping.DampingParameters damping) {
-    private static final long SECOND = 1_000_000;
-
-    /**
-     * A source.
-     *
-     * @param trusted  believed at once in all it says, and its nodes are left to the decision module: the node list,
-     *                 or the one source that a fleet has
-     * @param maxStalenessMicros  how long its last good news stands when it can't be heard; 0 for ever
-     * @param removalShare  the share of its nodes that may leave within a step, above 0 and up to 1
-     * @param maxEndpoints more are a fault, and none of them is taken
-     */
-    public record SourcePolicy(String name, boolean trusted, long maxStalenessMicros, double removalShare,
-            int maxEndpoints) {
-
-        /** Checks the bounds. */
-        public SourcePolicy {
-            if (maxStalenessMicros < 0 || !(removalShare > 0 && removalShare <= 1) || maxEndpoints < 1) {
-                throw new IllegalArgumentException("source " + name + " is out of bounds");
-            }
-        }
-    }
+        long tombstoneMicros, DampingParameters damping) {
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long DEFAULT_REMOVAL_WINDOW_MICROS = 10 * SECOND_MICROS;
+    private static final int DEFAULT_CONFIRMATIONS = 3;
+    private static final long DEFAULT_DRAIN_MICROS = 10 * SECOND_MICROS;
+    private static final long DEFAULT_TOMBSTONE_MICROS = 600 * SECOND_MICROS;
 
     /** Starting values for these sources; the operators' page gives their reasons. */
     public static RegistryPolicy of(List<SourcePolicy> sources) {
-        return new RegistryPolicy(List.copyOf(sources), 10 * SECOND, 3, 10 * SECOND, 600 * SECOND,
-                FlapDamping.DampingParameters.USUAL);
+        return new RegistryPolicy(List.copyOf(sources), DEFAULT_REMOVAL_WINDOW_MICROS, DEFAULT_CONFIRMATIONS,
+                DEFAULT_DRAIN_MICROS, DEFAULT_TOMBSTONE_MICROS, DampingParameters.DEFAULTS);
     }
 
     /** Checks the bounds. */
     public RegistryPolicy {
-        if (removalWindowMicros <= 0 || confirmations < 1 || drainMicros < 0 || tombstoneMicros < 0 || sources.isEmpty()
-                || sources.stream().map(SourcePolicy::name).distinct().count() != sources.size()) {
+        if (removalWindowMicros <= 0 || confirmations < 1 || drainMicros < 0 || tombstoneMicros < 0
+                || sources.isEmpty() || namesTwice(sources)) {
             throw new IllegalArgumentException("policy is out of bounds, or names a source twice");
         }
     }
+
+    private static boolean namesTwice(List<SourcePolicy> sources) {
+        Set<String> names = new HashSet<>();
+        for (SourcePolicy source : sources) {
+            if (!names.add(source.name())) {
+                return true;
+            }
+        }
+        return false;
+    }
 }
--- a/src/main/java/wallmoor/endpoints/SourceView.java
+++ b/src/main/java/wallmoor/endpoints/SourceView.java
@@ -10,50 +10,41 @@
 import java.util.Set;
 
 /**
- * What one source says, as far as it is believed. It decides how fast nodes may leave on the source's word alone; what
- * that means beside other sources is the {@link EndpointRegistry}'s to say. Work is by the size of the news, not of the
- * fleet,
- * except that whole news is compared with what is held.
+ * What one source claims, as far as it is believed. It decides how fast endpoints may be removed on the source's claim
+ * alone; what the claim means beside other sources is the {@link EndpointRegistry}'s to decide. Work is by the size of
+ * an event, not of the fleet, except that a snapshot is compared with what is held. Times are microseconds.
  */
 final class SourceView {
-    /** An entry as it stands, and since when the source gives the node this address. */
-    static final class EndpointClaim {
-        SourceEndpoint entry;
-        String cause;
-        long since;
-        /** The node is not known to have been started lately: it was there when the source was first heard. */
-        boolean fromStart;
-        /** Good replies in a row that lack it. */
-        int missed;
+    private static final long SECOND_MICROS = 1_000_000;
 
-        /** The gone say so with their old entry. */
-        boolean gone() {
-            return entry.isGone();
-        }
-    }
-
-    private final RegistryPolicy.SourcePolicy source;
-    private final RegistryPolicy policy;
+    private final SourcePolicy source;
+    private final int confirmations;
     private final int rank;
-    private final Map<String, EndpointClaim> held = new LinkedHashMap<>();
-    /** Words of leaving, which outrank lower sources. Forgotten once no source names the node, after a while. */
-    private final Map<String, EndpointClaim> tombs = new LinkedHashMap<>();
-    private final Set<String> doubted = new LinkedHashSet<>();
+    private final RemovalRateLimit removals;
+    private final Map<String, EndpointClaim> claims = new LinkedHashMap<>();
+    /** Claims that an endpoint is gone, which outrank lower sources. Forgotten once no source names the endpoint. */
+    private final Map<String, EndpointClaim> tombstones = new LinkedHashMap<>();
+    /** Ids that good snapshots lack, and whose claims are kept for now. */
+    private final Set<String> pendingRemoval = new LinkedHashSet<>();
     private boolean heard;
-    private boolean lastEmpty;
-    private long lastGood;
+    private boolean lastSnapshotEmpty;
+    private long lastHeardAt;
     private String failure;
     private boolean expired;
-    private long stepAt = Long.MIN_VALUE / 2;
-    private int allowed;
 
-    SourceView(RegistryPolicy.SourcePolicy source, RegistryPolicy policy, int rank) {
+    /**
+     * Makes the view of a source that was not heard yet.
+     *
+     * @param rank the source's place in the policy, from 0
+     */
+    SourceView(SourcePolicy source, RegistryPolicy policy, int rank) {
         this.source = source;
-        this.policy = policy;
         this.rank = rank;
+        confirmations = policy.confirmations();
+        removals = new RemovalRateLimit(source.removalShare(), policy.removalWindowMicros());
     }
 
-    RegistryPolicy.SourcePolicy source() {
+    SourcePolicy source() {
         return source;
     }
 
@@ -61,101 +52,109 @@
         return rank;
     }
 
-    /** What the source says of a node, or null for nothing. */
-    EndpointClaim word(String id) {
-        EndpointClaim entry = held.get(id);
-        return entry != null ? entry : tombs.get(id);
+    /** What the source claims of an endpoint, or null for nothing. */
+    EndpointClaim claim(String id) {
+        EndpointClaim claim = claims.get(id);
+        return claim != null ? claim : tombstones.get(id);
     }
 
     boolean names(String id) {
-        return held.containsKey(id);
+        return claims.containsKey(id);
     }
 
-    void forgetTomb(String id) {
-        tombs.remove(id);
+    void forgetTombstone(String id) {
+        tombstones.remove(id);
     }
 
-    /** How many nodes it holds, dead or alive. */
+    /** How many endpoints it names. */
     int size() {
-        return held.size();
+        return claims.size();
     }
 
     /** For the operators: since when it can't be heard and why, or that it can. */
-    String standing(long now) {
-        String age = (now - lastGood) / 1_000_000 + " s ago";
-        return !heard ? failure == null ? "not heard yet" : "never heard: " + failure
-                : failure != null ? "can't be heard (" + failure + "), last good news " + age : "heard " + age;
+    String describe(long now) {
+        String age = (now - lastHeardAt) / SECOND_MICROS + " s ago";
+        if (!heard) {
+            return failure == null ? "not heard yet" : "never heard: " + failure;
+        }
+        return failure != null ? "can't be heard (" + failure + "), last good news " + age : "heard " + age;
     }
 
-    /** Nodes that good replies lack and that stay for now. */
-    int doubted() {
-        return doubted.size();
+    /** How many endpoints good snapshots lack that are kept for now. */
+    int pendingRemovals() {
+        return pendingRemoval.size();
     }
 
-    // ---- news ---------------------------------------------------------------------------------------------
+    // ---- events -------------------------------------------------------------------------------------------
 
-    /** Takes whole news; returns the ids of nodes of which it now says something else. */
-    Set<String> whole(long now, WatchEvent.EndpointSnapshot news) {
+    /** Applies a snapshot; returns the ids of endpoints of which the source now claims something else. */
+    Set<String> apply(long now, WatchEvent.EndpointSnapshot snapshot) {
         boolean first = !heard;
         var touched = new LinkedHashSet<String>();
+        markHeard(now);
+        for (SourceEndpoint endpoint : snapshot.endpoints()) {
+            put(now, endpoint, cause(endpoint, snapshot.version()), first, touched);
+        }
+        lastSnapshotEmpty = snapshot.endpoints().isEmpty();
+        boolean believed = source.trusted() || snapshot.authoritative();
+        for (String id : missingFrom(snapshot)) {
+            if (believed) {
+                remove(now, id, "not in " + source.name() + " at " + snapshot.version(), touched);
+            } else {
+                claims.get(id).countMissedSnapshot();
+                pendingRemoval.add(id);
+            }
+        }
+        removePending(now, true, touched);
+        return touched;
+    }
+
+    private List<String> missingFrom(WatchEvent.EndpointSnapshot snapshot) {
         var named = new HashSet<String>();
-        good(now);
-        for (SourceEndpoint e : news.endpoints()) {
-            named.add(e.id());
-            put(now, e, cause(e, news.version()), first, touched);
+        for (SourceEndpoint endpoint : snapshot.endpoints()) {
+            named.add(endpoint.id());
         }
         var missing = new ArrayList<String>();
-        for (String id : held.keySet()) {
+        for (String id : claims.keySet()) {
             if (!named.contains(id)) {
                 missing.add(id);
             }
         }
-        lastEmpty = news.endpoints().isEmpty();
-        boolean believed = source.trusted() || news.authoritative();
-        for (String id : missing) {
-            if (believed) {
-                leave(now, id, "not in " + source.name() + " at " + news.version(), touched);
-            } else {
-                held.get(id).missed++;
-                doubted.add(id);
-            }
-        }
-        release(now, true, touched);
-        return touched;
+        return missing;
     }
 
-    /** Takes changes. */
-    Set<String> changes(long now, WatchEvent.EndpointDelta news) {
+    /** Applies a delta; returns the ids of endpoints of which the source now claims something else. */
+    Set<String> apply(long now, WatchEvent.EndpointDelta delta) {
         boolean first = !heard;
         var touched = new LinkedHashSet<String>();
-        good(now);
-        for (SourceEndpoint e : news.endpoints()) {
-            put(now, e, cause(e, news.version()), first, touched);
+        markHeard(now);
+        for (SourceEndpoint endpoint : delta.endpoints()) {
+            put(now, endpoint, cause(endpoint, delta.version()), first, touched);
         }
         return touched;
     }
 
-    /** It still says what it said. */
-    void same(long now) {
+    /** What the source last reported still holds. */
+    void applyUnchanged(long now) {
         if (heard) {
-            good(now);
+            markHeard(now);
         }
     }
 
-    /** It can't be heard: what it said stands, up to its age. */
-    void failed(String why) {
-        failure = why;
+    /** It can't be heard: what it last reported holds, up to its greatest staleness. */
+    void applyFailure(String reason) {
+        failure = reason;
     }
 
-    private void good(long now) {
+    private void markHeard(long now) {
         heard = true;
-        lastGood = now;
+        lastHeardAt = now;
         failure = null;
         expired = false;
     }
 
-    private String cause(SourceEndpoint e, String version) {
-        String what = switch (e.state()) {
+    private String cause(SourceEndpoint endpoint, String version) {
+        String what = switch (endpoint.state()) {
             case SERVING -> "named by ";
             case DRAINING -> "drained by ";
             case GONE -> "removed by ";
@@ -163,110 +162,120 @@
         return what + source.name() + " at " + version;
     }
 
-    private void put(long now, SourceEndpoint e, String cause, boolean first, Set<String> touched) {
-        if (e.isGone()) {
-            bury(now, e, cause, touched);
+    private void put(long now, SourceEndpoint endpoint, String cause, boolean first, Set<String> touched) {
+        String id = endpoint.id();
+        if (endpoint.isGone()) {
+            bury(now, endpoint, cause, touched);
             return;
         }
-        EndpointClaim before = held.get(e.id());
-        doubted.remove(e.id());
-        if (before != null && before.entry.equals(e)) {
-            before.missed = 0;
+        EndpointClaim before = claims.get(id);
+        pendingRemoval.remove(id);
+        if (before != null && before.endpoint().equals(endpoint)) {
+            before.resetMissedSnapshots();
             return;
         }
-        tombs.remove(e.id());
-        var now0 = new EndpointClaim();
-        now0.entry = e;
-        now0.cause = cause;
-        boolean sameClaim = before != null && before.entry.address().equals(e.address());
-        now0.since = sameClaim ? before.since : now;
-        now0.fromStart = before == null ? first : before.fromStart && sameClaim;
-        held.put(e.id(), now0);
-        touched.add(e.id());
+        tombstones.remove(id);
+        boolean sameAddress = before != null && before.endpoint().address().equals(endpoint.address());
+        long since = sameAddress ? before.since() : now;
+        boolean fromFirstReport = before == null ? first : before.fromFirstReport() && sameAddress;
+        claims.put(id, new EndpointClaim(endpoint, cause, since, fromFirstReport));
+        touched.add(id);
     }
 
-    private void bury(long now, SourceEndpoint e, String cause, Set<String> touched) {
-        EndpointClaim before = held.remove(e.id());
-        doubted.remove(e.id());
-        if (before == null && tombs.containsKey(e.id())) {
+    /** Replaces the claim by a tombstone, which keeps what was last claimed. */
+    private void bury(long now, SourceEndpoint endpoint, String cause, Set<String> touched) {
+        String id = endpoint.id();
+        EndpointClaim before = claims.remove(id);
+        pendingRemoval.remove(id);
+        if (before == null && tombstones.containsKey(id)) {
             return;
         }
-        var tomb = new EndpointClaim();
-        SourceEndpoint last = before == null ? e : before.entry;
-        tomb.entry = new SourceEndpoint(last.id(), last.address(), last.zone(), last.kind(), last.cell(),
-                wallmoor.core.WorkerEndpoint.EndpointState.GONE, last.size(), last.upSince(), last.tier());
-        tomb.cause = cause;
-        tomb.since = now;
-        tombs.put(e.id(), tomb);
-        if (tombs.size() > source.maxEndpoints()) { // nodes come and go all day; the oldest word matters least
-            String oldest = tombs.keySet().iterator().next();
-            tombs.remove(oldest);
+        SourceEndpoint last = before == null ? endpoint : before.endpoint();
+        tombstones.put(id, new EndpointClaim(last.asGone(), cause, now, false));
+        if (tombstones.size() > source.maxEndpoints()) { // endpoints come and go all day; the oldest matters least
+            String oldest = tombstones.keySet().iterator().next();
+            tombstones.remove(oldest);
             touched.add(oldest);
         }
-        touched.add(e.id());
+        touched.add(id);
     }
 
-    private void leave(long now, String id, String cause, Set<String> touched) {
-        bury(now, held.get(id).entry, cause, touched);
+    private void remove(long now, String id, String cause, Set<String> touched) {
+        bury(now, claims.get(id).endpoint(), cause, touched);
     }
 
-    // ---- leaving ------------------------------------------------------------------------------------------
+    // ---- removal by time ----------------------------------------------------------------------------------
 
-    /** What time alone brings about. */
+    /** Applies what time alone brings about; returns the ids of endpoints of which the source now claims less. */
     Set<String> tick(long now) {
         var touched = new LinkedHashSet<String>();
-        if (source.maxStalenessMicros() > 0 && heard && now - lastGood >= source.maxStalenessMicros()) {
+        if (source.maxStalenessMicros() > 0 && heard && now - lastHeardAt >= source.maxStalenessMicros()) {
             expired = true;
         }
-        release(now, false, touched);
+        removePending(now, false, touched);
         return touched;
     }
 
     /** When {@link #tick} has something to do, or {@link Long#MAX_VALUE}. */
-    long due() {
-        if (expired && !held.isEmpty()) {
-            return stepAt + policy.removalWindowMicros();
+    long nextTickAt() {
+        if (expired && !claims.isEmpty()) {
+            return removals.nextWindowAt();
         }
-        long due = doubted.stream().anyMatch(this::confirmed) ? stepAt + policy.removalWindowMicros() : Long.MAX_VALUE;
-        return source.maxStalenessMicros() > 0 && heard && !expired
-                ? Math.min(due, lastGood + source.maxStalenessMicros()) : due;
+        long next = hasConfirmedRemoval() ? removals.nextWindowAt() : Long.MAX_VALUE;
+        boolean mayExpire = source.maxStalenessMicros() > 0 && heard && !expired;
+        return mayExpire ? Math.min(next, lastHeardAt + source.maxStalenessMicros()) : next;
     }
 
-    private boolean confirmed(String id) {
-        return held.get(id).missed >= policy.confirmations();
+    private boolean hasConfirmedRemoval() {
+        for (String id : pendingRemoval) {
+            if (isConfirmed(id)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private boolean isConfirmed(String id) {
+        return claims.get(id).missedSnapshots() >= confirmations;
     }
 
     /**
-     * Lets go of what may leave within this step. Right after a reply a few may leave unconfirmed, as nodes do every
-     * day; an empty reply is a fault more often than it is true, and must be confirmed in whole.
+     * Removes what may be removed within this window. Right after a snapshot a few may go unconfirmed, as endpoints do
+     * every day; an empty snapshot is a fault more often than it is true, and must be confirmed completely.
      */
-    private void release(long now, boolean byReply, Set<String> touched) {
-        if (doubted.isEmpty() && !expired) {
+    private void removePending(long now, boolean bySnapshot, Set<String> touched) {
+        if (pendingRemoval.isEmpty() && !expired) {
             return;
         }
-        if (now - stepAt >= policy.removalWindowMicros()) {
-            stepAt = now;
-            allowed = Math.max(1, (int) (source.removalShare() * held.size()));
-        }
-        for (Iterator<String> i = List.copyOf(doubted).iterator(); i.hasNext() && allowed > 0;) {
+        removals.refill(now, claims.size());
+        for (Iterator<String> i = List.copyOf(pendingRemoval).iterator(); i.hasNext() && removals.hasRemaining();) {
             String id = i.next();
-            if (confirmed(id) || byReply && !lastEmpty) {
-                allowed--;
-                leave(now, id, "no longer in " + source.name() + " for " + held.get(id).missed + " replies", touched);
+            if (isConfirmed(id) || (bySnapshot && !lastSnapshotEmpty)) {
+                removals.use();
+                int missed = claims.get(id).missedSnapshots();
+                remove(now, id, "no longer in " + source.name() + " for " + missed + " replies", touched);
             }
         }
-        for (Iterator<EndpointClaim> i = held.values().iterator(); expired && i.hasNext() && allowed > 0;) {
-            EndpointClaim oldest = i.next();
-            allowed--;
-            i.remove(); // no word of leaving: it only no longer vouches for the node
-            doubted.remove(oldest.entry.id());
-            touched.add(oldest.entry.id());
+        if (expired) {
+            dropExpired(touched);
+        }
+    }
+
+    /** Drops the oldest claims, without a tombstone: the source only no longer vouches for the endpoints. */
+    private void dropExpired(Set<String> touched) {
+        for (Iterator<EndpointClaim> i = claims.values().iterator(); i.hasNext() && removals.hasRemaining();) {
+            String id = i.next().endpoint().id();
+            removals.use();
+            i.remove();
+            pendingRemoval.remove(id);
+            touched.add(id);
         }
     }
 
-    /** Why a node for which no source vouches any longer has lost this one's word. */
-    String expiry() {
-        return expired ? source.name() + " not heard for longer than " + source.maxStalenessMicros() / 1_000_000 + " s"
+    /** Why an endpoint for which no source vouches any longer has lost this one's claim, or null. */
+    String expiryCause() {
+        return expired
+                ? source.name() + " not heard for longer than " + source.maxStalenessMicros() / SECOND_MICROS + " s"
                 : null;
     }
 }
--- a/src/main/java/wallmoor/ogc/FeaturesFront.java
+++ b/src/main/java/wallmoor/ogc/FeaturesFront.java
@@ -25,6 +25,7 @@
 import wallmoor.decision.RouterApi.Idempotency;
 import wallmoor.decision.RouterApi.RoutingSettings;
 import wallmoor.endpoints.RegistryPolicy;
+import wallmoor.endpoints.SourcePolicy;
 import wallmoor.http.HttpExchange;
 import wallmoor.http.HttpMessage;
 import wallmoor.http.HttpProtocolException;
@@ -82,7 +83,7 @@
         gatherer = new Gatherer(settings, launch.seed(), clock, log);
         servers = new FeatureServerTransport(gatherer, launch.connectMillis(), launch.sockets() / 8);
         var inventory = new InventorySource(config.inventory(), config.layout(), launch.zones(), launch.kinds());
-        var policy = new RegistryPolicy.SourcePolicy(inventory.name(), true, 0, 1, MOST_SERVERS);
+        var policy = new SourcePolicy(inventory.name(), true, 0, 1, MOST_SERVERS);
         promises = pruning == null ? null : new SummaryLeases(pruning, launch.name(), clock, acting);
         sites = pruning == null ? null : new FeatureServerDirectory(config, inventory, promises);
         membership = new EndpointUpdater(RegistryPolicy.of(List.of(policy)), clock, gatherer,
--- a/src/main/java/wallmoor/service/EndpointPreview.java
+++ b/src/main/java/wallmoor/service/EndpointPreview.java
@@ -4,7 +4,8 @@
 import wallmoor.config.LaunchConfig;
 import wallmoor.config.OperatorConfig;
 import wallmoor.core.MonotonicClock;
-import wallmoor.endpoints.EndpointRegistry;
+import wallmoor.endpoints.EndpointStatus;
+import wallmoor.endpoints.SourceStatus;
 import wallmoor.json.Json;
 import wallmoor.metrics.GathererMetrics;
 
@@ -13,7 +14,7 @@
  *
  * @param allSourcesHeard whether every source was heard
  */
-public record EndpointPreview(List<EndpointRegistry.EndpointStatus> nodes, List<EndpointRegistry.SourceStatus> sources,
+public record EndpointPreview(List<EndpointStatus> nodes, List<SourceStatus> sources,
         boolean allSourcesHeard) {
     /** All changes of the first news are there by then. */
     private static final long SETTLE_MILLIS = 100;
--- a/src/main/java/wallmoor/service/Sources.java
+++ b/src/main/java/wallmoor/service/Sources.java
@@ -11,6 +11,7 @@
 import wallmoor.core.Gatherer;
 import wallmoor.dns.DnsSource;
 import wallmoor.endpoints.RegistryPolicy;
+import wallmoor.endpoints.SourcePolicy;
 import wallmoor.inventory.InventorySource;
 import wallmoor.sources.EndpointSource;
 import wallmoor.sources.EndpointUpdater;
@@ -35,17 +36,17 @@
     static Sources of(OperatorConfig operator, LaunchConfig launch, LongSupplier clock, Gatherer gatherer,
             EndpointSource list) {
         var sources = new ArrayList<EndpointSource>();
-        var policies = new ArrayList<RegistryPolicy.SourcePolicy>();
+        var policies = new ArrayList<SourcePolicy>();
         var services = new ArrayList<DnsSource>();
         if (list != null) {
             sources.add(list);
-            policies.add(new RegistryPolicy.SourcePolicy(list.name(), true, operator.list().mostAge() * 1000,
+            policies.add(new SourcePolicy(list.name(), true, operator.list().mostAge() * 1000,
                     ALL, OperatorConfig.MOST_NODES));
         }
         OperatorConfig.InventoryFile file = operator.inventory();
         if (file != null) {
             sources.add(new InventorySource(file.file(), launch.settings().layout(), launch.zones(), launch.kinds()));
-            policies.add(new RegistryPolicy.SourcePolicy("inventory", true, 0, ALL, OperatorConfig.MOST_NODES));
+            policies.add(new SourcePolicy("inventory", true, 0, ALL, OperatorConfig.MOST_NODES));
         }
         Dns dns = operator.dns();
         if (dns != null) {
@@ -53,7 +54,7 @@
                 var source = new DnsSource(dns, name, launch);
                 sources.add(source);
                 services.add(source);
-                policies.add(new RegistryPolicy.SourcePolicy(DnsSource.nameOf(name), false, dns.mostAge() * 1000,
+                policies.add(new SourcePolicy(DnsSource.nameOf(name), false, dns.mostAge() * 1000,
                         dns.leaving(),
                         dns.mostRecords()));
             }
--- a/src/main/java/wallmoor/sources/package-info.java
+++ b/src/main/java/wallmoor/sources/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What the sources of nodes have in common, and what carries their news to the roster and its changes to a gatherer.
+ * What sources of worker endpoints have in common, and what carries their watch events to the registry and the
+ * registry's changes to a gatherer.
  */
 package wallmoor.sources;
--- a/src/test/java/wallmoor/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/wallmoor/endpoints/EndpointRegistryTest.java
@@ -18,8 +18,8 @@
 public class EndpointRegistryTest {
     static final long SECOND = 1_000_000;
     static final RegistryPolicy POLICY = RegistryPolicy
-            .of(List.of(new RegistryPolicy.SourcePolicy("list", true, 0, 1, 1000),
-                    new RegistryPolicy.SourcePolicy("dns", false, 60 * SECOND, 0.2, 1000)));
+            .of(List.of(new SourcePolicy("list", true, 0, 1, 1000),
+                    new SourcePolicy("dns", false, 60 * SECOND, 0.2, 1000)));
 
     private final EndpointRegistry roster = new EndpointRegistry(POLICY);
     private final Map<String, WorkerEndpoint> members = new TreeMap<>();
@@ -273,11 +273,11 @@
     @Test
     public void newsThatCannotBeTakenChangesNothing() {
         dns("w1");
-        assertThrows(IllegalArgumentException.class,
+        assertThrows(RejectedWatchEventException.class,
                 () -> take(new WatchEvent.EndpointSnapshot("dns", "x", serving("w2", "w2"), false)));
-        assertThrows(IllegalArgumentException.class, () -> take(new WatchEvent.EndpointsUnchanged("nobody")));
+        assertThrows(RejectedWatchEventException.class, () -> take(new WatchEvent.EndpointsUnchanged("nobody")));
         String[] many = IntStream.range(0, 1001).mapToObj(i -> "w" + i).toArray(String[]::new);
-        assertThrows(IllegalArgumentException.class, () -> dns(many));
+        assertThrows(RejectedWatchEventException.class, () -> dns(many));
         assertEquals(List.of("w1"), serve());
         assertEquals("not cold at first load", 0, members.get("w1").upSince());
     }
--- a/src/test/java/wallmoor/net/WatchCrossingsTest.java
+++ b/src/test/java/wallmoor/net/WatchCrossingsTest.java
@@ -30,6 +30,7 @@
 import wallmoor.core.Worker;
 import wallmoor.discovery.DiscoveryWatch;
 import wallmoor.endpoints.RegistryPolicy;
+import wallmoor.endpoints.SourcePolicy;
 import wallmoor.endpoints.WatchEvent;
 import wallmoor.sources.EndpointUpdater;
 
@@ -126,7 +127,7 @@
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
         timers.start();
-        var list = new RegistryPolicy.SourcePolicy("list", true, 0, 1, 1000);
+        var list = new SourcePolicy("list", true, 0, 1, 1000);
         new EndpointUpdater(RegistryPolicy.of(List.of(list)), clock, gatherer, List.of(watch)).start();
         a = assigned(0);
         b = assigned(1);
