--- a/src/main/java/wallmoor/discovery/MalformedEndpointListException.java
+++ b/src/main/java/wallmoor/discovery/MalformedEndpointListException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Discovery sent what is no list: nothing of it was taken, and the whole list is to be asked for. */
+/** Discovery sent something that is no endpoint list: nothing of it was applied, and the full list is to be polled. */
 final class MalformedEndpointListException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wallmoor/discovery/package-info.java
+++ b/src/main/java/wallmoor/discovery/package-info.java
@@ -1,4 +1,6 @@
 /**
- * The node list's watch: asks for the list, reads what is pushed, and asks anew where the watch is broken.
+ * Discovery's endpoint list as a source: polls for the list, watches it, and reconnects where the watch is broken.
+ * {@code WatchStateMachine} and the classes it uses decide; {@code DiscoveryWatch} and {@code DiscoveryCall} do the
+ * I/O.
  */
 package wallmoor.discovery;
--- a/src/test/java/wallmoor/discovery/WatchModel.java
+++ b/src/test/java/wallmoor/discovery/WatchModel.java
@@ -324,16 +324,16 @@
      */
     private boolean excusedOfTerm(Drain d) {
         long from = hadAt(d);
-        long needs = Math.max(WatchStateMachine.RETRY_PERIOD_MICROS,
-                WatchStateMachine.SILENCE_TIMEOUT_MICROS + WatchStateMachine.RECONNECT_JITTER_MICROS) + 4 * STEP;
+        long needs = Math.max(WatchTimings.RETRY_PERIOD_MICROS,
+                WatchTimings.SILENCE_TIMEOUT_MICROS + WatchTimings.RECONNECT_JITTER_MICROS) + 4 * STEP;
         for (Failure f : failures) {
             if (f.at >= from) {
-                needs += Math.max(WatchStateMachine.RETRY_PERIOD_MICROS, f.took + SECOND / 4) + 4 * STEP;
+                needs += Math.max(WatchTimings.RETRY_PERIOD_MICROS, f.took + SECOND / 4) + 4 * STEP;
             }
         }
         if (state == State.WAITING && refusals > 0) { // the call that is out will fail, too
-            needs += Math.max(WatchStateMachine.RETRY_PERIOD_MICROS,
-                    Math.min(refusalTakes, WatchStateMachine.RESPONSE_TIMEOUT_MICROS) + SECOND / 4) + 4 * STEP;
+            needs += Math.max(WatchTimings.RETRY_PERIOD_MICROS,
+                    Math.min(refusalTakes, WatchTimings.RESPONSE_TIMEOUT_MICROS) + SECOND / 4) + 4 * STEP;
         }
         return needs + latency + 4 * STEP > TERM + GRACE;
     }
--- a/src/test/java/wallmoor/discovery/WatchStateMachinePropertiesTest.java
+++ b/src/test/java/wallmoor/discovery/WatchStateMachinePropertiesTest.java
@@ -68,7 +68,7 @@
         for (int seed = 0; seed < 50; seed++) {
             var model = new WatchModel(false, 10 * SECOND, seed);
             model.run(10 * SECOND);
-            model.latency = WatchStateMachine.RESPONSE_TIMEOUT_MICROS - 2 * WatchModel.STEP;
+            model.latency = WatchTimings.RESPONSE_TIMEOUT_MICROS - 2 * WatchModel.STEP;
             model.silence();
             model.drain();
             model.run(20 * SECOND);
@@ -126,10 +126,10 @@
         model.run(outage * SECOND / 2);
         model.drain();
         switch (unlucky) {
-            case 1 -> model.refuse(1, WatchStateMachine.RESPONSE_TIMEOUT_MICROS - 4 * WatchModel.STEP);
+            case 1 -> model.refuse(1, WatchTimings.RESPONSE_TIMEOUT_MICROS - 4 * WatchModel.STEP);
             case 2 -> model.refuse(1, 10 * SECOND); // given up
             case 3 -> model.endings = 1;
-            default -> model.latency = WatchStateMachine.RESPONSE_TIMEOUT_MICROS - 4 * WatchModel.STEP;
+            default -> model.latency = WatchTimings.RESPONSE_TIMEOUT_MICROS - 4 * WatchModel.STEP;
         }
         model.run(20 * SECOND);
     }
@@ -157,14 +157,14 @@
         WatchStateMachine clock = opened(seed, spoke);
         long end = 10 * SECOND + 40_000;
         clock.onWatchLost(end);
-        assertTrue(clock.nextCallBy() <= end + WatchStateMachine.ENDED_JITTER_MICROS,
+        assertTrue(clock.nextCallBy() <= end + WatchTimings.ENDED_JITTER_MICROS,
                 "called " + (clock.nextCallBy() - end) + " us after the end");
         long first = clock.nextCallBy();
         clock.onCallStarted(first);
         clock.onRequestSent(first);
         clock.onWatchLost(first + SECOND);
         long answered = clock.nextCallBy() + 1_200_000;
-        assertTrue(answered <= end + WatchStateMachine.ENDED_STALENESS_BOUND_MICROS + 2 * SECOND,
+        assertTrue(answered <= end + WatchTimings.ENDED_STALENESS_BOUND_MICROS + 2 * SECOND,
                 "answered " + (answered - end) + " us after the end");
     }
 
@@ -185,7 +185,7 @@
             }
             now += 40_000;
         }
-        assertTrue(calls <= 4 + 60 * SECOND / (0.75 * WatchStateMachine.RETRY_PERIOD_MICROS),
+        assertTrue(calls <= 4 + 60 * SECOND / (0.75 * WatchTimings.RETRY_PERIOD_MICROS),
                 calls + " calls in a minute");
     }
 
@@ -206,9 +206,9 @@
         clock.onStreamOpened(4);
         assertThrows(IllegalStateException.class, () -> clock.onRequestSent(5));
         clock.onEventReceived(5);
-        assertEquals(WatchStateMachine.WatchState.SYNCED, clock.state());
+        assertEquals(WatchState.SYNCED, clock.state());
         clock.onDiscoveryMoved(6);
-        assertEquals(WatchStateMachine.WatchState.IDLE, clock.state());
+        assertEquals(WatchState.IDLE, clock.state());
         assertEquals(6, clock.nextCallBy());
         assertThrows(IllegalStateException.class, () -> clock.onEventReceived(7),
                 "a word of the call that was left behind");
@@ -222,12 +222,12 @@
         clock.onCallStarted(0);
         clock.onRequestSent(0);
         clock.onStreamOpened(0);
-        assertEquals(WatchStateMachine.SILENCE_TIMEOUT_MICROS, clock.remainingMicros(0));
+        assertEquals(WatchTimings.SILENCE_TIMEOUT_MICROS, clock.remainingMicros(0));
         assertEquals(1_000, clock.remainingMicros(9 * SECOND), "one look");
         assertEquals(1_000, clock.remainingMicros(9 * SECOND + 200_000), "more lay there");
         assertEquals(0, clock.remainingMicros(9 * SECOND + 250_000));
         clock.onEventReceived(9 * SECOND + 250_000);
-        assertEquals(WatchStateMachine.SILENCE_TIMEOUT_MICROS, clock.remainingMicros(9 * SECOND + 250_000),
+        assertEquals(WatchTimings.SILENCE_TIMEOUT_MICROS, clock.remainingMicros(9 * SECOND + 250_000),
                 "anew from the next object on");
     }
 
@@ -247,7 +247,7 @@
             clock.onCallStarted(clock.nextCallBy());
             assertTrue(clock.onWatchLost(8 * SECOND), "the second time it is the module's");
         }
-        assertTrue(at.first() >= 0 && at.last() <= WatchStateMachine.RECONNECT_JITTER_MICROS);
+        assertTrue(at.first() >= 0 && at.last() <= WatchTimings.RECONNECT_JITTER_MICROS);
         for (long from = 0; from < 300_000; from += 50_000) { // a sixth of the time has a sixth of the calls
             int in = at.subSet(from, from + 50_000).size();
             assertTrue(in >= 6 && in <= 30, from + ": " + in);
--- a/src/test/java/wallmoor/discovery/WatchStreamParserTest.java
+++ b/src/test/java/wallmoor/discovery/WatchStreamParserTest.java
@@ -98,7 +98,7 @@
 
     private static List<String> events(byte[] answer, int cut) throws Exception {
         var events = new Events();
-        var reader = new WatchStreamParser(DiscoveryWatch.MOST_OBJECT, events);
+        var reader = new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, events);
         try (var socket = new CutSocket(answer, cut)) {
             var in = new HttpReader(socket);
             assertTrue(in.await(1_000));
@@ -133,7 +133,7 @@
     @Test
     public void anObjectCountsFromItsLastBracketAndItsLineEndIsNoHeartbeat() throws Exception {
         var events = new Events();
-        var reader = new WatchStreamParser(DiscoveryWatch.MOST_OBJECT, events);
+        var reader = new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, events);
         byte[] object = utf8(INDENTED);
         reader.read(new ByteSlice(object, 0, object.length - 1));
         assertEquals(List.of(), events.seen);
@@ -148,12 +148,12 @@
     @Test
     public void anObjectOfTheMostBytesIsTakenAndNoLongerOne() throws Exception {
         var events = new Events();
-        String most = "{" + " ".repeat(DiscoveryWatch.MOST_OBJECT - 2) + "}";
-        new WatchStreamParser(DiscoveryWatch.MOST_OBJECT, events).read(new ByteSlice(utf8(most), 0, most.length()));
+        String most = "{" + " ".repeat(DiscoveryCall.MAX_OBJECT_BYTES - 2) + "}";
+        new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, events).read(new ByteSlice(utf8(most), 0, most.length()));
         assertEquals(1, events.seen.size());
-        byte[] more = utf8("{" + " ".repeat(DiscoveryWatch.MOST_OBJECT));
+        byte[] more = utf8("{" + " ".repeat(DiscoveryCall.MAX_OBJECT_BYTES));
         assertThrows(MalformedEndpointListException.class,
-                () -> new WatchStreamParser(DiscoveryWatch.MOST_OBJECT, events)
+                () -> new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, events)
                         .read(new ByteSlice(more, 0, more.length)));
     }
 
