--- a/src/main/java/wallmoor/cli/ResolveCommand.java
+++ b/src/main/java/wallmoor/cli/ResolveCommand.java
@@ -16,7 +16,7 @@
 import wallmoor.config.LaunchConfig;
 import wallmoor.config.OperatorConfig;
 import wallmoor.dns.OneTimeLookup;
-import wallmoor.dns.ServiceResolver;
+import wallmoor.dns.ServiceLookup;
 import wallmoor.dns.ServiceTarget;
 import wallmoor.json.Json;
 
@@ -50,8 +50,8 @@
 
     @Override
     public Integer call() {
-        ServiceResolver.ServiceLookup result = OneTimeLookup.find(addresses(), name, MILLIS);
-        if (result instanceof ServiceResolver.ServiceLookup.Resolved offered) {
+        ServiceLookup result = OneTimeLookup.find(addresses(), name, MILLIS);
+        if (result instanceof ServiceLookup.Resolved offered) {
             offered.faults().forEach(f -> System.err.println("wallmoor: " + f));
             if (offered.targets().isEmpty()) {
                 System.err.println("wallmoor: " + name + ": no target can be used");
@@ -61,12 +61,12 @@
                     .thenComparingInt(t -> -t.weight()).thenComparing(ServiceTarget::name)).forEach(this::print);
             return 0;
         }
-        if (result instanceof ServiceResolver.ServiceLookup.ServiceLookupFailure failed) {
+        if (result instanceof ServiceLookup.ServiceLookupFailure failed) {
             System.err.println("wallmoor: " + name + ": " + failed.reason());
             return NO_ANSWER;
         }
         System.err.println("wallmoor: " + name + ": "
-                + (result instanceof ServiceResolver.ServiceLookup.NoService none ? none.reason()
+                + (result instanceof ServiceLookup.NoService none ? none.reason()
                         : "the service is not offered"));
         return NO_RECORDS;
     }
--- a/src/main/java/wallmoor/dns/DnsResponse.java
+++ b/src/main/java/wallmoor/dns/DnsResponse.java
@@ -16,96 +16,136 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/** Judges one answer of a server, with distrust of every byte. No I/O and no clock. */
+/** What a server's response says, read with distrust of every byte. No I/O and no clock. */
 sealed interface DnsResponse {
     /** CNAME records followed for one look-up at most (RFC 1034 asks for a bound; common resolvers have 8 to 16). */
-    int MOST_ALIASES = 8;
+    int MAX_ALIASES = 8;
+    /** Why a chain of CNAME records is not followed. */
+    String TOO_MANY_ALIASES = "a loop of CNAME records, or more than " + MAX_ALIASES;
 
     /**
      * The records asked for.
      *
-     * @param ttl   the least TTL on the way to them, in seconds
-     * @param extra addresses in the additional section
+     * @param ttl        the least TTL on the way to them, in seconds
+     * @param additional addresses in the additional section
      */
-    record PositiveAnswer(List<Record> records, long ttl, List<Record> extra) implements DnsResponse {}
+    record PositiveAnswer(List<Record> records, long ttl, List<Record> additional) implements DnsResponse {}
 
-    /** There are none; TTLs are -1 where no SOA record came. */
-    record NegativeAnswer(String why, long soaTtl, long soaMinimum) implements DnsResponse {}
+    /** There are none (RFC 2308): NXDOMAIN or NODATA; times are seconds, and -1 where no SOA record came. */
+    record NegativeAnswer(String reason, long soaTtl, long soaMinimum) implements DnsResponse {
+        private static final long NO_SOA = -1;
 
-    /** The name is another's, which must be asked for. */
+        /** Whether an SOA record came with it. */
+        boolean hasSoa() {
+            return soaTtl >= 0;
+        }
+    }
+
+    /** The name is an alias of another, which must be looked up. */
     record Alias(Name target) implements DnsResponse {}
 
     /** The answer does not fit, and is to be had over TCP. */
     record Truncated() implements DnsResponse {}
 
     /** The server can't be used for this. */
-    record ServerFailure(String why) implements DnsResponse {}
+    record ServerFailure(String reason) implements DnsResponse {}
 
-    /** Whether this can be the answer to that query: another's id or question is somebody else's, or forged. */
-    static boolean answers(Message query, Message answer) {
-        Header header = answer.getHeader();
-        List<Record> asked = answer.getSection(Section.QUESTION);
+    /** Whether this can be the response to that query: one with another id or question is forged, or another's. */
+    static boolean answers(Message query, Message response) {
+        Header header = response.getHeader();
+        List<Record> questions = response.getSection(Section.QUESTION);
         return header.getFlag(Flags.QR) && header.getOpcode() == Opcode.QUERY
-                && header.getID() == query.getHeader().getID() && asked.size() == 1
-                && asked.get(0).equals(query.getQuestion());
+                && header.getID() == query.getHeader().getID() && questions.size() == 1
+                && questions.get(0).equals(query.getQuestion());
     }
 
-    /** What an answer to a query of this type says. */
-    static DnsResponse of(Message query, Message answer) {
-        int rcode = answer.getRcode();
-        if (answer.getHeader().getFlag(Flags.TC)) {
+    /** What a response to a query says. */
+    static DnsResponse of(Message query, Message response) {
+        int rcode = response.getRcode();
+        if (response.getHeader().getFlag(Flags.TC)) {
             return new Truncated();
         }
         if (rcode != Rcode.NOERROR && rcode != Rcode.NXDOMAIN) {
             return new ServerFailure(Rcode.string(rcode));
         }
-        Name at = query.getQuestion().getName();
-        int type = query.getQuestion().getType();
-        List<Record> answers = answer.getSection(Section.ANSWER);
+        return followAliases(query, response);
+    }
+
+    /** Follows the CNAME records of the answer section from the name asked for to the records asked for. */
+    private static DnsResponse followAliases(Message query, Message response) {
+        Name name = query.getQuestion().getName();
         Set<Name> passed = new HashSet<>();
         long ttl = Long.MAX_VALUE;
         while (true) {
-            var records = new ArrayList<Record>();
-            CNAMERecord alias = null;
-            for (Record r : answers) {
-                if (r.getName().equals(at) && r.getDClass() == query.getQuestion().getDClass()) {
-                    if (r.getType() == type) {
-                        records.add(r);
-                        ttl = Math.min(ttl, r.getTTL());
-                    } else if (r instanceof CNAMERecord c) {
-                        alias = c;
-                    }
-                }
-            }
+            List<Record> records = records(query, response, name);
             if (!records.isEmpty()) {
-                return new PositiveAnswer(records, ttl, extra(answer));
+                return new PositiveAnswer(records, Math.min(ttl, minTtl(records)), additionalAddresses(response));
             }
+            CNAMERecord alias = alias(query, response, name);
             if (alias == null) {
                 break;
             }
             ttl = Math.min(ttl, alias.getTTL());
-            if (!passed.add(at) || passed.size() > MOST_ALIASES) {
-                return new ServerFailure("a loop of CNAME records, or more than " + MOST_ALIASES);
+            if (!passed.add(name) || passed.size() > MAX_ALIASES) {
+                return new ServerFailure(TOO_MANY_ALIASES);
+            }
+            name = alias.getTarget();
+        }
+        if (response.getRcode() == Rcode.NXDOMAIN) {
+            return negative("NXDOMAIN", response);
+        }
+        return passed.isEmpty() ? negative("NODATA", response) : new Alias(name);
+    }
+
+    private static List<Record> records(Message query, Message response, Name name) {
+        var records = new ArrayList<Record>();
+        for (Record record : response.getSection(Section.ANSWER)) {
+            if (isOf(query, name, record) && record.getType() == query.getQuestion().getType()) {
+                records.add(record);
             }
-            at = alias.getTarget();
         }
-        if (rcode == Rcode.NXDOMAIN) {
-            return absent("NXDOMAIN", answer);
+        return records;
+    }
+
+    /** The last CNAME record of a name, or null; where CNAME records were asked for they are no aliases. */
+    private static CNAMERecord alias(Message query, Message response, Name name) {
+        CNAMERecord alias = null;
+        for (Record record : response.getSection(Section.ANSWER)) {
+            if (isOf(query, name, record) && record instanceof CNAMERecord cname) {
+                alias = cname;
+            }
         }
-        return passed.isEmpty() ? absent("NODATA", answer) : new Alias(at);
+        return alias;
     }
 
-    private static List<Record> extra(Message answer) {
-        return answer.getSection(Section.ADDITIONAL).stream()
-                .filter(r -> r.getType() == Type.A || r.getType() == Type.AAAA).toList();
+    private static boolean isOf(Message query, Name name, Record record) {
+        return record.getName().equals(name) && record.getDClass() == query.getQuestion().getDClass();
+    }
+
+    private static long minTtl(List<Record> records) {
+        long ttl = Long.MAX_VALUE;
+        for (Record record : records) {
+            ttl = Math.min(ttl, record.getTTL());
+        }
+        return ttl;
+    }
+
+    private static List<Record> additionalAddresses(Message response) {
+        var addresses = new ArrayList<Record>();
+        for (Record record : response.getSection(Section.ADDITIONAL)) {
+            if (record.getType() == Type.A || record.getType() == Type.AAAA) {
+                addresses.add(record);
+            }
+        }
+        return List.copyOf(addresses);
     }
 
-    private static NegativeAnswer absent(String why, Message answer) {
-        for (Record r : answer.getSection(Section.AUTHORITY)) {
-            if (r instanceof SOARecord soa) {
-                return new NegativeAnswer(why, soa.getTTL(), soa.getMinimum());
+    private static NegativeAnswer negative(String reason, Message response) {
+        for (Record record : response.getSection(Section.AUTHORITY)) {
+            if (record instanceof SOARecord soa) {
+                return new NegativeAnswer(reason, soa.getTTL(), soa.getMinimum());
             }
         }
-        return new NegativeAnswer(why, -1, -1);
+        return new NegativeAnswer(reason, NegativeAnswer.NO_SOA, NegativeAnswer.NO_SOA);
     }
 }
--- a/src/main/java/wallmoor/dns/DnsSource.java
+++ b/src/main/java/wallmoor/dns/DnsSource.java
@@ -18,35 +18,50 @@
 import wallmoor.sources.EndpointSource;
 
 /**
- * One service in DNS as a source of nodes: looked up before its records run out, and sooner while it seems to shrink.
+ * One service in DNS as a source of endpoints: looked up before its records run out, and sooner while it seems to
+ * shrink. One thread looks up and waits; only {@link #reload} comes from elsewhere.
  */
 public final class DnsSource implements EndpointSource {
-    /** A whole look-up with all its targets takes no longer. */
-    private static final long LONGEST_LOOKUP = 10_000;
-    private static final long FIRST_RETRY = 1_000;
-    private static final long MOST_RETRY = 30_000;
-    /** While nodes are missing: so that it is soon known whether they stay missing. */
-    private static final long DOUBT = 5_000;
+    /** A look-up with all its targets takes no longer. */
+    private static final long LOOKUP_TIMEOUT_MILLIS = 10_000;
+    private static final long MIN_BACKOFF_MILLIS = 1_000;
+    private static final long MAX_BACKOFF_MILLIS = 30_000;
+    /** Doublings beyond this many change nothing, as the bound is lower. */
+    private static final int MAX_DOUBLINGS = 10;
+    /** While endpoints are missing: so that it is soon known whether they stay missing. */
+    private static final long SHRUNK_POLL_MILLIS = 5_000;
+    /** Answers cached for each SRV record: its own, its target's address and its TXT record. */
+    private static final int ANSWERS_PER_RECORD = 3;
+
+    /** The resolver for one configuration, with its cache. */
+    private record Lookups(Dns dns, TtlPolicy ttls, ServiceResolver services) {
+        static Lookups of(Dns dns) {
+            var ttls = new TtlPolicy(dns.leastTtl(), dns.mostTtl(), dns.mostAge());
+            var resolver = new StubResolver(dns.servers(), ttls, dns.timeout(), ANSWERS_PER_RECORD * dns.mostRecords(),
+                    OneTimeLookup::clock);
+            return new Lookups(dns, ttls,
+                    new ServiceResolver(resolver, dns.mostRecords(), true, OneTimeLookup::clock));
+        }
+    }
 
     private final Logger log = LoggerFactory.getLogger(DnsSource.class);
     private final DnsName service;
-    private final LaunchConfig launch;
-    private final TargetMapper nodes;
+    private final TargetMapper mapper;
     private final RandomGenerator random;
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition changed = lock.newCondition();
+    private final Condition reloaded = lock.newCondition();
     private volatile Dns dns;
     private int failures;
-    private int most;
-    private int version;
-    private List<String> told = List.of();
+    /** How many endpoints there were lately. */
+    private int usualEndpoints;
+    private int lookups;
+    private List<String> lastFaults = List.of();
 
     /** The source for one of the names in {@code dns}. */
     public DnsSource(Dns dns, DnsName service, LaunchConfig launch) {
         this.dns = dns;
         this.service = service;
-        this.launch = launch;
-        nodes = new TargetMapper(launch.settings().layout().cells(), launch.zones(), launch.kinds());
+        mapper = new TargetMapper(launch.settings().layout().cells(), launch.zones(), launch.kinds());
         random = RandomGenerator.getDefault();
     }
 
@@ -68,84 +83,109 @@
         lock.lock();
         try {
             dns = other;
-            changed.signal();
+            reloaded.signal();
         } finally {
             lock.unlock();
         }
     }
 
     @Override
-    public void start(Consumer<WatchEvent> to) {
-        Threads.start("dns-" + service.name(), () -> run(to));
+    public void start(Consumer<WatchEvent> listener) {
+        Threads.start("dns-" + service.name(), () -> run(listener));
     }
 
-    private void run(Consumer<WatchEvent> to) {
-        Dns held = null;
-        ServiceResolver services = null;
-        TtlPolicy lifetimes = null;
+    private void run(Consumer<WatchEvent> listener) {
+        Lookups current = null;
         while (true) {
-            Dns now = dns;
-            if (now != held) {
-                lifetimes = new TtlPolicy(now.leastTtl(), now.mostTtl(), now.mostAge());
-                var resolver = new StubResolver(now.servers(), lifetimes, now.timeout(), 3 * now.mostRecords(),
-                        OneTimeLookup::clock);
-                services = new ServiceResolver(resolver, now.mostRecords(), true, OneTimeLookup::clock);
-                held = now;
+            Dns configured = dns;
+            if (current == null || !configured.equals(current.dns())) {
+                current = Lookups.of(configured);
             }
             long wait;
             try {
-                wait = look(services, lifetimes, to);
+                wait = lookUp(current, listener);
             } catch (RuntimeException e) {
                 log.error("{}: look-up failed", name(), e);
-                wait = MOST_RETRY;
+                wait = MAX_BACKOFF_MILLIS;
             }
-            lock.lock();
-            try {
-                if (dns == held) {
-                    changed.await(wait, TimeUnit.MILLISECONDS);
-                }
-            } catch (InterruptedException e) {
+            if (!awaitReload(configured, wait)) {
                 return;
-            } finally {
-                lock.unlock();
             }
         }
     }
 
-    /** Looks it up, tells what came of it, and returns after how long to do so again. */
-    private long look(ServiceResolver services, TtlPolicy lifetimes, Consumer<WatchEvent> to) {
-        ServiceResolver.ServiceLookup result = services.find(service.name(), LONGEST_LOOKUP);
-        if (result instanceof ServiceResolver.ServiceLookup.ServiceLookupFailure failed) {
-            log.warn("{}: {}", name(), failed.reason());
-            to.accept(new WatchEvent.SourceFailure(name(), failed.reason()));
-            long retry = Math.min(MOST_RETRY, FIRST_RETRY << Math.min(failures++, 10));
-            return lifetimes.refreshAfterMillis(retry, random.nextDouble());
+    /** Waits until the configuration has changed, but no longer than this; false where the thread was interrupted. */
+    private boolean awaitReload(Dns used, long millis) {
+        lock.lock();
+        try {
+            if (dns.equals(used)) {
+                reloaded.await(millis, TimeUnit.MILLISECONDS);
+            }
+            return true;
+        } catch (InterruptedException e) {
+            return false;
+        } finally {
+            lock.unlock();
+        }
+    }
+
+    /** Looks the service up, reports what came of it, and returns after how many milliseconds to do so again. */
+    private long lookUp(Lookups current, Consumer<WatchEvent> listener) {
+        ServiceLookup lookup = current.services().find(service.name(), LOOKUP_TIMEOUT_MILLIS);
+        if (lookup instanceof ServiceLookup.ServiceLookupFailure failure) {
+            log.warn("{}: {}", name(), failure.reason());
+            listener.accept(new WatchEvent.SourceFailure(name(), failure.reason()));
+            return current.ttls().refreshAfterMillis(backoff(), random.nextDouble());
         }
         failures = 0;
-        String at = "look-up " + ++version;
-        List<SourceEndpoint> entries = new ArrayList<>();
-        long lifetime;
-        if (result instanceof ServiceResolver.ServiceLookup.Resolved offered) {
-            var faults = new ArrayList<>(offered.faults());
-            entries = nodes.of(offered.targets(), service.cell(), faults);
-            if (!faults.equals(told)) { // each once, and again when others come
-                faults.forEach(f -> log.warn("{}: {}", name(), f));
-                told = faults;
-            }
-            lifetime = offered.ttlMillis();
-            to.accept(new WatchEvent.EndpointSnapshot(name(), at, entries, false));
-        } else if (result instanceof ServiceResolver.ServiceLookup.NotOffered not) {
-            lifetime = not.ttlMillis();
-            to.accept(new WatchEvent.EndpointSnapshot(name(), at + ", the service is not offered", List.of(), true));
-            most = 0;
+        lookups++;
+        String version = "look-up " + lookups;
+        int endpoints = 0;
+        long ttl;
+        if (lookup instanceof ServiceLookup.Resolved resolved) {
+            endpoints = reportResolved(resolved, version, listener);
+            ttl = resolved.ttlMillis();
+        } else if (lookup instanceof ServiceLookup.NotOffered notOffered) {
+            report(version + ", the service is not offered", List.of(), true, listener);
+            usualEndpoints = 0;
+            ttl = notOffered.ttlMillis();
         } else {
-            var none = (ServiceResolver.ServiceLookup.NoService) result;
+            var none = (ServiceLookup.NoService) lookup;
             log.warn("{}: {}", name(), none.reason());
-            lifetime = none.ttlMillis();
-            to.accept(new WatchEvent.EndpointSnapshot(name(), at + " (" + none.reason() + ")", List.of(), false));
+            report(version + " (" + none.reason() + ")", List.of(), false, listener);
+            ttl = none.ttlMillis();
         }
-        most = Math.max(entries.size(), most - 1); // fades, so that a fleet that has shrunk is not doubted for ever
-        long wait = entries.size() < most ? Math.min(lifetime, DOUBT) : lifetime;
-        return lifetimes.refreshAfterMillis(Math.min(wait, lifetimes.maxTtlMillis()), random.nextDouble());
+        return current.ttls().refreshAfterMillis(pollAfter(endpoints, ttl, current.ttls()), random.nextDouble());
+    }
+
+    private long backoff() {
+        long backoff = MIN_BACKOFF_MILLIS << Math.min(failures, MAX_DOUBLINGS);
+        failures++;
+        return Math.min(MAX_BACKOFF_MILLIS, backoff);
+    }
+
+    /** Sooner than the TTL while endpoints are missing; the usual number fades, as a fleet may have shrunk for good. */
+    private long pollAfter(int endpoints, long ttlMillis, TtlPolicy ttls) {
+        usualEndpoints = Math.max(endpoints, usualEndpoints - 1);
+        long wait = endpoints < usualEndpoints ? Math.min(ttlMillis, SHRUNK_POLL_MILLIS) : ttlMillis;
+        return Math.min(wait, ttls.maxTtlMillis());
+    }
+
+    private int reportResolved(ServiceLookup.Resolved resolved, String version, Consumer<WatchEvent> listener) {
+        var faults = new ArrayList<>(resolved.faults());
+        List<SourceEndpoint> endpoints = mapper.endpoints(resolved.targets(), service.cell(), faults);
+        if (!faults.equals(lastFaults)) { // each once, and again when others come
+            for (String fault : faults) {
+                log.warn("{}: {}", name(), fault);
+            }
+            lastFaults = faults;
+        }
+        report(version, endpoints, false, listener);
+        return endpoints.size();
+    }
+
+    private void report(String version, List<SourceEndpoint> endpoints, boolean authoritative,
+            Consumer<WatchEvent> listener) {
+        listener.accept(new WatchEvent.EndpointSnapshot(name(), version, endpoints, authoritative));
     }
 }
--- a/src/main/java/wallmoor/dns/DnsTransport.java
+++ b/src/main/java/wallmoor/dns/DnsTransport.java
@@ -9,102 +9,118 @@
 import java.net.Proxy;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
+import java.util.Arrays;
 import java.util.concurrent.TimeUnit;
 import org.xbill.DNS.Message;
 
-/** One query and its answer on the wire. What an answer means is {@link DnsResponse}'s to say. */
+/** One query and its response on the wire. What a response means is {@link DnsResponse}'s to say. */
 final class DnsTransport {
-    /** An answer over UDP that fills it is as good as truncated; more than the size we offer must be room. */
-    private static final int MOST_UDP = 4096;
+    /** A response over UDP that fills it is as good as truncated; it must hold more than the size we offer. */
+    private static final int MAX_UDP_BYTES = 4096;
+    /** The length in front of a message over TCP (RFC 1035 section 4.2.2). */
+    private static final int LENGTH_BYTES = 2;
 
     private DnsTransport() {}
 
     /**
      * Asks over UDP, from a port that the system draws for this query alone; the socket is connected, so that only what
      * comes from the server's own address and port is seen (RFC 5452 section 9). What answers another question, or
-     * can't be read, is passed over.
+     * can't be read, is skipped.
      *
-     * @return the answer; null stands for one that came and was cut off
+     * @return the response; null stands for one that came and was cut off
      * @throws SocketTimeoutException if none came in time; it tells what else did
      */
     static Message udp(InetSocketAddress server, Message query, long millis) throws IOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        int strange = 0;
+        long until = deadline(millis);
+        int skipped = 0;
         try (var socket = new DatagramSocket()) {
             socket.connect(server);
             byte[] bytes = query.toWire();
             socket.send(new DatagramPacket(bytes, bytes.length));
-            var packet = new DatagramPacket(new byte[MOST_UDP], MOST_UDP);
-            while (true) {
-                long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-                if (left <= 0) {
-                    throw silence(strange);
-                }
-                socket.setSoTimeout((int) left);
-                packet.setLength(MOST_UDP);
-                try {
-                    socket.receive(packet);
-                } catch (SocketTimeoutException e) {
-                    throw silence(strange);
-                }
-                if (packet.getLength() == MOST_UDP) {
+            var packet = new DatagramPacket(new byte[MAX_UDP_BYTES], MAX_UDP_BYTES);
+            while (receive(socket, packet, until)) {
+                if (packet.getLength() == MAX_UDP_BYTES) {
                     return null;
                 }
-                Message answer = read(java.util.Arrays.copyOf(packet.getData(), packet.getLength()));
-                if (answer != null && DnsResponse.answers(query, answer)) {
-                    return answer;
+                Message response = parse(Arrays.copyOf(packet.getData(), packet.getLength()));
+                if (response != null && DnsResponse.answers(query, response)) {
+                    return response;
                 }
-                strange++;
+                skipped++;
             }
         }
+        throw new SocketTimeoutException(skipped == 0 ? "no answer in time"
+                : "no answer in time, but " + skipped + " that can't be read or answer something else");
     }
 
-    private static SocketTimeoutException silence(int strange) {
-        return new SocketTimeoutException(strange == 0 ? "no answer in time"
-                : "no answer in time, but " + strange + " that can't be read or answer something else");
+    /** Receives a datagram; false where none came in time. */
+    private static boolean receive(DatagramSocket socket, DatagramPacket packet, long until) throws IOException {
+        long left = millisUntil(until);
+        if (left <= 0) {
+            return false;
+        }
+        socket.setSoTimeout((int) left);
+        packet.setLength(MAX_UDP_BYTES);
+        try {
+            socket.receive(packet);
+            return true;
+        } catch (SocketTimeoutException e) {
+            return false;
+        }
     }
 
     /** Asks over TCP (RFC 7766). */
     static Message tcp(InetSocketAddress server, Message query, long millis) throws IOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        long until = deadline(millis);
         try (var socket = new Socket(Proxy.NO_PROXY)) {
             socket.connect(server, (int) millis);
-            byte[] bytes = query.toWire();
-            byte[] framed = new byte[2 + bytes.length];
-            framed[0] = (byte) (bytes.length >>> 8);
-            framed[1] = (byte) bytes.length;
-            System.arraycopy(bytes, 0, framed, 2, bytes.length);
-            socket.getOutputStream().write(framed);
+            socket.getOutputStream().write(framed(query.toWire()));
             var in = new DataInputStream(socket.getInputStream());
-            byte[] head = fully(socket, in, 2, until);
-            byte[] body = fully(socket, in, (head[0] & 0xff) << 8 | head[1] & 0xff, until);
-            Message answer = read(body);
-            if (answer == null || !DnsResponse.answers(query, answer)) {
+            byte[] head = readFully(socket, in, LENGTH_BYTES, until);
+            byte[] body = readFully(socket, in, ((head[0] & 0xff) << 8) | (head[1] & 0xff), until);
+            Message response = parse(body);
+            if (response == null || !DnsResponse.answers(query, response)) {
                 throw new IOException("an answer that can't be read, or to something else");
             }
-            return answer;
+            return response;
         }
     }
 
+    private static byte[] framed(byte[] message) {
+        byte[] framed = new byte[LENGTH_BYTES + message.length];
+        framed[0] = (byte) (message.length >>> 8);
+        framed[1] = (byte) message.length;
+        System.arraycopy(message, 0, framed, LENGTH_BYTES, message.length);
+        return framed;
+    }
+
     /** A server that sends a byte now and then does not get more time for it. */
-    private static byte[] fully(Socket socket, DataInputStream in, int length, long until) throws IOException {
-        byte[] all = new byte[length];
+    private static byte[] readFully(Socket socket, DataInputStream in, int length, long until) throws IOException {
+        byte[] bytes = new byte[length];
         for (int at = 0; at < length;) {
-            long left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
+            long left = millisUntil(until);
             if (left <= 0) {
                 throw new SocketTimeoutException("no whole answer in time");
             }
             socket.setSoTimeout((int) left);
-            int n = in.read(all, at, length - at);
+            int n = in.read(bytes, at, length - at);
             if (n < 0) {
                 throw new EOFException("half an answer");
             }
             at += n;
         }
-        return all;
+        return bytes;
+    }
+
+    private static long deadline(long millis) {
+        return System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    }
+
+    private static long millisUntil(long deadline) {
+        return TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
     }
 
-    private static Message read(byte[] bytes) {
+    private static Message parse(byte[] bytes) {
         try {
             return new Message(bytes);
         } catch (IOException | RuntimeException e) {
--- a/src/main/java/wallmoor/dns/NameServers.java
+++ b/src/main/java/wallmoor/dns/NameServers.java
@@ -2,40 +2,47 @@
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 
 /**
- * Decides which server is asked next: the one that has answered soonest, by a smoothed time as in RFC 6298, of those
+ * Decides which name server is asked next: the one with the least smoothed round-trip time (as in RFC 6298) of those
  * that have not failed lately. One that is not asked seems a little faster each time, so that all are measured again.
- * No clock and no I/O. Safe for threads.
+ * Times are milliseconds. No clock and no I/O. Safe for threads.
  */
 final class NameServers {
-    private static final double GAIN = 1.0 / 8;
-    private static final double FORGET = 0.98;
-    private static final long FIRST_BACKOFF = 1_000;
-    private static final long MOST_BACKOFF = 60_000;
+    /** The weight of a new measurement (RFC 6298's alpha). */
+    private static final double SMOOTHING = 1.0 / 8;
+    /** By which the time of a server that is not asked shrinks. */
+    private static final double DECAY = 0.98;
+    private static final long MIN_BACKOFF_MILLIS = 1_000;
+    private static final long MAX_BACKOFF_MILLIS = 60_000;
+    /** Doublings beyond this many change nothing, as the bound is lower. */
+    private static final int MAX_DOUBLINGS = 16;
 
-    private static final class Server {
+    private static final class NameServer {
         final InetSocketAddress address;
-        /** Milliseconds; 0 where it was never heard, so that it is tried soon. */
-        double smoothed;
+        /** 0 where it never answered, so that it is tried soon. */
+        double smoothedMillis;
         int failures;
-        long backUntil = Long.MIN_VALUE;
+        long backoffUntil = Long.MIN_VALUE;
 
-        Server(InetSocketAddress address) {
+        NameServer(InetSocketAddress address) {
             this.address = address;
         }
     }
 
-    private final List<Server> all = new ArrayList<>();
+    private final List<NameServer> servers = new ArrayList<>();
 
     NameServers(List<InetSocketAddress> addresses) {
-        addresses.stream().distinct().forEach(a -> all.add(new Server(a)));
+        for (InetSocketAddress address : new LinkedHashSet<>(addresses)) {
+            servers.add(new NameServer(address));
+        }
     }
 
     int count() {
-        return all.size();
+        return servers.size();
     }
 
     /**
@@ -43,44 +50,53 @@
      * backoff ends first before the rest: where all have failed there is nobody better.
      */
     synchronized InetSocketAddress next(long now, Set<InetSocketAddress> tried) {
-        Server best = null;
-        for (Server s : all) {
-            if (!tried.contains(s.address) && (best == null || before(s, best, now))) {
-                best = s;
+        NameServer best = null;
+        for (NameServer server : servers) {
+            if (!tried.contains(server.address) && (best == null || isBetter(server, best, now))) {
+                best = server;
             }
         }
-        for (Server s : all) {
-            if (s != best) {
-                s.smoothed *= FORGET;
+        for (NameServer server : servers) {
+            if (server != best) {
+                server.smoothedMillis *= DECAY;
             }
         }
         return best == null ? null : best.address;
     }
 
-    private static boolean before(Server a, Server b, long now) {
-        boolean backA = now < a.backUntil;
-        boolean backB = now < b.backUntil;
-        if (backA != backB) {
-            return backB;
+    private static boolean isBetter(NameServer a, NameServer b, long now) {
+        boolean backoffA = now < a.backoffUntil;
+        boolean backoffB = now < b.backoffUntil;
+        if (backoffA != backoffB) {
+            return backoffB;
         }
-        return backA ? a.backUntil < b.backUntil : a.smoothed < b.smoothed;
+        return backoffA ? a.backoffUntil < b.backoffUntil : a.smoothedMillis < b.smoothedMillis;
     }
 
     /** It answered after so many milliseconds. */
-    synchronized void recordAnswer(InetSocketAddress address, double took) {
-        Server s = find(address);
-        s.smoothed = s.smoothed == 0 ? took : s.smoothed + GAIN * (took - s.smoothed);
-        s.failures = 0;
-        s.backUntil = Long.MIN_VALUE;
+    synchronized void recordAnswer(InetSocketAddress address, double millis) {
+        NameServer server = find(address);
+        server.smoothedMillis = server.smoothedMillis == 0
+                ? millis
+                : server.smoothedMillis + SMOOTHING * (millis - server.smoothedMillis);
+        server.failures = 0;
+        server.backoffUntil = Long.MIN_VALUE;
     }
 
-    /** It gave no useful answer. */
+    /** It gave no useful response. */
     synchronized void recordFailure(InetSocketAddress address, long now) {
-        Server s = find(address);
-        s.backUntil = now + Math.min(MOST_BACKOFF, FIRST_BACKOFF << Math.min(s.failures++, 16));
+        NameServer server = find(address);
+        long backoff = MIN_BACKOFF_MILLIS << Math.min(server.failures, MAX_DOUBLINGS);
+        server.failures++;
+        server.backoffUntil = now + Math.min(MAX_BACKOFF_MILLIS, backoff);
     }
 
-    private Server find(InetSocketAddress address) {
-        return all.stream().filter(s -> s.address.equals(address)).findFirst().orElseThrow();
+    private NameServer find(InetSocketAddress address) {
+        for (NameServer server : servers) {
+            if (server.address.equals(address)) {
+                return server;
+            }
+        }
+        throw new IllegalArgumentException("no server " + address);
     }
 }
--- a/src/main/java/wallmoor/dns/OneTimeLookup.java
+++ b/src/main/java/wallmoor/dns/OneTimeLookup.java
@@ -6,11 +6,11 @@
 
 /** A single look-up of a service, as an operator asks for it. */
 public final class OneTimeLookup {
-    /** For one try at one server. */
-    private static final long TIMEOUT = 1_500;
-    private static final long DAY = 86_400_000;
-    private static final int CACHED = 4_096;
-    private static final int MOST_RECORDS = 10_000;
+    /** For one attempt at one server. */
+    private static final long TIMEOUT_MILLIS = 1_500;
+    private static final long DAY_MILLIS = 86_400_000;
+    private static final int CACHED_ANSWERS = 4_096;
+    private static final int MAX_RECORDS = 10_000;
 
     private OneTimeLookup() {}
 
@@ -19,9 +19,10 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** Looks a service up at these servers, for at most so many milliseconds and one try more. */
-    public static ServiceResolver.ServiceLookup find(List<InetSocketAddress> servers, String service, long millis) {
-        var resolver = new StubResolver(servers, new TtlPolicy(0, DAY, DAY), TIMEOUT, CACHED, OneTimeLookup::clock);
-        return new ServiceResolver(resolver, MOST_RECORDS, false, OneTimeLookup::clock).find(service, millis);
+    /** Looks up a service at these servers, for at most so many milliseconds and one attempt more. */
+    public static ServiceLookup find(List<InetSocketAddress> servers, String service, long millis) {
+        var ttls = new TtlPolicy(0, DAY_MILLIS, DAY_MILLIS);
+        var resolver = new StubResolver(servers, ttls, TIMEOUT_MILLIS, CACHED_ANSWERS, OneTimeLookup::clock);
+        return new ServiceResolver(resolver, MAX_RECORDS, false, OneTimeLookup::clock).find(service, millis);
     }
 }
--- a/src/main/java/wallmoor/dns/ServiceResolver.java
+++ b/src/main/java/wallmoor/dns/ServiceResolver.java
@@ -1,80 +1,54 @@
 package wallmoor.dns;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
-import java.util.Map;
 import java.util.Set;
-import java.util.concurrent.atomic.AtomicInteger;
+import java.util.TreeSet;
 import java.util.function.LongSupplier;
-import org.xbill.DNS.AAAARecord;
-import org.xbill.DNS.ARecord;
 import org.xbill.DNS.Name;
 import org.xbill.DNS.Record;
 import org.xbill.DNS.SRVRecord;
-import org.xbill.DNS.TXTRecord;
 import org.xbill.DNS.TextParseException;
 import org.xbill.DNS.Type;
-import wallmoor.http.Threads;
 
-/** Looks a service up: its SRV records (RFC 2782), and for each target the addresses and the TXT record. */
+/**
+ * Looks up a service: its SRV records (RFC 2782), and for each target the addresses and the TXT record. It remembers
+ * which targets it believed last; one caller at a time.
+ */
 public final class ServiceResolver {
-    /** Look-ups at once: more would be a burst that servers drop. */
-    private static final int AT_ONCE = 8;
-    private static final int MOST_TEXT = 32;
-    /** Readings after the first at most, for what has changed. */
-    private static final int MOST_READINGS = 3;
-
-    /** What came of it. */
-    public sealed interface ServiceLookup {
-
-        /**
-         * The service's targets.
-         *
-         * @param targets  those of which an address was found
-         * @param faults   what is wrong with the others, in words that name them
-         * @param ttlMillis milliseconds until it should be looked up again at the latest
-         */
-        record Resolved(List<ServiceTarget> targets, List<String> faults, long ttlMillis) implements ServiceLookup {}
-
-        /** The one target is the root: the service is decidedly not available there (RFC 2782). */
-        record NotOffered(long ttlMillis) implements ServiceLookup {}
-
-        /** No such records; {@code why} is NXDOMAIN or NODATA. */
-        record NoService(String reason, long ttlMillis) implements ServiceLookup {}
-
-        /** No useful answer. */
-        record ServiceLookupFailure(String reason) implements ServiceLookup {}
-    }
+    /** Readings after the first at most, to confirm what has changed. */
+    private static final int MAX_CONFIRMATIONS = 3;
+    /** After how long to look up again while a change is not confirmed: at once. */
+    private static final long UNCONFIRMED_TTL_MILLIS = 1;
 
     private final StubResolver resolver;
-    private final int mostRecords;
-    private final boolean confirms;
+    private final ParallelTargetLookup targets;
+    private final int maxRecords;
+    private final boolean confirmsChanges;
     private final LongSupplier clock;
-    /** Targets as they were believed last, without their lifetimes. */
+    /** The facts of the targets as they were believed last. */
     private Set<String> accepted = Set.of();
 
     /**
      * Makes it.
      *
-     * @param mostRecords an answer with more is not used
-     * @param confirms    whether what changed is to be read twice before it is believed
-     * @param clock       the resolver's
+     * @param maxRecords      a response with more is not used
+     * @param confirmsChanges whether what changed is to be read twice before it is believed
+     * @param clock           the resolver's, in milliseconds
      */
-    ServiceResolver(StubResolver resolver, int mostRecords, boolean confirms, LongSupplier clock) {
+    ServiceResolver(StubResolver resolver, int maxRecords, boolean confirmsChanges, LongSupplier clock) {
         this.resolver = resolver;
-        this.mostRecords = mostRecords;
-        this.confirms = confirms;
+        this.maxRecords = maxRecords;
+        this.confirmsChanges = confirmsChanges;
         this.clock = clock;
+        targets = new ParallelTargetLookup(new TargetResolver(resolver));
     }
 
     /**
-     * Looks a service up; gives up after so many milliseconds. A target that has changed in any way is believed only
+     * Looks up a service; gives up after so many milliseconds. A target that has changed in any way is believed only
      * when two readings of all its records from servers agree: SRV, address and TXT are read one after another, and one
-     * that moved between two readings would else have the port of one node and the identity of another.
+     * that moved between two readings would else have the port of one endpoint and the identity of another.
      */
     ServiceLookup find(String service, long millis) {
         long deadline = clock.getAsLong() + millis;
@@ -85,176 +59,93 @@
             return new ServiceLookup.ServiceLookupFailure(service + " is no name: " + e.getMessage());
         }
         ServiceLookup first = read(name, deadline, Set.of());
-        if (!confirms || !(first instanceof ServiceLookup.Resolved last)) {
-            return first;
-        }
-        Set<String> open = changed(last);
-        for (int i = 0; i < MOST_READINGS && !open.isEmpty(); i++) {
-            if (!(read(name, deadline, open) instanceof ServiceLookup.Resolved next)) {
+        return confirmsChanges && first instanceof ServiceLookup.Resolved resolved
+                ? confirm(name, deadline, resolved)
+                : first;
+    }
+
+    /** Reads changed targets again until two readings agree, or there were too many. */
+    private ServiceLookup confirm(Name name, long deadline, ServiceLookup.Resolved first) {
+        ServiceLookup.Resolved last = first;
+        Set<String> unconfirmed = changedTargets(last);
+        for (int i = 0; i < MAX_CONFIRMATIONS && !unconfirmed.isEmpty(); i++) {
+            if (!(read(name, deadline, unconfirmed) instanceof ServiceLookup.Resolved next)) {
                 break; // what changed stays unconfirmed
             }
-            var agreed = new HashSet<>(next.targets().stream().map(ServiceTarget::facts).toList());
-            agreed.retainAll(last.targets().stream().map(ServiceTarget::facts).toList());
-            open = changed(next);
-            open.removeIf(n -> next.targets().stream().filter(t -> t.name().equals(n))
-                    .allMatch(t -> agreed.contains(t.facts())));
+            unconfirmed = withoutAgreed(changedTargets(next), last, next);
             last = next;
         }
-        return believed(last, open);
+        return believed(last, unconfirmed);
     }
 
-    private Set<String> changed(ServiceLookup.Resolved offered) {
+    /** The names of the targets that differ from those believed last. */
+    private Set<String> changedTargets(ServiceLookup.Resolved resolved) {
         Set<String> changed = new HashSet<>();
-        offered.targets().stream().filter(t -> !accepted.contains(t.facts())).forEach(t -> changed.add(t.name()));
+        for (ServiceTarget target : resolved.targets()) {
+            if (!accepted.contains(target.facts())) {
+                changed.add(target.name());
+            }
+        }
         return changed;
     }
 
-    private ServiceLookup believed(ServiceLookup.Resolved offered, Set<String> open) {
-        var targets = new ArrayList<>(offered.targets());
-        targets.removeIf(t -> open.contains(t.name()));
-        var faults = new ArrayList<>(offered.faults());
-        open.stream().sorted().forEach(n -> faults.add(n + ": its records are changing, and not believed yet"));
-        accepted = Set.copyOf(targets.stream().map(ServiceTarget::facts).toList());
-        return new ServiceLookup.Resolved(List.copyOf(targets), List.copyOf(faults),
-                open.isEmpty() ? offered.ttlMillis() : 1);
+    /** The names left of those whose targets aren't all alike in two readings. */
+    private static Set<String> withoutAgreed(Set<String> names, ServiceLookup.Resolved last,
+            ServiceLookup.Resolved next) {
+        Set<String> lastFacts = facts(last.targets());
+        Set<String> disagreeing = new HashSet<>();
+        for (ServiceTarget target : next.targets()) {
+            if (names.contains(target.name()) && !lastFacts.contains(target.facts())) {
+                disagreeing.add(target.name());
+            }
+        }
+        return disagreeing;
     }
 
-    /** One reading; the service and these targets are asked of servers, the rest may come from the cache. */
-    private ServiceLookup read(Name name, long deadline, Set<String> anew) {
-        RecordLookup found = resolver.find(name, Type.SRV, deadline, !anew.isEmpty());
-        if (found instanceof RecordLookup.NoRecords none) {
-            return new ServiceLookup.NoService(none.reason(), none.ttlMillis());
+    private static Set<String> facts(List<ServiceTarget> targets) {
+        Set<String> facts = new HashSet<>();
+        for (ServiceTarget target : targets) {
+            facts.add(target.facts());
         }
-        if (found instanceof RecordLookup.LookupFailure failure) {
-            return new ServiceLookup.ServiceLookupFailure(failure.reason());
-        }
-        var records = (RecordLookup.Records) found;
-        if (records.stale()) {
-            return new ServiceLookup.ServiceLookupFailure("no server answers");
-        }
-        if (records.records().size() > mostRecords) {
-            return new ServiceLookup.ServiceLookupFailure(
-                    records.records().size() + " SRV records, more than " + mostRecords);
-        }
-        if (records.records().size() == 1 && ((SRVRecord) records.records().get(0)).getTarget().equals(Name.root)) {
-            return new ServiceLookup.NotOffered(records.ttlMillis());
-        }
-        return targets(records, deadline, anew);
+        return facts;
     }
 
-    private ServiceLookup targets(RecordLookup.Records found, long deadline, Set<String> anew) {
-        List<Record> records = found.records();
-        var targets = new ServiceTarget[records.size()];
-        var faults = new String[records.size()];
-        var next = new AtomicInteger();
-        var threads = new ArrayList<Thread>();
-        for (int t = 0; t < Math.min(AT_ONCE, records.size()); t++) {
-            threads.add(Threads.start("dns-look-" + t, () -> {
-                for (int i = next.getAndIncrement(); i < targets.length; i = next.getAndIncrement()) {
-                    var srv = (SRVRecord) records.get(i);
-                    try {
-                        targets[i] = target(srv, found.ttlMillis(), deadline, anew.contains(plain(srv.getTarget())));
-                    } catch (Unusable | RuntimeException e) {
-                        faults[i] = plain(srv.getTarget()) + ": " + e.getMessage();
-                    }
-                }
-            }));
-        }
-        try {
-            for (Thread t : threads) {
-                t.join();
-            }
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            return new ServiceLookup.ServiceLookupFailure("interrupted");
-        }
-        var good = new ArrayList<ServiceTarget>();
-        var bad = new ArrayList<String>();
-        long lifetime = found.ttlMillis();
-        Set<String> seen = new HashSet<>();
-        for (int i = 0; i < targets.length; i++) {
-            if (targets[i] == null) {
-                bad.add(faults[i]);
-            } else if (!seen.add(targets[i].name() + ":" + targets[i].port())) {
-                bad.add(targets[i].name() + ": port " + targets[i].port() + " stands twice");
-            } else {
-                good.add(targets[i]);
-                lifetime = Math.min(lifetime, targets[i].ttlMillis());
+    private ServiceLookup believed(ServiceLookup.Resolved resolved, Set<String> unconfirmed) {
+        var believed = new ArrayList<ServiceTarget>();
+        for (ServiceTarget target : resolved.targets()) {
+            if (!unconfirmed.contains(target.name())) {
+                believed.add(target);
             }
         }
-        return new ServiceLookup.Resolved(List.copyOf(good), List.copyOf(bad), lifetime);
-    }
-
-    /** Why a record can't be used. */
-    private static final class Unusable extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        Unusable(String why) {
-            super(why);
+        var faults = new ArrayList<>(resolved.faults());
+        for (String name : new TreeSet<>(unconfirmed)) {
+            faults.add(name + ": its records are changing, and not believed yet");
         }
+        accepted = Set.copyOf(facts(believed));
+        long ttl = unconfirmed.isEmpty() ? resolved.ttlMillis() : UNCONFIRMED_TTL_MILLIS;
+        return new ServiceLookup.Resolved(List.copyOf(believed), List.copyOf(faults), ttl);
     }
 
-    private ServiceTarget target(SRVRecord srv, long lifetime, long deadline, boolean anew) throws Unusable {
-        if (srv.getTarget().equals(Name.root) || srv.getPort() == 0) {
-            throw new Unusable("no target, or no port, beside others that are");
-        }
-        long ttl = lifetime;
-        RecordLookup at = resolver.find(srv.getTarget(), Type.A, deadline, anew);
-        if (at instanceof RecordLookup.NoRecords) {
-            at = resolver.find(srv.getTarget(), Type.AAAA, deadline, anew);
-        }
-        if (!(at instanceof RecordLookup.Records addresses)) {
-            throw new Unusable(at instanceof RecordLookup.NoRecords none ? "no address: " + none.reason()
-                    : "its address can't be had: " + ((RecordLookup.LookupFailure) at).reason());
+    /** One reading; the service and the targets of these names bypass the cache, the rest may come from it. */
+    private ServiceLookup read(Name name, long deadline, Set<String> bypassing) {
+        RecordLookup lookup = resolver.find(name, Type.SRV, deadline, !bypassing.isEmpty());
+        if (lookup instanceof RecordLookup.NoRecords none) {
+            return new ServiceLookup.NoService(none.reason(), none.ttlMillis());
         }
-        ttl = Math.min(ttl, addresses.ttlMillis());
-        Map<String, String> text = Map.of();
-        RecordLookup said = resolver.find(srv.getTarget(), Type.TXT, deadline, anew);
-        // who it is stays open: a guess would make it another node
-        if (said instanceof RecordLookup.LookupFailure failure) {
-            throw new Unusable("its TXT record can't be had: " + failure.reason());
+        if (lookup instanceof RecordLookup.LookupFailure failure) {
+            return new ServiceLookup.ServiceLookupFailure(failure.reason());
         }
-        if (said instanceof RecordLookup.Records t) {
-            text = text(t.records());
-            ttl = Math.min(ttl, t.ttlMillis());
-        } else {
-            ttl = Math.min(ttl, ((RecordLookup.NoRecords) said).ttlMillis());
+        var found = (RecordLookup.Records) lookup;
+        if (found.stale()) {
+            return new ServiceLookup.ServiceLookupFailure("no server answers");
         }
-        List<String> places = addresses(addresses.records());
-        String claimed = text.get("at");
-        if (claimed != null
-                && places.stream().noneMatch(a -> ServiceTarget.hostPort(a, srv.getPort()).equals(claimed))) {
-            throw new Unusable(
-                    "its TXT record speaks of " + claimed + ", and its SRV record and address of another place");
+        List<Record> records = found.records();
+        if (records.size() > maxRecords) {
+            return new ServiceLookup.ServiceLookupFailure(records.size() + " SRV records, more than " + maxRecords);
         }
-        return new ServiceTarget(plain(srv.getTarget()), places, srv.getPort(), srv.getPriority(), srv.getWeight(),
-                text, ttl);
-    }
-
-    static String plain(Name name) {
-        return name.toString(true).toLowerCase(Locale.ROOT);
-    }
-
-    private static List<String> addresses(List<Record> records) {
-        return records.stream().map(r -> r instanceof ARecord a ? a.getAddress().getHostAddress()
-                : ((AAAARecord) r).getAddress().getHostAddress()).distinct().sorted().toList();
-    }
-
-    /**
-     * Keys and values; of a key that stands twice the first counts, one without a value has an empty one (RFC 6763).
-     */
-    private static Map<String, String> text(List<Record> records) {
-        var pairs = new HashMap<String, String>();
-        for (Record r : records) {
-            for (byte[] bytes : ((TXTRecord) r).getStringsAsByteArrays()) {
-                String pair = new String(bytes, StandardCharsets.UTF_8);
-                int equals = pair.indexOf('=');
-                String key = (equals < 0 ? pair : pair.substring(0, equals)).toLowerCase(Locale.ROOT);
-                if (!key.isEmpty() && pairs.size() < MOST_TEXT) {
-                    pairs.putIfAbsent(key, equals < 0 ? "" : pair.substring(equals + 1));
-                }
-            }
+        if (records.size() == 1 && ((SRVRecord) records.get(0)).getTarget().equals(Name.root)) {
+            return new ServiceLookup.NotOffered(found.ttlMillis());
         }
-        return Map.copyOf(pairs);
+        return targets.find(found, deadline, bypassing);
     }
 }
--- a/src/main/java/wallmoor/dns/TargetMapper.java
+++ b/src/main/java/wallmoor/dns/TargetMapper.java
@@ -5,24 +5,24 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.OptionalDouble;
-import java.util.stream.Collectors;
 import wallmoor.core.WorkerEndpoint;
 import wallmoor.endpoints.SourceEndpoint;
 
 /**
- * Makes nodes of a service's targets: who each is, what it holds, how large it is. No I/O. It remembers which address a
- * node of several has, so that it does not change without need.
+ * Maps a service's targets to endpoints: the identity of each, what it holds, how large it is. No I/O. It remembers
+ * which address an endpoint of several has, so that it does not change without need.
  */
 final class TargetMapper {
-    /** A weight stands for a size; a node many times larger than the usual one is a slip of the pen. */
-    private static final double LEAST_SIZE = 0.1;
-    private static final double MOST_SIZE = 10;
+    /** A weight stands for a size; an endpoint many times larger than the usual one is a slip of the pen. */
+    private static final double MIN_SIZE = 0.1;
+    private static final double MAX_SIZE = 10;
+    private static final double DEFAULT_SIZE = 1;
 
     private final int cells;
     private final List<String> zones;
     private final List<String> kinds;
-    private Map<String, String> addresses = Map.of();
+    /** The address chosen last by the endpoint's id. */
+    private Map<String, String> chosenAddresses = Map.of();
 
     TargetMapper(int cells, List<String> zones, List<String> kinds) {
         this.cells = cells;
@@ -30,71 +30,102 @@
         this.kinds = kinds;
     }
 
-    /** The nodes; what can't be one is told in {@code faults}. {@code cell} is that of all, or -1. */
-    List<SourceEndpoint> of(List<ServiceTarget> targets, int cell, List<String> faults) {
-        Map<Integer, OptionalDouble> means = new HashMap<>();
-        targets.stream().collect(Collectors.groupingBy(ServiceTarget::priority))
-                .forEach((p, all) -> means.put(p, all.stream().mapToInt(ServiceTarget::weight).average()));
-        var entries = new LinkedHashMap<String, SourceEndpoint>();
+    /** The endpoints; what can't be one is added to {@code faults}. {@code cell} is that of all, or -1. */
+    List<SourceEndpoint> endpoints(List<ServiceTarget> targets, int cell, List<String> faults) {
+        Map<Integer, MeanWeight> means = meanWeights(targets);
+        var endpoints = new LinkedHashMap<String, SourceEndpoint>();
         var chosen = new HashMap<String, String>();
-        for (ServiceTarget t : targets) {
-            int own = cell >= 0 ? cell : number(t, "cell", cells);
+        for (ServiceTarget target : targets) {
+            int own = cell >= 0 ? cell : number(target, "cell", cells);
             if (own < 0) {
-                faults.add(t.name() + ": its TXT record has no cell from 0 to " + (cells - 1));
+                faults.add(target.name() + ": its TXT record has no cell from 0 to " + (cells - 1));
                 continue;
             }
-            double size = size(t, means.get(t.priority()).orElse(0));
-            String id = t.text().getOrDefault("id", "");
+            String id = target.text().getOrDefault("id", "");
             if (!id.matches("[!-~]{0,128}")) {
-                faults.add(t.name() + ": its TXT record has an id that is none");
+                faults.add(target.name() + ": its TXT record has an id that is none");
                 continue;
             }
-            List<String> at = t.addresses();
-            if (!id.isEmpty()) {
-                String last = addresses.get(id);
-                at = List.of(last != null && at.contains(last) ? last : at.get(0));
-                chosen.put(id, at.get(0));
-            }
-            for (String address : at) { // without an id, a node is who answers at an address under a name
-                String who = !id.isEmpty() ? id : t.name() + ":" + t.port() + "/" + address;
-                var entry = new SourceEndpoint(who, ServiceTarget.hostPort(address, t.port()),
-                        index(t, "zone", zones, faults),
-                        index(t, "kind", kinds, faults), own, WorkerEndpoint.EndpointState.SERVING, size,
-                        SourceEndpoint.UNKNOWN_START, t.priority());
-                if (entries.putIfAbsent(who, entry) != null) {
-                    faults.add(t.name() + ": its id " + who + " is another target's too");
+            double size = size(target, means.get(target.priority()).mean());
+            for (String address : addresses(target, id, chosen)) {
+                SourceEndpoint endpoint = endpoint(target, id, address, own, size, faults);
+                if (endpoints.putIfAbsent(endpoint.id(), endpoint) != null) {
+                    faults.add(target.name() + ": its id " + endpoint.id() + " is another target's too");
                 }
             }
         }
-        addresses = chosen;
-        return new ArrayList<>(entries.values());
+        chosenAddresses = chosen;
+        return new ArrayList<>(endpoints.values());
+    }
+
+    /** With an id one address of the target, that of before where it is still there; without one all of them. */
+    private List<String> addresses(ServiceTarget target, String id, Map<String, String> chosen) {
+        List<String> addresses = target.addresses();
+        if (id.isEmpty()) {
+            return addresses;
+        }
+        String before = chosenAddresses.get(id);
+        String address = before != null && addresses.contains(before) ? before : addresses.get(0);
+        chosen.put(id, address);
+        return List.of(address);
+    }
+
+    /** Without an id, an endpoint's identity is who answers at an address under a name. */
+    private SourceEndpoint endpoint(ServiceTarget target, String id, String address, int cell, double size,
+            List<String> faults) {
+        String identity = id.isEmpty() ? target.name() + ":" + target.port() + "/" + address : id;
+        return new SourceEndpoint(identity, ServiceTarget.hostPort(address, target.port()),
+                index(target, "zone", zones, faults), index(target, "kind", kinds, faults), cell,
+                WorkerEndpoint.EndpointState.SERVING, size, SourceEndpoint.UNKNOWN_START, target.priority());
+    }
+
+    private static Map<Integer, MeanWeight> meanWeights(List<ServiceTarget> targets) {
+        var means = new HashMap<Integer, MeanWeight>();
+        for (ServiceTarget target : targets) {
+            means.computeIfAbsent(target.priority(), p -> new MeanWeight()).add(target.weight());
+        }
+        return means;
+    }
+
+    private static final class MeanWeight {
+        private long sum;
+        private int count;
+
+        void add(int weight) {
+            sum += weight;
+            count++;
+        }
+
+        double mean() {
+            return (double) sum / count;
+        }
     }
 
     /**
-     * A weight is a share beside those of the same priority (RFC 2782), hence a size beside their mean; 0 is the least.
-     * Where all are 0 there is nothing to choose by.
+     * A weight is a share relative to those of the same priority (RFC 2782), hence a size relative to their mean; 0 is
+     * the least. Where all are 0 there is nothing to choose by.
      */
-    private static double size(ServiceTarget t, double mean) {
-        double size = mean <= 0 ? 1 : t.weight() / mean;
+    private static double size(ServiceTarget target, double meanWeight) {
+        double size = meanWeight <= 0 ? DEFAULT_SIZE : target.weight() / meanWeight;
         try {
-            size = t.text().containsKey("size") ? Double.parseDouble(t.text().get("size")) : size;
+            size = target.text().containsKey("size") ? Double.parseDouble(target.text().get("size")) : size;
         } catch (NumberFormatException e) {
             // what the weight says holds
         }
-        return Math.max(LEAST_SIZE, Math.min(MOST_SIZE, Double.isNaN(size) ? 1 : size));
+        return Math.max(MIN_SIZE, Math.min(MAX_SIZE, Double.isNaN(size) ? DEFAULT_SIZE : size));
     }
 
-    private static int number(ServiceTarget t, String key, int below) {
-        String text = t.text().getOrDefault(key, "");
+    private static int number(ServiceTarget target, String key, int below) {
+        String text = target.text().getOrDefault(key, "");
         int n = text.matches("[0-9]{1,6}") ? Integer.parseInt(text) : -1;
         return n < below ? n : -1;
     }
 
-    private static int index(ServiceTarget t, String key, List<String> names, List<String> faults) {
-        String text = t.text().getOrDefault(key, "");
+    private static int index(ServiceTarget target, String key, List<String> names, List<String> faults) {
+        String text = target.text().getOrDefault(key, "");
         int index = names.indexOf(text);
         if (index < 0 && !text.isEmpty()) {
-            faults.add(t.name() + ": its TXT record has an unknown " + key + ": " + text);
+            faults.add(target.name() + ": its TXT record has an unknown " + key + ": " + text);
         }
         return Math.max(0, index);
     }
--- a/src/main/java/wallmoor/inventory/package-info.java
+++ b/src/main/java/wallmoor/inventory/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Inventory files in YAML and CSV as a source of nodes: read again when they change, taken whole or not at all.
+ * Inventory files in YAML and CSV as a source of endpoints: read again when they change, applied completely or not at
+ * all.
  */
 package wallmoor.inventory;
--- a/src/test/java/wallmoor/dns/DnsDecisionsTest.java
+++ b/src/test/java/wallmoor/dns/DnsDecisionsTest.java
@@ -130,7 +130,7 @@
     public void weightsAreSizesAndIdsAreIdentities() {
         var nodes = new TargetMapper(4, List.of("east", "west"), List.of("k"));
         var faults = new ArrayList<String>();
-        var entries = nodes.of(List.of(target("a", 10, 30, Map.of("cell", "1", "zone", "west", "id", "w1")),
+        var entries = nodes.endpoints(List.of(target("a", 10, 30, Map.of("cell", "1", "zone", "west", "id", "w1")),
                 target("b", 10, 10, Map.of("cell", "1")), target("c", 20, 0, Map.of("cell", "3")),
                 target("d", 10, 20, Map.of("cell", "4")), target("e", 10, 20, Map.of("cell", "2", "id", "w1")),
                 target("f", 10, 20, Map.of("cell", "2", "zone", "north"))), -1, faults);
