--- a/src/main/java/wallmoor/operator/BanSynchronizer.java
+++ b/src/main/java/wallmoor/operator/BanSynchronizer.java
@@ -1,47 +1,56 @@
 package wallmoor.operator;
 
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import wallmoor.bans.BanRegister;
 import wallmoor.http.Threads;
 
 /**
  * Carries bans between operators' calls, the gatherer and the file. A change holds in the gatherer when the call
- * returns. One thread has the file: a disk that hangs costs a call {@value #WRITE_MILLIS} ms and no more.
+ * returns. One thread has the file: a disk that hangs costs a call {@value #WRITE_TIMEOUT_MILLIS} ms and no more.
  */
 final class BanSynchronizer {
     /** How often it looks whether another process replaced the file. */
-    private static final long LOOK_MILLIS = 200;
-    /** A call waits so long for its write; the whole of it must be answered within a second. */
-    private static final long WRITE_MILLIS = 300;
+    private static final long POLL_MILLIS = 200;
+    /** A call waits so long for its write; all of it must be answered within a second. */
+    private static final long WRITE_TIMEOUT_MILLIS = 300;
 
+    private final Logger log = LoggerFactory.getLogger(BanSynchronizer.class);
     private final OperatorControls controls;
-    private final BanRegister bans;
+    private final BanRegister register;
+    /** Null where bans end with the process. */
     private final BanFile file;
     private final LongSupplier clock;
-    private final Consumer<String> log;
-    /** Held from a change of the bans until the gatherer has it too, so that both change in one order. */
-    private final Object order = new Object();
-    private final Object writes = new Object();
-    private long asked;
-    private long done;
+    /** Held from a change of the register until the gatherer has it too, so that both change in one order. */
+    private final Object changeLock = new Object();
+    /** Guards the fields below it. */
+    private final Object writeLock = new Object();
+    private long requestedWrites;
+    private long completedWrites;
     private boolean closed;
     private Thread thread;
 
-    BanSynchronizer(OperatorControls controls, BanRegister bans, BanFile file, LongSupplier clock,
-            Consumer<String> log) {
+    /**
+     * Reads the file, and has the gatherer leave out who is banned in it.
+     *
+     * @param file  null where bans end with the process
+     * @param clock microseconds of Unix time
+     */
+    BanSynchronizer(OperatorControls controls, BanRegister register, BanFile file, LongSupplier clock) {
         this.controls = controls;
-        this.bans = bans;
+        this.register = register;
         this.file = file;
         this.clock = clock;
-        this.log = log;
         if (file != null) {
             file.refresh();
         }
-        synchronized (order) {
-            take();
-            bans.banned().forEach(id -> controls.setBanned(id, true)); // also those that were known before the file
+        synchronized (changeLock) {
+            mergeFile();
+            for (String id : register.banned()) { // also those that were known before the file
+                controls.setBanned(id, true);
+            }
         }
     }
 
@@ -53,22 +62,22 @@
 
     /** Ends the thread, after the write it may be at. */
     void close() throws InterruptedException {
-        synchronized (writes) {
+        synchronized (writeLock) {
             closed = true;
-            writes.notifyAll();
+            writeLock.notifyAll();
         }
         if (thread != null) {
-            thread.join(WRITE_MILLIS);
+            thread.join(WRITE_TIMEOUT_MILLIS);
         }
     }
 
-    /** Takes a worker out or puts it back; true if that changed anything here. */
-    boolean change(String id, boolean out) throws InterruptedException {
+    /** Bans a worker or lifts its ban; true if that changed anything here. */
+    boolean setBanned(String id, boolean banned) throws InterruptedException {
         boolean changed;
-        synchronized (order) {
+        synchronized (changeLock) {
             long now = clock.getAsLong();
-            changed = out ? bans.ban(id, now) : bans.unban(id, now);
-            controls.setBanned(id, out);
+            changed = banned ? register.ban(id, now) : register.unban(id, now);
+            controls.setBanned(id, banned);
         }
         if (file != null) {
             awaitWrite();
@@ -77,17 +86,17 @@
     }
 
     private void awaitWrite() throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WRITE_MILLIS);
-        synchronized (writes) {
-            long own = ++asked;
-            writes.notifyAll();
-            for (long left = WRITE_MILLIS; done < own && left > 0 && !closed;) {
-                writes.wait(left);
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WRITE_TIMEOUT_MILLIS);
+        synchronized (writeLock) {
+            long own = ++requestedWrites;
+            writeLock.notifyAll();
+            for (long left = WRITE_TIMEOUT_MILLIS; completedWrites < own && left > 0 && !closed;) {
+                writeLock.wait(left);
                 left = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
             }
-            if (done < own) {
-                log.accept("bans: not yet written after " + WRITE_MILLIS + " ms: they hold in this process; look at its"
-                        + " disk before ending it");
+            if (completedWrites < own) {
+                log.info("bans: not yet written after {} ms: they hold in this process; look at its disk before"
+                        + " ending it", WRITE_TIMEOUT_MILLIS);
             }
         }
     }
@@ -96,25 +105,27 @@
         while (true) {
             long upTo;
             boolean last;
-            synchronized (writes) {
-                if (asked == done && !closed) {
+            boolean changedHere;
+            synchronized (writeLock) {
+                if (requestedWrites == completedWrites && !closed) {
                     try {
-                        writes.wait(LOOK_MILLIS);
+                        writeLock.wait(POLL_MILLIS);
                     } catch (InterruptedException e) {
                         return;
                     }
                 }
-                upTo = asked;
+                upTo = requestedWrites;
                 last = closed;
+                changedHere = upTo > completedWrites;
             }
             try {
-                look(upTo > done);
+                synchronizeFile(changedHere);
             } catch (RuntimeException e) { // the next look must come all the same
-                log.accept("bans: a look at the file failed: " + e + "; it is tried again by itself, report it");
+                log.info("bans: a look at the file failed: {}; it is tried again by itself, report it", e.toString());
             }
-            synchronized (writes) {
-                done = upTo;
-                writes.notifyAll();
+            synchronized (writeLock) {
+                completedWrites = upTo;
+                writeLock.notifyAll();
             }
             if (last) {
                 return;
@@ -122,26 +133,27 @@
         }
     }
 
-    private void look(boolean changedHere) {
+    private void synchronizeFile(boolean changedHere) {
         if (file.refresh()) {
-            synchronized (order) {
-                take();
+            synchronized (changeLock) {
+                mergeFile();
             }
         }
         // what can't be read is left to the next call: another version may own it, and two must not fight over it
-        boolean behind = file.content() != null && bans.isNewerThan(file.content());
-        if (changedHere || behind) {
-            file.write(bans.marks());
+        boolean fileBehind = file.content() != null && register.isNewerThan(file.content());
+        if (changedHere || fileBehind) {
+            file.write(register.marks());
         }
     }
 
-    private void take() {
-        if (file != null && file.content() != null) {
-            for (String id : bans.merge(file.content())) {
-                boolean out = bans.banned(id);
-                controls.setBanned(id, out);
-                log.accept("bans: " + id + (out ? " left out" : " put back") + " as the file says");
-            }
+    private void mergeFile() {
+        if (file == null || file.content() == null) {
+            return;
+        }
+        for (String id : register.merge(file.content())) {
+            boolean banned = register.banned(id);
+            controls.setBanned(id, banned);
+            log.info(banned ? "bans: {} left out as the file says" : "bans: {} put back as the file says", id);
         }
     }
 }
--- a/src/main/java/wallmoor/operator/OperatorControls.java
+++ b/src/main/java/wallmoor/operator/OperatorControls.java
@@ -1,6 +1,6 @@
 package wallmoor.operator;
 
-/** What the address needs of the gatherer. All are called from the address's own threads and must not wait long. */
+/** What the operators' address needs of the gatherer. All are called from its own threads and must not wait long. */
 public interface OperatorControls {
     /** Whether this process is ready to serve. */
     boolean isReady();
@@ -11,6 +11,6 @@
     /** Whether this worker is listed now or was formerly, as far as this process knows. */
     boolean isKnownWorker(String id);
 
-    /** Leaves a worker out, or puts it back; has taken effect when it returns. May come again for the same. */
-    void setBanned(String id, boolean out);
+    /** Bans a worker or lifts its ban; has taken effect when it returns. May come again for the same. */
+    void setBanned(String id, boolean banned);
 }
--- a/src/main/java/wallmoor/operator/OperatorServer.java
+++ b/src/main/java/wallmoor/operator/OperatorServer.java
@@ -4,8 +4,9 @@
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
-import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import wallmoor.bans.BanFileCodec;
 import wallmoor.bans.BanRegister;
 import wallmoor.http.ConnectionTimeouts;
@@ -21,41 +22,49 @@
  */
 public final class OperatorServer {
     private static final long FINISH_MILLIS = 500;
+    private static final String READY_PATH = "/_ready";
+    private static final String METRICS_PATH = "/_vars";
+    private static final String BAN_PATH = "/_workers/detach";
+    private static final String UNBAN_PATH = "/_workers/attach";
     private static final String TEXT = "Content-Type: text/plain; charset=utf-8\r\n";
     /** The calls there are and their methods. */
-    private static final Map<String, String> METHODS = Map.of("/_ready", "GET", "/_vars", "GET",
-            "/_workers/detach", "PUT", "/_workers/attach", "PUT");
+    private static final Map<String, String> METHODS = Map.of(READY_PATH, "GET", METRICS_PATH, "GET", BAN_PATH, "PUT",
+            UNBAN_PATH, "PUT");
     private static final String CALLS = "the calls are GET /_ready, GET /_vars, PUT /_workers/detach and"
             + " PUT /_workers/attach, the last two with a worker's id as body";
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int NOT_FOUND = 404;
+    private static final int METHOD_NOT_ALLOWED = 405;
+    private static final int UNAVAILABLE = 503;
 
+    private final Logger log = LoggerFactory.getLogger(OperatorServer.class);
     private final OperatorControls controls;
-    private final BanRegister bans;
-    private final BanSynchronizer keeper;
-    private final Consumer<String> log;
+    private final BanRegister register;
+    private final BanSynchronizer synchronizer;
     private final Server server;
 
     /**
      * Listens, reads the file and has the gatherer leave out who is banned in it; {@link #start} begins to answer.
      *
-     * @param most  callers at once, each with a thread that works
-     * @param file  keeps the bans, or null where they end with the process
-     * @param clock microseconds of Unix time
+     * @param maxCallers callers at once, each with a thread that works
+     * @param file       stores the bans, or null where they end with the process
+     * @param clock      microseconds of Unix time
      * @throws IOException where the address can't be had
      */
-    public OperatorServer(InetSocketAddress at, int most, OperatorControls controls, BanRegister bans, BanFile file,
-            LongSupplier clock,
-            Consumer<String> log) throws IOException {
+    public OperatorServer(InetSocketAddress at, int maxCallers, OperatorControls controls, BanRegister register,
+            BanFile file, LongSupplier clock) throws IOException {
         this.controls = controls;
-        this.bans = bans;
-        this.log = log;
-        server = new Server("operator", at, most, most, ConnectionTimeouts.OPERATORS, this::handle, log);
+        this.register = register;
+        server = new Server("operator", at, maxCallers, maxCallers, ConnectionTimeouts.OPERATORS, this::handle,
+                log::info);
         server.leave(); // each answer ends its connection
-        keeper = new BanSynchronizer(controls, bans, file, clock, log);
+        synchronizer = new BanSynchronizer(controls, register, file, clock);
     }
 
     /** Begins to answer, and to follow the file. */
     public void start() {
-        keeper.start();
+        synchronizer.start();
         server.start();
     }
 
@@ -63,9 +72,9 @@
     public void close() {
         try {
             server.finish(FINISH_MILLIS);
-            keeper.close();
+            synchronizer.close();
         } catch (IOException e) {
-            log.accept("operator address can't be closed: " + e + "; it ends with the process");
+            log.info("operator address can't be closed: {}; it ends with the process", e.toString());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -76,44 +85,46 @@
         String target = request.target();
         String method = METHODS.get(target);
         if (method == null) {
-            throw new HttpProtocolException(404, "nothing at this path: " + CALLS);
+            throw new HttpProtocolException(NOT_FOUND, "nothing at this path: " + CALLS);
         }
         if (!method.equals(request.method())) {
-            answer(exchange, 405, "Allow: " + method + "\r\n", "call it by " + method + ": " + CALLS + "\n");
+            answer(exchange, METHOD_NOT_ALLOWED, "Allow: " + method + "\r\n",
+                    "call it by " + method + ": " + CALLS + "\n");
             return;
         }
         String body = new String(request.body().buffer(), request.body().from(), request.body().length(),
                 StandardCharsets.UTF_8).strip();
         if (method.equals("GET") && !body.isEmpty()) {
-            throw new HttpProtocolException(400, "this call takes no body: send it without one");
+            throw new HttpProtocolException(BAD_REQUEST, "this call takes no body: send it without one");
         }
         switch (target) {
-            case "/_ready" -> {
-                boolean ready = controls.isReady();
-                answer(exchange, ready ? 200 : 503, "", ready ? "ready\n" : "not ready\n");
-            }
-            case "/_vars" -> answer(exchange, 200, "", controls.metricsText());
-            default -> worker(exchange, body, target.equals("/_workers/detach"));
+            case READY_PATH -> answerReady(exchange);
+            case METRICS_PATH -> answer(exchange, OK, "", controls.metricsText());
+            default -> setBanned(exchange, body, target.equals(BAN_PATH));
         }
     }
 
-    private void worker(HttpExchange exchange, String id, boolean out)
+    private void answerReady(HttpExchange exchange) throws IOException {
+        boolean ready = controls.isReady();
+        answer(exchange, ready ? OK : UNAVAILABLE, "", ready ? "ready\n" : "not ready\n");
+    }
+
+    private void setBanned(HttpExchange exchange, String id, boolean banned)
             throws IOException, HttpProtocolException, InterruptedException {
         if (!BanFileCodec.isWorkerId(id)) {
-            throw new HttpProtocolException(400, "send one worker's id as the body, as the node list has it: 1 to "
-                    + BanFileCodec.MAX_ID_LENGTH + " visible ASCII characters without blanks");
+            throw new HttpProtocolException(BAD_REQUEST, "send one worker's id as the body, as the node list has it:"
+                    + " 1 to " + BanFileCodec.MAX_ID_LENGTH + " visible ASCII characters without blanks");
         }
         // a mark is of a worker that was listed, maybe before this process began
-        if (!controls.isKnownWorker(id) && !bans.hasMark(id)) {
-            throw new HttpProtocolException(404,
-                    "no worker " + id + " is or was listed: look for its id in the node list;"
-                            + " nothing was changed");
+        if (!controls.isKnownWorker(id) && !register.hasMark(id)) {
+            throw new HttpProtocolException(NOT_FOUND, "no worker " + id + " is or was listed: look for its id in the"
+                    + " node list; nothing was changed");
         }
-        boolean changed = keeper.change(id, out);
+        boolean changed = synchronizer.setBanned(id, banned);
         if (changed) {
-            log.accept("bans: " + id + (out ? " left out" : " put back") + " by a call");
+            log.info(banned ? "bans: {} left out by a call" : "bans: {} put back by a call", id);
         }
-        answer(exchange, 200, "", id + (out ? " is left out" : " is put back") + (changed ? "\n" : ", as before\n"));
+        answer(exchange, OK, "", id + (banned ? " is left out" : " is put back") + (changed ? "\n" : ", as before\n"));
     }
 
     private static void answer(HttpExchange exchange, int status, String headers, String text) throws IOException {
--- a/src/main/java/wallmoor/service/ArchiveTraining.java
+++ b/src/main/java/wallmoor/service/ArchiveTraining.java
@@ -90,7 +90,7 @@
     private static Path shared() throws IOException {
         Path shared = Files.createTempDirectory(Path.of("target"), "rehearsal");
         long now = new MonotonicClock().getAsLong();
-        new BanFile(shared, line -> {}).write(List.of(new BanMark("n2", true, now), new BanMark("n3", false, now)));
+        new BanFile(shared).write(List.of(new BanMark("n2", true, now), new BanMark("n3", false, now)));
         Files.createFile(shared.resolve("process-" + "0".repeat(19) + "1-1"));
         return shared;
     }
--- a/src/main/java/wallmoor/service/Operations.java
+++ b/src/main/java/wallmoor/service/Operations.java
@@ -4,7 +4,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.slf4j.LoggerFactory;
 import wallmoor.bans.BanRegister;
@@ -24,7 +23,6 @@
     Operations(LaunchConfig launch, Supplier<LaunchConfig> current, MonotonicClock clock, Gatherer gatherer,
             GathererMetrics figures,
             BooleanSupplier ready, Path shared) throws IOException {
-        Consumer<String> log = LoggerFactory.getLogger(OperatorServer.class)::info;
         address = new OperatorServer(launch.admin(), launch.mostCallers(), new OperatorControls() {
             @Override
             public boolean isReady() {
@@ -46,7 +44,7 @@
             public void setBanned(String id, boolean out) {
                 gatherer.setBanned(id, out);
             }
-        }, new BanRegister(), shared == null ? null : new BanFile(shared, log), clock, log);
+        }, new BanRegister(), shared == null ? null : new BanFile(shared), clock);
     }
 
     /**
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -24,7 +24,8 @@
 import wallmoor.rules.RuleReader;
 import wallmoor.sources.EndpointUpdater;
 import wallmoor.upgrade.HeartbeatFiles;
-import wallmoor.upgrade.LiveProcesses;
+import wallmoor.upgrade.ProcessPosition;
+import wallmoor.upgrade.QuotaUser;
 
 /** A gatherer with all that its configuration switches on: made, started, told of changes, and told to leave. */
 public final class Service {
@@ -98,11 +99,11 @@
         operations = launch.admin() == null ? null
                 : new Operations(launch, inForce::launch, clock, nodes.gatherer(), figures, () -> ready, shared);
         beats = shared == null || !launch.inherited() ? null : new HeartbeatFiles(shared, clock, new Open(),
-                this::together, log::info);
+                this::together);
     }
 
     /** Queries and parts held at once, which the settings bound for all processes of this gatherer together. */
-    private final class Open implements HeartbeatFiles.QuotaUser {
+    private final class Open implements QuotaUser {
         @Override
         public int limit() {
             return inForce.maxOpenOfAllProcesses();
@@ -125,7 +126,7 @@
     }
 
     /** Old and new process are one gatherer while both are there: each has its part of what that may hold and send. */
-    private void together(LiveProcesses.ProcessPosition now) {
+    private void together(ProcessPosition now) {
         platform.setProcessCount(now.count());
         if (group == null) {
             RoutingSettings s = launch.settings();
--- a/src/main/java/wallmoor/upgrade/HeartbeatFiles.java
+++ b/src/main/java/wallmoor/upgrade/HeartbeatFiles.java
@@ -1,104 +1,75 @@
 package wallmoor.upgrade;
 
 import java.io.IOException;
-import java.io.RandomAccessFile;
-import java.nio.file.DirectoryStream;
-import java.nio.file.Files;
-import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import java.nio.file.attribute.FileTime;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import wallmoor.http.Threads;
-import wallmoor.upgrade.LiveProcesses.ProcessHeartbeat;
-import wallmoor.upgrade.LiveProcesses.ProcessPosition;
 
 /**
- * Leaves this process' sign of life as the time of a file, and its claim as the file's length, and looks for those of
- * others. Contents are never read, so that none can be torn; a directory that can't be used is logged once, and then
- * this process is alone.
+ * Leaves this process's heartbeats in a shared directory, and looks for those of others. A directory that can't be used
+ * is logged once, and then this process is alone. After {@link #start} one thread has it all.
  */
 public final class HeartbeatFiles {
-    /** A bound that all processes of this gatherer keep together. */
-    public interface QuotaUser {
-        /** What all may hold. */
-        int limit();
-
-        /** What this process holds. */
-        int inUse();
-
-        /** Whether this process is on its way out. */
-        boolean isDraining();
-
-        /** This process may take so much from now on, where all may hold that. */
-        void setQuota(int most, int all);
-    }
-
-    private static final String PREFIX = "process-";
-    /** A bound beyond this is none in practice, and no file is made that long. */
-    private static final int MOST_CLAIM = 1 << 20;
+    private static final int NONE_YET = -1;
 
+    private final Logger log = LoggerFactory.getLogger(HeartbeatFiles.class);
     private final Path directory;
-    private final Path own;
+    private final HeartbeatDirectory heartbeats;
     private final LongSupplier clock;
-    private final QuotaUser bound;
-    private final Consumer<ProcessPosition> told;
-    private final Consumer<String> log;
-    private final SharedQuota part = new SharedQuota();
-    private final CountDownLatch room = new CountDownLatch(1);
-    private int lastMay = -1;
-    private int lastAll = -1;
-    private ProcessPosition last = new ProcessPosition(1, 0);
+    private final QuotaUser user;
+    private final Consumer<ProcessPosition> listener;
+    private final SharedQuota quota = new SharedQuota();
+    private final CountDownLatch capacity = new CountDownLatch(1);
+    private int lastQuota = NONE_YET;
+    private int lastLimit = NONE_YET;
+    private ProcessPosition lastPosition = new ProcessPosition(1, 0);
     private boolean faulty;
     private long lastGood;
-    private volatile boolean over;
+    private volatile boolean closed;
 
     /**
      * Makes it; the first look is taken by {@link #start}.
      *
-     * @param clock microseconds of Unix time, the machine's
-     * @param bound asked at each look; told of changes on the same thread
-     * @param told  called at each change, on one thread
+     * @param clock    microseconds of Unix time, the machine's
+     * @param user     asked at each look; given its quota on the same thread
+     * @param listener called at each change of this process's position, on one thread
      */
-    public HeartbeatFiles(Path directory, LongSupplier clock, QuotaUser bound, Consumer<ProcessPosition> told,
-            Consumer<String> log) {
+    public HeartbeatFiles(Path directory, LongSupplier clock, QuotaUser user, Consumer<ProcessPosition> listener) {
         this.directory = directory;
         this.clock = clock;
-        this.bound = bound;
-        this.told = told;
-        this.log = log;
-        // in the order of starts; the number tells those of one microsecond apart
-        String time = Long.toString(clock.getAsLong());
-        own = directory.resolve(PREFIX + "0".repeat(Math.max(0, 20 - time.length())) + time + "-"
-                + ProcessHandle.current().pid());
+        this.user = user;
+        this.listener = listener;
+        heartbeats = new HeartbeatDirectory(directory, clock.getAsLong());
     }
 
     /** Takes the first look at once, and then goes on. */
     public void start() {
         look();
-        look(); // one that is alone has told by now what it takes, and may
+        look(); // one that is alone has told by now what it claims, and may use it
         Threads.start("upgrade-watch", this::run);
     }
 
     /**
-     * Waits until the others leave this process enough to begin by, for at most so long: one that stands still, or a
+     * Waits until the others leave this process enough to start by, for at most so long: one that stands still, or a
      * directory that can't be used, holds nobody up for ever.
      */
-    public void awaitCapacity(long atMostMillis) throws InterruptedException {
-        if (!room.await(atMostMillis, TimeUnit.MILLISECONDS)) {
-            log.accept("upgrade: the process before this one has not made room within " + atMostMillis + " ms");
+    public void awaitCapacity(long maxMillis) throws InterruptedException {
+        if (!capacity.await(maxMillis, TimeUnit.MILLISECONDS)) {
+            log.info("upgrade: the process before this one has not made room within {} ms", maxMillis);
         }
     }
 
-    /** Leaves no more signs: this process does nothing new. */
+    /** Leaves no more heartbeats: this process does nothing new. */
     public void close() {
-        over = true;
+        closed = true;
         try {
-            Files.deleteIfExists(own);
+            heartbeats.delete();
         } catch (IOException e) {
             // it tells nothing soon enough
         }
@@ -106,8 +77,9 @@
 
     private void run() {
         try {
-            while (!over) {
-                long micros = last.count() > 1 ? LiveProcesses.SHARED_HEARTBEAT_INTERVAL_MICROS
+            while (!closed) {
+                long micros = lastPosition.count() > 1
+                        ? LiveProcesses.SHARED_HEARTBEAT_INTERVAL_MICROS
                         : LiveProcesses.HEARTBEAT_INTERVAL_MICROS;
                 Thread.sleep(TimeUnit.MICROSECONDS.toMillis(micros));
                 look();
@@ -120,80 +92,50 @@
     private void look() {
         long now = clock.getAsLong();
         try {
-            sign(now);
-            List<ProcessHeartbeat> beats = beats(now);
+            if (!closed) {
+                heartbeats.write(now, quota.claim(), user.isDraining());
+            }
+            List<ProcessHeartbeat> all = heartbeats.read(now);
             faulty = false;
             lastGood = now;
-            String name = own.getFileName().toString();
-            take(LiveProcesses.others(name, now, beats, LiveProcesses.CLAIM_TIMEOUT_MICROS));
-            ProcessPosition next = LiveProcesses.position(name, now, beats);
-            if (!next.equals(last)) {
-                last = next;
-                log.accept("this gatherer is " + next.count() + " processes now, this is number " + next.index());
-                told.accept(next);
-            }
+            String own = heartbeats.ownName();
+            updateQuota(LiveProcesses.others(own, now, all, LiveProcesses.CLAIM_TIMEOUT_MICROS));
+            updatePosition(LiveProcesses.position(own, now, all));
         } catch (IOException e) {
-            // nor do others see this one any more
-            if (lastGood == 0 || now - lastGood >= LiveProcesses.LIVENESS_TIMEOUT_MICROS) {
-                take(List.of());
-            }
-            if (!faulty) {
-                faulty = true;
-                log.accept(
-                        "upgrade: " + directory + " can't be used: " + e + "; during an upgrade each process takes the"
-                                + " whole of what both may have: let this user write there");
-            }
+            onFault(now, e);
         }
     }
 
-    private void take(List<ProcessHeartbeat> others) {
-        int all = bound.limit();
-        part.update(all, bound.inUse(), bound.isDraining(), others);
-        if (part.quota() != lastMay || all != lastAll) {
-            lastMay = part.quota();
-            lastAll = all;
-            bound.setQuota(part.quota(), all);
+    private void updateQuota(List<ProcessHeartbeat> others) {
+        int limit = user.limit();
+        quota.update(limit, user.inUse(), user.isDraining(), others);
+        if (quota.quota() != lastQuota || limit != lastLimit) {
+            lastQuota = quota.quota();
+            lastLimit = limit;
+            user.setQuota(quota.quota(), limit);
         }
-        if (part.isEnoughToStart(all, others)) {
-            room.countDown();
+        if (quota.isEnoughToStart(limit, others)) {
+            capacity.countDown();
         }
     }
 
-    private void sign(long now) throws IOException {
-        if (over) {
-            return;
-        }
-        try (var file = new RandomAccessFile(own.toFile(), "rw")) {
-            file.setLength(length(Math.min(MOST_CLAIM, part.claim()), bound.isDraining()));
+    private void updatePosition(ProcessPosition position) {
+        if (!position.equals(lastPosition)) {
+            lastPosition = position;
+            log.info("this gatherer is {} processes now, this is number {}", position.count(), position.index());
+            listener.accept(position);
         }
-        Files.setLastModifiedTime(own, FileTime.from(now, TimeUnit.MICROSECONDS));
-    }
-
-    private static long length(int claim, boolean leaving) {
-        return 1 + 2L * claim + (leaving ? 1 : 0);
     }
 
-    private static ProcessHeartbeat beat(String name, long at, long length) {
-        return length == 0 ? new ProcessHeartbeat(name, at, ProcessHeartbeat.UNKNOWN_CLAIM, false)
-                : new ProcessHeartbeat(name, at, (int) Math.min(MOST_CLAIM, (length - 1) / 2), length % 2 == 0);
-    }
-
-    private List<ProcessHeartbeat> beats(long now) throws IOException {
-        var found = new ArrayList<ProcessHeartbeat>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(directory, PREFIX + "*")) {
-            for (Path file : files) {
-                try {
-                    var beat = beat(file.getFileName().toString(),
-                            Files.getLastModifiedTime(file).to(TimeUnit.MICROSECONDS), Files.size(file));
-                    found.add(beat);
-                    if (LiveProcesses.isStale(beat, now) && !file.equals(own)) {
-                        Files.deleteIfExists(file);
-                    }
-                } catch (NoSuchFileException e) {
-                    // its process has just ended
-                }
-            }
+    private void onFault(long now, IOException e) {
+        // others don't see this one any more either
+        if (lastGood == 0 || now - lastGood >= LiveProcesses.LIVENESS_TIMEOUT_MICROS) {
+            updateQuota(List.of());
+        }
+        if (!faulty) {
+            faulty = true;
+            log.info("upgrade: {} can't be used: {}; during an upgrade each process takes the whole of what both may"
+                    + " have: let this user write there", directory, e.toString());
         }
-        return found;
     }
 }
--- a/src/main/java/wallmoor/upgrade/SharedQuota.java
+++ b/src/main/java/wallmoor/upgrade/SharedQuota.java
@@ -1,25 +1,25 @@
 package wallmoor.upgrade;
 
 import java.util.Collection;
-import wallmoor.upgrade.LiveProcesses.ProcessHeartbeat;
 
 /**
- * How much of one bound, which all processes of a gatherer keep together, one of them may hold. Each tells with its
- * sign of life what it claims. A process takes less by itself and then tells so; it takes more only once it has told
- * so, and then found it still free. So two never take more than the bound, however late either looks. One that leaves
- * claims ever less, and what is free goes to the one that stays.
+ * One process's quota of a limit that all processes of a gatherer share. Each tells with its heartbeat what it claims.
+ * A process lowers its quota by itself and then tells so; it raises it only once it has told so, and then found it
+ * still free. So two never use more than the limit, however late either looks. One that drains claims ever less, and
+ * what is free goes to the one that stays.
  *
- * <p>Where more than two are there, or one wakes that counted as gone, there may be more for as long as a sign takes.
+ * <p>Where more than two are there, or one wakes that counted as gone, there may be more for as long as a heartbeat
+ * takes.
  */
 public final class SharedQuota {
     /**
-     * What one that leaves claims at least, as a share of the bound: connections that it keeps may each ask once more.
+     * One that drains claims at least this fraction of the limit: connections that it retains may each ask once more.
      */
-    private static final int LEAVES = 8;
-    /** Who leaves gives up at most this share of the bound at a look: its clients move over answer by answer. */
-    private static final int STEP = 8;
-    /** Who leaves may grow again to so many times what it holds. */
-    private static final int GROWS = 2;
+    private static final int DRAINING_FRACTION = 8;
+    /** One that drains gives up at most this fraction of the limit at a time: its clients move over by and by. */
+    private static final int STEP_FRACTION = 8;
+    /** One that drains may grow again to so many times what it uses. */
+    private static final int DRAINING_GROWTH = 2;
 
     private int quota;
     private int claim;
@@ -27,48 +27,58 @@
     /**
      * Looks at the others that are there and decides anew.
      *
-     * @param held   what this process holds just now; its {@link #claim} of before has been told since the last look
+     * @param inUse  what this process uses just now; its {@link #claim} of before has been told since the last update
      * @param others as they were read after that was told
      */
-    public void update(int bound, int held, boolean leaving, Collection<ProcessHeartbeat> others) {
-        int fair = fair(bound, others);
-        long taken = 0;
-        boolean allLeave = true;
-        for (ProcessHeartbeat b : others) {
-            taken += b.claim() == ProcessHeartbeat.UNKNOWN_CLAIM ? fair : b.claim();
-            allLeave &= b.draining();
-        }
-        int free = (int) Math.max(0, bound - taken);
+    public void update(int limit, int inUse, boolean draining, Collection<ProcessHeartbeat> others) {
         int wanted;
         if (others.isEmpty()) {
-            wanted = bound;
-        } else if (leaving) { // it never takes more than before: the other counts on what it has told
-            int least = Math.max(quota - Math.max(1, bound / STEP), Math.max(GROWS * held, bound / LEAVES));
-            wanted = Math.min(quota, least);
+            wanted = limit;
+        } else if (draining) {
+            wanted = wantedWhileDraining(limit, inUse);
         } else {
-            // nobody takes from one that serves its even part, not even who grew while this one stood still
-            wanted = allLeave ? free : Math.min(fair, Math.max(quota, free));
+            wanted = wantedWhileServing(limit, others);
         }
         quota = Math.min(wanted, claim);
-        claim = Math.max(wanted, held);
+        claim = Math.max(wanted, inUse);
+    }
+
+    /** Never more than before: the other counts on what this one has told. */
+    private int wantedWhileDraining(int limit, int inUse) {
+        int step = Math.max(1, limit / STEP_FRACTION);
+        int needed = Math.max(DRAINING_GROWTH * inUse, limit / DRAINING_FRACTION);
+        return Math.min(quota, Math.max(quota - step, needed));
+    }
+
+    /** Nobody takes from one that serves its even share, not even who grew while this one stood still. */
+    private int wantedWhileServing(int limit, Collection<ProcessHeartbeat> others) {
+        int even = evenShare(limit, others);
+        long taken = 0;
+        boolean allDrain = true;
+        for (ProcessHeartbeat other : others) {
+            taken += other.claim() == ProcessHeartbeat.UNKNOWN_CLAIM ? even : other.claim();
+            allDrain &= other.draining();
+        }
+        int free = (int) Math.max(0, limit - taken);
+        return allDrain ? free : Math.min(even, Math.max(quota, free));
     }
 
-    /** What this process may take until the next look; what it holds beyond that ends by itself. */
+    /** What this process may use until the next update; what it uses beyond that ends by itself. */
     public int quota() {
         return quota;
     }
 
-    /** What it is to tell: never less than it may hold. */
+    /** What it is to tell: never less than it may use. */
     public int claim() {
         return claim;
     }
 
-    /** Whether there is enough to begin by: the half of an even part. */
-    public boolean isEnoughToStart(int bound, Collection<ProcessHeartbeat> others) {
-        return 2 * quota >= fair(bound, others);
+    /** Whether there is enough to start by: half of an even share. */
+    public boolean isEnoughToStart(int limit, Collection<ProcessHeartbeat> others) {
+        return 2 * quota >= evenShare(limit, others);
     }
 
-    private static int fair(int bound, Collection<ProcessHeartbeat> others) {
-        return bound / (others.size() + 1);
+    private static int evenShare(int limit, Collection<ProcessHeartbeat> others) {
+        return limit / (others.size() + 1);
     }
 }
--- a/src/main/java/wallmoor/upgrade/package-info.java
+++ b/src/main/java/wallmoor/upgrade/package-info.java
@@ -1,5 +1,5 @@
 /**
- * How many processes are this gatherer just now: {@code Heartbeats} decides, with no I/O and no clock, {@code
- * HeartbeatFiles} carries the signs of life in the directory that they share.
+ * How many processes are one gatherer just now, and what each of them may use of what they share. {@code LiveProcesses}
+ * and {@code SharedQuota} decide; {@code HeartbeatFiles} carries.
  */
 package wallmoor.upgrade;
--- a/src/test/java/wallmoor/LayersTest.java
+++ b/src/test/java/wallmoor/LayersTest.java
@@ -120,13 +120,16 @@
                 assertEquals(decides, List.of(), forbidden.matcher(text).results().map(r -> r.group()).toList());
             }
         }
-        for (String file : List.of("TtlPolicy", "NameServers", "DnsResponse", "DnsCache", "TargetMapper")) { // the deciders of dns
+        // the deciders of dns
+        for (String file : List.of("TtlPolicy", "NameServers", "DnsResponse", "DnsCache", "TargetMapper")) {
             String text = read(Path.of("src/main/java/wallmoor/dns", file + ".java"))
                     .replace("java.net.InetSocketAddress", "");
             assertEquals(file, List.of(), forbidden.matcher(text).results().map(r -> r.group()).toList());
         }
         // those of packages with I/O
-        for (String file : List.of("discovery/WatchStateMachine", "http/Eviction", "consensus/RejoiningVoter",
+        for (String file : List.of("discovery/WatchStateMachine", "discovery/RetrySchedule", "discovery/Staleness",
+                "discovery/ReadDeadline", "upgrade/LiveProcesses", "upgrade/SharedQuota", "http/Eviction",
+                "consensus/RejoiningVoter",
                 "pruning/PrunableSites")) {
             String text = read(Path.of("src/main/java/wallmoor", file + ".java"));
             assertEquals(file, List.of(), forbidden.matcher(text).results().map(r -> r.group()).toList());
--- a/src/test/java/wallmoor/operator/BanFileGoldenTest.java
+++ b/src/test/java/wallmoor/operator/BanFileGoldenTest.java
@@ -9,17 +9,23 @@
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.Test;
+import wallmoor.standin.LogCapture;
 
 /** The file of bans that an earlier version left in the shared directory is found, read and replaced alike. */
 public class BanFileGoldenTest {
     @Test
     public void theFileIsReadAndWrittenAlike() throws Exception {
+        try (var log = new LogCapture("wallmoor.operator")) {
+            readAndWrite();
+            assertEquals("no fault", List.of(), log.lines());
+        }
+    }
+
+    private static void readAndWrite() throws IOException {
         Path directory = Files.createTempDirectory("bans");
         byte[] golden = golden();
         Files.write(directory.resolve("bans"), golden);
-        var file = new BanFile(directory, line -> {
-            throw new AssertionError(line);
-        });
+        var file = new BanFile(directory);
         assertTrue(file.refresh());
         assertEquals(5, file.content().size());
         Files.delete(directory.resolve("bans"));
--- a/src/test/java/wallmoor/operator/OperatorServerTest.java
+++ b/src/test/java/wallmoor/operator/OperatorServerTest.java
@@ -14,7 +14,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
@@ -26,6 +25,7 @@
 import wallmoor.bans.BanFileCodec;
 import wallmoor.bans.BanMark;
 import wallmoor.bans.BanRegister;
+import wallmoor.standin.LogCapture;
 import wallmoor.standin.Ports;
 
 /** The operators' address: requests, answers and bans. */
@@ -34,24 +34,23 @@
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
-    private final List<Process> all = new ArrayList<>();
+    private final List<GathererProcess> all = new ArrayList<>();
+    private final LogCapture log = new LogCapture("wallmoor.operator");
     private Path bansFile;
 
     /** A gatherer as far as the address sees one. */
-    private static final class Process implements OperatorControls {
+    private static final class GathererProcess implements OperatorControls {
         final Set<String> out = ConcurrentHashMap.newKeySet();
-        final ConcurrentLinkedQueue<String> log = new ConcurrentLinkedQueue<>();
         final BanRegister bans = new BanRegister();
         final InetSocketAddress at;
         final OperatorServer address;
         volatile boolean ready = true;
         volatile boolean listed = true;
 
-        Process(Path directory) throws IOException {
+        GathererProcess(Path directory) throws IOException {
             at = new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.free());
-            address = new OperatorServer(at, 32, this, bans,
-                    directory == null ? null : new BanFile(directory, log::add),
-                    MICROS::incrementAndGet, log::add);
+            address = new OperatorServer(at, 32, this, bans, directory == null ? null : new BanFile(directory),
+                    MICROS::incrementAndGet);
         }
 
         @Override
@@ -103,10 +102,11 @@
     @After
     public void end() {
         all.forEach(p -> p.address.close());
+        log.close();
     }
 
-    private Process process(Path directory) throws IOException {
-        var process = new Process(directory);
+    private GathererProcess process(Path directory) throws IOException {
+        var process = new GathererProcess(directory);
         all.add(process);
         process.address.start();
         return process;
@@ -133,7 +133,7 @@
 
     @Test
     public void eachCallIsAnsweredAndHolds() throws Exception {
-        Process p = process(null);
+        GathererProcess p = process(null);
         p.expect(200, "ready", "GET", "/_ready", "");
         p.ready = false;
         p.expect(503, "not ready", "GET", "/_ready", "");
@@ -148,7 +148,7 @@
 
     @Test
     public void whatIsNoCallIsTurnedAwayWithWhatToDo() throws Exception {
-        Process p = process(null);
+        GathererProcess p = process(null);
         p.expect(404, "GET /_vars", "GET", "/", "");
         p.expect(404, "GET /_vars", "PUT", "/_workers/detach/w1", "w1");
         p.expect(405, "Allow: GET\r\n", "PUT", "/_ready", "");
@@ -166,7 +166,7 @@
 
     @Test
     public void callersThatFinishNoCallHarmNobody() throws Exception {
-        Process p = process(null);
+        GathererProcess p = process(null);
         var hanging = new ArrayList<Socket>();
         try {
             for (int crowd : new int[] {10, 100}) { // fewer than there may be, and more
@@ -192,9 +192,9 @@
 
     @Test
     public void processesThatShareADirectoryComeToTheSameAndTheNextOneBeginsWithIt() throws Exception {
-        Process old = process(folder.getRoot().toPath());
+        GathererProcess old = process(folder.getRoot().toPath());
         old.expect(200, "w1", "PUT", "/_workers/detach", "w1");
-        Process next = new Process(folder.getRoot().toPath());
+        GathererProcess next = new GathererProcess(folder.getRoot().toPath());
         all.add(next);
         assertEquals("before it serves", Set.of("w1"), next.out);
         next.address.start();
@@ -223,13 +223,13 @@
 
     @Test
     public void aFileThatIsNotOursIsNamedOnceAndReplacedByTheNextCall() throws Exception {
-        Process p = process(folder.getRoot().toPath());
+        GathererProcess p = process(folder.getRoot().toPath());
         p.expect(200, "w1", "PUT", "/_workers/detach", "w1");
         byte[] whole = Files.readAllBytes(bansFile);
         Files.write(bansFile, java.util.Arrays.copyOf(whole, whole.length - 1));
-        within("named", () -> p.log.stream().anyMatch(l -> l.contains("is torn")));
+        within("named", () -> log.lines().stream().anyMatch(l -> l.contains("is torn")));
         Thread.sleep(500); // some looks more
-        assertEquals(1, p.log.stream().filter(l -> l.contains("torn")).count());
+        assertEquals(1, log.lines().stream().filter(l -> l.contains("torn")).count());
         assertEquals(Set.of("w1"), p.out);
         p.expect(200, "w2", "PUT", "/_workers/detach", "w2");
         assertEquals(Set.copyOf(p.bans.marks()), Set.copyOf(marks()));
@@ -237,11 +237,11 @@
 
     @Test
     public void aBanHoldsThoughItCannotBeKept() throws Exception {
-        Process p = process(folder.getRoot().toPath().resolve("not-there"));
+        GathererProcess p = process(folder.getRoot().toPath().resolve("not-there"));
         p.expect(200, "w1", "PUT", "/_workers/detach", "w1");
         assertEquals(Set.of("w1"), p.out);
-        assertTrue(p.log.toString(), p.log
-                .stream().anyMatch(l -> l.contains("NoSuchFile") && l.contains("make the directory")));
+        assertTrue(log.lines().toString(),
+                log.lines().stream().anyMatch(l -> l.contains("NoSuchFile") && l.contains("make the directory")));
         folder.newFolder("not-there");
         within("kept once it can be", () -> Files.exists(folder.getRoot().toPath().resolve("not-there/bans")));
     }
--- a/src/test/java/wallmoor/upgrade/HeartbeatFilesGoldenTest.java
+++ b/src/test/java/wallmoor/upgrade/HeartbeatFilesGoldenTest.java
@@ -12,7 +12,6 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
-import wallmoor.upgrade.LiveProcesses.ProcessPosition;
 
 /**
  * The signs of life that processes of an earlier version leave: a file's name tells the order of starts, its time when
@@ -54,7 +53,7 @@
             copy(name, directory);
         }
         var told = new ArrayList<ProcessPosition>();
-        var files = new HeartbeatFiles(directory, () -> NOW, new Fixed(0, false), told::add, line -> {});
+        var files = new HeartbeatFiles(directory, () -> NOW, new Fixed(0, false), told::add);
         files.start();
         files.close();
         assertEquals(List.of(new ProcessPosition(4, 3)), told);
@@ -72,7 +71,7 @@
         Path directory = Files.createTempDirectory("beats");
         copy(other, directory);
         var bound = new Fixed(0, false);
-        var files = new HeartbeatFiles(directory, () -> NOW, bound, told -> {}, line -> {});
+        var files = new HeartbeatFiles(directory, () -> NOW, bound, told -> {});
         files.start();
         files.close();
         return bound.may;
@@ -84,7 +83,7 @@
         Path other = directory.resolve("process-00001700000000000001-1");
         Files.write(other, new byte[1 + 2 * ALL]);
         Files.setLastModifiedTime(other, FileTime.from(NOW, TimeUnit.MICROSECONDS));
-        var files = new HeartbeatFiles(directory, () -> NOW, new Fixed(held, leaving), told -> {}, line -> {});
+        var files = new HeartbeatFiles(directory, () -> NOW, new Fixed(held, leaving), told -> {});
         files.start();
         Path own;
         try (var all = Files.list(directory)) {
@@ -110,7 +109,7 @@
         return Path.of("src/test/resources/golden/upgrade", name);
     }
 
-    private static final class Fixed implements HeartbeatFiles.QuotaUser {
+    private static final class Fixed implements QuotaUser {
         private final int held;
         private final boolean leaving;
         private int may;
--- a/src/test/java/wallmoor/upgrade/LiveProcessesTest.java
+++ b/src/test/java/wallmoor/upgrade/LiveProcessesTest.java
@@ -16,8 +16,6 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.Test;
-import wallmoor.upgrade.LiveProcesses.ProcessHeartbeat;
-import wallmoor.upgrade.LiveProcesses.ProcessPosition;
 
 /** How many processes are one gatherer, and which of them each is. */
 public class LiveProcessesTest {
@@ -60,11 +58,11 @@
         var clock = new AtomicLong(System.currentTimeMillis() * 1000);
         List<ProcessPosition> first = Collections.synchronizedList(new ArrayList<>());
         List<ProcessPosition> second = Collections.synchronizedList(new ArrayList<>());
-        var old = new HeartbeatFiles(directory, clock::get, oldOne, first::add, line -> {});
+        var old = new HeartbeatFiles(directory, clock::get, oldOne, first::add);
         old.start();
         clock.addAndGet(10);
         freshOne.held = 0;
-        var fresh = new HeartbeatFiles(directory, clock::get, freshOne, second::add, line -> {});
+        var fresh = new HeartbeatFiles(directory, clock::get, freshOne, second::add);
         fresh.start();
         assertEquals(List.of(new ProcessPosition(2, 1)), second);
         await(first, new ProcessPosition(2, 0));
@@ -80,7 +78,7 @@
         fresh.close();
     }
 
-    private static final class Held implements HeartbeatFiles.QuotaUser {
+    private static final class Held implements QuotaUser {
         static final int ALL = 60;
         volatile int held = 40;
         volatile int may;
--- a/src/test/java/wallmoor/upgrade/SharedQuotaTest.java
+++ b/src/test/java/wallmoor/upgrade/SharedQuotaTest.java
@@ -11,7 +11,6 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import org.junit.Test;
-import wallmoor.upgrade.LiveProcesses.ProcessHeartbeat;
 
 /** What two processes may hold together of one bound, whenever each of them signs and looks. */
 public class SharedQuotaTest {
