--- a/src/test/java/wallmoor/net/WatchCrossingsTest.java
+++ b/src/test/java/wallmoor/net/WatchCrossingsTest.java
@@ -9,7 +9,6 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
 import wallmoor.core.Worker;
-import wallmoor.endpoints.SourcePolicy;
 
 /** What happens to the list's watch where two events cross. */
 public class WatchCrossingsTest extends WatchFixture {
--- a/src/test/java/wallmoor/net/WatchFixture.java
+++ b/src/test/java/wallmoor/net/WatchFixture.java
@@ -22,6 +22,7 @@
 import wallmoor.core.Worker;
 import wallmoor.discovery.DiscoveryWatch;
 import wallmoor.endpoints.RegistryPolicy;
+import wallmoor.endpoints.SourcePolicy;
 import wallmoor.sources.EndpointUpdater;
 
 /**
@@ -114,7 +115,7 @@
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
         timers.start();
-        var list = new RegistryPolicy.SourcePolicy("list", true, 0, 1, 1000);
+        var list = new SourcePolicy("list", true, 0, 1, 1000);
         new EndpointUpdater(RegistryPolicy.of(List.of(list)), clock, gatherer, List.of(watch)).start();
         a = assigned(0);
         b = assigned(1);
