--- a/src/main/java/wallmoor/inventory/InventorySource.java
+++ b/src/main/java/wallmoor/inventory/InventorySource.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import wallmoor.config.ConfigException;
-import wallmoor.decision.RouterApi.ShardLayout;
+import wallmoor.decision.ShardLayout;
 import wallmoor.endpoints.SourceEndpoint;
 import wallmoor.endpoints.WatchEvent;
 import wallmoor.http.Threads;
