--- a/src/bench/java/wallmoor/idempotency/RetainedMemory.java
+++ b/src/bench/java/wallmoor/idempotency/RetainedMemory.java
@@ -17,20 +17,20 @@
                 1L << 24,
                 65_536, 1e6, 1_000_000, 200, second, 30 * second);
         long now = 1_800_000_000L * second;
-        var exchanges = new IdempotentRequests(rules, now);
+        var requests = new IdempotentRequests(rules, now);
         now += 10 * second;
         long before = used();
         for (int i = 0; i < OUTCOMES; i++) {
             var key = new IdempotencyKey("device-" + i % 1_000,
                     new UUID(now / 1000 << 16 | 0x7000, 0x8000_0000_0000_0000L | i).toString());
-            var run = (RequestDecision.Run) exchanges.submit(now, key, new long[] {i, i, i}, i % 5 != 0);
-            exchanges.completed(now, run.exchange(),
-                    new StoredOutcome(StoredOutcome.OutcomeKind.WHOLE, 0, new byte[BYTES]));
+            var run = (RequestDecision.Execute) requests.submit(now, key, new BodyDigest(i, i, i), i % 5 != 0);
+            requests.completed(now, run.request(),
+                    new StoredOutcome(StoredOutcome.OutcomeKind.COMPLETE, 0, new byte[BYTES]));
         }
         long after = used();
         System.out.printf("%d outcomes of %d bytes: %.1f MiB of heap, %d bytes each; counted %.1f MiB%n",
-                exchanges.usage().retained(), BYTES, (after - before) / 1048576.0, (after - before) / OUTCOMES,
-                exchanges.usage().bytes() / 1048576.0);
+                requests.usage().retained(), BYTES, (after - before) / 1048576.0, (after - before) / OUTCOMES,
+                requests.usage().bytes() / 1048576.0);
     }
 
     private static long used() throws InterruptedException {
--- a/src/main/java/wallmoor/edge/EdgeQueries.java
+++ b/src/main/java/wallmoor/edge/EdgeQueries.java
@@ -28,37 +28,37 @@
 import wallmoor.queries.QueryBody;
 
 /**
- * Where the edge's fronts bring what devices ask, over whatever wire: one state behind all of them. It runs each query
- * once, on a thread of its own, whether or not its device is still there, and keeps what came of it as the exchanges'
- * rules say.
+ * Runs the queries of devices, one state behind all wires of the edge. It runs each query
+ * once, on a thread of its own, whether or not its device is still connected, and stores its outcome as
+ * {@link IdempotentRequests} decides.
  */
 public final class EdgeQueries {
     private static final long LONGEST_SLEEP_MILLIS = 500;
     private static final long SHORTEST_SLEEP_MILLIS = 5;
     /** Kept back of a query's time for the answer's making (microseconds). */
-    private static final long FOR_THE_ANSWER = 5_000;
+    private static final long ANSWER_RESERVE_MICROS = 5_000;
 
     private final Logger log = LoggerFactory.getLogger(EdgeQueries.class);
     private final Supplier<LaunchConfig> launch;
     private final Gatherer gatherer;
     private final WorkerTransport workers;
     private final LongSupplier clock;
-    private final IdempotentRequests exchanges;
+    private final IdempotentRequests requests;
     private final ThreadPoolExecutor threads;
-    private final Map<RequestRecord, Running> running = new ConcurrentHashMap<>();
+    private final Map<RequestRecord, RunningQuery> running = new ConcurrentHashMap<>();
     private final String prefix;
-    private final IdempotencyLimits rules;
-    private long numbers;
-    private volatile long lastAnswer = Long.MAX_VALUE;
+    private final IdempotencyLimits limits;
+    private long queryCount;
+    private volatile long lastAnswerAt = Long.MAX_VALUE;
 
-    private static final class Running {
+    private static final class RunningQuery {
         final CompletableFuture<StoredOutcome> outcome = new CompletableFuture<>();
         volatile Query query;
         volatile boolean cancelled;
     }
 
     /**
-     * A desk.
+     * Without any request yet.
      *
      * @param clock the gatherer's, microseconds of Unix time
      */
@@ -68,9 +68,9 @@
         this.gatherer = gatherer;
         this.workers = workers;
         this.clock = clock;
-        exchanges = new IdempotentRequests(rules, clock.getAsLong());
+        requests = new IdempotentRequests(rules, clock.getAsLong());
         threads = Threads.pool("edge-query", rules.maxOpen());
-        this.rules = rules;
+        this.limits = rules;
         byte[] drawn = new byte[6];
         new SecureRandom().nextBytes(drawn);
         prefix = "e" + HexFormat.of().formatHex(drawn) + "-";
@@ -82,85 +82,85 @@
     }
 
     /** Queries are answered before this from now on: the program ends in so many milliseconds. */
-    public void leave(long millis) {
-        lastAnswer = clock.getAsLong() + millis * 1000;
+    public void shutDown(long millis) {
+        lastAnswerAt = clock.getAsLong() + millis * 1000;
     }
 
-    /** A device asks for a query. Of {@link RequestDecision.Run} and {@link RequestDecision.Attach} see {@link #await}.
+    /** A device asks for a query. Of {@link RequestDecision.Execute} and {@link RequestDecision.Attach} see {@link #await}.
      * */
-    public RequestDecision ask(IdempotencyKey key, EdgeRequest ask) {
-        Running made = null;
+    public RequestDecision submit(IdempotencyKey key, EdgeRequest ask) {
+        RunningQuery made = null;
         RequestDecision decision;
-        synchronized (exchanges) {
-            decision = exchanges.submit(clock.getAsLong(), key, ask.digest(), ask.mayRepeat());
-            if (decision instanceof RequestDecision.Run run) {
-                made = new Running();
-                running.put(run.exchange(), made);
+        synchronized (requests) {
+            decision = requests.submit(clock.getAsLong(), key, ask.digest(), ask.mayRepeat());
+            if (decision instanceof RequestDecision.Execute run) {
+                made = new RunningQuery();
+                running.put(run.request(), made);
             }
         }
         if (made != null) {
-            start(((RequestDecision.Run) decision).exchange(), made, ask);
+            start(((RequestDecision.Execute) decision).request(), made, ask);
         }
         return decision;
     }
 
     /** A device asks for what became of a query. */
     public RequestDecision outcome(IdempotencyKey key, boolean await) {
-        synchronized (exchanges) {
-            return exchanges.outcome(clock.getAsLong(), key, await);
+        synchronized (requests) {
+            return requests.outcome(clock.getAsLong(), key, await);
         }
     }
 
     /** A piece of a query's body has come. */
-    public RequestDecision piece(IdempotencyKey key, int from, byte[] bytes, int total, boolean last) {
-        synchronized (exchanges) {
-            return exchanges.uploadChunk(clock.getAsLong(), key, from, bytes, total, last);
+    public RequestDecision uploadChunk(IdempotencyKey key, int from, byte[] bytes, int total, boolean last) {
+        synchronized (requests) {
+            return requests.uploadChunk(clock.getAsLong(), key, from, bytes, total, last);
         }
     }
 
     /**
      * Completes with the outcome of a query that is out, or with null where it was cancelled as nobody waited. Whoever
-     * waits says by {@link #left} that it no longer does.
+     * waits says by {@link #waiterLeft} that it no longer does.
      */
     public CompletableFuture<StoredOutcome> await(RequestRecord exchange) {
-        Running r = running.get(exchange);
+        RunningQuery r = running.get(exchange);
         return r != null ? r.outcome : CompletableFuture.completedFuture(exchange.outcome());
     }
 
     /** One that waited does so no longer. */
-    public void left(RequestRecord exchange) {
-        synchronized (exchanges) {
-            exchanges.waiterLeft(clock.getAsLong(), exchange);
+    public void waiterLeft(RequestRecord exchange) {
+        synchronized (requests) {
+            requests.waiterLeft(clock.getAsLong(), exchange);
         }
     }
 
     /** How much is held. */
-    public IdempotentRequests.Usage held() {
-        synchronized (exchanges) {
-            return exchanges.usage();
+    public IdempotentRequests.Usage usage() {
+        synchronized (requests) {
+            return requests.usage();
         }
     }
 
     // ---- running ------------------------------------------------------------------------------------------
 
-    private void start(RequestRecord exchange, Running r, EdgeRequest ask) {
+    private void start(RequestRecord exchange, RunningQuery r, EdgeRequest ask) {
         try {
             threads.execute(() -> run(exchange, r, ask));
         } catch (RejectedExecutionException | OutOfMemoryError e) {
-            end(exchange, r, refused(rules.minRetryAfter(), "too much at work"));
+            end(exchange, r, refused(limits.minRetryAfter(), "too much at work"));
         }
     }
 
-    private void run(RequestRecord exchange, Running r, EdgeRequest ask) {
+    private void run(RequestRecord exchange, RunningQuery r, EdgeRequest ask) {
         StoredOutcome outcome = failed(true, "internal error"); // what can't be told is never told to be harmless
         boolean gone = false;
         try {
             long giveUp = launch.get().settings().classes().get(ask.queryClass()).clientTimeout();
-            long deadline = Math.min(clock.getAsLong() + Math.min(ask.millis() * 1000, giveUp), lastAnswer)
-                    - FOR_THE_ANSWER;
+            long deadline = Math.min(clock.getAsLong() + Math.min(ask.millis() * 1000, giveUp), lastAnswerAt)
+                    - ANSWER_RESERVE_MICROS;
             String id;
-            synchronized (exchanges) {
-                id = prefix + Long.toString(++numbers, 36);
+            synchronized (requests) {
+                id = prefix + Long.toString(++queryCount, 36);
             }
             Query query = gatherer.open(id, ask.queryClass(), deadline, false, ask.parts(), ask.text());
             r.query = query;
@@ -176,8 +176,8 @@
             log.error("query of {} failed", exchange.key().device(), e);
         } finally {
             if (gone) {
-                synchronized (exchanges) {
-                    exchanges.cancelled(clock.getAsLong(), exchange);
+                synchronized (requests) {
+                    requests.cancelled(clock.getAsLong(), exchange);
                     running.remove(exchange);
                 }
                 r.outcome.complete(null);
@@ -187,10 +187,10 @@
         }
     }
 
-    private void end(RequestRecord exchange, Running r, StoredOutcome outcome) {
+    private void end(RequestRecord exchange, RunningQuery r, StoredOutcome outcome) {
         StoredOutcome kept;
-        synchronized (exchanges) {
-            kept = exchanges.completed(clock.getAsLong(), exchange, outcome);
+        synchronized (requests) {
+            kept = requests.completed(clock.getAsLong(), exchange, outcome);
             running.remove(exchange);
         }
         r.outcome.complete(kept);
@@ -202,11 +202,12 @@
             QueryBody.hits(to, a);
             byte[] body = to.append('}').toString().getBytes(StandardCharsets.UTF_8);
             // room was set aside for less: it can't be kept, hence not be told twice
-            if (body.length > rules.maxOutcomeBytes()) {
+            if (body.length > limits.maxOutcomeBytes()) {
                 return failed(true,
-                        "answered with more than the " + rules.maxOutcomeBytes() + " bytes that an outcome may have");
+                        "answered with more than the " + limits.maxOutcomeBytes() + " bytes that an outcome may have");
             }
-            return new StoredOutcome(a.complete() ? StoredOutcome.OutcomeKind.WHOLE : StoredOutcome.OutcomeKind.PARTIAL,
+            return new StoredOutcome(
+                    a.complete() ? StoredOutcome.OutcomeKind.COMPLETE : StoredOutcome.OutcomeKind.PARTIAL,
                     0, body);
         }
         if (end instanceof Step.Reject r) {
@@ -218,7 +219,7 @@
     }
 
     private static StoredOutcome refused(long comeBack, String detail) {
-        return new StoredOutcome(StoredOutcome.OutcomeKind.REFUSED, comeBack,
+        return new StoredOutcome(StoredOutcome.OutcomeKind.REJECTED, comeBack,
                 problem("refused", 503, detail, "\"outcome\":\"refused\","
                         + "\"ran\":\"never\",\"retry_after_ms\":" + comeBack / 1000));
     }
@@ -243,9 +244,9 @@
         try {
             while (true) {
                 long wait;
-                synchronized (exchanges) {
-                    for (RequestRecord e : exchanges.expire(clock.getAsLong())) {
-                        Running r = running.get(e);
+                synchronized (requests) {
+                    for (RequestRecord e : requests.expire(clock.getAsLong())) {
+                        RunningQuery r = running.get(e);
                         if (r != null) {
                             r.cancelled = true;
                             if (r.query != null) {
@@ -253,7 +254,7 @@
                             }
                         }
                     }
-                    wait = (exchanges.nextDeadline() - clock.getAsLong()) / 1000;
+                    wait = (requests.nextDeadline() - clock.getAsLong()) / 1000;
                 }
                 Thread.sleep(Math.max(SHORTEST_SLEEP_MILLIS, Math.min(LONGEST_SLEEP_MILLIS, wait)));
             }
--- a/src/main/java/wallmoor/edge/EdgeRequest.java
+++ b/src/main/java/wallmoor/edge/EdgeRequest.java
@@ -9,6 +9,7 @@
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.Query;
 import wallmoor.decision.RouterApi.Idempotency;
+import wallmoor.idempotency.BodyDigest;
 import wallmoor.json.Json;
 import wallmoor.queries.QueryBody;
 
@@ -19,7 +20,7 @@
  * @param digest the same for the same query, in JSON or CBOR, with members in any order
  */
 public record EdgeRequest(int queryClass, boolean mayRepeat, long millis, List<Query.PartRequest> parts, byte[] text,
-        long[] digest) {
+        BodyDigest digest) {
     private static final long MOST_MILLIS = 600_000;
 
     /** Reads a body. */
@@ -61,14 +62,14 @@
         }
     }
 
-    private static long[] digest(String name, long millis, List<Query.PartRequest> parts, String q) {
+    private static BodyDigest digest(String name, long millis, List<Query.PartRequest> parts, String q) {
         var text = new StringBuilder(name).append('\n').append(millis);
         parts.forEach(
                 p -> text.append('\n').append(p.shard()).append(' ').append(p.weight()).append(' ').append(p.hint()));
         text.append('\n').append(q);
         byte[] hash = sha256(text.toString().getBytes(StandardCharsets.UTF_8));
         var words = java.nio.ByteBuffer.wrap(hash);
-        return new long[] {words.getLong(), words.getLong(), words.getLong()};
+        return new BodyDigest(words.getLong(), words.getLong(), words.getLong());
     }
 
     /** SHA-256, which every Java has. */
--- a/src/main/java/wallmoor/edge/coap/EdgeCoap.java
+++ b/src/main/java/wallmoor/edge/coap/EdgeCoap.java
@@ -51,7 +51,7 @@
 
     private final Logger log = LoggerFactory.getLogger(EdgeCoap.class);
     private final Supplier<LaunchConfig> launch;
-    private final EdgeQueries desk;
+    private final EdgeQueries queries;
     private final Devices devices;
     private final VerifiedAddresses verified = new VerifiedAddresses();
     private final CoapServer server;
@@ -65,9 +65,9 @@
             });
 
     /** Makes the front; it listens from {@link #start} on. */
-    public EdgeCoap(InetSocketAddress listen, Supplier<LaunchConfig> launch, EdgeQueries desk, Devices devices) {
+    public EdgeCoap(InetSocketAddress listen, Supplier<LaunchConfig> launch, EdgeQueries queries, Devices devices) {
         this.launch = launch;
-        this.desk = desk;
+        this.queries = queries;
         this.devices = devices;
         CoapConfig.register();
         UdpConfig.register();
@@ -115,7 +115,7 @@
             guarded(exchange, () -> {
                 IdempotencyKey key = key(exchange);
                 if (key != null) {
-                    told(exchange, key, desk.outcome(key, true), true);
+                    told(exchange, key, queries.outcome(key, true), true);
                 }
             });
         }
@@ -183,21 +183,21 @@
                         "");
                 return;
             }
-            RequestDecision decision = desk.piece(key, (int) from, body, -1, !block.isM());
-            if (decision instanceof RequestDecision.More more && more.offset() < from + body.length) {
+            RequestDecision decision = queries.uploadChunk(key, (int) from, body, -1, !block.isM());
+            if (decision instanceof RequestDecision.AwaitChunk more && more.offset() < from + body.length) {
                 // begin again, or with the one before
                 var incomplete = new Response(ResponseCode.REQUEST_ENTITY_INCOMPLETE);
                 incomplete.setPayload("expected " + more.offset());
                 respond(exchange, incomplete);
                 return;
             }
-            if (decision instanceof RequestDecision.More) {
+            if (decision instanceof RequestDecision.AwaitChunk) {
                 var go = new Response(ResponseCode.CONTINUE);
                 go.getOptions().setBlock1(block.getSzx(), block.isM(), block.getNum());
                 respond(exchange, go);
                 return;
             }
-            if (!(decision instanceof RequestDecision.Uploaded whole)) {
+            if (!(decision instanceof RequestDecision.UploadComplete whole)) {
                 told(exchange, key, decision, false);
                 return;
             }
@@ -205,7 +205,7 @@
         }
         try {
             EdgeRequest ask = EdgeRequest.of(json(body, exchange.getRequestOptions().getContentFormat()), launch.get());
-            told(exchange, key, desk.ask(key, ask), false);
+            told(exchange, key, queries.submit(key, ask), false);
         } catch (QueryBody.InvalidQueryBodyException | EdgeRequest.InvalidQueryException | IOException e) {
             problem(exchange, ResponseCode.BAD_REQUEST, "request", 400, e.getMessage(), "");
         }
@@ -220,14 +220,14 @@
      * of it: one datagram each, so that nothing large hangs on a link that may be gone.
      */
     private void told(CoapExchange exchange, IdempotencyKey key, RequestDecision decision, boolean wants) {
-        if (decision instanceof RequestDecision.Run run) {
-            desk.left(run.exchange());
+        if (decision instanceof RequestDecision.Execute run) {
+            queries.waiterLeft(run.request());
             taken(exchange, key, ResponseCode.CREATED);
         } else if (decision instanceof RequestDecision.Attach attach) {
             if (wants) {
-                await(exchange, attach.exchange());
+                await(exchange, attach.request());
             } else {
-                desk.left(attach.exchange());
+                queries.waiterLeft(attach.request());
                 taken(exchange, key, ResponseCode.CHANGED);
             }
         } else if (decision instanceof RequestDecision.Replay replay) {
@@ -236,21 +236,21 @@
             } else {
                 taken(exchange, key, ResponseCode.CHANGED);
             }
-        } else if (decision instanceof RequestDecision.More more) {
+        } else if (decision instanceof RequestDecision.AwaitChunk more) {
             problem(exchange, ResponseCode.CONTENT, "uploading", 202, "not all of it has come",
                     "\"outcome\":\"uploading\",\"offset\":" + more.offset());
         } else if (decision instanceof RequestDecision.Conflict) {
             problem(exchange, ResponseCode.CONFLICT, "conflict", 409,
                     "this id stands for another query; nothing was run", "");
-        } else if (decision instanceof RequestDecision.Refuse r) {
+        } else if (decision instanceof RequestDecision.Reject r) {
             later(exchange,
-                    r.why() == RequestDecision.RejectionReason.FULL ? ResponseCode.SERVICE_UNAVAILABLE
+                    r.reason() == RequestDecision.RejectionReason.CAPACITY_EXCEEDED ? ResponseCode.SERVICE_UNAVAILABLE
                             : ResponseCode.TOO_MANY_REQUESTS,
                     r.retryAfter());
-        } else if (decision instanceof RequestDecision.BadId bad) {
-            problem(exchange, ResponseCode.BAD_REQUEST, "id", 400, bad.what(),
+        } else if (decision instanceof RequestDecision.InvalidKey bad) {
+            problem(exchange, ResponseCode.BAD_REQUEST, "id", 400, bad.reason(),
                     "\"now_ms\":" + System.currentTimeMillis());
-        } else if (decision instanceof RequestDecision.Forgotten) {
+        } else if (decision instanceof RequestDecision.Expired) {
             problem(exchange, ResponseCode.NOT_FOUND, "forgotten", 410, "older than what is remembered",
                     "\"outcome\":\"forgotten\"");
         } else {
@@ -274,10 +274,10 @@
         int wait = wish != null && wish.matches("[0-9]{1,4}") ? Math.min(MOST_WAIT, Integer.parseInt(wish)) : 0;
         var answered = new AtomicBoolean();
         exchange.accept(); // an empty acknowledgement: the answer comes by itself
-        CompletableFuture<StoredOutcome> out = desk.await(asked);
+        CompletableFuture<StoredOutcome> out = queries.await(asked);
         out.thenAccept(outcome -> {
             if (answered.compareAndSet(false, true)) {
-                desk.left(asked);
+                queries.waiterLeft(asked);
                 guarded(exchange, () -> {
                     if (outcome == null) {
                         later(exchange, ResponseCode.SERVICE_UNAVAILABLE, 1_000_000);
@@ -289,7 +289,7 @@
         });
         waits.schedule(() -> {
             if (answered.compareAndSet(false, true)) {
-                desk.left(asked);
+                queries.waiterLeft(asked);
                 guarded(exchange, () -> problem(exchange, ResponseCode.CONTENT, "pending", 202, "no outcome yet",
                         "\"outcome\":\"pending\""));
             }
@@ -298,7 +298,7 @@
 
     private void outcome(CoapExchange exchange, StoredOutcome outcome) {
         ResponseCode code = switch (outcome.kind()) {
-            case REFUSED -> ResponseCode.SERVICE_UNAVAILABLE;
+            case REJECTED -> ResponseCode.SERVICE_UNAVAILABLE;
             case FAILED_NEVER_RAN, FAILED_MAY_HAVE_RUN -> ResponseCode.BAD_GATEWAY;
             default -> ResponseCode.CONTENT;
         };
--- a/src/main/java/wallmoor/edge/http/EdgeHttp.java
+++ b/src/main/java/wallmoor/edge/http/EdgeHttp.java
@@ -35,7 +35,7 @@
 
 /**
  * The edge over HTTP/1.1: {@code PUT /queries/ID} asks, and may be said again whenever a link broke; {@code GET} tells
- * the outcome, waits for it, and goes on where an answer broke off. A thin wire: what an asking comes to is the desk's
+ * the outcome, waits for it, and goes on where an answer broke off. A thin wire: what becomes of a request is {@link EdgeQueries}
  * to say.
  */
 public final class EdgeHttp {
@@ -50,16 +50,16 @@
     private static final int USUAL_WAIT = 30;
 
     private final Supplier<LaunchConfig> launch;
-    private final EdgeQueries desk;
+    private final EdgeQueries queries;
     private final Devices devices;
     private final Server server;
 
     /** Makes the front and listens; nothing is answered before {@link #start}. */
-    public EdgeHttp(InetSocketAddress listen, int mostClients, Supplier<LaunchConfig> launch, EdgeQueries desk,
+    public EdgeHttp(InetSocketAddress listen, int mostClients, Supplier<LaunchConfig> launch, EdgeQueries queries,
             Devices devices,
             Consumer<String> log) throws IOException {
         this.launch = launch;
-        this.desk = desk;
+        this.queries = queries;
         this.devices = devices;
         server = new Server("edge", listen, mostClients, mostClients, ConnectionTimeouts.LONG, this::handle, log);
     }
@@ -103,7 +103,7 @@
             case "PUT" -> put(request, exchange, key);
             case "GET", "HEAD" -> {
                 int wait = wait(request, 0);
-                told(request, exchange, key, desk.outcome(key, true), wait);
+                told(request, exchange, key, queries.outcome(key, true), wait);
             }
             default -> problem(exchange, 405, "Allow: GET, HEAD, PUT\r\n", "request", "method not allowed");
         }
@@ -125,8 +125,8 @@
             if (to - from + 1 != sent.length || to >= total) {
                 throw new HttpProtocolException(400, "Content-Range and the body's length don't agree");
             }
-            RequestDecision decision = desk.piece(key, from, sent, total, to == total - 1);
-            if (!(decision instanceof RequestDecision.Uploaded whole)) {
+            RequestDecision decision = queries.uploadChunk(key, from, sent, total, to == total - 1);
+            if (!(decision instanceof RequestDecision.UploadComplete whole)) {
                 told(request, exchange, key, decision, wait(request, USUAL_WAIT));
                 return;
             }
@@ -139,7 +139,7 @@
         } catch (QueryBody.InvalidQueryBodyException | EdgeRequest.InvalidQueryException e) {
             throw new HttpProtocolException(400, e.getMessage());
         }
-        told(request, exchange, key, desk.ask(key, ask), wait(request, USUAL_WAIT));
+        told(request, exchange, key, queries.submit(key, ask), wait(request, USUAL_WAIT));
     }
 
     private static int wait(HttpMessage request, int otherwise) {
@@ -156,26 +156,26 @@
     private void told(HttpMessage request, HttpExchange exchange, IdempotencyKey key, RequestDecision decision,
             int wait)
             throws IOException, InterruptedException {
-        if (decision instanceof RequestDecision.Run run) {
-            await(request, exchange, key, run.exchange(), wait);
+        if (decision instanceof RequestDecision.Execute run) {
+            await(request, exchange, key, run.request(), wait);
         } else if (decision instanceof RequestDecision.Attach attach) {
-            await(request, exchange, key, attach.exchange(), wait);
+            await(request, exchange, key, attach.request(), wait);
         } else if (decision instanceof RequestDecision.Replay replay) {
             outcome(request, exchange, replay.outcome());
-        } else if (decision instanceof RequestDecision.More more) {
+        } else if (decision instanceof RequestDecision.AwaitChunk more) {
             answer(exchange, 202, "Location: /queries/" + key.id() + "\r\nUpload-Offset: " + more.offset() + "\r\n",
                     JSON,
                     bytes("{\"outcome\":\"uploading\",\"offset\":" + more.offset() + "}"));
         } else if (decision instanceof RequestDecision.Conflict) {
             problem(exchange, 409, "", "conflict", "this id stands for another query; nothing was run");
-        } else if (decision instanceof RequestDecision.Refuse r) {
-            problem(exchange, r.why() == RequestDecision.RejectionReason.FULL ? 503 : 429,
+        } else if (decision instanceof RequestDecision.Reject r) {
+            problem(exchange, r.reason() == RequestDecision.RejectionReason.CAPACITY_EXCEEDED ? 503 : 429,
                     "Retry-After: " + seconds(r.retryAfter()) + "\r\n",
-                    "later", "not now: " + r.why().name().toLowerCase(Locale.ROOT).replace('_', ' ')
+                    "later", "not now: " + r.reason().text()
                             + "; nothing was run, ask again under this id");
-        } else if (decision instanceof RequestDecision.BadId bad) {
-            problem(exchange, 400, "", "id", bad.what());
-        } else if (decision instanceof RequestDecision.Forgotten) {
+        } else if (decision instanceof RequestDecision.InvalidKey bad) {
+            problem(exchange, 400, "", "id", bad.reason());
+        } else if (decision instanceof RequestDecision.Expired) {
             problem(exchange, 410, "", "forgotten",
                     "this id is older than what is remembered: whether it ran is not known");
         } else {
@@ -189,7 +189,7 @@
         StoredOutcome outcome = null;
         boolean pending = false;
         try {
-            CompletableFuture<StoredOutcome> out = desk.await(asked);
+            CompletableFuture<StoredOutcome> out = queries.await(asked);
             var gone = new CompletableFuture<StoredOutcome>();
             exchange.whenGone(() -> gone.complete(null));
             Object first = CompletableFuture.anyOf(out, gone).get(wait, TimeUnit.SECONDS);
@@ -203,7 +203,7 @@
         } catch (ExecutionException e) {
             throw new IllegalStateException(e);
         } finally {
-            desk.left(asked);
+            queries.waiterLeft(asked);
         }
         if (outcome != null) {
             outcome(request, exchange, outcome);
@@ -218,7 +218,7 @@
 
     private void outcome(HttpMessage request, HttpExchange exchange, StoredOutcome outcome) throws IOException {
         switch (outcome.kind()) {
-            case REFUSED -> answer(exchange, 503, "Retry-After: " + seconds(outcome.retryAfter()) + "\r\n", PROBLEM,
+            case REJECTED -> answer(exchange, 503, "Retry-After: " + seconds(outcome.retryAfter()) + "\r\n", PROBLEM,
                     outcome.bytes());
             case FAILED_NEVER_RAN, FAILED_MAY_HAVE_RUN -> answer(exchange, 502, "", PROBLEM, outcome.bytes());
             default -> answered(request, exchange, outcome.bytes());
--- a/src/main/java/wallmoor/idempotency/IdempotencyKey.java
+++ b/src/main/java/wallmoor/idempotency/IdempotencyKey.java
@@ -1,4 +1,4 @@
 package wallmoor.idempotency;
 
-/** Whose query, and which of theirs: no device can name another's. */
+/** An idempotency key: the id that a device gave its request. No device can name another's. */
 public record IdempotencyKey(String device, String id) {}
--- a/src/main/java/wallmoor/idempotency/RequestDecision.java
+++ b/src/main/java/wallmoor/idempotency/RequestDecision.java
@@ -1,47 +1,56 @@
 package wallmoor.idempotency;
 
-/** What is to be done with a device's asking. */
+/** What is to be done with a device's request. */
 public sealed interface RequestDecision {
 
-    /** Nobody asked this before: it is to be run. Its asker counts as waiting. */
-    record Run(RequestRecord exchange) implements RequestDecision {}
+    /** The key is new: the request is to be executed. Its device counts as waiting. */
+    record Execute(RequestRecord request) implements RequestDecision {}
 
-    /** It is out already: its asker waits along. */
-    record Attach(RequestRecord exchange) implements RequestDecision {}
+    /** The request is running already: its device waits for the same outcome. */
+    record Attach(RequestRecord request) implements RequestDecision {}
 
-    /** It has ended: this is its outcome, as ever. */
+    /** The request has completed: this is its stored outcome. */
     record Replay(StoredOutcome outcome) implements RequestDecision {}
 
-    /** A piece was taken, and more is wanted from {@code offset} on. */
-    record More(long offset) implements RequestDecision {}
+    /** The chunk was processed; the next one is expected to start at {@code offset}, in bytes. */
+    record AwaitChunk(long offset) implements RequestDecision {}
 
-    /** All pieces are there. */
-    record Uploaded(byte[] body) implements RequestDecision {}
+    /** All chunks of the body are there. */
+    record UploadComplete(byte[] body) implements RequestDecision {}
 
-    /** The id stands for another query. Nothing is run. */
+    /** The key belongs to a request with another body. Nothing is executed. */
     record Conflict() implements RequestDecision {}
 
-    /** Not now. Nothing is run; ask again, under the same id, after so many microseconds. */
-    record Refuse(RejectionReason why, long retryAfter) implements RequestDecision {}
+    /** Rejected, and never executed; to be retried under the same key after so many microseconds. */
+    record Reject(RejectionReason reason, long retryAfter) implements RequestDecision {}
 
-    /** The id of a query that may not repeat is not one whose age can be told, or is made too far ahead. */
-    record BadId(String what) implements RequestDecision {}
+    /** The key of a request that may not repeat does not tell its age, or lies in the future. */
+    record InvalidKey(String reason) implements RequestDecision {}
 
-    /**
-     * The id is older than what is remembered: whether it ran is not known, and it is never run again.
-     */
-    record Forgotten() implements RequestDecision {}
+    /** The key is older than what is retained: whether it was executed is unknown, and it never will be again. */
+    record Expired() implements RequestDecision {}
 
-    /** Nothing is known of this id. */
+    /** Nothing is known of this key. */
     record Unknown() implements RequestDecision {}
 
-    /** Why not now. */
+    /** Why a request is rejected for now. */
     enum RejectionReason {
-        /** This device asks too often. */
-        HELD_OFF,
-        /** This device has too many queries open, or too much kept. */
-        DEVICE_FULL,
+        /** The device exceeds its request rate. */
+        RATE_LIMITED("held off"),
+        /** The device has too many requests open, or too many bytes retained. */
+        DEVICE_QUOTA_EXCEEDED("device full"),
         /** All devices together have. */
-        FULL
+        CAPACITY_EXCEEDED("full");
+
+        private final String text;
+
+        RejectionReason(String text) {
+            this.text = text;
+        }
+
+        /** The words that devices get; they are part of the wire format. */
+        public String text() {
+            return text;
+        }
     }
 }
--- a/src/main/java/wallmoor/idempotency/RetryScheduler.java
+++ b/src/main/java/wallmoor/idempotency/RetryScheduler.java
@@ -1,25 +1,27 @@
 package wallmoor.idempotency;
 
 /**
- * When those that are turned away should come back: each gets a place of its own in a queue that is served at a steady
- * rate, so that a thousand that came within a second after an outage come back over many. Pure.
+ * Spreads the retries of rejected devices: each gets the next slot of a queue that is served at a steady rate, so that
+ * devices rejected within one second, as after an outage, return over many.
  */
 final class RetryScheduler {
-    private final IdempotencyLimits rules;
-    private long next = Long.MIN_VALUE;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    RetryScheduler(IdempotencyLimits rules) {
-        this.rules = rules;
+    private final IdempotencyLimits limits;
+    private long nextSlot = Long.MIN_VALUE;
+
+    RetryScheduler(IdempotencyLimits limits) {
+        this.limits = limits;
     }
 
-    /** Microseconds after which the next one should come back. */
-    long after(long now) {
-        long earliest = now + rules.minRetryAfter();
-        long latest = now + rules.maxRetryAfter();
-        next = Math.max(earliest, next + (long) (1e6 / rules.retryRate()));
-        if (next > latest) { // more than the queue holds: they wrap round, which is still spread evenly
-            next = earliest;
+    /** Microseconds after which the next rejected device should retry. */
+    long nextRetryAfter(long now) {
+        long earliest = now + limits.minRetryAfter();
+        long latest = now + limits.maxRetryAfter();
+        nextSlot = Math.max(earliest, nextSlot + (long) (MICROS_PER_SECOND / limits.retryRate()));
+        if (nextSlot > latest) { // the queue is full: slots are given out again from the start, still spread evenly
+            nextSlot = earliest;
         }
-        return next - now;
+        return nextSlot - now;
     }
 }
--- a/src/main/java/wallmoor/idempotency/StoredOutcome.java
+++ b/src/main/java/wallmoor/idempotency/StoredOutcome.java
@@ -1,22 +1,22 @@
 package wallmoor.idempotency;
 
 /**
- * How a query ended, once and for all. The bytes are what every asker gets, to the byte.
+ * The outcome of a request, stored for replay. Every device that asks gets the same bytes.
  *
- * @param retryAfter microseconds after which to ask again under a new id, or 0
+ * @param retryAfter microseconds after which to retry under a new key, or 0
  */
 public record StoredOutcome(OutcomeKind kind, long retryAfter, byte[] bytes) {
     /** What a device may conclude. */
     public enum OutcomeKind {
-        /** Answered from all the parts that a whole answer needs. */
-        WHOLE,
+        /** Answered from all the parts that a complete answer needs. */
+        COMPLETE,
         /** Answered, and the answer says what it lacks. */
         PARTIAL,
-        /** Turned away; it never ran. */
-        REFUSED,
-        /** Given up; it never ran. */
+        /** Rejected; it was never executed. */
+        REJECTED,
+        /** Failed; it was never executed. */
         FAILED_NEVER_RAN,
-        /** Given up; it may have run. */
+        /** Failed; it may have been executed. */
         FAILED_MAY_HAVE_RUN
     }
 }
--- a/src/main/java/wallmoor/service/EdgeService.java
+++ b/src/main/java/wallmoor/service/EdgeService.java
@@ -13,7 +13,7 @@
 import wallmoor.edge.http.EdgeHttp;
 import wallmoor.idempotency.IdempotencyLimits;
 
-/** The edge: two wires, one desk behind them, on the calendar nodes' gatherer and connections. */
+/** The edge: two wires, one {@link EdgeQueries} behind them, on the calendar nodes' gatherer and connections. */
 final class EdgeService {
     private static final int MOST_OUTCOME = 64 * 1024;
     private static final long MICROS = 1000;
@@ -21,7 +21,7 @@
     private final Logger log = LoggerFactory.getLogger(EdgeService.class);
     private final EdgeConfig config;
     private final Devices devices;
-    private final EdgeQueries desk;
+    private final EdgeQueries queries;
     private final EdgeHttp http;
     private final EdgeCoap coap;
 
@@ -34,15 +34,15 @@
                 config.skew() * MICROS, 60_000 * MICROS, config.openEach(), config.open(), Integer.MAX_VALUE,
                 config.memory(), config.memoryEach(), MOST_OUTCOME, config.asks(), config.burst(), config.returns(),
                 1_000 * MICROS, 30_000 * MICROS);
-        desk = new EdgeQueries(rules, current, nodes.gatherer(), nodes.workers(), clock);
+        queries = new EdgeQueries(rules, current, nodes.gatherer(), nodes.workers(), clock);
         http = config.http() == null ? null
-                : new EdgeHttp(config.http(), config.mostClients(), current, desk, devices, log::info);
-        coap = config.coap() == null ? null : new EdgeCoap(config.coap(), current, desk, devices);
+                : new EdgeHttp(config.http(), config.mostClients(), current, queries, devices, log::info);
+        coap = config.coap() == null ? null : new EdgeCoap(config.coap(), current, queries, devices);
     }
 
     void start() {
         devices.start();
-        desk.start();
+        queries.start();
         if (http != null) {
             http.start();
             log.info("edge on http {}", config.http());
@@ -55,7 +55,7 @@
 
     /** Takes and answers for so long what comes; what is out is answered before the end. */
     void leave(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
-        desk.leave(handOverMillis + finishMillis);
+        queries.shutDown(handOverMillis + finishMillis);
         var second = new Thread(() -> {
             try {
                 if (coap != null) {
@@ -70,7 +70,7 @@
             http.leave(handOverMillis, finishMillis);
         }
         second.join();
-        var held = desk.held();
+        var held = queries.usage();
         log.info("edge left with {} queries out and {} outcomes that are not kept beyond this process", held.open(),
                 held.retained());
     }
--- a/src/test/java/wallmoor/idempotency/IdempotentRequestsPropertiesTest.java
+++ b/src/test/java/wallmoor/idempotency/IdempotentRequestsPropertiesTest.java
@@ -26,7 +26,7 @@
 
     /** Ten queries of three devices; the even ones may not repeat. */
     private static final class World {
-        IdempotentRequests exchanges = new IdempotentRequests(RULES, IdempotentRequestsTest.START);
+        IdempotentRequests requests = new IdempotentRequests(RULES, IdempotentRequestsTest.START);
         long now = IdempotentRequestsTest.START + 5 * SECOND;
         final IdempotencyKey[] keys = new IdempotencyKey[10];
         final int[] runs = new int[10];
@@ -44,15 +44,15 @@
             }
             switch (h.kind) {
                 case 0, 1, 2, 3 -> {
-                    RequestDecision d = exchanges.submit(now, keys[i], new long[] {i, 0, 0}, mayRepeat);
-                    if (d instanceof RequestDecision.Run run) {
+                    RequestDecision d = requests.submit(now, keys[i], new BodyDigest(i, 0, 0), mayRepeat);
+                    if (d instanceof RequestDecision.Execute run) {
                         runs[i]++;
                         assertTrue(mayRepeat || runs[i] == 1, "run twice");
                         assertTrue(!out.containsKey(i), "a second copy out");
-                        out.put(i, run.exchange());
+                        out.put(i, run.request());
                         waiting.put(i, 1);
                     } else if (d instanceof RequestDecision.Attach a) {
-                        assertSame(out.get(i), a.exchange());
+                        assertSame(out.get(i), a.request());
                         waiting.merge(i, 1, Integer::sum);
                     } else if (d instanceof RequestDecision.Replay r) {
                         assertSame(ended.get(i), r.outcome(), "not the outcome it had");
@@ -62,48 +62,49 @@
                 case 4 -> {
                     if (out.containsKey(i) && waiting.get(i) > 0) {
                         waiting.merge(i, -1, Integer::sum);
-                        exchanges.waiterLeft(now, out.get(i));
+                        requests.waiterLeft(now, out.get(i));
                     }
                 }
                 case 5, 6 -> {
                     if (out.containsKey(i)) {
-                        var outcome = new StoredOutcome(StoredOutcome.OutcomeKind.WHOLE, 0, new byte[h.size]);
-                        ended.put(i, exchanges.completed(now, out.remove(i), outcome));
+                        var outcome = new StoredOutcome(StoredOutcome.OutcomeKind.COMPLETE, 0, new byte[h.size]);
+                        ended.put(i, requests.completed(now, out.remove(i), outcome));
                     }
                 }
                 case 7 -> {
                     if (out.containsKey(i)) {
-                        RequestDecision d = exchanges.submit(now, keys[i], new long[] {i, 1, 0}, mayRepeat);
-                        assertTrue(d instanceof RequestDecision.Conflict || d instanceof RequestDecision.Refuse,
+                        RequestDecision d = requests.submit(now, keys[i], new BodyDigest(i, 1, 0), mayRepeat);
+                        assertTrue(d instanceof RequestDecision.Conflict || d instanceof RequestDecision.Reject,
                                 "another body: " + d);
                     }
                 }
-                case 8 -> exchanges.uploadChunk(now, new IdempotencyKey("d" + i % 3, "up" + i), 0, new byte[h.size],
+                case 8 -> requests.uploadChunk(now, new IdempotencyKey("d" + i % 3, "up" + i), 0, new byte[h.size],
                         1024, false);
                 default -> {
                     if (h.size > 1000) { // a restart: all that was known is lost, what was out may have run
-                        exchanges = new IdempotentRequests(RULES, now);
+                        requests = new IdempotentRequests(RULES, now);
                         out.clear();
                         ended.clear();
                     }
                 }
             }
             now += h.after * SECOND;
-            for (RequestRecord e : exchanges.expire(now)) {
+            for (RequestRecord e : requests.expire(now)) {
                 int q = out.entrySet().stream().filter(x -> x.getValue() == e).findFirst().orElseThrow().getKey();
                 assertTrue(q % 2 == 1 && waiting.get(q) == 0, "cancelled though it may not repeat, or is waited for");
                 out.remove(q);
-                exchanges.cancelled(now, e);
+                requests.cancelled(now, e);
             }
-            IdempotentRequests.Usage held = exchanges.usage();
+            IdempotentRequests.Usage held = requests.usage();
             assertTrue(held.bytes() <= RULES.maxRetainedBytes() && held.open() <= RULES.maxOpen(), "" + held);
         }
 
         /** What may not repeat keeps its outcome for its window: it is replayed, and refused at most for hammering. */
         private void kept(int i, boolean mayRepeat, RequestDecision d) {
             if (!mayRepeat && ended.containsKey(i) && now < madeAt[i] + RULES.deduplicationWindow()) {
-                assertTrue(d instanceof RequestDecision.Replay || d instanceof RequestDecision.Refuse r
-                        && r.why() == RequestDecision.RejectionReason.HELD_OFF, "outcome lost before its window: " + d);
+                assertTrue(d instanceof RequestDecision.Replay || d instanceof RequestDecision.Reject r
+                        && r.reason() == RequestDecision.RejectionReason.RATE_LIMITED,
+                        "outcome lost before its window: " + d);
             }
         }
     }
@@ -125,9 +126,9 @@
     void nothingIsHeldOfWhatIsOver(@ForAll("happenings") List<Happening> all) {
         var world = new World();
         all.forEach(world::happen);
-        new ArrayList<>(world.out.values()).forEach(e -> world.exchanges.completed(world.now, e,
-                new StoredOutcome(StoredOutcome.OutcomeKind.WHOLE, 0, new byte[1])));
-        world.exchanges.expire(world.now + 1000 * SECOND);
-        assertEquals(new IdempotentRequests.Usage(0, 0, 0, 0), world.exchanges.usage());
+        new ArrayList<>(world.out.values()).forEach(e -> world.requests.completed(world.now, e,
+                new StoredOutcome(StoredOutcome.OutcomeKind.COMPLETE, 0, new byte[1])));
+        world.requests.expire(world.now + 1000 * SECOND);
+        assertEquals(new IdempotentRequests.Usage(0, 0, 0, 0), world.requests.usage());
     }
 }
