--- a/src/main/java/wallmoor/cli/FleetCommand.java
+++ b/src/main/java/wallmoor/cli/FleetCommand.java
@@ -1,18 +1,16 @@
 package wallmoor.cli;
 
-import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.util.List;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import wallmoor.config.ConfigException;
 import wallmoor.config.FleetConfig;
-import wallmoor.config.LaunchConfig;
+import wallmoor.config.OperatorConfig;
+import wallmoor.control.ControlClient;
 import wallmoor.json.Json;
 
-/** Asks a gatherer on this machine what it holds of the group, over its control port. */
+/** Asks a gatherer on this machine what it knows of the group, over its control port. */
 @Command(name = "fleet", mixinStandardHelpOptions = true,
         description = "Ask a running gatherer on this machine what it holds of the group of gatherers.",
         footer = {"It must have fleet.control set in its operators' file.",
@@ -20,90 +18,72 @@
                     + "can't be asked."})
 final class FleetCommand extends CommandGroup {
     private static final int NO_QUORUM = 3;
-    private static final int NO_ANSWER = 4;
-    private static final int MILLIS = 5_000;
-    private static final int MOST = 16 * 1024 * 1024;
+    private static final int TIMEOUT_MILLIS = 5_000;
+    private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
     private static final long WATCH_MILLIS = 1_000;
 
     FleetCommand() {
         super("members or explain");
     }
 
-    /** Where to ask. */
-    private static final class Where {
-        @Mixin
-        private ConfigFileOptions files;
-
-        @Option(names = "--at", paramLabel = "ADDRESS:PORT",
-                description = "The control port; else fleet.control of the operators' file.")
-        private String at;
-
-        @Option(names = "--json", description = "Print JSON objects, one a line.")
-        private boolean json;
+    /** Which control port. */
+    private static final class FleetPort extends ControlPortOptions {
+        FleetPort() {
+            super("fleet.control", "is not set: the gatherer tells nobody of its group");
+        }
 
-        InetSocketAddress address() {
-            if (at != null) {
-                return LaunchConfig.address("--at", at);
-            }
-            FleetConfig fleet = files.operator(files.launch()).fleet();
-            if (fleet == null || fleet.control() == null) {
-                throw new ConfigException("fleet.control", "is not set: the gatherer tells nobody of its group");
-            }
-            return fleet.control();
+        @Override
+        InetSocketAddress configured(OperatorConfig operator) {
+            FleetConfig fleet = operator.fleet();
+            return fleet == null ? null : fleet.control();
         }
     }
 
     @Command(name = "members", mixinStandardHelpOptions = true,
             description = "Print each gatherer of the group and its state.")
-    int members(@Mixin Where where,
+    int members(@Mixin FleetPort port,
             @Option(names = "--watch", description = "Go on, and print again whenever the view changes.") boolean watch)
             throws InterruptedException {
-        String shown = null;
+        String shownVersion = null;
         while (true) {
-            Answer answer = asked(where, "members", shown);
-            if (!watch || answer.version() == null) {
-                return answer.code();
+            ControlAnswer answer = ask(port, "members");
+            String version = answer.first() == null ? null : String.valueOf(answer.first().get("version"));
+            if (version != null && !version.equals(shownVersion)) {
+                answer = print(port, answer);
             }
-            shown = answer.version();
+            if (!watch || answer.first() == null) {
+                return exitCode(answer);
+            }
+            shownVersion = version;
             Thread.sleep(WATCH_MILLIS);
         }
     }
 
     @Command(name = "explain", mixinStandardHelpOptions = true,
             description = "Print who observes a gatherer, what each said of it, and what it would take to remove it.")
-    int explain(@Mixin Where where, @Parameters(paramLabel = "NAME") String name) {
-        return asked(where, "explain " + name, null).code();
+    int explain(@Mixin FleetPort port, @Parameters(paramLabel = "NAME") String name) {
+        return exitCode(print(port, ask(port, "explain " + name)));
     }
 
-    /**
-     * What came of asking.
-     *
-     * @param version of the view that was told; null where the gatherer did not tell
-     */
-    private record Answer(int code, String version) {}
+    private static ControlAnswer ask(FleetPort port, String request) {
+        ControlAnswer answer = ControlAnswer.ask(port, request, TIMEOUT_MILLIS, MAX_ANSWER_BYTES);
+        boolean empty = answer.exitCode() == 0 && answer.first() == null;
+        return empty ? ControlAnswer.unanswered("it did not answer") : answer;
+    }
 
-    private Answer asked(Where where, String line, String shown) {
+    private static ControlAnswer print(FleetPort port, ControlAnswer answer) {
         try {
-            String answer = ControlClient.ask(where.address(), line, MILLIS, MOST);
-            List<String> lines = answer.lines().toList();
-            Json.Obj first = ControlClient.object(lines.get(0));
-            if (first.get("fault") != null) {
-                System.err.println("wallmoor: the gatherer " + first.text("fault"));
-                return new Answer(Commands.USAGE, null);
-            }
-            String version = String.valueOf(first.get("version"));
-            if (!version.equals(shown)) {
-                for (String l : lines) {
-                    System.out.println(where.json ? l : ControlClient.text(ControlClient.object(l)));
-                }
+            for (String line : answer.lines()) {
+                System.out.println(port.json() ? line : JsonText.of(ControlClient.parse(line)));
             }
-            return new Answer(Boolean.FALSE.equals(first.get("quorum")) ? NO_QUORUM : 0, version);
-        } catch (ConfigException e) {
-            System.err.println("wallmoor: " + e.getMessage());
-            return new Answer(Commands.USAGE, null);
-        } catch (IOException | Json.Malformed e) {
-            System.err.println("wallmoor: the gatherer can't be asked: " + e.getMessage());
-            return new Answer(NO_ANSWER, null);
+            return answer;
+        } catch (Json.Malformed e) {
+            return ControlAnswer.unanswered(e.getMessage());
         }
     }
+
+    private static int exitCode(ControlAnswer answer) {
+        boolean noQuorum = answer.first() != null && Boolean.FALSE.equals(answer.first().get("quorum"));
+        return noQuorum ? NO_QUORUM : answer.exitCode();
+    }
 }
--- a/src/main/java/wallmoor/cli/PlanLocation.java
+++ b/src/main/java/wallmoor/cli/PlanLocation.java
@@ -6,6 +6,7 @@
 import picocli.CommandLine.Option;
 import wallmoor.config.ConfigException;
 import wallmoor.config.LaunchConfig;
+import wallmoor.control.ControlClient;
 import wallmoor.migration.http.PlanControlClient;
 
 /** Where the plan is kept: in a directory with one author, or by all gatherers. */
--- a/src/main/java/wallmoor/consensus/ConsensusService.java
+++ b/src/main/java/wallmoor/consensus/ConsensusService.java
@@ -1,174 +1,136 @@
 package wallmoor.consensus;
 
-import io.microraft.executor.RaftNodeExecutor;
 import java.io.IOException;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.TreeMap;
-import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.RejectedExecutionException;
-import java.util.concurrent.ScheduledThreadPoolExecutor;
-import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.atomic.AtomicLong;
-import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import wallmoor.config.RulesConfig;
 import wallmoor.rules.CorruptDataException;
 import wallmoor.rules.DocumentSchemas;
 import wallmoor.rules.EffectiveRule;
 import wallmoor.rules.LeaseHolder;
 import wallmoor.rules.LeaseMessage;
-import wallmoor.rules.LeaseMessageCodec;
 import wallmoor.rules.LeaseTiming;
 import wallmoor.rules.RuleDocument;
 import wallmoor.rules.RuleProposal;
 import wallmoor.rules.RuleReader;
-import wallmoor.rules.RuleSnapshot;
-import wallmoor.rules.VersionChain;
 
 /**
- * This gatherer's part in what all agree on: a holder of leases, and a voter where the operators' file names it. One
- * thread has all of that state, one has the connections; traffic reads a snapshot and waits for neither.
+ * This gatherer's part in the consensus on rules: a lease holder, and a voting member of the Raft group where the
+ * operators' file names it. The control thread has all of that state, the transport's thread the connections; traffic
+ * reads an immutable snapshot and waits for neither.
  */
 public final class ConsensusService implements RuleReader, AutoCloseable {
-    /** Hears of each change of what is gone by; on the control thread. */
-    public interface RuleChangeListener {
-        /** A document is gone by in another way from now on. */
-        void onRuleChanged(String name, EffectiveRule act);
-    }
-
-    private static final String KNOWN = "known";
-    /** Packets that the control thread has not taken yet; more are dropped, as all that is sent is sent again. */
-    private static final int MOST_TAKEN = 2_048;
-    private static final long MOST_TICK_MILLIS = 20;
-    private static final long AGAIN_MILLIS = 300;
-    private static final int MOST_WAITING = 64;
-    private static final long MICROS = 1_000;
-    private static final long STACK = 512 * 1024;
-
-    /** Somebody who waits at the control port. */
-    private record PendingRequest(Packet.ClientRequest request, CompletableFuture<Packet.ClientResponse> reply,
-            Consumer<String> progress) {}
+    private static final Logger LOG = LoggerFactory.getLogger(ConsensusService.class);
+    private static final long MAX_TICK_MILLIS = 20;
+    private static final int TICKS_PER_TERM = 100;
+    private static final long CLOSE_MILLIS = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    /** Clocks of gatherers may run apart by so much of true time. */
+    private static final double CLOCK_DRIFT = 0.01;
 
     private final String name;
     private final RulesConfig config;
-    private final LeaseTiming terms;
-    private final Consumer<String> info;
-    private final Consumer<String> warn;
-    private final RuleChangeListener watcher;
-    private final DurableDirectory directory;
-    private final ScheduledThreadPoolExecutor control;
-    private final TcpTransport links;
-    private final VotingMember voter;
-    private final LeaseHolder holder;
-    private final long life;
-    private final List<String> names;
-    private final AtomicInteger taken = new AtomicInteger();
-    private final AtomicLong overflow = new AtomicLong();
-    private final AtomicLong requests = new AtomicLong(System.nanoTime());
-    private volatile ConsensusStatus status;
-    private volatile RuleSnapshot snapshot;
-    // the control thread's
-    private final Map<String, FramedConnection> asking = new HashMap<>();
-    private final Map<Long, PendingRequest> waiting = new TreeMap<>();
-    private final Map<String, ConsensusStatus.EffectiveSince> since = new HashMap<>();
-    private List<VersionChain> kept = List.of();
-    private LeaseMessage.LeaseRequest lastAsk;
-    private String target;
-    private boolean answered = true;
-    private int passedOn;
-    private long waitingAgainAt;
-    private boolean keeps = true;
+    private final List<String> voters;
+    private final ControlThread controlThread = new ControlThread();
+    private final TcpTransport transport;
+    private final PacketQueue packets;
+    private final LeaseHolderConnections holderConnections;
+    /** Null where this gatherer does not vote. */
+    private final VotingMember votingMember;
+    private final LeaseHolder leaseHolder;
+    private final LeaseSession session;
+    private final LeaderRequests requests;
+    private final KnownVersionsFile knownVersions;
+    private final StatusPublisher publisher;
+
+    /**
+     * A document's history as the leader tells it.
+     *
+     * @param activeVersion the number of the version that acts
+     * @param versions      that the voting members keep
+     * @param rejected      sentences on proposals that were rejected of late
+     */
+    public record RuleHistory(long activeVersion, List<RuleDocument> versions, List<String> rejected) {}
+
+    /**
+     * What came of a proposal.
+     *
+     * @param version   the number that it got
+     * @param rejection why it was rejected; empty where it acts
+     */
+    public record ProposalOutcome(long version, String rejection) {}
 
     /**
      * Opens what was kept and listens; {@link #start} begins.
      *
      * @throws IOException where it can't listen, or the directory can't be used
      */
-    public ConsensusService(RulesConfig config, String name, long seed, RuleChangeListener watcher,
-            Consumer<String> info,
-            Consumer<String> warn)
+    public ConsensusService(RulesConfig config, String name, long seed, RuleChangeListener listener)
             throws IOException {
-        this(config, name, seed, watcher, info, warn, System::currentTimeMillis);
+        this(config, name, seed, listener, System::currentTimeMillis);
     }
 
     /**
-     * The same with a wall clock of its own, milliseconds: lives are counted by it, and nothing else that is decided.
+     * The same with a wall clock of its own, milliseconds: incarnations are counted by it, and nothing else that is
+     * decided.
      */
-    ConsensusService(RulesConfig config, String name, long seed, RuleChangeListener watcher, Consumer<String> info,
-            Consumer<String> warn,
-            LongSupplier wallClock) throws IOException {
+    ConsensusService(RulesConfig config, String name, long seed, RuleChangeListener listener, LongSupplier wallClock)
+            throws IOException {
         this.name = name;
         this.config = config;
-        this.watcher = watcher;
-        this.info = info;
-        this.warn = warn;
-        terms = new LeaseTiming(config.term() * MICROS, 0.01);
-        names = List.copyOf(config.voters().keySet());
-        target = names.get(Math.floorMod(seed, names.size()));
-        control = new ScheduledThreadPoolExecutor(1, work -> {
-            Thread thread = new Thread(null, work, "rules-control", STACK);
-            thread.setDaemon(true);
-            return thread;
-        });
-        control.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
-        control.setRemoveOnCancelPolicy(true);
-        long wall = wallClock.getAsLong() * MICROS;
-        directory = config.directory() == null ? null : new DurableDirectory(config.directory());
-        DurableStore store = null;
-        if (names.contains(name)) {
-            try {
-                store = new DurableStore(directory, name, names, wall);
-            } catch (CorruptDataException e) {
-                warn.accept("does not vote: in " + directory + ": " + e.getMessage());
-            }
-        }
-        life = store == null ? wall : store.incarnation();
-        String group = String.join(",", names) + " term " + config.term() + " ms";
-        links = new TcpTransport(new Packet.Handshake(group, name, life), store == null ? null : config.listen(),
-                config.voters(),
-                new FromLinks(), warn);
-        voter = store == null ? null
-                : new VotingMember(name, names, terms, store, new AroundVoter(), new OnControl(), seed);
-        holder = new LeaseHolder(name, life, terms, DocumentSchemas.all(), kept());
-        kept = holder.knownVersions();
-        snapshot = holder.snapshot();
-        status = ConsensusStatus.of(snapshot, kept);
+        var timing = new LeaseTiming(config.term() * MICROS_PER_MILLI, CLOCK_DRIFT);
+        voters = List.copyOf(config.voters().keySet());
+        long wallMicros = wallClock.getAsLong() * MICROS_PER_MILLI;
+        DurableDirectory directory = config.directory() == null ? null : new DurableDirectory(config.directory());
+        DurableStore store = voters.contains(name) ? openStore(directory, wallMicros) : null;
+        long incarnation = store == null ? wallMicros : store.incarnation();
+        String group = String.join(",", voters) + " term " + config.term() + " ms";
+        transport = new TcpTransport(new Packet.Handshake(group, name, incarnation),
+                store == null ? null : config.listen(), config.voters());
+        holderConnections = new LeaseHolderConnections(name, transport, this::deliverLater);
+        votingMember = store == null ? null
+                : new VotingMember(name, voters, timing, store, holderConnections, controlThread, seed);
+        knownVersions = new KnownVersionsFile(directory);
+        leaseHolder = new LeaseHolder(name, incarnation, timing, DocumentSchemas.all(), knownVersions.load());
+        knownVersions.markSaved(leaseHolder.knownVersions());
+        session = new LeaseSession(voters, leaseHolder, this::sendLeaseRequest, seed);
+        requests = new LeaderRequests(controlThread, this::sendClientRequest);
+        publisher = new StatusPublisher(leaseHolder, listener);
+        packets = new PacketQueue(controlThread, new Dispatcher());
     }
 
-    private List<VersionChain> kept() throws IOException {
+    private DurableStore openStore(DurableDirectory directory, long wallMicros) throws IOException {
         try {
-            return directory == null ? List.of() : LeaseMessageCodec.decodeKnownVersions(directory.readRecords(KNOWN));
+            return new DurableStore(directory, name, voters, wallMicros);
         } catch (CorruptDataException e) {
-            warn.accept("in " + directory + ", file " + KNOWN + ": " + e.getMessage()
-                    + "; no fallback is known until the voters are heard");
-            return List.of();
+            LOG.warn("rules: does not vote: in {}: {}", directory, e.getMessage());
+            return null;
         }
     }
 
-    /** Begins to ask, and to vote where it does. */
+    /** Begins to request leases, and to vote where it does. */
     public void start() {
-        links.start();
-        long millis = Math.min(MOST_TICK_MILLIS, config.term() / 100);
-        control.scheduleWithFixedDelay(() -> guarded(this::tick), 0, millis, TimeUnit.MILLISECONDS);
+        transport.start(packets);
+        long tickMillis = Math.min(MAX_TICK_MILLIS, config.term() / TICKS_PER_TERM);
+        controlThread.runPeriodically(tickMillis, this::tick);
     }
 
     @Override
     public EffectiveRule effectiveRule(String document) {
-        return snapshot.effectiveRule(now(), document);
+        return publisher.snapshot().effectiveRule(nowMicros(), document);
     }
 
-    /** What is held now; never waits. */
+    /** What is known now; never waits. */
     public ConsensusStatus status() {
-        return status;
+        return publisher.status();
     }
 
     /** This process' monotonic clock, microseconds; the same that leases are counted by. */
-    public static long now() {
-        return System.nanoTime() / MICROS;
+    public static long nowMicros() {
+        return System.nanoTime() / MICROS_PER_MILLI;
     }
 
     /** No two gatherers act on contradicting versions for longer, milliseconds. */
@@ -178,333 +140,135 @@
 
     /** The connections' counters, and what did not fit, for the operators. */
     public String counters() {
-        return links.counters() + " overflow " + overflow;
+        return transport.counters() + " overflow " + packets.overflow();
     }
 
-    /** The versions that are kept of a document, as whoever leads tells. Waits so long at most. */
-    public RuleHistory history(String document, long millis) throws TimeoutException, InterruptedException {
-        Packet.ClientResponse reply = ask(document, null, millis);
-        return new RuleHistory(reply.acting(), reply.versions(), reply.refused());
+    /** Reads a document's history from the leader; waits so long at most. */
+    public RuleHistory history(String document, long timeoutMillis) throws TimeoutException, InterruptedException {
+        Packet.ClientResponse response = requests.call(document, null, timeoutMillis);
+        return new RuleHistory(response.activeVersion(), response.versions(), response.rejected());
     }
 
-    /** What a leader told: the number of the version that acts, versions, and sentences on what was refused. */
-    public record RuleHistory(long acting, List<RuleDocument> versions, List<String> refused) {}
-
-    /** What came of a proposal: its number, and why it was refused; empty where it acts. */
-    public record ProposalOutcome(long number, String refused) {}
-
-    /** Proposes; waits until the version acts or is refused, so long at most. */
-    public ProposalOutcome propose(RuleProposal proposal, long millis) throws TimeoutException, InterruptedException {
-        Packet.ClientResponse reply = ask(proposal.name(), proposal, millis);
-        return new ProposalOutcome(reply.number(), reply.reason());
+    /** Proposes a version; waits until it acts or is rejected, so long at most. */
+    public ProposalOutcome propose(RuleProposal proposal, long timeoutMillis)
+            throws TimeoutException, InterruptedException {
+        Packet.ClientResponse response = requests.call(proposal.name(), proposal, timeoutMillis);
+        return new ProposalOutcome(response.version(), response.reason());
     }
 
-    private Packet.ClientResponse ask(String document, RuleProposal proposal, long millis)
-            throws TimeoutException, InterruptedException {
-        var asked = new Packet.ClientRequest(requests.incrementAndGet(), document, proposal);
-        var reply = new CompletableFuture<Packet.ClientResponse>();
-        String[] last = {""};
-        onControl(() -> {
-            if (waiting.size() < MOST_WAITING) {
-                waiting.put(asked.id(), new PendingRequest(asked, reply, state -> last[0] = state));
-                request(asked);
+    /** Leaves the group: stops voting and requesting, and closes all connections. */
+    @Override
+    public void close() {
+        controlThread.run(() -> {
+            if (votingMember != null) {
+                votingMember.close();
             }
         });
         try {
-            return reply.get(millis, TimeUnit.MILLISECONDS);
-        } catch (TimeoutException e) {
-            throw new TimeoutException(last[0].isEmpty() ? "no leader of the voters was heard" : "it is " + last[0]
-                    + ", and not known to act: somebody may hold an older version for up to a term");
-        } catch (java.util.concurrent.ExecutionException e) {
-            throw new IllegalStateException(e.getCause());
-        } finally {
-            onControl(() -> waiting.remove(asked.id()));
+            controlThread.shutDown(CLOSE_MILLIS);
+            transport.close();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        } catch (IOException e) {
+            // it listens no more either way
         }
     }
 
     // ---- the control thread -------------------------------------------------------------------------------
 
-    /** Work that may fail on what the disk or the wire gave. */
-    private interface Work {
-        void run() throws IOException, CorruptDataException;
-    }
-
-    private void guarded(Work work) {
-        try {
-            work.run();
-        } catch (IOException | CorruptDataException | RuntimeException e) {
-            warn.accept("what the rules agree on: " + e);
-        }
-    }
-
-    private void onControl(Work work) {
-        try {
-            control.execute(() -> guarded(work));
-        } catch (RejectedExecutionException e) {
-            // it is closed: whoever waits, waits no longer than it said
-        }
-    }
-
     private void tick() throws IOException {
-        long now = now();
-        if (voter != null) {
-            voter.tick(now);
-        }
-        LeaseMessage.LeaseRequest ask = holder.onTick(now);
-        if (ask != null) {
-            if (!answered) { // since the last renewal
-                target = names.get((names.indexOf(target) + 1) % names.size());
-            }
-            send(ask);
-        }
-        if (!waiting.isEmpty() && now >= waitingAgainAt) {
-            waitingAgainAt = now + AGAIN_MILLIS * MICROS;
-            waiting.values().forEach(w -> request(w.request()));
+        long now = nowMicros();
+        if (votingMember != null) {
+            votingMember.tick(now);
         }
+        session.tick(now);
+        requests.tick(now);
         publish(now);
     }
 
-    private void send(LeaseMessage.LeaseRequest ask) {
-        if (ask == null) {
-            return;
-        }
-        answered = false;
-        passedOn = 0;
-        lastAsk = ask;
-        sendTo(target, ask);
-    }
-
-    private void sendTo(String leader, LeaseMessage.LeaseRequest ask) {
-        if (!leader.equals(name)) {
-            links.send(leader, new Packet.LeaseEnvelope(ask));
-        } else if (voter != null) {
-            asking.remove(name);
-            if (!voter.onLeaseRequest(ask)) {
-                elsewhere(voter.leader());
-            }
-        }
+    private void publish(long now) {
+        String state = votingMember == null ? "" : votingMember.describeState();
+        String leader = votingMember == null ? "" : votingMember.leader();
+        publisher.publish(now, leader.isEmpty() ? session.presumedLeader() : leader, state);
     }
 
-    /** The one asked does not lead: the last ask goes on to the one that does. A copy that comes late does no harm. */
-    private void elsewhere(String leader) {
-        if (names.contains(leader) && !leader.equals(target) && passedOn < 2 && lastAsk != null) {
-            passedOn++;
-            target = leader;
-            sendTo(leader, lastAsk);
-        }
+    private void deliverLater(LeaseMessage message) {
+        controlThread.run(() -> onLeaseMessage(message));
     }
 
-    private void request(Packet.ClientRequest request) {
-        if (!target.equals(name)) {
-            links.send(target, request);
-        } else if (voter != null) {
-            voter.onClientRequest(request, answer -> onControl(() -> reply((Packet.ClientResponse) answer)));
+    private void onLeaseMessage(LeaseMessage message) {
+        long now = nowMicros();
+        LeaseMessage.LeaseRequest next = session.onMessage(now, message);
+        publish(now); // before the request, which gives the word that traffic goes by it already
+        if (next != null) {
+            session.send(next);
         }
+        knownVersions.save(leaseHolder.knownVersions());
     }
 
-    private void reply(Packet.ClientResponse reply) {
-        PendingRequest w = waiting.get(reply.id());
-        if (w != null) {
-            w.progress().accept(reply.state());
-            if (!reply.state().equals("accepted") && !reply.state().equals("pending")) {
-                w.reply().complete(reply);
-            }
+    private void sendLeaseRequest(String voter, LeaseMessage.LeaseRequest request) {
+        if (!voter.equals(name)) {
+            transport.send(voter, new Packet.LeaseEnvelope(request));
+        } else if (votingMember != null && !votingMember.onLeaseRequest(request)) {
+            session.redirect(votingMember.leader());
         }
     }
 
-    private void hear(LeaseMessage message) {
-        long now = now();
-        LeaseMessage.LeaseRequest ask = null;
-        if (message instanceof LeaseMessage.LeaseGrant g) {
-            answered = true;
-            ask = holder.onGrant(now, g);
-        } else if (message instanceof LeaseMessage.VersionUpdate n) {
-            ask = holder.onVersionUpdate(now, n);
-        } else if (message instanceof LeaseMessage.LeaseDenial d) {
-            answered = true;
-            holder.onDenial(d);
-        }
-        publish(now); // before the ask, which gives the word that traffic goes by it already
-        send(ask);
-        keep();
-    }
-
-    /** What is held is for all to see. */
-    private void publish(long now) {
-        snapshot = holder.snapshot();
-        List<VersionChain> known = holder.knownVersions();
-        boolean changed = false;
-        for (VersionChain c : known) {
-            EffectiveRule act = snapshot.effectiveRule(now, c.name());
-            ConsensusStatus.EffectiveSince was = since.get(c.name());
-            if (was == null || was.basis() != act.basis() || was.from() != act.activeVersion()
-                    || was.to() != act.latestVersion()) {
-                since.put(c.name(), new ConsensusStatus.EffectiveSince(act.basis(), act.activeVersion(),
-                        act.latestVersion(), System.currentTimeMillis()));
-                changed = true;
-                watcher.onRuleChanged(c.name(), act);
-            }
-        }
-        String state = voter == null ? "" : voter.describeState();
-        String leader = voter != null && !voter.leader().isEmpty() ? voter.leader() : target;
-        if (changed || status.snapshot() != snapshot || !status.leader().equals(leader)
-                || !status.voterState().equals(state)
-                || !status.leaseDenial().equals(holder.denialReason())) {
-            status = new ConsensusStatus(snapshot, known, since, leader, state, holder.denialReason(),
-                    holder.invalidDocuments());
+    private void sendClientRequest(Packet.ClientRequest request) {
+        String leader = session.presumedLeader();
+        if (!leader.equals(name)) {
+            transport.send(leader, request);
+        } else if (votingMember != null) {
+            votingMember.onClientRequest(request, response -> controlThread.run(() -> requests.onResponse(response)));
         }
     }
 
-    /** What is known is kept: late, it costs a fallback and breaks nothing. */
-    private void keep() {
-        List<VersionChain> known = holder.knownVersions();
-        if (directory == null || known.equals(kept)) {
-            return;
-        }
-        kept = known;
-        try {
-            directory.replace(KNOWN, LeaseMessageCodec.encodeKnownVersions(kept));
-            keeps = true;
-        } catch (IOException e) {
-            if (keeps) {
-                warn.accept(
-                        "what is known can't be kept in " + directory + ", after a restart no fallback is known: " + e);
+    /** Takes each packet to the part that it is for; what a peer may not send is ignored. */
+    private final class Dispatcher implements PacketHandler {
+        @Override
+        public void handle(FramedConnection from, Packet packet) throws CorruptDataException {
+            String sender = from.peer().name();
+            boolean fromVoter = voters.contains(sender);
+            if (packet instanceof Packet.LeaseEnvelope envelope) {
+                handleLease(from, sender, fromVoter, envelope.message());
+            } else if (packet instanceof Packet.NotLeader redirect) {
+                if (fromVoter) {
+                    session.redirect(redirect.leader());
+                }
+            } else if (packet instanceof Packet.ClientResponse response) {
+                requests.onResponse(response);
+            } else if (votingMember != null) {
+                handleAsVoter(from, sender, fromVoter, packet);
             }
-            keeps = false;
         }
-    }
 
-    private void take(FramedConnection from, Packet packet) throws CorruptDataException {
-        String who = from.peer().name();
-        boolean votes = names.contains(who);
-        if (packet instanceof Packet.LeaseEnvelope s) {
-            if (!(s.message() instanceof LeaseMessage.LeaseRequest ask)) {
-                if (votes) {
-                    hear(s.message());
+        private void handleLease(FramedConnection from, String sender, boolean fromVoter, LeaseMessage message) {
+            if (!(message instanceof LeaseMessage.LeaseRequest request)) {
+                if (fromVoter) {
+                    onLeaseMessage(message);
                 }
-            } else if (voter != null && ask.holder().equals(who)) {
-                asking.put(who, from);
-                if (!voter.onLeaseRequest(ask)) {
-                    links.send(from, new Packet.NotLeader(voter.leader()));
+            } else if (votingMember != null && request.holder().equals(sender)) {
+                holderConnections.put(sender, from);
+                if (!votingMember.onLeaseRequest(request)) {
+                    transport.send(from, new Packet.NotLeader(votingMember.leader()));
                 }
             }
-        } else if (packet instanceof Packet.NotLeader e) {
-            if (votes) {
-                elsewhere(e.leader());
-            }
-        } else if (packet instanceof Packet.ClientResponse r) {
-            reply(r);
-        } else if (voter != null && packet instanceof Packet.ClientRequest r) {
-            if (!voter.onClientRequest(r, answer -> links.send(from, answer))) {
-                links.send(from, new Packet.NotLeader(voter.leader()));
-            }
-        } else if (voter != null && votes) {
-            if (packet instanceof Packet.RaftEnvelope l) {
-                voter.onRaftMessage(who, l.message());
-            } else if (packet instanceof Packet.ForwardedVerdict v) {
-                voter.onForwardedVerdict(who, v.entry());
-            } else if (packet instanceof Packet.TermRequest) {
-                voter.onTermRequest(who);
-            } else if (packet instanceof Packet.TermResponse t) {
-                voter.onTermResponse(who, t.term());
-            }
-        }
-    }
-
-    @Override
-    public void close() {
-        onControl(() -> {
-            if (voter != null) {
-                voter.close();
-            }
-        });
-        control.shutdown();
-        try {
-            control.awaitTermination(1, TimeUnit.SECONDS);
-            links.close();
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        } catch (IOException e) {
-            // it listens no more either way
-        }
-    }
-
-    /** Packets go to the control thread in their order; too many are dropped. */
-    private final class FromLinks implements TcpTransport.PacketListener {
-        @Override
-        public void onPacket(FramedConnection from, Packet packet) {
-            if (taken.get() >= MOST_TAKEN) {
-                overflow.incrementAndGet();
-                return;
-            }
-            taken.incrementAndGet();
-            onControl(() -> {
-                taken.decrementAndGet();
-                take(from, packet);
-            });
-        }
-
-        @Override
-        public void onDisconnect(FramedConnection link) {
-            onControl(() -> asking.values().removeIf(l -> l == link));
-        }
-    }
-
-    private final class AroundVoter implements VotingMember.VoterContext {
-        @Override
-        public long now() {
-            return ConsensusService.now();
-        }
-
-        @Override
-        public void sendToVoter(String to, Packet packet) {
-            links.send(to, packet);
         }
 
-        @Override
-        public void sendToLeaseHolder(String to, LeaseMessage message) {
-            if (to.equals(name)) {
-                onControl(() -> hear(message));
-            } else if (asking.containsKey(to)) {
-                links.send(asking.get(to), new Packet.LeaseEnvelope(message));
+        private void handleAsVoter(FramedConnection from, String sender, boolean fromVoter, Packet packet)
+                throws CorruptDataException {
+            if (packet instanceof Packet.ClientRequest request) {
+                if (!votingMember.onClientRequest(request, response -> transport.send(from, response))) {
+                    transport.send(from, new Packet.NotLeader(votingMember.leader()));
+                }
+            } else if (fromVoter) {
+                votingMember.onPacket(sender, packet);
             }
         }
 
         @Override
-        public boolean isReachable(String other) {
-            return links.isReachable(other);
-        }
-
-        @Override
-        public void info(String line) {
-            info.accept(line);
-        }
-
-        @Override
-        public void warn(String line) {
-            warn.accept(line);
-        }
-    }
-
-    /** The log's library works on the control thread. */
-    private final class OnControl implements RaftNodeExecutor {
-        @Override
-        public void execute(Runnable task) {
-            onControl(task::run);
-        }
-
-        @Override
-        public void submit(Runnable task) {
-            onControl(task::run);
-        }
-
-        @Override
-        public void schedule(Runnable task, long delay, TimeUnit unit) {
-            try {
-                control.schedule(() -> guarded(task::run), delay, unit);
-            } catch (RejectedExecutionException e) {
-                // it is closed
-            }
+        public void disconnected(FramedConnection connection) {
+            holderConnections.remove(connection);
         }
     }
 }
--- a/src/main/java/wallmoor/consensus/ConsensusStatus.java
+++ b/src/main/java/wallmoor/consensus/ConsensusStatus.java
@@ -7,31 +7,41 @@
 import wallmoor.rules.VersionChain;
 
 /**
- * What a gatherer holds of what is agreed on, as it was published last. Immutable.
+ * What a gatherer knows of the rules and of the consensus on them, as it was published last. Immutable.
  *
- * @param known      the versions that hold
- * @param since      wall clock, milliseconds, since when a document is gone by as it is
- * @param leader     who gave the last lease, or who is asked
- * @param voterState      of a voter, its state; else empty
- * @param leaseDenial     why no lease was given when last asked, or empty
- * @param unreadable documents that this program can't read, and why
+ * @param snapshot       what traffic acts on
+ * @param known          the versions that are known
+ * @param effectiveSince by document
+ * @param leader         who gave the last lease, or who is asked for one
+ * @param voterState     of a voting member, its state; else empty
+ * @param leaseDenial    why the last lease request was denied, or empty
+ * @param unreadable     documents that this program can't read, and why
  */
-public record ConsensusStatus(RuleSnapshot snapshot, List<VersionChain> known, Map<String, EffectiveSince> since,
-        String leader, String voterState,
-        String leaseDenial,
+public record ConsensusStatus(RuleSnapshot snapshot, List<VersionChain> known,
+        Map<String, EffectiveSince> effectiveSince, String leader, String voterState, String leaseDenial,
         Map<String, String> unreadable) {
 
-    /** How a document is gone by, and since when. */
-    public record EffectiveSince(EffectiveRule.Basis basis, long from, long to, long atMillis) {}
+    /**
+     * How a document is in effect, and since when.
+     *
+     * @param atMillis wall clock, milliseconds since 1970
+     */
+    public record EffectiveSince(EffectiveRule.Basis basis, long activeVersion, long latestVersion, long atMillis) {
+        boolean isOf(EffectiveRule rule) {
+            return basis == rule.basis() && activeVersion == rule.activeVersion()
+                    && latestVersion == rule.latestVersion();
+        }
+    }
 
     /** Keeps copies that nobody changes. */
     public ConsensusStatus {
         known = List.copyOf(known);
-        since = Map.copyOf(since);
+        effectiveSince = Map.copyOf(effectiveSince);
         unreadable = Map.copyOf(unreadable);
     }
 
-    static ConsensusStatus of(RuleSnapshot snapshot, List<VersionChain> known) {
+    /** Before anything was heard. */
+    static ConsensusStatus initial(RuleSnapshot snapshot, List<VersionChain> known) {
         return new ConsensusStatus(snapshot, known, Map.of(), "", "", "", Map.of());
     }
 }
--- a/src/main/java/wallmoor/consensus/DurableStore.java
+++ b/src/main/java/wallmoor/consensus/DurableStore.java
@@ -1,6 +1,6 @@
 package wallmoor.consensus;
 
-import io.microraft.RaftEndpoint;
+import io.microraft.model.RaftModelFactory;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
@@ -12,147 +12,129 @@
 import io.microraft.persistence.RestoredRaftState;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import java.util.TreeMap;
 import wallmoor.rules.CorruptDataException;
-import wallmoor.rules.LogEntryCodec;
 import wallmoor.rules.RecordFile;
 
 /**
- * What a voter keeps: {@code vote} (its life, the term, whom it voted for, whether it still learns), replaced as a
- * whole, and {@code log} (entries, cuts and snapshots), which grows and is begun anew once a snapshot makes its
- * beginning needless. An entry is on the disk before its coming is confirmed. Used on one thread.
+ * A voting member's stable storage, as Raft asks for: the file {@code vote} ({@link HardState}), which is replaced, and
+ * the file {@code log} (entries, truncations and snapshots), which is appended to and begun anew once a snapshot covers
+ * its beginning. An entry is on the disk before its coming is confirmed. Control thread.
  */
 final class DurableStore implements RaftStore {
-    private static final String VOTE = "vote";
-    private static final String LOG = "log";
-    private static final int ENTRY = 1;
-    private static final int CUT = 2;
-    private static final int CHUNK = 3;
-    private static final int DROP = 4;
+    private static final String VOTE_FILE = "vote";
+    private static final String LOG_FILE = "log";
 
     private final DurableDirectory directory;
     private final VoterEndpoint self;
+    private final RaftModelFactory models = new DefaultRaftModelFactory();
     private final RaftGroupMembersView members;
-    private final DefaultRaftModelFactory models = new DefaultRaftModelFactory();
-    private final TreeMap<Long, LogEntry> entries = new TreeMap<>();
-    private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
-    private final boolean fresh;
-    private long incarnation;
-    private int term;
-    private String votedFor = "";
-    private int minimumLeaderTerm;
-    private FileChannel log;
+    private final StoredLog log;
+    private final boolean startedEmpty;
+    private HardState state;
+    private FileChannel logFile;
 
     /**
      * Opens what was kept.
      *
-     * @param now wall clock, microseconds; this process' life is that or, where the clock went back, one more than the
+     * @param nowMicros wall clock; this process' incarnation is that or, where the clock went back, one more than the
      *   last
+     * @throws CorruptDataException where a file is damaged: what was promised may be lost
      */
-    DurableStore(DurableDirectory directory, String self, Collection<String> voters, long now)
+    DurableStore(DurableDirectory directory, String self, Collection<String> voters, long nowMicros)
             throws IOException, CorruptDataException {
         this.directory = directory;
         this.self = new VoterEndpoint(self);
-        List<RaftEndpoint> all = voters.stream().<RaftEndpoint>map(VoterEndpoint::new).toList();
-        members = models.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(all).setVotingMembers(all)
-                .build();
-        List<byte[]> vote = directory.readRecords(VOTE);
-        fresh = vote.isEmpty();
-        if (fresh) {
-            incarnation = now;
-            log = directory.createLog(LOG, List.of());
+        members = RaftGroup.members(models, voters);
+        log = new StoredLog(models, members);
+        List<byte[]> vote = directory.readRecords(VOTE_FILE);
+        startedEmpty = vote.isEmpty();
+        if (startedEmpty) {
+            state = new HardState(nowMicros, 0, "", 0);
+            logFile = directory.createLog(LOG_FILE, List.of());
         } else {
-            var from = new LogEntryCodec.ByteReader(vote.get(0)).readFormatVersion();
-            incarnation = Math.max(now, from.readLong() + 1);
-            term = (int) from.readLong();
-            votedFor = from.readText();
-            minimumLeaderTerm = (int) from.readLong();
-            from.expectEnd();
-            if (!directory.has(LOG)) {
-                throw new CorruptDataException("there is a file " + VOTE + " and no file " + LOG, 0);
-            }
-            for (byte[] record : directory.readLog(LOG)) {
-                take(record);
-            }
-            log = directory.openLog(LOG);
-            vote();
+            HardState last = HardState.decode(vote.get(0));
+            state = last.withIncarnation(Math.max(nowMicros, last.incarnation() + 1));
+            readLog();
+            logFile = directory.openLog(LOG_FILE);
+            saveState();
         }
     }
 
-    /** Whether nothing was kept: this voter begins, or has lost all. */
+    private void readLog() throws IOException, CorruptDataException {
+        if (!directory.has(LOG_FILE)) {
+            throw new CorruptDataException("there is a file " + VOTE_FILE + " and no file " + LOG_FILE, 0);
+        }
+        var codec = new LogRecordCodec(models, members);
+        for (byte[] record : directory.readLog(LOG_FILE)) {
+            codec.decode(record, log);
+        }
+    }
+
+    private void saveState() throws IOException {
+        directory.replaceFile(VOTE_FILE, List.of(state.encode()));
+    }
+
+    /** Whether nothing was kept: this member begins, or has lost all. */
     boolean startedEmpty() {
-        return fresh;
+        return startedEmpty;
     }
 
     /** {@link RejoiningVoter#minimumLeaderTerm} as it was kept. */
     int minimumLeaderTerm() {
-        return minimumLeaderTerm;
+        return state.minimumLeaderTerm();
     }
 
+    /** This process' incarnation. */
     long incarnation() {
-        return incarnation;
+        return state.incarnation();
     }
 
+    /** The latest term that this member was in. */
     int term() {
-        return term;
+        return state.term();
+    }
+
+    /** The term of the entry at an index, as far as that is kept; else -1. */
+    int termAt(long index) {
+        return log.termAt(index);
     }
 
     /**
-     * It takes part from this term on, and learns first from a leader of {@code from} or later, where that is not 0.
+     * It takes part from a term on, and learns first from a leader of {@code leaderTerm} or later, where that is not 0.
      */
-    void startInTerm(int in, int from) throws IOException {
-        term = Math.max(term, in);
-        minimumLeaderTerm = from;
-        vote();
+    void startInTerm(int term, int leaderTerm) throws IOException {
+        state = state.withTerm(Math.max(state.term(), term)).withMinimumLeaderTerm(leaderTerm);
+        saveState();
     }
 
     /** It has learned what it must know before it votes. */
     void markCaughtUp() throws IOException {
-        minimumLeaderTerm = 0;
-        vote();
-    }
-
-    /** The term of the entry at an index, as far as that is kept; else -1. */
-    int termAt(long index) {
-        LogEntry entry = entries.get(index);
-        if (entry != null) {
-            return entry.getTerm();
-        }
-        SnapshotEntry snapshot = snapshot();
-        return snapshot != null && snapshot.getIndex() == index ? snapshot.getTerm() : -1;
+        state = state.withMinimumLeaderTerm(0);
+        saveState();
     }
 
-    /** What the library goes on from. */
+    /** What the Raft library goes on from. */
     RestoredRaftState restoredState() {
-        SnapshotEntry snapshot = snapshot();
+        SnapshotEntry snapshot = log.snapshot();
         long from = snapshot == null ? 0 : snapshot.getIndex();
-        return new RestoredRaftState(models.createRaftEndpointPersistentStateBuilder()
-                .setLocalEndpoint(self).setVoting(true).build(),
-                members, models.createRaftTermPersistentStateBuilder().setTerm(term)
-                        .setVotedFor(votedFor.isEmpty() ? null : new VoterEndpoint(votedFor)).build(),
-                snapshot,
-                List.copyOf(entries.tailMap(from, false).values()));
+        VoterEndpoint votedFor = state.votedFor().isEmpty() ? null : new VoterEndpoint(state.votedFor());
+        RaftEndpointPersistentState endpoint = models.createRaftEndpointPersistentStateBuilder()
+                .setLocalEndpoint(self).setVoting(true).build();
+        RaftTermPersistentState term = models.createRaftTermPersistentStateBuilder().setTerm(state.term())
+                .setVotedFor(votedFor).build();
+        return new RestoredRaftState(endpoint, members, term, snapshot, log.entriesAfter(from));
     }
 
-    /** The last snapshot of which all is there, or null. */
-    private SnapshotEntry snapshot() {
-        for (var of : chunks.descendingMap().values()) {
-            SnapshotChunk any = of.firstEntry().getValue();
-            if (of.size() == any.getSnapshotChunkCount()) {
-                return models.createSnapshotEntryBuilder().setIndex(any.getIndex()).setTerm(any.getTerm())
-                        .setSnapshotChunks(List.copyOf(of.values())).setGroupMembersView(members).build();
-            }
-        }
-        return null;
+    void close() throws IOException {
+        logFile.close();
     }
 
-    // ---- what the library tells ---------------------------------------------------------------------------
+    // ---- what the Raft library tells ----------------------------------------------------------------------
 
     @Override
-    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState state) {
+    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) {
         // the operators' file says who this is
     }
 
@@ -162,106 +144,50 @@
     }
 
     @Override
-    public void persistAndFlushTerm(RaftTermPersistentState state) throws IOException {
-        term = state.getTerm();
-        votedFor = VoterEndpoint.of(state.getVotedFor());
-        vote();
-    }
-
-    private void vote() throws IOException {
-        directory.replace(VOTE,
-                List.of(new LogEntryCodec.ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(incarnation)
-                        .writeLong(term).writeText(votedFor)
-                        .writeLong(minimumLeaderTerm).toByteArray()));
+    public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
+        state = state.withVote(term.getTerm(), VoterEndpoint.nameOf(term.getVotedFor()));
+        saveState();
     }
 
     @Override
     public void persistLogEntries(List<LogEntry> added) throws IOException {
-        for (LogEntry e : added) {
-            entries.put(e.getIndex(), e);
-            append(of(e));
+        for (LogEntry entry : added) {
+            log.onEntry(entry);
+            append(LogRecordCodec.encode(entry));
         }
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        entries.tailMap(index, true).clear();
-        append(new LogEntryCodec.ByteWriter().writeLong(CUT).writeLong(index).toByteArray());
+        log.onTruncateFrom(index);
+        append(LogRecordCodec.encodeTruncateFrom(index));
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        entries.headMap(index, true).clear();
-        SnapshotEntry snapshot = snapshot();
-        if (snapshot != null) {
-            chunks.headMap(snapshot.getIndex(), false).clear();
-        }
-        var all = new ArrayList<byte[]>();
-        chunks.values().forEach(of -> of.values().forEach(c -> all.add(RecordFile.encodeRecord(of(c)))));
-        entries.values().forEach(e -> all.add(RecordFile.encodeRecord(of(e))));
-        log.close();
-        log = directory.createLog(LOG, all);
+        log.truncateUntil(index);
+        logFile.close();
+        logFile = directory.createLog(LOG_FILE, log.toRecords());
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        put(chunk);
-        append(of(chunk));
+        log.onChunk(chunk);
+        append(LogRecordCodec.encode(chunk));
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        chunks.remove(index);
-        append(new LogEntryCodec.ByteWriter().writeLong(DROP).writeLong(index).toByteArray());
+        log.onDeleteChunks(index);
+        append(LogRecordCodec.encodeDeleteChunks(index));
     }
 
     @Override
     public void flush() throws IOException {
-        log.force(false);
-    }
-
-    void close() throws IOException {
-        log.close();
+        logFile.force(false);
     }
 
     private void append(byte[] record) throws IOException {
-        DurableDirectory.write(log, RecordFile.encodeRecord(record));
-    }
-
-    private void put(SnapshotChunk chunk) {
-        chunks.computeIfAbsent(chunk.getIndex(), i -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
-    }
-
-    private static byte[] of(LogEntry e) {
-        return new LogEntryCodec.ByteWriter().writeLong(ENTRY).writeLong(e.getIndex()).writeLong(e.getTerm())
-                .writeBytes((byte[]) e.getOperation())
-                .toByteArray();
-    }
-
-    private static byte[] of(SnapshotChunk c) {
-        return new LogEntryCodec.ByteWriter().writeLong(CHUNK).writeLong(c.getIndex()).writeLong(c.getTerm())
-                .writeLong(c.getSnapshotChunkIndex())
-                .writeLong(c.getSnapshotChunkCount()).writeBytes((byte[]) c.getOperation()).toByteArray();
-    }
-
-    private void take(byte[] record) throws CorruptDataException {
-        var from = new LogEntryCodec.ByteReader(record);
-        long type = from.readLong();
-        long index = from.readLong();
-        if (type == ENTRY) {
-            entries.put(index, models.createLogEntryBuilder().setIndex(index).setTerm((int) from.readLong())
-                    .setOperation(from.readBytes()).build());
-        } else if (type == CUT) {
-            entries.tailMap(index, true).clear();
-        } else if (type == DROP) {
-            chunks.remove(index);
-        } else if (type == CHUNK) {
-            put(models.createSnapshotChunkBuilder().setIndex(index).setTerm((int) from.readLong())
-                    .setSnapshotChunkIndex((int) from.readLong()).setSnapshotChunkCount((int) from.readLong())
-                    .setOperation(from.readBytes()).setGroupMembersView(members).build());
-        } else {
-            throw new CorruptDataException("a record of unknown type " + type, 0);
-        }
-        from.expectEnd();
+        DurableDirectory.write(logFile, RecordFile.encodeRecord(record));
     }
 }
--- /dev/null
+++ b/src/main/java/wallmoor/consensus/HardState.java
@@ -0,0 +1,42 @@
+package wallmoor.consensus;
+
+import wallmoor.rules.CorruptDataException;
+import wallmoor.rules.LogEntryCodec;
+
+/**
+ * What a voting member must have on disk before it answers: Raft's current term and vote, and what this program adds.
+ *
+ * @param incarnation       tells two processes of one name apart; goes up with each start
+ * @param term              the latest term that this member was in
+ * @param votedFor          in that term; empty for none
+ * @param minimumLeaderTerm of a rejoining voter, see {@link RejoiningVoter#minimumLeaderTerm}; else 0
+ */
+record HardState(long incarnation, int term, String votedFor, int minimumLeaderTerm) {
+    byte[] encode() {
+        return new LogEntryCodec.ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(incarnation)
+                .writeLong(term).writeText(votedFor).writeLong(minimumLeaderTerm).toByteArray();
+    }
+
+    static HardState decode(byte[] record) throws CorruptDataException {
+        var from = new LogEntryCodec.ByteReader(record).readFormatVersion();
+        var state = new HardState(from.readLong(), (int) from.readLong(), from.readText(), (int) from.readLong());
+        from.expectEnd();
+        return state;
+    }
+
+    HardState withIncarnation(long next) {
+        return new HardState(next, term, votedFor, minimumLeaderTerm);
+    }
+
+    HardState withVote(int inTerm, String candidate) {
+        return new HardState(incarnation, inTerm, candidate, minimumLeaderTerm);
+    }
+
+    HardState withTerm(int next) {
+        return new HardState(incarnation, next, votedFor, minimumLeaderTerm);
+    }
+
+    HardState withMinimumLeaderTerm(int next) {
+        return new HardState(incarnation, term, votedFor, next);
+    }
+}
--- a/src/main/java/wallmoor/consensus/MonotonicClock.java
+++ b/src/main/java/wallmoor/consensus/MonotonicClock.java
@@ -6,7 +6,7 @@
 import java.time.ZoneOffset;
 import java.util.concurrent.TimeUnit;
 
-/** For the log's library, which measures times between heartbeats: a wall clock that is set must not end a leader. */
+/** For the Raft library, which measures the time between heartbeats: a wall clock that is set must not end a leader. */
 final class MonotonicClock extends Clock {
     @Override
     public ZoneId getZone() {
--- /dev/null
+++ b/src/main/java/wallmoor/consensus/PeerProtocolException.java
@@ -0,0 +1,16 @@
+package wallmoor.consensus;
+
+import java.io.IOException;
+
+/** A peer sent what the protocol does not allow; its connection is closed. */
+final class PeerProtocolException extends IOException {
+    private static final long serialVersionUID = 1L;
+
+    PeerProtocolException(String message) {
+        super(message);
+    }
+
+    PeerProtocolException(String message, Throwable cause) {
+        super(message, cause);
+    }
+}
--- a/src/main/java/wallmoor/consensus/PendingProposals.java
+++ b/src/main/java/wallmoor/consensus/PendingProposals.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
 import wallmoor.rules.RuleDocument;
 import wallmoor.rules.RuleEvent;
@@ -11,83 +10,96 @@
 import wallmoor.rules.RuleStateMachine;
 
 /**
- * Who waits for what comes of a proposal, while this voter leads. A request that comes again is the same one by its
- * number; one that is lost with the leader is asked again of the next, whose ledger knows what came of it. Used on one
- * thread.
+ * Clients that wait for what comes of a proposal, while this member leads. A request that comes again is the same one
+ * by its number, so that a proposal is appended once; one that is lost with the leader is sent again to the next, whose
+ * state machine knows what came of it. Control thread.
  */
 final class PendingProposals {
-    private static final int MOST = 64;
+    /** Proposals that wait, and rejections that are remembered; the oldest goes. */
+    private static final int MAX_ENTRIES = 64;
+    /** What was appended and not applied for so long is appended again. */
+    private static final long RETRY_MICROS = 2_000_000;
 
-    /** What was put into the log and did not come out of it for so long is put there again. */
-    private static final long AGAIN = 2_000_000;
+    private record PendingProposal(Packet.ClientRequest request, Consumer<Packet.ClientResponse> responder,
+            long appendedAt) {}
 
-    private record Waiting(Packet.ClientRequest request, Consumer<Packet> answer, long appendedAt) {}
+    private final LinkedHashMap<Long, PendingProposal> pending = new LinkedHashMap<>();
+    private final LinkedHashMap<Long, Packet.ClientResponse> rejections = new LinkedHashMap<>();
 
-    private final LinkedHashMap<Long, Waiting> waiting = new LinkedHashMap<>();
-    private final LinkedHashMap<Long, Packet.ClientResponse> refused = new LinkedHashMap<>();
-
-    /** What is known already of what is asked, or null. */
-    Packet.ClientResponse knownOutcome(Packet.ClientRequest request, RuleStateMachine ledger) {
-        Packet.ClientResponse was = refused.get(request.id());
-        if (was != null) {
-            return was;
+    /** What is known already of a proposal, or null. */
+    Packet.ClientResponse knownOutcome(Packet.ClientRequest request, RuleStateMachine stateMachine) {
+        Packet.ClientResponse rejection = rejections.get(request.id());
+        if (rejection != null) {
+            return rejection;
         }
-        for (RuleDocument d : ledger.history(request.name())) {
-            if (is(d, request.proposal())) {
-                boolean acts = ledger.activeVersion(d.name()) >= d.version();
-                return acts ? reply(request, "acts", d.version(), "", ledger) : waiting.containsKey(request.id())
-                        ? reply(request, "accepted", d.version(), "", ledger) : null;
+        for (RuleDocument document : stateMachine.history(request.name())) {
+            if (isOf(document, request.proposal())) {
+                if (stateMachine.activeVersion(document.name()) >= document.version()) {
+                    return response(request, Packet.ClientResponse.ACTS, document.version(), "", stateMachine);
+                }
+                return !pending.containsKey(request.id()) ? null
+                        : response(request, Packet.ClientResponse.ACCEPTED, document.version(), "", stateMachine);
             }
         }
         return null;
     }
 
-    private static boolean is(RuleDocument d, RuleProposal p) {
-        return d.parentVersion() == p.parentVersion() && d.parentHash().equals(p.parentHash())
-                && d.author().equals(p.author())
-                && d.body().equals(p.body()) && d.fallback().equals(p.fallback());
+    private static boolean isOf(RuleDocument document, RuleProposal proposal) {
+        return document.parentVersion() == proposal.parentVersion()
+                && document.parentHash().equals(proposal.parentHash())
+                && document.author().equals(proposal.author())
+                && document.body().equals(proposal.body())
+                && document.fallback().equals(proposal.fallback());
     }
 
-    /** Answers once something comes of it; whether it is to be put into the log now. */
-    boolean await(long now, Packet.ClientRequest request, Consumer<Packet> answer) {
-        Waiting before = waiting.get(request.id());
-        boolean first = before == null || now - before.appendedAt() >= AGAIN;
-        waiting.put(request.id(), new Waiting(request, answer, first ? now : before.appendedAt()));
-        if (waiting.size() > MOST) {
-            waiting.remove(waiting.keySet().iterator().next());
-        }
-        return first;
+    /** Answers once something comes of the proposal; whether it is to be appended now. */
+    boolean await(long nowMicros, Packet.ClientRequest request, Consumer<Packet.ClientResponse> responder) {
+        PendingProposal last = pending.get(request.id());
+        boolean append = last == null || nowMicros - last.appendedAt() >= RETRY_MICROS;
+        pending.put(request.id(),
+                new PendingProposal(request, responder, append ? nowMicros : last.appendedAt()));
+        removeEldest(pending);
+        return append;
     }
 
-    /** The ledger has taken an entry. */
-    void onApplied(List<RuleEvent> effects, RuleStateMachine ledger) {
-        for (RuleEvent e : effects) {
-            for (Map.Entry<Long, Waiting> w : new ArrayList<>(waiting.entrySet())) {
-                Packet.ClientRequest request = w.getValue().request();
-                Packet.ClientResponse reply = null;
-                if (e instanceof RuleEvent.ProposalRejected r
-                        && r.idempotencyKey().equals(request.proposal().idempotencyKey())) {
-                    reply = reply(request, "refused", r.rejection().aboutVersion(), r.rejection().message(), ledger);
-                    refused.put(request.id(), reply);
-                    if (refused.size() > MOST) {
-                        refused.remove(refused.keySet().iterator().next());
-                    }
-                } else if (e instanceof RuleEvent.VersionActivated a && a.name().equals(request.name())) {
-                    reply = knownOutcome(request, ledger);
-                } else if (e instanceof RuleEvent.LeaderChanged) {
-                    waiting.remove(w.getKey()); // what was appended may be lost: who still wants it asks again
-                }
-                if (reply != null) {
-                    waiting.remove(w.getKey());
-                    w.getValue().answer().accept(reply);
-                }
+    /** Entries of the log were applied. */
+    void onApplied(List<RuleEvent> events, RuleStateMachine stateMachine) {
+        for (RuleEvent event : events) {
+            for (PendingProposal proposal : new ArrayList<>(pending.values())) {
+                onEvent(event, proposal, stateMachine);
             }
         }
     }
 
-    private static Packet.ClientResponse reply(Packet.ClientRequest request, String state, long number, String why,
-            RuleStateMachine ledger) {
-        return new Packet.ClientResponse(request.id(), state, number, why, ledger.activeVersion(request.name()),
-                List.of(), List.of());
+    private void onEvent(RuleEvent event, PendingProposal proposal, RuleStateMachine stateMachine) {
+        Packet.ClientRequest request = proposal.request();
+        Packet.ClientResponse response = null;
+        if (event instanceof RuleEvent.ProposalRejected rejected
+                && rejected.idempotencyKey().equals(request.proposal().idempotencyKey())) {
+            response = response(request, Packet.ClientResponse.REJECTED, rejected.rejection().aboutVersion(),
+                    rejected.rejection().message(), stateMachine);
+            rejections.put(request.id(), response);
+            removeEldest(rejections);
+        } else if (event instanceof RuleEvent.VersionActivated activated && activated.name().equals(request.name())) {
+            response = knownOutcome(request, stateMachine);
+        } else if (event instanceof RuleEvent.LeaderChanged) {
+            pending.remove(request.id()); // what was appended may be lost: who still wants it asks again
+        }
+        if (response != null) {
+            pending.remove(request.id());
+            proposal.responder().accept(response);
+        }
+    }
+
+    private static void removeEldest(LinkedHashMap<Long, ?> entries) {
+        if (entries.size() > MAX_ENTRIES) {
+            entries.remove(entries.keySet().iterator().next());
+        }
+    }
+
+    private static Packet.ClientResponse response(Packet.ClientRequest request, String state, long version,
+            String reason, RuleStateMachine stateMachine) {
+        return new Packet.ClientResponse(request.id(), state, version, reason,
+                stateMachine.activeVersion(request.name()), List.of(), List.of());
     }
 }
--- a/src/main/java/wallmoor/consensus/TcpTransport.java
+++ b/src/main/java/wallmoor/consensus/TcpTransport.java
@@ -7,80 +7,60 @@
 import java.nio.channels.Selector;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
-import java.util.HashMap;
 import java.util.Iterator;
 import java.util.Map;
-import java.util.Queue;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicInteger;
-import java.util.concurrent.atomic.AtomicLong;
-import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 import wallmoor.http.Threads;
 import wallmoor.rules.CorruptDataException;
 
 /**
- * The connections of one process, on one thread: it listens where it is a voter, and dials the voters that something is
- * to be sent to. What can't be sent now is dropped and counted: all that is sent is sent again. A connection shows both
- * ways that it is there, and is given up where nothing comes, so that a half-open one does not last.
+ * The connections of one process, on one thread: it listens where it is a voting member, and dials the members that
+ * something is to be sent to. What can't be sent now is dropped and counted: all that is sent is sent again. Both ends
+ * send heartbeats, and a connection on which nothing comes is closed, so that a half-open one does not last.
  */
 final class TcpTransport implements AutoCloseable {
-    /** What is told of them, on the links' thread; it must not wait. */
-    interface PacketListener {
-        void onPacket(FramedConnection from, Packet packet);
-
-        void onDisconnect(FramedConnection link);
-    }
-
-    private static final long BEAT_MILLIS = 400;
-    /** Five beats may be lost: less would end connections for a long pause of the collector. */
-    private static final long SILENT_MILLIS = 2_400;
-    private static final long LEAST_WAIT_MILLIS = 100;
-    private static final long MOST_WAIT_MILLIS = 1_000;
-    private static final int MOST_LINKS = 2_000;
-    /** Frames and bytes that other threads have handed over and that are not on a connection yet. */
-    private static final int MOST_HANDED = 4_096;
-    private static final long MOST_HANDED_BYTES = 2L * FramedConnection.MOST_FRAME;
+    private static final Logger LOG = LoggerFactory.getLogger(TcpTransport.class);
+    private static final long HEARTBEAT_MILLIS = 400;
+    private static final long SELECT_MILLIS = HEARTBEAT_MILLIS / 4;
+    private static final long HEARTBEAT_CHECK_MILLIS = HEARTBEAT_MILLIS / 2;
+    /** Five heartbeats may be lost: less would end connections for a long pause of the collector. */
+    private static final long MAX_SILENCE_MILLIS = 2_400;
+    private static final int MAX_CONNECTIONS = 2_000;
+    /** Connections that wait to be accepted. */
     private static final int BACKLOG = 128;
-    private static final byte[] BEAT = FramedConnection.frame(new byte[0]);
-
-    /** A voter that is dialled. */
-    private static final class OutboundConnection {
-        FramedConnection link;
-        long waitMillis = LEAST_WAIT_MILLIS;
-        long notBefore;
-    }
+    private static final byte[] HEARTBEAT = FramedConnection.frame(new byte[0]);
 
-    private final Packet.Handshake self;
     private final Map<String, InetSocketAddress> voters;
-    private final PacketListener heard;
-    private final Consumer<String> warn;
-    private final Selector selector;
+    private final byte[] handshakeFrame;
+    private final HandshakeVerifier verifier;
+    private final Selector selector = Selector.open();
+    /** Null where this process does not vote. */
     private final ServerSocketChannel server;
-    private final Set<FramedConnection> links = ConcurrentHashMap.newKeySet();
-    private final Map<String, OutboundConnection> dials = new TreeMap<>();
-    private final Map<String, Long> lives = new HashMap<>();
-    private final Queue<Runnable> handed = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger handedCount = new AtomicInteger();
-    private final AtomicLong handedBytes = new AtomicLong();
+    private final Set<FramedConnection> connections = ConcurrentHashMap.newKeySet();
+    private final Map<String, OutboundConnection> outbound = new TreeMap<>();
+    private final SendQueue sendQueue = new SendQueue();
     private final Set<String> reachable = ConcurrentHashMap.newKeySet();
-    private final AtomicLong dropped = new AtomicLong();
-    private final AtomicLong malformed = new AtomicLong();
-    private final AtomicLong refused = new AtomicLong();
+    private final ConnectionCounters counters = new ConnectionCounters();
+    private PacketListener listener;
     private volatile boolean closed;
 
-    /** Listens where {@code listen} is not null; {@link #start} begins to take and to dial. */
-    TcpTransport(Packet.Handshake self, InetSocketAddress listen, Map<String, InetSocketAddress> voters,
-            PacketListener heard,
-            Consumer<String> warn) throws IOException {
-        this.self = self;
+    /**
+     * Listens; {@link #start} begins to accept and to dial.
+     *
+     * @param handshake of this process
+     * @param listen    null where this process does not vote
+     * @param voters    the addresses of the voting members
+     */
+    TcpTransport(Packet.Handshake handshake, InetSocketAddress listen, Map<String, InetSocketAddress> voters)
+            throws IOException {
         this.voters = voters;
-        this.heard = heard;
-        this.warn = warn;
-        selector = Selector.open();
+        handshakeFrame = FramedConnection.frame(PacketCodec.encode(handshake));
+        verifier = new HandshakeVerifier(handshake.group(), voters.keySet());
         server = listen == null ? null : ServerSocketChannel.open();
         if (server != null) {
             server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
@@ -90,98 +70,78 @@
         }
     }
 
-    void start() {
+    /** Begins to accept and to dial. */
+    void start(PacketListener packetListener) {
+        listener = packetListener;
         Threads.start("rules-links", this::run);
     }
 
-    /** Sends to a voter, over a connection that is dialled where there is none. Any thread. */
+    // ---- any thread ---------------------------------------------------------------------------------------
+
+    /** Sends to a voting member, over a connection that is dialled where there is none. */
     void send(String voter, Packet packet) {
         byte[] frame = frame(packet);
-        hand(frame, () -> {
-            OutboundConnection dial = dials.computeIfAbsent(voter, v -> new OutboundConnection());
-            if (dial.link == null || dial.link.key == null) {
-                dial(voter, dial);
-            }
-            if (dial.link == null || !dial.link.offer(frame)) {
-                dropped.incrementAndGet();
-            } else {
-                write(dial.link);
+        enqueue(frame, () -> {
+            OutboundConnection to = outbound.computeIfAbsent(voter, v -> new OutboundConnection());
+            if (to.connection() == null) {
+                dial(voter, to);
             }
+            sendFrame(to.connection(), frame);
         });
     }
 
-    /** Sends over a connection that something came from. Any thread. */
-    void send(FramedConnection link, Packet packet) {
+    /** Sends over a connection that something came from. */
+    void send(FramedConnection connection, Packet packet) {
         byte[] frame = frame(packet);
-        hand(frame, () -> {
-            if (!links.contains(link) || !link.offer(frame)) {
-                dropped.incrementAndGet();
-            } else {
-                write(link);
-            }
-        });
+        enqueue(frame, () -> sendFrame(connections.contains(connection) ? connection : null, frame));
     }
 
-    /** Whether there is a connection to a voter over which something came of late. Any thread. */
+    /** Whether there is a connection to a voting member over which its handshake came. */
     boolean isReachable(String voter) {
         return reachable.contains(voter);
     }
 
     /** For the operators. */
     String counters() {
-        return "links " + links.size() + " dropped " + dropped + " malformed " + malformed + " refused " + refused;
+        return counters.describe(connections.size());
     }
 
+    /** Null where it does not fit a frame. */
     private static byte[] frame(Packet packet) {
-        byte[] payload = Packet.encode(packet);
-        return payload.length > FramedConnection.MOST_FRAME ? null : FramedConnection.frame(payload);
+        byte[] payload = PacketCodec.encode(packet);
+        return payload.length > FramedConnection.MAX_PAYLOAD_BYTES ? null : FramedConnection.frame(payload);
     }
 
-    private void hand(byte[] frame, Runnable task) {
-        if (frame == null || handedCount.get() >= MOST_HANDED || handedBytes.get() > MOST_HANDED_BYTES) {
-            dropped.incrementAndGet();
-            return;
+    private void enqueue(byte[] frame, Runnable send) {
+        if (frame == null || !sendQueue.offer(frame, send)) {
+            counters.countDropped();
+        } else {
+            selector.wakeup();
         }
-        handedCount.incrementAndGet();
-        handedBytes.addAndGet(frame.length);
-        handed.add(() -> {
-            handedCount.decrementAndGet();
-            handedBytes.addAndGet(-frame.length);
-            task.run();
-        });
-        selector.wakeup();
     }
 
-    private static long millis() {
+    // ---- the transport's thread ---------------------------------------------------------------------------
+
+    private static long nowMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
     private void run() {
-        long beatAt = millis();
+        long heartbeatsAt = nowMillis();
         while (!closed) {
             try {
-                selector.select(BEAT_MILLIS / 4);
-                for (Iterator<SelectionKey> keys = selector.selectedKeys().iterator(); keys.hasNext();) {
-                    SelectionKey key = keys.next();
-                    keys.remove();
-                    if (key.isValid() && key.isAcceptable()) {
-                        accept();
-                    } else if (key.isValid()) {
-                        serve((FramedConnection) key.attachment());
-                    }
-                }
-                for (Runnable task = handed.poll(); task != null; task = handed.poll()) {
-                    task.run();
-                }
-                if (millis() - beatAt >= BEAT_MILLIS / 2) {
-                    beatAt = millis();
-                    links.forEach(this::beat);
+                selector.select(SELECT_MILLIS);
+                serveSelected();
+                sendQueue.drain();
+                if (nowMillis() - heartbeatsAt >= HEARTBEAT_CHECK_MILLIS) {
+                    heartbeatsAt = nowMillis();
+                    connections.forEach(this::heartbeat);
                 }
             } catch (IOException e) {
-                warn.accept("the links' selector: " + e);
+                LOG.warn("rules: the connections' selector failed: {}", e.toString());
             }
         }
-        links.forEach(FramedConnection::close);
+        connections.forEach(FramedConnection::close);
         try {
             selector.close();
         } catch (IOException e) {
@@ -189,157 +149,161 @@
         }
     }
 
+    private void serveSelected() throws IOException {
+        for (Iterator<SelectionKey> keys = selector.selectedKeys().iterator(); keys.hasNext();) {
+            SelectionKey key = keys.next();
+            keys.remove();
+            if (key.isValid() && key.isAcceptable()) {
+                accept();
+            } else if (key.isValid()) {
+                serve((FramedConnection) key.attachment());
+            }
+        }
+    }
+
     private void accept() throws IOException {
         SocketChannel channel = server.accept();
         if (channel == null) {
             return;
         }
-        if (links.size() >= MOST_LINKS) {
-            refused.incrementAndGet();
+        if (connections.size() >= MAX_CONNECTIONS) {
+            counters.countRejected();
             channel.close();
             return;
         }
         try {
-            begin(new FramedConnection(channel, null, millis()), SelectionKey.OP_READ);
+            begin(new FramedConnection(channel, null, nowMillis()), SelectionKey.OP_READ);
         } catch (IOException e) {
             channel.close();
         }
     }
 
-    private void begin(FramedConnection link, int interest) throws IOException {
-        link.channel.configureBlocking(false);
-        link.channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-        link.key = link.channel.register(selector, interest, link);
-        links.add(link);
-        link.offer(FramedConnection.frame(Packet.encode(self)));
-        if (link.channel.isConnected()) {
-            write(link);
-        }
+    private void begin(FramedConnection connection, int interestOps) throws IOException {
+        connection.register(selector, interestOps);
+        connections.add(connection);
+        connection.offer(handshakeFrame);
+        write(connection);
     }
 
-    private void dial(String voter, OutboundConnection dial) {
-        long now = millis();
-        InetSocketAddress to = voters.get(voter);
-        if (to == null || now < dial.notBefore) {
+    private void dial(String voter, OutboundConnection to) {
+        InetSocketAddress address = voters.get(voter);
+        long now = nowMillis();
+        if (address == null || !to.tryBegin(now)) {
             return;
         }
-        dial.notBefore = now + dial.waitMillis;
-        dial.waitMillis = Math.min(2 * dial.waitMillis, MOST_WAIT_MILLIS);
         SocketChannel channel = null;
         try {
             channel = SocketChannel.open();
             channel.configureBlocking(false);
-            boolean at = channel.connect(to);
-            dial.link = new FramedConnection(channel, voter, now);
-            begin(dial.link, at ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT);
+            boolean connected = channel.connect(address);
+            var connection = new FramedConnection(channel, voter, now);
+            to.opened(connection);
+            begin(connection, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT);
         } catch (IOException e) {
-            dial.link = null;
+            to.opened(null);
+            close(channel);
+        }
+    }
+
+    private static void close(SocketChannel channel) {
+        try {
             if (channel != null) {
-                new FramedConnection(channel, voter, now).close();
+                channel.close();
             }
+        } catch (IOException e) {
+            // it is gone either way
         }
     }
 
-    private void serve(FramedConnection link) {
+    private void serve(FramedConnection connection) {
         try {
-            if (link.key.isConnectable() && link.channel.finishConnect()) {
-                link.key.interestOps(SelectionKey.OP_READ);
-                write(link);
+            SelectionKey key = connection.key();
+            if (key.isConnectable() && connection.finishConnect()) {
+                key.interestOps(SelectionKey.OP_READ);
+                write(connection);
             }
-            if (link.key.isValid() && link.key.isReadable()) {
-                link.read(millis(), payload -> take(link, payload));
+            if (key.isValid() && key.isReadable()) {
+                connection.read(nowMillis(), payload -> receive(connection, payload));
             }
-            if (link.key.isValid() && link.key.isWritable()) {
-                write(link);
+            if (key.isValid() && key.isWritable()) {
+                write(connection);
             }
         } catch (IOException | RuntimeException e) {
-            end(link);
+            end(connection);
         }
     }
 
-    private void write(FramedConnection link) {
+    /** {@code connection} is null where there is none. */
+    private void sendFrame(FramedConnection connection, byte[] frame) {
+        if (connection == null || !connection.offer(frame)) {
+            counters.countDropped();
+        } else {
+            write(connection);
+        }
+    }
+
+    private void write(FramedConnection connection) {
         try {
-            if (link.channel.isConnected()) {
-                boolean all = link.write(millis());
-                link.key.interestOps(all ? SelectionKey.OP_READ : SelectionKey.OP_READ | SelectionKey.OP_WRITE);
+            if (connection.isConnected()) {
+                boolean complete = connection.write(nowMillis());
+                connection.key().interestOps(
+                        complete ? SelectionKey.OP_READ : SelectionKey.OP_READ | SelectionKey.OP_WRITE);
             }
         } catch (IOException | RuntimeException e) {
-            end(link);
+            end(connection);
         }
     }
 
-    private void take(FramedConnection link, byte[] payload) {
+    private void receive(FramedConnection connection, byte[] payload) throws PeerProtocolException {
         Packet packet;
         try {
-            packet = Packet.decode(payload);
+            packet = PacketCodec.decode(payload);
         } catch (CorruptDataException e) {
-            malformed.incrementAndGet();
-            throw new IllegalStateException(e);
+            counters.countMalformed();
+            throw new PeerProtocolException("a packet can't be read", e);
         }
-        if (link.peer() == null) {
-            if (!(packet instanceof Packet.Handshake hello) || !greet(link, hello)) {
-                refused.incrementAndGet();
-                throw new IllegalStateException("it is not one of the group");
-            }
-            return;
+        if (connection.peer() != null) {
+            listener.onPacket(connection, packet);
+        } else if (packet instanceof Packet.Handshake handshake
+                && verifier.verify(connection.dialledVoter(), handshake)) {
+            establish(connection, handshake);
+        } else {
+            counters.countRejected();
+            throw new PeerProtocolException("it is not one of the group");
         }
-        heard.onPacket(link, packet);
     }
 
-    /**
-     * Whether it may go on: of the same group, who it was dialled as, and of a voter no older process than the last.
-     */
-    private boolean greet(FramedConnection link, Packet.Handshake hello) {
-        if (!hello.group().equals(self.group())) {
-            warn.accept(hello.name() + " has other voters or another term: " + hello.group() + "; here " + self.group()
-                    + ": set rules.voters and rules.term the same everywhere");
-            return false;
-        }
-        if (link.dialled != null && !link.dialled.equals(hello.name())) {
-            warn.accept("at " + link.dialled + "'s address answers " + hello.name() + ": correct rules.voters");
-            return false;
-        }
-        if (voters.containsKey(hello.name())) {
-            long last = lives.getOrDefault(hello.name(), Long.MIN_VALUE);
-            if (hello.incarnation() < last) {
-                warn.accept(
-                        "a process of " + hello.name() + " is older than one that was heard already, and is not heard: "
-                                + "where it is not, its clock went back after it lost what it kept; set it");
-                return false;
-            }
-            if (hello.incarnation() > last) {
-                lives.put(hello.name(), hello.incarnation());
-                links.stream().filter(l -> l.peer() != null && l.peer().name().equals(hello.name()))
-                        .forEach(this::end);
-            }
+    private void establish(FramedConnection connection, Packet.Handshake handshake) {
+        if (verifier.recordIncarnation(handshake)) { // what the member's earlier process sent is heard no more
+            connections.stream().filter(c -> c.isPeer(handshake.name())).forEach(this::end);
         }
-        link.peer(hello);
-        if (link.dialled != null) {
-            reachable.add(link.dialled);
-            dials.get(link.dialled).waitMillis = LEAST_WAIT_MILLIS;
+        connection.accept(handshake);
+        String dialled = connection.dialledVoter();
+        if (dialled != null) {
+            reachable.add(dialled);
+            outbound.get(dialled).established();
         }
-        return true;
     }
 
-    private void beat(FramedConnection link) {
-        long now = millis();
-        if (link.isSilent(now, SILENT_MILLIS)) {
-            end(link);
-        } else if (now - link.wroteAt >= BEAT_MILLIS && link.channel.isConnected()) {
-            link.offer(BEAT);
-            write(link);
+    private void heartbeat(FramedConnection connection) {
+        long now = nowMillis();
+        if (connection.isSilent(now, MAX_SILENCE_MILLIS)) {
+            end(connection);
+        } else if (connection.isIdle(now, HEARTBEAT_MILLIS) && connection.isConnected()) {
+            connection.offer(HEARTBEAT);
+            write(connection);
         }
     }
 
-    private void end(FramedConnection link) {
-        link.close();
-        if (links.remove(link)) {
-            OutboundConnection dial = link.dialled == null ? null : dials.get(link.dialled);
-            if (dial != null && dial.link == link) {
-                dial.link = null;
-                reachable.remove(link.dialled);
+    private void end(FramedConnection connection) {
+        connection.close();
+        if (connections.remove(connection)) {
+            String dialled = connection.dialledVoter();
+            OutboundConnection to = dialled == null ? null : outbound.get(dialled);
+            if (to != null && to.closed(connection)) {
+                reachable.remove(dialled);
             }
-            heard.onDisconnect(link);
+            listener.onDisconnect(connection);
         }
     }
 
--- a/src/main/java/wallmoor/consensus/VoterEndpoint.java
+++ b/src/main/java/wallmoor/consensus/VoterEndpoint.java
@@ -2,14 +2,15 @@
 
 import io.microraft.RaftEndpoint;
 
-/** A voter as the log's library names it. */
+/** A voting member as the Raft library names it. */
 record VoterEndpoint(String name) implements RaftEndpoint {
     @Override
     public Object getId() {
         return name;
     }
 
-    static String of(RaftEndpoint endpoint) {
+    /** The member's name; empty for null. */
+    static String nameOf(RaftEndpoint endpoint) {
         return endpoint == null ? "" : (String) endpoint.getId();
     }
 }
--- a/src/main/java/wallmoor/consensus/VotingMember.java
+++ b/src/main/java/wallmoor/consensus/VotingMember.java
@@ -1,413 +1,205 @@
 package wallmoor.consensus;
 
-import io.microraft.QueryPolicy;
-import io.microraft.RaftConfig;
-import io.microraft.RaftEndpoint;
-import io.microraft.RaftNode;
-import io.microraft.RaftNodeStatus;
 import io.microraft.executor.RaftNodeExecutor;
 import io.microraft.model.message.AppendEntriesRequest;
-import io.microraft.model.message.PreVoteRequest;
 import io.microraft.model.message.RaftMessage;
-import io.microraft.model.message.TriggerLeaderElectionRequest;
-import io.microraft.model.message.VoteRequest;
-import io.microraft.statemachine.StateMachine;
-import io.microraft.transport.Transport;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.time.Duration;
-import java.util.ArrayDeque;
-import java.util.Arrays;
 import java.util.Collection;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
 import java.util.Random;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.slf4j.Marker;
+import org.slf4j.MarkerFactory;
+import wallmoor.log.Logging;
 import wallmoor.rules.CorruptDataException;
-import wallmoor.rules.DocumentSchema;
-import wallmoor.rules.DocumentSchemas;
 import wallmoor.rules.LeaseMessage;
-import wallmoor.rules.LeaseTable;
 import wallmoor.rules.LeaseTiming;
 import wallmoor.rules.LogEntry;
-import wallmoor.rules.LogEntryCodec;
-import wallmoor.rules.RuleDocument;
-import wallmoor.rules.RuleEvent;
-import wallmoor.rules.RuleStateMachine;
 
 /**
- * One voter: feeds the ledger with what the log commits and the grants with what holders ask. Used on the control
- * thread alone, which is the log library's as well.
+ * One voting member of the Raft group. It joins once it may, feeds the state machine with what the log commits, and,
+ * while it leads, the lease table with what lease holders request. Control thread, which is the Raft library's as well.
  */
-final class VotingMember implements StateMachine, Transport, LeaseTable.Actions {
-    /** What is around it. */
-    interface VoterContext {
-        /** Microseconds, monotonic. */
-        long now();
-
-        void sendToVoter(String voter, Packet packet);
-
-        void sendToLeaseHolder(String holder, LeaseMessage message);
-
-        boolean isReachable(String voter);
-
-        void info(String line);
-
-        void warn(String line);
-    }
-
-    /**
-     * Entries behind a snapshot: ten changes at the largest body are 5 MB, and stay below an eighth of a heap of 64 MB.
-     */
-    private static final int ENTRIES = 64;
-    private static final int CHUNK = 1 << 20;
-    private static final int MOST_REFUSED = 20;
-    private static final long AGAIN = 500_000;
-    private static final long SECOND = 1_000_000;
+final class VotingMember {
+    private static final Logger LOG = LoggerFactory.getLogger(VotingMember.class);
+    private static final Marker STATE = MarkerFactory.getMarker(Logging.STATE);
+    private static final long RETRY_MICROS = 500_000;
     /** Longer than a leader takes to hand over. */
-    private static final long ASK_LEADER = 4_000_000;
-    /**
-     * How long an election may take: longer at each next voter, by more than the noise, or two that tie do so again.
-     */
-    private static final long ELECTION_MILLIS = 500;
-    private static final long APART_MILLIS = 200;
-    private static final String BARRIER = "barrier";
-    /** Of a new leader's first entry: none of the ledger's. */
-    private static final byte[] NOTHING = new byte[0];
+    private static final long LEADER_RETRY_MICROS = 4_000_000;
 
     private final String self;
-    private final LeaseTiming terms;
     private final Collection<String> voters;
     private final DurableStore store;
-    private final RejoiningVoter newcomer;
-    private final VoterContext around;
-    private final RaftNodeExecutor executor;
-    private final Random random;
-    private final RaftMessageCodec forms;
-    private final Map<String, DocumentSchema> kinds = DocumentSchemas.all();
-    private final PendingProposals asked = new PendingProposals();
-    private final ArrayDeque<String> refused = new ArrayDeque<>();
-    private RuleStateMachine ledger;
-    private LeaseTable grants;
-    private RaftNode raft;
-    private long applied;
-    private long barrier = -1;
-    private long barrierEnds;
-    private long toldAt = Long.MIN_VALUE / 2;
-    private long askedAt = Long.MIN_VALUE / 2;
-    private String stopped = "";
-
-    VotingMember(String self, Collection<String> voters, LeaseTiming terms, DurableStore store, VoterContext around,
-            RaftNodeExecutor executor,
-            long seed) {
+    private final RejoiningVoter rejoining;
+    private final VoterContext context;
+    private final RaftMessageDecoder decoder;
+    private final RaftLog raftLog;
+    private final RaftTransport raftTransport;
+    private final ReadBarrier barrier;
+    private final ClientRequestHandler clientRequests;
+    private final ReplicatedRules rules;
+    private long termRequestedAt = Long.MIN_VALUE / 2;
+    private long verdictsSentAt = Long.MIN_VALUE / 2;
+
+    VotingMember(String self, Collection<String> voters, LeaseTiming timing, DurableStore store, VoterContext context,
+            RaftNodeExecutor executor, long seed) {
         this.self = self;
         this.voters = voters;
-        this.terms = terms;
         this.store = store;
-        this.around = around;
-        this.executor = executor;
-        random = new Random(seed);
-        forms = new RaftMessageCodec(voters);
+        this.context = context;
+        decoder = new RaftMessageDecoder(voters);
         var others = new TreeSet<>(voters);
         others.remove(self);
-        newcomer = new RejoiningVoter(others, store.startedEmpty(), store.minimumLeaderTerm());
-        begin(new RuleStateMachine(voters));
-    }
-
-    private void begin(RuleStateMachine next) {
-        ledger = next;
-        grants = new LeaseTable(self, store.incarnation(), terms, ledger, this);
-    }
-
-    /** Takes part, as soon as it may. */
-    private void start() {
-        int place = new TreeSet<>(voters).headSet(self).size();
-        raft = RaftNode.newBuilder().setGroupId(RaftMessageCodec.GROUP).setRestoredState(store.restoredState())
-                .setStore(store).setStateMachine(this).setTransport(this).setExecutor(executor).setRandom(random)
-                .setClock(new MonotonicClock())
-                .setConfig(
-                        RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(ELECTION_MILLIS + APART_MILLIS * place)
-                                .setLeaderHeartbeatPeriodSecs(1).setLeaderHeartbeatTimeoutSecs(2)
-                                .setCommitCountToTakeSnapshot(ENTRIES)
-                                .setMaxPendingLogEntryCount(ENTRIES).setAppendEntriesRequestBatchSize(ENTRIES / 4)
-                                .setTransferSnapshotsFromFollowersEnabled(false).build())
-                .build();
-        raft.start();
+        rejoining = new RejoiningVoter(others, store.startedEmpty(), store.minimumLeaderTerm());
+        raftLog = new RaftLog(self, voters, store, executor, new Random(seed));
+        raftTransport = new RaftTransport(context, rejoining);
+        barrier = new ReadBarrier(raftLog, context, executor, timing);
+        clientRequests = new ClientRequestHandler(raftLog);
+        rules = new ReplicatedRules(self, store.incarnation(), voters, timing, raftLog, context, barrier,
+                clientRequests);
     }
 
+    /** Stops at once; what is kept stays. */
     void close() throws IOException {
-        if (raft != null) {
-            raft.terminate();
-        }
+        raftLog.terminate();
         store.close();
     }
 
-    // ---- what comes ---------------------------------------------------------------------------------------
+    // ---- time ---------------------------------------------------------------------------------------------
 
-    /** Time goes on. */
+    /** Time passes. */
     void tick(long now) throws IOException {
-        if (raft == null) {
+        if (!raftLog.isStarted()) {
             join(now);
             return;
         }
-        if (stopped.isEmpty() && raft.getStatus() == RaftNodeStatus.TERMINATED) {
-            stop("it can't write what it must keep; see that the disk of rules.directory has room and start it again");
-        }
-        if (stopped.isEmpty()) {
-            PreVoteRestart.restartIfStalled(raft);
-        }
-        if (newcomer.onApplied(applied, newcomer.catchUpIndex() < 0 ? -1 : store.termAt(newcomer.catchUpIndex()))) {
-            store.markCaughtUp();
-            around.info("has learned what the other voters know, and votes");
-        }
-        if (newcomer.minimumLeaderTerm() > 0 && newcomer.catchUpIndex() < 0 && now - askedAt >= ASK_LEADER
-                && !leader().isEmpty()) {
-            askedAt = now;
-            around.sendToVoter(leader(), new Packet.TermRequest()); // it leads still: it is to hand over
-        }
-        if (barrier >= 0 && now >= barrierEnds) {
-            ended(barrier, false);
+        raftLog.checkRunning();
+        catchUp(now);
+        barrier.tick(now);
+        rules.leaseTable().onElectionChanged(now, raftLog.isLeader());
+        if (now - verdictsSentAt >= RETRY_MICROS) {
+            verdictsSentAt = now;
+            rules.sendPendingVerdicts();
         }
-        grants.onElectionChanged(now, isLeader());
-        if (now - toldAt >= AGAIN) {
-            toldAt = now;
-            ledger.documentNames().stream().map(ledger::pending).filter(d -> d != null).forEach(this::verdict);
-        }
-        grants.onTick(now);
+        rules.leaseTable().onTick(now);
     }
 
+    /** Takes part as soon as it may; until then asks the other members for their terms. */
     private void join(long now) throws IOException {
-        if (newcomer.unansweredVoters().isEmpty()) {
-            if (store.startedEmpty()) {
-                store.startInTerm(newcomer.startTerm(), newcomer.minimumLeaderTerm());
-                around.info(newcomer.minimumLeaderTerm() == 0 ? "begins with nothing kept, as all other voters do"
-                        : "had nothing kept: learns from the other voters before it votes");
+        if (!rejoining.unansweredVoters().isEmpty()) {
+            if (now - termRequestedAt >= RETRY_MICROS) {
+                termRequestedAt = now;
+                rejoining.unansweredVoters().forEach(v -> context.sendToVoter(v, new Packet.TermRequest()));
             }
-            start();
-        } else if (now - askedAt >= AGAIN) {
-            askedAt = now;
-            newcomer.unansweredVoters().forEach(v -> around.sendToVoter(v, new Packet.TermRequest()));
+            return;
         }
+        if (store.startedEmpty()) {
+            store.startInTerm(rejoining.startTerm(), rejoining.minimumLeaderTerm());
+            LOG.info(STATE, "rules: {}", rejoining.minimumLeaderTerm() == 0
+                    ? "begins with nothing kept, as all other voters do"
+                    : "had nothing kept: learns from the other voters before it votes");
+        }
+        raftLog.start(rules, raftTransport);
     }
 
-    void onTermRequest(String from) {
-        around.sendToVoter(from, new Packet.TermResponse(store.term()));
-        if (isLeader()) { // it learns only from a leader that came after this
-            voters.stream().filter(v -> !v.equals(self) && !v.equals(from) && around.isReachable(v)).findFirst()
-                    .ifPresent(v -> raft.transferLeadership(new VoterEndpoint(v)));
+    private void catchUp(long now) throws IOException {
+        long index = rejoining.catchUpIndex();
+        if (rejoining.onApplied(rules.appliedIndex(), index < 0 ? -1 : store.termAt(index))) {
+            store.markCaughtUp();
+            LOG.info(STATE, "rules: has learned what the other voters know, and votes");
+        }
+        boolean waitsForLeader = rejoining.minimumLeaderTerm() > 0 && rejoining.catchUpIndex() < 0;
+        if (waitsForLeader && now - termRequestedAt >= LEADER_RETRY_MICROS && !leader().isEmpty()) {
+            termRequestedAt = now;
+            context.sendToVoter(leader(), new Packet.TermRequest()); // it leads still: it is to hand over
         }
     }
 
-    void onTermResponse(String from, int term) {
-        newcomer.onTermResponse(from, term);
+    // ---- packets ------------------------------------------------------------------------------------------
+
+    /** Takes what another voting member sent to this one. */
+    void onPacket(String from, Packet packet) throws CorruptDataException {
+        if (packet instanceof Packet.RaftEnvelope envelope) {
+            onRaftMessage(from, envelope.message());
+        } else if (packet instanceof Packet.ForwardedVerdict verdict) {
+            onForwardedVerdict(from, verdict.entry());
+        } else if (packet instanceof Packet.TermRequest) {
+            onTermRequest(from);
+        } else if (packet instanceof Packet.TermResponse response) {
+            onTermResponse(from, response.term());
+        }
     }
 
-    void onRaftMessage(String from, byte[] message) throws CorruptDataException {
-        if (raft == null) {
+    void onRaftMessage(String from, byte[] bytes) throws CorruptDataException {
+        if (!raftLog.isStarted()) {
             return;
         }
-        RaftMessage m = forms.decode(new VoterEndpoint(from), message);
-        if (newcomer.minimumLeaderTerm() > 0) {
-            if (isVoting(m)) {
-                return;
+        RaftMessage message = decoder.decode(new VoterEndpoint(from), bytes);
+        if (rejoining.minimumLeaderTerm() > 0) {
+            if (RaftTransport.isElectionRequest(message)) {
+                return; // it votes for nobody yet
             }
-            if (m instanceof AppendEntriesRequest a && a.getTerm() >= store.term()) {
-                newcomer.onLeaderCommit(a.getTerm(), a.getCommitIndex());
+            if (message instanceof AppendEntriesRequest append && append.getTerm() >= store.term()) {
+                rejoining.onLeaderCommit(append.getTerm(), append.getCommitIndex());
             }
         }
-        raft.handle(m);
+        raftLog.handle(message);
+    }
+
+    void onTermRequest(String from) {
+        context.sendToVoter(from, new Packet.TermResponse(store.term()));
+        if (raftLog.isLeader()) { // the other learns only from a leader that came after this
+            voters.stream().filter(v -> !v.equals(self) && !v.equals(from) && context.isReachable(v)).findFirst()
+                    .ifPresent(raftLog::transferLeadership);
+        }
     }
 
-    private static boolean isVoting(RaftMessage m) {
-        return m instanceof VoteRequest || m instanceof PreVoteRequest || m instanceof TriggerLeaderElectionRequest;
+    void onTermResponse(String from, int term) {
+        rejoining.onTermResponse(from, term);
     }
 
-    /** A holder asks; whether it came to the one who leads. */
-    boolean onLeaseRequest(LeaseMessage.LeaseRequest ask) {
-        boolean here = isLeader();
-        if (here) {
-            grants.onLeaseRequest(around.now(), ask);
+    private void onForwardedVerdict(String from, LogEntry.VoterVerdict verdict) {
+        if (raftLog.isLeader() && from.equals(verdict.voter())) {
+            raftLog.append(verdict);
         }
-        return here;
     }
 
-    void onForwardedVerdict(String from, LogEntry.VoterVerdict verdict) {
-        if (isLeader() && from.equals(verdict.voter())) {
-            append(verdict);
+    /** A lease holder's request; whether it came to the leader. */
+    boolean onLeaseRequest(LeaseMessage.LeaseRequest request) {
+        boolean leads = raftLog.isLeader();
+        if (leads) {
+            rules.leaseTable().onLeaseRequest(context.nowMicros(), request);
         }
+        return leads;
     }
 
-    /** Somebody proposes, or asks what there is; whether it came to the one who leads. */
-    boolean onClientRequest(Packet.ClientRequest request, Consumer<Packet> answer) {
-        if (!isLeader() || !ledger.isLeader(self, store.incarnation())) {
+    /** Somebody proposes, or reads a document's history; whether it came to the leader. */
+    boolean onClientRequest(Packet.ClientRequest request, Consumer<Packet.ClientResponse> responder) {
+        if (!raftLog.isLeader() || !rules.stateMachine().isLeader(self, store.incarnation())) {
             return false;
         }
-        if (request.proposal() == null) {
-            answer.accept(new Packet.ClientResponse(request.id(), "told", 0, "", ledger.activeVersion(request.name()),
-                    ledger.history(request.name()),
-                    refused.stream().filter(r -> r.startsWith(request.name() + " ")).toList()));
-            return true;
-        }
-        Packet.ClientResponse known = asked.knownOutcome(request, ledger);
-        if (known != null) {
-            answer.accept(known);
-        } else if (asked.await(around.now(), request, answer)) {
-            append(new LogEntry.ProposeVersion(request.proposal()));
-        }
+        clientRequests.handle(context.nowMicros(), request, rules.stateMachine(), responder);
         return true;
     }
 
-    // ---- what is told -------------------------------------------------------------------------------------
+    // ---- status -------------------------------------------------------------------------------------------
 
     /** Who leads as far as is known here, or an empty text. */
     String leader() {
-        return raft == null ? "" : VoterEndpoint.of(raft.getTerm().getLeaderEndpoint());
+        return raftLog.leader();
     }
 
     /** What an operator asks first. */
     String describeState() {
-        if (!stopped.isEmpty()) {
-            return "stopped: " + stopped;
-        } else if (raft == null) {
-            return "waits for " + String.join(", ", newcomer.unansweredVoters())
-                    + ": has nothing kept, and begins once all other voters have answered";
+        if (raftLog.isStopped()) {
+            return "stopped: " + raftLog.stopReason();
         }
-        return newcomer.minimumLeaderTerm() > 0 ? "learns" : "votes";
-    }
-
-    long term() {
-        return store.term();
-    }
-
-    private boolean isLeader() {
-        return raft != null && stopped.isEmpty() && raft.getStatus() != RaftNodeStatus.TERMINATED
-                && leader().equals(self);
-    }
-
-    private void stop(String why) {
-        stopped = why;
-        around.warn("this voter has stopped: " + why);
-        raft.terminate();
-    }
-
-    // ---- of the log's library -----------------------------------------------------------------------------
-
-    @Override
-    public Object runOperation(long index, Object operation) {
-        if (operation instanceof byte[] bytes && stopped.isEmpty()) {
-            if (bytes.length > 0) {
-                apply(bytes);
-            }
-            applied = index;
-        }
-        return null;
-    }
-
-    private void apply(byte[] bytes) {
-        try {
-            List<RuleEvent> effects = ledger.apply(LogEntryCodec.decode(bytes));
-            for (RuleEvent e : effects) {
-                if (e instanceof RuleEvent.VersionPending p) {
-                    verdict(p.document());
-                } else if (e instanceof RuleEvent.ProposalRejected r) {
-                    refused.addLast(
-                            r.rejection().name() + " " + r.rejection().aboutVersion() + ": " + r.rejection().message());
-                    if (refused.size() > MOST_REFUSED) {
-                        refused.removeFirst();
-                    }
-                }
-            }
-            grants.onApplied(around.now(), effects);
-            asked.onApplied(effects, ledger);
-        } catch (CorruptDataException e) { // what others act on it can't follow: it may not go on
-            stop("an entry of the log can't be read by this program (" + e.getMessage()
-                    + "): put the newer program here");
-        }
-    }
-
-    private void verdict(RuleDocument document) {
-        LogEntry.VoterVerdict verdict = DocumentSchemas.verdict(self, kinds, document);
-        String leader = leader();
-        if (leader.equals(self)) {
-            append(verdict);
-        } else if (!leader.isEmpty()) {
-            around.sendToVoter(leader, new Packet.ForwardedVerdict(verdict));
-        }
-    }
-
-    @Override
-    public void takeSnapshot(long index, Consumer<Object> chunks) {
-        if (!stopped.isEmpty()) {
-            throw new IllegalStateException(stopped);
-        }
-        byte[] all = ledger.takeSnapshot();
-        for (int at = 0; at < all.length; at += CHUNK) {
-            chunks.accept(Arrays.copyOfRange(all, at, Math.min(all.length, at + CHUNK)));
-        }
-    }
-
-    @Override
-    public void installSnapshot(long index, List<Object> chunks) {
-        var all = new ByteArrayOutputStream();
-        chunks.forEach(c -> all.writeBytes((byte[]) c));
-        try {
-            begin(RuleStateMachine.restoreSnapshot(voters, all.toByteArray()));
-            applied = index;
-        } catch (CorruptDataException e) {
-            stop("a snapshot can't be read by this program (" + e.getMessage() + "): put the newer program here");
-        }
-    }
-
-    @Override
-    public Object getNewTermOperation() {
-        return NOTHING;
-    }
-
-    @Override
-    public void send(RaftEndpoint to, RaftMessage message) {
-        if (newcomer.minimumLeaderTerm() == 0 || !isVoting(message)) {
-            around.sendToVoter(VoterEndpoint.of(to), new Packet.RaftEnvelope(RaftMessageCodec.encode(message)));
-        }
-    }
-
-    @Override
-    public boolean isReachable(RaftEndpoint voter) {
-        return around.isReachable(VoterEndpoint.of(voter));
-    }
-
-    // ---- of the grants ------------------------------------------------------------------------------------
-
-    @Override
-    public void send(String holder, LeaseMessage message) {
-        around.sendToLeaseHolder(holder, message);
-    }
-
-    @Override
-    public void append(LogEntry entry) {
-        if (raft != null) {
-            // where it fails it is appended again by whoever still wants it
-            raft.replicate(LogEntryCodec.encode(entry));
-        }
-    }
-
-    @Override
-    public void startBarrier(long token) {
-        barrier = token;
-        barrierEnds = around.now() + Math.max(SECOND, terms.holderDuration() / 2); // a holder has asked again by then
-        raft.query(BARRIER, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.of(Duration.ofSeconds(10)))
-                .whenComplete((done, fault) -> executor.execute(() -> ended(token, fault == null)));
-    }
-
-    private void ended(long token, boolean well) {
-        if (barrier == token) {
-            barrier = -1;
-            if (well) {
-                grants.onBarrier(around.now(), token);
-            } else {
-                grants.onBarrierFailed(around.now(), token);
-            }
+        if (!raftLog.isStarted()) {
+            return "waits for " + String.join(", ", rejoining.unansweredVoters())
+                    + ": has nothing kept, and begins once all other voters have answered";
         }
+        return rejoining.minimumLeaderTerm() > 0 ? "learns" : "votes";
     }
 }
--- a/src/main/java/wallmoor/consensus/package-info.java
+++ b/src/main/java/wallmoor/consensus/package-info.java
@@ -1,6 +1,12 @@
 /**
- * The I/O of what gatherers agree on: a kept library's log among the voters, its bytes on the wire and on disk, and the
- * thread that drives the deciders of {@code versions}. It holds no rule of its own but one: when a voter that lost what
- * it kept may vote again ({@link wallmoor.consensus.RejoiningVoter}).
+ * Consensus on rules, the I/O round it: a Raft library's replicated log among three or five voting members, its bytes
+ * on the wire and on disk, leases for all gatherers, and the thread that drives the deciders of {@code wallmoor.rules}.
+ * The package holds no rule of its own but one: when a voting member that lost its durable state may vote again
+ * ({@link wallmoor.consensus.RejoiningVoter}).
+ *
+ * <p>
+ * {@link wallmoor.consensus.ConsensusService} puts the parts together: {@code LeaseSession} keeps this gatherer's lease
+ * renewed, {@code VotingMember} is one server of the Raft group, {@code TcpTransport} has the connections,
+ * {@code DurableStore} the files.
  */
 package wallmoor.consensus;
--- a/src/main/java/wallmoor/peers/udp/FleetControlServer.java
+++ b/src/main/java/wallmoor/peers/udp/FleetControlServer.java
@@ -1,72 +1,54 @@
 package wallmoor.peers.udp;
 
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
+import wallmoor.control.ControlServer;
+import wallmoor.control.JsonLines;
+import wallmoor.control.RequestLimits;
 import wallmoor.peers.GroupView;
 import wallmoor.peers.MemberEvidence;
 
 /**
- * Tells what this member holds of the group to who asks on this machine: one line asks, {@code members} or
- * {@code explain NAME}; JSON objects answer, one a line, and the connection ends. It only tells and changes nothing.
- * One thread takes them one after another, each has a second for its line.
+ * The control port of {@code fleet}: one line asks, {@code members} or {@code explain NAME}, and JSON objects answer
+ * what this member knows of the group. It changes nothing.
  */
 public final class FleetControlServer implements AutoCloseable {
-    private static final int MILLIS = 1_000;
-    private static final int MOST_LINE = 256;
-    private static final int BACKLOG = 16;
-    private static final long MICROS = 1000;
+    private static final RequestLimits LIMITS = new RequestLimits(257, 1_000);
+    private static final long MICROS_PER_MILLI = 1_000;
 
-    private final SequentialAcceptor server;
+    private final ControlServer server;
     private final String self;
     private final GroupTransport group;
-    private final JsonFactory json = new JsonFactory();
 
     /** Listens at an address of loopback; {@link #start} begins to answer. */
     public FleetControlServer(InetSocketAddress listen, String self, GroupTransport group) throws IOException {
         this.self = self;
         this.group = group;
-        server = new SequentialAcceptor(listen, BACKLOG);
+        server = ControlServer.sequential(listen, "peers-control", LIMITS);
     }
 
     /** Begins to answer. */
     public void start() {
-        server.start("peers-control", asker -> {
-            asker.setSoTimeout(MILLIS);
-            answer(line(asker), asker.getOutputStream());
-        }, () -> {}); // who asks and does not go on gets no answer; there is nobody to tell
+        server.start(this::handle);
     }
 
-    private static String line(Socket from) throws IOException {
-        var line = new StringBuilder();
-        long until = System.nanoTime() + MILLIS * 1_000_000L;
-        for (int c = from.getInputStream().read(); c != '\n'; c = from.getInputStream().read()) {
-            if (c < 0 || line.length() >= MOST_LINE || System.nanoTime() > until) {
-                throw new IOException("no line");
-            }
-            line.append((char) c);
-        }
-        return line.toString().trim();
-    }
-
-    private void answer(String asked, OutputStream to) throws IOException {
-        try (JsonGenerator out = json.createGenerator(to)) {
-            out.setRootValueSeparator(new com.fasterxml.jackson.core.io.SerializedString("\n"));
-            String[] words = asked.split(" +", 2);
+    /** The answer's last object ends without a line end, as it did in earlier versions. */
+    private void handle(byte[] request, OutputStream response) throws IOException {
+        String text = new String(request, StandardCharsets.ISO_8859_1);
+        String[] words = text.substring(0, text.indexOf('\n')).trim().split(" +", 2);
+        try (JsonGenerator out = JsonLines.generator(response)) {
             if (words[0].equals("members") && words.length == 1) {
                 members(out);
             } else if (words[0].equals("explain") && words.length == 2) {
                 explain(out, words[1]);
             } else {
-                fault(out, "asks neither members nor explain NAME");
+                JsonLines.writeFault(out, "asks neither members nor explain NAME");
             }
         }
-        to.write("\n".getBytes(StandardCharsets.US_ASCII));
     }
 
     private void members(JsonGenerator out) throws IOException {
@@ -99,7 +81,7 @@
     private void explain(JsonGenerator out, String name) throws IOException {
         MemberEvidence e = group.explain(name);
         if (e == null) {
-            fault(out, "knows no member " + name);
+            JsonLines.writeFault(out, "knows no member " + name);
             return;
         }
         out.writeStartObject();
@@ -107,7 +89,7 @@
         out.writeNumberField("witnesses", e.witnesses());
         out.writeNumberField("needed", e.cutThreshold());
         if (e.silentMicros() >= 0) {
-            out.writeNumberField("unheard_ms", e.silentMicros() / MICROS);
+            out.writeNumberField("unheard_ms", e.silentMicros() / MICROS_PER_MILLI);
         }
         out.writeEndObject();
         for (MemberEvidence.ObserverReport v : e.reports()) {
@@ -128,21 +110,11 @@
         out.writeStringField("address", address);
         out.writeNumberField("incarnation", incarnation);
         out.writeStringField("state", state.toString().toLowerCase(Locale.ROOT));
-        out.writeNumberField("for_ms", (GroupTransport.nowMicros() - since) / MICROS);
-    }
-
-    private static void fault(JsonGenerator out, String why) throws IOException {
-        out.writeStartObject();
-        out.writeStringField("fault", why);
-        out.writeEndObject();
+        out.writeNumberField("for_ms", (GroupTransport.nowMicros() - since) / MICROS_PER_MILLI);
     }
 
     @Override
     public void close() {
-        try {
-            server.close();
-        } catch (IOException e) {
-            // it listens no more either way
-        }
+        server.close();
     }
 }
--- a/src/main/java/wallmoor/service/RulesService.java
+++ b/src/main/java/wallmoor/service/RulesService.java
@@ -21,27 +21,25 @@
     private final Logger log = LoggerFactory.getLogger(RulesService.class);
     private final RulesConfig config;
     private final Runnable changed;
-    private final ConsensusService agreement;
+    private final ConsensusService consensus;
     private final RulesControlServer control;
 
     /** {@code changed} is told that something is gone by in another way; it must not wait for long. */
     RulesService(RulesConfig config, LaunchConfig launch, Runnable changed) throws IOException {
         this.config = config;
         this.changed = changed;
-        agreement = new ConsensusService(config, launch.name(), launch.seed(), this::changed,
-                line -> log.info(STATE, "rules: {}", line),
-                line -> log.warn("rules: {}", line));
-        control = config.control() == null ? null : new RulesControlServer(config.control(), launch.name(), agreement);
+        consensus = new ConsensusService(config, launch.name(), launch.seed(), this::onRuleChanged);
+        control = config.control() == null ? null : new RulesControlServer(config.control(), launch.name(), consensus);
     }
 
-    private void changed(String name, EffectiveRule act) {
-        log.info(STATE, "rules: goes by {} {} to {}, as {}: {}", name, act.activeVersion(), act.latestVersion(),
-                act.basis().toString().toLowerCase(Locale.ROOT), act.body().toJson());
+    private void onRuleChanged(String name, EffectiveRule rule) {
+        log.info(STATE, "rules: goes by {} {} to {}, as {}: {}", name, rule.activeVersion(), rule.latestVersion(),
+                rule.basis().toString().toLowerCase(Locale.ROOT), rule.body().toJson());
         changed.run();
     }
 
     void start() {
-        agreement.start();
+        consensus.start();
         if (control != null) {
             control.start();
             log.info("telling of the rules on {}", config.control());
@@ -50,14 +48,14 @@
 
     /** What is gone by, for whoever acts. */
     RuleReader reader() {
-        return agreement;
+        return consensus;
     }
 
     void leave() {
-        log.info("leaving the rules: {}", agreement.counters());
+        log.info("leaving the rules: {}", consensus.counters());
         if (control != null) {
             control.close();
         }
-        agreement.close();
+        consensus.close();
     }
 }
--- a/src/test/java/wallmoor/LayersTest.java
+++ b/src/test/java/wallmoor/LayersTest.java
@@ -44,8 +44,10 @@
             entry("upgrade", "http"),
             // decides which version acts: no I/O, and of the rest only how JSON is read
             entry("rules", "json"),
-            // what is agreed on: a kept library's log, files, connections, the control port
-            entry("consensus", "rules", "config", "http", "json"),
+            // the command line's way to a running gatherer: both ends of a control port
+            entry("control", "http", "json"),
+            // consensus on the rules: a Raft library's log, files, connections, the control port
+            entry("consensus", "rules", "config", "control", "http", "json", "log"),
             // decides which blocks move between nodes: no I/O, and nothing of the core
             entry("placement"),
             // decides how moves are carried out: no I/O
@@ -55,7 +57,7 @@
             entry("migration.http", "migration", "rules", "json", "http"),
             // drives the real deciders on one clock; never used by serve
             entry("simulation", "peers", "rules"),
-            entry("peers.udp", "peers", "config", "http"),
+            entry("peers.udp", "peers", "config", "control", "http"),
             entry("service", "consensus", "rules", "operator", "metrics", "bans", "upgrade", "peers", "peers.udp",
                     "edge", "edge.http", "edge.coap", "idempotency", "platform", "ogc", "frames", "discovery",
                     "inventory",
@@ -68,7 +70,7 @@
             entry("client"),
             entry("cli", "migration", "migration.http", "rules", "summaries", "client", "edge", "service", "inventory",
                     "dns", "endpoints", "placement", "maintenance", "config",
-                    "json"));
+                    "control", "json"));
 
     private static Map.Entry<String, Set<String>> entry(String name, String... uses) {
         return Map.entry(name, Set.of(uses));
--- a/src/test/java/wallmoor/consensus/ClocksTest.java
+++ b/src/test/java/wallmoor/consensus/ClocksTest.java
@@ -6,8 +6,6 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.Collections;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
@@ -21,6 +19,7 @@
 import wallmoor.rules.EffectiveRule;
 import wallmoor.rules.RuleDocument;
 import wallmoor.rules.RuleProposal;
+import wallmoor.standin.CapturedWarnings;
 import wallmoor.standin.Ports;
 
 /** Wall clocks five minutes apart, either way, and such that go back: leases are not counted by them, lives are. */
@@ -33,12 +32,12 @@
     public final TemporaryFolder folder = new TemporaryFolder();
     private final TreeMap<String, InetSocketAddress> voters = new TreeMap<>();
     private final Map<String, ConsensusService> all = new TreeMap<>();
-    private final List<String> warned = Collections.synchronizedList(new ArrayList<>());
+    private final CapturedWarnings warnings = new CapturedWarnings("wallmoor.consensus");
 
     private void start(String name, long ahead) throws Exception {
         Path kept = folder.getRoot().toPath().resolve(name);
         var config = new RulesConfig(voters, voters.get(name), TERM_MILLIS, kept, null);
-        all.put(name, new ConsensusService(config, name, name.charAt(0), (document, act) -> {}, line -> {}, warned::add,
+        all.put(name, new ConsensusService(config, name, name.charAt(0), (document, rule) -> {},
                 () -> System.currentTimeMillis() + ahead));
         all.get(name).start();
     }
@@ -65,9 +64,9 @@
             String body = "{\"limits.open\":" + (1 + before.size()) + "}";
             outcome = all.get(at).propose(new RuleProposal("settings", parent == null ? 0 : parent.version(),
                     parent == null ? "" : parent.hash(), "ann", body, body), MOST_WAIT * 1_000);
-        } while (outcome.refused().contains("no verdict came"));
-        assertEquals("", outcome.refused());
-        long number = outcome.number();
+        } while (outcome.rejection().contains("no verdict came"));
+        assertEquals("", outcome.rejection());
+        long number = outcome.version();
         for (String who : all.keySet()) {
             await(who + " acts on " + number,
                     () -> all.get(who).effectiveRule("settings").basis() == EffectiveRule.Basis.VERSION
@@ -78,6 +77,7 @@
     @After
     public void stop() {
         all.values().forEach(ConsensusService::close);
+        warnings.close();
     }
 
     @Test
@@ -94,7 +94,7 @@
         again("c", FIVE_MINUTES);
         again("d", -FIVE_MINUTES);
         agree("d");
-        assertEquals(List.of(), warned);
+        assertEquals(List.of(), warnings.messages());
 
         all.remove("c").close();
         for (String file : new String[] {"vote", "log", "known"}) {
@@ -102,7 +102,8 @@
         }
         start("c", -FIVE_MINUTES);
         await("it is said",
-                () -> warned.stream().anyMatch(w -> w.contains("a process of c is older than one that was heard")));
+                () -> warnings.messages().stream()
+                        .anyMatch(w -> w.contains("a process of c is older than one that was heard")));
         assertTrue(all.get("c").effectiveRule("settings").basis() != EffectiveRule.Basis.VERSION);
         again("c", FIVE_MINUTES + 1_000); // the clock was set
         agree("d");
--- a/src/test/java/wallmoor/consensus/StoreGoldenTest.java
+++ b/src/test/java/wallmoor/consensus/DurableStoreGoldenTest.java
@@ -23,7 +23,7 @@
 import wallmoor.rules.VersionChain;
 
 /** The files that a voter keeps, and the versions that any gatherer keeps, are those of the versions before. */
-public class StoreGoldenTest {
+public class DurableStoreGoldenTest {
     private static final String FILE = "store.hex";
     private static final List<String> VOTERS = List.of("a", "b", "c");
     private static final long NOW = 1_700_000_000_000_000L;
@@ -84,7 +84,8 @@
         store.close();
         open().close();
         files.put("vote-reopened", Files.readAllBytes(at("vote")));
-        new DurableDirectory(folder.getRoot().toPath()).replace("known", LeaseMessageCodec.encodeKnownVersions(KNOWN));
+        new DurableDirectory(folder.getRoot().toPath()).replaceFile("known",
+                LeaseMessageCodec.encodeKnownVersions(KNOWN));
         files.put("known", Files.readAllBytes(at("known")));
         return files;
     }
--- a/src/test/java/wallmoor/consensus/PacketGoldenTest.java
+++ b/src/test/java/wallmoor/consensus/PacketGoldenTest.java
@@ -57,7 +57,7 @@
 
     private static Map<String, byte[]> written() {
         Map<String, byte[]> written = new LinkedHashMap<>();
-        samples().forEach((name, packet) -> written.put(name, Packet.encode(packet)));
+        samples().forEach((name, packet) -> written.put(name, PacketCodec.encode(packet)));
         return written;
     }
 
@@ -70,8 +70,8 @@
     public void whatWasSentIsReadAndWrittenAlike() throws Exception {
         Map<String, Packet> samples = samples();
         for (Map.Entry<String, byte[]> sent : Golden.read(FILE).entrySet()) {
-            Packet read = Packet.decode(sent.getValue());
-            assertEquals(sent.getKey(), Golden.hex(sent.getValue()), Golden.hex(Packet.encode(read)));
+            Packet read = PacketCodec.decode(sent.getValue());
+            assertEquals(sent.getKey(), Golden.hex(sent.getValue()), Golden.hex(PacketCodec.encode(read)));
             if (!(read instanceof Packet.RaftEnvelope)) { // an array is equal to itself alone
                 assertEquals(samples.get(sent.getKey()), read);
             }
@@ -82,7 +82,7 @@
     public void aFrameIsItsLengthItsChecksumAndItsBytes() throws Exception {
         Map<String, byte[]> frames = new LinkedHashMap<>();
         frames.put("beat", FramedConnection.frame(new byte[0]));
-        frames.put("hello", FramedConnection.frame(Packet.encode(samples().get("hello"))));
+        frames.put("hello", FramedConnection.frame(PacketCodec.encode(samples().get("hello"))));
         Golden.assertSame("frames.hex", frames);
     }
 }
--- a/src/test/java/wallmoor/consensus/PreVoteRestartTest.java
+++ b/src/test/java/wallmoor/consensus/PreVoteRestartTest.java
@@ -64,7 +64,7 @@
         }
     };
     private final List<RaftEndpoint> all = List.of(new VoterEndpoint("a"), other, new VoterEndpoint("c"));
-    private final RaftNode node = RaftNode.newBuilder().setGroupId(RaftMessageCodec.GROUP).setLocalEndpoint(all.get(0))
+    private final RaftNode node = RaftNode.newBuilder().setGroupId(RaftGroup.ID).setLocalEndpoint(all.get(0))
             .setInitialGroupMembers(all).setStateMachine(this).setTransport(this).setExecutor(this)
             .setRandom(new Random(1)).setClock(clock)
             .setConfig(RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(500).setLeaderHeartbeatPeriodSecs(1)
@@ -83,14 +83,14 @@
     }
 
     private void vote(int term) {
-        node.handle(models.createVoteRequestBuilder().setGroupId(RaftMessageCodec.GROUP).setSender(other).setTerm(term)
+        node.handle(models.createVoteRequestBuilder().setGroupId(RaftGroup.ID).setSender(other).setTerm(term)
                 .setLastLogTerm(0).setLastLogIndex(0).setSticky(false).build());
         run(TICK, false);
     }
 
     private void lead(int term) {
         node.handle(
-                models.createAppendEntriesRequestBuilder().setGroupId(RaftMessageCodec.GROUP).setSender(other)
+                models.createAppendEntriesRequestBuilder().setGroupId(RaftGroup.ID).setSender(other)
                         .setTerm(term)
                         .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setQuerySequenceNumber(0)
                         .setFlowControlSequenceNumber(0).setLogEntries(List.of()).build());
--- a/src/test/java/wallmoor/consensus/RaftFormsGoldenTest.java
+++ b/src/test/java/wallmoor/consensus/RaftMessageGoldenTest.java
@@ -2,7 +2,6 @@
 
 import static org.junit.Assert.assertEquals;
 
-import io.microraft.RaftEndpoint;
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
@@ -14,7 +13,7 @@
 import org.junit.Test;
 
 /** The bytes of the log library's messages stay those of the versions before. */
-public class RaftFormsGoldenTest {
+public class RaftMessageGoldenTest {
     private static final String FILE = "raft-messages.hex";
     private static final List<String> VOTERS = List.of("a", "b", "c");
     private static final VoterEndpoint SENDER = new VoterEndpoint("b");
@@ -25,7 +24,7 @@
 
     private static RaftMessage install(DefaultRaftModelFactory models, SnapshotChunk chunk,
             RaftGroupMembersView members) {
-        return models.createInstallSnapshotRequestBuilder().setGroupId(RaftMessageCodec.GROUP).setSender(SENDER)
+        return models.createInstallSnapshotRequestBuilder().setGroupId(RaftGroup.ID).setSender(SENDER)
                 .setTerm(9)
                 .setSenderLeader(true).setSnapshotTerm(8).setSnapshotIndex(640).setTotalSnapshotChunkCount(2)
                 .setSnapshotChunk(chunk).setSnapshottedMembers(List.of(new VoterEndpoint("b"), new VoterEndpoint("c")))
@@ -34,46 +33,44 @@
 
     static Map<String, RaftMessage> samples() {
         var models = new DefaultRaftModelFactory();
-        List<RaftEndpoint> all = VOTERS.stream().<RaftEndpoint>map(VoterEndpoint::new).toList();
-        RaftGroupMembersView members = models.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(all)
-                .setVotingMembers(all).build();
+        RaftGroupMembersView members = RaftGroup.members(models, VOTERS);
         SnapshotChunk chunk = models.createSnapshotChunkBuilder().setIndex(640).setTerm(8).setSnapshotChunkCount(2)
                 .setSnapshotChunkIndex(1).setOperation(new byte[] {5, 6}).setGroupMembersView(members).build();
         Map<String, RaftMessage> samples = new LinkedHashMap<>();
         samples.put("append-entries-request",
-                models.createAppendEntriesRequestBuilder().setGroupId(RaftMessageCodec.GROUP)
+                models.createAppendEntriesRequestBuilder().setGroupId(RaftGroup.ID)
                         .setSender(SENDER).setTerm(7).setPreviousLogTerm(6).setPreviousLogIndex(99).setCommitIndex(98)
                         .setQuerySequenceNumber(3).setFlowControlSequenceNumber(4)
                         .setLogEntries(List.of(entry(models, 100, 6), entry(models, 101, 7, (byte) 1, (byte) -1)))
                         .build());
         samples.put("append-entries-request-heartbeat", models.createAppendEntriesRequestBuilder()
-                .setGroupId(RaftMessageCodec.GROUP).setSender(SENDER).setTerm(7).setPreviousLogTerm(0)
+                .setGroupId(RaftGroup.ID).setSender(SENDER).setTerm(7).setPreviousLogTerm(0)
                 .setPreviousLogIndex(0)
                 .setCommitIndex(0).setQuerySequenceNumber(0).setFlowControlSequenceNumber(0).setLogEntries(List.of())
                 .build());
         samples.put("append-entries-success-response", models.createAppendEntriesSuccessResponseBuilder()
-                .setGroupId(RaftMessageCodec.GROUP).setSender(SENDER).setTerm(7).setLastLogIndex(101)
+                .setGroupId(RaftGroup.ID).setSender(SENDER).setTerm(7).setLastLogIndex(101)
                 .setQuerySequenceNumber(3).setFlowControlSequenceNumber(4).build());
         samples.put("append-entries-failure-response", models.createAppendEntriesFailureResponseBuilder()
-                .setGroupId(RaftMessageCodec.GROUP).setSender(SENDER).setTerm(7).setExpectedNextIndex(50)
+                .setGroupId(RaftGroup.ID).setSender(SENDER).setTerm(7).setExpectedNextIndex(50)
                 .setQuerySequenceNumber(3).setFlowControlSequenceNumber(4).build());
         samples.put("install-snapshot-request", install(models, chunk, members));
         samples.put("install-snapshot-request-without-chunk", install(models, null, members));
         samples.put("install-snapshot-response", models.createInstallSnapshotResponseBuilder()
-                .setGroupId(RaftMessageCodec.GROUP).setSender(SENDER).setTerm(9).setSnapshotIndex(640)
+                .setGroupId(RaftGroup.ID).setSender(SENDER).setTerm(9).setSnapshotIndex(640)
                 .setRequestedSnapshotChunkIndex(1).setQuerySequenceNumber(31).setFlowControlSequenceNumber(32).build());
-        samples.put("pre-vote-request", models.createPreVoteRequestBuilder().setGroupId(RaftMessageCodec.GROUP)
+        samples.put("pre-vote-request", models.createPreVoteRequestBuilder().setGroupId(RaftGroup.ID)
                 .setSender(SENDER).setTerm(10).setLastLogTerm(9).setLastLogIndex(700).build());
-        samples.put("pre-vote-response", models.createPreVoteResponseBuilder().setGroupId(RaftMessageCodec.GROUP)
+        samples.put("pre-vote-response", models.createPreVoteResponseBuilder().setGroupId(RaftGroup.ID)
                 .setSender(SENDER).setTerm(10).setGranted(true).build());
         samples.put("vote-request",
-                models.createVoteRequestBuilder().setGroupId(RaftMessageCodec.GROUP).setSender(SENDER)
+                models.createVoteRequestBuilder().setGroupId(RaftGroup.ID).setSender(SENDER)
                         .setTerm(10).setLastLogTerm(9).setLastLogIndex(700).setSticky(true).build());
         samples.put("vote-response",
-                models.createVoteResponseBuilder().setGroupId(RaftMessageCodec.GROUP).setSender(SENDER)
+                models.createVoteResponseBuilder().setGroupId(RaftGroup.ID).setSender(SENDER)
                         .setTerm(10).setGranted(false).build());
         samples.put("trigger-leader-election-request", models.createTriggerLeaderElectionRequestBuilder()
-                .setGroupId(RaftMessageCodec.GROUP).setSender(SENDER).setTerm(10).setLastLogTerm(9).setLastLogIndex(700)
+                .setGroupId(RaftGroup.ID).setSender(SENDER).setTerm(10).setLastLogTerm(9).setLastLogIndex(700)
                 .build());
         return samples;
     }
@@ -81,19 +78,19 @@
     @Test
     public void whatIsSentIsWhatWasSent() throws Exception {
         Map<String, byte[]> written = new LinkedHashMap<>();
-        samples().forEach((name, message) -> written.put(name, RaftMessageCodec.encode(message)));
+        samples().forEach((name, message) -> written.put(name, RaftMessageEncoder.encode(message)));
         Golden.assertSame(FILE, written);
     }
 
     @Test
     public void whatWasSentIsReadAndWrittenAlike() throws Exception {
-        var forms = new RaftMessageCodec(VOTERS);
+        var decoder = new RaftMessageDecoder(VOTERS);
         Map<String, RaftMessage> samples = samples();
         for (Map.Entry<String, byte[]> sent : Golden.read(FILE).entrySet()) {
-            RaftMessage read = forms.decode(SENDER, sent.getValue());
+            RaftMessage read = decoder.decode(SENDER, sent.getValue());
             assertEquals(samples.get(sent.getKey()).getClass(), read.getClass());
             assertEquals(SENDER, read.getSender());
-            assertEquals(sent.getKey(), Golden.hex(sent.getValue()), Golden.hex(RaftMessageCodec.encode(read)));
+            assertEquals(sent.getKey(), Golden.hex(sent.getValue()), Golden.hex(RaftMessageEncoder.encode(read)));
         }
     }
 }
--- a/src/test/java/wallmoor/consensus/VotingMemberTest.java
+++ b/src/test/java/wallmoor/consensus/VotingMemberTest.java
@@ -1,5 +1,6 @@
 package wallmoor.consensus;
 
+import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
 import io.microraft.executor.RaftNodeExecutor;
@@ -19,9 +20,10 @@
 import wallmoor.rules.CorruptDataException;
 import wallmoor.rules.LeaseMessage;
 import wallmoor.rules.LeaseTiming;
+import wallmoor.standin.CapturedWarnings;
 
 /** One voter on its control thread; the others are this test. */
-public class VotingMemberTest implements VotingMember.VoterContext, RaftNodeExecutor {
+public class VotingMemberTest implements VoterContext, RaftNodeExecutor {
     private static final List<String> VOTERS = List.of("a", "b", "c");
 
     @Rule
@@ -30,15 +32,18 @@
     private final DefaultRaftModelFactory models = new DefaultRaftModelFactory();
     /** Pre-votes that were sent for the term after the one that the test leads in. */
     private final AtomicInteger asked = new AtomicInteger();
+    private final CapturedWarnings warnings = new CapturedWarnings("wallmoor.consensus");
 
     @After
     public void stop() {
         control.shutdownNow();
+        warnings.close();
+        assertEquals(List.of(), warnings.messages());
     }
 
     private void heard(VotingMember voter, RaftMessage message) throws Exception {
         Callable<Void> work = () -> {
-            voter.onRaftMessage("b", RaftMessageCodec.encode(message));
+            voter.onRaftMessage("b", RaftMessageEncoder.encode(message));
             return null;
         };
         control.submit(work).get();
@@ -59,17 +64,17 @@
         voter.onTermResponse("b", 0);
         voter.onTermResponse("c", 0);
         Callable<Void> tick = () -> {
-            voter.tick(now());
+            voter.tick(nowMicros());
             return null;
         };
         control.submit(tick).get();
         heard(voter,
-                models.createVoteRequestBuilder().setGroupId(RaftMessageCodec.GROUP).setSender(new VoterEndpoint("b"))
+                models.createVoteRequestBuilder().setGroupId(RaftGroup.ID).setSender(new VoterEndpoint("b"))
                         .setTerm(1)
                         .setLastLogTerm(0).setLastLogIndex(0).setSticky(false).build());
         awaitAsked(); // it gave its vote, and nothing comes
         heard(voter,
-                models.createAppendEntriesRequestBuilder().setGroupId(RaftMessageCodec.GROUP)
+                models.createAppendEntriesRequestBuilder().setGroupId(RaftGroup.ID)
                         .setSender(new VoterEndpoint("b"))
                         .setTerm(1)
                         .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setQuerySequenceNumber(0)
@@ -77,7 +82,7 @@
         asked.set(0);
         control.scheduleWithFixedDelay(() -> execute(() -> {
             try {
-                voter.tick(now());
+                voter.tick(nowMicros());
             } catch (java.io.IOException e) {
                 throw new java.io.UncheckedIOException(e);
             }
@@ -86,7 +91,7 @@
     }
 
     @Override
-    public long now() {
+    public long nowMicros() {
         return System.nanoTime() / 1_000;
     }
 
@@ -94,7 +99,7 @@
     public void sendToVoter(String voter, Packet packet) {
         try {
             if (packet instanceof Packet.RaftEnvelope log
-                    && new RaftMessageCodec(VOTERS).decode(new VoterEndpoint("a"),
+                    && new RaftMessageDecoder(VOTERS).decode(new VoterEndpoint("a"),
                             log.message()) instanceof PreVoteRequest p
                     && p.getTerm() == 2) {
                 asked.incrementAndGet();
@@ -114,16 +119,6 @@
         return true;
     }
 
-    @Override
-    public void info(String line) {
-        // nobody reads it
-    }
-
-    @Override
-    public void warn(String line) {
-        throw new IllegalStateException(line);
-    }
-
     @Override
     public void execute(Runnable task) {
         control.execute(task);
