--- a/src/main/java/wallmoor/consensus/HandshakeVerifier.java
+++ b/src/main/java/wallmoor/consensus/HandshakeVerifier.java
@@ -37,10 +37,8 @@
             return false;
         }
         if (voters.contains(name) && handshake.incarnation() < lastIncarnation(name)) {
-            LOG.warn(
-                    "rules: a process of {} is older than one that was heard already, and is not heard: where it is not, "
-                            + "its clock went back after it lost what it kept; set it",
-                    name);
+            LOG.warn("rules: a process of {} is older than one that was heard already, and is not heard: "
+                    + "where it is not, its clock went back after it lost what it kept; set it", name);
             return false;
         }
         return true;
--- a/src/main/java/wallmoor/consensus/HardState.java
+++ b/src/main/java/wallmoor/consensus/HardState.java
@@ -1,5 +1,7 @@
 package wallmoor.consensus;
 
+import wallmoor.rules.ByteReader;
+import wallmoor.rules.ByteWriter;
 import wallmoor.rules.CorruptDataException;
 import wallmoor.rules.LogEntryCodec;
 
@@ -13,12 +15,12 @@
  */
 record HardState(long incarnation, int term, String votedFor, int minimumLeaderTerm) {
     byte[] encode() {
-        return new LogEntryCodec.ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(incarnation)
+        return new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(incarnation)
                 .writeLong(term).writeText(votedFor).writeLong(minimumLeaderTerm).toByteArray();
     }
 
     static HardState decode(byte[] record) throws CorruptDataException {
-        var from = new LogEntryCodec.ByteReader(record).readFormatVersion();
+        var from = new ByteReader(record).readFormatVersion();
         var state = new HardState(from.readLong(), (int) from.readLong(), from.readText(), (int) from.readLong());
         from.expectEnd();
         return state;
--- a/src/main/java/wallmoor/consensus/LogRecordCodec.java
+++ b/src/main/java/wallmoor/consensus/LogRecordCodec.java
@@ -4,9 +4,9 @@
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
+import wallmoor.rules.ByteReader;
+import wallmoor.rules.ByteWriter;
 import wallmoor.rules.CorruptDataException;
-import wallmoor.rules.LogEntryCodec.ByteReader;
-import wallmoor.rules.LogEntryCodec.ByteWriter;
 
 /** The records of a voting member's file {@code log}. They stay readable: a type's number is never given to another. */
 final class LogRecordCodec {
--- a/src/main/java/wallmoor/consensus/PacketCodec.java
+++ b/src/main/java/wallmoor/consensus/PacketCodec.java
@@ -2,12 +2,12 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import wallmoor.rules.ByteReader;
+import wallmoor.rules.ByteWriter;
 import wallmoor.rules.CorruptDataException;
 import wallmoor.rules.LeaseMessageCodec;
 import wallmoor.rules.LogEntry;
 import wallmoor.rules.LogEntryCodec;
-import wallmoor.rules.LogEntryCodec.ByteReader;
-import wallmoor.rules.LogEntryCodec.ByteWriter;
 import wallmoor.rules.RuleDocument;
 
 /** Packets as a frame's payload, and back; all of it is read as if anybody could have sent it. */
--- a/src/main/java/wallmoor/consensus/RaftMessageDecoder.java
+++ b/src/main/java/wallmoor/consensus/RaftMessageDecoder.java
@@ -10,8 +10,8 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import wallmoor.rules.ByteReader;
 import wallmoor.rules.CorruptDataException;
-import wallmoor.rules.LogEntryCodec.ByteReader;
 
 /** Bytes as the Raft library's messages; who sent one and who votes is not taken from the bytes. */
 final class RaftMessageDecoder {
--- a/src/main/java/wallmoor/consensus/RaftMessageEncoder.java
+++ b/src/main/java/wallmoor/consensus/RaftMessageEncoder.java
@@ -13,7 +13,7 @@
 import io.microraft.model.message.TriggerLeaderElectionRequest;
 import io.microraft.model.message.VoteRequest;
 import io.microraft.model.message.VoteResponse;
-import wallmoor.rules.LogEntryCodec.ByteWriter;
+import wallmoor.rules.ByteWriter;
 
 /**
  * The Raft library's messages as bytes. The sender and the group's members are not among them:
