--- a/src/main/java/wallmoor/Main.java
+++ b/src/main/java/wallmoor/Main.java
@@ -21,11 +21,15 @@
 import wallmoor.signals.HangUp;
 
 /**
- * The way in: {@code serve} is a real gatherer, {@code drill} speaks the simulator's wire on standard streams, and
- * {@code rehearse} loads what serving needs and ends, for the archive of classes that the build makes. These three
- * alone are taken here, as the platform starts them on part of a core; all else is the command line's.
+ * The entry point: {@code serve} runs a gatherer, {@code simulate} speaks the simulator's wire on standard streams, and
+ * {@code train-archive} loads what serving needs and ends, for the archive of classes that the build makes. These three
+ * are dispatched here, as the platform starts them on part of a core; picocli parses all other commands.
  */
 public final class Main {
+    /** Names that these commands had before; deploy files may still use them. */
+    private static final String FORMER_SIMULATE = "drill";
+    private static final String FORMER_TRAIN_ARCHIVE = "rehearse";
+
     /** The gatherer, once it is there to be told of a new configuration. */
     private static volatile Service service;
     /** SIGHUP has come at least once. */
@@ -41,18 +45,15 @@
 
     /** Runs a subcommand. Exits 0 at end of input, 1 on a malformed line, 2 on wrong usage or configuration. */
     public static void main(String[] args) throws IOException, InterruptedException {
-        if (args.length == 1 && args[0].equals("serve")) {
-            serve();
-        } else if (args.length == 1 && args[0].equals("drill")) {
-            drill();
-        } else if (args.length == 1 && args[0].equals("rehearse")) {
-            rehearse();
-        } else {
-            System.exit(Commands.run(args));
+        switch (args.length == 1 ? args[0] : "") {
+            case "serve" -> serve();
+            case "simulate", FORMER_SIMULATE -> simulate();
+            case "train-archive", FORMER_TRAIN_ARCHIVE -> trainArchive();
+            default -> System.exit(Commands.run(args));
         }
     }
 
-    private static void drill() throws IOException {
+    private static void simulate() throws IOException {
         var in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
         var out = new PrintWriter(new OutputStreamWriter(System.out, StandardCharsets.UTF_8));
         try {
@@ -64,7 +65,7 @@
     }
 
     /** All that serving does from its start to its end, so that the archive holds what that needs. */
-    private static void rehearse() throws InterruptedException {
+    private static void trainArchive() throws InterruptedException {
         onHangUp();
         LaunchConfig launch = LaunchConfig.read(System.getenv());
         OperatorConfig operator = OperatorConfig.read(System.getenv(), launch);
--- a/src/main/java/wallmoor/cli/Commands.java
+++ b/src/main/java/wallmoor/cli/Commands.java
@@ -39,11 +39,12 @@
     @Command(name = "serve", description = "Serve as a gatherer; ROUTER_CONFIG and WALLMOOR_OPERATOR name its files.")
     private static final class Serve extends Plain {}
 
-    @Command(name = "drill", description = "Speak the simulator's wire on standard streams.")
-    private static final class Drill extends Plain {}
+    @Command(name = "simulate", aliases = "drill", description = "Speak the simulator's wire on standard streams.")
+    private static final class Simulate extends Plain {}
 
-    @Command(name = "rehearse", description = "Load what serving needs and end, for an archive of classes.")
-    private static final class Rehearse extends Plain {}
+    @Command(name = "train-archive", aliases = "rehearse",
+            description = "Load what serving needs and end, for an archive of classes.")
+    private static final class TrainArchive extends Plain {}
 
     /** A command that takes no options, or it would not have come here. */
     private abstract static class Plain implements Callable<Integer> {
@@ -58,7 +59,7 @@
 
     /** Runs a command line and returns its exit code. */
     public static int run(String... args) {
-        return new CommandLine(new Commands()).addSubcommand(new Serve()).addSubcommand(new Drill())
-                .addSubcommand(new Rehearse()).execute(args);
+        return new CommandLine(new Commands()).addSubcommand(new Serve()).addSubcommand(new Simulate())
+                .addSubcommand(new TrainArchive()).execute(args);
     }
 }
