--- a/src/main/java/wallmoor/peers/Dissemination.java
+++ b/src/main/java/wallmoor/peers/Dissemination.java
@@ -30,7 +30,7 @@
         this.sender = sender;
     }
 
-    /** Has others told of it. */
+    /** Queues an update for others. */
     void enqueue(MembershipUpdate update) {
         queue.enqueue(new DisseminationQueue.Topic(update.name(), update instanceof Suspicion));
     }
--- a/src/main/java/wallmoor/peers/GroupMembership.java
+++ b/src/main/java/wallmoor/peers/GroupMembership.java
@@ -16,9 +16,9 @@
  * numbers waits longer for an answer (Lifeguard; {@link LocalHealth}).
  */
 public final class GroupMembership implements MembershipProtocol {
-    /** Leaving is told to so many for each ring: that some of them hear it is enough. */
+    /** Others that are notified of leaving, for each ring: that some of them hear it is enough. */
     private static final int LEAVE_NOTICES_PER_RING = 4;
-    /** What a larger message brought is not told on by gossip: others that lack it exchange digests as well. */
+    /** What a larger message brought is not gossiped on: others that lack it exchange digests as well. */
     private static final int MAX_UPDATES_DISSEMINATED = 200;
 
     private final MembershipParameters parameters;
--- a/src/main/java/wallmoor/peers/MembershipTable.java
+++ b/src/main/java/wallmoor/peers/MembershipTable.java
@@ -92,7 +92,7 @@
 
     private void updateRejoining(MemberEntry entry, Announcement next, long now) {
         Announcement known = entry.announcement();
-        if (next.bootId() != known.bootId() || next.left()) { // a process that has just started was never unheard
+        if (next.bootId() != known.bootId() || next.left()) { // a process that has just started was never silent
             entry.endRejoining();
             rejoining.remove(entry.name());
         } else if ((entry.isRemoved() && !known.left()) || entry.isRejoining()) {
--- a/src/main/java/wallmoor/peers/Refutation.java
+++ b/src/main/java/wallmoor/peers/Refutation.java
@@ -40,7 +40,7 @@
     /**
      * Takes an update about this member.
      *
-     * @param disseminate whether a new incarnation is to be told to others by gossip
+     * @param disseminate whether a new incarnation is to be gossiped to others
      */
     void onUpdateAboutSelf(long now, MembershipUpdate update, boolean disseminate) {
         if (update.incarnation() < self.incarnation()) {
--- a/src/main/java/wallmoor/peers/UpdateProcessor.java
+++ b/src/main/java/wallmoor/peers/UpdateProcessor.java
@@ -3,7 +3,7 @@
 import wallmoor.peers.MembershipUpdate.Announcement;
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
-/** Takes in what others say of members, and what this one reports itself; what was news is told on. */
+/** Merges what others say of members, and what this one reports itself; what was news is disseminated. */
 final class UpdateProcessor {
     private final LocalIdentity self;
     private final MembershipTable table;
@@ -24,7 +24,7 @@
     /**
      * Takes in an update that another member sent.
      *
-     * @param disseminate whether what is news by it is to be told to others by gossip
+     * @param disseminate whether what is news by it is to be gossiped to others
      */
     void process(long now, MembershipUpdate update, boolean disseminate) {
         if (update.name().equals(self.name())) {
--- a/src/test/java/wallmoor/peers/DeafMembersTest.java
+++ b/src/test/java/wallmoor/peers/DeafMembersTest.java
@@ -17,7 +17,7 @@
 import wallmoor.simulation.GroupSimulation;
 
 /**
- * Members that hear nobody and accuse all: the others keep their quorum and each other; and what a cut is stays a cut.
+ * Members that hear nobody and suspect all: the others keep their quorum and each other; and what a cut is stays a cut.
  */
 class DeafMembersTest {
     private static final long SECOND = 1_000_000;
--- a/src/test/java/wallmoor/peers/GroupMembershipPropertiesTest.java
+++ b/src/test/java/wallmoor/peers/GroupMembershipPropertiesTest.java
@@ -99,7 +99,7 @@
     }
 
     /**
-     * In a large group a few that are cut off doubt but those that they observe: what they don't hear of counts as
+     * In a large group a few that are cut off suspect but those that they observe: what they don't hear of counts as
      * little.
      */
     @Example
@@ -116,8 +116,8 @@
 
     /**
      * Four and a half intervals after a cut nobody on the smaller side holds a quorum, though a tenth of all is lost.
-     * Before members with silent ones beside them had to know the same as another, and told each other in turn, a piece
-     * of news might be told to one of three alone: the draws 0 (nothing lost), 101 and 118 held theirs for more than
+     * Before members with silent ones beside them had to know the same as another, and gossiped to each in turn, an
+     * update might be sent to one of three alone: the draws 0 (nothing lost), 101 and 118 held theirs for more than
      * eight.
      */
     @Example
@@ -144,9 +144,9 @@
         }
     }
 
-    /** One that hears nobody and accuses all: it alone has no quorum for it. */
+    /** One that hears nobody and suspects all: it alone has no quorum for it. */
     @Example
-    void oneThatAccusesAllTakesNobodysQuorum() {
+    void oneThatSuspectsAllTakesNobodysQuorum() {
         GroupSimulation group = started(12, 6);
         group.setLink((from, to, now, r) -> to == 3 && r.nextDouble() < 0.97 ? -1 : 2_000);
         for (int s = 0; s < 60; s++) {
@@ -172,7 +172,8 @@
     }
 
     /**
-     * One that hears of each doubt and says through a single other that it is there, while its observers never hear it.
+     * One that hears of each suspicion and says through a single other that it is there, while its observers never hear
+     * it.
      */
     @Example
     void oneThatIsHeardByOneAloneIsCutForAllItsRefutations() {
@@ -194,7 +195,7 @@
         assertTrue(group.runUntilConverged(20 * SECOND) >= 0, group.view(1).toString());
     }
 
-    /** What fails together goes together, in one or two changes everywhere and not one for each that doubts. */
+    /** What fails together goes together, in one or two changes everywhere and not one for each that suspects. */
     @Example
     void manyKilledAtOnceAreFewChanges() {
         GroupSimulation group = started(40, 12);
@@ -230,15 +231,16 @@
     @Example
     void noDeadMemberIsBackByAnOldMessage() {
         GroupSimulation group = started(5, 4);
-        long life = group.view(0).members().stream().filter(m -> m.name().equals("m4")).findFirst().orElseThrow()
+        long incarnation = group.view(0).members().stream().filter(m -> m.name().equals("m4")).findFirst().orElseThrow()
                 .incarnation();
         group.kill(4);
         assertTrue(group.runUntilConverged(20 * SECOND) >= 0);
-        var said = new MembershipUpdate.Announcement("m4", "a4", life, life, false);
+        var announced = new MembershipUpdate.Announcement("m4", "a4", incarnation, incarnation, false);
         for (int i = 0; i < 4; i++) {
             group.deliver(i,
-                    new GroupMessage(GroupMessage.MessageKind.PROBE, said, 7, null, 0, List.of(), List.of(said)));
-            group.deliver(i, new GroupMessage(GroupMessage.MessageKind.UPDATES, said, 0, null, 0, List.of(),
+                    new GroupMessage(GroupMessage.MessageKind.PROBE, announced, 7, null, 0, List.of(),
+                            List.of(announced)));
+            group.deliver(i, new GroupMessage(GroupMessage.MessageKind.UPDATES, announced, 0, null, 0, List.of(),
                     List.of(new MembershipUpdate.Suspicion("m0", 0, "m4", 9, true))));
         }
         group.run(10 * SECOND);
@@ -270,7 +272,7 @@
         }
     }
 
-    /** A life begun by a process that left is not ended by its own notice. */
+    /** An incarnation begun by a process that left is not ended by its own notice. */
     @Example
     void whoLeftComesBackAndATwinYields() {
         GroupSimulation group = started(5, 9);
--- a/src/test/java/wallmoor/peers/udp/GoldenMessagesTest.java
+++ b/src/test/java/wallmoor/peers/udp/GoldenMessagesTest.java
@@ -31,61 +31,64 @@
  */
 class GoldenMessagesTest {
     private static final String INSTALLATION = "khi";
-    private static final int GROUPS = 64;
+    private static final int BUCKETS = 64;
     private static final int ACCEPT_MILLIS = 20_000;
     /** Beyond 32 bits, as a start on the wall clock in microseconds is. */
-    private static final long BOOT = 1_764_686_400_123_456L;
+    private static final long BOOT_ID = 1_764_686_400_123_456L;
 
     private static final MembershipUpdate.Announcement SENDER = new MembershipUpdate.Announcement("gatherer-1",
-            "10.0.0.1:7946", BOOT, BOOT + 2, false);
+            "10.0.0.1:7946", BOOT_ID, BOOT_ID + 2, false);
     private static final MembershipUpdate.Announcement OTHER = new MembershipUpdate.Announcement("gatherer-2",
-            "10.0.0.2:7946", BOOT + 9, BOOT + 9, false);
+            "10.0.0.2:7946", BOOT_ID + 9, BOOT_ID + 9, false);
     private static final MembershipUpdate.Announcement LEFT = new MembershipUpdate.Announcement("gatherer-3",
             "10.0.0.3:7946", 7, 23, true);
-    private static final MembershipUpdate.Suspicion DOUBT = new MembershipUpdate.Suspicion("gatherer-2", BOOT + 9,
-            "gatherer-1", BOOT + 40, true);
-    private static final MembershipUpdate.Suspicion OTHERS_DOUBT = new MembershipUpdate.Suspicion("gatherer-2",
-            BOOT + 9, "gatherer-4", 24, true);
+    private static final MembershipUpdate.Suspicion SUSPICION = new MembershipUpdate.Suspicion("gatherer-2",
+            BOOT_ID + 9,
+            "gatherer-1", BOOT_ID + 40, true);
+    private static final MembershipUpdate.Suspicion OTHERS_SUSPICION = new MembershipUpdate.Suspicion("gatherer-2",
+            BOOT_ID + 9, "gatherer-4", 24, true);
     private static final MembershipUpdate.Suspicion ENDED = new MembershipUpdate.Suspicion("gatherer-5", 255,
             "gatherer-1", 256, false);
 
     /** By the file's name. */
     private static Map<String, GroupMessage> messages() {
-        List<Long> digests = LongStream.range(0, GROUPS).map(i -> (i - 3) * 0x9e3779b97f4a7c15L).boxed().toList();
+        List<Long> digests = LongStream.range(0, BUCKETS).map(i -> (i - 3) * 0x9e3779b97f4a7c15L).boxed().toList();
         var all = new LinkedHashMap<String, GroupMessage>();
         all.put("probe",
-                new GroupMessage(GroupMessage.MessageKind.PROBE, SENDER, BOOT + 41, null, -2, List.of(), List.of()));
+                new GroupMessage(GroupMessage.MessageKind.PROBE, SENDER, BOOT_ID + 41, null, -2, List.of(), List.of()));
         all.put("probe-with-news",
                 new GroupMessage(GroupMessage.MessageKind.PROBE, SENDER, 1, null, Long.MIN_VALUE, List.of(),
-                        List.of(OTHER, DOUBT, OTHERS_DOUBT, ENDED, LEFT)));
+                        List.of(OTHER, SUSPICION, OTHERS_SUSPICION, ENDED, LEFT)));
         all.put("ack",
-                new GroupMessage(GroupMessage.MessageKind.ACK, SENDER, BOOT + 41, null, 0, List.of(), List.of(OTHER)));
+                new GroupMessage(GroupMessage.MessageKind.ACK, SENDER, BOOT_ID + 41, null, 0, List.of(),
+                        List.of(OTHER)));
         all.put("ack-relayed",
                 new GroupMessage(GroupMessage.MessageKind.ACK, SENDER, 23, "gatherer-2", Long.MAX_VALUE, List.of(),
                         List.of()));
         all.put("ask", new GroupMessage(GroupMessage.MessageKind.INDIRECT_PROBE, SENDER, 24, "gatherer-2", 5, List.of(),
-                List.of(DOUBT)));
+                List.of(SUSPICION)));
         all.put("exchange",
                 new GroupMessage(GroupMessage.MessageKind.DIGEST, SENDER, 0, null, -1, digests, List.of(OTHER)));
         all.put("exchange-asked-back",
                 new GroupMessage(GroupMessage.MessageKind.DIGEST, SENDER, 1, null, -1, digests, List.of()));
         all.put("table", new GroupMessage(GroupMessage.MessageKind.UPDATES, SENDER, 0, null, 100, List.of(),
-                List.of(SENDER, OTHER, DOUBT, OTHERS_DOUBT, LEFT, ENDED)));
+                List.of(SENDER, OTHER, SUSPICION, OTHERS_SUSPICION, LEFT, ENDED)));
         return all;
     }
 
     /** More than a datagram holds. */
     private static GroupMessage largeTable() {
-        var news = new ArrayList<MembershipUpdate>();
+        var updates = new ArrayList<MembershipUpdate>();
         for (int i = 0; i < 24; i++) {
-            news.add(new MembershipUpdate.Announcement("gatherer-" + i, "10.0.0." + i + ":7946", BOOT + i,
-                    BOOT + 2L * i, i % 5 == 4));
+            updates.add(new MembershipUpdate.Announcement("gatherer-" + i, "10.0.0." + i + ":7946", BOOT_ID + i,
+                    BOOT_ID + 2L * i, i % 5 == 4));
             if (i % 3 == 0) {
-                news.add(new MembershipUpdate.Suspicion("gatherer-" + i, BOOT + 2L * i, "gatherer-1", i, true));
-                news.add(new MembershipUpdate.Suspicion("gatherer-" + i, BOOT + 2L * i, "gatherer-2", i, i % 2 == 0));
+                updates.add(new MembershipUpdate.Suspicion("gatherer-" + i, BOOT_ID + 2L * i, "gatherer-1", i, true));
+                updates.add(
+                        new MembershipUpdate.Suspicion("gatherer-" + i, BOOT_ID + 2L * i, "gatherer-2", i, i % 2 == 0));
             }
         }
-        return new GroupMessage(GroupMessage.MessageKind.UPDATES, SENDER, 0, null, 3, List.of(), news);
+        return new GroupMessage(GroupMessage.MessageKind.UPDATES, SENDER, 0, null, 3, List.of(), updates);
     }
 
     private static byte[] golden(String name) throws IOException {
@@ -98,32 +101,33 @@
 
     @Test
     void eachKindOfDatagramIsReadAndWrittenAsItWas() throws Exception {
-        var wire = new GroupMessageCodec(INSTALLATION);
+        var codec = new GroupMessageCodec(INSTALLATION);
         var kinds = EnumSet.noneOf(GroupMessage.MessageKind.class);
         for (var message : messages().entrySet()) {
             byte[] bytes = golden(message.getKey());
             assertTrue(bytes.length <= GroupMessageCodec.MAX_DATAGRAM_BYTES, message.getKey());
-            assertEquals(message.getValue(), wire.decode(bytes, bytes.length, GroupMessageCodec.MAX_DATAGRAM_BYTES),
+            assertEquals(message.getValue(), codec.decode(bytes, bytes.length, GroupMessageCodec.MAX_DATAGRAM_BYTES),
                     message.getKey());
-            assertArrayEquals(bytes, wire.encode(message.getValue()), message.getKey());
+            assertArrayEquals(bytes, codec.encode(message.getValue()), message.getKey());
             kinds.add(message.getValue().kind());
         }
         assertEquals(EnumSet.allOf(GroupMessage.MessageKind.class), kinds);
     }
 
-    /** Of news that no datagram holds the last ones are left out. */
+    /** Of updates that no datagram holds the last ones are left out. */
     @Test
-    void aDatagramThatIsTooLongLosesItsLastNewsAsItDid() throws Exception {
-        var news = new ArrayList<MembershipUpdate>();
+    void aDatagramThatIsTooLongLosesItsLastUpdatesAsItDid() throws Exception {
+        var updates = new ArrayList<MembershipUpdate>();
         IntStream.range(0, 40).forEach(
-                i -> news.add(new MembershipUpdate.Announcement("gatherer-" + i, "10.0.0.9:7946", BOOT, i, false)));
+                i -> updates
+                        .add(new MembershipUpdate.Announcement("gatherer-" + i, "10.0.0.9:7946", BOOT_ID, i, false)));
         byte[] bytes = golden("ack-cut");
-        var whole = new GroupMessage(GroupMessage.MessageKind.ACK, SENDER, 9, null, 8, List.of(), news);
+        var whole = new GroupMessage(GroupMessage.MessageKind.ACK, SENDER, 9, null, 8, List.of(), updates);
         assertArrayEquals(bytes, new GroupMessageCodec(INSTALLATION).encode(whole));
         GroupMessage read = new GroupMessageCodec(INSTALLATION).decode(bytes, bytes.length,
                 GroupMessageCodec.MAX_DATAGRAM_BYTES);
-        assertEquals(news.subList(0, read.updates().size()), read.updates());
-        assertTrue(read.updates().size() < news.size());
+        assertEquals(updates.subList(0, read.updates().size()), read.updates());
+        assertTrue(read.updates().size() < updates.size());
     }
 
     /** A table by a connection: its length in four bytes, and the message. */
