--- a/src/main/java/wallmoor/cli/PlanLocation.java
+++ b/src/main/java/wallmoor/cli/PlanLocation.java
@@ -6,6 +6,7 @@
 import picocli.CommandLine.Option;
 import wallmoor.config.ConfigException;
 import wallmoor.config.LaunchConfig;
+import wallmoor.control.ControlClient;
 import wallmoor.migration.http.PlanControlClient;
 
 /** Options that say where the plan is kept: in a directory with one writer, or agreed on by all gatherers. */
