--- a/src/main/java/wallmoor/adapter/MessageLine.java
+++ b/src/main/java/wallmoor/adapter/MessageLine.java
@@ -9,6 +9,9 @@
 
 /** One line of the wire: a message's name and its values, taken in order. */
 final class MessageLine {
+    /** Stands for a value that was not given. */
+    static final String ABSENT = "-";
+
     final String name;
     private final long number;
     private final String[] values;
@@ -37,7 +40,7 @@
         if (value.isEmpty()) {
             throw malformed(field, "is empty");
         }
-        return value.equals("-") ? null : value;
+        return value.equals(ABSENT) ? null : value;
     }
 
     long longValue(String field) {
@@ -97,7 +100,7 @@
         }
         String[] cells = row.split(",", -1);
         for (int i = 0; i < Math.min(cells.length, columns.size()); i++) {
-            if (!cells[i].isEmpty() && !cells[i].equals("-")) {
+            if (!cells[i].isEmpty() && !cells[i].equals(ABSENT)) {
                 try {
                     figures.put(columns.get(i), Double.parseDouble(cells[i]));
                 } catch (NumberFormatException e) {
--- a/src/main/java/wallmoor/frames/FrameReader.java
+++ b/src/main/java/wallmoor/frames/FrameReader.java
@@ -9,19 +9,19 @@
 
 /** Cuts what comes on a connection into frames. Bounded in bytes by the longest frame, and in time once one began. */
 final class FrameReader {
-    private static final int MOST_FRAME = 64 * 1024 + 1024;
+    private static final int MAX_FRAME_BYTES = 64 * 1024 + 1024;
     private static final int LENGTH_BYTES = 4;
-    private static final int FIRST_BUFFER = 4096;
-    /** A whole frame may take so many times as long as its worker may pause in it. */
-    private static final int PAUSES = 4;
+    private static final int INITIAL_BUFFER_BYTES = 4096;
+    /** A complete frame may take this many times as long as its worker may pause in it. */
+    private static final int MAX_PAUSES = 4;
 
     private final Socket socket;
     private final InputStream in;
     private final int pauseMillis;
-    private byte[] buffer = new byte[FIRST_BUFFER];
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int from;
     private int end;
-    /** When the first byte of the frame that is not whole yet was seen. */
+    /** When the first byte of the frame that is not complete yet was seen, by {@link System#nanoTime}. */
     private long begunAt;
 
     /** Reads from this socket; a frame that began to come in must go on coming within so many milliseconds. */
@@ -39,7 +39,7 @@
             int have = end - from;
             if (have > LENGTH_BYTES) {
                 int length = length();
-                if (length < 1 || length > MOST_FRAME) {
+                if (length < 1 || length > MAX_FRAME_BYTES) {
                     return null;
                 }
                 if (have >= LENGTH_BYTES + length) {
@@ -61,10 +61,10 @@
         end -= from;
         from = 0;
         boolean begun = end > 0;
-        if (begun && System.nanoTime() - begunAt > TimeUnit.MILLISECONDS.toNanos((long) PAUSES * pauseMillis)) {
+        if (begun && System.nanoTime() - begunAt > TimeUnit.MILLISECONDS.toNanos((long) MAX_PAUSES * pauseMillis)) {
             return false;
         }
-        int wanted = end >= LENGTH_BYTES ? LENGTH_BYTES + Math.min(MOST_FRAME, Math.max(1, length()))
+        int wanted = end >= LENGTH_BYTES ? LENGTH_BYTES + Math.min(MAX_FRAME_BYTES, Math.max(1, length()))
                 : LENGTH_BYTES + 1;
         if (wanted > buffer.length) {
             buffer = Arrays.copyOf(buffer, wanted);
@@ -84,7 +84,7 @@
     private int length() {
         int length = 0;
         for (int i = from; i < from + LENGTH_BYTES; i++) {
-            length = length << 8 | buffer[i] & 0xff;
+            length = (length << Byte.SIZE) | (buffer[i] & 0xff);
         }
         return length;
     }
--- a/src/main/java/wallmoor/frames/WorkerConnectionPool.java
+++ b/src/main/java/wallmoor/frames/WorkerConnectionPool.java
@@ -1,16 +1,10 @@
 package wallmoor.frames;
 
-import java.net.Socket;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLong;
-import java.util.function.BiConsumer;
-import java.util.function.Supplier;
 import wallmoor.config.ConfigException;
-import wallmoor.config.LaunchConfig;
 import wallmoor.core.Attempt;
 import wallmoor.core.AttemptOutcome;
 import wallmoor.core.Gatherer;
@@ -18,48 +12,26 @@
 import wallmoor.core.WorkerTransport;
 import wallmoor.http.Threads;
 
-/** The connections to all workers: a set for each, opened as its streams fill up. */
+/**
+ * The connections to all workers: a few for each, opened as those before are full. Its own lock guards which
+ * connections there are; a connection's lock may be taken under it, never the other way round, and the gatherer's lock
+ * is not taken under it.
+ */
 public final class WorkerConnectionPool implements WorkerTransport {
-    /** Connections to one worker at most: each holds up to the streams limit, so that a few carry all. */
-    private static final int MOST_CONNECTIONS = 4;
-    /** A connection to a worker is silent after this share of the shortest aim: the module calls a part late then. */
-    private static final int SILENT_SHARE = 5;
-
-    /**
-     * What the settings say of connections.
-     *
-     * @param maxInFlight         parts at once on one connection
-     * @param idleTimeoutNanos     an idle connection is closed after this time, before its worker would
-     * @param silenceTimeoutNanos     a connection on which nothing has come for this long since a part was written is
-     *                                silent
-     * @param maxConnections to all workers together
-     * @param onConnectResult           told of each connection that came up or did not, with the worker's id
-     */
-    public record ConnectionLimits(int maxInFlight, int connectMillis, long idleTimeoutNanos, long silenceTimeoutNanos,
-            int maxConnections,
-            Supplier<Socket> sockets, BiConsumer<String, Boolean> onConnectResult) {
-
-        /** What a configuration says. */
-        public static ConnectionLimits of(LaunchConfig launch, Supplier<Socket> sockets,
-                BiConsumer<String, Boolean> reach) {
-            long retire = Math.max(launch.connIdleMillis() / 2, launch.connIdleMillis() - 1500);
-            long silent = launch.settings().classes().stream().mapToLong(c -> c.latencyObjective()).min()
-                    .orElse(1_000_000) * 1000
-                    / SILENT_SHARE;
-            return new ConnectionLimits(launch.streams(), launch.connectMillis(), TimeUnit.MILLISECONDS.toNanos(retire),
-                    silent,
-                    launch.mostWorkerConnections(), sockets, reach);
-        }
-    }
+    /** Connections to one worker at most: each has many parts in flight, so that a few carry all. */
+    private static final int MAX_CONNECTIONS_PER_WORKER = 4;
+    /** How often connections are looked at that may no longer take what is written. */
+    private static final long WATCH_MILLIS = 250;
 
     private final Gatherer gatherer;
     private final ConnectionLimits limits;
-    private final Map<String, List<WorkerConnection>> links = new HashMap<>();
-    private final AtomicLong numbers = new AtomicLong();
+    private final Map<String, List<WorkerConnection>> byWorkerId = new HashMap<>();
     private final Thread watch;
-    private int open;
+    /** The number of connections whose writer has not ended. */
+    private int openConnections;
+    private long lastNumber;
 
-    /** Links for a gatherer's parts; none is open yet. */
+    /** A pool for a gatherer's parts, without connections. */
     public WorkerConnectionPool(Gatherer gatherer, ConnectionLimits limits) {
         this.gatherer = gatherer;
         this.limits = limits;
@@ -69,101 +41,131 @@
     /** Closes all connections, and takes no more calls. */
     public synchronized void close() {
         watch.interrupt();
-        links.values().forEach(l -> l.forEach(WorkerConnection::close));
-        links.clear();
+        for (List<WorkerConnection> connections : byWorkerId.values()) {
+            connections.forEach(WorkerConnection::close);
+        }
+        byWorkerId.clear();
     }
 
     @Override
     public void send(Step.Send send) {
-        WorkerConnection fresh = null;
-        AttemptOutcome otherwise = AttemptOutcome.NOT_SENT; // our own bound: no worker is to blame
+        WorkerConnection opened = null;
+        AttemptOutcome unplaced = AttemptOutcome.NOT_SENT; // the bound is ours: no worker is to blame
         synchronized (this) {
-            List<WorkerConnection> connections = links.computeIfAbsent(send.worker().id(), id -> new ArrayList<>());
-            String address = send.worker().address();
-            connections.stream().filter(c -> !c.hasAddress(address)).forEach(WorkerConnection::drain);
-            if (send.closeIdleFirst()) {
-                connections.forEach(WorkerConnection::closeIfIdle);
-            }
-            connections.removeIf(WorkerConnection::isClosed);
-            for (WorkerConnection c : connections) {
-                if (c.offer(send, false)) {
-                    return;
-                }
+            List<WorkerConnection> connections = connectionsFor(send);
+            if (offerToOne(connections, send, false)) {
+                return;
             }
-            if (connections.size() < MOST_CONNECTIONS && open < limits.maxConnections()) {
+            if (connections.size() < MAX_CONNECTIONS_PER_WORKER && openConnections < limits.maxConnections()) {
                 try {
-                    fresh = new WorkerConnection(gatherer, limits, "worker-" + numbers.incrementAndGet(),
-                            send.worker());
-                    if (fresh.offer(send, false)) {
-                        connections.add(fresh);
-                        open++;
-                    } else {
-                        fresh = null;
-                    }
-                } catch (ConfigException e) {
-                    fresh = null; // discovery gave no address that can be connected to
-                    otherwise = AttemptOutcome.CONNECT_FAILED;
+                    opened = open(connections, send);
+                } catch (ConfigException e) { // the endpoint list has no address that can be connected to
+                    unplaced = AttemptOutcome.CONNECT_FAILED;
                 }
             }
-            if (fresh == null && connections.stream().anyMatch(c -> c.offer(send, true))) {
+            if (opened == null && offerToOne(connections, send, true)) {
                 return;
             }
         }
-        if (fresh == null || !start(fresh)) {
-            var ended = new HashMap<Attempt, AttemptOutcome>();
-            for (Attempt attempt : send.attempts()) {
-                ended.put(attempt, otherwise);
+        if (opened == null || !start(opened)) {
+            reportUnplaced(send, unplaced);
+        }
+    }
+
+    /** The connections that a call may take; those to an address that its worker had before take nothing more. */
+    private List<WorkerConnection> connectionsFor(Step.Send send) {
+        List<WorkerConnection> connections = byWorkerId.computeIfAbsent(send.worker().id(), id -> new ArrayList<>());
+        String address = send.worker().address();
+        for (WorkerConnection connection : connections) {
+            if (!connection.hasAddress(address)) {
+                connection.drain();
             }
-            gatherer.report(ended);
         }
+        if (send.closeIdleFirst()) {
+            connections.forEach(WorkerConnection::closeIfIdle);
+        }
+        connections.removeIf(WorkerConnection::isClosed);
+        return connections;
     }
 
+    private static boolean offerToOne(List<WorkerConnection> connections, Step.Send send, boolean evenUnhealthy) {
+        for (WorkerConnection connection : connections) {
+            if (connection.offer(send, evenUnhealthy)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Makes another connection that takes this call, or null if that can't take it either. */
+    private WorkerConnection open(List<WorkerConnection> connections, Step.Send send) {
+        var connection = new WorkerConnection(gatherer, limits, "worker-" + ++lastNumber, send.worker());
+        if (!connection.offer(send, false)) {
+            return null;
+        }
+        connections.add(connection);
+        openConnections++;
+        return connection;
+    }
+
+    /** Starts the thread of a new connection; false if there is no memory for it. */
     private boolean start(WorkerConnection connection) {
         try {
-            Threads.start(connection.name() + "-write", () -> connection.run(this::freePlace));
+            Threads.start(connection.name() + "-write", () -> connection.run(this::releasePlace));
             return true;
         } catch (OutOfMemoryError e) {
-            freePlace();
+            releasePlace();
             synchronized (this) {
-                links.values().forEach(l -> l.remove(connection));
+                byWorkerId.values().forEach(connections -> connections.remove(connection));
             }
             return false;
         }
     }
 
-    private synchronized void freePlace() {
-        open--;
+    private synchronized void releasePlace() {
+        openConnections--;
+    }
+
+    private void reportUnplaced(Step.Send send, AttemptOutcome outcome) {
+        var ended = new HashMap<Attempt, AttemptOutcome>();
+        for (Attempt attempt : send.attempts()) {
+            ended.put(attempt, outcome);
+        }
+        gatherer.report(ended);
     }
 
     @Override
     public void cancel(Step.Cancel cancel) {
         List<WorkerConnection> connections;
         synchronized (this) {
-            connections = List.copyOf(links.getOrDefault(cancel.attempt().worker().id(), List.of()));
+            connections = List.copyOf(byWorkerId.getOrDefault(cancel.attempt().worker().id(), List.of()));
         }
-        for (WorkerConnection c : connections) {
-            if (c.cancel(cancel.attempt(), cancel.outcome())) {
+        for (WorkerConnection connection : connections) {
+            if (connection.cancel(cancel.attempt(), cancel.outcome())) {
                 return;
             }
         }
-        // not on any connection: it is being reported by one that has ended, and only the first report counts
+        // on no connection: one that has ended is reporting it, and only the first report counts
         gatherer.report(cancel.attempt(), cancel.outcome(), null);
     }
 
     private void watch() {
         try {
             while (true) {
-                Thread.sleep(250);
-                List<WorkerConnection> all = new ArrayList<>();
-                synchronized (this) { // new workers come all day: nothing is kept of those that went
-                    links.values().forEach(l -> l.removeIf(WorkerConnection::isClosed));
-                    links.values().removeIf(List::isEmpty);
-                    links.values().forEach(all::addAll);
-                }
-                all.forEach(WorkerConnection::closeIfStuck);
+                Thread.sleep(WATCH_MILLIS);
+                openNow().forEach(WorkerConnection::closeIfStuck);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
+
+    /** The connections that are open; forgets the others, and workers without any, as new workers come all day. */
+    private synchronized List<WorkerConnection> openNow() {
+        var open = new ArrayList<WorkerConnection>();
+        byWorkerId.values().forEach(connections -> connections.removeIf(WorkerConnection::isClosed));
+        byWorkerId.values().removeIf(List::isEmpty);
+        byWorkerId.values().forEach(open::addAll);
+        return open;
+    }
 }
--- a/src/main/java/wallmoor/metrics/package-info.java
+++ b/src/main/java/wallmoor/metrics/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The one place that counts. No I/O and no clock; it knows nothing of who asks for the figures or how they are told.
+ * Counts what becomes of queries, for the operators' address. No I/O and no clock; it knows nothing of who reads the
+ * metrics.
  */
 package wallmoor.metrics;
--- a/src/main/java/wallmoor/service/CalendarNodes.java
+++ b/src/main/java/wallmoor/service/CalendarNodes.java
@@ -14,6 +14,7 @@
 import wallmoor.core.WorkerEndpoint;
 import wallmoor.core.WorkerTransport;
 import wallmoor.discovery.DiscoveryWatch;
+import wallmoor.frames.ConnectionLimits;
 import wallmoor.frames.WorkerConnectionPool;
 import wallmoor.http.Threads;
 import wallmoor.json.Json;
@@ -39,7 +40,7 @@
         list = operator == null || !operator.list().enabled() ? null : new DiscoveryWatch(launch, gatherer);
         sources = operator == null ? null : Sources.of(operator, launch, clock, gatherer, list);
         boolean listAlone = operator == null || operator.listAlone();
-        links = new WorkerConnectionPool(gatherer, WorkerConnectionPool.ConnectionLimits.of(launch, sockets,
+        links = new WorkerConnectionPool(gatherer, ConnectionLimits.of(launch, sockets,
                 listAlone ? (id, up) -> {} : sources.membership()::reportConnection));
     }
 
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -4,7 +4,6 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.slf4j.Marker;
@@ -83,7 +82,7 @@
         inForce = new EffectiveSettings(launch, nodes.gatherer().control()::updateSettings,
                 () -> acting.effectiveRule("settings"),
                 line -> log.info(STATE, line));
-        Consumer<String> platformLog = LoggerFactory.getLogger(PlatformFront.class)::info;
+        Logger platformLog = LoggerFactory.getLogger(PlatformFront.class);
         platform = held == null
                 ? new PlatformFront(launch, inForce::launch, clock, nodes.gatherer(), nodes.workers(), platformLog)
                 : new PlatformFront(launch, inForce::launch, clock, nodes.gatherer(), nodes.workers(), platformLog,
--- a/src/main/java/wallmoor/service/WarmUp.java
+++ b/src/main/java/wallmoor/service/WarmUp.java
@@ -12,6 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import org.slf4j.helpers.NOPLogger;
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.MonotonicClock;
 import wallmoor.core.WorkerEndpoint;
@@ -66,7 +67,7 @@
             client.joined(served);
             var clock = new MonotonicClock();
             nodes = CalendarNodes.without(launch, clock, Worker::new, members);
-            new PlatformFront(launch, () -> launch, clock, nodes.gatherer(), nodes.workers(), line -> {},
+            new PlatformFront(launch, () -> launch, clock, nodes.gatherer(), nodes.workers(), NOPLogger.NOP_LOGGER,
                     ConnectionAcceptor.at(null)).serve(served);
             var in = new HttpReader(client);
             for (; answered < queries && System.nanoTime() < until; answered++) {
--- a/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
+++ b/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
@@ -96,7 +96,7 @@
     /** Starts the links, with these workers in the list; they are named a, b and so on. */
     void start(ManualWorker... workers) {
         links = new WorkerConnectionPool(gatherer,
-                new WorkerConnectionPool.ConnectionLimits(streams, connectMillis, retireNanos, silentNanos,
+                new ConnectionLimits(streams, connectMillis, retireNanos, silentNanos,
                         mostConnections, this::socket, (id, up) -> log.add("reach " + id + " " + up)));
         var members = new ArrayList<WorkerEndpoint>();
         for (int i = 0; i < workers.length; i++) {
