--- a/src/main/java/wallmoor/cli/RebalanceStartCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceStartCommand.java
@@ -97,7 +97,7 @@
                 break;
             }
         }
-        try (var plan = new ConsensusPlanStore(port, System.err::println)) {
+        try (var plan = new ConsensusPlanStore(port, RebalanceStartCommand::report)) {
             return carry(whole, plan);
         }
     }
@@ -125,12 +125,17 @@
                 micros(c.settleMillis()),
                 micros(c.patienceMillis()), micros(c.againMillis()));
         System.out.println(
-                new MigrationRunner(new MigrationCoordinator(settings), plan, c.addresses(), System.err::println).run()
+                new MigrationRunner(new MigrationCoordinator(settings), plan, c.addresses(),
+                        RebalanceStartCommand::report).run()
                         .name()
                         .toLowerCase(Locale.ROOT));
         return 0;
     }
 
+    private static void report(String line) {
+        System.err.println(line);
+    }
+
     private static long micros(long millis) {
         return TimeUnit.MILLISECONDS.toMicros(millis);
     }
--- a/src/main/java/wallmoor/client/HttpDevice.java
+++ b/src/main/java/wallmoor/client/HttpDevice.java
@@ -51,7 +51,6 @@
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         String etag;
         String coding = "";
-        int status;
     }
 
     /** Asks, or asks only for the outcome where {@code query} is null; returns when it is learnt or patience ends. */
--- a/src/main/java/wallmoor/config/ConfigSection.java
+++ b/src/main/java/wallmoor/config/ConfigSection.java
@@ -249,7 +249,7 @@
                 int least = MOST_EDITS + 1;
                 for (String known : read) {
                     int d = distance.apply(key, known);
-                    if (d >= 0 && (d < least || d == least && known.compareTo(near) < 0)) {
+                    if (d >= 0 && (d < least || (d == least && known.compareTo(near) < 0))) {
                         least = d;
                         near = known;
                     }
--- a/src/main/java/wallmoor/config/LaunchConfig.java
+++ b/src/main/java/wallmoor/config/LaunchConfig.java
@@ -218,8 +218,8 @@
     /** Numbers with dots, brackets round those of IPv6, or this machine; no pattern, as that costs each start. */
     private static boolean isHost(String host) {
         return host.equals("localhost") || only(DIGITS + ".", host, 0, host.length())
-                || host.startsWith("[") && host.endsWith("]")
-                        && only(DIGITS + "abcdefABCDEF:.", host, 1, host.length() - 1);
+                || (host.startsWith("[") && host.endsWith("]")
+                        && only(DIGITS + "abcdefABCDEF:.", host, 1, host.length() - 1));
     }
 
     /** Whether there is something between these places, and nothing but these signs. */
--- a/src/main/java/wallmoor/config/MaintenanceFile.java
+++ b/src/main/java/wallmoor/config/MaintenanceFile.java
@@ -39,7 +39,11 @@
 
     private MaintenanceFile() {}
 
-    /** All that a file says. @param at the time that is planned for, in milliseconds since 1970 */
+    /**
+     * All that a file says.
+     *
+     * @param at the time that is planned for, in milliseconds since 1970
+     */
     public record MaintenancePlanInput(long at, FleetSnapshot fleet, Budgets budgets,
             List<MaintenanceRequest> wishes) {}
 
@@ -65,7 +69,7 @@
             root.fault("budgets", "is absent");
         }
         List<BlockHolders> blocks = blocks(root, known);
-        List<MaintenanceRequest> wishes = wishes(root, known, budgets);
+        List<MaintenanceRequest> wishes = wishes(root, known);
         root.end();
         YamlFile.refuse(file, faults);
         return new MaintenancePlanInput(at, new FleetSnapshot(machines, blocks, List.of(), 0, true, ""), budgets,
@@ -158,7 +162,7 @@
         return blocks;
     }
 
-    private static List<MaintenanceRequest> wishes(ConfigSection root, Set<String> known, Budgets budgets) {
+    private static List<MaintenanceRequest> wishes(ConfigSection root, Set<String> known) {
         var wishes = new ArrayList<MaintenanceRequest>();
         Set<String> ids = new HashSet<>();
         Set<String> machines = new HashSet<>();
--- a/src/main/java/wallmoor/config/OgcConfig.java
+++ b/src/main/java/wallmoor/config/OgcConfig.java
@@ -98,7 +98,7 @@
             at.fault("shards", "is absent, empty or no list");
         }
         String source = at.text("source", id + "-" + SHARD);
-        if (!source.replace(SHARD, "").matches("[A-Za-z0-9._-]*") || shards.size() > 1 && !source.contains(SHARD)) {
+        if (!source.replace(SHARD, "").matches("[A-Za-z0-9._-]*") || (shards.size() > 1 && !source.contains(SHARD))) {
             at.fault("source", "must be a name with " + SHARD + ": " + source);
         }
         List<String> properties = at.texts("properties");
--- a/src/main/java/wallmoor/edge/coap/EdgeCoap.java
+++ b/src/main/java/wallmoor/edge/coap/EdgeCoap.java
@@ -275,7 +275,7 @@
         var answered = new AtomicBoolean();
         exchange.accept(); // an empty acknowledgement: the answer comes by itself
         CompletableFuture<StoredOutcome> out = desk.await(asked);
-        out.thenAccept(outcome -> {
+        var unusedStage = out.thenAccept(outcome -> {
             if (answered.compareAndSet(false, true)) {
                 desk.left(asked);
                 guarded(exchange, () -> {
@@ -287,7 +287,7 @@
                 });
             }
         });
-        waits.schedule(() -> {
+        var unusedTimer = waits.schedule(() -> {
             if (answered.compareAndSet(false, true)) {
                 desk.left(asked);
                 guarded(exchange, () -> problem(exchange, ResponseCode.CONTENT, "pending", 202, "no outcome yet",
--- a/src/main/java/wallmoor/edge/http/ByteRange.java
+++ b/src/main/java/wallmoor/edge/http/ByteRange.java
@@ -11,7 +11,7 @@
      * names another version: what broke off then belongs to something else.
      */
     static ByteRange of(String range, String ifRange, String etag, int length) {
-        if (range == null || ifRange != null && !ifRange.trim().equals(etag)) {
+        if (range == null || (ifRange != null && !ifRange.trim().equals(etag))) {
             return ALL;
         }
         String spec = range.trim();
--- a/src/main/java/wallmoor/http/HttpReader.java
+++ b/src/main/java/wallmoor/http/HttpReader.java
@@ -291,7 +291,7 @@
     private static boolean plain(String line, int colon) {
         for (int i = 0; i < line.length(); i++) {
             char c = line.charAt(i);
-            if (c < ' ' && c != '\t' || c == 127 || i < colon && (c <= ' ' || c > 126)) {
+            if ((c < ' ' && c != '\t') || c == 127 || (i < colon && (c <= ' ' || c > 126))) {
                 return false;
             }
         }
--- a/src/main/java/wallmoor/http/IncomingBytes.java
+++ b/src/main/java/wallmoor/http/IncomingBytes.java
@@ -37,7 +37,7 @@
 
     /** Takes what is there, which the peer said now; false if nothing more is wanted until it asks. */
     synchronized boolean add(ByteBuffer from) {
-        if (truncated || readingOn && waiting() >= MOST) {
+        if (truncated || (readingOn && waiting() >= MOST)) {
             truncated = true;
             return true;
         }
@@ -126,7 +126,7 @@
         try {
             while (at == end && !ended && !truncated && length > 0) {
                 long left = timeoutMillis == 0 ? 0 : TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime() + 999_999);
-                if (left < 0 || left == 0 && timeoutMillis != 0) {
+                if (left < 0 || (left == 0 && timeoutMillis != 0)) {
                     throw new SocketTimeoutException("nothing came in " + timeoutMillis + " ms");
                 }
                 wait(left);
--- a/src/main/java/wallmoor/idempotency/IdempotentRequests.java
+++ b/src/main/java/wallmoor/idempotency/IdempotentRequests.java
@@ -81,7 +81,7 @@
             }
         }
         // of one that may not repeat the outcome must have its place before anything runs
-        long wanted = IdempotencyLimits.RECORD_OVERHEAD_BYTES + (mayRepeat ? 0 : rules.maxOutcomeBytes());
+        long wanted = (long) IdempotencyLimits.RECORD_OVERHEAD_BYTES + (mayRepeat ? 0 : rules.maxOutcomeBytes());
         RequestDecision no = room(device, wanted);
         if (no != null) {
             return no;
@@ -141,7 +141,7 @@
                     "a body has " + rules.maxOutcomeBytes() + " bytes at most, and no more than it says");
         }
         RequestRecord known = uploads.get(key);
-        if (known == null || from == 0 && known.upload.length != most) {
+        if (known == null || (from == 0 && known.upload.length != most)) {
             if (from != 0) {
                 return new RequestDecision.More(0);
             }
--- a/src/main/java/wallmoor/json/Json.java
+++ b/src/main/java/wallmoor/json/Json.java
@@ -120,22 +120,15 @@
             throw bad("nested too deeply");
         }
         int c = peek();
-        switch (c) {
-            case '{' :
-                return object(depth);
-            case '[' :
-                return list(depth);
-            case '"' :
-                return string();
-            case 't' :
-                return word("true", Boolean.TRUE);
-            case 'f' :
-                return word("false", Boolean.FALSE);
-            case 'n' :
-                return word("null", null);
-            default :
-                return number();
-        }
+        return switch (c) {
+            case '{' -> object(depth);
+            case '[' -> list(depth);
+            case '"' -> string();
+            case 't' -> word("true", true);
+            case 'f' -> word("false", false);
+            case 'n' -> word("null", null);
+            default -> number();
+        };
     }
 
     private Obj object(int depth) throws Malformed {
@@ -221,7 +214,7 @@
     static boolean isNumber(String s) {
         int from = s.startsWith("-") ? 1 : 0;
         int i = pastDigits(s, from);
-        if (i == from || i > from + 1 && s.charAt(from) == '0') {
+        if (i == from || (i > from + 1 && s.charAt(from) == '0')) {
             return false;
         }
         if (i < s.length() && s.charAt(i) == '.') {
--- a/src/main/java/wallmoor/log/Logging.java
+++ b/src/main/java/wallmoor/log/Logging.java
@@ -59,7 +59,7 @@
         @Override
         public FilterReply decide(Marker marker, Logger logger, Level level, String format, Object[] params,
                 Throwable thrown) {
-            if (format == null || marker != null && marker.getName().equals(STATE)
+            if (format == null || (marker != null && marker.getName().equals(STATE))
                     || !level.isGreaterOrEqual(logger.getEffectiveLevel())) {
                 return FilterReply.NEUTRAL;
             }
--- a/src/main/java/wallmoor/service/Sources.java
+++ b/src/main/java/wallmoor/service/Sources.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Objects;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -74,7 +75,7 @@
         Dns other = changed.dns();
         if (other == null || dns == null || !other.names().equals(dns.names()) || other.mostAge() != dns.mostAge()
                 || other.leaving() != dns.leaving() || other.mostRecords() != dns.mostRecords()) {
-            if (other != dns) {
+            if (!Objects.equals(other, dns)) {
                 log.warn("of sources.dns only servers, timeout, least_ttl and most_ttl can change in service;"
                         + " the rest holds from the next start");
             }
--- a/src/main/java/wallmoor/service/WarmUp.java
+++ b/src/main/java/wallmoor/service/WarmUp.java
@@ -191,7 +191,7 @@
         }
 
         @Override
-        public void setSoTimeout(int millis) {
+        public synchronized void setSoTimeout(int millis) {
             in.timeout = millis;
         }
 
@@ -201,7 +201,7 @@
         }
 
         @Override
-        public void close() throws IOException {
+        public synchronized void close() throws IOException {
             in.close();
             out.close();
             super.close();
--- a/src/main/java/wallmoor/summaries/Encoding.java
+++ b/src/main/java/wallmoor/summaries/Encoding.java
@@ -204,7 +204,7 @@
             if (bits < 8 || bits > 20) {
                 throw new IllegalArgumentException("a filter of 2^" + bits + " bits");
             }
-            var words = new long[count(from, 1 << bits - 6, 8)];
+            var words = new long[count(from, 1 << (bits - 6), 8)];
             for (int i = 0; i < words.length; i++) {
                 words[i] = from.getLong();
             }
--- a/src/main/java/wallmoor/summaries/KeyNormalizer.java
+++ b/src/main/java/wallmoor/summaries/KeyNormalizer.java
@@ -112,7 +112,7 @@
     private static boolean simple(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            if (c <= ' ' || c > '~' || c >= 'A' && c <= 'Z') {
+            if (c <= ' ' || c > '~' || (c >= 'A' && c <= 'Z')) {
                 return false;
             }
         }
@@ -137,10 +137,10 @@
     static boolean plain(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
-            if (c < ' ' || c > '~' || c >= '[' && c <= '`' || c == ' ' && i > 0 && text.charAt(i - 1) == ' ') {
+            if (c < ' ' || c > '~' || (c >= '[' && c <= '`') || (c == ' ' && i > 0 && text.charAt(i - 1) == ' ')) {
                 return false;
             }
         }
-        return text.isEmpty() || text.charAt(0) != ' ' && text.charAt(text.length() - 1) != ' ';
+        return text.isEmpty() || (text.charAt(0) != ' ' && text.charAt(text.length() - 1) != ' ');
     }
 }
--- a/src/main/java/wallmoor/summaries/PropertyIndex.java
+++ b/src/main/java/wallmoor/summaries/PropertyIndex.java
@@ -78,7 +78,9 @@
             long within = 0;
             int end = Math.min(n, from + 64);
             for (int i = from; i < end; i++) {
-                within |= least[i] <= r.highest() & most[i] >= r.lowest() ? 1L << i : 0;
+                long begins = least[i] <= r.highest() ? 1L : 0; // by bits: the loop has no branch
+                long ends = most[i] >= r.lowest() ? 1L : 0;
+                within |= (begins & ends) << i;
             }
             words[from >> 6] &= end - from == 64 ? within : within | -1L << end;
         }
--- a/src/main/java/wallmoor/summaries/PropertySummary.java
+++ b/src/main/java/wallmoor/summaries/PropertySummary.java
@@ -156,9 +156,9 @@
     /** Whether it admits already all that another one does. */
     boolean covers(PropertySummary o) {
         return (missing || !o.missing) && (odd || !o.odd) && (numbers || !o.numbers) && (texts || !o.texts)
-                && least <= o.least && most >= o.most && (o.first == null || first != null
+                && least <= o.least && most >= o.most && (o.first == null || (first != null
                         && first.compareTo(o.first) <= 0 && last.compareTo(o.last) >= 0
-                        && firstFolded.compareTo(o.firstFolded) <= 0 && lastFolded.compareTo(o.lastFolded) >= 0)
+                        && firstFolded.compareTo(o.firstFolded) <= 0 && lastFolded.compareTo(o.lastFolded) >= 0))
                 && o.values != null && o.values.stream().allMatch(v -> values != null ? values.contains(v)
                         : filter.may(KeyNormalizer.hash(v)));
     }
@@ -179,7 +179,7 @@
     }
 
     private String excludes(Condition.Range r) {
-        if (odd || numbers && texts || missing && r.low() == null) {
+        if (odd || (numbers && texts) || (missing && r.low() == null)) {
             return null;
         }
         if (numbers) {
@@ -236,9 +236,9 @@
     }
 
     private static boolean apart(String low, String high, String first, String last) {
-        if (low != null && !KeyNormalizer.plain(low) || high != null && !KeyNormalizer.plain(high)) {
+        if ((low != null && !KeyNormalizer.plain(low)) || (high != null && !KeyNormalizer.plain(high))) {
             return false;
         }
-        return low != null && low.compareTo(last) > 0 || high != null && high.compareTo(first) < 0;
+        return (low != null && low.compareTo(last) > 0) || (high != null && high.compareTo(first) < 0);
     }
 }
--- a/src/main/java/wallmoor/summaries/Pruning.java
+++ b/src/main/java/wallmoor/summaries/Pruning.java
@@ -176,7 +176,7 @@
     public static boolean wrong(PrunedShard cut, Site site, long epoch, long version, long rows) {
         Summary s = cut.by(site);
         boolean newer = s != null && epoch != Long.MIN_VALUE
-                && (epoch > s.epoch() || epoch == s.epoch() && version > s.version());
+                && (epoch > s.epoch() || (epoch == s.epoch() && version > s.version()));
         return rows > 0 && s != null && !newer;
     }
 }
--- a/src/main/java/wallmoor/summaries/Summary.java
+++ b/src/main/java/wallmoor/summaries/Summary.java
@@ -124,8 +124,9 @@
         if (other.rows == 0) {
             return true;
         }
-        if (rows == 0 || !placeless && other.placeless || !timeless && other.timeless || complete && !other.complete
-                || complete && !properties.keySet().containsAll(other.properties.keySet())) {
+        if (rows == 0 || (!placeless && other.placeless) || (!timeless && other.timeless)
+                || (complete && !other.complete)
+                || (complete && !properties.keySet().containsAll(other.properties.keySet()))) {
             return false; // a property not told of yet: were it passed over, a later row's would seem to be its first
         }
         return (placeless || other.boxes.stream().allMatch(o -> boxes.stream().anyMatch(b -> b.holds(o))))
--- a/src/main/java/wallmoor/summaries/SummaryCache.java
+++ b/src/main/java/wallmoor/summaries/SummaryCache.java
@@ -113,7 +113,7 @@
             return;
         }
         long until = e.askedAt + promise.lifetime() - bounds.margin();
-        if (e.distrusted || until <= now || s.epoch() < e.epoch || s.epoch() == e.epoch && s.version() < e.floor) {
+        if (e.distrusted || until <= now || s.epoch() < e.epoch || (s.epoch() == e.epoch && s.version() < e.floor)) {
             return;
         }
         Summary held = index.at(e.slot);
@@ -178,7 +178,7 @@
     public void acts(long at, Site site, long epoch, long version) {
         now = Math.max(now, at);
         CachedSummary e = entries.get(site);
-        if (e != null && (epoch > e.epoch || epoch == e.epoch && version > e.floor)) {
+        if (e != null && (epoch > e.epoch || (epoch == e.epoch && version > e.floor))) {
             drop(e);
             e.epoch = epoch;
             e.floor = version;
--- a/src/main/java/wallmoor/summaries/SummaryIndex.java
+++ b/src/main/java/wallmoor/summaries/SummaryIndex.java
@@ -99,7 +99,7 @@
             }
         }
         for (int slot = candidates.nextSetBit(0); slot >= 0; slot = candidates.nextSetBit(slot + 1)) {
-            if (c.time() != null && (from[slot] > c.time().to() || to[slot] < c.time().from())
+            if ((c.time() != null && (from[slot] > c.time().to() || to[slot] < c.time().from()))
                     || held.get(slot).excludes(c) != null) {
                 candidates.clear(slot);
             }
--- a/src/main/java/wallmoor/summaries/TimeSpan.java
+++ b/src/main/java/wallmoor/summaries/TimeSpan.java
@@ -45,7 +45,7 @@
      */
     public static TimeSpan parse(String text) {
         String[] ends = text.split("/", -1);
-        if (ends.length > 2 || ends.length == 1 && open(ends[0])) {
+        if (ends.length > 2 || (ends.length == 1 && open(ends[0]))) {
             throw new IllegalArgumentException("it is neither a time nor an interval A/B: " + text);
         }
         TimeSpan first = open(ends[0]) ? null : one(ends[0]);
--- a/src/test/java/wallmoor/cli/Console.java
+++ b/src/test/java/wallmoor/cli/Console.java
@@ -1,5 +1,7 @@
 package wallmoor.cli;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -18,7 +20,7 @@
         System.setErr(new PrintStream(err, true));
         try {
             int code = Commands.run(args);
-            return new Console(code, out.toString(), err.toString());
+            return new Console(code, out.toString(UTF_8), err.toString(UTF_8));
         } finally {
             System.setOut(wasOut);
             System.setErr(wasErr);
--- a/src/test/java/wallmoor/cli/ResolveCommandTest.java
+++ b/src/test/java/wallmoor/cli/ResolveCommandTest.java
@@ -173,8 +173,17 @@
         assertTrue(out, List.of("check", "members", "resolve", "serve", "generate-completion").stream()
                 .allMatch(out::contains));
         Path bad = folder.newFile("operator.yaml").toPath();
-        Files.writeString(bad, "sources:\n  dns:\n    servers: [somewhere]\n    name: x\n    most_age: 5\n"
-                + "  list: {enabled: perhaps}\nlogging:\n  levels: {dns: loud}\nogx: 1\n");
+        Files.writeString(bad, """
+                sources:
+                  dns:
+                    servers: [somewhere]
+                    name: x
+                    most_age: 5
+                  list: {enabled: perhaps}
+                logging:
+                  levels: {dns: loud}
+                ogx: 1
+                """);
         assertEquals(2, run("check", "--config", "example/config.json", bad.toString()));
         for (String said : new String[] {"line 3: sources.dns.servers: holds what is not ADDRESS:PORT: somewhere",
             "line 4: sources.dns.name: is unknown; did you mean names?", "line 5: sources.dns.most_age: is no time",
--- a/src/test/java/wallmoor/idempotency/IdempotentRequestsPropertiesTest.java
+++ b/src/test/java/wallmoor/idempotency/IdempotentRequestsPropertiesTest.java
@@ -102,8 +102,9 @@
         /** What may not repeat keeps its outcome for its window: it is replayed, and refused at most for hammering. */
         private void kept(int i, boolean mayRepeat, RequestDecision d) {
             if (!mayRepeat && ended.containsKey(i) && now < madeAt[i] + RULES.deduplicationWindow()) {
-                assertTrue(d instanceof RequestDecision.Replay || d instanceof RequestDecision.Refuse r
-                        && r.why() == RequestDecision.RejectionReason.HELD_OFF, "outcome lost before its window: " + d);
+                assertTrue(d instanceof RequestDecision.Replay || (d instanceof RequestDecision.Refuse r
+                        && r.why() == RequestDecision.RejectionReason.HELD_OFF),
+                        "outcome lost before its window: " + d);
             }
         }
     }
--- a/src/test/java/wallmoor/net/Client.java
+++ b/src/test/java/wallmoor/net/Client.java
@@ -6,6 +6,7 @@
 import java.io.InputStream;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.Locale;
 
 /** A client on a raw socket, so that a test can send what no library would. */
 final class Client implements AutoCloseable {
@@ -17,7 +18,7 @@
 
         String header(String name) {
             for (String line : head.split("\r\n")) {
-                if (line.toLowerCase().startsWith(name.toLowerCase() + ":")) {
+                if (line.toLowerCase(Locale.ROOT).startsWith(name.toLowerCase(Locale.ROOT) + ":")) {
                     return line.substring(name.length() + 1).trim();
                 }
             }
--- a/src/test/java/wallmoor/net/DiskFleet.java
+++ b/src/test/java/wallmoor/net/DiskFleet.java
@@ -247,7 +247,7 @@
         } else {
             Thread.sleep(random.nextInt((int) QUERY_MILLIS / 2));
             for (String node : owners) {
-                long from = DiskNode.HEAD + random.nextInt(bytes - DiskNode.HEAD - DiskNode.PIECE);
+                long from = (long) DiskNode.HEAD + random.nextInt(bytes - DiskNode.HEAD - DiskNode.PIECE);
                 var answer = get(node, "/read?block=" + block + "&from=" + from);
                 if (System.nanoTime() - opened > QUERY_MILLIS * 1_000_000) {
                     late.incrementAndGet(); // a query's life is over: it has its answer without this one
@@ -273,7 +273,7 @@
     long read(Random random, MigrationPlan map) throws IOException, InterruptedException {
         String block = "" + "vwxyz".charAt(random.nextInt(5));
         var owners = new ArrayList<>(map.owners().get(block));
-        long from = DiskNode.HEAD + random.nextInt(bytes - DiskNode.HEAD - DiskNode.PIECE);
+        long from = (long) DiskNode.HEAD + random.nextInt(bytes - DiskNode.HEAD - DiskNode.PIECE);
         long begun = System.nanoTime();
         var answer = get(owners.get(random.nextInt(owners.size())), "/read?block=" + block + "&from=" + from);
         return answer.statusCode() == 200 ? System.nanoTime() - begun : -1;
@@ -324,7 +324,7 @@
                 long begin = HOLDS.values().stream().filter(h -> h.contains(l.block())).count();
                 assertTrue(l + " beside " + on, on.size() <= begin);
                 assertTrue(l.toString(), !more[0].equals("FILLING")
-                        || Long.parseLong(more[1]) + Long.parseLong(more[2]) <= USABLE * scale);
+                        || Long.parseLong(more[1]) + Long.parseLong(more[2]) <= (long) USABLE * scale);
             }
         }
         ran.forEach((id, node) -> assertEquals("part " + id, node, journal.get(id)));
--- a/src/test/java/wallmoor/net/EdgeCoapTest.java
+++ b/src/test/java/wallmoor/net/EdgeCoapTest.java
@@ -1,5 +1,6 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertArrayEquals;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -78,7 +79,7 @@
             return "ok";
         });
         String id = id();
-        byte[] json = body("once", "q".repeat(700), 0).getBytes();
+        byte[] json = body("once", "q".repeat(700), 0).getBytes(UTF_8);
         byte[] cbor = new CBORMapper().writeValueAsBytes(new ObjectMapper().readTree(json));
         try (var link = new DatagramProxy(coapPort, 7, 0.1, 0.2, 0.2)) {
             CoapResponse taken = ask(coap(link.port(), id, ""), () -> put(cbor, MediaTypeRegistry.APPLICATION_CBOR));
@@ -103,7 +104,7 @@
     public void coapRefusesWhatItMust() throws Exception {
         start(id -> "ok");
         String id = id();
-        byte[] json = body("once", "q", 0).getBytes();
+        byte[] json = body("once", "q", 0).getBytes(UTF_8);
         CoapResponse challenged = coap(coapPort, id, "").advanced(put(json, MediaTypeRegistry.APPLICATION_JSON));
         assertEquals("an address that has proven nothing", ResponseCode.UNAUTHORIZED, challenged.getCode());
         assertEquals(0, challenged.getPayloadSize());
@@ -111,7 +112,7 @@
         var client = coap(coapPort, id, "");
         assertEquals(ResponseCode.CREATED, ask(client, () -> put(json, MediaTypeRegistry.APPLICATION_JSON)).getCode());
         assertEquals(ResponseCode.CHANGED, ask(client, () -> put(json, MediaTypeRegistry.APPLICATION_JSON)).getCode());
-        assertEquals(ResponseCode.CONFLICT, ask(client, () -> put(body("once", "other", 0).getBytes(),
+        assertEquals(ResponseCode.CONFLICT, ask(client, () -> put(body("once", "other", 0).getBytes(UTF_8),
                 MediaTypeRegistry.APPLICATION_JSON)).getCode());
         assertEquals(ResponseCode.BAD_REQUEST, ask(coap(coapPort, id(), ""), () -> put(new byte[] {1, 2},
                 MediaTypeRegistry.APPLICATION_CBOR)).getCode());
@@ -132,7 +133,7 @@
             sleep(100);
             return "ok";
         });
-        byte[] json = body("once", "q", 0).getBytes();
+        byte[] json = body("once", "q", 0).getBytes(UTF_8);
         for (int i = 0; i < 5; i++) {
             String id = id();
             long before = parts("");
--- a/src/test/java/wallmoor/net/EdgeFixture.java
+++ b/src/test/java/wallmoor/net/EdgeFixture.java
@@ -1,5 +1,7 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import com.fasterxml.uuid.Generators;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -56,7 +58,7 @@
     }
 
     static String row(String device) {
-        return device + "," + HexFormat.of().formatHex(EdgeRequest.sha256(token(device).getBytes())) + "\n";
+        return device + "," + HexFormat.of().formatHex(EdgeRequest.sha256(token(device).getBytes(UTF_8))) + "\n";
     }
 
     static String token(String device) {
@@ -78,7 +80,7 @@
     }
 
     HttpResponse<byte[]> put(String id, String body, String... headers) throws Exception {
-        return put(httpPort, id, body.getBytes(), headers);
+        return put(httpPort, id, body.getBytes(UTF_8), headers);
     }
 
     HttpResponse<byte[]> put(int port, String id, byte[] body, String... headers) throws Exception {
@@ -92,7 +94,7 @@
     }
 
     static String text(HttpResponse<byte[]> r) {
-        return new String(r.body());
+        return new String(r.body(), UTF_8);
     }
 
     long parts(String start) {
--- a/src/test/java/wallmoor/net/EdgeTest.java
+++ b/src/test/java/wallmoor/net/EdgeTest.java
@@ -1,5 +1,6 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertArrayEquals;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotEquals;
@@ -90,7 +91,7 @@
             sleep(60);
             return "ok";
         });
-        byte[] query = body("once", "q", 0).getBytes();
+        byte[] query = body("once", "q", 0).getBytes(UTF_8);
         String good = id();
         byte[] expected = put(httpPort, good, query).body();
         int upBytes = 700;
@@ -185,7 +186,7 @@
     @Test
     public void aBodyMayComePackedAndInPiecesAndABombIsRefused() throws Exception {
         start(id -> "ok");
-        byte[] plain = body("once", "q".repeat(3000), 0).getBytes();
+        byte[] plain = body("once", "q".repeat(3000), 0).getBytes(UTF_8);
         var packed = new ByteArrayOutputStream();
         try (var gzip = new GZIPOutputStream(packed)) {
             gzip.write(plain);
--- a/src/test/java/wallmoor/net/FeaturesTest.java
+++ b/src/test/java/wallmoor/net/FeaturesTest.java
@@ -1,5 +1,6 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -353,13 +354,17 @@
     @Test
     public void aBadFileOfTheFrontNamesItsKey() throws Exception {
         Path config = folder.newFile("bad.yaml").toPath();
-        Files.writeString(config, "ogc:\n  listen: 127.0.0.1:1\n  inventory: none.yaml\n"
-                + "  colections: {x: {class: nobody, shards: [0]}}\n"
-                + "  collections: {x: {class: nobody, shards: [0]}}\n");
+        Files.writeString(config, """
+                ogc:
+                  listen: 127.0.0.1:1
+                  inventory: none.yaml
+                  colections: {x: {class: nobody, shards: [0]}}
+                  collections: {x: {class: nobody, shards: [0]}}
+                """);
         Process process = Program.launch("{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":"
                 + Program.SETTINGS + "}", config);
         assertTrue(process.waitFor(15, TimeUnit.SECONDS));
-        String said = new String(process.getErrorStream().readAllBytes());
+        String said = new String(process.getErrorStream().readAllBytes(), UTF_8);
         assertEquals(said, 2, process.exitValue());
         assertTrue(said, said.contains("line 4: ogc.colections: is unknown; did you mean collections?"));
         assertTrue("all faults at once: " + said,
--- a/src/test/java/wallmoor/net/GroupLabTest.java
+++ b/src/test/java/wallmoor/net/GroupLabTest.java
@@ -1,5 +1,6 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -110,7 +111,7 @@
         }
 
         private void read(int who, Process process) {
-            try (var lines = new BufferedReader(new InputStreamReader(process.getErrorStream()))) {
+            try (var lines = new BufferedReader(new InputStreamReader(process.getErrorStream(), UTF_8))) {
                 for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                     said.get(who).add(line);
                     if (line.contains(VIEW) && processes[who] == process) {
--- a/src/test/java/wallmoor/net/GroupTest.java
+++ b/src/test/java/wallmoor/net/GroupTest.java
@@ -1,5 +1,6 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -89,27 +90,33 @@
 
         /** What its latest view says, from the quorum on; empty before the first. */
         String view() {
-            synchronized (log) {
-                for (int i = log.size() - 1; i >= 0; i--) {
-                    int at = log.get(i).indexOf("quorum=");
-                    if (at >= 0) {
-                        return log.get(i).substring(at).replaceAll(" because.*", "");
-                    }
+            List<String> lines = lines();
+            for (int i = lines.size() - 1; i >= 0; i--) {
+                int at = lines.get(i).indexOf("quorum=");
+                if (at >= 0) {
+                    return lines.get(i).substring(at).replaceAll(" because.*", "");
                 }
             }
             return "";
         }
 
         String last() {
-            synchronized (log) {
-                return "\nm" + number + ": " + String.join("\n", log.subList(Math.max(0, log.size() - 3), log.size()));
-            }
+            List<String> lines = lines();
+            return "\nm" + number + ": "
+                    + String.join("\n", lines.subList(Math.max(0, lines.size() - 3), lines.size()));
         }
 
         /** What its process said in this case. */
         List<String> said() {
-            synchronized (log) {
-                return List.copyOf(log.subList(from, log.size()));
+            List<String> lines = lines();
+            return lines.subList(from, lines.size());
+        }
+
+        /** All that its process said since it was started, as of now. */
+        private List<String> lines() {
+            List<String> current = log; // another takes its place when the process is started again
+            synchronized (current) {
+                return List.copyOf(current);
             }
         }
 
@@ -311,7 +318,7 @@
     /** Two sides hear nothing of each other, but one in the middle hears both: it vouches, and nobody goes. */
     @Test
     public void oneInTheMiddleKeepsTwoSidesTogether() throws Exception {
-        relay.cut = (from, to) -> from < 2 && (to == 2 || to == 3) || to < 2 && (from == 2 || from == 3);
+        relay.cut = (from, to) -> (from < 2 && (to == 2 || to == 3)) || (to < 2 && (from == 2 || from == 3));
         Thread.sleep(LONG_MILLIS);
         assertTrue(relay.dropped.get() - droppedBefore > 50);
         MEMBERS.forEach(m -> assertTrue(m.log.toString(), !m.everSaid("removed=")));
@@ -379,7 +386,7 @@
                 .filter(l -> l.endsWith("\"observes\":true,\"witness\":true,\"said\":\"doubts\"}")).count() >= 3);
         assertEquals(2, Console.run("fleet", "explain", "m9", "--at", at).code());
         try (var asker = new Socket("127.0.0.1", MEMBERS.get(0).control)) { // one that asks for nothing sensible
-            asker.getOutputStream().write("x".repeat(1000).getBytes());
+            asker.getOutputStream().write("x".repeat(1000).getBytes(UTF_8));
             assertEquals(0, Console.run("fleet", "members", "--at", at, "--json").code());
         }
         for (int n : new int[] {1, 2}) {
@@ -396,15 +403,21 @@
 
     private static Json.Obj counters(String at) throws Exception {
         Console json = Console.run("fleet", "members", "--at", at, "--json");
-        byte[] first = json.out().lines().findFirst().orElseThrow().getBytes();
+        byte[] first = json.out().lines().findFirst().orElseThrow().getBytes(UTF_8);
         return (Json.Obj) Json.object(first, 0, first.length).get("counters");
     }
 
     @Test
     public void aControlPortThatOthersCouldReachIsRefused() throws Exception {
         Path operator = FOLDER.newFile().toPath();
-        Files.writeString(operator, "fleet:\n  installation: test\n  listen: 127.0.0.1:7\n  seeds: [\"127.0.0.1:9\"]\n"
-                + "  size: 5\n  control: 0.0.0.0:7947\n");
+        Files.writeString(operator, """
+                fleet:
+                  installation: test
+                  listen: 127.0.0.1:7
+                  seeds: ["127.0.0.1:9"]
+                  size: 5
+                  control: 0.0.0.0:7947
+                """);
         Console said = Console.run("fleet", "members", "--config", "example/config.json", "--operator",
                 operator.toString());
         assertEquals(2, said.code());
--- a/src/test/java/wallmoor/net/HeldSocket.java
+++ b/src/test/java/wallmoor/net/HeldSocket.java
@@ -1,5 +1,7 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -57,7 +59,7 @@
     HeldSocket() throws IOException {
         holder = new ProcessBuilder("perl", "-e", HOLDER).redirectError(ProcessBuilder.Redirect.INHERIT).start();
         orders = holder.outputWriter();
-        var told = new BufferedReader(new InputStreamReader(holder.getInputStream()));
+        var told = new BufferedReader(new InputStreamReader(holder.getInputStream(), UTF_8));
         port = Integer.parseInt(String.valueOf(told.readLine()).replace("port ", ""));
         var reader = new Thread(() -> told.lines().map(l -> l.split(" ")).forEach(w -> {
             if (w[0].equals("started")) {
--- a/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
+++ b/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
@@ -106,9 +106,9 @@
     /** What can't be agreed on, or would drop what somebody may still read, is told before anything is proposed. */
     private void refusedBeforeAnythingMoves() throws Exception {
         Path big = folder.newFile("big.yaml").toPath();
-        var text = new StringBuilder(Files.readString(fleet.file)).append(IntStream.range(0, MANY)
+        String text = Files.readString(fleet.file) + IntStream.range(0, MANY)
                 .mapToObj(i -> "- {id: " + "b".repeat(100) + i + ", mb: 1, on: [a, b]}\n")
-                .collect(Collectors.joining()));
+                .collect(Collectors.joining());
         Files.writeString(big, text);
         Console large = rebalance(3, "start", big.toString());
         assertEquals(large.err(), 2, large.code());
--- a/src/test/java/wallmoor/net/NewSettingsTest.java
+++ b/src/test/java/wallmoor/net/NewSettingsTest.java
@@ -41,7 +41,7 @@
         for (int i = 0; i < 6; i++) { // of one cell, so that a part that fails everywhere has somewhere to go
             var worker = new StandIn.Worker(id -> {
                 int sent = sends.computeIfAbsent(id, k -> new AtomicInteger()).incrementAndGet();
-                return id.startsWith("bad") || id.startsWith("late-bad") && sent == 1 ? "err" : "ok";
+                return id.startsWith("bad") || (id.startsWith("late-bad") && sent == 1) ? "err" : "ok";
             });
             worker.delayMillis = id -> id.startsWith("late") ? 500 : 0;
             open.add(worker);
--- a/src/test/java/wallmoor/net/OperatorsTest.java
+++ b/src/test/java/wallmoor/net/OperatorsTest.java
@@ -1,5 +1,6 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -144,7 +145,7 @@
         byte[] torn = java.util.Arrays.copyOf(good, good.length / 2);
         byte[] garbage = new byte[300_000];
         new java.util.Random(7).nextBytes(garbage);
-        byte[] foreign = "{\"w2\":\"detached\"}\nw2\n".getBytes();
+        byte[] foreign = "{\"w2\":\"detached\"}\nw2\n".getBytes(UTF_8);
         for (byte[] bad : List.of(torn, garbage, foreign, new byte[0])) {
             Files.write(kept, bad);
             Thread.sleep(WATCHED_MILLIS); // the process that runs looks at it meanwhile
--- a/src/test/java/wallmoor/net/PlatformTest.java
+++ b/src/test/java/wallmoor/net/PlatformTest.java
@@ -1,5 +1,6 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -275,7 +276,7 @@
         for (String[] b : bad) {
             Process process = Program.launch(b[0], null);
             assertTrue(process.waitFor(15, TimeUnit.SECONDS));
-            List<String> said = new String(process.getErrorStream().readAllBytes()).lines().toList();
+            List<String> said = new String(process.getErrorStream().readAllBytes(), UTF_8).lines().toList();
             assertEquals(said.toString(), 2, process.exitValue());
             assertEquals(said.toString(), 1, said.size());
             assertTrue(said.get(0), said.get(0).contains(b[1]));
--- a/src/test/java/wallmoor/net/Program.java
+++ b/src/test/java/wallmoor/net/Program.java
@@ -1,5 +1,7 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -67,7 +69,7 @@
     /** What a process says on standard error, a line at a time. */
     static void read(Process process, List<String> log) {
         var reader = new Thread(() -> {
-            try (var lines = new BufferedReader(new InputStreamReader(process.getErrorStream()))) {
+            try (var lines = new BufferedReader(new InputStreamReader(process.getErrorStream(), UTF_8))) {
                 lines.lines().forEach(log::add);
             } catch (IOException | RuntimeException e) {
                 log.add("log ended: " + e);
--- a/src/test/java/wallmoor/net/PruneTest.java
+++ b/src/test/java/wallmoor/net/PruneTest.java
@@ -10,8 +10,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Pattern;
@@ -72,8 +74,8 @@
         return List.copyOf(front.program().log).stream().anyMatch(l -> l.contains(text));
     }
 
-    private static TreeSet<String> ids(String... ids) {
-        return new TreeSet<>(List.of(ids));
+    private static Set<String> ids(String... ids) {
+        return Set.of(ids);
     }
 
     @Test
@@ -132,7 +134,7 @@
         awaitPruned(4);
         var over = new AtomicBoolean();
         var fault = new AtomicInteger();
-        var told = new StringBuffer();
+        var told = new ConcurrentLinkedQueue<String>();
         var answers = new AtomicInteger();
         var left = new AtomicInteger();
         var writes = new AtomicInteger();
@@ -159,7 +161,7 @@
                             case 2 -> Map.of("datetime", "2026-0" + (1 + random.nextInt(9)) + "-05");
                             default -> Map.of("bbox", random.nextInt(150) + "," + random.nextInt(60) + ",160,60");
                         };
-                        TreeSet<String> expected = fleet.expected(q);
+                        Set<String> expected = fleet.expected(q);
                         var page = Client.get(front.port(), RowFleet.target(q, 1000));
                         if (page.status == 200 && page.body.contains("\"complete\":true")) {
                             answers.incrementAndGet();
@@ -167,11 +169,11 @@
                             expected.removeAll(RowFleet.ids(page.body));
                             if (!expected.isEmpty()) {
                                 fault.incrementAndGet();
-                                told.append(q).append(" lacks ").append(expected).append('\n');
+                                told.add(q + " lacks " + expected);
                             }
                         }
                     } catch (IOException | InterruptedException e) {
-                        told.append(e).append('\n');
+                        told.add(e.toString());
                     }
                 }
             }));
--- a/src/test/java/wallmoor/net/RowFleet.java
+++ b/src/test/java/wallmoor/net/RowFleet.java
@@ -12,6 +12,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.regex.Matcher;
@@ -126,7 +127,7 @@
     }
 
     /** Rows confirmed by now that a query asks for. */
-    TreeSet<String> expected(Map<String, String> q) {
+    Set<String> expected(Map<String, String> q) {
         var ids = new TreeSet<String>();
         new HashMap<>(confirmed).forEach((id, row) -> {
             if (RowServer.matches(q, row)) {
@@ -142,7 +143,7 @@
         return to.toString();
     }
 
-    static TreeSet<String> ids(String body) {
+    static Set<String> ids(String body) {
         var ids = new TreeSet<String>();
         for (Matcher m = Pattern.compile("\"Feature\",\"id\":\"([^\"]+)\"").matcher(body); m.find();) {
             ids.add(m.group(1));
--- a/src/test/java/wallmoor/net/ScriptedDiscovery.java
+++ b/src/test/java/wallmoor/net/ScriptedDiscovery.java
@@ -1,6 +1,7 @@
 package wallmoor.net;
 
 import java.io.IOException;
+import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
@@ -124,9 +125,7 @@
         /** Waits until whoever called has closed it. */
         void awaitLeft() throws IOException {
             try {
-                while (peer.getInputStream().read() >= 0) {
-                    continue;
-                }
+                peer.getInputStream().transferTo(OutputStream.nullOutputStream());
             } catch (java.net.SocketException e) {
                 // left with something unread
             }
--- a/src/test/java/wallmoor/net/StandIn.java
+++ b/src/test/java/wallmoor/net/StandIn.java
@@ -1,5 +1,7 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -118,7 +120,7 @@
                 if (after == 0) {
                     reply(peer, id, end);
                 } else {
-                    LATER.schedule(() -> {
+                    var unused = LATER.schedule(() -> {
                         reply(peer, id, end);
                         return null;
                     }, after, TimeUnit.MILLISECONDS);
@@ -178,10 +180,10 @@
             seen.add(first);
             if (first.startsWith("GET /api/targets HTTP")) {
                 peer.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
-                        .getBytes());
+                        .getBytes(UTF_8));
                 seen.add(Client.head(peer.getInputStream()).split("\r\n")[0]);
             }
-            peer.getOutputStream().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
+            peer.getOutputStream().write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(UTF_8));
             if (!opening.isEmpty()) {
                 write(peer, opening + "\n");
             }
@@ -211,7 +213,7 @@
         void hush(String half) throws IOException {
             hushed.addAll(watches);
             for (Socket watch : List.copyOf(half.isEmpty() ? List.of() : watches)) {
-                watch.getOutputStream().write((Integer.toHexString(2 * half.length()) + "\r\n" + half).getBytes());
+                watch.getOutputStream().write((Integer.toHexString(2 * half.length()) + "\r\n" + half).getBytes(UTF_8));
             }
         }
 
@@ -225,7 +227,7 @@
         }
 
         private static synchronized void write(Socket peer, String line) throws IOException {
-            peer.getOutputStream().write((Integer.toHexString(line.length()) + "\r\n" + line + "\r\n").getBytes());
+            peer.getOutputStream().write((Integer.toHexString(line.length()) + "\r\n" + line + "\r\n").getBytes(UTF_8));
         }
     }
 
@@ -250,13 +252,13 @@
                     continue;
                 }
                 if (body.startsWith("!")) {
-                    peer.getOutputStream().write(("HTTP/1.1 200 OK\r\n\r\n" + body.substring(1)).getBytes());
+                    peer.getOutputStream().write(("HTTP/1.1 200 OK\r\n\r\n" + body.substring(1)).getBytes(UTF_8));
                     return;
                 }
                 boolean status = body.matches("[0-9]{3}");
                 byte[] bytes = (status ? "{}" : body).getBytes(StandardCharsets.UTF_8);
                 peer.getOutputStream().write(("HTTP/1.1 " + (status ? body : "200") + " Status\r\nContent-Type: "
-                        + "application/geo+json\r\nContent-Length: " + bytes.length + "\r\n\r\n").getBytes());
+                        + "application/geo+json\r\nContent-Length: " + bytes.length + "\r\n\r\n").getBytes(UTF_8));
                 peer.getOutputStream().write(bytes);
             }
         }
--- a/src/test/java/wallmoor/net/StartCrossingsTest.java
+++ b/src/test/java/wallmoor/net/StartCrossingsTest.java
@@ -1,5 +1,6 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -81,7 +82,7 @@
                 Socket call = held.accept();
                 open.add(call);
                 call.getOutputStream()
-                        .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes());
+                        .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes(UTF_8));
             }
         } catch (IOException e) {
             // the test is over
@@ -106,7 +107,7 @@
             Files.writeString(config, config(discovery.port()));
             Program.signal(process, "HUP");
             Thread.sleep(SETTLE_MILLIS);
-            held.write("logging: {}\n".getBytes());
+            held.write("logging: {}\n".getBytes(UTF_8));
         }
         var again = new Thread(() -> {
             try {
--- a/src/test/java/wallmoor/net/SteadyLoad.java
+++ b/src/test/java/wallmoor/net/SteadyLoad.java
@@ -68,7 +68,7 @@
             }
             var answer = client.send(Client.query(id, queryClass, 1900, shards)).answer();
             all.add(new Asked(id, queryClass, answer.status, "", from, System.nanoTime()));
-            if (answer.status == 200 && !answer.body.contains("\"doc\":\"v" + id + ".")
+            if ((answer.status == 200 && !answer.body.contains("\"doc\":\"v" + id + "."))
                     || client.socket.getInputStream().available() > 0) {
                 strange.add(id + ": " + answer.head + answer.body);
             }
--- a/src/test/java/wallmoor/net/Storm.java
+++ b/src/test/java/wallmoor/net/Storm.java
@@ -1,5 +1,7 @@
 package wallmoor.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import com.fasterxml.uuid.Generators;
 import java.io.IOException;
 import java.net.URI;
@@ -7,6 +9,7 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.Arrays;
+import java.util.EnumMap;
 import java.util.HexFormat;
 import java.util.Map;
 import java.util.Random;
@@ -64,7 +67,7 @@
         var rows = new StringBuilder("device,sha256\n");
         for (int d = 0; d < devices; d++) {
             rows.append("d").append(d).append(',')
-                    .append(HexFormat.of().formatHex(EdgeRequest.sha256(token(d).getBytes())))
+                    .append(HexFormat.of().formatHex(EdgeRequest.sha256(token(d).getBytes(UTF_8))))
                     .append('\n');
         }
         Files.writeString(folder.resolve("devices.csv"), rows);
@@ -144,7 +147,7 @@
                     for (int tries = 0; tries < 4 && kind == ClientResult.ClientResultKind.NOT_LEARNT; tries++) {
                         try (var client = new Client(links.port())) {
                             client.socket.setSoTimeout(3000);
-                            String body = new String(query(queryClass, d, q));
+                            String body = new String(query(queryClass, d, q), UTF_8);
                             int status = client
                                     .send("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + d + "-" + q + "-" + tries
                                             + "\r\nX-Class: " + queryClass + "\r\nX-Deadline: 1900m\r\nContent-Length: "
@@ -170,7 +173,7 @@
     private static byte[] query(String queryClass, int device, int number) {
         return ("{\"class\":\"" + queryClass
                 + "\",\"deadline_ms\":1900,\"shards\":[{\"shard\":0,\"weight\":1}],\"q\":\"" + queryClass
-                + "-" + device + "-" + number + "\"}").getBytes();
+                + "-" + device + "-" + number + "\"}").getBytes(UTF_8);
     }
 
     private interface Work {
@@ -202,15 +205,15 @@
     private Tally tally(ConcurrentLinkedQueue<ClientResult> all, ConcurrentLinkedQueue<Long> millis, int differ,
             int cut,
             int lost) {
-        int[] kinds = new int[ClientResult.ClientResultKind.values().length];
-        all.forEach(r -> kinds[r.kind().ordinal()]++);
+        var kinds = new EnumMap<ClientResult.ClientResultKind, Integer>(ClientResult.ClientResultKind.class);
+        all.forEach(r -> kinds.merge(r.kind(), 1, Integer::sum));
         long holds = runs.keySet().stream().filter(t -> t.startsWith("once")).count();
         long twice = runs.entrySet().stream().filter(e -> e.getKey().startsWith("once") && e.getValue().get() > 1)
                 .count();
-        int answered = kinds[ClientResult.ClientResultKind.ANSWERED.ordinal()]
-                + kinds[ClientResult.ClientResultKind.PARTIAL.ordinal()];
-        int refused = kinds[ClientResult.ClientResultKind.REFUSED.ordinal()];
-        int notLearnt = kinds[ClientResult.ClientResultKind.NOT_LEARNT.ordinal()];
+        int answered = kinds.getOrDefault(ClientResult.ClientResultKind.ANSWERED, 0)
+                + kinds.getOrDefault(ClientResult.ClientResultKind.PARTIAL, 0);
+        int refused = kinds.getOrDefault(ClientResult.ClientResultKind.REFUSED, 0);
+        int notLearnt = kinds.getOrDefault(ClientResult.ClientResultKind.NOT_LEARNT, 0);
         return new Tally(all.size(), answered, refused, all.size() - answered - refused - notLearnt, notLearnt,
                 (int) holds, (int) twice, differ, cut, lost,
                 millis.stream().mapToLong(Long::longValue).sorted().toArray());
--- a/src/test/java/wallmoor/net/UpgradeTest.java
+++ b/src/test/java/wallmoor/net/UpgradeTest.java
@@ -24,7 +24,6 @@
     /** Requests that may meet a refused, reset or unread connection, an upgrade. */
     private static final int MOST_BROKEN = 2;
     /** What was decided before a ban is on its way by then, and a process has read what the other was told. */
-    private static final long SETTLE_MILLIS = 300;
     /** A ban is owed by then in both processes: the settings' time for drains. */
     private static final long GRACE_MILLIS = 2_000;
     /** {@link #CLIENTS} fit the half of it, which is one process' while two are there. */
--- a/src/test/java/wallmoor/standin/DatagramProxy.java
+++ b/src/test/java/wallmoor/standin/DatagramProxy.java
@@ -108,7 +108,7 @@
         }
         var copy = new DatagramPacket(data, data.length, whereTo);
         if (draw2 < late) {
-            later.schedule(() -> {
+            var unused = later.schedule(() -> {
                 try {
                     through.send(copy);
                 } catch (IOException e) {
--- a/src/test/java/wallmoor/standin/DnsServer.java
+++ b/src/test/java/wallmoor/standin/DnsServer.java
@@ -10,6 +10,7 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
@@ -140,7 +141,7 @@
     }
 
     private static String key(Name name, int type) {
-        return name.toString().toLowerCase() + " " + type;
+        return name.toString().toLowerCase(Locale.ROOT) + " " + type;
     }
 
     private static void start(String name, Work work) {
@@ -212,27 +213,33 @@
         answer.addRecord(fault == Fault.WRONG_QUESTION
                 ? Record.newRecord(name("other.example"), question.getType(), DClass.IN) : question, Section.QUESTION);
         switch (fault) {
-            case SILENT :
+            case SILENT -> {
                 return null;
-            case SERVFAIL :
+            }
+            case SERVFAIL -> {
                 answer.getHeader().setRcode(Rcode.SERVFAIL);
                 return answer.toWire();
-            case REFUSED :
+            }
+            case REFUSED -> {
                 answer.getHeader().setRcode(Rcode.REFUSED);
                 return answer.toWire();
-            case GARBAGE :
+            }
+            case GARBAGE -> {
                 return new byte[] {wire[0], wire[1], (byte) 0x84, 0, 0, 1, 9, 9, 9, 9};
-            case POINTER_LOOP :
+            }
+            case POINTER_LOOP -> {
                 return new byte[] {wire[0], wire[1], (byte) 0x84, 0, 0, 1, 0, 0, 0, 0, 0, 0, (byte) 0xc0, 12, 0, 33, 0,
                     1};
-            case FORMERR_ON_EDNS :
+            }
+            case FORMERR_ON_EDNS -> {
                 if (query.getOPT() != null) {
                     answer.getHeader().setRcode(Rcode.FORMERR);
                     return answer.toWire();
                 }
-                break;
-            default :
-                break;
+            }
+            default -> {
+                // the fault shows further down, or not in the answer
+            }
         }
         boolean cut = fault.name().startsWith("TRUNCATED") || fault == Fault.HALF_TCP;
         fill(answer, question);
@@ -262,7 +269,7 @@
         if (answer.getSection(Section.ANSWER).isEmpty()) {
             boolean known = last.equals(existing)
                     || zone.entrySet().stream().anyMatch(e -> !e.getValue().isEmpty() && e.getKey().startsWith(
-                            last.toString().toLowerCase() + " "));
+                            last.toString().toLowerCase(Locale.ROOT) + " "));
             answer.getHeader().setRcode(known ? Rcode.NOERROR : Rcode.NXDOMAIN);
             if (soa) {
                 answer.addRecord(
--- a/src/test/java/wallmoor/standin/GroupRelay.java
+++ b/src/test/java/wallmoor/standin/GroupRelay.java
@@ -106,7 +106,7 @@
             through.send(on);
             return;
         }
-        later.schedule(() -> {
+        var unused = later.schedule(() -> {
             try {
                 through.send(on);
             } catch (IOException e) {
--- a/src/test/java/wallmoor/standin/LinkProxy.java
+++ b/src/test/java/wallmoor/standin/LinkProxy.java
@@ -37,8 +37,6 @@
 
     private final ServerSocket server;
     private final InetSocketAddress to;
-    private final Script script;
-    private final long seed;
     private final AtomicInteger numbers = new AtomicInteger();
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
     /** Bytes that went up and down. */
@@ -49,8 +47,6 @@
     public LinkProxy(int port, long seed, Script script) throws IOException {
         server = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
         to = new InetSocketAddress("127.0.0.1", port);
-        this.seed = seed;
-        this.script = script;
         start(() -> {
             while (true) {
                 Socket device = server.accept();
--- a/src/test/java/wallmoor/standin/Ports.java
+++ b/src/test/java/wallmoor/standin/Ports.java
@@ -36,7 +36,7 @@
                     new DatagramSocket(connections.getLocalPort(), InetAddress.getLoopbackAddress()).close();
                     return port;
                 } catch (BindException e) {
-                    continue; // another's
+                    // another's: the next is tried
                 }
             }
         }
--- a/src/test/java/wallmoor/standin/RowServer.java
+++ b/src/test/java/wallmoor/standin/RowServer.java
@@ -1,5 +1,7 @@
 package wallmoor.standin;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
@@ -105,7 +107,7 @@
                 mode = q.get("is");
                 answer = new byte[0];
             }
-            case "/parts" -> answer = ("" + parts.get()).getBytes();
+            case "/parts" -> answer = ("" + parts.get()).getBytes(UTF_8);
             default -> {
                 boolean here = x.getRequestURI().getPath().equals("/collections/" + site.block() + "/items");
                 status = here ? 200 : 404;
--- a/src/test/java/wallmoor/standin/TcpRelay.java
+++ b/src/test/java/wallmoor/standin/TcpRelay.java
@@ -286,8 +286,8 @@
         }
         pass(link, link.up, true);
         pass(link, link.down, false);
-        if (link.up.ended && link.up.told && link.down.ended && link.down.told
-                || link.near == null && link.far == null) {
+        if ((link.up.ended && link.up.told && link.down.ended && link.down.told)
+                || (link.near == null && link.far == null)) {
             drop(link);
             return;
         }
--- a/src/test/java/wallmoor/summaries/Asked.java
+++ b/src/test/java/wallmoor/summaries/Asked.java
@@ -8,7 +8,7 @@
 
 /** Rows and conditions by chance: few values of many forms, so that they often meet and nearly meet. */
 final class Asked {
-    private static final Map<Condition, String> RAW = new IdentityHashMap<>();
+    private static final IdentityHashMap<Condition, String> RAW = new IdentityHashMap<>();
     private static final String[] TEXTS = {"1", "1.0", " 1", "01", "1e0", "+1", "١", "１", "10", "15", "9", "100",
         "-0", "0",
         "nan", "NaN", "Infinity", "1e999", "", " ", "\u00a0", "a", "A", "a ", "b", "B", "ab", "a b", "a  b", "é",
@@ -33,7 +33,7 @@
             Object value = switch (name) {
                 case "price", "seats" -> kind == 9 ? text(random) : kind == 0 ? null : number(random);
                 case "id" -> "k" + random.nextInt(500);
-                default -> kind == 9 ? number(random) : kind == 8 ? Boolean.TRUE : kind == 0 ? null : text(random);
+                default -> kind == 9 ? number(random) : kind == 8 ? true : kind == 0 ? null : text(random);
             };
             if (value != null || random.nextBoolean()) {
                 values.put(name, value);
--- a/src/test/java/wallmoor/summaries/EncodingGoldenTest.java
+++ b/src/test/java/wallmoor/summaries/EncodingGoldenTest.java
@@ -54,7 +54,7 @@
                 during("../2020-01-01T00:00:00.000001Z"), during("2030-05-06T00:00:00+05:00/.."))));
         all.put("boxes-and-spans-joined", of(FEW_PROPERTIES, IntStream.range(0, 9)
                 .mapToObj(i -> new Row(Map.of(), Row.Coordinates.of(60 + i * i, 20 + i),
-                        new TimeSpan(i * i * 1_000_000L, (i * i + 1) * 1_000_000L)))
+                        new TimeSpan(1_000_000L * i * i, 1_000_000L * (i * i + 1))))
                 .collect(Collectors.toList())));
         return all;
     }
--- a/src/test/java/wallmoor/summaries/Readings.java
+++ b/src/test/java/wallmoor/summaries/Readings.java
@@ -36,7 +36,7 @@
         double w = b.west() / 1e5;
         double e = (b.west() + (double) b.width()) / 1e5;
         return p.lat() >= b.south() / 1e5 && p.lat() <= b.north() / 1e5
-                && (p.lon() >= w && p.lon() <= e || p.lon() + 360 >= w && p.lon() + 360 <= e);
+                && ((p.lon() >= w && p.lon() <= e) || (p.lon() + 360 >= w && p.lon() + 360 <= e));
     }
 
     static boolean equal(Object value, String asked) {
@@ -45,13 +45,13 @@
         }
         BigDecimal a = number(value.toString());
         BigDecimal b = number(asked);
-        return a != null && b != null && (a.compareTo(b) == 0 || a.doubleValue() == b.doubleValue())
+        return (a != null && b != null && (a.compareTo(b) == 0 || a.doubleValue() == b.doubleValue()))
                 || value.toString().equalsIgnoreCase(asked)
                 || TEXTS.stream().anyMatch(t -> t.apply(value.toString()).equals(t.apply(asked)));
     }
 
     private static boolean equal(Object value, Condition.Equal e) {
-        return equal(value, e.key()) || Asked.raw(e) != null && equal(value, Asked.raw(e));
+        return equal(value, e.key()) || (Asked.raw(e) != null && equal(value, Asked.raw(e)));
     }
 
     private static boolean within(Object value, Condition.Range r, List<Row> all) {
--- a/src/test/java/wallmoor/summaries/SummaryPropertiesTest.java
+++ b/src/test/java/wallmoor/summaries/SummaryPropertiesTest.java
@@ -18,7 +18,7 @@
     private static SummaryLimits settings(Random random) {
         return new SummaryLimits(random.nextInt(3) == 0 ? SummaryLimits.LEAST_BYTES : 8192, 1 + random.nextInt(7), 1
                 + random.nextInt(12),
-                8 + random.nextInt(30), 1 << 8 + random.nextInt(6), 1 + random.nextInt(4), 1 + random.nextInt(4));
+                8 + random.nextInt(30), 1 << (8 + random.nextInt(6)), 1 + random.nextInt(4), 1 + random.nextInt(4));
     }
 
     private static List<Row> rows(Random random, int most) {
