--- a/src/main/java/wallmoor/decision/MovingAverage.java
+++ b/src/main/java/wallmoor/decision/MovingAverage.java
@@ -1,20 +1,21 @@
 package wallmoor.decision;
 
-/** An exponentially smoothed mean. It has no value until the first sample. */
+/** An exponentially weighted moving average. It has no value until the first sample. */
 final class MovingAverage {
-    private final double step;
+    private final double sampleWeight;
     private double value = Double.NaN;
 
-    /** Makes one whose samples each weigh {@code step}. */
-    MovingAverage(double step) {
-        this.step = step;
+    /** An average whose samples each have this weight, from 0 to 1. */
+    MovingAverage(double sampleWeight) {
+        this.sampleWeight = sampleWeight;
     }
 
+    /** Adds a sample. */
     void add(double sample) {
-        add(sample, step);
+        add(sample, sampleWeight);
     }
 
-    /** Adds a sample of its own weight. */
+    /** Adds a sample of a weight of its own. */
     void add(double sample, double weight) {
         value = hasValue() ? value + weight * (sample - value) : sample;
     }
@@ -23,10 +24,12 @@
         return !Double.isNaN(value);
     }
 
+    /** The average, or {@code otherwise} before the first sample. */
     double orElse(double otherwise) {
         return hasValue() ? value : otherwise;
     }
 
+    /** Forgets all samples. */
     void reset() {
         value = Double.NaN;
     }
--- a/src/main/java/wallmoor/decision/RequestTable.java
+++ b/src/main/java/wallmoor/decision/RequestTable.java
@@ -3,34 +3,35 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import wallmoor.decision.State.TrackedPart;
-import wallmoor.decision.State.TrackedQuery;
 
-/** The queries that a root still owes an answer, and the parts of which it may still hear. */
+/** The queries that this gatherer still owes an answer, and the parts of which an attempt may still end. */
 final class RequestTable {
     private final Map<String, TrackedQuery> queries = new LinkedHashMap<>();
     private final Map<Long, TrackedQuery> byNumber = new LinkedHashMap<>();
     private final Map<String, TrackedPart> parts = new LinkedHashMap<>();
 
-    void add(TrackedQuery q) {
-        queries.put(q.arrival.id(), q);
-        byNumber.put(q.arrival.number(), q);
+    /** Takes in a query. */
+    void add(TrackedQuery query) {
+        queries.put(query.arrival.id(), query);
+        byNumber.put(query.arrival.number(), query);
     }
 
-    void add(TrackedPart p) {
-        p.query.parts.add(p);
-        parts.put(p.id, p);
+    /** Takes in a part, and gives it to its query. */
+    void add(TrackedPart part) {
+        part.query.parts.add(part);
+        parts.put(part.id, part);
     }
 
-    void remove(TrackedQuery q) {
-        queries.remove(q.arrival.id());
-        byNumber.remove(q.arrival.number());
+    /** Drops a query; its parts stay until they are unused. */
+    void remove(TrackedQuery query) {
+        queries.remove(query.arrival.id());
+        byNumber.remove(query.arrival.number());
     }
 
-    /** Drops a part unless an attempt of it is out. */
-    void removeIfUnused(TrackedPart p) {
-        if (p.inFlight.isEmpty()) {
-            parts.remove(p.id);
+    /** Drops a part unless an attempt of it is in flight. */
+    void removeIfUnused(TrackedPart part) {
+        if (part.inFlight.isEmpty()) {
+            parts.remove(part.id);
         }
     }
 
@@ -46,15 +47,15 @@
     /** Whether more queries and parts are held than the settings allow. */
     boolean isFull(RoutingSettings settings) {
         int held = queries.size();
-        for (TrackedQuery q : queries.values()) {
-            held += q.parts.size();
+        for (TrackedQuery query : queries.values()) {
+            held += query.parts.size();
         }
         return held > settings.limits().maxInFlight();
     }
 
     /** Whether this query is still open. */
-    boolean contains(TrackedQuery q) {
-        return queries.get(q.arrival.id()) == q;
+    boolean contains(TrackedQuery query) {
+        return queries.get(query.arrival.id()) == query;
     }
 
     /** The open query of this id, or null. */
--- a/src/main/java/wallmoor/decision/SlidingWindowSum.java
+++ b/src/main/java/wallmoor/decision/SlidingWindowSum.java
@@ -2,23 +2,23 @@
 
 import java.util.ArrayDeque;
 
-/**
- * Sums amounts over a sliding window of fixed length; what has left the window is not kept, whether asked for or not.
- */
+/** Sums amounts over a sliding window of fixed length; what has left the window is not kept, asked for or not. */
 final class SlidingWindowSum {
-    private record Entry(long at, double amount) {}
+    private record Amount(long at, double amount) {}
 
-    private final ArrayDeque<Entry> entries = new ArrayDeque<>();
+    private final ArrayDeque<Amount> amounts = new ArrayDeque<>();
     private final long length;
     private double sum;
 
+    /** An empty sum over a window of this length (microseconds). */
     SlidingWindowSum(long length) {
         this.length = length;
     }
 
+    /** Adds an amount. */
     void add(long now, double amount) {
-        drop(now); // some are added to all day and never asked: where no budget is set, say
-        entries.addLast(new Entry(now, amount));
+        drop(now); // some are added to all day and never asked: where there is no retry budget, say
+        amounts.addLast(new Amount(now, amount));
         sum += amount;
     }
 
@@ -29,10 +29,10 @@
     }
 
     private void drop(long now) {
-        while (!entries.isEmpty() && entries.peekFirst().at() <= now - length) {
-            sum -= entries.removeFirst().amount();
+        while (!amounts.isEmpty() && amounts.peekFirst().at() <= now - length) {
+            sum -= amounts.removeFirst().amount();
         }
-        if (entries.isEmpty()) {
+        if (amounts.isEmpty()) {
             sum = 0;
         }
     }
--- a/src/main/java/wallmoor/decision/WorkerTable.java
+++ b/src/main/java/wallmoor/decision/WorkerTable.java
@@ -11,21 +11,20 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.function.Function;
 import java.util.function.Predicate;
-import wallmoor.decision.State.TrackedWorker;
 
-/** The leaves that lists have named, found by id, by the tag of peer messages, and by the shards they hold. */
+/** The workers that lists have named, found by id, by the tag of gossip messages, and by the shards they hold. */
 final class WorkerTable {
     /** With more shards in a cell than this, forgetting all answers costs less than finding those of one cell. */
-    private static final int MOST_SHARDS_A_CELL = 64;
+    private static final int MAX_SHARDS_PER_CELL = 64;
 
     private final ShardLayout layout;
     private final Map<String, TrackedWorker> byId = new LinkedHashMap<>();
     private final Map<Integer, TrackedWorker> byTag = new LinkedHashMap<>();
-    /** The leaves of each cell, in the order in which they were entered, as {@link #byId} has them. */
+    /** The workers of each cell, in the order in which they were entered, as {@link #byId} has them. */
     private final Map<Integer, TreeMap<Long, TrackedWorker>> byCell = new HashMap<>();
-    private final Map<TrackedWorker, Long> order = new IdentityHashMap<>();
+    private final Map<TrackedWorker, Long> entryNumbers = new IdentityHashMap<>();
+    /** The holders of each shard that was asked for, until a change concerns them. */
     private final Map<Integer, List<TrackedWorker>> holders = new HashMap<>();
     private long entered;
 
@@ -33,83 +32,96 @@
         this.layout = layout;
     }
 
+    /** All workers, in the order in which they were first named. */
     Collection<TrackedWorker> workers() {
         return byId.values();
     }
 
-    /** The leaf of a tag, if a list has named it. */
+    /** The worker of a tag, if a list has named it. */
     Optional<TrackedWorker> byTag(int tag) {
         return Optional.ofNullable(byTag.get(tag));
     }
 
-    /** Takes in an entry of a list; a leaf new here is made by {@code maker}. */
-    TrackedWorker update(WorkerListEntry e, Function<String, TrackedWorker> maker) {
-        TrackedWorker leaf = byId.computeIfAbsent(e.worker(), maker);
-        if (e.status() == WorkerStatus.REMOVED) {
-            leaf.status = e.status();
-            removeIfUnused(leaf);
-            return leaf;
+    /** Takes in an entry of a list, and returns its worker. */
+    TrackedWorker update(WorkerListEntry entry) {
+        TrackedWorker worker = byId.computeIfAbsent(entry.worker(), TrackedWorker::new);
+        if (entry.status() == WorkerStatus.REMOVED) {
+            worker.status = entry.status();
+            removeIfUnused(worker);
+            return worker;
         }
-        byTag.putIfAbsent(GossipMessage.workerTag(e.worker()), leaf);
-        leaf.zone = e.zone();
-        leaf.status = e.status();
-        leaf.size = e.size() > 0 ? e.size() : 1;
-        if (!order.containsKey(leaf)) {
-            order.put(leaf, entered++);
-            place(leaf, e.cell());
-        } else if (leaf.cell != e.cell()) {
-            unplace(leaf);
-            place(leaf, e.cell());
+        byTag.putIfAbsent(GossipMessage.workerTag(entry.worker()), worker);
+        worker.zone = entry.zone();
+        worker.status = entry.status();
+        worker.size = entry.size() > 0 ? entry.size() : 1;
+        if (!entryNumbers.containsKey(worker)) {
+            entryNumbers.put(worker, entered++);
+            putInCell(worker, entry.cell());
+        } else if (worker.cell != entry.cell()) {
+            takeFromCell(worker);
+            putInCell(worker, entry.cell());
         }
-        return leaf;
+        return worker;
     }
 
-    /** What a whole list does not name is gone. */
-    void retainOnly(List<WorkerListEntry> whole) {
+    /** What a complete list does not name is gone. */
+    void retainOnly(List<WorkerListEntry> completeList) {
         Set<String> named = new HashSet<>();
-        whole.forEach(e -> named.add(e.worker()));
-        List<TrackedWorker> gone = byId.values().stream().filter(l -> !named.contains(l.id)).toList();
-        gone.forEach(l -> l.status = WorkerStatus.REMOVED);
+        completeList.forEach(e -> named.add(e.worker()));
+        List<TrackedWorker> gone = byId.values().stream().filter(w -> !named.contains(w.id)).toList();
+        gone.forEach(w -> w.status = WorkerStatus.REMOVED);
         gone.forEach(this::removeIfUnused);
     }
 
-    /** The sizes of those leaves of which this holds. A loop: a stream's classes would be made at each start. */
+    /** The sizes of those workers of which this holds. A loop: a stream's classes would be made at each start. */
     DoubleSummaryStatistics relativeSizes(Predicate<TrackedWorker> which) {
         var sizes = new DoubleSummaryStatistics();
-        for (TrackedWorker leaf : workers()) {
-            if (which.test(leaf)) {
-                sizes.accept(leaf.size);
+        for (TrackedWorker worker : workers()) {
+            if (which.test(worker)) {
+                sizes.accept(worker.size);
             }
         }
         return sizes;
     }
 
-    /** Drops a leaf that is gone once nothing is out there: new ones come all day, and none comes back as it was. */
-    void removeIfUnused(TrackedWorker leaf) {
-        if (leaf.inFlight.isEmpty() && byId.remove(leaf.id, leaf)) {
-            byTag.remove(GossipMessage.workerTag(leaf.id), leaf);
-            if (order.containsKey(leaf)) {
-                unplace(leaf);
-                order.remove(leaf);
+    /** Drops a removed worker once nothing is in flight there: new ones come all day, and none comes back as it was. */
+    void removeIfUnused(TrackedWorker worker) {
+        if (worker.inFlight.isEmpty() && byId.remove(worker.id, worker)) {
+            byTag.remove(GossipMessage.workerTag(worker.id), worker);
+            if (entryNumbers.containsKey(worker)) {
+                takeFromCell(worker);
+                entryNumbers.remove(worker);
             }
         }
     }
 
-    private void place(TrackedWorker leaf, int cell) {
-        leaf.cell = cell;
-        byCell.computeIfAbsent(cell, c -> new TreeMap<>()).put(order.get(leaf), leaf);
-        changed(cell);
+    /** The workers that hold a shard. A list may be wrong: one in a cell that does not exist holds nothing. */
+    List<TrackedWorker> holders(int shard) {
+        return holders.computeIfAbsent(shard, s -> {
+            var found = new TreeMap<Long, TrackedWorker>();
+            for (int j = 0; j < layout.cellsPerShard(); j++) {
+                int cell = Math.floorMod(s + j, layout.cells());
+                found.putAll(byCell.getOrDefault(cell, new TreeMap<>()));
+            }
+            return List.copyOf(found.values());
+        });
+    }
+
+    private void putInCell(TrackedWorker worker, int cell) {
+        worker.cell = cell;
+        byCell.computeIfAbsent(cell, c -> new TreeMap<>()).put(entryNumbers.get(worker), worker);
+        forgetHolders(cell);
     }
 
-    private void unplace(TrackedWorker leaf) {
-        byCell.get(leaf.cell).remove(order.get(leaf));
-        byCell.computeIfPresent(leaf.cell, (c, leaves) -> leaves.isEmpty() ? null : leaves);
-        changed(leaf.cell);
+    private void takeFromCell(TrackedWorker worker) {
+        byCell.get(worker.cell).remove(entryNumbers.get(worker));
+        byCell.computeIfPresent(worker.cell, (c, workers) -> workers.isEmpty() ? null : workers);
+        forgetHolders(worker.cell);
     }
 
-    /** Who holds the shards of a cell is to be found anew. A change of state alone moves no shard. */
-    private void changed(int cell) {
-        if (exists(cell) && layout.shards() <= layout.cells() * MOST_SHARDS_A_CELL) {
+    /** Who holds the shards of a cell is to be found anew. A change of status alone moves no shard. */
+    private void forgetHolders(int cell) {
+        if (exists(cell) && layout.shards() <= layout.cells() * MAX_SHARDS_PER_CELL) {
             for (int j = 0; j < layout.cellsPerShard(); j++) {
                 for (int s = Math.floorMod(cell - j, layout.cells()); s < layout.shards(); s += layout.cells()) {
                     holders.remove(s);
@@ -120,18 +132,6 @@
         }
     }
 
-    /** The leaves that hold a shard. A list may be wrong: one in a cell that does not exist holds nothing. */
-    List<TrackedWorker> holders(int shard) {
-        return holders.computeIfAbsent(shard, s -> {
-            var found = new TreeMap<Long, TrackedWorker>();
-            for (int j = 0; j < layout.cellsPerShard(); j++) {
-                int cell = Math.floorMod(s + j, layout.cells());
-                found.putAll(byCell.getOrDefault(cell, new TreeMap<>()));
-            }
-            return List.copyOf(found.values());
-        });
-    }
-
     private boolean exists(int cell) {
         return cell >= 0 && cell < layout.cells();
     }
--- a/src/test/java/wallmoor/core/GathererTest.java
+++ b/src/test/java/wallmoor/core/GathererTest.java
@@ -230,10 +230,10 @@
     /** What the module throws is logged; a query that it no longer decides gets its answer when its time is over. */
     @Test
     public void anExceptionOfTheModuleLeavesNoQueryWithoutItsAnswer() throws Exception {
-        failing = "leaf ";
+        failing = "worker ejected";
         Query q = open("q", 0);
         var send = (Step.Send) pick(q);
-        // the module would log that it is ill
+        // the module would log that it is ejected
         gatherer.report(send.attempts().get(0), AttemptOutcome.CONNECT_FAILED, null);
         assertTrue(log.toString(), log.stream().anyMatch(l -> l.contains("module failed")));
         clock.addAndGet(2_000_000 + 5_000);
--- a/src/test/java/wallmoor/decision/PolicyHarness.java
+++ b/src/test/java/wallmoor/decision/PolicyHarness.java
@@ -4,14 +4,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** One Brain with a hand-turned clock; every action is written down as a line of words. */
+/**
+ * One policy with a clock turned by hand; every action is written down as a line of words. Its workers are named "leaf"
+ * and their cell: turns and tags go by the hash of a name, so that other names are other inputs.
+ */
 final class PolicyHarness implements RoutingActions {
     static final long MS = 1000;
     static final long ROUND = 5 * MS;
 
     final List<String> actions = new ArrayList<>();
     final List<byte[]> broadcasts = new ArrayList<>();
-    /** For each assign, within what time it has to begin. */
+    /** For each attempt, within what time it has to begin. */
     final List<Long> beginWithins = new ArrayList<>();
     final RoutingPolicy policy;
     long now = 1_000_000;
@@ -44,19 +47,27 @@
         List<Tenant> tenants = List.of();
         List<QueryClass> classes = new ArrayList<>(List.of(allParts(Idempotency.IDEMPOTENT)));
 
-        static QueryClass allParts(Idempotency effect) {
-            return new QueryClass(1, 0.3, 2_000_000, 0, 4_000_000, effect, 1_000_000, 1, 1, 0.9, 0);
+        static QueryClass allParts(Idempotency idempotency) {
+            return new QueryClass(1, 0.3, 2_000_000, 0, 4_000_000, idempotency, 1_000_000, 1, 1, 0.9, 0);
         }
 
         static QueryClass someParts(double need, double floor) {
             return new QueryClass(1, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, need, floor, 0.9, 0);
         }
 
-        /** A class whose late answers earn nothing, with so many parts in its second step. */
+        /** A class whose late answers earn nothing, with so many parts in its second phase. */
         static QueryClass worthlessWhenLate(int followUp) {
             return new QueryClass(1, 0, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, 1, 1, 0.9, followUp);
         }
 
+        /** One of five gatherers that gossip. */
+        static SiteSettings withGossip() {
+            var site = new SiteSettings();
+            site.gatherers = 5;
+            site.gossip = true;
+            return site;
+        }
+
         SiteSettings onlyClass(QueryClass c) {
             classes = List.of(c);
             return this;
@@ -85,7 +96,7 @@
         return this;
     }
 
-    /** All cells with one leaf each. */
+    /** All cells with one worker each. */
     PolicyHarness workers(int cells) {
         var entries = new WorkerListEntry[cells];
         for (int i = 0; i < cells; i++) {
@@ -99,7 +110,7 @@
         return query(queryClass, 4_000_000, false, shards);
     }
 
-    /** A marked repeat whose client waits for this much longer. */
+    /** A marked retry whose client waits for this much longer. */
     String retry(long left, int... shards) {
         return query(0, left, true, shards);
     }
@@ -117,9 +128,9 @@
         return id;
     }
 
-    void endAttempt(String part, int attempt, String leaf, AttemptEndReason outcome, long took) {
+    void endAttempt(String part, int attempt, String worker, AttemptEndReason outcome, long took) {
         policy.onAttemptEnded(now,
-                new AttemptEnded(part, attempt, leaf, outcome, took, outcome == AttemptEndReason.OK, Map.of()));
+                new AttemptEnded(part, attempt, worker, outcome, took, outcome == AttemptEndReason.OK, Map.of()));
         policy.onRoundEnd(now);
     }
 
@@ -133,11 +144,11 @@
         }
     }
 
-    /** Ends every attempt that is out with OK after the given time. */
+    /** Ends every attempt in flight with OK after the given time. */
     void answerAll(long took) {
         advance(took);
         for (String line : List.copyOf(actions)) {
-            if (line.startsWith("assign ")) {
+            if (line.startsWith("startAttempt ")) {
                 String[] words = line.split(" ");
                 endAttempt(words[1], 0, words[2], AttemptEndReason.OK, took);
             }
@@ -156,7 +167,7 @@
         return this;
     }
 
-    /** Another root's message arrives. */
+    /** Another gatherer's message arrives. */
     void receiveGossip(int from, byte[] contents) {
         policy.onPeerMessage(now, from, contents);
         policy.onRoundEnd(now);
@@ -166,20 +177,20 @@
         return actions.stream().filter(s -> s.startsWith(verb + " ")).toList();
     }
 
-    /** The leaf of the n-th assign line. */
+    /** The worker of the n-th attempt. */
     String workerOf(int n) {
-        return actions("assign").get(n).split(" ")[2];
+        return actions("startAttempt").get(n).split(" ")[2];
     }
 
     @Override
-    public void startAttempt(String part, String leaf, long giveUpAfter, long beginWithin) {
+    public void startAttempt(String part, String worker, long giveUpAfter, long beginWithin) {
         beginWithins.add(beginWithin);
-        actions.add("assign " + part + " " + leaf);
+        actions.add("startAttempt " + part + " " + worker);
     }
 
     @Override
     public void cancelAttempt(String part, int attempt) {
-        actions.add("cancel " + part + " " + attempt);
+        actions.add("cancelAttempt " + part + " " + attempt);
     }
 
     @Override
@@ -189,7 +200,7 @@
 
     @Override
     public void reject(String query, long comeBackAfter) {
-        actions.add("refuse " + query + " " + comeBackAfter);
+        actions.add("reject " + query + " " + comeBackAfter);
     }
 
     @Override
@@ -199,23 +210,23 @@
 
     @Override
     public void scheduleTimer(long in, String token) {
-        actions.add("timer " + in + " " + token);
+        actions.add("scheduleTimer " + in + " " + token);
     }
 
     @Override
-    public void closeIdleConnections(String leaf) {
-        actions.add("closeIdle " + leaf);
+    public void closeIdleConnections(String worker) {
+        actions.add("closeIdleConnections " + worker);
     }
 
     @Override
     public void broadcast(byte[] contents) {
-        actions.add("tellPeers " + contents.length);
+        actions.add("broadcast " + contents.length);
         broadcasts.add(contents);
     }
 
     @Override
     public void watchWorkerList() {
-        actions.add("subscribe now");
+        actions.add("watchWorkerList now");
     }
 
     @Override
--- a/src/test/java/wallmoor/decision/SlowStartSimulation.java
+++ b/src/test/java/wallmoor/decision/SlowStartSimulation.java
@@ -9,8 +9,8 @@
 import java.util.Random;
 
 /**
- * Many modules and the leaves that they share on one simulated clock. The leaves of the first cell die together and
- * come back cold, so that all demand for their shards waits for what the modules send them. Each leaf keeps the times
+ * Many modules and the workers that they share on one simulated clock. The workers of the first cell die together and
+ * come back in slow start, so that all demand for their shards waits for what the modules send them. Each worker keeps the times
  * at which parts reached it, and {@link #worstExcess} holds them against the bound that the settings state.
  */
 final class SlowStartSimulation {
@@ -22,25 +22,26 @@
     /** Sizes in lists are rough: off by at most so much. */
     private static final double ROUGH = 0.1;
     private static final long HOP = 1 * MS;
-    /** Calls from which the slack of the bound is 2 x root + 2; below it is 3 x root + 3. */
+    /** Calls from which the slack of the bound is 2 x the square root + 2; below it is 3 x the square root + 3. */
     private static final int FEW_CALLS = 30;
-    /** The rule is broken where more than this share of what reached the leaf came from modules told of its start. */
+    /** The rule is broken where more than this share of what reached the worker came from modules told of its start. */
     private static final double TOLD_SHARE = 2.0 / 3;
 
     /**
      * One simulated day.
      *
-     * @param roots        modules side by side
-     * @param cells        cells of three leaves each; those of the first are restarted
+     * @param gatherers        modules side by side
+     * @param cells        cells of three workers each; those of the first are restarted
      * @param parts        parts of a query
      * @param work         mean work of a part on a fast warm core (microseconds)
      * @param load         demand over capacity before the burst
      * @param burst        demand during the burst, over that before it
-     * @param restarted    share of the modules that are restarted while leaves are cold
-     * @param dialLasts    a first connection to a leaf takes up to this (microseconds)
+     * @param restarted    share of the modules that are restarted while workers are in slow start
+     * @param dialLasts    a first connection to a worker takes up to this (microseconds)
      * @param toldAfter    lists tell of a start so late at the most (microseconds)
      */
-    record Scenario(long seed, int roots, int cells, int parts, long work, double load, double burst, double restarted,
+    record Scenario(long seed, int gatherers, int cells, int parts, long work, double load, double burst,
+            double restarted,
             long dialLasts,
             long toldAfter) {}
 
@@ -51,15 +52,15 @@
         }
     }
 
-    private record Arrival(long at, int root) {}
+    private record Arrival(long at, int gatherer) {}
 
-    private record Call(SimulatedGatherer root, String part, int number, long sentAt, long work) {}
+    private record Call(SimulatedGatherer gatherer, String part, int number, long sentAt, long work) {}
 
     private final Scenario day;
     private final Random random;
     private final RoutingSettings settings;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private final List<SimulatedGatherer> roots = new ArrayList<>();
+    private final List<SimulatedGatherer> gatherers = new ArrayList<>();
     private final Map<String, SimulatedWorker> machines = new HashMap<>();
     private long order;
     private long now = 1_700_000_000 * SECOND;
@@ -72,8 +73,8 @@
         for (int i = 0; i < 3 * day.cells; i++) {
             machines.put("w" + i, new SimulatedWorker("w" + i, i % day.cells, random.nextBoolean() ? 1 : SLOW));
         }
-        for (int i = 0; i < day.roots; i++) {
-            roots.add(new SimulatedGatherer(i));
+        for (int i = 0; i < day.gatherers; i++) {
+            gatherers.add(new SimulatedGatherer(i));
         }
     }
 
@@ -82,14 +83,14 @@
      * s.
      */
     SlowStartSimulation play() {
-        roots.forEach(SimulatedGatherer::begin);
+        gatherers.forEach(SimulatedGatherer::begin);
         machines.values().stream().filter(m -> m.cell == 0).forEach(m -> {
             in(10 * SECOND, m::crash);
             in(11 * SECOND + random.nextLong(SECOND), m::comeBack);
         });
-        for (SimulatedGatherer root : roots) {
+        for (SimulatedGatherer gatherer : gatherers) {
             if (random.nextDouble() < day.restarted) {
-                in(12 * SECOND + random.nextLong(8 * SECOND), root::restart);
+                in(12 * SECOND + random.nextLong(8 * SECOND), gatherer::restart);
             }
         }
         long end = begun + 24 * SECOND;
@@ -109,17 +110,17 @@
         return now >= begun + 11 * SECOND && now < begun + 18 * SECOND;
     }
 
-    /** The most by which any window at a cold leaf lies above what the bound allows then; 0 or less where none does. */
+    /** The most by which any window at a worker in slow start lies above what the bound allows then; 0 or less where none does. */
     double worstExcess() {
         return machines.values().stream().mapToDouble(SimulatedWorker::excess).max().orElse(0);
     }
 
-    /** Parts that reached leaves while they were cold. */
+    /** Parts that reached workers while they were in slow start. */
     int sentCold() {
         return machines.values().stream().mapToInt(m -> m.arrivals.size()).sum();
     }
 
-    /** What a leaf of this warmth may get within the window, with the slack. */
+    /** What a worker of this warmth may get within the window, with the slack. */
     private double bound(double warmth, double speed) {
         PlatformRules rules = settings.rules();
         double perSecond = CORES * speed * 1e6 / day.work;
@@ -127,7 +128,7 @@
         return calls + (calls < FEW_CALLS ? 3 * Math.sqrt(calls) + 3 : 2 * Math.sqrt(calls) + 2);
     }
 
-    /** A leaf: cores that work, a queue before them, and a process that may be gone. */
+    /** A worker: cores that work, a queue before them, and a process that may be gone. */
     private final class SimulatedWorker {
         final String id;
         final int cell;
@@ -138,7 +139,7 @@
         private final ArrayDeque<Call> queue = new ArrayDeque<>();
         private int busy;
         private boolean away;
-        private int life;
+        private int incarnation;
         private long startedAt = Absent.VALUE;
 
         SimulatedWorker(String id, int cell, double speed) {
@@ -155,17 +156,17 @@
                             + (1 - rules.slowStartShare()) * (at - startedAt) / rules.slowStartWindow();
         }
 
-        private boolean cold(long at) {
+        private boolean isInSlowStart(long at) {
             return startedAt != Absent.VALUE && at - startedAt < settings.rules().slowStartWindow();
         }
 
         void crash() {
             away = true;
-            life++;
+            incarnation++;
             busy = 0;
             queue.clear();
-            for (SimulatedGatherer root : roots) {
-                root.reset(id);
+            for (SimulatedGatherer gatherer : gatherers) {
+                gatherer.reset(id);
             }
         }
 
@@ -173,8 +174,8 @@
             away = false;
             startedAt = now;
             arrivals.clear();
-            for (SimulatedGatherer root : roots) {
-                in(random.nextLong(Math.max(1, day.toldAfter)), () -> root.told(this));
+            for (SimulatedGatherer gatherer : gatherers) {
+                in(random.nextLong(Math.max(1, day.toldAfter)), () -> gatherer.told(this));
             }
         }
 
@@ -185,11 +186,11 @@
 
         void take(Call call) {
             if (away) {
-                in(HOP, () -> call.root.ends(call, id, AttemptEndReason.CONNECT_FAILED));
+                in(HOP, () -> call.gatherer.ends(call, id, AttemptEndReason.CONNECT_FAILED));
                 return;
             }
-            if (cold(now)) {
-                arrivals.add(new Arrival(now, call.root.place));
+            if (isInSlowStart(now)) {
+                arrivals.add(new Arrival(now, call.gatherer.place));
             }
             queue.add(call);
             work();
@@ -199,11 +200,11 @@
             while (busy < CORES && !queue.isEmpty()) {
                 Call call = queue.poll();
                 busy++;
-                int mine = life;
+                int mine = incarnation;
                 in((long) (call.work / speed / warmth(now)), () -> {
-                    if (mine == life) {
+                    if (mine == incarnation) {
                         busy--;
-                        in(HOP, () -> call.root.ends(call, id, AttemptEndReason.OK));
+                        in(HOP, () -> call.gatherer.ends(call, id, AttemptEndReason.OK));
                         work();
                     }
                 });
@@ -221,7 +222,7 @@
                 }
                 int told = 0;
                 for (int i = first; i <= last; i++) {
-                    told += toldAt.getOrDefault(arrivals.get(i).root, Long.MAX_VALUE) <= arrivals.get(i).at ? 1 : 0;
+                    told += toldAt.getOrDefault(arrivals.get(i).gatherer, Long.MAX_VALUE) <= arrivals.get(i).at ? 1 : 0;
                 }
                 int all = last - first + 1;
                 if (told > TOLD_SHARE * all) {
@@ -236,7 +237,7 @@
     private final class SimulatedGatherer implements RoutingActions {
         final int place;
         private RoutingPolicy brain;
-        private int life;
+        private int incarnation;
         private long numbers;
         private final Map<String, Integer> attempts = new HashMap<>();
         private final Map<Call, String> out = new HashMap<>();
@@ -247,7 +248,8 @@
         }
 
         void begin() {
-            brain = new RoutingPolicy(settings.amongGatherers(day.roots, place), day.seed * 1_000 + place * 10 + life,
+            brain = new RoutingPolicy(settings.amongGatherers(day.gatherers, place),
+                    day.seed * 1_000 + place * 10 + incarnation,
                     this);
             brain.onStart(now);
             brain.onWorkerList(now, WorkerListKind.CACHED,
@@ -255,12 +257,12 @@
             brain.onRoundEnd(now);
             machines.values().stream().filter(m -> m.startedAt != Absent.VALUE)
                     .forEach(m -> m.toldAt.putIfAbsent(place, now));
-            next(life);
+            next(incarnation);
         }
 
         /** Killed; a new process takes its place a moment later, and knows nothing of what was sent. */
         void restart() {
-            life++;
+            incarnation++;
             out.clear();
             attempts.clear();
             connected.clear();
@@ -279,9 +281,9 @@
         private void next(int mine) {
             double each = 3.0 * CORES * 1e6 / day.work * day.load * (inBurst() ? day.burst : 1) * day.cells * (1 + SLOW)
                     / 2
-                    / day.roots / day.parts;
+                    / day.gatherers / day.parts;
             in((long) (-Math.log(1 - random.nextDouble()) / each * 1e6), () -> {
-                if (mine == life) {
+                if (mine == incarnation) {
                     query();
                     next(mine);
                 }
@@ -289,7 +291,7 @@
         }
 
         private void query() {
-            String id = "q" + place + "-" + life + "-" + numbers;
+            String id = "q" + place + "-" + incarnation + "-" + numbers;
             brain.onQueryArrived(now,
                     new QueryArrived(id, numbers, 0, 0, null, now + 4 * SECOND, Absent.VALUE, day.parts,
                             false));
@@ -303,36 +305,36 @@
             brain.onRoundEnd(now);
         }
 
-        void reset(String leaf) {
-            connected.remove(leaf);
+        void reset(String worker) {
+            connected.remove(worker);
             for (Call call : List.copyOf(out.keySet())) {
-                if (leaf.equals(out.get(call))) {
-                    in(HOP, () -> ends(call, leaf, AttemptEndReason.RESET));
+                if (worker.equals(out.get(call))) {
+                    in(HOP, () -> ends(call, worker, AttemptEndReason.RESET));
                 }
             }
         }
 
-        void ends(Call call, String leaf, AttemptEndReason outcome) {
+        void ends(Call call, String worker, AttemptEndReason outcome) {
             if (out.remove(call) != null && brain != null) {
-                brain.onAttemptEnded(now, new AttemptEnded(call.part, call.number, leaf, outcome, now - call.sentAt,
+                brain.onAttemptEnded(now, new AttemptEnded(call.part, call.number, worker, outcome, now - call.sentAt,
                         outcome == AttemptEndReason.OK, Map.of()));
                 brain.onRoundEnd(now);
             }
         }
 
         @Override
-        public void startAttempt(String part, String leaf, long giveUpAfter, long beginWithin) {
+        public void startAttempt(String part, String worker, long giveUpAfter, long beginWithin) {
             int number = attempts.merge(part, 1, Integer::sum) - 1;
             long work = (long) (day.work * Math.exp(0.4 * random.nextGaussian() - 0.08));
             var call = new Call(this, part, number, now, work);
-            out.put(call, leaf);
-            long up = connected.computeIfAbsent(leaf, l -> now + random.nextLong(day.dialLasts + 1));
+            out.put(call, worker);
+            long up = connected.computeIfAbsent(worker, l -> now + random.nextLong(day.dialLasts + 1));
             in(Math.max(HOP, up - now), () -> {
                 if (out.containsKey(call)) {
-                    machines.get(leaf).take(call);
+                    machines.get(worker).take(call);
                 }
             });
-            in(giveUpAfter, () -> ends(call, leaf, AttemptEndReason.TIMEOUT));
+            in(giveUpAfter, () -> ends(call, worker, AttemptEndReason.TIMEOUT));
         }
 
         @Override
@@ -343,9 +345,9 @@
 
         @Override
         public void scheduleTimer(long in, String token) {
-            int mine = life;
+            int mine = incarnation;
             in(in, () -> {
-                if (mine == life && brain != null) {
+                if (mine == incarnation && brain != null) {
                     brain.onTimer(now, token);
                     brain.onRoundEnd(now);
                 }
@@ -368,7 +370,7 @@
         }
 
         @Override
-        public void closeIdleConnections(String leaf) {
+        public void closeIdleConnections(String worker) {
             // connections stay
         }
 
--- a/src/test/java/wallmoor/decision/SlowStartTest.java
+++ b/src/test/java/wallmoor/decision/SlowStartTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Any number of modules that don't talk send a leaf that is cold no more than the settings allow all of them together,
+ * Any number of modules that don't talk send a worker that is cold no more than the settings allow all of them together,
  * in whatever window: under a burst, with restarts of modules, slow first connections and lists that tell late.
  */
 class SlowStartTest {
@@ -28,24 +28,24 @@
                 new ShardLayout(3 * cells, cells, 1), limits, rules, usual.costs());
     }
 
-    private static SlowStartSimulation played(long seed, int roots, double restarted) {
+    private static SlowStartSimulation played(long seed, int gatherers, double restarted) {
         var random = new Random(seed);
         int cells = 2 + random.nextInt(3);
         RoutingSettings settings = settings(random, cells);
         long work = 4_000 + random.nextLong(60_000);
         double load = 0.4 + 0.5 * random.nextDouble();
         return new SlowStartSimulation(
-                new SlowStartSimulation.Scenario(seed, roots, cells, seed % 3 == 0 ? 3 * cells : 1, work, load, 1.5,
+                new SlowStartSimulation.Scenario(seed, gatherers, cells, seed % 3 == 0 ? 3 * cells : 1, work, load, 1.5,
                         restarted, seed % 2 * CONNECT, seed / 2 % 2 * 1_500_000),
                 settings).play();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 20, 30, 100})
-    void noWindowAtAWorkerInSlowStartExceedsTheBound(int roots) {
+    void noWindowAtAWorkerInSlowStartExceedsTheBound(int gatherers) {
         var broken = new ArrayList<String>();
         for (long seed = 0; seed < DAYS; seed++) {
-            SlowStartSimulation fleet = played(seed, roots, RESTARTED[(int) seed % RESTARTED.length]);
+            SlowStartSimulation fleet = played(seed, gatherers, RESTARTED[(int) seed % RESTARTED.length]);
             if (fleet.worstExcess() > 0) {
                 broken.add("seed " + seed + ": " + fleet.worstExcess() + " calls too many");
             }
--- a/src/test/java/wallmoor/frames/WorkerConnectionRaceTest.java
+++ b/src/test/java/wallmoor/frames/WorkerConnectionRaceTest.java
@@ -230,7 +230,7 @@
     }
 
     private boolean blamed() {
-        return log.stream().anyMatch(l -> l.contains("ill: CONNECT_FAILED"));
+        return log.stream().anyMatch(l -> l.contains("reason=CONNECT_FAILED"));
     }
 
     @Test
