--- a/src/test/java/wallmoor/net/WatchCrossingsTest.java
+++ b/src/test/java/wallmoor/net/WatchCrossingsTest.java
@@ -121,7 +121,7 @@
         call.chunk("{\"revision\":43,\"complete\":true}\n");
         var next = discovery.call();
         assertEquals(LIST, next.target());
-        assertEquals("nobody is gone by that", 2, gatherer.workerCounts().known());
+        assertEquals("nobody is gone by that", 2, gatherer.control().workerCounts().known());
         assertTrue(a.isServing() && b.isServing());
         next.answer(200, whole(43)); // what a whole list doesn't name is gone
         awaitListed(0);
@@ -201,17 +201,17 @@
     @Test
     public void aDrainAndABanTogether() throws Exception {
         var call = watched();
-        gatherer.setBanned("a", true);
+        gatherer.control().setBanned("a", true);
         assertFalse(a.isServing());
         call.chunk(changes(43, member("a", DRAINING), member("b", DRAINING)));
         awaitDrained(b);
-        gatherer.setBanned("a", false);
+        gatherer.control().setBanned("a", false);
         assertFalse("the list drains it still", a.isServing());
-        gatherer.setBanned("b", true);
+        gatherer.control().setBanned("b", true);
         call.chunk(changes(44, member("a", SERVING), member("b", SERVING)));
         Program.await("a serves", a::isServing);
         assertFalse("an operator took it out", b.isServing());
-        gatherer.setBanned("b", false);
+        gatherer.control().setBanned("b", false);
         assertTrue(b.isServing());
     }
 }
--- a/src/test/java/wallmoor/net/WatchMovesTest.java
+++ b/src/test/java/wallmoor/net/WatchMovesTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
+import org.slf4j.helpers.NOPLogger;
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.Gatherer;
 import wallmoor.core.MonotonicClock;
@@ -117,9 +118,9 @@
                 }
                 ScriptedDiscovery other = scripted();
                 LaunchConfig old = launch(full.getLocalPort(), "subscribe");
-                gatherer = new Gatherer(old.settings(), old.seed(), new MonotonicClock(), line -> {});
+                gatherer = new Gatherer(old.settings(), old.seed(), new MonotonicClock(), NOPLogger.NOP_LOGGER);
                 watch = new DiscoveryWatch(old, gatherer);
-                gatherer.start(List.of());
+                gatherer.control().start(List.of());
                 watch.start(news -> {});
                 Thread.sleep(300); // within the second that a connection may take
                 long begun = System.nanoTime();
