--- a/src/bench/java/wallmoor/net/PruningCost.java
+++ b/src/bench/java/wallmoor/net/PruningCost.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Random;
+import java.util.Set;
 import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
@@ -100,7 +101,7 @@
                 fleet.write(site, row(random, site, site + "-w" + n));
                 wrote.recordValue((System.nanoTime() - at) / 1000);
             }
-            TreeSet<String> expected = fleet.expected(q);
+            Set<String> expected = fleet.expected(q);
             boolean swap = random.nextBoolean();
             for (int turn = 0; turn < 2; turn++) {
                 int which = swap ? 1 - turn : turn;
--- a/src/main/java/wallmoor/client/CoapDevice.java
+++ b/src/main/java/wallmoor/client/CoapDevice.java
@@ -50,62 +50,103 @@
     }
 
     /** Asks, or asks only for the outcome where {@code query} is null; returns when it is learnt or patience ends. */
-    public ClientResult ask(String id, byte[] query, RetryBackoff pace) throws InterruptedException {
-        int tries = 0;
-        int wrong = 0;
-        boolean taken = query == null;
+    public ClientResult ask(String id, byte[] query, RetryBackoff backoff) throws InterruptedException {
+        var asking = new Asking(id, query);
         while (true) {
-            boolean put = !taken;
-            tries++;
-            CoapResponse response = send(id, put ? () -> {
-                Request r = Request.newPut();
-                r.setPayload(query);
-                r.getOptions().setContentFormat(MediaTypeRegistry.APPLICATION_JSON);
-                return r;
-            } : Request::newGet);
-            long told = 0;
-            if (response != null) {
-                ResponseCode code = response.getCode();
-                String text = response.getPayload() == null ? ""
-                        : new String(response.getPayload(), StandardCharsets.UTF_8);
-                if (!put && ClientResult.kindOf(text) != null) {
-                    return new ClientResult(ClientResult.kindOf(text), response.getPayload(), tries);
-                }
-                if (put && response.isSuccess()) {
-                    progress.accept("taken");
-                    taken = true;
-                    wrong = 0;
-                    continue;
-                }
-                if (code == ResponseCode.CONTENT) {
-                    continue; // pending, and waited for at the edge's side
-                }
-                if (code == ResponseCode.TOO_MANY_REQUESTS || code == ResponseCode.SERVICE_UNAVAILABLE) {
-                    told = 1000 * response.getOptions().getMaxAge();
-                    progress.accept("told to come back after " + told / 1000 + " s");
-                } else if (code == ResponseCode.NOT_FOUND && ClientResult.kindOf(text) == null) {
-                    if (query == null) {
-                        return new ClientResult(ClientResult.ClientResultKind.UNKNOWN, response.getPayload(), tries);
-                    }
-                    taken = false;
-                } else if (ClientResult.kindOf(text) != null) {
-                    return new ClientResult(ClientResult.kindOf(text), response.getPayload(), tries);
-                } else if (code != ResponseCode.REQUEST_ENTITY_INCOMPLETE && code.codeClass == 4) {
-                    return new ClientResult(ClientResult.ClientResultKind.REJECTED,
-                            text.getBytes(StandardCharsets.UTF_8), tries);
-                }
-            } else {
-                progress.accept("no answer");
+            asking.attempt();
+            if (asking.result != null) {
+                return asking.result;
+            }
+            if (asking.pending) {
+                continue;
             }
             long now = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-            long wait = pace.next(now, ++wrong, told, ThreadLocalRandom.current().nextDouble());
+            long wait = backoff.next(now, ++asking.failures, asking.retryAfterMillis,
+                    ThreadLocalRandom.current().nextDouble());
             if (wait == RetryBackoff.GIVE_UP) {
-                return new ClientResult(ClientResult.ClientResultKind.NOT_LEARNT, new byte[0], tries);
+                return new ClientResult(ClientResult.ClientResultKind.NOT_LEARNT, new byte[0], asking.attempts);
             }
             Thread.sleep(wait);
         }
     }
 
+    /** One query on its way to its outcome, by as many requests as that takes. */
+    private final class Asking {
+        private final String id;
+        private final byte[] query;
+        private int attempts;
+        /** In a row. */
+        private int failures;
+        /** Whether the edge has the query, so that only its outcome is asked for. */
+        private boolean accepted;
+        /** Whether the last answer was that the query was accepted, or that there is no outcome yet. */
+        private boolean pending;
+        private long retryAfterMillis;
+        /** What was learnt; null until then. */
+        private ClientResult result;
+
+        Asking(String id, byte[] query) {
+            this.id = id;
+            this.query = query;
+            accepted = query == null;
+        }
+
+        void attempt() {
+            boolean put = !accepted;
+            attempts++;
+            pending = false;
+            retryAfterMillis = 0;
+            CoapResponse response = send(id, put ? this::put : Request::newGet);
+            if (response == null) {
+                progress.accept("no answer");
+            } else {
+                take(response, put);
+            }
+        }
+
+        private Request put() {
+            Request request = Request.newPut();
+            request.setPayload(query);
+            request.getOptions().setContentFormat(MediaTypeRegistry.APPLICATION_JSON);
+            return request;
+        }
+
+        private void take(CoapResponse response, boolean put) {
+            ResponseCode code = response.getCode();
+            byte[] payload = response.getPayload();
+            String text = payload == null ? "" : new String(payload, StandardCharsets.UTF_8);
+            ClientResult.ClientResultKind kind = ClientResult.kindOf(text);
+            if (!put && kind != null) {
+                result = new ClientResult(kind, payload, attempts);
+            } else if (put && response.isSuccess()) {
+                progress.accept("taken");
+                accepted = true;
+                pending = true;
+                failures = 0;
+            } else if (code == ResponseCode.CONTENT) {
+                pending = true; // it was waited for at the edge's side
+            } else if (code == ResponseCode.TOO_MANY_REQUESTS || code == ResponseCode.SERVICE_UNAVAILABLE) {
+                retryAfterMillis = 1000 * response.getOptions().getMaxAge();
+                progress.accept("told to come back after " + retryAfterMillis / 1000 + " s");
+            } else if (kind != null) {
+                result = new ClientResult(kind, payload, attempts);
+            } else if (code == ResponseCode.NOT_FOUND) {
+                notFound(payload);
+            } else if (code != ResponseCode.REQUEST_ENTITY_INCOMPLETE && code.codeClass == 4) {
+                result = new ClientResult(ClientResult.ClientResultKind.REJECTED,
+                        text.getBytes(StandardCharsets.UTF_8), attempts);
+            }
+        }
+
+        private void notFound(byte[] payload) {
+            if (query == null) {
+                result = new ClientResult(ClientResult.ClientResultKind.UNKNOWN, payload, attempts);
+            } else {
+                accepted = false; // it was called off meanwhile, or never came
+            }
+        }
+    }
+
     /** Sends, and again with the Echo that an address which has proven nothing is answered with (RFC 9175). */
     private CoapResponse send(String id, Supplier<Request> made) {
         var client = new CoapClient(base.resolve("/queries/" + id) + "?token=" + token + "&wait=" + WAIT_SECONDS);
--- a/src/main/java/wallmoor/client/HttpDevice.java
+++ b/src/main/java/wallmoor/client/HttpDevice.java
@@ -8,6 +8,7 @@
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.net.http.HttpResponse.BodyHandlers;
+import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
@@ -54,45 +55,56 @@
     }
 
     /** Asks, or asks only for the outcome where {@code query} is null; returns when it is learnt or patience ends. */
-    public ClientResult ask(String id, byte[] query, RetryBackoff pace) throws InterruptedException {
-        int tries = 0;
-        int wrong = 0;
-        boolean taken = query == null;
-        var part = new Part();
+    public ClientResult ask(String id, byte[] query, RetryBackoff backoff) throws InterruptedException {
+        var asking = new Asking(id, query);
         while (true) {
-            long told = 0;
-            tries++;
+            asking.attempt();
+            if (asking.result != null) {
+                return asking.result;
+            }
+            if (asking.pending) {
+                continue;
+            }
+            long now = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
+            long wait = backoff.next(now, ++asking.failures, asking.retryAfterMillis,
+                    ThreadLocalRandom.current().nextDouble());
+            if (wait == RetryBackoff.GIVE_UP) {
+                return new ClientResult(ClientResult.ClientResultKind.NOT_LEARNT, new byte[0], asking.attempts);
+            }
+            Thread.sleep(wait);
+        }
+    }
+
+    /** One query on its way to its outcome, by as many requests as that takes. */
+    private final class Asking {
+        private final String id;
+        private final byte[] query;
+        private Part part = new Part();
+        private int attempts;
+        /** In a row. */
+        private int failures;
+        /** Whether the edge has the query, so that only its outcome is asked for. */
+        private boolean accepted;
+        /** Whether the last answer was that there is no outcome yet. */
+        private boolean pending;
+        private long retryAfterMillis;
+        /** What was learnt; null until then. */
+        private ClientResult result;
+
+        Asking(String id, byte[] query) {
+            this.id = id;
+            this.query = query;
+            accepted = query == null;
+        }
+
+        void attempt() throws InterruptedException {
+            attempts++;
+            pending = false;
+            retryAfterMillis = 0;
             try {
-                HttpResponse<InputStream> r = client.send(request(id, taken ? null : query, part),
+                HttpResponse<InputStream> response = client.send(request(id, accepted ? null : query, part),
                         BodyHandlers.ofInputStream());
-                String text = read(r, part);
-                int status = r.statusCode();
-                if (text != null && ClientResult.kindOf(text) != null) {
-                    return new ClientResult(ClientResult.kindOf(text),
-                            text.getBytes(java.nio.charset.StandardCharsets.UTF_8),
-                            tries);
-                }
-                if (status == 202) {
-                    progress.accept("taken, no outcome yet");
-                    taken = true;
-                    wrong = 0;
-                } else if (status == 429 || status == 503) {
-                    told = 1000L * r.headers().firstValueAsLong("Retry-After").orElse(1);
-                    progress.accept("told to come back after " + told / 1000 + " s");
-                } else if (status == NO_SUCH && query == null) {
-                    return new ClientResult(ClientResult.ClientResultKind.UNKNOWN,
-                            String.valueOf(text).getBytes(java.nio.charset.StandardCharsets.UTF_8), tries);
-                } else if (status == NO_SUCH) {
-                    taken = false; // it was called off meanwhile, or never came
-                } else if (status >= 400 && status < 500 && status != 416) {
-                    return new ClientResult(ClientResult.ClientResultKind.REJECTED,
-                            String.valueOf(text).getBytes(java.nio.charset.StandardCharsets.UTF_8), tries);
-                } else if (status == 416) {
-                    part = new Part();
-                }
-                if (status == 202) {
-                    continue;
-                }
+                take(response, read(response, part));
             } catch (IOException e) {
                 progress.accept(
                         "the link broke" + (part.bytes.size() > 0 ? " after " + part.bytes.size() + " bytes" : ""));
@@ -100,12 +112,34 @@
                     part = new Part();
                 }
             }
-            long now = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-            long wait = pace.next(now, ++wrong, told, ThreadLocalRandom.current().nextDouble());
-            if (wait == RetryBackoff.GIVE_UP) {
-                return new ClientResult(ClientResult.ClientResultKind.NOT_LEARNT, new byte[0], tries);
+        }
+
+        private void take(HttpResponse<InputStream> response, String text) {
+            int status = response.statusCode();
+            ClientResult.ClientResultKind kind = ClientResult.kindOf(text);
+            if (kind != null) {
+                result = learnt(kind, text);
+            } else if (status == 202) {
+                progress.accept("taken, no outcome yet");
+                accepted = true;
+                pending = true;
+                failures = 0;
+            } else if (status == 429 || status == 503) {
+                retryAfterMillis = 1000L * response.headers().firstValueAsLong("Retry-After").orElse(1);
+                progress.accept("told to come back after " + retryAfterMillis / 1000 + " s");
+            } else if (status == NO_SUCH && query == null) {
+                result = learnt(ClientResult.ClientResultKind.UNKNOWN, text);
+            } else if (status == NO_SUCH) {
+                accepted = false; // it was called off meanwhile, or never came
+            } else if (status == 416) {
+                part = new Part();
+            } else if (status >= 400 && status < 500) {
+                result = learnt(ClientResult.ClientResultKind.REJECTED, text);
             }
-            Thread.sleep(wait);
+        }
+
+        private ClientResult learnt(ClientResult.ClientResultKind kind, String text) {
+            return new ClientResult(kind, text.getBytes(StandardCharsets.UTF_8), attempts);
         }
     }
 
@@ -149,6 +183,6 @@
                 new java.util.zip.GZIPInputStream(new java.io.ByteArrayInputStream(all)).readNBytes(MOST_ANSWER);
             default -> all;
         };
-        return new String(plain, java.nio.charset.StandardCharsets.UTF_8);
+        return new String(plain, StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/wallmoor/config/RulesConfig.java
+++ b/src/main/java/wallmoor/config/RulesConfig.java
@@ -30,16 +30,8 @@
 
     static RulesConfig of(ConfigSection at, Path folder, LaunchConfig launch) {
         boolean on = at.flag("enabled", true);
-        var voters = new TreeMap<String, InetSocketAddress>();
         ConfigSection named = at.section("voters");
-        for (String name : named.keys()) {
-            InetSocketAddress address = named.address(name);
-            if (!name.matches("[!-~]{1,64}")) {
-                named.fault(name, "is no name of 1 to 64 letters");
-            } else if (address != null) {
-                voters.put(name, address);
-            }
-        }
+        SortedMap<String, InetSocketAddress> voters = voters(named);
         if (named.keys().size() != FEW && named.keys().size() != MANY) {
             at.fault("voters",
                     "names " + named.keys().size() + " voters: it must be 3 or 5, each with its ADDRESS:PORT");
@@ -64,4 +56,17 @@
                         control)
                 : null;
     }
+
+    private static SortedMap<String, InetSocketAddress> voters(ConfigSection named) {
+        var voters = new TreeMap<String, InetSocketAddress>();
+        for (String name : named.keys()) {
+            InetSocketAddress address = named.address(name);
+            if (!name.matches("[!-~]{1,64}")) {
+                named.fault(name, "is no name of 1 to 64 letters");
+            } else if (address != null) {
+                voters.put(name, address);
+            }
+        }
+        return voters;
+    }
 }
--- a/src/main/java/wallmoor/summaries/PropertySummary.java
+++ b/src/main/java/wallmoor/summaries/PropertySummary.java
@@ -156,11 +156,21 @@
     /** Whether it admits already all that another one does. */
     boolean covers(PropertySummary o) {
         return (missing || !o.missing) && (odd || !o.odd) && (numbers || !o.numbers) && (texts || !o.texts)
-                && least <= o.least && most >= o.most && (o.first == null || (first != null
-                        && first.compareTo(o.first) <= 0 && last.compareTo(o.last) >= 0
-                        && firstFolded.compareTo(o.firstFolded) <= 0 && lastFolded.compareTo(o.lastFolded) >= 0))
-                && o.values != null && o.values.stream().allMatch(v -> values != null ? values.contains(v)
-                        : filter.may(KeyNormalizer.hash(v)));
+                && least <= o.least && most >= o.most && coversTexts(o) && coversValues(o);
+    }
+
+    private boolean coversTexts(PropertySummary o) {
+        if (o.first == null) {
+            return true;
+        }
+        return first != null && first.compareTo(o.first) <= 0 && last.compareTo(o.last) >= 0
+                && firstFolded.compareTo(o.firstFolded) <= 0 && lastFolded.compareTo(o.lastFolded) >= 0;
+    }
+
+    /** Of another's filter it can't be told which values it admits. */
+    private boolean coversValues(PropertySummary o) {
+        return o.values != null && o.values.stream()
+                .allMatch(v -> values != null ? values.contains(v) : filter.may(KeyNormalizer.hash(v)));
     }
 
     /** Why no row can match, or null where one could. */
--- a/src/main/java/wallmoor/summaries/Summary.java
+++ b/src/main/java/wallmoor/summaries/Summary.java
@@ -124,18 +124,28 @@
         if (other.rows == 0) {
             return true;
         }
-        if (rows == 0 || (!placeless && other.placeless) || (!timeless && other.timeless)
-                || (complete && !other.complete)
+        if (rows == 0 || (complete && !other.complete)
                 || (complete && !properties.keySet().containsAll(other.properties.keySet()))) {
             return false; // a property not told of yet: were it passed over, a later row's would seem to be its first
         }
-        return (placeless || other.boxes.stream().allMatch(o -> boxes.stream().anyMatch(b -> b.holds(o))))
-                && (timeless || other.spans.stream().allMatch(o -> spans.stream()
-                        .anyMatch(s -> s.from() <= o.from() && o.to() <= s.to())))
-                && properties.entrySet().stream().allMatch(p -> {
-                    PropertySummary its = other.properties.get(p.getKey());
-                    return its == null ? other.complete && p.getValue().missing : p.getValue().covers(its);
-                });
+        return coversPlaces(other) && coversTimes(other) && coversProperties(other);
+    }
+
+    private boolean coversPlaces(Summary other) {
+        return placeless || (!other.placeless
+                && other.boxes.stream().allMatch(o -> boxes.stream().anyMatch(b -> b.holds(o))));
+    }
+
+    private boolean coversTimes(Summary other) {
+        return timeless || (!other.timeless && other.spans.stream()
+                .allMatch(o -> spans.stream().anyMatch(s -> s.from() <= o.from() && o.to() <= s.to())));
+    }
+
+    private boolean coversProperties(Summary other) {
+        return properties.entrySet().stream().allMatch(p -> {
+            PropertySummary its = other.properties.get(p.getKey());
+            return its == null ? other.complete && p.getValue().missing : p.getValue().covers(its);
+        });
     }
 
     /** What it holds, a line for each thing, for people. */
--- a/src/main/java/wallmoor/summaries/SummaryLimits.java
+++ b/src/main/java/wallmoor/summaries/SummaryLimits.java
@@ -19,11 +19,10 @@
 
     /** Checks the bounds. */
     public SummaryLimits {
-        if (bytes < LEAST_BYTES || bytes > MOST_BYTES || properties < 1 || properties > 256 || values < 1
-                || values > 4096
-                || longest < 8 || longest > 256 || boxes < 1 || boxes > 64 || spans < 1 || spans > 64
-                || filterBits < KeyBloomFilter.LEAST_BITS || filterBits > 1 << 20
-                || Integer.bitCount(filterBits) != 1) {
+        boolean inBounds = within(bytes, LEAST_BYTES, MOST_BYTES) && within(properties, 1, 256)
+                && within(values, 1, 4096) && within(longest, 8, 256) && within(boxes, 1, 64) && within(spans, 1, 64)
+                && within(filterBits, KeyBloomFilter.LEAST_BITS, 1 << 20) && Integer.bitCount(filterBits) == 1;
+        if (!inBounds) {
             throw new IllegalArgumentException("settings of a summary are out of bounds");
         }
         if (32 * (boxes + spans) > bytes - 512) {
@@ -31,6 +30,10 @@
         }
     }
 
+    private static boolean within(int value, int least, int most) {
+        return value >= least && value <= most;
+    }
+
     /** Starting values; docs/operators/summaries.md gives their reasons. */
     public static SummaryLimits usual() {
         return new SummaryLimits(16 * 1024, 32, 64, 64, 1 << 16, 12, 8);
