--- a/src/main/java/wallmoor/discovery/DiscoveryWatch.java
+++ b/src/main/java/wallmoor/discovery/DiscoveryWatch.java
@@ -45,9 +45,7 @@
         this.launch = launch;
         this.gatherer = gatherer;
         initial = launch.known() == null ? EndpointListMessage.NONE : EndpointListMessage.of(launch.known(), launch);
-        WatchSettings settings = settings(launch);
-        var machine = new WatchStateMachine(settings.pushed(), settings.pollWithin(), settings.drainGrace(),
-                launch.seed());
+        var machine = new WatchStateMachine(settings(launch), launch.seed());
         var target = new DiscoveryTarget(launch.discovery(), Math.max(0, initial.revision()));
         tracker = new WatchTracker(machine, gatherer::now, target);
     }
--- a/src/main/java/wallmoor/discovery/WatchStateMachine.java
+++ b/src/main/java/wallmoor/discovery/WatchStateMachine.java
@@ -31,19 +31,16 @@
     /**
      * Makes the machine of a process that was not started yet.
      *
-     * @param pushed     as in {@link WatchSettings}
-     * @param pollWithin as in {@link WatchSettings}
-     * @param drainGrace as in {@link WatchSettings}
-     * @param seed       of the jitter
+     * @param seed of the jitter
      */
-    WatchStateMachine(boolean pushed, long pollWithin, long drainGrace, long seed) {
-        updateSettings(pushed, pollWithin, drainGrace);
+    WatchStateMachine(WatchSettings settings, long seed) {
+        this.settings = settings;
         retries = new RetrySchedule(seed);
     }
 
     /** Other settings hold from now on; what is waited for already stays. */
-    void updateSettings(boolean pushed, long pollWithin, long drainGrace) {
-        settings = new WatchSettings(pushed, pollWithin, drainGrace);
+    void updateSettings(WatchSettings changed) {
+        settings = changed;
     }
 
     // ---- events -------------------------------------------------------------------------------------------
--- a/src/main/java/wallmoor/discovery/WatchTracker.java
+++ b/src/main/java/wallmoor/discovery/WatchTracker.java
@@ -54,7 +54,7 @@
      * @param moved the discovery to watch from now on, or null where it stays
      */
     synchronized void reload(WatchSettings settings, DiscoveryTarget moved) {
-        machine.updateSettings(settings.pushed(), settings.pollWithin(), settings.drainGrace());
+        machine.updateSettings(settings);
         if (moved != null) {
             target = moved;
             machine.onDiscoveryMoved(clock.getAsLong());
--- a/src/main/java/wallmoor/endpoints/FlapDamping.java
+++ b/src/main/java/wallmoor/endpoints/FlapDamping.java
@@ -26,7 +26,7 @@
 
     /** The sources have ceased to name the endpoint as serving. */
     void onRemoved(long now) {
-        if (removedAt != NEVER && now - removedAt > parameters.quiet()) {
+        if (removedAt != NEVER && now - removedAt > parameters.quietMicros()) {
             returns = 0;
         }
         removedAt = now;
@@ -34,10 +34,10 @@
 
     /** They name it again. The first return is free: an endpoint may be restarted once without being suppressed. */
     void onReturned(long now) {
-        boolean removedLately = removedAt != NEVER && now - removedAt <= parameters.quiet();
+        boolean removedLately = removedAt != NEVER && now - removedAt <= parameters.quietMicros();
         returns = removedLately ? returns + 1 : 0;
         if (returns > 1) {
-            suppress(now, backoff(returns - 2, parameters.most()), "returned " + returns + " times");
+            suppress(now, backoff(returns - 2, parameters.maxMicros()), "returned " + returns + " times");
         }
     }
 
@@ -59,7 +59,7 @@
         if (isSuppressed(now) || !hasFailedEnough(now)) {
             return false;
         }
-        suppress(now, backoff(unreachablePeriods++, parameters.mostDead()), "can't be connected to");
+        suppress(now, backoff(unreachablePeriods++, parameters.maxUnreachableMicros()), "can't be connected to");
         connectFailures = 0;
         unreachableUntil = suppressedUntil;
         return true;
@@ -69,7 +69,7 @@
     private boolean hasFailedEnough(long now) {
         boolean onProbation = unreachablePeriods > 0;
         return onProbation
-                || (connectFailures >= parameters.failures() && now - failingSince >= parameters.failing());
+                || (connectFailures >= parameters.minFailures() && now - failingSince >= parameters.minFailingMicros());
     }
 
     /** Whether it is suppressed because it can't be connected to. */
@@ -87,7 +87,7 @@
     }
 
     long historyExpiresAt() {
-        return removedAt + parameters.quiet();
+        return removedAt + parameters.quietMicros();
     }
 
     long suppressedUntil() {
@@ -106,6 +106,6 @@
     }
 
     private long backoff(int doublings, long most) {
-        return Math.min(most, parameters.first() << Math.min(doublings, MAX_DOUBLINGS));
+        return Math.min(most, parameters.firstMicros() << Math.min(doublings, MAX_DOUBLINGS));
     }
 }
--- a/src/main/java/wallmoor/inventory/InventorySource.java
+++ b/src/main/java/wallmoor/inventory/InventorySource.java
@@ -80,7 +80,7 @@
             } catch (ConfigException e) {
                 if (!lastFault.equals(e.getMessage())) {
                     lastFault = e.getMessage();
-                    log.error("inventory not taken, the last one stands: {}", lastFault);
+                    log.error("inventory rejected, the last good one stands: {}", lastFault);
                     listener.accept(new WatchEvent.SourceFailure(NAME, lastFault));
                 }
             } catch (InterruptedException e) {
--- a/src/main/java/wallmoor/sources/EndpointUpdater.java
+++ b/src/main/java/wallmoor/sources/EndpointUpdater.java
@@ -107,7 +107,7 @@
         try {
             changes = registry.apply(clock.getAsLong(), event);
         } catch (RejectedWatchEventException e) {
-            log.warn("news not taken: {}", e.getMessage());
+            log.warn("watch event rejected: {}", e.getMessage());
             var failure = new WatchEvent.SourceFailure(event.source(), e.getMessage());
             publisher.publish(registry.apply(clock.getAsLong(), failure), false);
             return;
--- a/src/test/java/wallmoor/discovery/WatchModel.java
+++ b/src/test/java/wallmoor/discovery/WatchModel.java
@@ -7,31 +7,31 @@
 import java.util.Random;
 
 /**
- * A discovery, a gatherer that holds its list, driven by the real {@link WatchStateMachine}, the module's waits, and a
- * judge
- * who knows what truly happened and holds the gatherer to the terms. A holder sends to each node that it has not seen
- * drain in every step. Time goes in steps of 10 ms.
+ * A discovery, a gatherer that holds its list, driven by the real {@link WatchStateMachine}, the module's backoff, and
+ * a check that knows what truly happened and holds the gatherer to the terms. A holder sends to each node that it has
+ * not seen drain in every step. Time goes in steps of 10 ms.
  *
- * <p>A change counts as told by the older terms (a silent watch, the time for asking, a pushed list), and in any case 6
- * s after discovery had it and could be reached. That is judged by itself: calls that discovery refuses, keeps waiting
- * or loses excuse a gatherer only for the time that they took and for the wait that the clock allows after each.
+ * <p>A change counts as notified by the older terms (a silent watch, the poll interval, a pushed list), and in any case
+ * 6 s after discovery had it and could be reached. That is checked by itself: calls that discovery refuses, keeps
+ * waiting or loses excuse a gatherer only for the time that they took and for the wait that the machine allows after
+ * each.
  */
 final class WatchModel {
     static final long STEP = 10_000;
     static final long SECOND = 1_000_000;
-    static final long GRACE = 2 * SECOND;
+    static final long DRAIN_GRACE = 2 * SECOND;
     private static final long USUAL_LATENCY = 300_000;
-    static final long TERM = 6 * SECOND;
+    static final long BOUND = 6 * SECOND;
     private static final long NEVER = Long.MAX_VALUE;
 
-    private enum State { IDLE, CONNECTING, WAITING, WATCHING }
+    private enum ModelState { IDLE, CONNECTING, AWAITING_RESPONSE, WATCHING }
 
     private static final class Drain {
-        final long made;
-        long told = NEVER;
+        final long madeAt;
+        long notifiedAt = NEVER;
 
-        Drain(long made) {
-            this.made = made;
+        Drain(long madeAt) {
+            this.madeAt = madeAt;
         }
     }
 
@@ -40,9 +40,9 @@
 
     final Random random;
     final boolean pushed;
-    final long askWithin;
-    /** Whether the clock may ask sooner than the module: else the program is as it was before. */
-    boolean clockAsks = true;
+    final long pollWithin;
+    /** Whether the machine may poll sooner than the module: else the program is as it was before. */
+    boolean machineSchedulesCalls = true;
     long latency = USUAL_LATENCY;
     int calls;
     /** Calls that came as far as discovery. */
@@ -51,16 +51,16 @@
     int refusals;
     long refusalTakes = 300_000;
     /** Watches from now on that end in place of telling anything. */
-    int endings;
+    int endingWatches;
     long now = SECOND;
     long lastKnownAfter;
-    private WatchStateMachine clock;
-    private State state = State.IDLE;
+    private WatchStateMachine machine;
+    private ModelState state = ModelState.IDLE;
     private long stateSince;
-    private final List<Drain> unknown = new ArrayList<>();
+    private final List<Drain> missedDrains = new ArrayList<>();
     private long downUntil;
     private long cutUntil;
-    // the watch as it truly is, and what the judge holds against the gatherer
+    // the watch as it truly is, and what the check holds against the gatherer
     private boolean silentNow;
     private long silentSince = NEVER;
     private long lostAt;
@@ -73,15 +73,15 @@
     private long nextLine;
     private final List<Failure> failures = new ArrayList<>();
     private long startedAt;
-    // the module: Brain.ask, askLater and onList
+    // the module: RoutingPolicy, section "discovery"
     private boolean wanted;
     private boolean subscribed;
-    private long askAt = NEVER;
-    private long askWait = SECOND / 2;
+    private long pollAt = NEVER;
+    private long pollBackoff = SECOND / 2;
 
-    WatchModel(boolean pushed, long askWithin, long seed) {
+    WatchModel(boolean pushed, long pollWithin, long seed) {
         this.pushed = pushed;
-        this.askWithin = askWithin;
+        this.pollWithin = pollWithin;
         random = new Random(seed);
         restart();
     }
@@ -90,28 +90,29 @@
 
     /** A new process on the list it held last; the old one's connections are gone with it. */
     void restart() {
-        clock = new WatchStateMachine(pushed, askWithin, GRACE, random.nextLong());
-        clock.onProcessStarted(now);
-        state = State.IDLE;
+        machine = new WatchStateMachine(new WatchSettings(pushed, pollWithin, DRAIN_GRACE), random.nextLong());
+        machine.onProcessStarted(now);
+        state = ModelState.IDLE;
         subscribed = false;
-        askWait = SECOND / 2;
-        askAt = NEVER;
+        pollBackoff = SECOND / 2;
+        pollAt = NEVER;
         silentSince = NEVER;
         silentNow = false;
         calledAt = now;
         startedAt = now;
         callFailed = false;
         lostAt = now;
-        unknown.forEach(d -> d.told = NEVER); // the new process has its own time for what counts as told to it
-        ask();
+        // the new process has its own time for what counts as notified to it
+        missedDrains.forEach(d -> d.notifiedAt = NEVER);
+        poll();
     }
 
     void drain() {
-        unknown.add(new Drain(now));
+        missedDrains.add(new Drain(now));
     }
 
     void silence() {
-        if (state == State.WATCHING) {
+        if (state == ModelState.WATCHING) {
             silentNow = true;
             silentSince = Math.min(silentSince, now);
             lostAt = silentSince + 3 * SECOND; // nobody can tell sooner
@@ -119,10 +120,10 @@
     }
 
     void reset() {
-        if (state == State.WATCHING || state == State.WAITING) {
+        if (state == ModelState.WATCHING || state == ModelState.AWAITING_RESPONSE) {
             // a call that was lost in the middle
-            excusedUntil = state == State.WAITING ? now + 7 * SECOND : excusedUntil;
-            failures.add(new Failure(now, state == State.WAITING ? now - calledAt : 0));
+            excusedUntil = state == ModelState.AWAITING_RESPONSE ? now + 7 * SECOND : excusedUntil;
+            failures.add(new Failure(now, state == ModelState.AWAITING_RESPONSE ? now - calledAt : 0));
             leave();
             lost();
         }
@@ -154,12 +155,13 @@
 
     /** SIGHUP: the whole list is asked for elsewhere, and has the same to tell. */
     void move() {
-        if (state == State.CONNECTING || state == State.WAITING) { // it is left, and may have been about to tell
+        // it is left, and may have been about to report
+        if (state == ModelState.CONNECTING || state == ModelState.AWAITING_RESPONSE) {
             failures.add(new Failure(now, now - calledAt));
         }
         leave();
-        clock.onDiscoveryMoved(now);
-        state = State.IDLE;
+        machine.onDiscoveryMoved(now);
+        state = ModelState.IDLE;
         silentNow = false;
         movedAt = now;
         lostAt = now;
@@ -184,145 +186,148 @@
             reachableSince = now;
             backAt = now;
         }
-        if (askAt <= now) {
-            askAt = NEVER;
+        if (pollAt <= now) {
+            pollAt = NEVER;
             if (!subscribed) {
-                ask();
+                poll();
             }
         }
         call();
-        if (state != State.IDLE && now >= clock.deadline()) {
-            if (state == State.WAITING) {
-                unlucky();
+        if (state != ModelState.IDLE && now >= machine.deadline()) {
+            if (state == ModelState.AWAITING_RESPONSE) {
+                failAtDiscovery();
             } else {
                 lost();
             }
         }
-        judge();
+        check();
     }
 
     /** The call goes on, as far as it can in this step. */
     private void call() {
-        if (state == State.IDLE && (wanted || clockAsks && clock.nextCallBy() <= now)) {
+        if (state == ModelState.IDLE && (wanted || machineSchedulesCalls && machine.nextCallBy() <= now)) {
             calls++;
             calledAt = now;
             callFailed = false;
-            clock.onCallStarted(now);
-            enter(State.CONNECTING);
-        } else if (state == State.CONNECTING && now >= cutUntil && now - stateSince >= 2 * STEP) {
+            machine.onCallStarted(now);
+            enter(ModelState.CONNECTING);
+        } else if (state == ModelState.CONNECTING && now >= cutUntil && now - stateSince >= 2 * STEP) {
             if (now < downUntil) {
                 lost();
             } else {
                 reached++;
-                clock.onRequestSent(now);
-                enter(State.WAITING);
+                machine.onRequestSent(now);
+                enter(ModelState.AWAITING_RESPONSE);
             }
-        } else if (state == State.WAITING && refusals > 0 && now >= cutUntil && now - stateSince >= refusalTakes) {
+        } else if (state == ModelState.AWAITING_RESPONSE && refusals > 0 && now >= cutUntil
+                && now - stateSince >= refusalTakes) {
             refusals--;
-            unlucky();
-        } else if (state == State.WAITING && refusals == 0 && now >= cutUntil && now - stateSince >= latency) {
-            clock.onStreamOpened(now);
-            if (endings > 0) {
-                endings--;
-                unlucky();
+            failAtDiscovery();
+        } else if (state == ModelState.AWAITING_RESPONSE && refusals == 0 && now >= cutUntil
+                && now - stateSince >= latency) {
+            machine.onStreamOpened(now);
+            if (endingWatches > 0) {
+                endingWatches--;
+                failAtDiscovery();
             } else {
-                enter(State.WATCHING);
+                enter(ModelState.WATCHING);
                 silentNow = false;
                 line();
             }
-        } else if (state == State.WATCHING && !silentNow && now >= cutUntil
-                && (!unknown.isEmpty() || now >= nextLine)) {
+        } else if (state == ModelState.WATCHING && !silentNow && now >= cutUntil
+                && (!missedDrains.isEmpty() || now >= nextLine)) {
             line();
         }
     }
 
     /** The call has failed at discovery, through no fault of the gatherer's. */
-    private void unlucky() {
+    private void failAtDiscovery() {
         failures.add(new Failure(now, now - calledAt));
         excusedUntil = Math.max(excusedUntil, now + 7 * SECOND); // as for a call that was lost in the middle
         lost();
     }
 
-    private void enter(State to) {
+    private void enter(ModelState to) {
         state = to;
         stateSince = now;
     }
 
     private void line() {
-        unknown.clear();
+        missedDrains.clear();
         nextLine = now + 2 * SECOND;
         silentSince = NEVER;
-        clock.onEventReceived(now);
+        machine.onEventReceived(now);
         subscribed = true;
-        askWait = SECOND / 2;
+        pollBackoff = SECOND / 2;
     }
 
     private void lost() {
-        callFailed = state != State.WATCHING;
+        callFailed = state != ModelState.WATCHING;
         wanted = false;
         silentNow = false;
-        if (clock.onWatchLost(now) || !clockAsks) {
+        if (machine.onWatchLost(now) || !machineSchedulesCalls) {
             subscribed = false;
-            askLater();
+            schedulePoll();
         }
-        enter(State.IDLE);
+        enter(ModelState.IDLE);
     }
 
-    private void ask() {
+    private void poll() {
         wanted = true;
-        askLater();
+        schedulePoll();
     }
 
-    private void askLater() {
-        if (askAt == NEVER) {
-            askAt = now + (long) (askWait * (0.5 + random.nextDouble()));
-            askWait = Math.min(4 * SECOND, 2 * askWait);
+    private void schedulePoll() {
+        if (pollAt == NEVER) {
+            pollAt = now + (long) (pollBackoff * (0.5 + random.nextDouble()));
+            pollBackoff = Math.min(4 * SECOND, 2 * pollBackoff);
         }
     }
 
     // ---- the terms ----------------------------------------------------------------------------------------
 
-    private void judge() {
-        for (Drain d : unknown) {
-            if (d.told == NEVER && told(d)) {
-                d.told = now;
-                assertTrue(state != State.IDLE || clock.notifiedAt(d.made) <= now, "the clock knows of no later term");
+    private void check() {
+        for (Drain d : missedDrains) {
+            if (d.notifiedAt == NEVER && isNotified(d)) {
+                d.notifiedAt = now;
+                assertTrue(state != ModelState.IDLE || machine.notifiedAt(d.madeAt) <= now,
+                        "the machine knows of no later term");
             }
-            if (d.told != NEVER && now > d.told + GRACE && !excused(d)) {
-                throw new AssertionError("at " + now + " sent to what drained at " + d.made + ", told " + d.told
+            if (d.notifiedAt != NEVER && now > d.notifiedAt + DRAIN_GRACE && !isExcused(d)) {
+                throw new AssertionError("at " + now + " sent to what drained at " + d.madeAt + ", told " + d.notifiedAt
                         + ", lost " + lostAt + ", reachable since " + reachableSince + ", " + state);
             }
-            if (reachable() && now > hadAt(d) + TERM + GRACE && !excusedOfTerm(d)) {
-                throw new AssertionError("at " + now + " sent to what drained at " + d.made + ", reachable since "
+            if (reachable() && now > hadAt(d) + BOUND + DRAIN_GRACE && !isExcusedOfBound(d)) {
+                throw new AssertionError("at " + now + " sent to what drained at " + d.madeAt + ", reachable since "
                         + reachableSince + ", lost " + lostAt + ", called " + calledAt + ", " + state + ", "
                         + failures);
             }
-            lastKnownAfter = Math.max(lastKnownAfter, d.told == NEVER ? 0 : now - d.told);
+            lastKnownAfter = Math.max(lastKnownAfter, d.notifiedAt == NEVER ? 0 : now - d.notifiedAt);
         }
     }
 
-    private boolean told(Drain d) {
+    private boolean isNotified(Drain d) {
         if (silentSince != NEVER) {
             return now >= silentSince + 6 * SECOND && (!pushed || now >= movedAt + 4 * SECOND);
         }
         if (pushed) {
             return reachable() && now >= movedAt + 4 * SECOND;
         }
-        return askWithin > 0 && state != State.WATCHING && now >= d.made + askWithin
-                && now >= Math.max(calledAt, backAt) + (callFailed ? 4 : 1) * askWithin;
+        return pollWithin > 0 && state != ModelState.WATCHING && now >= d.madeAt + pollWithin
+                && now >= Math.max(calledAt, backAt) + (callFailed ? 4 : 1) * pollWithin;
     }
 
     /** Since when discovery has had it and could be reached without a break. */
     private long hadAt(Drain d) {
-        return Math.max(Math.max(d.made, reachableSince), startedAt);
+        return Math.max(Math.max(d.madeAt, reachableSince), startedAt);
     }
 
     /**
-     * Whether calls that failed since took so long that no gatherer could know in time. The first call comes
-     * within a period of the clock's, or of a silence that is still to be found out; each that fails costs its time and
-     * the rest of a period; the last is answered at discovery's pace.
+     * Whether calls that failed since took so long that no gatherer could know in time. The first call comes within a
+     * period of the machine's, or of a silence that is still to be found out; each that fails costs its time and the
+     * rest of a period; the last is answered at discovery's pace.
      */
-    private boolean excusedOfTerm(Drain d) {
+    private boolean isExcusedOfBound(Drain d) {
         long from = hadAt(d);
         long needs = Math.max(WatchTimings.RETRY_PERIOD_MICROS,
                 WatchTimings.SILENCE_TIMEOUT_MICROS + WatchTimings.RECONNECT_JITTER_MICROS) + 4 * STEP;
@@ -331,18 +336,18 @@
                 needs += Math.max(WatchTimings.RETRY_PERIOD_MICROS, f.took + SECOND / 4) + 4 * STEP;
             }
         }
-        if (state == State.WAITING && refusals > 0) { // the call that is out will fail, too
+        if (state == ModelState.AWAITING_RESPONSE && refusals > 0) { // the call that is out will fail, too
             needs += Math.max(WatchTimings.RETRY_PERIOD_MICROS,
                     Math.min(refusalTakes, WatchTimings.RESPONSE_TIMEOUT_MICROS) + SECOND / 4) + 4 * STEP;
         }
-        return needs + latency + 4 * STEP > TERM + GRACE;
+        return needs + latency + 4 * STEP > BOUND + DRAIN_GRACE;
     }
 
     /** Whether discovery could not be reached for long enough before the grace was over. */
-    private boolean excused(Drain d) {
-        long stretch = d.told + GRACE - Math.max(lostAt, reachableSince == NEVER ? now : reachableSince);
+    private boolean isExcused(Drain d) {
+        long stretch = d.notifiedAt + DRAIN_GRACE - Math.max(lostAt, reachableSince == NEVER ? now : reachableSince);
         long needs = silentSince != NEVER ? 5 * SECOND / 2
-                : pushed ? GRACE : Math.min(6 * SECOND, 2 * askWithin) + 6 * SECOND / 10;
+                : pushed ? DRAIN_GRACE : Math.min(6 * SECOND, 2 * pollWithin) + 6 * SECOND / 10;
         long slow = Math.max(latency, refusals > 0 ? refusalTakes : 0) - USUAL_LATENCY;
         return now < excusedUntil || stretch < needs + Math.max(0, slow);
     }
--- a/src/test/java/wallmoor/discovery/WatchStateMachinePropertiesTest.java
+++ b/src/test/java/wallmoor/discovery/WatchStateMachinePropertiesTest.java
@@ -10,7 +10,8 @@
 import net.jqwik.api.constraints.IntRange;
 
 /**
- * The list's clock on the model: whatever befalls the watch, what counts as drained gets nothing new after its grace.
+ * The watch's state machine on the model: whatever befalls the watch, what counts as drained gets nothing new after its
+ * grace.
  */
 class WatchStateMachinePropertiesTest {
     private static final long SECOND = WatchModel.SECOND;
@@ -34,7 +35,7 @@
                 case 4 -> model.move();
                 case 5 -> model.restart();
                 case 6 -> model.refuse(1 + model.random.nextInt(3), model.random.nextInt(2_600) * 1_000L);
-                case 7 -> model.endings = 1 + model.random.nextInt(2);
+                case 7 -> model.endingWatches = 1 + model.random.nextInt(2);
                 case 8 -> model.latency = 100_000 + model.random.nextInt(2_300) * 1_000L;
                 case 9 -> {
                     model.down(lasts);
@@ -55,7 +56,7 @@
             assertThrows(AssertionError.class, () -> {
                 for (int seed = 0; seed < 500; seed++) {
                     var model = new WatchModel(pushed, SECOND, seed);
-                    model.clockAsks = false;
+                    model.machineSchedulesCalls = false;
                     play(model);
                 }
             });
@@ -100,7 +101,7 @@
         for (int seed = 0; seed < 200; seed++) {
             for (int with = 0; with < 2; with++) {
                 var model = new WatchModel(false, 10 * SECOND, seed);
-                model.clockAsks = with == 1;
+                model.machineSchedulesCalls = with == 1;
                 model.run(5 * SECOND);
                 model.down(60 * SECOND);
                 model.run(70 * SECOND);
@@ -128,42 +129,42 @@
         switch (unlucky) {
             case 1 -> model.refuse(1, WatchTimings.RESPONSE_TIMEOUT_MICROS - 4 * WatchModel.STEP);
             case 2 -> model.refuse(1, 10 * SECOND); // given up
-            case 3 -> model.endings = 1;
+            case 3 -> model.endingWatches = 1;
             default -> model.latency = WatchTimings.RESPONSE_TIMEOUT_MICROS - 4 * WatchModel.STEP;
         }
         model.run(20 * SECOND);
     }
 
-    /** A clock whose watch has just opened, after calls that failed; it has spoken if {@code spoke}. */
+    /** A machine whose watch has just opened, after calls that failed; it has spoken if {@code spoke}. */
     private static WatchStateMachine opened(long seed, boolean spoke) {
-        var clock = new WatchStateMachine(false, 10 * SECOND, 2 * SECOND, seed);
-        clock.onProcessStarted(0);
+        var machine = new WatchStateMachine(new WatchSettings(false, 10 * SECOND, 2 * SECOND), seed);
+        machine.onProcessStarted(0);
         for (int failures = 0; failures < 4; failures++) {
-            clock.onCallStarted(failures * SECOND);
-            clock.onWatchLost(failures * SECOND + 1);
+            machine.onCallStarted(failures * SECOND);
+            machine.onWatchLost(failures * SECOND + 1);
         }
-        clock.onCallStarted(10 * SECOND);
-        clock.onRequestSent(10 * SECOND);
-        clock.onStreamOpened(10 * SECOND);
+        machine.onCallStarted(10 * SECOND);
+        machine.onRequestSent(10 * SECOND);
+        machine.onStreamOpened(10 * SECOND);
         if (spoke) {
-            clock.onEventReceived(10 * SECOND);
+            machine.onEventReceived(10 * SECOND);
         }
-        return clock;
+        return machine;
     }
 
     /** A watch ends in place of telling; the next call is refused late, the one after it is answered late: in time. */
     @Property(tries = 1_000, seed = "11")
     void whatAnEndedWatchDidNotTellIsKnownInItsTerm(@ForAll boolean spoke, @ForAll long seed) {
-        WatchStateMachine clock = opened(seed, spoke);
+        WatchStateMachine machine = opened(seed, spoke);
         long end = 10 * SECOND + 40_000;
-        clock.onWatchLost(end);
-        assertTrue(clock.nextCallBy() <= end + WatchTimings.ENDED_JITTER_MICROS,
-                "called " + (clock.nextCallBy() - end) + " us after the end");
-        long first = clock.nextCallBy();
-        clock.onCallStarted(first);
-        clock.onRequestSent(first);
-        clock.onWatchLost(first + SECOND);
-        long answered = clock.nextCallBy() + 1_200_000;
+        machine.onWatchLost(end);
+        assertTrue(machine.nextCallBy() <= end + WatchTimings.ENDED_JITTER_MICROS,
+                "called " + (machine.nextCallBy() - end) + " us after the end");
+        long first = machine.nextCallBy();
+        machine.onCallStarted(first);
+        machine.onRequestSent(first);
+        machine.onWatchLost(first + SECOND);
+        long answered = machine.nextCallBy() + 1_200_000;
         assertTrue(answered <= end + WatchTimings.ENDED_STALENESS_BOUND_MICROS + 2 * SECOND,
                 "answered " + (answered - end) + " us after the end");
     }
@@ -171,17 +172,17 @@
     /** A discovery that ends each watch as it opens is asked no more often than one that refuses. */
     @Property(tries = 200, seed = "12")
     void aDiscoveryThatEndsEachWatchIsSpared(@ForAll boolean spoke, @ForAll long seed) {
-        WatchStateMachine clock = opened(seed, spoke);
+        WatchStateMachine machine = opened(seed, spoke);
         long now = 10 * SECOND + 40_000;
         int calls = 0;
         for (; now < 70 * SECOND; calls++) {
-            clock.onWatchLost(now);
-            now = clock.nextCallBy();
-            clock.onCallStarted(now);
-            clock.onRequestSent(now);
-            clock.onStreamOpened(now);
+            machine.onWatchLost(now);
+            now = machine.nextCallBy();
+            machine.onCallStarted(now);
+            machine.onRequestSent(now);
+            machine.onStreamOpened(now);
             if (spoke) {
-                clock.onEventReceived(now);
+                machine.onEventReceived(now);
             }
             now += 40_000;
         }
@@ -194,40 +195,40 @@
      */
     @Example
     void eventsOutOfTheirOrderAreRefused() {
-        var clock = new WatchStateMachine(false, 10 * SECOND, 2 * SECOND, 1);
-        clock.onProcessStarted(0);
-        assertThrows(IllegalStateException.class, () -> clock.onRequestSent(1));
-        clock.onCallStarted(1);
-        assertThrows(IllegalStateException.class, () -> clock.onCallStarted(2));
-        assertThrows(IllegalStateException.class, () -> clock.onStreamOpened(2));
-        clock.onRequestSent(2);
-        assertThrows(IllegalStateException.class, () -> clock.onEventReceived(3));
-        clock.onRequestSent(3);
-        clock.onStreamOpened(4);
-        assertThrows(IllegalStateException.class, () -> clock.onRequestSent(5));
-        clock.onEventReceived(5);
-        assertEquals(WatchState.SYNCED, clock.state());
-        clock.onDiscoveryMoved(6);
-        assertEquals(WatchState.IDLE, clock.state());
-        assertEquals(6, clock.nextCallBy());
-        assertThrows(IllegalStateException.class, () -> clock.onEventReceived(7),
+        var machine = new WatchStateMachine(new WatchSettings(false, 10 * SECOND, 2 * SECOND), 1);
+        machine.onProcessStarted(0);
+        assertThrows(IllegalStateException.class, () -> machine.onRequestSent(1));
+        machine.onCallStarted(1);
+        assertThrows(IllegalStateException.class, () -> machine.onCallStarted(2));
+        assertThrows(IllegalStateException.class, () -> machine.onStreamOpened(2));
+        machine.onRequestSent(2);
+        assertThrows(IllegalStateException.class, () -> machine.onEventReceived(3));
+        machine.onRequestSent(3);
+        machine.onStreamOpened(4);
+        assertThrows(IllegalStateException.class, () -> machine.onRequestSent(5));
+        machine.onEventReceived(5);
+        assertEquals(WatchState.SYNCED, machine.state());
+        machine.onDiscoveryMoved(6);
+        assertEquals(WatchState.IDLE, machine.state());
+        assertEquals(6, machine.nextCallBy());
+        assertThrows(IllegalStateException.class, () -> machine.onEventReceived(7),
                 "a word of the call that was left behind");
     }
 
     /** A gatherer late itself takes what has come meanwhile, but no trickle. */
     @Example
     void whatIsUnreadIsTakenButNoTrickle() {
-        var clock = new WatchStateMachine(false, 10 * SECOND, 2 * SECOND, 1);
-        clock.onProcessStarted(0);
-        clock.onCallStarted(0);
-        clock.onRequestSent(0);
-        clock.onStreamOpened(0);
-        assertEquals(WatchTimings.SILENCE_TIMEOUT_MICROS, clock.remainingMicros(0));
-        assertEquals(1_000, clock.remainingMicros(9 * SECOND), "one look");
-        assertEquals(1_000, clock.remainingMicros(9 * SECOND + 200_000), "more lay there");
-        assertEquals(0, clock.remainingMicros(9 * SECOND + 250_000));
-        clock.onEventReceived(9 * SECOND + 250_000);
-        assertEquals(WatchTimings.SILENCE_TIMEOUT_MICROS, clock.remainingMicros(9 * SECOND + 250_000),
+        var machine = new WatchStateMachine(new WatchSettings(false, 10 * SECOND, 2 * SECOND), 1);
+        machine.onProcessStarted(0);
+        machine.onCallStarted(0);
+        machine.onRequestSent(0);
+        machine.onStreamOpened(0);
+        assertEquals(WatchTimings.SILENCE_TIMEOUT_MICROS, machine.remainingMicros(0));
+        assertEquals(1_000, machine.remainingMicros(9 * SECOND), "one look");
+        assertEquals(1_000, machine.remainingMicros(9 * SECOND + 200_000), "more lay there");
+        assertEquals(0, machine.remainingMicros(9 * SECOND + 250_000));
+        machine.onEventReceived(9 * SECOND + 250_000);
+        assertEquals(WatchTimings.SILENCE_TIMEOUT_MICROS, machine.remainingMicros(9 * SECOND + 250_000),
                 "anew from the next object on");
     }
 
@@ -236,16 +237,16 @@
     void aWatchSilentForAllIsAskedForSpread() {
         var at = new java.util.TreeSet<Long>();
         for (int seed = 0; seed < 100; seed++) {
-            var clock = new WatchStateMachine(false, 10 * SECOND, 2 * SECOND, seed);
-            clock.onProcessStarted(0);
-            clock.onCallStarted(0);
-            clock.onRequestSent(1);
-            clock.onStreamOpened(2);
-            clock.onEventReceived(4 * SECOND);
-            assertTrue(!clock.onWatchLost(7 * SECOND));
-            at.add(clock.nextCallBy() - 7 * SECOND);
-            clock.onCallStarted(clock.nextCallBy());
-            assertTrue(clock.onWatchLost(8 * SECOND), "the second time it is the module's");
+            var machine = new WatchStateMachine(new WatchSettings(false, 10 * SECOND, 2 * SECOND), seed);
+            machine.onProcessStarted(0);
+            machine.onCallStarted(0);
+            machine.onRequestSent(1);
+            machine.onStreamOpened(2);
+            machine.onEventReceived(4 * SECOND);
+            assertTrue(!machine.onWatchLost(7 * SECOND));
+            at.add(machine.nextCallBy() - 7 * SECOND);
+            machine.onCallStarted(machine.nextCallBy());
+            assertTrue(machine.onWatchLost(8 * SECOND), "the second time it is the module's");
         }
         assertTrue(at.first() >= 0 && at.last() <= WatchTimings.RECONNECT_JITTER_MICROS);
         for (long from = 0; from < 300_000; from += 50_000) { // a sixth of the time has a sixth of the calls
--- a/src/test/java/wallmoor/endpoints/EndpointRegistryPropertiesTest.java
+++ b/src/test/java/wallmoor/endpoints/EndpointRegistryPropertiesTest.java
@@ -25,19 +25,19 @@
     private static final int NODES = 8;
 
     /** Something that happens after a while. */
-    private record Happening(int kind, int node, Set<Integer> named, int after) {}
+    private record Step(int kind, int node, Set<Integer> named, int after) {}
 
     /** What a gatherer would hold: it is told of changes only. */
-    private static final class World {
-        final EndpointRegistry roster = new EndpointRegistry(EndpointRegistryTest.POLICY);
+    private static final class RegistryDriver {
+        final EndpointRegistry registry = new EndpointRegistry(EndpointRegistryTest.POLICY);
         final Map<String, WorkerEndpoint> held = new TreeMap<>();
         /** What the list said last, for the nodes that it drains or has removed while a record may still live. */
-        final Map<String, EndpointState> listSays = new HashMap<>();
-        final Set<String> inDns = new HashSet<>();
+        final Map<String, EndpointState> claimedByList = new HashMap<>();
+        final Set<String> namedByDns = new HashSet<>();
         long now = 1_000 * SECOND;
         int changes;
 
-        void carry(List<EndpointChange> all) {
+        void applyChanges(List<EndpointChange> all) {
             var named = new HashSet<String>();
             for (EndpointChange c : all) {
                 changes++;
@@ -49,7 +49,7 @@
                     held.put(c.endpoint().id(), c.endpoint());
                 }
             }
-            listSays.forEach((id, state) -> {
+            claimedByList.forEach((id, state) -> {
                 if (state != EndpointState.SERVING) { // at once, hence within 2 s
                     WorkerEndpoint m = held.get(id);
                     assertTrue(m == null || m.state() != EndpointState.SERVING,
@@ -64,29 +64,30 @@
         void pass(long micros) {
             long end = now + micros;
             int before = changes;
-            while (roster.nextTickAt() <= end) {
-                now = Math.max(now + 1, roster.nextTickAt());
-                carry(roster.tick(now));
+            while (registry.nextTickAt() <= end) {
+                now = Math.max(now + 1, registry.nextTickAt());
+                applyChanges(registry.tick(now));
             }
             now = end;
-            carry(roster.tick(now));
+            applyChanges(registry.tick(now));
             assertTrue(changes - before <= 4 * NODES, "no oscillation without news: " + (changes - before));
         }
 
-        void happen(Happening h) {
+        void run(Step h) {
             String id = "w" + h.node;
             switch (h.kind) {
                 case 0, 1, 2 -> dns(h.named);
-                case 3 -> carry(roster.apply(now, new WatchEvent.SourceFailure("dns", "SERVFAIL")));
+                case 3 -> applyChanges(registry.apply(now, new WatchEvent.SourceFailure("dns", "SERVFAIL")));
                 case 4 -> list(id, EndpointState.SERVING);
                 case 5 -> list(id, EndpointState.DRAINING);
                 case 6 -> list(id, EndpointState.GONE);
                 case 7 -> {
-                    listSays.keySet().forEach(k -> listSays.put(k, EndpointState.GONE));
-                    h.named.forEach(n -> listSays.put("w" + n, EndpointState.SERVING));
-                    carry(roster.apply(now, new WatchEvent.EndpointSnapshot("list", "whole", entries(h.named), true)));
+                    claimedByList.keySet().forEach(k -> claimedByList.put(k, EndpointState.GONE));
+                    h.named.forEach(n -> claimedByList.put("w" + n, EndpointState.SERVING));
+                    applyChanges(registry.apply(now,
+                            new WatchEvent.EndpointSnapshot("list", "whole", entries(h.named), true)));
                 }
-                case 8 -> carry(roster.reportConnection(now, id, h.named.size() % 2 == 0));
+                case 8 -> applyChanges(registry.reportConnection(now, id, h.named.size() % 2 == 0));
                 default -> dns(Set.of());
             }
             // a tomb is forgotten a while after its last record: from then on DNS may speak again
@@ -94,13 +95,13 @@
         }
 
         private void list(String id, EndpointState state) {
-            listSays.put(id, state);
-            carry(roster.apply(now,
+            claimedByList.put(id, state);
+            applyChanges(registry.apply(now,
                     new WatchEvent.EndpointDelta("list", "change", List.of(EndpointRegistryTest.entry(id, state, 0)))));
         }
 
         void dns(Set<Integer> named) {
-            carry(roster.apply(now, new WatchEvent.EndpointSnapshot("dns", "look-up", entries(named), false)));
+            applyChanges(registry.apply(now, new WatchEvent.EndpointSnapshot("dns", "look-up", entries(named), false)));
         }
     }
 
@@ -109,56 +110,57 @@
     }
 
     @Provide
-    Arbitrary<List<Happening>> happenings() {
+    Arbitrary<List<Step>> steps() {
         Arbitrary<Set<Integer>> named = Arbitraries.integers().between(0, NODES - 1).set().ofMaxSize(NODES);
         return Combinators.combine(Arbitraries.integers().between(0, 9), Arbitraries.integers().between(0, NODES - 1),
-                named, Arbitraries.integers().between(0, 25)).as(Happening::new).list().ofMaxSize(20);
+                named, Arbitraries.integers().between(0, 25)).as(Step::new).list().ofMaxSize(20);
     }
 
-    /** No work for a node that the list drains, whatever DNS says; within 20 happenings of 25 s no tomb runs out. */
+    /** No work for a node that the list drains, whatever DNS says; within 20 steps of 25 s no tomb runs out. */
     @Property(tries = 2000)
-    void whatTheListDrainsServesAtNoMoment(@ForAll("happenings") List<Happening> all) {
-        var world = new World();
-        all.forEach(world::happen);
+    void whatTheListDrainsServesAtNoMoment(@ForAll("steps") List<Step> all) {
+        var driver = new RegistryDriver();
+        all.forEach(driver::run);
     }
 
     /** Once the sources agree, the members are those they agree on, whatever went before. */
     @Property(tries = 1000)
-    void membershipEndsEqualOnceSourcesAgree(@ForAll("happenings") List<Happening> all,
-            @ForAll("happenings") List<Happening> other) {
+    void membershipEndsEqualOnceSourcesAgree(@ForAll("steps") List<Step> all,
+            @ForAll("steps") List<Step> other) {
         assertEquals(ending(all), ending(other));
     }
 
-    private static List<String> ending(List<Happening> all) {
-        var world = new World();
-        all.forEach(world::happen);
+    private static List<String> ending(List<Step> all) {
+        var driver = new RegistryDriver();
+        all.forEach(driver::run);
         Set<Integer> agreed = Set.of(0, 2, 3, 6);
-        world.listSays.keySet().forEach(k -> world.listSays.put(k, EndpointState.GONE));
-        agreed.forEach(n -> world.listSays.put("w" + n, EndpointState.SERVING));
+        driver.claimedByList.keySet().forEach(k -> driver.claimedByList.put(k, EndpointState.GONE));
+        agreed.forEach(n -> driver.claimedByList.put("w" + n, EndpointState.SERVING));
         for (int i = 0; i < 6; i++) {
-            world.carry(world.roster.apply(world.now,
+            driver.applyChanges(driver.registry.apply(driver.now,
                     new WatchEvent.EndpointSnapshot("list", "whole", entries(agreed), true)));
-            world.dns(agreed);
-            world.pass(30 * SECOND);
+            driver.dns(agreed);
+            driver.pass(30 * SECOND);
         }
         var ids = new ArrayList<String>();
-        world.held.values().forEach(m -> ids.add(m.id() + " " + m.state()));
+        driver.held.values().forEach(m -> ids.add(m.id() + " " + m.state()));
         return ids;
     }
 
     /** Nothing is kept for nodes that went long ago. */
     @Property(tries = 200)
-    void whatIsGoneIsForgotten(@ForAll("happenings") List<Happening> all) {
-        var world = new World();
-        all.forEach(world::happen);
-        world.listSays.clear();
+    void whatIsGoneIsForgotten(@ForAll("steps") List<Step> all) {
+        var driver = new RegistryDriver();
+        all.forEach(driver::run);
+        driver.claimedByList.clear();
         for (int i = 0; i < 60; i++) {
-            world.carry(
-                    world.roster.apply(world.now, new WatchEvent.EndpointSnapshot("list", "whole", List.of(), true)));
-            world.dns(Set.of());
-            world.pass(60 * SECOND);
+            driver.applyChanges(
+                    driver.registry.apply(driver.now,
+                            new WatchEvent.EndpointSnapshot("list", "whole", List.of(), true)));
+            driver.dns(Set.of());
+            driver.pass(60 * SECOND);
         }
-        assertEquals(List.of(), world.roster.endpointStatuses());
-        assertEquals(0, world.roster.retainedEndpoints());
+        assertEquals(List.of(), driver.registry.endpointStatuses());
+        assertEquals(0, driver.registry.retainedEndpoints());
     }
 }
--- a/src/test/java/wallmoor/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/wallmoor/endpoints/EndpointRegistryTest.java
@@ -21,7 +21,7 @@
             .of(List.of(new SourcePolicy("list", true, 0, 1, 1000),
                     new SourcePolicy("dns", false, 60 * SECOND, 0.2, 1000)));
 
-    private final EndpointRegistry roster = new EndpointRegistry(POLICY);
+    private final EndpointRegistry registry = new EndpointRegistry(POLICY);
     private final Map<String, WorkerEndpoint> members = new TreeMap<>();
     private final Map<String, String> causes = new LinkedHashMap<>();
     private long now = 1_000 * SECOND;
@@ -37,7 +37,7 @@
     }
 
     private void take(WatchEvent news) {
-        carry(roster.apply(now, news));
+        applyChanges(registry.apply(now, news));
     }
 
     private void dns(String... ids) {
@@ -50,15 +50,15 @@
 
     private void pass(long seconds) {
         long end = now + seconds * SECOND;
-        while (roster.nextTickAt() <= end) {
-            now = Math.max(now + 1, roster.nextTickAt());
-            carry(roster.tick(now));
+        while (registry.nextTickAt() <= end) {
+            now = Math.max(now + 1, registry.nextTickAt());
+            applyChanges(registry.tick(now));
         }
         now = end;
-        carry(roster.tick(now));
+        applyChanges(registry.tick(now));
     }
 
-    private void carry(List<EndpointChange> changes) {
+    private void applyChanges(List<EndpointChange> changes) {
         for (EndpointChange c : changes) {
             causes.put(c.endpoint().id(), c.cause());
             if (c.endpoint().state() == EndpointState.GONE) {
@@ -212,23 +212,23 @@
         list(1, entry("w2", EndpointState.SERVING, 0));
         for (int i = 0; i < 4; i++) {
             pass(1);
-            carry(roster.reportConnection(now, "w1", false));
-            carry(roster.reportConnection(now, "w2", false));
+            applyChanges(registry.reportConnection(now, "w1", false));
+            applyChanges(registry.reportConnection(now, "w2", false));
         }
         assertEquals("the list's nodes are the module's to judge", List.of("w2", "w3", "w4"), serve());
         pass(6);
         assertEquals(List.of("w1", "w2", "w3", "w4"), serve());
         assertEquals("tried again as a cold one", now - SECOND, members.get("w1").upSince(), SECOND);
-        carry(roster.reportConnection(now, "w1", false));
+        applyChanges(registry.reportConnection(now, "w1", false));
         pass(8);
         assertEquals("twice as long", 3, serve().size());
         pass(3);
-        carry(roster.reportConnection(now, "w1", true));
+        applyChanges(registry.reportConnection(now, "w1", true));
         assertEquals(4, serve().size());
         for (String id : List.of("w1", "w3", "w4")) { // all at once: the fault is nearer than they are
             for (int i = 0; i < 4; i++) {
                 pass(1);
-                carry(roster.reportConnection(now, id, false));
+                applyChanges(registry.reportConnection(now, id, false));
             }
         }
         assertTrue(serve().toString(), serve().size() >= 2);
