--- a/src/test/java/wallmoor/service/EffectiveSettingsTest.java
+++ b/src/test/java/wallmoor/service/EffectiveSettingsTest.java
@@ -115,7 +115,7 @@
     /** One place tells the gatherer of settings: two could tell of more than is allowed, if only for a moment. */
     @Test
     public void nobodyElseTellsTheGathererOfSettings() throws Exception {
-        var call = Pattern.compile("gatherer(\\(\\))?(\\.|::)settings\\b");
+        var call = Pattern.compile("gatherer(\\(\\))?(\\.|::)updateSettings\\b");
         try (var files = Files.walk(Path.of("src/main/java/wallmoor"))) {
             List<Path> all = files.filter(f -> f.toString().endsWith(".java") && Files.isRegularFile(f)).toList();
             assertTrue(all.size() > 100);
