--- a/src/main/java/wallmoor/discovery/DiscoveryWatch.java
+++ b/src/main/java/wallmoor/discovery/DiscoveryWatch.java
@@ -84,7 +84,7 @@
         tracker.reload(settings(changed), moved);
         if (moves) {
             close(openSocket); // its reader finds that another discovery is watched
-            gatherer.requestWatch();
+            gatherer.control().requestWatch();
         }
     }
 
@@ -92,7 +92,7 @@
     private void run() {
         while (!Thread.currentThread().isInterrupted()) {
             try {
-                gatherer.awaitWatchRequest(tracker.nextCallBy());
+                gatherer.control().awaitWatchRequest(tracker.nextCallBy());
             } catch (InterruptedException e) {
                 return;
             }
@@ -140,9 +140,9 @@
         log.debug("endpoint list stale for {} ms, a change missed now counts as notified in {} ms",
                 TimeUnit.MICROSECONDS.toMillis(loss.staleFor()), TimeUnit.MICROSECONDS.toMillis(loss.notifiedIn()));
         if (loss.outcome() == WatchTracker.LossOutcome.FAILED) {
-            gatherer.watchFailed();
+            gatherer.control().watchFailed();
         } else {
-            gatherer.watchReconnecting();
+            gatherer.control().watchReconnecting();
         }
     }
 
--- a/src/main/java/wallmoor/discovery/EndpointListReceiver.java
+++ b/src/main/java/wallmoor/discovery/EndpointListReceiver.java
@@ -50,7 +50,7 @@
         if (tracker.isCurrent(target)) {
             listener.accept(new WatchEvent.EndpointsUnchanged(EndpointSource.ENDPOINT_LIST));
             if (firstOfWatch) { // the module waits to hear from the list, be it that nothing has changed
-                gatherer.updateEndpoints(false, List.of());
+                gatherer.control().updateEndpoints(false, List.of());
             }
         }
         firstOfWatch = false;
