--- a/src/main/java/wallmoor/maintenance/AdmissionQueue.java
+++ b/src/main/java/wallmoor/maintenance/AdmissionQueue.java
@@ -1,54 +1,56 @@
 package wallmoor.maintenance;
 
+import java.util.EnumSet;
 import java.util.HashSet;
 import java.util.Set;
+import wallmoor.maintenance.Machine.MachineRole;
 
 /**
- * Machines asked in the order's order whether they go now. One that waits for what all share holds up those behind it
- * that would use it, so that it is not passed for ever; one that waits for a block, a pin or an hour is passed.
+ * Admits machines in the order's sequence. A machine that waits for a shared resource blocks those behind it that would
+ * use the same (head-of-line blocking, so that it is not starved); one that waits for a block, a predecessor or a
+ * window is passed.
  */
 final class AdmissionQueue {
-    private final OutageLedger book;
-    private final Set<String> centres = new HashSet<>();
-    private boolean all;
-    private final boolean[] kinds = new boolean[Machine.MachineRole.values().length];
+    private final OutageLedger ledger;
+    private final Set<String> blockedCentres = new HashSet<>();
+    private final Set<MachineRole> blockedRoles = EnumSet.noneOf(MachineRole.class);
+    private boolean allBlocked;
 
-    AdmissionQueue(OutageLedger book) {
-        this.book = book;
+    AdmissionQueue(OutageLedger ledger) {
+        this.ledger = ledger;
     }
 
-    /** Whether nobody behind goes either. */
+    /** Whether no machine behind is admitted either. */
     boolean isBlocked() {
-        return all;
+        return allBlocked;
     }
 
-    /** Whether one ahead keeps this one back. */
-    boolean isHeldBack(Machine m) {
-        return all || kinds[m.role().ordinal()] || centres.contains(m.centre());
+    /** Whether a machine ahead blocks this one. */
+    boolean isHeldBack(Machine machine) {
+        return allBlocked || blockedRoles.contains(machine.role()) || blockedCentres.contains(machine.centre());
     }
 
-    /** Whether this one goes now; it is then out. */
-    boolean tryAdmit(int place, Machine m) {
-        if (isHeldBack(m) || book.isOut(place)) {
+    /** Admits a machine if it may go now; it then counts as out. */
+    boolean tryAdmit(int machineIndex, Machine machine) {
+        if (isHeldBack(machine) || ledger.isOut(machineIndex)) {
             return false;
         }
-        if (book.fits(place)) {
-            book.takeOut(place);
+        if (ledger.fits(machineIndex)) {
+            ledger.takeOut(machineIndex);
             return true;
         }
-        for (MaintenanceConstraint r : book.violations(place, true)) {
-            waitsFor(r.rule(), m);
-        }
+        ledger.firstViolations(machineIndex).forEach(constraint -> block(constraint.rule(), machine));
         return false;
     }
 
-    private void waitsFor(MaintenanceRule rule, Machine m) {
-        all |= rule == MaintenanceRule.AT_ONCE;
-        if (rule == MaintenanceRule.CENTRE) {
-            centres.add(m.centre());
-        }
-        if (rule == MaintenanceRule.CAPACITY || rule == MaintenanceRule.GATHERERS || rule == MaintenanceRule.VOTERS) {
-            kinds[m.role().ordinal()] = true;
+    private void block(MaintenanceRule rule, Machine machine) {
+        switch (rule) {
+            case AT_ONCE -> allBlocked = true;
+            case CENTRE -> blockedCentres.add(machine.centre());
+            case CAPACITY, GATHERERS, VOTERS -> blockedRoles.add(machine.role());
+            default -> {
+                // no shared resource: it is passed
+            }
         }
     }
 }
--- a/src/main/java/wallmoor/maintenance/DrainCompletion.java
+++ b/src/main/java/wallmoor/maintenance/DrainCompletion.java
@@ -4,30 +4,33 @@
 import java.util.TreeSet;
 import wallmoor.maintenance.Machine.MachinePhase;
 
-/** Whether a machine that drains is free: by every gatherer's own word, or after the time in which all parts end. */
+/** Whether a draining machine is idle: by every gatherer's report, or after the time in which all parts end. */
 final class DrainCompletion {
+    private static final String UNKNOWN_GATHERER = "a gatherer that is not known";
+
     private DrainCompletion() {}
 
-    /** Who has something on a machine, or may have; empty where it is free. */
-    static List<String> busyFor(Machine m, FleetSnapshot fleet, Budgets budgets) {
-        if (m.phase() != MachinePhase.DRAINING) {
-            return List.of(m.id()); // it may still get what is new
+    /** Who has something in flight on a machine, or may have; empty where it is idle. */
+    static List<String> busyFor(Machine machine, FleetSnapshot fleet, Budgets budgets) {
+        if (machine.phase() != MachinePhase.DRAINING) {
+            return List.of(machine.id()); // it may still get new work
         }
         var busy = new TreeSet<String>();
-        boolean over = m.phaseMillis() >= budgets.partTimeoutMillis();
-        for (GathererReport w : fleet.reports()) {
-            boolean concerns = m.isNode() || w.gatherer().equals(m.id());
-            if (concerns && !w.confirmsDrained(m.id()) && !(w.silentMillis() >= budgets.partTimeoutMillis() && over)) {
-                busy.add(w.gatherer());
+        boolean timedOut = machine.phaseMillis() >= budgets.partTimeoutMillis();
+        for (GathererReport report : fleet.reports()) {
+            boolean concerned = machine.isNode() || report.gatherer().equals(machine.id());
+            boolean leaseExpired = report.silentMillis() >= budgets.partTimeoutMillis() && timedOut;
+            if (concerned && !report.confirmsDrained(machine.id()) && !leaseExpired) {
+                busy.add(report.gatherer());
             }
         }
-        boolean all = m.isNode() ? fleet.reports().size() >= fleet.expectedGatherers()
-                : fleet.reports().stream().anyMatch(w -> w.gatherer().equals(m.id()));
-        if (!all && !over) {
-            busy.add("a gatherer that is not known");
+        boolean allReported = machine.isNode() ? fleet.reports().size() >= fleet.expectedGatherers()
+                : fleet.reports().stream().anyMatch(report -> report.gatherer().equals(machine.id()));
+        if (!allReported && !timedOut) {
+            busy.add(UNKNOWN_GATHERER);
         }
-        if (!m.isNode() && fleet.leader().equals(m.id())) {
-            busy.add(m.id());
+        if (!machine.isNode() && fleet.leader().equals(machine.id())) {
+            busy.add(machine.id());
         }
         return List.copyOf(busy);
     }
--- a/src/main/java/wallmoor/maintenance/ExhaustiveScheduler.java
+++ b/src/main/java/wallmoor/maintenance/ExhaustiveScheduler.java
@@ -12,157 +12,180 @@
 import wallmoor.maintenance.SchedulingProblem.Job;
 
 /**
- * Whether few jobs can be done at all, also by letting a machine wait that might go. Every order in which those with a
- * time (and those before them) are given their earliest beside the ones that have one is tried: one of these orders is
- * as early as any schedule, for every job.
+ * Decides whether few jobs can be scheduled at all, also by delaying a machine that might go. It searches every order
+ * in which the jobs with a deadline (and their predecessors) are placed at their earliest time beside those placed
+ * before: one of these orders is as early as any schedule, for every job.
  */
 final class ExhaustiveScheduler {
-    /** Of so many jobs all orders (720) are tried. */
-    static final int MOST_JOBS = 6;
-
-    private record Placed(Job job, long from, long to) {}
-
-    private final SchedulingProblem p;
-    private final Predicate<MaintenanceConstraint> keeps;
-    private final Map<Job, List<String>> first = new HashMap<>();
-    private final boolean hours;
-    private final OutageLedger book;
-    private final Set<Job> needed = new HashSet<>();
-
-    private ExhaustiveScheduler(SchedulingProblem p, Predicate<MaintenanceConstraint> keeps) {
-        this.p = p;
-        this.keeps = keeps;
-        this.book = new OutageLedger(p.fleet, p.budgets, keeps);
-        this.hours = keeps.test(MaintenanceConstraint.budget(MaintenanceRule.HOURS, "hours"));
-        p.jobs.forEach(j -> first.put(j, p.predecessors(j).stream()
-                .filter(a -> keeps.test(MaintenanceConstraint.of(MaintenanceRule.PIN, a, j.request().machine())))
-                .toList()));
-        p.jobs.stream().filter(this::timed).forEach(this::need);
+    /** Most jobs whose orders (720) are all tried. */
+    static final int MAX_JOBS = 6;
+    private static final long NEVER = -1;
+
+    private record PlacedJob(Job job, long from, long to) {}
+
+    private final SchedulingProblem problem;
+    private final Predicate<MaintenanceConstraint> enforced;
+    private final Map<Job, List<String>> predecessors = new HashMap<>();
+    private final boolean windowsEnforced;
+    private final OutageLedger ledger;
+    /** Jobs with a deadline, and all that come before them. The others can always be placed behind these. */
+    private final Set<Job> constrainedJobs = new HashSet<>();
+
+    private ExhaustiveScheduler(SchedulingProblem problem, Predicate<MaintenanceConstraint> enforced) {
+        this.problem = problem;
+        this.enforced = enforced;
+        this.ledger = new OutageLedger(problem.fleet, problem.budgets, enforced);
+        this.windowsEnforced = enforced.test(MaintenanceConstraint.windows());
+        problem.jobs.forEach(job -> predecessors.put(job, problem.predecessors(job, enforced)));
+        problem.jobs.stream().filter(job -> job.hasDeadline() && deadlineEnforced(job)).forEach(this::addConstrained);
     }
 
-    static boolean possible(SchedulingProblem p, Predicate<MaintenanceConstraint> keeps) {
-        return new ExhaustiveScheduler(p, keeps).rest(new ArrayList<>());
+    /** Whether a schedule exists under the enforced constraints. */
+    static boolean isFeasible(SchedulingProblem problem, Predicate<MaintenanceConstraint> enforced) {
+        return new ExhaustiveScheduler(problem, enforced).placeConstrained(new ArrayList<>());
     }
 
-    private boolean timed(Job j) {
-        return j.request().deadline() != MaintenanceRequest.NO_DEADLINE
-                && keeps.test(MaintenanceConstraint.of(MaintenanceRule.BY, j.request().machine()));
+    private boolean deadlineEnforced(Job job) {
+        return enforced.test(MaintenanceConstraint.deadline(job.request()));
     }
 
-    /** A job with a time, and all that come before it. The others can be put behind them: their order is no matter. */
-    private void need(Job j) {
-        if (needed.add(j)) {
-            p.jobs.stream().filter(k -> first.get(j).contains(k.request().machine())).forEach(this::need);
+    private void addConstrained(Job job) {
+        if (constrainedJobs.add(job)) {
+            problem.jobs.stream().filter(other -> predecessors.get(job).contains(other.request().machine()))
+                    .forEach(this::addConstrained);
         }
     }
 
-    private boolean rest(List<Placed> placed) {
-        boolean open = false;
-        for (Job j : p.jobs) {
-            if (!has(placed, j) && needed.contains(j)) {
-                open = true;
-                if (ready(j, placed) && earliest(j, placed) < 0) {
-                    return false; // and not with more beside it
-                }
-            }
+    /** Depth-first search over the orders of the constrained jobs that are not placed. */
+    private boolean placeConstrained(List<PlacedJob> placed) {
+        List<Job> open = problem.jobs.stream().filter(job -> !isPlaced(placed, job) && constrainedJobs.contains(job))
+                .toList();
+        if (open.isEmpty()) {
+            return placeOthers(new ArrayList<>(placed));
         }
-        if (!open) {
-            return behind(new ArrayList<>(placed));
+        List<Job> ready = open.stream().filter(job -> isReady(job, placed)).toList();
+        for (Job job : ready) {
+            if (earliest(job, placed) == NEVER) {
+                return false; // nor with more jobs beside it
+            }
         }
-        for (Job j : p.jobs) {
-            if (!has(placed, j) && needed.contains(j) && ready(j, placed)) {
-                long at = earliest(j, placed);
-                placed.add(new Placed(j, at, at + j.outageMillis()));
-                if (rest(placed)) {
-                    return true;
-                }
-                placed.remove(placed.size() - 1);
+        for (Job job : ready) {
+            long at = earliest(job, placed);
+            placed.add(new PlacedJob(job, at, at + job.outageMillis()));
+            if (placeConstrained(placed)) {
+                return true;
             }
+            placed.remove(placed.size() - 1);
         }
         return false;
     }
 
-    private boolean behind(List<Placed> placed) {
-        boolean more = true;
-        while (more) {
-            more = false;
-            for (Job j : p.jobs) {
-                long at = has(placed, j) || !ready(j, placed) ? -1 : earliest(j, placed);
-                if (at >= 0) {
-                    placed.add(new Placed(j, at, at + j.outageMillis()));
-                    more = true;
+    /** Places the jobs whose order does not matter. */
+    private boolean placeOthers(List<PlacedJob> placed) {
+        boolean progress = true;
+        while (progress) {
+            progress = false;
+            for (Job job : problem.jobs) {
+                long at = isPlaced(placed, job) || !isReady(job, placed) ? NEVER : earliest(job, placed);
+                if (at != NEVER) {
+                    placed.add(new PlacedJob(job, at, at + job.outageMillis()));
+                    progress = true;
                 }
             }
         }
-        return placed.size() == p.jobs.size();
+        return placed.size() == problem.jobs.size();
     }
 
-    private static boolean has(List<Placed> placed, Job j) {
-        return placed.stream().anyMatch(x -> x.job() == j);
+    private static boolean isPlaced(List<PlacedJob> placed, Job job) {
+        return placed.stream().anyMatch(other -> other.job() == job);
     }
 
-    /** Whether all jobs that come before it have their time. */
-    private boolean ready(Job j, List<Placed> placed) {
-        return p.jobs.stream().allMatch(k -> !first.get(j).contains(k.request().machine()) || has(placed, k));
+    /** Whether all jobs that come before it are placed. */
+    private boolean isReady(Job job, List<PlacedJob> placed) {
+        return problem.jobs.stream().allMatch(
+                other -> !predecessors.get(job).contains(other.request().machine()) || isPlaced(placed, other));
     }
 
-    /** The earliest time beside those that have one, or -1. */
-    private long earliest(Job j, List<Placed> placed) {
-        if (j.machineIndex() < 0) {
-            return -1;
+    /** The earliest time beside the jobs that are placed, or {@link #NEVER}. */
+    private long earliest(Job job, List<PlacedJob> placed) {
+        if (job.machineIndex() < 0) {
+            return NEVER;
         }
-        long from = p.now;
-        for (String a : first.get(j)) {
-            long end = placed.stream().filter(x -> x.job().request().machine().equals(a)).mapToLong(Placed::to)
-                    .findFirst()
-                    .orElseGet(
-                            () -> p.outages.stream().filter(f -> f.machine().equals(a)).mapToLong(ExistingOutage::until)
-                                    .findFirst()
-                                    .orElse(SchedulingProblem.NEVER));
+        long from = problem.now;
+        for (String machine : predecessors.get(job)) {
+            long end = endOf(machine, placed);
             if (end == SchedulingProblem.NEVER) {
-                return -1;
+                return NEVER;
             }
             from = Math.max(from, end);
         }
-        var times = new TreeSet<Long>(List.of(from));
-        placed.forEach(x -> times.add(x.to()));
-        p.outages.stream().filter(f -> f.until() != SchedulingProblem.NEVER).forEach(f -> times.add(f.until()));
-        for (long t : new ArrayList<>(times.tailSet(from))) {
-            if (hours) {
-                long next = p.budgets.windows().nextStart(t, j.outageMillis());
-                if (next < 0) {
-                    return -1;
-                }
-                times.add(next);
+        TreeSet<Long> candidates = candidates(job, from, placed);
+        if (candidates == null) {
+            return NEVER;
+        }
+        for (long time : candidates.tailSet(from)) {
+            if (time + job.outageMillis() > job.request().deadline() && deadlineEnforced(job)) {
+                return NEVER;
+            }
+            boolean inWindow = !windowsEnforced
+                    || problem.budgets.windows().nextStart(time, job.outageMillis()) == time;
+            if (inWindow && fits(job, time, placed)) {
+                return time;
             }
         }
-        for (long t : times.tailSet(from)) {
-            if (t + j.outageMillis() > j.request().deadline()
-                    && keeps.test(MaintenanceConstraint.of(MaintenanceRule.BY, j.request().machine()))) {
-                return -1;
+        return NEVER;
+    }
+
+    private long endOf(String machine, List<PlacedJob> placed) {
+        for (PlacedJob other : placed) {
+            if (other.job().request().machine().equals(machine)) {
+                return other.to();
             }
-            if ((!hours || p.budgets.windows().nextStart(t, j.outageMillis()) == t) && fits(j, t, placed)) {
-                return t;
+        }
+        return problem.outages.stream().filter(outage -> outage.machine().equals(machine))
+                .mapToLong(ExistingOutage::until).findFirst().orElse(SchedulingProblem.NEVER);
+    }
+
+    /** The times at which an outage ends, and the openings of windows after them; null where no window is long enough. */
+    private TreeSet<Long> candidates(Job job, long from, List<PlacedJob> placed) {
+        var times = new TreeSet<Long>(List.of(from));
+        placed.forEach(other -> times.add(other.to()));
+        problem.outages.stream().filter(outage -> outage.until() != SchedulingProblem.NEVER)
+                .forEach(outage -> times.add(outage.until()));
+        if (windowsEnforced) {
+            for (long time : new ArrayList<>(times.tailSet(from))) {
+                long opens = problem.budgets.windows().nextStart(time, job.outageMillis());
+                if (opens < 0) {
+                    return null;
+                }
+                times.add(opens);
             }
         }
-        return -1;
+        return times;
     }
 
-    private boolean fits(Job j, long from, List<Placed> placed) {
-        long to = from + j.outageMillis();
-        var looks = new TreeSet<Long>(List.of(from));
-        placed.stream().filter(x -> x.from() > from && x.from() < to).forEach(x -> looks.add(x.from()));
-        for (long t : looks) {
-            p.outages.stream().filter(f -> f.until() > t)
-                    .forEach(f -> book.takeOut(f.machineIndex(), f.capacityShare()));
-            placed.stream().filter(x -> x.from() <= t && t < x.to()).forEach(x -> book.takeOut(x.job().machineIndex()));
-            boolean fits = !book.isOut(j.machineIndex()) && book.fits(j.machineIndex());
-            p.outages.forEach(f -> book.putBack(f.machineIndex()));
-            placed.forEach(x -> book.putBack(x.job().machineIndex()));
-            if (!fits) {
+    /** Whether a job can be out from this time on, looked at whenever another outage begins meanwhile. */
+    private boolean fits(Job job, long from, List<PlacedJob> placed) {
+        long to = from + job.outageMillis();
+        var times = new TreeSet<Long>(List.of(from));
+        placed.stream().filter(other -> other.from() > from && other.from() < to)
+                .forEach(other -> times.add(other.from()));
+        for (long time : times) {
+            if (!fitsAt(job, time, placed)) {
                 return false;
             }
         }
         return true;
     }
+
+    private boolean fitsAt(Job job, long time, List<PlacedJob> placed) {
+        problem.outages.stream().filter(outage -> outage.until() > time)
+                .forEach(outage -> ledger.takeOut(outage.machineIndex(), outage.capacityShare()));
+        placed.stream().filter(other -> other.from() <= time && time < other.to())
+                .forEach(other -> ledger.takeOut(other.job().machineIndex()));
+        boolean fits = !ledger.isOut(job.machineIndex()) && ledger.fits(job.machineIndex());
+        problem.outages.forEach(outage -> ledger.putBack(outage.machineIndex()));
+        placed.forEach(other -> ledger.putBack(other.job().machineIndex()));
+        return fits;
+    }
 }
--- a/src/main/java/wallmoor/maintenance/GathererReport.java
+++ b/src/main/java/wallmoor/maintenance/GathererReport.java
@@ -1,24 +1,26 @@
 package wallmoor.maintenance;
 
+import java.util.Collections;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
 /**
- * What a gatherer said last.
+ * A gatherer's last report.
  *
- * @param silentMillis how long it has not answered, in milliseconds; 0 where it answers
- * @param avoids     machines that it sends nothing new to, or itself where it takes no clients
- * @param inFlight       parts out, by machine; under its own name the clients that it has
+ * @param silentMillis for how long the gatherer has not answered; 0 where it answers
+ * @param avoids       machines that it sends nothing new to; itself where it accepts no clients
+ * @param inFlight     parts in flight, by machine; under its own name its clients
  */
 public record GathererReport(String gatherer, long silentMillis, Set<String> avoids, Map<String, Integer> inFlight) {
+    /** Takes copies of the collections. */
     public GathererReport {
-        avoids = java.util.Collections.unmodifiableSet(new TreeSet<>(avoids));
-        inFlight = java.util.Collections.unmodifiableMap(new TreeMap<>(inFlight));
+        avoids = Collections.unmodifiableSet(new TreeSet<>(avoids));
+        inFlight = Collections.unmodifiableMap(new TreeMap<>(inFlight));
     }
 
-    /** By its word it has nothing on the machine, and will have nothing. */
+    /** Whether the gatherer says that nothing of its own is on the machine, nor will be. */
     boolean confirmsDrained(String machine) {
         return silentMillis == 0 && avoids.contains(machine) && inFlight.getOrDefault(machine, 0) == 0;
     }
--- a/src/main/java/wallmoor/maintenance/ListSchedule.java
+++ b/src/main/java/wallmoor/maintenance/ListSchedule.java
@@ -1,6 +1,7 @@
 package wallmoor.maintenance;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -12,103 +13,146 @@
 import wallmoor.maintenance.SchedulingResult.OutageSlot;
 
 /**
- * What comes of an order where each goes as soon as it may, by the rule ({@link AdmissionQueue}) that steps are decided
- * by, and
- * all lasts as reckoned.
+ * The schedule that an order comes to (list scheduling): each job starts as soon as it may, by the same {@link
+ * AdmissionQueue} that later begins the requests, and everything lasts as long as estimated.
  */
 final class ListSchedule {
-    final List<OutageSlot> slots = new ArrayList<>();
-    /** Jobs that never go, or too late. */
-    final List<Job> lost = new ArrayList<>();
-    long ends;
+    /** The end of an outage. */
+    private record OutageEnd(long at, int machineIndex, String machine) {}
 
-    private record End(long at, int place, String machine) {}
+    private final SchedulingProblem problem;
+    private final Predicate<MaintenanceConstraint> enforced;
+    private final boolean windowsEnforced;
+    private final OutageLedger ledger;
+    private final PriorityQueue<OutageEnd> running = byTime();
+    private final Map<String, Long> doneAt = new HashMap<>();
+    private final Map<Job, List<String>> predecessors = new HashMap<>();
+    private final List<OutageSlot> slots = new ArrayList<>();
+    private final List<Job> missed = new ArrayList<>();
+    private long endsAt;
 
-    ListSchedule(SchedulingProblem p, List<Job> order, Predicate<MaintenanceConstraint> keeps) {
-        OutageLedger book = new OutageLedger(p.fleet, p.budgets, keeps);
-        Map<String, Long> doneAt = new HashMap<>();
-        var running = new PriorityQueue<End>((a, b) -> Long.compare(a.at(), b.at()));
-        for (ExistingOutage f : p.outages) {
-            book.takeOut(f.machineIndex(), f.capacityShare());
-            if (f.until() != SchedulingProblem.NEVER) {
-                running.add(new End(f.until(), f.machineIndex(), f.machine()));
+    /** @param enforced the constraints that count */
+    ListSchedule(SchedulingProblem problem, List<Job> order, Predicate<MaintenanceConstraint> enforced) {
+        this.problem = problem;
+        this.enforced = enforced;
+        this.windowsEnforced = enforced.test(MaintenanceConstraint.windows());
+        this.ledger = new OutageLedger(problem.fleet, problem.budgets, enforced);
+        this.endsAt = problem.now;
+        for (ExistingOutage outage : problem.outages) {
+            ledger.takeOut(outage.machineIndex(), outage.capacityShare());
+            if (outage.until() != SchedulingProblem.NEVER) {
+                running.add(new OutageEnd(outage.until(), outage.machineIndex(), outage.machine()));
             }
         }
-        ends = p.now;
-        Budgets b = p.budgets;
-        boolean hours = keeps.test(MaintenanceConstraint.budget(MaintenanceRule.HOURS, "hours"));
+        order.forEach(job -> predecessors.put(job, problem.predecessors(job, enforced)));
+        run(order);
+    }
+
+    private static PriorityQueue<OutageEnd> byTime() {
+        return new PriorityQueue<>(Comparator.comparingLong(OutageEnd::at));
+    }
+
+    /** Whether every job starts and meets its deadline. */
+    boolean isComplete() {
+        return missed.isEmpty();
+    }
+
+    /** Jobs that never start, or miss their deadline. */
+    List<Job> missed() {
+        return missed;
+    }
+
+    /** When the last job is done. */
+    long endsAt() {
+        return endsAt;
+    }
+
+    /** From one event to the next: an outage ends, or a window opens. */
+    private void run(List<Job> order) {
         List<Job> waiting = new ArrayList<>(order);
-        Map<Job, List<String>> first = new HashMap<>();
-        order.forEach(j -> first.put(j, p.predecessors(j).stream()
-                .filter(a -> keeps.test(MaintenanceConstraint.of(MaintenanceRule.PIN, a, j.request().machine())))
-                .toList()));
-        long t = p.now;
+        long time = problem.now;
         while (true) {
-            while (!running.isEmpty() && running.peek().at() <= t) {
-                End e = running.poll();
-                book.putBack(e.place());
-                doneAt.put(e.machine(), e.at());
+            endOutages(time);
+            List<Job> remaining = new ArrayList<>();
+            long windowOpens = startJobs(time, waiting, remaining);
+            waiting = remaining;
+            long nextEvent = Math.min(windowOpens, running.isEmpty() ? SchedulingProblem.NEVER : running.peek().at());
+            if (waiting.isEmpty() || nextEvent == SchedulingProblem.NEVER) {
+                missed.addAll(waiting);
+                return;
+            }
+            time = nextEvent;
+        }
+    }
+
+    private void endOutages(long time) {
+        while (!running.isEmpty() && running.peek().at() <= time) {
+            OutageEnd end = running.poll();
+            ledger.putBack(end.machineIndex());
+            doneAt.put(end.machine(), end.at());
+        }
+    }
+
+    /** Starts the jobs that may start now, and returns when the next window of one of the others opens. */
+    private long startJobs(long time, List<Job> waiting, List<Job> remaining) {
+        var queue = new AdmissionQueue(ledger);
+        long windowOpens = SchedulingProblem.NEVER;
+        for (Job job : waiting) {
+            if (queue.isBlocked()) {
+                remaining.add(job);
+                continue;
             }
-            var line = new AdmissionQueue(book);
-            List<Job> left = new ArrayList<>();
-            long opens = SchedulingProblem.NEVER;
-            for (Job j : waiting) {
-                if (line.isBlocked()) {
-                    left.add(j);
-                    continue;
-                }
-                long may = hours ? b.windows().nextStart(t, j.outageMillis()) : t;
-                if (may > t) {
-                    opens = Math.min(opens, may);
-                }
-                if (j.machineIndex() < 0 || may != t || !doneAt.keySet().containsAll(first.get(j))
-                        || !line.tryAdmit(j.machineIndex(), p.fleet.machines().get(j.machineIndex()))) {
-                    left.add(j);
-                    continue;
-                }
-                long done = t + j.outageMillis();
-                slots.add(new OutageSlot(j.request(), t, t + b.partTimeoutMillis(),
-                        t + b.partTimeoutMillis() + j.request().workMillis(), done, book.outCount(),
-                        book.capacityLeft(), List.of()));
-                if (done > j.request().deadline()
-                        && keeps.test(MaintenanceConstraint.of(MaintenanceRule.BY, j.request().machine()))) {
-                    lost.add(j);
-                }
-                ends = Math.max(ends, done);
-                running.add(new End(done, j.machineIndex(), j.request().machine()));
+            long earliest = windowsEnforced ? problem.budgets.windows().nextStart(time, job.outageMillis()) : time;
+            if (earliest > time) {
+                windowOpens = Math.min(windowOpens, earliest);
             }
-            waiting = left;
-            long then = Math.min(opens, running.isEmpty() ? SchedulingProblem.NEVER : running.peek().at());
-            if (waiting.isEmpty() || then == SchedulingProblem.NEVER) {
-                lost.addAll(waiting);
-                return;
+            if (earliest == time && mayStart(job, queue)) {
+                start(job, time);
+            } else {
+                remaining.add(job);
             }
-            t = then;
         }
+        return windowOpens;
+    }
+
+    private boolean mayStart(Job job, AdmissionQueue queue) {
+        return job.machineIndex() >= 0 && doneAt.keySet().containsAll(predecessors.get(job))
+                && queue.tryAdmit(job.machineIndex(), problem.fleet.machines().get(job.machineIndex()));
     }
 
-    boolean all() {
-        return lost.isEmpty();
+    private void start(Job job, long time) {
+        MaintenanceRequest request = job.request();
+        long done = time + job.outageMillis();
+        long free = time + problem.budgets.partTimeoutMillis();
+        slots.add(new OutageSlot(request, time, free, free + request.workMillis(), done, ledger.outCount(),
+                ledger.capacityLeft(), List.of()));
+        if (done > request.deadline() && enforced.test(MaintenanceConstraint.deadline(request))) {
+            missed.add(job);
+        }
+        endsAt = Math.max(endsAt, done);
+        running.add(new OutageEnd(done, job.machineIndex(), request.machine()));
     }
 
-    /** The slots, with who must stay; that needs all blocks, also those that stand against nothing. */
-    List<OutageSlot> whole(SchedulingProblem p) {
-        OutageLedger book = new OutageLedger(p.whole, p.budgets, r -> true);
-        p.outages.forEach(f -> book.takeOut(f.machineIndex()));
-        var ends = new PriorityQueue<End>((a, b) -> Long.compare(a.at(), b.at()));
-        p.outages.stream().filter(f -> f.until() != SchedulingProblem.NEVER)
-                .forEach(f -> ends.add(new End(f.until(), f.machineIndex(), f.machine())));
-        List<OutageSlot> whole = new ArrayList<>();
-        for (OutageSlot s : slots) {
-            while (!ends.isEmpty() && ends.peek().at() <= s.starts()) {
-                book.putBack(ends.poll().place());
+    /** The slots with the machines that must stay, for which all blocks of the fleet count. */
+    List<OutageSlot> slotsWithSoleHolders() {
+        OutageLedger complete = new OutageLedger(problem.completeFleet, problem.budgets, constraint -> true);
+        PriorityQueue<OutageEnd> ends = byTime();
+        for (ExistingOutage outage : problem.outages) {
+            complete.takeOut(outage.machineIndex());
+            if (outage.until() != SchedulingProblem.NEVER) {
+                ends.add(new OutageEnd(outage.until(), outage.machineIndex(), outage.machine()));
+            }
+        }
+        List<OutageSlot> result = new ArrayList<>();
+        for (OutageSlot slot : slots) {
+            while (!ends.isEmpty() && ends.peek().at() <= slot.starts()) {
+                complete.putBack(ends.poll().machineIndex());
             }
-            int place = book.indexOf(s.request().machine());
-            book.takeOut(place);
-            ends.add(new End(s.done(), place, s.request().machine()));
-            whole.add(new OutageSlot(s.request(), s.starts(), s.free(), s.back(), s.done(), s.out(), s.capacity(),
-                    List.copyOf(new TreeSet<>(book.soleHolders(place)))));
+            int index = complete.indexOf(slot.request().machine());
+            complete.takeOut(index);
+            ends.add(new OutageEnd(slot.done(), index, slot.request().machine()));
+            result.add(slot.withMustStay(List.copyOf(new TreeSet<>(complete.soleHolders(index)))));
         }
-        return whole;
+        return result;
     }
 }
--- a/src/main/java/wallmoor/maintenance/Machine.java
+++ b/src/main/java/wallmoor/maintenance/Machine.java
@@ -1,32 +1,31 @@
 package wallmoor.maintenance;
 
 /**
- * A machine as it is seen now.
+ * A machine as it is observed now.
  *
- * @param centre    its data centre
- * @param capacity  above 0; of a gatherer it counts nothing
- * @param voter     whether it is one of the gatherers that vote
- * @param incarnation      what its process' start is known by: another one is a machine that was started again
- * @param phaseMillis  how long it has been seen in this phase, in milliseconds; an observer that began later says less
- * @param servingMillis how long it has served since its start, in milliseconds; an observer that can't know says less
+ * @param centre        data centre
+ * @param capacity      above 0, in any unit; counts for nodes alone
+ * @param voter         whether it is a voting gatherer
+ * @param incarnation   identifies a start of its process: another one is a machine that was restarted
+ * @param phaseMillis   for how long it has been observed in this phase; less where the observer began later
+ * @param servingMillis for how long it has served since its start; less where the observer cannot know
  */
 public record Machine(String id, MachineRole role, String centre, long capacity, boolean voter, MachinePhase phase,
-        String incarnation,
-        long phaseMillis, long servingMillis) {
+        String incarnation, long phaseMillis, long servingMillis) {
     /** What a machine is for. */
     public enum MachineRole {
-        /** It holds blocks. */
+        /** Holds blocks. */
         NODE,
-        /** It has clients. */
+        /** Has clients. */
         GATHERER
     }
 
-    /** What is known of it. */
+    /** What is known of a machine. */
     public enum MachinePhase {
         SERVING,
-        /** It gets nothing new: no parts, or no clients. */
+        /** Gets nothing new: no parts, or no clients. */
         DRAINING,
-        /** It is not seen: crashed, cut off, taken out, or nobody says. */
+        /** Not observed: crashed, cut off, taken out, or nobody reports. */
         AWAY
     }
 
--- a/src/main/java/wallmoor/maintenance/MaintenanceAction.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceAction.java
@@ -2,64 +2,83 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import wallmoor.maintenance.Machine.MachinePhase;
 
 /**
- * What is to be done just now. It follows from the version that acts and from what is seen, and from nothing
- * remembered: it may be done any number of times, by whoever holds the lease, and is no longer asked for once it is
- * seen done.
+ * An action that is due. Actions follow from the active version and from what is observed, and from nothing that is
+ * remembered: they are idempotent, may be performed by any lease holder, and are no longer due once their effect is
+ * observed.
  */
 public record MaintenanceAction(ActionType type, String machine) {
-    /** What is done. */
+    /** What is to be done. */
     public enum ActionType {
-        /** Set DRAINING in the list. */
+        /** Set the node DRAINING in the endpoint list. */
         DRAIN,
-        /** Set SERVING in the list. */
+        /** Set the machine SERVING in the endpoint list. */
         SERVE,
-        /** The gatherer that leads hands the lead on. */
+        /** The leading gatherer hands leadership over. */
         TRANSFER_LEADERSHIP,
-        /** The gatherer takes no clients and lets those it has go. */
+        /** The gatherer accepts no clients and lets those it has go. */
         HAND_OVER,
-        /** Tell staff that the machine may be worked on. */
+        /** Notify staff that the machine may be worked on. */
         NOTIFY_FREE,
-        /** Tell staff that it has not come back in time. */
+        /** Notify staff that the machine has not come back in time. */
         NOTIFY_OVERDUE,
-        /** Tell staff that it is held or was given up, and why. */
+        /** Notify staff that the request is held or was given up, and why. */
         NOTIFY_WAITING
     }
 
-    /** All that the version that acts asks for now. */
-    public static List<MaintenanceAction> due(MaintenanceState acting, FleetSnapshot fleet, Budgets budgets) {
-        var acts = new ArrayList<MaintenanceAction>();
-        var machines = fleet.byId();
-        for (RequestStatus s : acting.requests().values()) {
-            Machine m = machines.get(s.request().machine());
-            MachinePhase phase = m == null ? MachinePhase.AWAY : m.phase();
-            String id = s.request().machine();
-            if (s.stage() == MaintenanceStage.DRAINING && phase == MachinePhase.SERVING) {
-                acts.add(new MaintenanceAction(
-                        m.isNode() ? ActionType.DRAIN
-                                : fleet.leader().equals(id) ? ActionType.TRANSFER_LEADERSHIP : ActionType.HAND_OVER,
-                        id));
-            }
-            boolean out = s.stage() == MaintenanceStage.OUT || s.stage() == MaintenanceStage.OVERDUE && !s.returned();
-            if (out && phase == MachinePhase.DRAINING && m.incarnation().equals(s.incarnation())
-                    && DrainCompletion.busyFor(m, fleet, budgets).isEmpty()) {
-                acts.add(new MaintenanceAction(ActionType.NOTIFY_FREE, id));
-            }
-            if (s.drainedByOrder() && phase == MachinePhase.DRAINING
-                    && (s.stage() == MaintenanceStage.RETURNING || s.stage() == MaintenanceStage.HELD
-                            || s.stage() == MaintenanceStage.GIVEN_UP
-                            || s.stage() == MaintenanceStage.OVERDUE && s.returned())) {
-                acts.add(new MaintenanceAction(ActionType.SERVE, id));
-            }
-            if (s.stage() == MaintenanceStage.OVERDUE) {
-                acts.add(new MaintenanceAction(ActionType.NOTIFY_OVERDUE, id));
-            }
-            if (s.stage() == MaintenanceStage.HELD || s.stage() == MaintenanceStage.GIVEN_UP && s.drainedByOrder()) {
-                acts.add(new MaintenanceAction(ActionType.NOTIFY_WAITING, id));
+    /** All actions due under the active version. */
+    public static List<MaintenanceAction> due(MaintenanceState active, FleetSnapshot fleet, Budgets budgets) {
+        var actions = new ArrayList<MaintenanceAction>();
+        Map<String, Machine> machines = fleet.byId();
+        for (RequestStatus status : active.requests().values()) {
+            Machine machine = machines.get(status.request().machine());
+            if (machine != null && machine.phase() == MachinePhase.SERVING) {
+                addForServing(actions, status, machine, fleet);
+            } else if (machine != null && machine.phase() == MachinePhase.DRAINING) {
+                addForDraining(actions, status, machine, fleet, budgets);
             }
+            addForStaff(actions, status);
+        }
+        return actions;
+    }
+
+    private static void addForServing(List<MaintenanceAction> actions, RequestStatus status, Machine machine,
+            FleetSnapshot fleet) {
+        if (status.stage() != MaintenanceStage.DRAINING) {
+            return;
+        }
+        ActionType handOver = fleet.leader().equals(machine.id()) ? ActionType.TRANSFER_LEADERSHIP
+                : ActionType.HAND_OVER;
+        actions.add(new MaintenanceAction(machine.isNode() ? ActionType.DRAIN : handOver, machine.id()));
+    }
+
+    private static void addForDraining(List<MaintenanceAction> actions, RequestStatus status, Machine machine,
+            FleetSnapshot fleet, Budgets budgets) {
+        MaintenanceStage stage = status.stage();
+        boolean overdue = stage == MaintenanceStage.OVERDUE;
+        boolean out = stage == MaintenanceStage.OUT || overdue && !status.returned();
+        if (out && machine.incarnation().equals(status.incarnation())
+                && DrainCompletion.busyFor(machine, fleet, budgets).isEmpty()) {
+            actions.add(new MaintenanceAction(ActionType.NOTIFY_FREE, machine.id()));
+        }
+        boolean serves = stage == MaintenanceStage.RETURNING || stage == MaintenanceStage.HELD
+                || stage == MaintenanceStage.GIVEN_UP || overdue && status.returned();
+        if (serves && status.drainedByOrder()) {
+            actions.add(new MaintenanceAction(ActionType.SERVE, machine.id()));
+        }
+    }
+
+    private static void addForStaff(List<MaintenanceAction> actions, RequestStatus status) {
+        String machine = status.request().machine();
+        if (status.stage() == MaintenanceStage.OVERDUE) {
+            actions.add(new MaintenanceAction(ActionType.NOTIFY_OVERDUE, machine));
+        }
+        if (status.stage() == MaintenanceStage.HELD
+                || status.stage() == MaintenanceStage.GIVEN_UP && status.drainedByOrder()) {
+            actions.add(new MaintenanceAction(ActionType.NOTIFY_WAITING, machine));
         }
-        return acts;
     }
 }
--- a/src/main/java/wallmoor/maintenance/MaintenanceCodec.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceCodec.java
@@ -11,119 +11,138 @@
 import wallmoor.json.Json;
 import wallmoor.rules.RuleBody;
 
-/** The state as the document {@code maintenance}, whose fields {@code versions.Kinds.MAINTENANCE} checks. */
+/**
+ * The stored form of a {@link MaintenanceState}: body and fallback of the document {@code maintenance}, whose fields
+ * {@code rules.DocumentSchemas.MAINTENANCE} validates.
+ */
 public final class MaintenanceCodec {
-    private static final String WISH = "wish.";
+    private static final String REQUEST = "wish.";
 
     private MaintenanceCodec() {}
 
-    /** As a document's body. */
+    /** The document's body. */
     public static String body(MaintenanceState state) {
-        var to = names(new StringBuilder("{\"away\":"), state.unavailable());
-        Json.quote(to.append(",\"order\":"), names(new StringBuilder(), state.order()).toString());
-        state.requests().forEach((id, s) -> {
-            Json.quote(to.append(','), WISH + id);
-            Json.quote(to.append(':'), text(s));
+        StringBuilder json = names(new StringBuilder("{\"away\":"), state.unavailable());
+        Json.quote(json.append(",\"order\":"), names(new StringBuilder(), state.order()).toString());
+        state.requests().forEach((id, status) -> {
+            Json.quote(json.append(','), REQUEST + id);
+            Json.quote(json.append(':'), encode(status));
         });
-        return to.append(",\"held\":").append(state.held()).append('}').toString();
+        return json.append(",\"held\":").append(state.held()).append('}').toString();
     }
 
-    /** As a document's fallback: what is away stays so, and nothing begins by one that can't be sure. */
+    /** The document's fallback, for those without a lease: what is unavailable stays so, and nothing begins. */
     public static String fallback(MaintenanceState state) {
         return names(new StringBuilder("{\"away\":"), state.unavailable()).append(",\"held\":true}").toString();
     }
 
-    /**
-     * Reads a whole body that its kind has checked.
-     *
-     * @throws IllegalArgumentException where a wish or the order is none
-     */
+    /** Reads a body that the document's schema has validated. @throws UnreadableMaintenanceException where it can't */
     public static MaintenanceState decode(RuleBody body) {
-        SortedMap<String, RequestStatus> wishes = new TreeMap<>();
+        SortedMap<String, RequestStatus> requests = new TreeMap<>();
         for (String field : body.fields().keySet()) {
-            if (field.startsWith(WISH)) {
-                String id = field.substring(WISH.length());
-                wishes.put(id, standing(id, object(body.text(field))));
+            if (field.startsWith(REQUEST)) {
+                String id = field.substring(REQUEST.length());
+                requests.put(id, status(id, parse(body.text(field))));
             }
         }
         String order = body.text("order");
-        List<String> ids = order == null ? List.of() : texts(object("{\"order\":" + order + "}"), "order");
-        return new MaintenanceState(wishes, ids, body.flag("held", false));
+        List<String> ids = order == null ? List.of() : texts(parse("{\"order\":" + order + "}"), "order");
+        return new MaintenanceState(requests, ids, body.flag("held", false));
     }
 
-    private static Json.Obj object(String text) {
+    private static Json.Obj parse(String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         try {
             return Json.object(bytes, 0, bytes.length);
         } catch (Json.Malformed e) {
-            throw new IllegalArgumentException("no wish and no order: " + text, e);
+            throw new UnreadableMaintenanceException("no wish and no order: " + text, e);
         }
     }
 
-    private static List<String> texts(Json.Obj o, String name) {
-        return o.list(name) == null ? List.of() : o.list(name).stream().map(String::valueOf).toList();
+    private static List<String> texts(Json.Obj json, String name) {
+        return json.list(name) == null ? List.of() : json.list(name).stream().map(String::valueOf).toList();
     }
 
-    private static RequestStatus standing(String id, Json.Obj o) {
-        if (o.text("machine") == null || o.text("reason") == null || o.text("who") == null || o.text("step") == null
-                || o.text("life") == null) {
-            throw new IllegalArgumentException("the wish " + id + " lacks its machine, reason, who, step or life");
+    private static RequestStatus status(String id, Json.Obj json) {
+        if (json.text("machine") == null || json.text("reason") == null || json.text("who") == null
+                || json.text("step") == null || json.text("life") == null) {
+            throw new UnreadableMaintenanceException(
+                    "the wish " + id + " lacks its machine, reason, who, step or life");
         }
-        var wish = new MaintenanceRequest(id, o.text("machine"), (long) o.number("lasts", 0),
-                o.get("by") == null ? MaintenanceRequest.NO_DEADLINE
-                        : (long) o.number("by", 0),
-                o.text("reason"), o.text("who"), new TreeSet<>(texts(o, "after")),
-                new TreeSet<>(texts(o, "before")));
-        var why = new ArrayList<MaintenanceConstraint>();
-        for (Object r : o.list("why") == null ? List.of() : o.list("why")) {
-            var reason = (Json.Obj) r;
-            why.add(new MaintenanceConstraint(MaintenanceRule.valueOf(reason.text("rule").toUpperCase(Locale.ROOT)),
-                    texts(reason, "machines"),
-                    texts(reason, "blocks"), reason.text("budget")));
+        try {
+            return new RequestStatus(request(id, json), stage(json.text("step")), (long) json.number("since", 0),
+                    json.text("life"), flag(json, "ours"), flag(json, "back"), flag(json, "hold"), reasons(json));
+        } catch (IllegalArgumentException | ClassCastException | NullPointerException e) { // no stage, rule or work
+            throw new UnreadableMaintenanceException("the wish " + id + " can't be read: " + e.getMessage(), e);
+        }
+    }
+
+    private static MaintenanceRequest request(String id, Json.Obj json) {
+        long deadline = json.get("by") == null ? MaintenanceRequest.NO_DEADLINE : (long) json.number("by", 0);
+        return new MaintenanceRequest(id, json.text("machine"), (long) json.number("lasts", 0), deadline,
+                json.text("reason"), json.text("who"), new TreeSet<>(texts(json, "after")),
+                new TreeSet<>(texts(json, "before")));
+    }
+
+    private static MaintenanceStage stage(String word) {
+        return MaintenanceStage.valueOf(word.toUpperCase(Locale.ROOT).replace(' ', '_'));
+    }
+
+    private static boolean flag(Json.Obj json, String name) {
+        return Boolean.TRUE.equals(json.get(name));
+    }
+
+    private static List<MaintenanceConstraint> reasons(Json.Obj json) {
+        var reasons = new ArrayList<MaintenanceConstraint>();
+        for (Object each : json.list("why") == null ? List.of() : json.list("why")) {
+            var reason = (Json.Obj) each;
+            reasons.add(new MaintenanceConstraint(
+                    MaintenanceRule.valueOf(reason.text("rule").toUpperCase(Locale.ROOT)),
+                    texts(reason, "machines"), texts(reason, "blocks"), reason.text("budget")));
         }
-        return new RequestStatus(wish,
-                MaintenanceStage.valueOf(o.text("step").toUpperCase(Locale.ROOT).replace(' ', '_')),
-                (long) o.number("since", 0), o.text("life"), Boolean.TRUE.equals(o.get("ours")),
-                Boolean.TRUE.equals(o.get("back")),
-                Boolean.TRUE.equals(o.get("hold")), why);
+        return reasons;
     }
 
-    private static String text(RequestStatus s) {
-        var to = new StringBuilder("{\"machine\":");
-        Json.quote(to, s.request().machine());
-        to.append(",\"lasts\":").append(s.request().workMillis());
-        if (s.request().deadline() != MaintenanceRequest.NO_DEADLINE) {
-            to.append(",\"by\":").append(s.request().deadline());
+    private static String encode(RequestStatus status) {
+        MaintenanceRequest request = status.request();
+        var json = new StringBuilder("{\"machine\":");
+        Json.quote(json, request.machine());
+        json.append(",\"lasts\":").append(request.workMillis());
+        if (request.deadline() != MaintenanceRequest.NO_DEADLINE) {
+            json.append(",\"by\":").append(request.deadline());
         }
-        Json.quote(to.append(",\"reason\":"), s.request().reason());
-        Json.quote(to.append(",\"who\":"), s.request().requester());
-        names(to.append(",\"after\":"), s.request().after());
-        names(to.append(",\"before\":"), s.request().before());
-        Json.quote(to.append(",\"step\":"), s.stage().word());
-        Json.quote(to.append(",\"since\":").append(s.since()).append(",\"life\":"), s.incarnation());
-        to.append(",\"ours\":").append(s.drainedByOrder()).append(",\"back\":").append(s.returned())
-                .append(",\"hold\":")
-                .append(s.heldByStaff());
-        return reasons(to.append(",\"why\":"), s.reasons()).append('}').toString();
+        Json.quote(json.append(",\"reason\":"), request.reason());
+        Json.quote(json.append(",\"who\":"), request.requester());
+        names(json.append(",\"after\":"), request.after());
+        names(json.append(",\"before\":"), request.before());
+        Json.quote(json.append(",\"step\":"), status.stage().word());
+        Json.quote(json.append(",\"since\":").append(status.since()).append(",\"life\":"), status.incarnation());
+        json.append(",\"ours\":").append(status.drainedByOrder()).append(",\"back\":").append(status.returned())
+                .append(",\"hold\":").append(status.heldByStaff());
+        return reasons(json.append(",\"why\":"), status.reasons()).append('}').toString();
     }
 
-    /** Reasons as a list of objects. */
-    public static StringBuilder reasons(StringBuilder to, List<MaintenanceConstraint> reasons) {
-        to.append('[');
-        for (MaintenanceConstraint r : reasons) {
-            Json.quote(to.append(to.charAt(to.length() - 1) == '[' ? "" : ",").append("{\"rule\":"), r.rule().word());
-            names(to.append(",\"machines\":"), r.machines());
-            names(to.append(",\"blocks\":"), r.blocks());
-            Json.quote(to.append(",\"budget\":"), r.budget());
-            to.append('}');
+    /** Appends constraints as a list of objects. */
+    public static StringBuilder reasons(StringBuilder json, List<MaintenanceConstraint> reasons) {
+        json.append('[');
+        for (MaintenanceConstraint reason : reasons) {
+            Json.quote(json.append(separator(json)).append("{\"rule\":"), reason.rule().word());
+            names(json.append(",\"machines\":"), reason.machines());
+            names(json.append(",\"blocks\":"), reason.blocks());
+            Json.quote(json.append(",\"budget\":"), reason.budget());
+            json.append('}');
         }
-        return to.append(']');
+        return json.append(']');
+    }
+
+    /** Appends names as a list. */
+    public static StringBuilder names(StringBuilder json, Collection<String> names) {
+        json.append('[');
+        names.forEach(name -> Json.quote(json.append(separator(json)), name));
+        return json.append(']');
     }
 
-    /** Names as a list. */
-    public static StringBuilder names(StringBuilder to, Collection<String> names) {
-        to.append('[');
-        names.forEach(n -> Json.quote(to.append(to.charAt(to.length() - 1) == '[' ? "" : ","), n));
-        return to.append(']');
+    private static String separator(StringBuilder json) {
+        return json.charAt(json.length() - 1) == '[' ? "" : ",";
     }
 }
--- a/src/main/java/wallmoor/maintenance/MaintenanceConstraint.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceConstraint.java
@@ -3,13 +3,15 @@
 import java.util.List;
 
 /**
- * Why a machine does not go on, or a rule that can't be kept together with others.
+ * One instance of a rule: why a request does not proceed, or a constraint that cannot be satisfied together with
+ * others.
  *
- * @param machines that it is about: who is out (eight of them at most), who is pinned, who has parts out
- * @param blocks   that would have no holder
- * @param budget   the key of the operators' file, or empty
+ * @param machines that it concerns: those that are out (eight at most), that come before, or that have parts in flight
+ * @param blocks   that would lose their last holder
+ * @param budget   key in the operators' file, or empty
  */
 public record MaintenanceConstraint(MaintenanceRule rule, List<String> machines, List<String> blocks, String budget) {
+    /** Takes copies of the lists. */
     public MaintenanceConstraint {
         machines = List.copyOf(machines);
         blocks = List.copyOf(blocks);
@@ -23,18 +25,33 @@
         return new MaintenanceConstraint(rule, List.of(), List.of(), budget);
     }
 
-    /** As a line for people. */
+    /** The maintenance windows. */
+    static MaintenanceConstraint windows() {
+        return budget(MaintenanceRule.HOURS, "hours");
+    }
+
+    /** The deadline of a request. */
+    static MaintenanceConstraint deadline(MaintenanceRequest request) {
+        return of(MaintenanceRule.BY, request.machine());
+    }
+
+    /** That one machine's request is done before another's begins. */
+    static MaintenanceConstraint precedence(String first, String second) {
+        return of(MaintenanceRule.PIN, first, second);
+    }
+
+    /** A line for people. */
     public String text() {
-        var to = new StringBuilder(rule.word());
+        var line = new StringBuilder(rule.word());
         if (!budget.isEmpty()) {
-            to.append(' ').append(budget);
+            line.append(' ').append(budget);
         }
         if (!blocks.isEmpty()) {
-            to.append(" of ").append(String.join(", ", blocks));
+            line.append(" of ").append(String.join(", ", blocks));
         }
         if (!machines.isEmpty()) {
-            to.append(": ").append(String.join(", ", machines));
+            line.append(": ").append(String.join(", ", machines));
         }
-        return to.toString();
+        return line.toString();
     }
 }
--- a/src/main/java/wallmoor/maintenance/MaintenancePlanner.java
+++ b/src/main/java/wallmoor/maintenance/MaintenancePlanner.java
@@ -9,122 +9,149 @@
 import java.util.Set;
 import wallmoor.maintenance.SchedulingProblem.Job;
 
-/** Finds an order for all wishes that have not begun, beside what is out. The same input has the same answer. */
+/**
+ * Schedules all requests that have not begun, beside what is out: list scheduling by priority rules, for few jobs by
+ * all orders. Deterministic.
+ */
 public final class MaintenancePlanner {
-    /** Beyond it one order alone is tried where all is in time. */
-    private static final int MANY = 2_000;
+    /** With more jobs, the first priority rule that gives a complete schedule is taken. */
+    private static final int MANY_JOBS = 2_000;
 
     private MaintenancePlanner() {}
 
-    /** The order of wishes, with nothing begun. */
-    public static SchedulingResult plan(long now, List<MaintenanceRequest> wishes, FleetSnapshot fleet,
+    /** Schedules requests of which none has begun. */
+    public static SchedulingResult plan(long now, List<MaintenanceRequest> requests, FleetSnapshot fleet,
             Budgets budgets) {
-        return among(now, wishes.stream().map(w -> RequestStatus.asked(w, now)).toList(), fleet, budgets);
+        return among(now, requests.stream().map(r -> RequestStatus.asked(r, now)).toList(), fleet, budgets);
     }
 
+    /** Schedules those of the requests that have not begun, beside the others. */
     static SchedulingResult among(long now, List<RequestStatus> all, FleetSnapshot fleet, Budgets budgets) {
-        SchedulingProblem p = new SchedulingProblem(now, all, fleet, budgets, false);
-        ListSchedule run = best(p);
-        if (run.all()) {
-            return new SchedulingResult.Schedule(run.whole(p), run.ends, ScheduleLowerBound.least(p));
+        var problem = new SchedulingProblem(now, all, fleet, budgets, false);
+        ListSchedule schedule = bestSchedule(problem);
+        if (schedule.isComplete()) {
+            return new SchedulingResult.Schedule(schedule.slotsWithSoleHolders(), schedule.endsAt(),
+                    ScheduleLowerBound.of(problem));
         }
-        SchedulingProblem healed = new SchedulingProblem(now, all, fleet, budgets, true);
-        ListSchedule could = best(healed);
-        if (could.all()) {
-            ScheduleConflictFinder.Found f = ScheduleConflictFinder.of(p, run.lost);
-            return new SchedulingResult.WaitsForRecovery(f.reasons(), f.smallest());
+        var recovered = new SchedulingProblem(now, all, fleet, budgets, true);
+        ListSchedule afterRecovery = bestSchedule(recovered);
+        if (afterRecovery.isComplete()) {
+            ScheduleConflictFinder.Conflict conflict = ScheduleConflictFinder.find(problem, schedule.missed());
+            return new SchedulingResult.WaitsForRecovery(conflict.constraints(), conflict.minimal());
         }
-        ScheduleConflictFinder.Found f = ScheduleConflictFinder.of(healed, could.lost);
-        return new SchedulingResult.Infeasible(f.reasons(), f.smallest(), f.proven());
+        ScheduleConflictFinder.Conflict conflict = ScheduleConflictFinder.find(recovered, afterRecovery.missed());
+        return new SchedulingResult.Infeasible(conflict.constraints(), conflict.minimal(), conflict.proven());
     }
 
-    private static ListSchedule best(SchedulingProblem p) {
+    private static ListSchedule bestSchedule(SchedulingProblem problem) {
         ListSchedule best = null;
-        for (List<Job> order : orders(p)) {
-            ListSchedule run = new ListSchedule(p, order, r -> true);
-            if (best == null || run.lost.size() < best.lost.size() || run.all() && best.all() && run.ends < best.ends) {
-                best = run;
+        for (List<Job> order : priorityOrders(problem)) {
+            var schedule = new ListSchedule(problem, order, constraint -> true);
+            if (best == null || isBetter(schedule, best)) {
+                best = schedule;
             }
-            if (best.all() && p.jobs.size() > MANY) {
+            if (best.isComplete() && problem.jobs.size() > MANY_JOBS) {
                 break;
             }
         }
-        if (!best.all() && p.jobs.size() <= ExhaustiveScheduler.MOST_JOBS
-                && p.jobs.stream().anyMatch(j -> j.request().deadline() != MaintenanceRequest.NO_DEADLINE)) {
-            ListSchedule found = permuted(p, new ArrayList<>(), new ArrayList<>(p.jobs));
+        if (!best.isComplete() && problem.jobs.size() <= ExhaustiveScheduler.MAX_JOBS
+                && problem.jobs.stream().anyMatch(Job::hasDeadline)) {
+            ListSchedule found = anyComplete(problem, new ArrayList<>(), new ArrayList<>(problem.jobs));
             best = found == null ? best : found;
         }
         return best;
     }
 
-    private static ListSchedule permuted(SchedulingProblem p, List<Job> order, List<Job> left) {
-        if (left.isEmpty()) {
-            ListSchedule run = new ListSchedule(p, order, r -> true);
-            return run.all() ? run : null;
+    private static boolean isBetter(ListSchedule schedule, ListSchedule best) {
+        return schedule.missed().size() < best.missed().size()
+                || schedule.isComplete() && best.isComplete() && schedule.endsAt() < best.endsAt();
+    }
+
+    /** The first complete schedule of all orders of the remaining jobs; null where there is none. */
+    private static ListSchedule anyComplete(SchedulingProblem problem, List<Job> order, List<Job> remaining) {
+        if (remaining.isEmpty()) {
+            var schedule = new ListSchedule(problem, order, constraint -> true);
+            return schedule.isComplete() ? schedule : null;
         }
-        for (Job j : List.copyOf(left)) {
-            order.add(j);
-            left.remove(j);
-            ListSchedule run = permuted(p, order, left);
+        for (Job job : List.copyOf(remaining)) {
+            order.add(job);
+            remaining.remove(job);
+            ListSchedule schedule = anyComplete(problem, order, remaining);
             order.remove(order.size() - 1);
-            left.add(j);
-            if (run != null) {
-                return run;
+            remaining.add(job);
+            if (schedule != null) {
+                return schedule;
             }
         }
         return null;
     }
 
-    /** By who must begin first; then by who stands in most others' way, or lasts longest. */
-    private static List<List<Job>> orders(SchedulingProblem p) {
-        Map<String, Long> latest = latest(p);
-        Map<String, Integer> twins = twins(p);
-        Comparator<Job> first = Comparator.comparing(j -> latest.get(j.request().machine()));
-        Comparator<Job> name = Comparator.comparing(j -> j.request().machine());
-        Comparator<Job> longest = Comparator.comparing(j -> -j.outageMillis());
-        Comparator<Job> crowded = Comparator.comparing(j -> -twins.getOrDefault(j.request().machine(), 0));
+    /** By latest start, then by shared blocks or by length; and by length first. Ties are broken by name. */
+    private static List<List<Job>> priorityOrders(SchedulingProblem problem) {
+        Map<String, Long> latestStarts = latestStarts(problem);
+        Map<String, Integer> neighbours = neighbourCounts(problem);
+        Comparator<Job> latestStart = Comparator.comparing(job -> latestStarts.get(job.request().machine()));
+        Comparator<Job> name = Comparator.comparing(job -> job.request().machine());
+        Comparator<Job> longest = Comparator.comparing(job -> -job.outageMillis());
+        Comparator<Job> crowded = Comparator.comparing(job -> -neighbours.getOrDefault(job.request().machine(), 0));
         return List.of(
-                p.jobs.stream().sorted(first.thenComparing(crowded).thenComparing(longest).thenComparing(name))
-                        .toList(),
-                p.jobs.stream().sorted(first.thenComparing(longest).thenComparing(crowded).thenComparing(name))
-                        .toList(),
-                p.jobs.stream().sorted(longest.thenComparing(first).thenComparing(name)).toList());
+                sorted(problem, latestStart.thenComparing(crowded).thenComparing(longest).thenComparing(name)),
+                sorted(problem, latestStart.thenComparing(longest).thenComparing(crowded).thenComparing(name)),
+                sorted(problem, longest.thenComparing(latestStart).thenComparing(name)));
+    }
+
+    private static List<Job> sorted(SchedulingProblem problem, Comparator<Job> priority) {
+        return problem.jobs.stream().sorted(priority).toList();
     }
 
-    /** When each must begin at the latest, for itself and for those pinned behind it. */
-    private static Map<String, Long> latest(SchedulingProblem p) {
-        Map<String, Long> latest = new HashMap<>();
-        Map<String, Job> jobs = new HashMap<>();
-        p.jobs.forEach(j -> {
-            jobs.put(j.request().machine(), j);
-            latest.put(j.request().machine(), j.request().deadline() == MaintenanceRequest.NO_DEADLINE
-                    ? MaintenanceRequest.NO_DEADLINE : j.request().deadline() - j.outageMillis());
+    /** By machine, when its job must start at the latest: for its own deadline, and for those of its successors. */
+    private static Map<String, Long> latestStarts(SchedulingProblem problem) {
+        Map<String, Long> latestStarts = new HashMap<>();
+        Map<String, Job> jobByMachine = new HashMap<>();
+        problem.jobs.forEach(job -> {
+            MaintenanceRequest request = job.request();
+            jobByMachine.put(request.machine(), job);
+            latestStarts.put(request.machine(), job.hasDeadline() ? request.deadline() - job.outageMillis()
+                    : MaintenanceRequest.NO_DEADLINE);
         });
-        boolean more = true;
-        for (int i = 0; more && i <= p.jobs.size(); i++) { // a circle of pins is told elsewhere
-            more = false;
-            for (Job j : p.jobs) {
-                long own = latest.get(j.request().machine());
-                for (String a : p.precedence.predecessors(j.request().machine())) {
-                    if (jobs.containsKey(a) && own != MaintenanceRequest.NO_DEADLINE
-                            && latest.get(a) > own - jobs.get(a).outageMillis()) {
-                        latest.put(a, own - jobs.get(a).outageMillis());
-                        more = true;
-                    }
-                }
+        boolean changed = true;
+        for (int i = 0; changed && i <= problem.jobs.size(); i++) { // a cycle would go on; it is reported elsewhere
+            changed = false;
+            for (Job job : problem.jobs) {
+                changed |= propagate(problem, job, latestStarts, jobByMachine);
             }
         }
-        return latest;
+        return latestStarts;
     }
 
-    /** How many other jobs a machine shares a block with that not all may leave at once. */
-    private static Map<String, Integer> twins(SchedulingProblem p) {
-        Map<String, Set<String>> beside = new HashMap<>();
-        p.fleet.blocks()
-                .forEach(b -> b.holders()
-                        .forEach(m -> beside.computeIfAbsent(m, k -> new HashSet<>()).addAll(b.holders())));
-        Map<String, Integer> twins = new HashMap<>();
-        beside.forEach((m, s) -> twins.put(m, s.size()));
-        return twins;
+    /** Makes a job's predecessors start in time for it; whether that changed one. */
+    private static boolean propagate(SchedulingProblem problem, Job job, Map<String, Long> latestStarts,
+            Map<String, Job> jobByMachine) {
+        long own = latestStarts.get(job.request().machine());
+        if (own == MaintenanceRequest.NO_DEADLINE) {
+            return false;
+        }
+        boolean changed = false;
+        for (String predecessor : problem.precedence.predecessors(job.request().machine())) {
+            Job before = jobByMachine.get(predecessor);
+            if (before != null && latestStarts.get(predecessor) > own - before.outageMillis()) {
+                latestStarts.put(predecessor, own - before.outageMillis());
+                changed = true;
+            }
+        }
+        return changed;
+    }
+
+    /** By machine, how many machines share a block with it of which not all may go at once. */
+    private static Map<String, Integer> neighbourCounts(SchedulingProblem problem) {
+        Map<String, Set<String>> neighbours = new HashMap<>();
+        for (BlockHolders block : problem.fleet.blocks()) {
+            for (String machine : block.holders()) {
+                neighbours.computeIfAbsent(machine, k -> new HashSet<>()).addAll(block.holders());
+            }
+        }
+        Map<String, Integer> counts = new HashMap<>();
+        neighbours.forEach((machine, others) -> counts.put(machine, others.size()));
+        return counts;
     }
 }
--- a/src/main/java/wallmoor/maintenance/MaintenanceRule.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceRule.java
@@ -2,42 +2,42 @@
 
 import java.util.Locale;
 
-/** What may stand against a machine's going. */
+/** A rule that can keep a machine in service. The names are stored and shown, as {@link #word} writes them. */
 public enum MaintenanceRule {
-    /** A block would have no sound, warm holder. */
+    /** Each block has a holder that is sound and past slow start. */
     COVER,
-    /** Most out at once. */
+    /** Most machines out at once. */
     AT_ONCE,
-    /** Most out at once in a data centre. */
+    /** Most machines out at once in a data centre. */
     CENTRE,
     /** Least share of the nodes' capacity that serves. */
     CAPACITY,
     /** Fewest gatherers that serve. */
     GATHERERS,
-    /** Most of the voters must be there. */
+    /** A majority of the voters serves. */
     VOTERS,
-    /** The hours of the day. */
+    /** Maintenance windows. */
     HOURS,
-    /** When the machine must be back. */
+    /** The request's deadline. */
     BY,
-    /** The machine that it is pinned after. */
+    /** A machine that must be done before. */
     PIN,
     /** This side of the gatherers has no quorum. */
     QUORUM,
-    /** Staff hold it. */
+    /** Staff hold the request. */
     STAFF,
-    /** It is itself out, or not known. */
+    /** The machine is out by itself, or unknown. */
     ITSELF,
-    /** Parts are out on it, or a gatherer that can't be asked may have some. */
+    /** Parts are in flight on the machine, or a gatherer that cannot be reached may have some. */
     BUSY,
-    /** Staff took the wish back. */
+    /** Staff withdrew the request. */
     WITHDRAWN,
-    /** It has not come back. */
+    /** The machine has not come back. */
     ABSENT,
-    /** It is back and not warm yet. */
+    /** The machine is back, and in slow start. */
     COLD;
 
-    /** As it is written and shown. */
+    /** The name as it is stored and shown. */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/wallmoor/maintenance/MaintenanceStage.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceStage.java
@@ -2,47 +2,47 @@
 
 import java.util.Locale;
 
-/** How far a machine has come. */
+/** How far a maintenance request has come. The names are stored, as {@link #word} writes them. */
 public enum MaintenanceStage {
-    /** Nothing is decided yet. */
+    /** Submitted; nothing is decided yet. */
     ASKED,
-    /** It has its place in the order. */
+    /** Admitted: it has its place in the order. */
     PLANNED,
-    /** It gets nothing new; what it has ends. */
+    /** The machine gets no new work; what it has in flight completes. */
     DRAINING,
-    /** It is free and may be worked on. */
+    /** The machine is idle and may be worked on. */
     OUT,
-    /** It was seen back, and is cold. */
+    /** The machine was seen back, and is in slow start. */
     RETURNING,
-    /** It is warm, and watched for a while. */
+    /** The machine is past slow start, and observed for a while. */
     WARM,
-    /** It serves as before. */
+    /** The machine serves as before. */
     DONE,
-    /** It can't go, not even when all that the order has out is back; it goes on by itself when it can. */
+    /** The machine cannot go, even if all that the order has out were back; it goes once it can. */
     HELD,
-    /** The order can't be met, whatever comes back. */
+    /** The request cannot be met, whatever comes back. */
     REFUSED,
-    /** It did not come back, or not warm, in its time. */
+    /** The machine did not come back, or not past slow start, in time. */
     OVERDUE,
-    /** Withdrawn, or never free; it serves. */
+    /** Withdrawn, or never idle; the machine serves. */
     GIVEN_UP;
 
-    /** Whether the order has the machine out of service: it counts against the budgets. */
+    /** Whether the order has the machine out of service, so that it counts against the budgets. */
     public boolean isOut() {
         return this == DRAINING || this == OUT || this == RETURNING || this == WARM || this == OVERDUE;
     }
 
-    /** Whether nothing comes after it. */
+    /** Whether no stage follows. */
     public boolean isFinal() {
         return this == DONE || this == REFUSED || this == GIVEN_UP;
     }
 
-    /** Whether it has a place in the order and has not begun. */
+    /** Whether the request is admitted and has not begun. */
     public boolean isQueued() {
         return this == PLANNED || this == HELD;
     }
 
-    /** As it is written and shown. */
+    /** The name as it is stored and shown. */
     public String word() {
         return name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
--- a/src/main/java/wallmoor/maintenance/MaintenanceState.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceState.java
@@ -9,54 +9,56 @@
 import java.util.TreeSet;
 
 /**
- * What the document {@code maintenance} says. One version after another carries it; nothing else is remembered.
+ * One version of the replicated document {@code maintenance}. Immutable; each change is a new version, and nothing else
+ * is remembered. {@link MaintenanceCodec} has its stored form.
  *
- * @param requests by their id
- * @param order  ids of wishes that have a place, those of it that have begun or ended included
- * @param held   whether staff hold the whole order
+ * @param requests by id
+ * @param order    ids of admitted requests in the order of their execution, begun and ended ones included
+ * @param held     whether staff hold the complete order
  */
 public record MaintenanceState(SortedMap<String, RequestStatus> requests, List<String> order, boolean held) {
-    /** No wishes. */
+    /** No requests. */
     public static final MaintenanceState EMPTY = new MaintenanceState(Collections.emptySortedMap(), List.of(), false);
 
+    /** Takes copies of the collections. */
     public MaintenanceState {
         requests = Collections.unmodifiableSortedMap(new TreeMap<>(requests));
         order = List.copyOf(order);
     }
 
-    /** Machines that get nothing new by the order. */
+    /** The state to begin with where the last one is lost: nothing begins until a person resumes. */
+    public static MaintenanceState unknown() {
+        return new MaintenanceState(Collections.emptySortedMap(), List.of(), true);
+    }
+
+    /** Machines that must get no new work. */
     public SortedSet<String> unavailable() {
-        var away = new TreeSet<String>();
-        requests.values().forEach(s -> {
-            if (s.stage() == MaintenanceStage.DRAINING || s.stage() == MaintenanceStage.OUT
-                    || s.stage() == MaintenanceStage.OVERDUE && !s.returned()) {
-                away.add(s.request().machine());
+        var machines = new TreeSet<String>();
+        requests.values().forEach(status -> {
+            MaintenanceStage stage = status.stage();
+            if (stage == MaintenanceStage.DRAINING || stage == MaintenanceStage.OUT
+                    || stage == MaintenanceStage.OVERDUE && !status.returned()) {
+                machines.add(status.request().machine());
             }
         });
-        return away;
+        return machines;
     }
 
-    /** The wish of a machine that is not over, or null. */
+    /** The status of a machine's request that has not ended, or null. */
     RequestStatus openRequest(String machine) {
-        for (RequestStatus s : requests.values()) {
-            if (!s.stage().isFinal() && s.request().machine().equals(machine)) {
-                return s;
+        for (RequestStatus status : requests.values()) {
+            if (!status.stage().isFinal() && status.request().machine().equals(machine)) {
+                return status;
             }
         }
         return null;
     }
 
-    /** With other standings, and the order as it is. */
-    MaintenanceState with(SortedMap<String, RequestStatus> others) {
-        return new MaintenanceState(others, order, held);
-    }
-
-    /** Where nobody knows any more what was in force: nothing begins until a person says so. */
-    public static MaintenanceState unknown() {
-        return new MaintenanceState(Collections.emptySortedMap(), List.of(), true);
+    MaintenanceState with(SortedMap<String, RequestStatus> newRequests) {
+        return new MaintenanceState(newRequests, order, held);
     }
 
-    /** Wishes in the order's order, then those without a place. */
+    /** Requests in the order of their execution, then those that have no place in it. */
     List<RequestStatus> inOrder() {
         var all = new ArrayList<RequestStatus>();
         order.forEach(id -> {
@@ -64,9 +66,9 @@
                 all.add(requests.get(id));
             }
         });
-        requests.values().forEach(s -> {
-            if (!order.contains(s.request().id())) {
-                all.add(s);
+        requests.values().forEach(status -> {
+            if (!order.contains(status.request().id())) {
+                all.add(status);
             }
         });
         return all;
--- a/src/main/java/wallmoor/maintenance/MaintenanceStateMachine.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceStateMachine.java
@@ -1,7 +1,6 @@
 package wallmoor.maintenance;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -11,258 +10,302 @@
 import wallmoor.maintenance.Machine.MachinePhase;
 
 /**
- * The next version of the state: a function of the one that acts, of what is seen, of the budgets and the time. Called
- * again with the same it says the same; what it says comes into force only as an agreed version, and
- * {@link MaintenanceAction}
- * follows from that. Nothing here rests on what was not seen or said.
+ * Computes the next version of the state: a pure function of the active version, of the observed fleet, of the budgets
+ * and of the time. It comes into force only as an agreed version; {@link MaintenanceAction}s follow from that. Nothing
+ * here relies on what was not observed or reported.
  */
 public final class MaintenanceStateMachine {
     private final long now;
-    private final MaintenanceState before;
+    private final MaintenanceState active;
     private final FleetSnapshot fleet;
     private final Budgets budgets;
     private final Map<String, Machine> machines;
-    private final Map<String, Integer> places = new HashMap<>();
+    private final Map<String, Integer> indexById;
     private final SortedMap<String, RequestStatus> next;
 
-    private MaintenanceStateMachine(long now, MaintenanceState before, FleetSnapshot fleet, Budgets budgets) {
+    private MaintenanceStateMachine(long now, MaintenanceState active, FleetSnapshot fleet, Budgets budgets) {
         this.now = now;
-        this.before = before;
+        this.active = active;
         this.fleet = fleet;
         this.budgets = budgets;
         this.machines = fleet.byId();
-        for (int i = 0; i < fleet.machines().size(); i++) {
-            places.put(fleet.machines().get(i).id(), i);
-        }
-        this.next = new TreeMap<>(before.requests());
+        this.indexById = fleet.indexById();
+        this.next = new TreeMap<>(active.requests());
     }
 
     /**
-     * The next version, equal to the one that acts where nothing is to change.
+     * The next version; equal to the active one where nothing changes.
      *
-     * @param now milliseconds since 1970; it may go back where another decides
+     * @param now milliseconds since 1970; may go back when another process decides
      */
-    public static MaintenanceState next(long now, MaintenanceState acting, FleetSnapshot fleet, Budgets budgets) {
-        return new MaintenanceStateMachine(now, acting, fleet, budgets).all();
+    public static MaintenanceState next(long now, MaintenanceState active, FleetSnapshot fleet, Budgets budgets) {
+        return new MaintenanceStateMachine(now, active, fleet, budgets).next();
     }
 
-    private MaintenanceState all() {
-        next.replaceAll((id, s) -> seen(s));
-        OutageLedger book = new OutageLedger(fleet, budgets, r -> true);
-        Set<String> ours = new HashSet<>();
-        before.inOrder().forEach(s -> {
-            // what comes back just now still counts: two versions may be acted on side by side
-            if (s.stage().isOut() || next.get(s.request().id()).stage().isOut()) {
-                ours.add(s.request().machine());
+    private MaintenanceState next() {
+        next.replaceAll((id, status) -> observe(status));
+        Set<String> outByOrder = outByOrder();
+        OutageLedger ledger = new OutageLedger(fleet, budgets, constraint -> true);
+        for (Machine machine : fleet.machines()) {
+            if (!outByOrder.contains(machine.id()) && !isSound(machine)) {
+                ledger.takeOut(indexById.get(machine.id()), budgets.capacityShare(machine));
             }
-        });
-        for (Machine m : fleet.machines()) {
-            if (!ours.contains(m.id()) && !sound(m)) {
-                book.takeOut(places.get(m.id()), budgets.capacityShare(m));
+        }
+        continueDrains(ledger, outByOrder);
+        MaintenanceState decided = active.with(next);
+        MaintenanceState admitted = fleet.hasQuorum() ? RequestAdmission.admit(now, decided, fleet, budgets) : decided;
+        next.putAll(admitted.requests());
+        beginQueued(ledger, admitted);
+        return admitted.with(next);
+    }
+
+    /**
+     * Machines that the order has out. One that comes back just now still counts: two versions may be acted on side by
+     * side.
+     */
+    private Set<String> outByOrder() {
+        Set<String> out = new HashSet<>();
+        for (RequestStatus status : active.inOrder()) {
+            if (status.stage().isOut() || next.get(status.request().id()).stage().isOut()) {
+                out.add(status.request().machine());
             }
         }
-        drains(book, ours);
-        MaintenanceState placed = fleet.hasQuorum() ? RequestAdmission.admit(now, before.with(next), fleet, budgets)
-                : before.with(next);
-        next.putAll(placed.requests());
-        starts(book, placed);
-        return placed.with(next);
+        return out;
+    }
+
+    /** Whether a machine serves, past slow start. */
+    private boolean isSound(Machine machine) {
+        return machine.phase() == MachinePhase.SERVING
+                && (!machine.isNode() || machine.servingMillis() >= budgets.slowStartMillis());
     }
 
-    private boolean sound(Machine m) {
-        return m.phase() == MachinePhase.SERVING && (!m.isNode() || m.servingMillis() >= budgets.slowStartMillis());
+    private void put(RequestStatus status) {
+        next.put(status.request().id(), status);
     }
 
-    private void put(RequestStatus s) {
-        next.put(s.request().id(), s);
+    private static MachinePhase phase(Machine machine) {
+        return machine == null ? MachinePhase.AWAY : machine.phase();
     }
 
-    /** What follows from the machine alone. */
-    private RequestStatus seen(RequestStatus s) {
-        Machine m = machines.get(s.request().machine());
-        MachinePhase phase = m == null ? MachinePhase.AWAY : m.phase();
-        RequestStatus now1 = s.drainedByOrder() && phase == MachinePhase.SERVING
-                && s.stage() != MaintenanceStage.DRAINING && s.stage() != MaintenanceStage.OUT
-                        ? s.drainedByOrder(false) : s;
-        return switch (s.stage()) {
-            case OUT, OVERDUE, RETURNING -> returns(now1, m, phase);
-            case WARM ->
-                phase == MachinePhase.AWAY || !sound(m) ? now1.at(MaintenanceStage.RETURNING, now, cold(m, phase))
-                        : age(s) >= budgets.observationMillis() ? now1.at(MaintenanceStage.DONE, now, List.of()) : now1;
-            default -> now1;
+    private long age(RequestStatus status) {
+        return Math.max(0, now - status.since());
+    }
+
+    /** What follows from observing the machine alone. */
+    private RequestStatus observe(RequestStatus status) {
+        Machine machine = machines.get(status.request().machine());
+        MaintenanceStage stage = status.stage();
+        boolean servesAgain = status.drainedByOrder() && phase(machine) == MachinePhase.SERVING
+                && stage != MaintenanceStage.DRAINING && stage != MaintenanceStage.OUT;
+        RequestStatus observed = servesAgain ? status.withDrainedByOrder(false) : status;
+        return switch (stage) {
+            case OUT, OVERDUE, RETURNING -> observeReturn(observed, machine);
+            case WARM -> observeWarm(observed, machine);
+            default -> observed;
         };
     }
 
-    private RequestStatus returns(RequestStatus s, Machine m, MachinePhase phase) {
-        boolean back = s.returned() || phase != MachinePhase.AWAY && !m.incarnation().equals(s.incarnation());
-        if (!back && phase == MachinePhase.SERVING) { // others let it serve: it is free no more
-            return s.at(MaintenanceStage.DRAINING, now, List.of());
-        }
-        if (!back || s.stage() == MaintenanceStage.OUT && phase == MachinePhase.AWAY) {
-            return s.stage() == MaintenanceStage.OUT && age(s) <= s.request().workMillis() + budgets.overdueMillis()
-                    ? s.at(MaintenanceStage.OUT, now, List.of())
-                    : s.at(MaintenanceStage.OVERDUE, now,
-                            List.of(MaintenanceConstraint.of(MaintenanceRule.ABSENT, s.request().machine())));
+    private RequestStatus observeWarm(RequestStatus status, Machine machine) {
+        if (phase(machine) == MachinePhase.AWAY || !isSound(machine)) {
+            return status.at(MaintenanceStage.RETURNING, now, notSound(machine));
         }
-        if (phase == MachinePhase.SERVING && sound(m)) {
-            return s.returned(true).at(MaintenanceStage.WARM, now, List.of());
-        }
-        MaintenanceStage at = s.stage() == MaintenanceStage.OUT || s.stage() == MaintenanceStage.RETURNING
-                && age(s) <= budgets.slowStartMillis() + budgets.overdueMillis()
-                        ? MaintenanceStage.RETURNING
-                        : MaintenanceStage.OVERDUE;
-        return s.returned(true).at(at, now, cold(m, phase));
+        return age(status) >= budgets.observationMillis() ? status.at(MaintenanceStage.DONE, now) : status;
     }
 
-    private static List<MaintenanceConstraint> cold(Machine m, MachinePhase phase) {
-        return m == null || phase == MachinePhase.AWAY
-                ? List.of(MaintenanceConstraint.of(MaintenanceRule.ABSENT, m == null ? "" : m.id()))
-                : List.of(MaintenanceConstraint.of(MaintenanceRule.COLD, m.id()));
+    private RequestStatus observeReturn(RequestStatus status, Machine machine) {
+        MachinePhase phase = phase(machine);
+        boolean out = status.stage() == MaintenanceStage.OUT;
+        boolean restarted = phase != MachinePhase.AWAY && !machine.incarnation().equals(status.incarnation());
+        boolean returned = status.returned() || restarted;
+        if (!returned && phase == MachinePhase.SERVING) { // somebody else let it serve: it is not idle any more
+            return status.at(MaintenanceStage.DRAINING, now);
+        }
+        if (!returned || out && phase == MachinePhase.AWAY) {
+            boolean inTime = out && age(status) <= status.request().workMillis() + budgets.overdueMillis();
+            return inTime ? status.at(MaintenanceStage.OUT, now)
+                    : status.at(MaintenanceStage.OVERDUE, now,
+                            List.of(MaintenanceConstraint.of(MaintenanceRule.ABSENT, status.request().machine())));
+        }
+        if (phase == MachinePhase.SERVING && isSound(machine)) {
+            return status.withReturned(true).at(MaintenanceStage.WARM, now);
+        }
+        boolean returning = out || status.stage() == MaintenanceStage.RETURNING
+                && age(status) <= budgets.slowStartMillis() + budgets.overdueMillis();
+        return status.withReturned(true).at(
+                returning ? MaintenanceStage.RETURNING : MaintenanceStage.OVERDUE, now, notSound(machine));
     }
 
-    private long age(RequestStatus s) {
-        return Math.max(0, now - s.since());
+    private static List<MaintenanceConstraint> notSound(Machine machine) {
+        if (phase(machine) == MachinePhase.AWAY) {
+            return List.of(MaintenanceConstraint.of(MaintenanceRule.ABSENT, machine == null ? "" : machine.id()));
+        }
+        return List.of(MaintenanceConstraint.of(MaintenanceRule.COLD, machine.id()));
     }
 
-    /** Those that drain: on, out, or back to service where they can't go any more. */
-    private void drains(OutageLedger book, Set<String> ours) {
-        List<RequestStatus> draining = before.inOrder().stream().map(s -> next.get(s.request().id()))
+    /** Draining machines go on, go out, or are put back where they may not go any more. */
+    private void continueDrains(OutageLedger ledger, Set<String> outByOrder) {
+        List<RequestStatus> draining = active.inOrder().stream().map(s -> next.get(s.request().id()))
                 .filter(s -> s.stage() == MaintenanceStage.DRAINING).toList();
-        Set<String> later = new HashSet<>();
-        draining.forEach(s -> later.add(s.request().machine()));
-        ours.stream().filter(id -> !later.contains(id) && places.containsKey(id))
-                .forEach(id -> book.takeOut(places.get(id)));
-        List<RequestStatus> on = new ArrayList<>();
-        for (RequestStatus s : draining) {
-            Machine m = machines.get(s.request().machine());
-            Integer place = places.get(s.request().machine());
-            List<MaintenanceConstraint> stops = m == null || m.phase() == MachinePhase.AWAY
-                    ? List.of(MaintenanceConstraint.of(MaintenanceRule.ITSELF, s.request().machine()))
-                    : staff(s) ? List.of(MaintenanceConstraint.of(MaintenanceRule.STAFF)) : book.violations(place);
-            if (m != null) {
-                book.takeOut(place);
+        Set<String> drainingMachines = new HashSet<>();
+        draining.forEach(s -> drainingMachines.add(s.request().machine()));
+        outByOrder.stream().filter(id -> !drainingMachines.contains(id) && indexById.containsKey(id))
+                .forEach(id -> ledger.takeOut(indexById.get(id)));
+        List<RequestStatus> continued = new ArrayList<>();
+        for (RequestStatus status : draining) {
+            Integer index = indexById.get(status.request().machine());
+            List<MaintenanceConstraint> obstacles = drainObstacles(status, ledger);
+            if (index != null) {
+                ledger.takeOut(index);
             }
-            if (stops.isEmpty()) {
-                on.add(s);
+            if (obstacles.isEmpty()) {
+                continued.add(status);
             } else {
-                put(s.at(MaintenanceStage.HELD, now, stops));
+                put(status.at(MaintenanceStage.HELD, now, obstacles));
             }
         }
-        for (RequestStatus s : on) {
-            int place = places.get(s.request().machine());
-            book.putBack(place);
-            // those that were put back just now still count
-            List<MaintenanceConstraint> beside = book.violations(place);
-            book.takeOut(place);
-            put(drained(s, machines.get(s.request().machine()), beside));
+        for (RequestStatus status : continued) {
+            int index = indexById.get(status.request().machine());
+            ledger.putBack(index);
+            List<MaintenanceConstraint> violated = ledger.violations(index); // those put back just now still count
+            ledger.takeOut(index);
+            put(drained(status, machines.get(status.request().machine()), violated));
         }
     }
 
-    private RequestStatus drained(RequestStatus s, Machine m, List<MaintenanceConstraint> beside) {
-        List<String> busy = DrainCompletion.busyFor(m, fleet, budgets);
+    private List<MaintenanceConstraint> drainObstacles(RequestStatus status, OutageLedger ledger) {
+        String id = status.request().machine();
+        if (phase(machines.get(id)) == MachinePhase.AWAY) {
+            return List.of(MaintenanceConstraint.of(MaintenanceRule.ITSELF, id));
+        }
+        if (isHeldByStaff(status)) {
+            return List.of(MaintenanceConstraint.of(MaintenanceRule.STAFF));
+        }
+        return ledger.violations(indexById.get(id));
+    }
+
+    /** The next status of a draining machine: out, if it is idle and all constraints allow it. */
+    private RequestStatus drained(RequestStatus status, Machine machine, List<MaintenanceConstraint> violated) {
+        List<String> busy = DrainCompletion.busyFor(machine, fleet, budgets);
         if (!busy.isEmpty()) {
-            return age(s) >= budgets.drainTimeoutMillis()
-                    ? s.at(MaintenanceStage.GIVEN_UP, now,
-                            List.of(new MaintenanceConstraint(MaintenanceRule.BUSY, busy, List.of(), "drain")))
-                    : s.at(MaintenanceStage.DRAINING, now,
-                            List.of(new MaintenanceConstraint(MaintenanceRule.BUSY, busy, List.of(), "")));
+            boolean timedOut = age(status) >= budgets.drainTimeoutMillis();
+            var reason = new MaintenanceConstraint(MaintenanceRule.BUSY, busy, List.of(), timedOut ? "drain" : "");
+            return status.at(timedOut ? MaintenanceStage.GIVEN_UP : MaintenanceStage.DRAINING, now, List.of(reason));
         }
-        long left = s.request().workMillis() + budgets.slowStartMillis() + budgets.observationMillis();
         if (!fleet.hasQuorum()) {
-            return s.at(MaintenanceStage.DRAINING, now, List.of(MaintenanceConstraint.of(MaintenanceRule.QUORUM)));
-        } else if (late(s, left)) {
-            return s.at(MaintenanceStage.HELD, now,
-                    List.of(MaintenanceConstraint.of(MaintenanceRule.BY, s.request().machine())));
-        } else if (budgets.windows().nextStart(now, left) != now) {
-            return s.at(MaintenanceStage.HELD, now,
-                    List.of(MaintenanceConstraint.budget(MaintenanceRule.HOURS, "hours")));
+            return status.at(MaintenanceStage.DRAINING, now,
+                    List.of(MaintenanceConstraint.of(MaintenanceRule.QUORUM)));
         }
-        return beside.isEmpty() ? s.incarnation(m.incarnation()).at(MaintenanceStage.OUT, now, List.of())
-                : s.at(MaintenanceStage.DRAINING, now, beside);
+        long remainingMillis = budgets.afterDrainMillis(status.request());
+        if (missesDeadline(status, remainingMillis)) {
+            return status.at(MaintenanceStage.HELD, now,
+                    List.of(MaintenanceConstraint.deadline(status.request())));
+        }
+        if (budgets.windows().nextStart(now, remainingMillis) != now) {
+            return status.at(MaintenanceStage.HELD, now, List.of(MaintenanceConstraint.windows()));
+        }
+        return violated.isEmpty()
+                ? status.withIncarnation(machine.incarnation()).at(MaintenanceStage.OUT, now)
+                : status.at(MaintenanceStage.DRAINING, now, violated);
     }
 
-    private boolean staff(RequestStatus s) {
-        return before.held() || s.heldByStaff();
+    private boolean isHeldByStaff(RequestStatus status) {
+        return active.held() || status.heldByStaff();
     }
 
-    private boolean late(RequestStatus s, long left) {
-        return s.request().deadline() - left < now;
+    private boolean missesDeadline(RequestStatus status, long remainingMillis) {
+        return status.request().deadline() - remainingMillis < now;
     }
 
-    /**
-     * Who of those with a place goes now; the others wait, or are held where all that is ours coming back would not do.
-     */
-    private void starts(OutageLedger book, MaintenanceState placed) {
-        OutageLedger others = new OutageLedger(fleet, budgets, r -> true);
-        for (Machine m : fleet.machines()) {
-            RequestStatus s = placed.openRequest(m.id());
-            if (!sound(m) && (s == null || !s.stage().isOut())) {
-                others.takeOut(places.get(m.id()), budgets.capacityShare(m));
+    /** Begins queued requests that may go now. Others wait, or are held where even the order's own return won't do. */
+    private void beginQueued(OutageLedger ledger, MaintenanceState admitted) {
+        OutageLedger withoutOrder = withoutOrder(admitted);
+        var queue = new AdmissionQueue(ledger);
+        var precedence = PrecedenceGraph.of(admitted.inOrder());
+        for (RequestStatus status : admitted.inOrder()) {
+            if (!status.stage().isQueued() || wasDraining(status)) {
+                continue; // one that was put back just now is considered again with the next version
             }
-        }
-        var line = new AdmissionQueue(book);
-        var pins = PrecedenceGraph.of(placed.inOrder());
-        for (RequestStatus s : placed.inOrder()) {
-            if (!s.stage().isQueued() || before.requests().containsKey(s.request().id())
-                    && before.requests().get(s.request().id()).stage() == MaintenanceStage.DRAINING) {
-                continue; // one that was put back just now is asked again with the next version
-            }
-            Machine m = machines.get(s.request().machine());
-            List<MaintenanceConstraint> held = holds(s, m, others, pins);
-            List<MaintenanceConstraint> waits = held.isEmpty() ? waits(s, m, book, line, pins) : List.of();
-            if (!held.isEmpty()) {
-                put(s.at(MaintenanceStage.HELD, now, held));
-            } else if (!waits.isEmpty()) {
-                put(s.at(MaintenanceStage.PLANNED, now, waits));
+            List<MaintenanceConstraint> holding = holding(status, withoutOrder, precedence);
+            List<MaintenanceConstraint> waitingFor = holding.isEmpty()
+                    ? waitingFor(status, ledger, queue, precedence) : List.of();
+            if (!holding.isEmpty()) {
+                put(status.at(MaintenanceStage.HELD, now, holding));
+            } else if (!waitingFor.isEmpty()) {
+                put(status.at(MaintenanceStage.PLANNED, now, waitingFor));
             } else {
-                put(s.drainedByOrder(true).incarnation("").returned(false).at(MaintenanceStage.DRAINING, now,
-                        List.of()));
+                put(status.withDrainedByOrder(true).withIncarnation("").withReturned(false)
+                        .at(MaintenanceStage.DRAINING, now));
+            }
+        }
+    }
+
+    /** A ledger as if all were back that the order has out. */
+    private OutageLedger withoutOrder(MaintenanceState admitted) {
+        var ledger = new OutageLedger(fleet, budgets, constraint -> true);
+        for (Machine machine : fleet.machines()) {
+            RequestStatus status = admitted.openRequest(machine.id());
+            if (!isSound(machine) && (status == null || !status.stage().isOut())) {
+                ledger.takeOut(indexById.get(machine.id()), budgets.capacityShare(machine));
             }
         }
+        return ledger;
+    }
+
+    private boolean wasDraining(RequestStatus status) {
+        RequestStatus before = active.requests().get(status.request().id());
+        return before != null && before.stage() == MaintenanceStage.DRAINING;
     }
 
-    private List<MaintenanceConstraint> holds(RequestStatus s, Machine m, OutageLedger others, PrecedenceGraph pins) {
-        if (staff(s)) {
+    /** Why a queued request cannot go, even if all were back that the order has out; empty where it can. */
+    private List<MaintenanceConstraint> holding(RequestStatus status, OutageLedger withoutOrder,
+            PrecedenceGraph precedence) {
+        MaintenanceRequest request = status.request();
+        Machine machine = machines.get(request.machine());
+        long outageMillis = budgets.outageMillis(request);
+        if (isHeldByStaff(status)) {
             return List.of(MaintenanceConstraint.of(MaintenanceRule.STAFF));
         }
         if (!fleet.hasQuorum()) {
             return List.of(MaintenanceConstraint.of(MaintenanceRule.QUORUM));
         }
-        if (m == null || !sound(m)) {
-            return List.of(MaintenanceConstraint.of(MaintenanceRule.ITSELF, s.request().machine()));
+        if (machine == null || !isSound(machine)) {
+            return List.of(MaintenanceConstraint.of(MaintenanceRule.ITSELF, request.machine()));
         }
-        if (late(s, budgets.outageMillis(s.request()))) {
-            return List.of(MaintenanceConstraint.of(MaintenanceRule.BY, s.request().machine()));
+        if (missesDeadline(status, outageMillis)) {
+            return List.of(MaintenanceConstraint.deadline(request));
         }
-        if (budgets.windows().nextStart(now, budgets.outageMillis(s.request())) < 0) {
-            return List.of(MaintenanceConstraint.budget(MaintenanceRule.HOURS, "hours"));
+        if (budgets.windows().nextStart(now, outageMillis) < 0) {
+            return List.of(MaintenanceConstraint.windows());
         }
-        List<String> stuck = pins.blocked(s.request());
-        if (!stuck.isEmpty()) {
-            return List.of(MaintenanceConstraint.of(MaintenanceRule.PIN, stuck.toArray(String[]::new)));
+        List<String> blocked = precedence.blocked(request);
+        if (!blocked.isEmpty()) {
+            return List.of(MaintenanceConstraint.of(MaintenanceRule.PIN, blocked.toArray(String[]::new)));
         }
-        return others.violations(places.get(m.id()));
+        return withoutOrder.violations(indexById.get(machine.id()));
     }
 
-    private List<MaintenanceConstraint> waits(RequestStatus s, Machine m, OutageLedger book, AdmissionQueue line,
-            PrecedenceGraph pins) {
-        var why = new ArrayList<MaintenanceConstraint>();
-        List<String> first = pins.unfinished(s.request());
-        if (!first.isEmpty()) {
-            why.add(MaintenanceConstraint.of(MaintenanceRule.PIN, first.toArray(String[]::new)));
+    /** What a request that is not held waits for; empty where it goes now, and then it counts as out. */
+    private List<MaintenanceConstraint> waitingFor(RequestStatus status, OutageLedger ledger, AdmissionQueue queue,
+            PrecedenceGraph precedence) {
+        MaintenanceRequest request = status.request();
+        Machine machine = machines.get(request.machine());
+        var reasons = new ArrayList<MaintenanceConstraint>();
+        List<String> unfinished = precedence.unfinished(request);
+        if (!unfinished.isEmpty()) {
+            reasons.add(MaintenanceConstraint.of(MaintenanceRule.PIN, unfinished.toArray(String[]::new)));
         }
-        if (budgets.windows().nextStart(now, budgets.outageMillis(s.request())) != now) {
-            why.add(MaintenanceConstraint.budget(MaintenanceRule.HOURS, "hours"));
+        if (budgets.windows().nextStart(now, budgets.outageMillis(request)) != now) {
+            reasons.add(MaintenanceConstraint.windows());
         }
-        if (!why.isEmpty()) {
-            return why;
+        if (!reasons.isEmpty()) {
+            return reasons;
         }
-        int place = places.get(m.id());
-        if (line.isHeldBack(m)) {
-            List<MaintenanceConstraint> own = book.violations(place);
+        int index = indexById.get(machine.id());
+        if (queue.isHeldBack(machine)) {
+            List<MaintenanceConstraint> own = ledger.violations(index);
             return own.isEmpty()
                     ? List.of(MaintenanceConstraint.budget(MaintenanceRule.AT_ONCE, "those ahead in the order")) : own;
         }
-        return line.tryAdmit(place, m) ? List.of() : book.violations(place);
+        return queue.tryAdmit(index, machine) ? List.of() : ledger.violations(index);
     }
 }
--- a/src/main/java/wallmoor/maintenance/OutageLedger.java
+++ b/src/main/java/wallmoor/maintenance/OutageLedger.java
@@ -8,116 +8,142 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** Who is out, held against the budgets and the blocks. Machines are told by their place in the fleet. */
+/**
+ * Resource ledger: which machines are out of service, counted against the budgets and the blocks. Machines are
+ * referred to by their index in the fleet. Not thread-safe.
+ */
 final class OutageLedger {
-    /** A reason names so many machines at most, as the document must hold it. */
-    private static final int MOST_NAMED = 8;
+    /** Machines named by one constraint, as the document has to hold it. */
+    private static final int MAX_NAMED = 8;
+
     private final FleetSnapshot fleet;
     private final Budgets budgets;
-    private final Predicate<MaintenanceConstraint> keeps;
-    private final Map<String, Integer> places = new HashMap<>();
+    private final Predicate<MaintenanceConstraint> enforced;
+    private final Map<String, Integer> indexById;
+    /** By machine, the indexes of its blocks whose cover is enforced. */
     private final int[][] blocksOf;
+    /** By block, how many machines in service hold it. */
     private final int[] holders;
     private final boolean[] out;
-    private final long[] lost;
-    private final Map<String, Integer> outIn = new HashMap<>();
+    /** By machine, the capacity that its outage takes, in millionths of a unit. */
+    private final long[] lostCapacity;
+    private final Map<String, Integer> outByCentre = new HashMap<>();
     private int outCount;
-    private long nodes;
-    private long serving;
-    private int gatherers;
+    /** Of all nodes, in units. */
+    private long totalCapacity;
+    /** Of nodes in service, in millionths of a unit. */
+    private long servingCapacity;
+    private int servingGatherers;
     private int voters;
-    private int votersThere;
-
-    /** One with all machines in service, which keeps some of the rules. */
-    OutageLedger(FleetSnapshot fleet, Budgets budgets, Predicate<MaintenanceConstraint> keeps) {
+    private int servingVoters;
+
+    /**
+     * A ledger with all machines in service.
+     *
+     * @param enforced the constraints that count
+     */
+    OutageLedger(FleetSnapshot fleet, Budgets budgets, Predicate<MaintenanceConstraint> enforced) {
         this.fleet = fleet;
         this.budgets = budgets;
-        this.keeps = keeps;
-        int n = fleet.machines().size();
-        out = new boolean[n];
-        lost = new long[n];
-        for (int i = 0; i < n; i++) {
-            Machine m = fleet.machines().get(i);
-            places.put(m.id(), i);
-            if (m.isNode()) {
-                nodes += m.capacity();
+        this.enforced = enforced;
+        indexById = fleet.indexById();
+        int machines = fleet.machines().size();
+        out = new boolean[machines];
+        lostCapacity = new long[machines];
+        holders = new int[fleet.blocks().size()];
+        blocksOf = new int[machines][];
+        countMachines();
+        countHolders();
+    }
+
+    private void countMachines() {
+        for (Machine machine : fleet.machines()) {
+            if (machine.isNode()) {
+                totalCapacity += machine.capacity();
             } else {
-                gatherers++;
-                votersThere += m.voter() ? 1 : 0;
+                servingGatherers++;
+                servingVoters += machine.voter() ? 1 : 0;
             }
         }
-        serving = nodes * Budgets.MILLION;
-        voters = votersThere;
-        holders = new int[fleet.blocks().size()];
-        var lists = new ArrayList<List<Integer>>();
-        for (int i = 0; i < n; i++) {
-            lists.add(new ArrayList<>());
+        servingCapacity = totalCapacity * Budgets.MILLION;
+        voters = servingVoters;
+    }
+
+    private void countHolders() {
+        var blocks = new ArrayList<List<Integer>>();
+        for (int i = 0; i < out.length; i++) {
+            blocks.add(new ArrayList<>());
         }
         for (int b = 0; b < holders.length; b++) {
             BlockHolders block = fleet.blocks().get(b);
-            if (keeps.test(cover(block))) {
+            if (enforced.test(cover(block))) {
                 for (String id : block.holders()) {
-                    Integer at = places.get(id);
-                    if (at != null) { // a holder that nobody sees is none
+                    Integer index = indexById.get(id);
+                    if (index != null) { // a holder that nobody observes is none
                         holders[b]++;
-                        lists.get(at).add(b);
+                        blocks.get(index).add(b);
                     }
                 }
             }
         }
-        blocksOf = new int[n][];
-        for (int i = 0; i < n; i++) {
-            blocksOf[i] = lists.get(i).stream().mapToInt(Integer::intValue).toArray();
+        for (int i = 0; i < out.length; i++) {
+            blocksOf[i] = blocks.get(i).stream().mapToInt(Integer::intValue).toArray();
         }
     }
 
+    /** The constraint that a block keeps a holder. */
     static MaintenanceConstraint cover(BlockHolders block) {
         return new MaintenanceConstraint(MaintenanceRule.COVER, block.holders(), List.of(block.id()), "");
     }
 
-    /** The place of a machine, or null where nobody sees it. */
+    /** The index of a machine, or null where nobody observes it. */
     Integer indexOf(String machine) {
-        return places.get(machine);
+        return indexById.get(machine);
     }
 
-    boolean isOut(int m) {
-        return out[m];
+    boolean isOut(int machine) {
+        return out[machine];
     }
 
-    /** Out of service: nothing of it counts. */
-    void takeOut(int m) {
-        takeOut(m, 0);
+    /** Takes a machine out of service completely. */
+    void takeOut(int machine) {
+        takeOut(machine, 0);
     }
 
-    /** Out of service, or cold: it holds nothing, and gives so many millionths of its capacity. */
-    void takeOut(int m, long warmth) {
-        if (!out[m]) {
-            out[m] = true;
-            change(m, -1, (Budgets.MILLION - warmth) * fleet.machines().get(m).capacity());
+    /**
+     * Takes a machine out of service, or into slow start: it holds no block.
+     *
+     * @param capacityShare what it still gives, in millionths of its capacity
+     */
+    void takeOut(int machine, long capacityShare) {
+        if (!out[machine]) {
+            out[machine] = true;
+            lostCapacity[machine] = (Budgets.MILLION - capacityShare) * fleet.machines().get(machine).capacity();
+            count(machine, -1);
         }
     }
 
-    /** Back in service, and warm. */
-    void putBack(int m) {
-        if (out[m]) {
-            out[m] = false;
-            change(m, 1, lost[m]);
+    /** Puts a machine back in service, past slow start. */
+    void putBack(int machine) {
+        if (out[machine]) {
+            out[machine] = false;
+            count(machine, 1);
         }
     }
 
-    private void change(int m, int by, long capacity) {
-        Machine machine = fleet.machines().get(m);
-        outCount -= by;
-        outIn.merge(machine.centre(), -by, Integer::sum);
+    /** @param sign 1 where the machine comes back, -1 where it goes */
+    private void count(int index, int sign) {
+        Machine machine = fleet.machines().get(index);
+        outCount -= sign;
+        outByCentre.merge(machine.centre(), -sign, Integer::sum);
         if (machine.isNode()) {
-            lost[m] = capacity;
-            serving += by * capacity;
-            for (int b : blocksOf[m]) {
-                holders[b] += by;
+            servingCapacity += sign * lostCapacity[index];
+            for (int block : blocksOf[index]) {
+                holders[block] += sign;
             }
         } else {
-            gatherers += by;
-            votersThere += machine.voter() ? by : 0;
+            servingGatherers += sign;
+            servingVoters += machine.voter() ? sign : 0;
         }
     }
 
@@ -125,77 +151,92 @@
         return outCount;
     }
 
-    /** Of the nodes' capacity, in millionths. */
+    /** The share of the nodes' capacity that serves, in millionths. */
     int capacityLeft() {
-        return nodes == 0 ? Budgets.MILLION : (int) (serving / nodes);
+        return totalCapacity == 0 ? Budgets.MILLION : (int) (servingCapacity / totalCapacity);
     }
 
-    /** Machines in service that are the only sound, warm holder of a block, of those that this one holds. */
-    Set<String> soleHolders(int m) {
-        var last = new HashSet<String>();
-        for (int b : blocksOf[m]) {
-            if (holders[b] == 1) {
-                fleet.blocks().get(b).holders().stream().filter(id -> places.containsKey(id) && !out[places.get(id)])
-                        .forEach(last::add);
+    /** Machines in service that are the only holder left of one of this machine's blocks. */
+    Set<String> soleHolders(int machine) {
+        var sole = new HashSet<String>();
+        for (int block : blocksOf[machine]) {
+            if (holders[block] == 1) {
+                fleet.blocks().get(block).holders().stream()
+                        .filter(id -> indexById.containsKey(id) && !out[indexById.get(id)]).forEach(sole::add);
             }
         }
-        return last;
+        return sole;
     }
 
     /** Whether a machine in service may go. */
-    boolean fits(int m) {
-        return violations(m, true).isEmpty();
+    boolean fits(int machine) {
+        return firstViolations(machine).isEmpty();
     }
 
-    /** All that stands against it. */
-    List<MaintenanceConstraint> violations(int m) {
-        return violations(m, false);
+    /** All constraints that a machine would violate by going, with the machines that are the reason. */
+    List<MaintenanceConstraint> violations(int machine) {
+        return violations(machine, false);
     }
 
-    /** What stands against it; {@code one} tells the first alone and names nobody, which is quick. */
-    List<MaintenanceConstraint> violations(int m, boolean one) {
-        var why = new ArrayList<MaintenanceConstraint>();
-        Machine machine = fleet.machines().get(m);
+    /** One constraint that a machine would violate by going, if any; quick, and names no machine. */
+    List<MaintenanceConstraint> firstViolations(int machine) {
+        return violations(machine, true);
+    }
+
+    private List<MaintenanceConstraint> violations(int index, boolean firstOnly) {
+        var found = new ArrayList<MaintenanceConstraint>();
+        Machine machine = fleet.machines().get(index);
         String centre = machine.centre();
         if (outCount + 1 > budgets.maxOut()) {
-            add(why, MaintenanceConstraint.budget(MaintenanceRule.AT_ONCE, "at_once"), x -> true, one);
+            add(found, MaintenanceConstraint.budget(MaintenanceRule.AT_ONCE, "at_once"), m -> true, firstOnly);
         }
-        if (outIn.getOrDefault(centre, 0) + 1 > budgets.maxOutByCentre().getOrDefault(centre, Integer.MAX_VALUE)) {
-            add(why, MaintenanceConstraint.budget(MaintenanceRule.CENTRE, "centres." + centre),
-                    x -> x.centre().equals(centre), one);
+        if (outByCentre.getOrDefault(centre, 0) + 1 > budgets.maxOutByCentre().getOrDefault(centre,
+                Integer.MAX_VALUE)) {
+            add(found, MaintenanceConstraint.budget(MaintenanceRule.CENTRE, "centres." + centre),
+                    m -> m.centre().equals(centre), firstOnly);
         }
         if (machine.isNode()) {
-            if (serving - machine.capacity() * Budgets.MILLION < nodes * budgets.minCapacity()) {
-                add(why, MaintenanceConstraint.budget(MaintenanceRule.CAPACITY, "capacity_kept"), Machine::isNode, one);
-            }
-            for (int b : blocksOf[m]) {
-                if (holders[b] <= 1 && !(one && !why.isEmpty())) {
-                    BlockHolders block = fleet.blocks().get(b);
-                    why.add(new MaintenanceConstraint(MaintenanceRule.COVER, one ? List.of() : block.holders().stream()
-                            .filter(id -> !places.containsKey(id) || out[places.get(id)]).sorted().toList(),
-                            List.of(block.id()), ""));
-                }
-            }
+            addOfNode(found, index, machine, firstOnly);
         } else {
-            if (gatherers - 1 < budgets.minGatherers()) {
-                add(why, MaintenanceConstraint.budget(MaintenanceRule.GATHERERS, "gatherers_kept"), x -> !x.isNode(),
-                        one);
-            }
-            if (machine.voter() && (votersThere - 1) * 2 <= voters) {
-                add(why, MaintenanceConstraint.of(MaintenanceRule.VOTERS), Machine::voter, one);
+            addOfGatherer(found, machine, firstOnly);
+        }
+        return found;
+    }
+
+    private void addOfNode(List<MaintenanceConstraint> found, int index, Machine node, boolean firstOnly) {
+        if (servingCapacity - node.capacity() * Budgets.MILLION < totalCapacity * budgets.minCapacity()) {
+            add(found, MaintenanceConstraint.budget(MaintenanceRule.CAPACITY, "capacity_kept"), Machine::isNode,
+                    firstOnly);
+        }
+        for (int b : blocksOf[index]) {
+            if (holders[b] <= 1 && !(firstOnly && !found.isEmpty())) {
+                BlockHolders block = fleet.blocks().get(b);
+                List<String> missing = firstOnly ? List.of() : block.holders().stream()
+                        .filter(id -> !indexById.containsKey(id) || out[indexById.get(id)]).sorted().toList();
+                found.add(new MaintenanceConstraint(MaintenanceRule.COVER, missing, List.of(block.id()), ""));
             }
         }
-        return why;
     }
 
-    private void add(List<MaintenanceConstraint> why, MaintenanceConstraint rule, Predicate<Machine> whose,
-            boolean one) {
-        if (!keeps.test(rule) || one && !why.isEmpty()) {
+    private void addOfGatherer(List<MaintenanceConstraint> found, Machine gatherer, boolean firstOnly) {
+        if (servingGatherers - 1 < budgets.minGatherers()) {
+            add(found, MaintenanceConstraint.budget(MaintenanceRule.GATHERERS, "gatherers_kept"), m -> !m.isNode(),
+                    firstOnly);
+        }
+        if (gatherer.voter() && (servingVoters - 1) * 2 <= voters) {
+            add(found, MaintenanceConstraint.of(MaintenanceRule.VOTERS), Machine::voter, firstOnly);
+        }
+    }
+
+    /** Adds a violated constraint, with the machines that are out and count for it. */
+    private void add(List<MaintenanceConstraint> found, MaintenanceConstraint violated, Predicate<Machine> counts,
+            boolean firstOnly) {
+        if (!enforced.test(violated) || firstOnly && !found.isEmpty()) {
             return;
         }
-        List<String> culprits = one ? List.of() : fleet.machines().stream()
-                .filter(x -> out[places.get(x.id())] && whose.test(x)).map(Machine::id).sorted()
-                .limit(MOST_NAMED).toList();
-        why.add(new MaintenanceConstraint(rule.rule(), culprits, List.of(), rule.budget()));
+        List<String> culprits = firstOnly ? List.of() : fleet.machines().stream()
+                .filter(m -> out[indexById.get(m.id())] && counts.test(m)).map(Machine::id).sorted()
+                .limit(MAX_NAMED).toList();
+        found.add(new MaintenanceConstraint(violated.rule(), culprits, List.of(), violated.budget()));
     }
 }
--- a/src/main/java/wallmoor/maintenance/PrecedenceGraph.java
+++ b/src/main/java/wallmoor/maintenance/PrecedenceGraph.java
@@ -3,67 +3,78 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Which machines come before which. A pin to a machine without a wish that is not done stands for nothing. */
+/** Which machines come before which. A constraint that names a machine without a request means nothing. */
 final class PrecedenceGraph {
-    private final Map<String, RequestStatus> of = new HashMap<>();
-    private final Map<String, TreeSet<String>> first = new TreeMap<>();
+    private static final Set<MaintenanceStage> FAILED = Set.of(MaintenanceStage.REFUSED, MaintenanceStage.GIVEN_UP,
+            MaintenanceStage.OVERDUE);
+    private static final Set<MaintenanceStage> BLOCKED = Set.of(MaintenanceStage.REFUSED, MaintenanceStage.GIVEN_UP,
+            MaintenanceStage.OVERDUE, MaintenanceStage.HELD);
+
+    private final Map<String, RequestStatus> statusByMachine = new HashMap<>();
+    private final Map<String, TreeSet<String>> predecessors = new TreeMap<>();
 
     private PrecedenceGraph() {}
 
     /**
-     * Those of all standings; of several of one machine the one that is not over counts, else the first that is not
+     * The graph of all requests. Of several requests of one machine the open one counts, else the first that is not
      * done.
      */
-    static PrecedenceGraph of(List<RequestStatus> all) {
-        var pins = new PrecedenceGraph();
-        for (RequestStatus s : all) {
-            pins.of.merge(s.request().machine(), s, (a, b) -> rank(b) < rank(a) ? b : a);
+    static PrecedenceGraph of(List<RequestStatus> statuses) {
+        var graph = new PrecedenceGraph();
+        for (RequestStatus status : statuses) {
+            graph.statusByMachine.merge(status.request().machine(), status,
+                    (known, other) -> rank(other) < rank(known) ? other : known);
         }
-        pins.of.forEach((machine, s) -> {
-            s.request().after().forEach(a -> pins.pin(a, machine));
-            if (s.stage() != MaintenanceStage.GIVEN_UP && s.stage() != MaintenanceStage.REFUSED) {
-                // one that won't be done has no say over others
-                s.request().before().forEach(b -> pins.pin(machine, b));
+        graph.statusByMachine.forEach((machine, status) -> {
+            status.request().after().forEach(first -> graph.add(first, machine));
+            // a request that will not be done has no say over others
+            if (status.stage() != MaintenanceStage.GIVEN_UP && status.stage() != MaintenanceStage.REFUSED) {
+                status.request().before().forEach(second -> graph.add(machine, second));
             }
         });
-        return pins;
+        return graph;
     }
 
-    private static int rank(RequestStatus s) {
-        return !s.stage().isFinal() ? 0 : s.stage() == MaintenanceStage.DONE ? 2 : 1;
+    private static int rank(RequestStatus status) {
+        if (!status.stage().isFinal()) {
+            return 0;
+        }
+        return status.stage() == MaintenanceStage.DONE ? 2 : 1;
     }
 
-    private void pin(String a, String b) {
-        if (of.containsKey(a) && of.containsKey(b)) {
-            first.computeIfAbsent(b, k -> new TreeSet<>()).add(a);
+    private void add(String first, String second) {
+        if (statusByMachine.containsKey(first) && statusByMachine.containsKey(second)) {
+            predecessors.computeIfAbsent(second, k -> new TreeSet<>()).add(first);
         }
     }
 
-    /** Machines that must be done before this wish's, whatever has become of them. */
+    /** Machines that must be done before this one, whatever has become of them. */
     List<String> predecessors(String machine) {
-        return first.containsKey(machine) ? List.copyOf(first.get(machine)) : List.of();
+        return predecessors.containsKey(machine) ? List.copyOf(predecessors.get(machine)) : List.of();
     }
 
-    /** Machines that must be done before and are not yet. */
-    List<String> unfinished(MaintenanceRequest wish) {
-        return predecessors(wish.machine()).stream().filter(a -> of.get(a).stage() != MaintenanceStage.DONE).toList();
+    /** Predecessors that are not done yet. */
+    List<String> unfinished(MaintenanceRequest request) {
+        return predecessors(request.machine()).stream()
+                .filter(m -> statusByMachine.get(m).stage() != MaintenanceStage.DONE).toList();
     }
 
-    /** Machines that must be done before and will not be by themselves. */
-    List<String> failed(MaintenanceRequest wish) {
-        return first(wish, MaintenanceStage.REFUSED, MaintenanceStage.GIVEN_UP, MaintenanceStage.OVERDUE);
+    /** Predecessors that will not be done by themselves. */
+    List<String> failed(MaintenanceRequest request) {
+        return predecessorsAt(request, FAILED);
     }
 
-    /** Machines that must be done before and can't go on now. */
-    List<String> blocked(MaintenanceRequest wish) {
-        return first(wish, MaintenanceStage.REFUSED, MaintenanceStage.GIVEN_UP, MaintenanceStage.OVERDUE,
-                MaintenanceStage.HELD);
+    /** Predecessors that cannot proceed now. */
+    List<String> blocked(MaintenanceRequest request) {
+        return predecessorsAt(request, BLOCKED);
     }
 
-    private List<String> first(MaintenanceRequest wish, MaintenanceStage... at) {
-        return predecessors(wish.machine()).stream().filter(a -> List.of(at).contains(of.get(a).stage())).toList();
+    private List<String> predecessorsAt(MaintenanceRequest request, Set<MaintenanceStage> stages) {
+        return predecessors(request.machine()).stream()
+                .filter(m -> stages.contains(statusByMachine.get(m).stage())).toList();
     }
 }
--- a/src/main/java/wallmoor/maintenance/RequestAdmission.java
+++ b/src/main/java/wallmoor/maintenance/RequestAdmission.java
@@ -7,79 +7,92 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Gives wishes that were asked their place in the order, or refuses them. What has a place keeps one. */
+/** Admits submitted requests to the order, or refuses them. An admitted request is never refused later. */
 final class RequestAdmission {
-    private RequestAdmission() {}
+    private final long now;
+    private final FleetSnapshot fleet;
+    private final Budgets budgets;
 
+    private RequestAdmission(long now, FleetSnapshot fleet, Budgets budgets) {
+        this.now = now;
+        this.fleet = fleet;
+        this.budgets = budgets;
+    }
+
+    /** The state in which every submitted request is admitted or refused. */
     static MaintenanceState admit(long now, MaintenanceState state, FleetSnapshot fleet, Budgets budgets) {
-        List<RequestStatus> before = new ArrayList<>(state.inOrder());
-        List<RequestStatus> asked = new ArrayList<>(before);
-        before.removeIf(s -> s.stage() == MaintenanceStage.ASKED);
-        asked.removeAll(before);
-        if (asked.isEmpty()) {
+        return new RequestAdmission(now, fleet, budgets).admit(state);
+    }
+
+    private MaintenanceState admit(MaintenanceState state) {
+        List<RequestStatus> submitted = state.inOrder().stream()
+                .filter(s -> s.stage() == MaintenanceStage.ASKED).toList();
+        if (submitted.isEmpty()) {
             return state;
         }
-        MaintenanceState all = place(now, state, before, asked, fleet, budgets); // mostly all can go, and one plan does
-        if (all != null) {
-            return all;
+        MaintenanceState together = admitTogether(state, submitted); // mostly all can go, and one plan does
+        if (together != null) {
+            return together;
         }
-        MaintenanceState at = state;
-        for (RequestStatus s : asked) {
-            before = new ArrayList<>(at.inOrder());
-            before.removeIf(x -> x.stage() == MaintenanceStage.ASKED);
-            MaintenanceState next = place(now, at, before, List.of(s), fleet, budgets);
-            at = next == null ? alone(now, at, before, s, fleet, budgets) : next;
+        MaintenanceState next = state;
+        for (RequestStatus request : submitted) {
+            MaintenanceState admitted = admitTogether(next, List.of(request));
+            next = admitted == null ? admitOrRefuse(next, request) : admitted;
         }
-        return at;
+        return next;
+    }
+
+    private static List<RequestStatus> decided(MaintenanceState state) {
+        return state.inOrder().stream().filter(s -> s.stage() != MaintenanceStage.ASKED).toList();
     }
 
-    /** All of these with a place beside those that have one, or null where they can't be met together. */
-    private static MaintenanceState place(long now, MaintenanceState state, List<RequestStatus> before,
-            List<RequestStatus> asked, FleetSnapshot fleet,
-            Budgets budgets) {
-        List<RequestStatus> all = new ArrayList<>(before);
-        all.addAll(asked);
-        SchedulingResult answer = MaintenancePlanner.among(now, all, fleet, budgets);
-        return answer instanceof SchedulingResult.Infeasible ? null : placed(now, state, asked, answer);
+    /** Admits requests beside those admitted before; null where they cannot be met together. */
+    private MaintenanceState admitTogether(MaintenanceState state, List<RequestStatus> submitted) {
+        List<RequestStatus> all = new ArrayList<>(decided(state));
+        all.addAll(submitted);
+        SchedulingResult result = MaintenancePlanner.among(now, all, fleet, budgets);
+        return result instanceof SchedulingResult.Infeasible ? null : admitted(state, submitted, result);
     }
 
-    /** One that can't be met beside those before. Where these can't be met themselves, that is no fault of this one. */
-    private static MaintenanceState alone(long now, MaintenanceState state, List<RequestStatus> before,
-            RequestStatus asked, FleetSnapshot fleet,
-            Budgets budgets) {
-        List<RequestStatus> all = new ArrayList<>(before);
-        if (MaintenancePlanner.among(now, before, fleet, budgets) instanceof SchedulingResult.Infeasible) {
+    /**
+     * Decides on a request that cannot be met beside those admitted before. Where those cannot be met themselves, that
+     * is not held against it.
+     */
+    private MaintenanceState admitOrRefuse(MaintenanceState state, RequestStatus submitted) {
+        List<RequestStatus> all = new ArrayList<>(decided(state));
+        if (MaintenancePlanner.among(now, all, fleet, budgets) instanceof SchedulingResult.Infeasible) {
             all.removeIf(s -> s.stage().isQueued());
         }
-        all.add(asked);
-        SchedulingResult answer = MaintenancePlanner.among(now, all, fleet, budgets);
-        if (answer instanceof SchedulingResult.Infeasible no) {
+        all.add(submitted);
+        SchedulingResult result = MaintenancePlanner.among(now, all, fleet, budgets);
+        if (result instanceof SchedulingResult.Infeasible infeasible) {
             SortedMap<String, RequestStatus> next = new TreeMap<>(state.requests());
-            next.put(asked.request().id(), asked.at(MaintenanceStage.REFUSED, now, no.conflict()));
+            next.put(submitted.request().id(),
+                    submitted.at(MaintenanceStage.REFUSED, now, infeasible.conflict()));
             return state.with(next);
         }
-        return placed(now, state, List.of(asked), answer);
+        return admitted(state, List.of(submitted), result);
     }
 
-    private static MaintenanceState placed(long now, MaintenanceState state, List<RequestStatus> asked,
-            SchedulingResult answer) {
+    private MaintenanceState admitted(MaintenanceState state, List<RequestStatus> submitted,
+            SchedulingResult result) {
         SortedMap<String, RequestStatus> next = new TreeMap<>(state.requests());
         List<String> order = new ArrayList<>(state.order());
-        for (RequestStatus s : asked) {
-            next.put(s.request().id(), s.at(MaintenanceStage.PLANNED, now, List.of()));
-            order.add(s.request().id());
+        for (RequestStatus request : submitted) {
+            next.put(request.request().id(), request.at(MaintenanceStage.PLANNED, now));
+            order.add(request.request().id());
         }
         return new MaintenanceState(next,
-                answer instanceof SchedulingResult.Schedule plan ? sorted(order, plan) : order, state.held());
+                result instanceof SchedulingResult.Schedule schedule ? sorted(order, schedule) : order, state.held());
     }
 
-    /** Those that have begun or ended, then those of the plan in its order, then those it leaves out. */
-    private static List<String> sorted(List<String> order, SchedulingResult.Schedule plan) {
-        List<String> planned = plan.slots().stream().map(s -> s.request().id()).toList();
-        Set<String> own = new HashSet<>(planned);
+    /** Requests that have begun or ended, then those of the schedule in its order, after those it leaves out. */
+    private static List<String> sorted(List<String> order, SchedulingResult.Schedule schedule) {
+        List<String> scheduled = schedule.slots().stream().map(slot -> slot.request().id()).toList();
+        Set<String> members = new HashSet<>(scheduled);
         List<String> sorted = new ArrayList<>(order);
-        sorted.removeAll(own);
-        sorted.addAll(planned);
+        sorted.removeAll(members);
+        sorted.addAll(scheduled);
         return sorted;
     }
 }
--- a/src/main/java/wallmoor/maintenance/RequestOperations.java
+++ b/src/main/java/wallmoor/maintenance/RequestOperations.java
@@ -1,116 +1,121 @@
 package wallmoor.maintenance;
 
+import java.util.Comparator;
+import java.util.List;
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** What staff ask, as the next version of the state. Each may be asked again: what is so already stays as it is. */
+/** Staff's operations on requests, each as the next version of the state. All are idempotent. */
 public final class RequestOperations {
-    /**
-     * With their reasons so many fit a document ({@code versions.Ledger.MOST_TEXT}, 524,288 characters), each in some
-     * 400.
-     */
+    /** So many requests, each with its reasons in some 400 characters, fit the document (524,288 characters). */
     public static final int MAX_REQUESTS = 1_000;
-    /** Characters of a reason, of who asks, of an id and of a machine together. */
+    /** Characters of a request's id, machine, reason and requester together. */
     public static final int MAX_TEXT = 300;
 
     private RequestOperations() {}
 
     /**
-     * Asks that a machine be taken out.
+     * Submits a request.
      *
-     * @throws RequestRejectedException where the id is another wish's, the machine has a wish that is not over, its
-     *         texts are too
-     *                      long, or there are too many wishes
+     * @throws RequestRejectedException where the id is another request's, the machine has an open request, the texts
+     *                                  are too long, or there are too many requests
      */
-    public static MaintenanceState submit(MaintenanceState state, MaintenanceRequest wish, long now)
+    public static MaintenanceState submit(MaintenanceState state, MaintenanceRequest request, long now)
             throws RequestRejectedException {
-        RequestStatus known = state.requests().get(wish.id());
+        RequestStatus known = state.requests().get(request.id());
         if (known != null) {
-            if (known.request().equals(wish)) {
+            if (known.request().equals(request)) {
                 return state;
             }
-            throw new RequestRejectedException(
-                    wish.id() + " is another wish, of " + known.request().machine() + "; ask under another id");
+            throw new RequestRejectedException(request.id() + " is another wish, of " + known.request().machine()
+                    + "; ask under another id");
         }
-        if (wish.id().length() + wish.machine().length() + wish.reason().length()
-                + wish.requester().length() > MAX_TEXT) {
-            throw new RequestRejectedException(
-                    "id, machine, reason and who have more than " + MAX_TEXT + " characters together; say less");
+        if (textLength(request) > MAX_TEXT) {
+            throw new RequestRejectedException("id, machine, reason and who have more than " + MAX_TEXT
+                    + " characters together; say less");
         }
-        RequestStatus other = state.openRequest(wish.machine());
-        if (other != null) {
-            throw new RequestRejectedException(
-                    wish.machine() + " has the wish " + other.request().id() + ", which is " + other.stage().word()
-                            + "; withdraw it first");
+        RequestStatus open = state.openRequest(request.machine());
+        if (open != null) {
+            throw new RequestRejectedException(request.machine() + " has the wish " + open.request().id()
+                    + ", which is " + open.stage().word() + "; withdraw it first");
         }
         SortedMap<String, RequestStatus> next = new TreeMap<>(state.requests());
         if (next.size() >= MAX_REQUESTS) {
-            // the oldest that is over is forgotten; its id asked once more is a new wish
-            String oldest = next.values().stream().filter(s -> s.stage().isFinal() && !s.drainedByOrder())
-                    .min((a, b) -> Long.compare(a.since(), b.since())).map(s -> s.request().id())
-                    .orElseThrow(() -> new RequestRejectedException(
-                            MAX_REQUESTS + " wishes are not over; ask again when some are, or withdraw some"));
-            next.remove(oldest);
+            next.remove(oldestEnded(next));
         }
-        next.put(wish.id(), RequestStatus.asked(wish, now));
+        next.put(request.id(), RequestStatus.asked(request, now));
         return new MaintenanceState(next, state.order().stream().filter(next::containsKey).toList(), state.held());
     }
 
+    private static int textLength(MaintenanceRequest request) {
+        return request.id().length() + request.machine().length() + request.reason().length()
+                + request.requester().length();
+    }
+
+    /** The request to forget in favour of a new one; its id is free again then. */
+    private static String oldestEnded(SortedMap<String, RequestStatus> requests) throws RequestRejectedException {
+        return requests.values().stream().filter(status -> status.stage().isFinal() && !status.drainedByOrder())
+                .min(Comparator.comparingLong(RequestStatus::since)).map(status -> status.request().id())
+                .orElseThrow(() -> new RequestRejectedException(
+                        MAX_REQUESTS + " wishes are not over; ask again when some are, or withdraw some"));
+    }
+
     /**
-     * Takes a wish back. A machine that drains serves again.
+     * Withdraws a request. A draining machine serves again.
      *
      * @throws RequestRejectedException where there is none, or its machine is out: then it ends when that is back
      */
     public static MaintenanceState withdraw(MaintenanceState state, String id, long now)
             throws RequestRejectedException {
-        RequestStatus s = known(state, id);
-        if (s.stage().isFinal()) {
+        RequestStatus status = existing(state, id);
+        if (status.stage().isFinal()) {
             return state;
         }
-        if (s.stage().isOut() && s.stage() != MaintenanceStage.DRAINING) {
-            throw new RequestRejectedException(
-                    s.request().machine() + " is " + s.stage().word() + "; its wish ends when it is back and warm");
+        if (status.stage().isOut() && status.stage() != MaintenanceStage.DRAINING) {
+            throw new RequestRejectedException(status.request().machine() + " is " + status.stage().word()
+                    + "; its wish ends when it is back and warm");
         }
-        return put(state, s.at(MaintenanceStage.GIVEN_UP, now,
-                java.util.List.of(MaintenanceConstraint.of(MaintenanceRule.WITHDRAWN))));
+        return with(state, status.at(MaintenanceStage.GIVEN_UP, now,
+                List.of(MaintenanceConstraint.of(MaintenanceRule.WITHDRAWN))));
     }
 
-    /** Holds one wish, or goes on with it. @throws AskException where there is none */
+    /** Holds one request, or resumes it. @throws RequestRejectedException where there is none */
     public static MaintenanceState hold(MaintenanceState state, String id, boolean hold)
             throws RequestRejectedException {
-        return put(state, known(state, id).heldByStaff(hold));
+        return with(state, existing(state, id).withHeldByStaff(hold));
     }
 
-    /** Holds the whole order, or goes on: nothing begins, what drains serves again, what is out may come back. */
+    /** Holds the complete order, or resumes it: nothing begins, what drains serves again, what is out may come back. */
     public static MaintenanceState hold(MaintenanceState state, boolean hold) {
         return new MaintenanceState(state.requests(), state.order(), hold);
     }
 
     /**
-     * Says that a machine's work is done, where it needed no start that would be seen.
+     * Says that the work on a machine is done, where no restart would show it.
      *
-     * @throws RequestRejectedException where there is no such wish, or its machine is not out
+     * @throws RequestRejectedException where there is no such request, or its machine is not out
      */
     public static MaintenanceState markReturned(MaintenanceState state, String id) throws RequestRejectedException {
-        RequestStatus s = known(state, id);
-        if (s.stage() != MaintenanceStage.OUT && s.stage() != MaintenanceStage.OVERDUE
-                && s.stage() != MaintenanceStage.RETURNING) {
-            throw new RequestRejectedException(s.request().machine() + " is not out: it is " + s.stage().word());
+        RequestStatus status = existing(state, id);
+        MaintenanceStage stage = status.stage();
+        if (stage != MaintenanceStage.OUT && stage != MaintenanceStage.OVERDUE
+                && stage != MaintenanceStage.RETURNING) {
+            throw new RequestRejectedException(status.request().machine() + " is not out: it is " + stage.word());
         }
-        return put(state, s.returned(true));
+        return with(state, status.withReturned(true));
     }
 
-    private static RequestStatus known(MaintenanceState state, String id) throws RequestRejectedException {
-        RequestStatus s = state.requests().get(id);
-        if (s == null) {
+    private static RequestStatus existing(MaintenanceState state, String id) throws RequestRejectedException {
+        RequestStatus status = state.requests().get(id);
+        if (status == null) {
             throw new RequestRejectedException("there is no wish " + id);
         }
-        return s;
+        return status;
     }
 
-    private static MaintenanceState put(MaintenanceState state, RequestStatus s) {
+    private static MaintenanceState with(MaintenanceState state, RequestStatus status) {
         SortedMap<String, RequestStatus> next = new TreeMap<>(state.requests());
-        next.put(s.request().id(), s);
+        next.put(status.request().id(), status);
         return state.with(next);
     }
 }
--- a/src/main/java/wallmoor/maintenance/RequestRejectedException.java
+++ b/src/main/java/wallmoor/maintenance/RequestRejectedException.java
@@ -1,6 +1,6 @@
 package wallmoor.maintenance;
 
-/** What staff asked can't be taken up. The message says what to do. */
+/** An operation on a maintenance request is rejected. The message says what staff can do instead. */
 public final class RequestRejectedException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wallmoor/maintenance/ScheduleConflictFinder.java
+++ b/src/main/java/wallmoor/maintenance/ScheduleConflictFinder.java
@@ -8,185 +8,226 @@
 import java.util.function.Predicate;
 import wallmoor.maintenance.SchedulingProblem.Job;
 
-/** Why there is no order: the fewest rules that can't be kept together. */
+/**
+ * Explains why there is no schedule: a minimal unsatisfiable subset of the constraints, by hitting sets (the smallest
+ * one) or, where that takes too long, deletion-based.
+ */
 final class ScheduleConflictFinder {
-    /** Sets of rules that are tried; each costs up to 720 orders for each rule. */
-    private static final int MOST_SETS = 100;
-    /** Jobs of a large fleet that are looked at one by one. */
-    private static final int MOST_LOOKS = 200;
+    /** Most hitting sets that are tried; each costs up to 720 orders for each constraint. */
+    private static final int MAX_HITTING_SETS = 100;
+    /** Most jobs of a large problem that are looked at one by one. */
+    private static final int MAX_SINGLE_JOBS = 200;
 
-    /** @param proven that none exists, and not just that none was found */
-    record Found(List<MaintenanceConstraint> reasons, boolean smallest, boolean proven) {}
+    /**
+     * A conflict.
+     *
+     * @param minimal proven: no smaller set of constraints conflicts
+     * @param proven  that no schedule exists; else none was found
+     */
+    record Conflict(List<MaintenanceConstraint> constraints, boolean minimal, boolean proven) {
+        static Conflict smaller(Conflict a, Conflict b) {
+            if (a == null || b == null) {
+                return a == null ? b : a;
+            }
+            return b.constraints().size() < a.constraints().size() ? b : a;
+        }
+    }
 
-    private final SchedulingProblem p;
+    private final SchedulingProblem problem;
 
-    private ScheduleConflictFinder(SchedulingProblem p) {
-        this.p = p;
+    private ScheduleConflictFinder(SchedulingProblem problem) {
+        this.problem = problem;
     }
 
-    /** Of a problem that no order was found for. @param lost the jobs that didn't go in the best */
-    static Found of(SchedulingProblem p, List<Job> lost) {
-        return new ScheduleConflictFinder(p).find(lost);
+    /** The conflict of a problem without a schedule. @param missed the jobs that failed in the best attempt */
+    static Conflict find(SchedulingProblem problem, List<Job> missed) {
+        return new ScheduleConflictFinder(problem).find(missed);
     }
 
-    private Found find(List<Job> lost) {
-        Found best = null;
-        for (Job j : lost.subList(0, Math.min(MOST_LOOKS, lost.size()))) {
-            if (j.machineIndex() < 0 || p.outages.stream()
-                    .anyMatch(f -> f.machineIndex() == j.machineIndex() && f.until() == SchedulingProblem.NEVER)) {
-                return new Found(List.of(MaintenanceConstraint.of(MaintenanceRule.ITSELF, j.request().machine())), true,
-                        true);
-            }
-            SchedulingProblem one = p.of(List.of(j));
-            if (!ExhaustiveScheduler.possible(one, r -> true)) {
-                Found f = new ScheduleConflictFinder(one).fewest();
-                best = best == null || f.reasons().size() < best.reasons().size() ? f : best;
-                if (best.reasons().size() == 1) {
-                    return best;
-                }
+    private Conflict find(List<Job> missed) {
+        Conflict best = null;
+        for (Job job : missed.subList(0, Math.min(MAX_SINGLE_JOBS, missed.size()))) {
+            best = Conflict.smaller(best, conflictOf(job));
+            if (best != null && best.constraints().size() == 1) {
+                return best;
             }
         }
-        if (best == null || p.jobs.size() <= ExhaustiveScheduler.MOST_JOBS) {
-            Found more = circle();
-            if (more == null && p.jobs.size() <= ExhaustiveScheduler.MOST_JOBS
-                    && !ExhaustiveScheduler.possible(p, r -> true)) {
-                more = fewest();
+        boolean few = problem.jobs.size() <= ExhaustiveScheduler.MAX_JOBS;
+        if (best == null || few) {
+            Conflict joint = shortestCycle();
+            if (joint == null && few && !isFeasible(constraint -> true)) {
+                joint = smallest();
             }
-            best = best == null || more != null && more.reasons().size() < best.reasons().size() ? more : best;
+            best = Conflict.smaller(best, joint);
         }
-        return best != null ? best : new Found(late(lost), false, false);
+        return best != null ? best : new Conflict(likelyConstraints(missed), false, false);
+    }
+
+    /** The conflict of a job alone; null where it has none. */
+    private Conflict conflictOf(Job job) {
+        boolean gone = job.machineIndex() < 0 || problem.outages.stream()
+                .anyMatch(o -> o.machineIndex() == job.machineIndex() && o.until() == SchedulingProblem.NEVER);
+        if (gone) {
+            return new Conflict(
+                    List.of(MaintenanceConstraint.of(MaintenanceRule.ITSELF, job.request().machine())), true, true);
+        }
+        var alone = new ScheduleConflictFinder(problem.of(List.of(job)));
+        return alone.isFeasible(constraint -> true) ? null : alone.smallest();
+    }
+
+    private boolean isFeasible(Predicate<MaintenanceConstraint> enforced) {
+        return ExhaustiveScheduler.isFeasible(problem, enforced);
+    }
+
+    private boolean isFeasible(Set<MaintenanceConstraint> enforced) {
+        return isFeasible(c -> enforced.contains(c) || c.rule() == MaintenanceRule.ITSELF);
     }
 
     /**
-     * The fewest rules, by hitting sets: of each set of rules that can be kept together, one that it leaves out is a
-     * reason. The fewest that hit all such sets are tried until they can't be kept; then no fewer can't.
+     * The smallest unsatisfiable subset, by hitting sets: of each satisfiable set, the conflict has one constraint that
+     * the set leaves out. The smallest set that hits all these complements is tried until it is unsatisfiable.
      */
-    private Found fewest() {
-        List<MaintenanceConstraint> rules = rules();
-        List<Set<MaintenanceConstraint>> hit = new ArrayList<>();
-        for (int tried = 0; tried < MOST_SETS; tried++) {
-            Set<MaintenanceConstraint> some = new LinkedHashSet<>();
-            for (int most = 0; !hits(hit, some, most); most++) {
-                some.clear();
+    private Conflict smallest() {
+        List<MaintenanceConstraint> constraints = constraints();
+        List<Set<MaintenanceConstraint>> complements = new ArrayList<>();
+        for (int tried = 0; tried < MAX_HITTING_SETS; tried++) {
+            Set<MaintenanceConstraint> hitting = new LinkedHashSet<>();
+            for (int size = 0; !extendToHit(complements, hitting, size); size++) {
+                hitting.clear();
             }
-            if (!ExhaustiveScheduler.possible(p, keeping(some))) {
-                return new Found(List.copyOf(some), true, true);
+            if (!isFeasible(hitting)) {
+                return new Conflict(List.copyOf(hitting), true, true);
             }
-            Set<MaintenanceConstraint> out = new LinkedHashSet<>();
-            for (MaintenanceConstraint r : rules) { // as many as can be kept with these
-                if (some.add(r) && !ExhaustiveScheduler.possible(p, keeping(some))) {
-                    some.remove(r);
-                    out.add(r);
-                }
+            complements.add(complementOfMaximal(hitting, constraints));
+        }
+        return new Conflict(withoutSuperfluous(constraints), false, true);
+    }
+
+    /** Extends a satisfiable set to a maximal one, and returns the constraints that do not fit in. */
+    private Set<MaintenanceConstraint> complementOfMaximal(Set<MaintenanceConstraint> satisfiable,
+            List<MaintenanceConstraint> constraints) {
+        Set<MaintenanceConstraint> complement = new LinkedHashSet<>();
+        for (MaintenanceConstraint constraint : constraints) {
+            if (satisfiable.add(constraint) && !isFeasible(satisfiable)) {
+                satisfiable.remove(constraint);
+                complement.add(constraint);
             }
-            hit.add(out);
         }
-        return new Found(leaveOut(rules), false, true);
+        return complement;
     }
 
-    /** Adds to the rules so that each set is hit, by so many more at most. */
-    private static boolean hits(List<Set<MaintenanceConstraint>> sets, Set<MaintenanceConstraint> by, int most) {
+    /** Adds at most {@code more} elements to a set so that it hits each of the sets; false where that is impossible. */
+    private static boolean extendToHit(List<Set<MaintenanceConstraint>> sets, Set<MaintenanceConstraint> hitting,
+            int more) {
         for (Set<MaintenanceConstraint> set : sets) {
-            if (set.stream().noneMatch(by::contains)) {
-                for (MaintenanceConstraint r : most == 0 ? Set.<MaintenanceConstraint>of() : set) {
-                    by.add(r);
-                    if (hits(sets, by, most - 1)) {
-                        return true;
-                    }
-                    by.remove(r);
-                }
-                return false;
+            if (set.stream().noneMatch(hitting::contains)) {
+                return more > 0 && extendByOne(sets, hitting, set, more);
             }
         }
         return true;
     }
 
-    private List<MaintenanceConstraint> leaveOut(List<MaintenanceConstraint> rules) {
-        Set<MaintenanceConstraint> kept = new LinkedHashSet<>(rules);
-        for (MaintenanceConstraint r : rules) {
-            kept.remove(r);
-            if (ExhaustiveScheduler.possible(p, keeping(kept))) {
-                kept.add(r);
+    private static boolean extendByOne(List<Set<MaintenanceConstraint>> sets, Set<MaintenanceConstraint> hitting,
+            Set<MaintenanceConstraint> choices, int more) {
+        for (MaintenanceConstraint choice : choices) {
+            hitting.add(choice);
+            if (extendToHit(sets, hitting, more - 1)) {
+                return true;
             }
+            hitting.remove(choice);
         }
-        return List.copyOf(kept);
+        return false;
     }
 
-    private static Predicate<MaintenanceConstraint> keeping(Set<MaintenanceConstraint> some) {
-        return r -> some.contains(r) || r.rule() == MaintenanceRule.ITSELF;
+    /** Deletion-based: drops each constraint without which the others are still unsatisfiable. */
+    private List<MaintenanceConstraint> withoutSuperfluous(List<MaintenanceConstraint> constraints) {
+        Set<MaintenanceConstraint> kept = new LinkedHashSet<>(constraints);
+        for (MaintenanceConstraint constraint : constraints) {
+            kept.remove(constraint);
+            if (isFeasible(kept)) {
+                kept.add(constraint);
+            }
+        }
+        return List.copyOf(kept);
     }
 
-    /** All that may stand against these jobs. */
-    private List<MaintenanceConstraint> rules() {
-        Set<MaintenanceConstraint> rules = new LinkedHashSet<>();
-        Set<List<String>> seen = new HashSet<>();
-        for (BlockHolders b : p.fleet.blocks()) {
-            if (seen.add(b.holders())) { // of blocks on the same machines one says it all
-                rules.add(OutageLedger.cover(b));
+    /** All constraints that can bear on the jobs. */
+    private List<MaintenanceConstraint> constraints() {
+        Set<MaintenanceConstraint> all = new LinkedHashSet<>();
+        Set<List<String>> seenHolders = new HashSet<>();
+        for (BlockHolders block : problem.fleet.blocks()) {
+            if (seenHolders.add(block.holders())) { // blocks with the same holders are one constraint
+                all.add(OutageLedger.cover(block));
             }
         }
-        rules.add(MaintenanceConstraint.budget(MaintenanceRule.AT_ONCE, "at_once"));
-        p.budgets.maxOutByCentre().keySet()
-                .forEach(c -> rules.add(MaintenanceConstraint.budget(MaintenanceRule.CENTRE, "centres." + c)));
-        rules.add(MaintenanceConstraint.budget(MaintenanceRule.CAPACITY, "capacity_kept"));
-        rules.add(MaintenanceConstraint.budget(MaintenanceRule.GATHERERS, "gatherers_kept"));
-        rules.add(MaintenanceConstraint.of(MaintenanceRule.VOTERS));
-        for (Job j : p.jobs) {
-            if (j.request().deadline() != MaintenanceRequest.NO_DEADLINE) {
-                rules.add(MaintenanceConstraint.of(MaintenanceRule.BY, j.request().machine()));
+        all.add(MaintenanceConstraint.budget(MaintenanceRule.AT_ONCE, "at_once"));
+        problem.budgets.maxOutByCentre().keySet()
+                .forEach(c -> all.add(MaintenanceConstraint.budget(MaintenanceRule.CENTRE, "centres." + c)));
+        all.add(MaintenanceConstraint.budget(MaintenanceRule.CAPACITY, "capacity_kept"));
+        all.add(MaintenanceConstraint.budget(MaintenanceRule.GATHERERS, "gatherers_kept"));
+        all.add(MaintenanceConstraint.of(MaintenanceRule.VOTERS));
+        for (Job job : problem.jobs) {
+            if (job.hasDeadline()) {
+                all.add(MaintenanceConstraint.deadline(job.request()));
             }
-            p.predecessors(j)
-                    .forEach(a -> rules.add(MaintenanceConstraint.of(MaintenanceRule.PIN, a, j.request().machine())));
+            problem.predecessors(job)
+                    .forEach(m -> all.add(MaintenanceConstraint.precedence(m, job.request().machine())));
         }
-        if (!p.budgets.windows().windows().isEmpty()) {
-            rules.add(MaintenanceConstraint.budget(MaintenanceRule.HOURS, "hours"));
+        if (!problem.budgets.windows().windows().isEmpty()) {
+            all.add(MaintenanceConstraint.windows());
         }
-        return List.copyOf(rules);
+        return List.copyOf(all);
     }
 
-    /** The shortest circle of pins, or null. */
-    private Found circle() {
+    /** The shortest cycle of precedences, or null. */
+    private Conflict shortestCycle() {
         List<String> best = null;
-        for (Job j : p.jobs) {
-            List<List<String>> paths = new ArrayList<>(List.of(List.of(j.request().machine())));
-            Set<String> seen = new HashSet<>();
-            for (int i = 0; i < paths.size(); i++) { // breadth first, from one back to itself
-                List<String> path = paths.get(i);
-                for (String a : p.precedence.predecessors(path.get(path.size() - 1))) {
-                    if (a.equals(path.get(0)) && (best == null || path.size() < best.size())) {
-                        best = path;
-                    }
-                    if (seen.add(a)) {
-                        List<String> longer = new ArrayList<>(path);
-                        longer.add(a);
-                        paths.add(longer);
-                    }
-                }
+        for (Job job : problem.jobs) {
+            List<String> cycle = cycleThrough(job.request().machine());
+            if (cycle != null && (best == null || cycle.size() < best.size())) {
+                best = cycle;
             }
-            if (p.jobs.size() > MOST_LOOKS && best != null) {
+            if (problem.jobs.size() > MAX_SINGLE_JOBS && best != null) {
                 break;
             }
         }
         if (best == null) {
             return null;
         }
-        var reasons = new ArrayList<MaintenanceConstraint>();
+        var constraints = new ArrayList<MaintenanceConstraint>();
         for (int i = 0; i < best.size(); i++) {
-            reasons.add(MaintenanceConstraint.of(MaintenanceRule.PIN, best.get((i + 1) % best.size()), best.get(i)));
-        }
-        return new Found(reasons, true, true);
-    }
-
-    /** Where nothing is proven: the times that are missed, and what was kept meanwhile. */
-    private List<MaintenanceConstraint> late(List<Job> lost) {
-        var reasons = new ArrayList<MaintenanceConstraint>();
-        lost.stream().filter(j -> j.request().deadline() != MaintenanceRequest.NO_DEADLINE)
-                .forEach(j -> reasons.add(MaintenanceConstraint.of(MaintenanceRule.BY, j.request().machine())));
-        rules().stream()
-                .filter(r -> r.rule() == MaintenanceRule.AT_ONCE || r.rule() == MaintenanceRule.CENTRE
-                        || r.rule() == MaintenanceRule.CAPACITY
-                        || r.rule() == MaintenanceRule.HOURS)
-                .forEach(reasons::add);
-        return reasons;
+            constraints.add(MaintenanceConstraint.precedence(best.get((i + 1) % best.size()), best.get(i)));
+        }
+        return new Conflict(constraints, true, true);
+    }
+
+    /** The shortest cycle through a machine, from it back along its predecessors, by breadth-first search; or null. */
+    private List<String> cycleThrough(String machine) {
+        List<List<String>> paths = new ArrayList<>(List.of(List.of(machine)));
+        Set<String> seen = new HashSet<>();
+        for (int i = 0; i < paths.size(); i++) {
+            List<String> path = paths.get(i);
+            for (String predecessor : problem.precedence.predecessors(path.get(path.size() - 1))) {
+                if (predecessor.equals(machine)) {
+                    return path;
+                }
+                if (seen.add(predecessor)) {
+                    List<String> longer = new ArrayList<>(path);
+                    longer.add(predecessor);
+                    paths.add(longer);
+                }
+            }
+        }
+        return null;
+    }
+
+    /** Where nothing is proven: the deadlines that are missed, and the budgets that were kept meanwhile. */
+    private List<MaintenanceConstraint> likelyConstraints(List<Job> missed) {
+        var likely = new ArrayList<MaintenanceConstraint>();
+        missed.stream().filter(Job::hasDeadline).forEach(j -> likely.add(MaintenanceConstraint.deadline(j.request())));
+        Set<MaintenanceRule> budgets = Set.of(MaintenanceRule.AT_ONCE, MaintenanceRule.CENTRE,
+                MaintenanceRule.CAPACITY, MaintenanceRule.HOURS);
+        constraints().stream().filter(c -> budgets.contains(c.rule())).forEach(likely::add);
+        return likely;
     }
 }
--- a/src/main/java/wallmoor/maintenance/ScheduleLowerBound.java
+++ b/src/main/java/wallmoor/maintenance/ScheduleLowerBound.java
@@ -11,83 +11,111 @@
 import wallmoor.maintenance.SchedulingProblem.ExistingOutage;
 import wallmoor.maintenance.SchedulingProblem.Job;
 
-/** How soon an order can end at the soonest: by budgets, blocks and pins, without hours. */
+/**
+ * Lower bound of a schedule's end, by budgets, blocks and precedences; windows are left out. Each budget is a machine
+ * scheduling problem of its own, and the largest of their bounds counts.
+ */
 final class ScheduleLowerBound {
-    private ScheduleLowerBound() {}
+    private final SchedulingProblem problem;
+    private final Map<String, Machine> machines;
+    /** Machines that are out by themselves and will not return. */
+    private final Set<String> lostMachines = new HashSet<>();
+    private final Map<String, Job> jobByMachine = new HashMap<>();
+
+    private ScheduleLowerBound(SchedulingProblem problem) {
+        this.problem = problem;
+        this.machines = problem.fleet.byId();
+        problem.outages.stream().filter(outage -> outage.until() == SchedulingProblem.NEVER)
+                .map(ExistingOutage::machine).forEach(lostMachines::add);
+        problem.jobs.forEach(job -> jobByMachine.put(job.request().machine(), job));
+    }
 
     /** In milliseconds since 1970. */
-    static long least(SchedulingProblem p) {
-        long least = 0;
-        Map<String, Long> chain = new HashMap<>();
-        for (Job j : p.jobs) {
-            least = Math.max(least, chain(p, j, chain, new HashSet<>()));
-        }
-        Set<String> gone = new HashSet<>();
-        p.outages.stream().filter(f -> f.until() == SchedulingProblem.NEVER).map(ExistingOutage::machine)
-                .forEach(gone::add);
-        Map<String, Machine> machines = p.fleet.byId();
-        least = Math.max(least, side(p.jobs, p.budgets.maxOut() - gone.size()));
-        for (Map.Entry<String, Integer> c : p.budgets.maxOutByCentre().entrySet()) {
-            long out = gone.stream().filter(g -> machines.get(g).centre().equals(c.getKey())).count();
-            least = Math.max(least,
-                    side(p.jobs.stream().filter(j -> machines.get(j.request().machine()).centre().equals(c.getKey()))
-                            .toList(), (int) (c.getValue() - out)));
+    static long of(SchedulingProblem problem) {
+        return problem.now + new ScheduleLowerBound(problem).lengthMillis();
+    }
+
+    private long lengthMillis() {
+        long length = longestChain();
+        length = Math.max(length, withSlots(problem.jobs, problem.budgets.maxOut() - lostMachines.size()));
+        for (Map.Entry<String, Integer> entry : problem.budgets.maxOutByCentre().entrySet()) {
+            length = Math.max(length, ofCentre(entry.getKey(), entry.getValue()));
         }
-        List<Job> nodes = p.jobs.stream().filter(j -> machines.get(j.request().machine()).isNode()).toList();
-        least = Math.max(least, side(nodes, roomFor(p, nodes, machines, gone)));
-        Map<String, Job> jobs = new HashMap<>();
-        p.jobs.forEach(j -> jobs.put(j.request().machine(), j));
-        for (BlockHolders b : p.fleet.blocks()) {
-            List<Job> own = b.holders().stream().filter(jobs::containsKey).map(jobs::get).toList();
-            long there = b.holders().stream().filter(m -> machines.containsKey(m) && !gone.contains(m)).count();
-            least = Math.max(least, side(own, (int) there - 1));
+        List<Job> nodes = problem.jobs.stream().filter(job -> machine(job).isNode()).toList();
+        length = Math.max(length, withSlots(nodes, slotsByCapacity(nodes)));
+        for (BlockHolders block : problem.fleet.blocks()) {
+            List<Job> own = block.holders().stream().filter(jobByMachine::containsKey).map(jobByMachine::get).toList();
+            long holders = block.holders().stream()
+                    .filter(m -> machines.containsKey(m) && !lostMachines.contains(m)).count();
+            length = Math.max(length, withSlots(own, (int) holders - 1));
         }
-        return p.now + least;
+        return length;
+    }
+
+    private Machine machine(Job job) {
+        return machines.get(job.request().machine());
+    }
+
+    private long ofCentre(String centre, int maxOut) {
+        long lost = lostMachines.stream().filter(m -> machines.get(m).centre().equals(centre)).count();
+        List<Job> jobs = problem.jobs.stream().filter(job -> machine(job).centre().equals(centre)).toList();
+        return withSlots(jobs, (int) (maxOut - lost));
     }
 
-    /** So many at once: all time over them, or the fullest one's. */
-    private static long side(Collection<Job> jobs, int atOnce) {
-        if (jobs.isEmpty() || atOnce <= 0) {
+    /** The least time for jobs of which so many run at once: their mean load, or the fullest slot's. */
+    private static long withSlots(Collection<Job> jobs, int slots) {
+        if (jobs.isEmpty() || slots <= 0) {
             return 0;
         }
         long sum = jobs.stream().mapToLong(Job::outageMillis).sum();
-        long least = jobs.stream().mapToLong(Job::outageMillis).min().getAsLong();
-        return Math.max((sum + atOnce - 1) / atOnce, least * ((jobs.size() + atOnce - 1) / atOnce));
+        long shortest = jobs.stream().mapToLong(Job::outageMillis).min().getAsLong();
+        return Math.max((sum + slots - 1) / slots, shortest * ((jobs.size() + slots - 1) / slots));
     }
 
-    /** How many of the smallest may be out at once by the capacity kept. */
-    private static int roomFor(SchedulingProblem p, List<Job> nodes, Map<String, Machine> machines, Set<String> gone) {
-        long all = machines.values().stream().filter(Machine::isNode).mapToLong(Machine::capacity).sum();
-        long lost = gone.stream().map(machines::get).filter(Machine::isNode).mapToLong(Machine::capacity).sum();
-        long room = all * (Budgets.MILLION - p.budgets.minCapacity()) / Budgets.MILLION - lost;
-        var sizes = new ArrayList<Long>();
-        nodes.forEach(j -> sizes.add(machines.get(j.request().machine()).capacity()));
-        sizes.sort(Comparator.naturalOrder());
-        int n = 0;
-        for (long size : sizes) {
-            room -= size;
-            if (room < 0) {
+    /** How many nodes, the smallest ones, may be out at once by the capacity that must serve. */
+    private int slotsByCapacity(List<Job> nodes) {
+        long total = machines.values().stream().filter(Machine::isNode).mapToLong(Machine::capacity).sum();
+        long lost = lostMachines.stream().map(machines::get).filter(Machine::isNode).mapToLong(Machine::capacity)
+                .sum();
+        long spare = total * (Budgets.MILLION - problem.budgets.minCapacity()) / Budgets.MILLION - lost;
+        var capacities = new ArrayList<Long>();
+        nodes.forEach(job -> capacities.add(machine(job).capacity()));
+        capacities.sort(Comparator.naturalOrder());
+        int slots = 0;
+        for (long capacity : capacities) {
+            spare -= capacity;
+            if (spare < 0) {
                 break;
             }
-            n++;
+            slots++;
+        }
+        return slots;
+    }
+
+    private long longestChain() {
+        long longest = 0;
+        Map<String, Long> known = new HashMap<>();
+        for (Job job : problem.jobs) {
+            longest = Math.max(longest, chainMillis(job, known, new HashSet<>()));
         }
-        return n;
+        return longest;
     }
 
-    private static long chain(SchedulingProblem p, Job j, Map<String, Long> known, Set<String> path) {
-        String machine = j.request().machine();
+    /** The time of a job and of those that come before it, one after another. */
+    private long chainMillis(Job job, Map<String, Long> known, Set<String> path) {
+        String machine = job.request().machine();
         if (known.containsKey(machine) || !path.add(machine)) {
             return known.getOrDefault(machine, 0L);
         }
         long before = 0;
-        for (String a : p.predecessors(j)) {
-            for (Job k : p.jobs) {
-                if (k.request().machine().equals(a)) {
-                    before = Math.max(before, chain(p, k, known, path));
+        for (String predecessor : problem.predecessors(job)) {
+            for (Job other : problem.jobs) {
+                if (other.request().machine().equals(predecessor)) {
+                    before = Math.max(before, chainMillis(other, known, path));
                 }
             }
         }
-        known.put(machine, before + j.outageMillis());
-        return before + j.outageMillis();
+        known.put(machine, before + job.outageMillis());
+        return before + job.outageMillis();
     }
 }
--- a/src/main/java/wallmoor/maintenance/SchedulingProblem.java
+++ b/src/main/java/wallmoor/maintenance/SchedulingProblem.java
@@ -6,70 +6,78 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Predicate;
 import wallmoor.maintenance.Machine.MachinePhase;
 
-/** What is to be planned: jobs, and who is out meanwhile until when. */
+/** What is to be scheduled: jobs, and the machines that are out meanwhile, and until when. */
 final class SchedulingProblem {
-    /** What never ends. */
+    /** The time of what never happens. */
     static final long NEVER = Long.MAX_VALUE;
+    /** Index of a machine that is not in the fleet. */
+    static final int UNKNOWN_MACHINE = -1;
 
-    /** One wish that is not begun. @param place of its machine in the fleet, or -1 */
-    record Job(MaintenanceRequest request, int machineIndex, long outageMillis) {}
+    /** A request that has not begun. @param machineIndex in the fleet, or -1 */
+    record Job(MaintenanceRequest request, int machineIndex, long outageMillis) {
+        boolean hasDeadline() {
+            return request.deadline() != MaintenanceRequest.NO_DEADLINE;
+        }
+    }
 
-    /** A machine out of service for another reason. @param until it is back, or {@link #NEVER} */
+    /**
+     * A machine that is out of service for another reason, or in slow start.
+     *
+     * @param capacityShare that it gives, in millionths
+     * @param until         when it is back, or {@link #NEVER}
+     */
     record ExistingOutage(String machine, int machineIndex, long capacityShare, long until) {}
 
     final long now;
-    /** With the blocks alone that may stand against a job. */
+    /** With the blocks alone that can constrain a job. */
     final FleetSnapshot fleet;
-    final FleetSnapshot whole;
+    final FleetSnapshot completeFleet;
     final Budgets budgets;
     final PrecedenceGraph precedence;
     final List<Job> jobs = new ArrayList<>();
     final List<ExistingOutage> outages = new ArrayList<>();
-    private final Map<String, Job> byMachine = new HashMap<>();
-    private final Set<String> done = new HashSet<>();
+    private final Map<String, Job> jobByMachine = new HashMap<>();
+    private final Set<String> doneMachines = new HashSet<>();
 
     /**
-     * The wishes, in order, that are not begun of these standings, and those that are.
+     * The problem of scheduling those of the requests, in this order, that have not begun.
      *
-     * @param healed whether what is out by itself, or overdue, is taken for back
+     * @param recovered whether machines out by themselves, or overdue, are taken to be back
      */
-    SchedulingProblem(long now, List<RequestStatus> all, FleetSnapshot fleet, Budgets budgets, boolean healed) {
+    SchedulingProblem(long now, List<RequestStatus> statuses, FleetSnapshot fleet, Budgets budgets,
+            boolean recovered) {
         this.now = now;
         this.budgets = budgets;
-        this.precedence = PrecedenceGraph.of(all);
-        Map<String, Integer> places = new HashMap<>();
-        for (Machine m : fleet.machines()) {
-            places.put(m.id(), places.size());
-        }
+        this.precedence = PrecedenceGraph.of(statuses);
+        Map<String, Integer> indexById = fleet.indexById();
         Set<String> begun = new HashSet<>();
-        for (RequestStatus s : all) {
-            String id = s.request().machine();
-            int place = places.getOrDefault(id, -1);
-            if (s.stage().isOut()) {
+        for (RequestStatus status : statuses) {
+            String id = status.request().machine();
+            int index = indexById.getOrDefault(id, UNKNOWN_MACHINE);
+            if (status.stage().isOut()) {
                 begun.add(id);
-                if (place >= 0) {
-                    outages.add(new ExistingOutage(id, place, 0, until(s, fleet.machines().get(place), healed)));
+                if (index != UNKNOWN_MACHINE) {
+                    outages.add(new ExistingOutage(id, index, 0,
+                            returnTime(status, fleet.machines().get(index), recovered)));
                 }
-            } else if (!s.stage().isFinal()) {
-                Job job = new Job(s.request(), place, budgets.outageMillis(s.request()));
+            } else if (!status.stage().isFinal()) {
+                Job job = new Job(status.request(), index, budgets.outageMillis(status.request()));
                 jobs.add(job);
-                byMachine.put(id, job);
-            } else if (s.stage() == MaintenanceStage.DONE) {
-                done.add(id);
+                jobByMachine.put(id, job);
+            } else if (status.stage() == MaintenanceStage.DONE) {
+                doneMachines.add(id);
             }
         }
-        for (Machine m : fleet.machines()) {
-            boolean cold = m.phase() == MachinePhase.SERVING && m.isNode()
-                    && m.servingMillis() < budgets.slowStartMillis();
-            if (!begun.contains(m.id()) && (cold || m.phase() != MachinePhase.SERVING && !healed)) {
-                outages.add(new ExistingOutage(m.id(), places.get(m.id()), budgets.capacityShare(m),
-                        cold ? now + budgets.slowStartMillis() - m.servingMillis() : NEVER));
+        for (Machine machine : fleet.machines()) {
+            if (!begun.contains(machine.id())) {
+                addOwnOutage(machine, indexById.get(machine.id()), recovered);
             }
         }
-        this.whole = fleet;
-        this.fleet = relevant(fleet);
+        this.completeFleet = fleet;
+        this.fleet = withConstrainingBlocks(fleet);
     }
 
     private SchedulingProblem(SchedulingProblem of, List<Job> some) {
@@ -78,51 +86,68 @@
         precedence = of.precedence;
         outages.addAll(of.outages);
         jobs.addAll(some);
-        some.forEach(j -> byMachine.put(j.request().machine(), j));
-        done.addAll(of.done);
-        whole = of.whole;
-        fleet = relevant(of.fleet);
+        some.forEach(job -> jobByMachine.put(job.request().machine(), job));
+        doneMachines.addAll(of.doneMachines);
+        completeFleet = of.completeFleet;
+        fleet = withConstrainingBlocks(of.fleet);
     }
 
-    /** The same of some jobs alone. Pins to others stand for nothing. */
+    /** The same problem for some of its jobs. Precedences of others mean nothing. */
     SchedulingProblem of(List<Job> some) {
         return new SchedulingProblem(this, some);
     }
 
-    /** Machines that a job waits for. */
+    /** A machine in slow start, or out by itself. */
+    private void addOwnOutage(Machine machine, int index, boolean recovered) {
+        boolean serving = machine.phase() == MachinePhase.SERVING;
+        boolean slowStart = serving && machine.isNode() && machine.servingMillis() < budgets.slowStartMillis();
+        if (slowStart || !serving && !recovered) {
+            long until = slowStart ? now + budgets.slowStartMillis() - machine.servingMillis() : NEVER;
+            outages.add(new ExistingOutage(machine.id(), index, budgets.capacityShare(machine), until));
+        }
+    }
+
+    /** Machines that must be done before a job starts. */
     List<String> predecessors(Job job) {
+        List<String> failed = precedence.failed(job.request());
         return precedence.predecessors(job.request().machine()).stream()
-                .filter(a -> byMachine.containsKey(a) || isFixed(a)
-                        || precedence.failed(job.request()).contains(a))
-                .filter(a -> !done.contains(a) || byMachine.containsKey(a))
-                .toList();
+                .filter(m -> jobByMachine.containsKey(m) || isOut(m) || failed.contains(m))
+                .filter(m -> !doneMachines.contains(m) || jobByMachine.containsKey(m)).toList();
+    }
+
+    /** Those of the predecessors whose precedence counts. */
+    List<String> predecessors(Job job, Predicate<MaintenanceConstraint> enforced) {
+        return predecessors(job).stream()
+                .filter(m -> enforced.test(MaintenanceConstraint.precedence(m, job.request().machine()))).toList();
     }
 
-    private boolean isFixed(String machine) {
-        return outages.stream().anyMatch(f -> f.machine().equals(machine));
+    private boolean isOut(String machine) {
+        return outages.stream().anyMatch(outage -> outage.machine().equals(machine));
     }
 
-    private long until(RequestStatus s, Machine m, boolean healed) {
-        long age = Math.max(0, now - s.since());
-        long after = budgets.slowStartMillis() + budgets.observationMillis();
-        return now + switch (s.stage()) {
-            case DRAINING -> Math.max(0, budgets.partTimeoutMillis() - age) + s.request().workMillis() + after;
-            case OUT -> Math.max(0, s.request().workMillis() - age) + after;
-            case RETURNING -> after;
+    private long returnTime(RequestStatus status, Machine machine, boolean recovered) {
+        long age = Math.max(0, now - status.since());
+        long work = status.request().workMillis();
+        long afterWork = budgets.slowStartMillis() + budgets.observationMillis();
+        return now + switch (status.stage()) {
+            case DRAINING -> Math.max(0, budgets.partTimeoutMillis() - age) + work + afterWork;
+            case OUT -> Math.max(0, work - age) + afterWork;
+            case RETURNING -> afterWork;
             case WARM -> Math.max(0, budgets.observationMillis() - age);
-            default -> healed || s.returned() && m.phase() != MachinePhase.AWAY ? after : NEVER - now;
+            default -> recovered || status.returned() && machine.phase() != MachinePhase.AWAY ? afterWork
+                    : NEVER - now;
         };
     }
 
     /** Without the blocks that always keep a holder: those with one that is in no job and not out. */
-    private FleetSnapshot relevant(FleetSnapshot of) {
-        Set<String> maybe = new HashSet<>(byMachine.keySet());
-        outages.forEach(f -> maybe.add(f.machine()));
-        List<BlockHolders> bound = of.blocks().stream()
-                .filter(b -> b.holders().stream().anyMatch(byMachine::containsKey)
-                        && maybe.containsAll(b.holders()))
+    private FleetSnapshot withConstrainingBlocks(FleetSnapshot of) {
+        Set<String> mayGo = new HashSet<>(jobByMachine.keySet());
+        outages.forEach(outage -> mayGo.add(outage.machine()));
+        List<BlockHolders> constraining = of.blocks().stream()
+                .filter(b -> b.holders().stream().anyMatch(jobByMachine::containsKey)
+                        && mayGo.containsAll(b.holders()))
                 .toList();
-        return new FleetSnapshot(of.machines(), bound, of.reports(), of.expectedGatherers(), of.hasQuorum(),
+        return new FleetSnapshot(of.machines(), constraining, of.reports(), of.expectedGatherers(), of.hasQuorum(),
                 of.leader());
     }
 }
--- /dev/null
+++ b/src/main/java/wallmoor/maintenance/UnreadableMaintenanceException.java
@@ -0,0 +1,14 @@
+package wallmoor.maintenance;
+
+/** A version of the document {@code maintenance} cannot be decoded. */
+public final class UnreadableMaintenanceException extends IllegalArgumentException {
+    private static final long serialVersionUID = 1L;
+
+    UnreadableMaintenanceException(String message) {
+        super(message);
+    }
+
+    UnreadableMaintenanceException(String message, Throwable cause) {
+        super(message, cause);
+    }
+}
--- a/src/test/java/wallmoor/maintenance/MaintenancePlannerTest.java
+++ b/src/test/java/wallmoor/maintenance/MaintenancePlannerTest.java
@@ -147,15 +147,15 @@
             var all = wishes.stream().map(w -> RequestStatus.asked(w, 0)).toList();
             var p = new SchedulingProblem(0, all, f, b, false);
             if (answer instanceof Schedule order) {
-                assertTrue(ExhaustiveScheduler.possible(p, r -> true));
+                assertTrue(ExhaustiveScheduler.isFeasible(p, r -> true));
                 assertTrue(order.lowerBound() <= order.endsAt());
             } else {
                 Infeasible r = (Infeasible) answer;
                 assertTrue("seed " + seed + r + wishes + b,
-                        r.minimal() && !ExhaustiveScheduler.possible(p, r.conflict()::contains));
+                        r.minimal() && !ExhaustiveScheduler.isFeasible(p, r.conflict()::contains));
                 r.conflict()
                         .forEach(one -> assertTrue(
-                                ExhaustiveScheduler.possible(p, x -> !x.equals(one) && r.conflict().contains(x))));
+                                ExhaustiveScheduler.isFeasible(p, x -> !x.equals(one) && r.conflict().contains(x))));
                 refused++;
             }
         }
--- a/src/test/java/wallmoor/maintenance/MaintenanceSimulation.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceSimulation.java
@@ -139,12 +139,7 @@
             acting = next;
             next.requests().forEach((id, s) -> {
                 if (s.stage() == MaintenanceStage.DONE && before.requests().get(id).stage() != MaintenanceStage.DONE) {
-                    Box b = boxes.get(s.request().machine());
-                    assertTrue(
-                            b.up && b.listed
-                                    && (b.as.role() == MachineRole.GATHERER || b.served >= budgets.slowStartMillis()
-                                            + (skew == 0 && steps > 0 ? budgets.observationMillis() : 0)),
-                            id + " is not done");
+                    assertTrue(isDoneInTruth(boxes.get(s.request().machine())), id + " is not done");
                 }
             });
         }
@@ -156,6 +151,22 @@
         });
     }
 
+    private boolean isDoneInTruth(Box b) {
+        long observed = skew == 0 && steps > 0 ? budgets.observationMillis() : 0;
+        return b.up && b.listed
+                && (b.as.role() == MachineRole.GATHERER || b.served >= budgets.slowStartMillis() + observed);
+    }
+
+    /** A gatherer may send a part to a node that it does not avoid. */
+    private void send(String gatherer, Gate g, String machine, Box b) {
+        if (b.as.role() == MachineRole.NODE && !g.heeds.contains(machine)) {
+            assertTrue(b.backAt == 0 || b.listed, gatherer + " sends to " + machine + ", which is worked on");
+            if (b.up && random.nextBoolean()) {
+                g.parts.add(Map.entry(machine, now + 1 + random.nextInt((int) PART)));
+            }
+        }
+    }
+
     private void traffic(String id, Gate g) {
         Box own = boxes.get(id);
         g.parts.removeIf(p -> p.getValue() <= now);
@@ -172,14 +183,7 @@
             g.silentSince = 0;
         }
         if (own.up && (g.silentSince == 0 || now < g.silentSince + LEASE)) {
-            boxes.forEach((m, b) -> {
-                if (b.as.role() == MachineRole.NODE && !g.heeds.contains(m)) {
-                    assertTrue(b.backAt == 0 || b.listed, id + " sends to " + m + ", which is worked on");
-                }
-                if (b.as.role() == MachineRole.NODE && b.up && !g.heeds.contains(m) && random.nextBoolean()) {
-                    g.parts.add(Map.entry(m, now + 1 + random.nextInt((int) PART)));
-                }
-            });
+            boxes.forEach((m, b) -> send(id, g, m, b));
         }
         if (g.silentSince == 0) {
             Map<String, Integer> out = new HashMap<>();
--- a/src/test/java/wallmoor/maintenance/MaintenanceStateMachineTest.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceStateMachineTest.java
@@ -93,7 +93,8 @@
     public void theNextDoesNotBeginWithTheVersionThatEndsTheOneBefore() {
         MaintenanceState s = ask(MaintenanceState.EMPTY, 0, wish("a"), wish("b"));
         s = new MaintenanceState(
-                Map.of("w-a", s.requests().get("w-a").at(MaintenanceStage.WARM, 0, List.of()).incarnation("0"), "w-b",
+                Map.of("w-a", s.requests().get("w-a").at(MaintenanceStage.WARM, 0, List.of()).withIncarnation("0"),
+                        "w-b",
                         s.requests().get("w-b").at(MaintenanceStage.PLANNED, 0, List.of())).entrySet().stream()
                         .collect(java.util.stream.Collectors.toMap(
                                 Map.Entry::getKey, Map.Entry::getValue, (x, y) -> x, java.util.TreeMap::new)),
