--- a/src/main/java/wallmoor/service/Operations.java
+++ b/src/main/java/wallmoor/service/Operations.java
@@ -4,12 +4,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.function.BooleanSupplier;
-import java.util.function.Consumer;
 import java.util.function.Supplier;
 import org.slf4j.LoggerFactory;
 import wallmoor.bans.BanRegister;
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.Gatherer;
+import wallmoor.core.GathererControl;
 import wallmoor.core.MonotonicClock;
 import wallmoor.metrics.GathererMetrics;
 import wallmoor.operator.BanFile;
@@ -24,7 +24,6 @@
     Operations(LaunchConfig launch, Supplier<LaunchConfig> current, MonotonicClock clock, Gatherer gatherer,
             GathererMetrics figures,
             BooleanSupplier ready, Path shared) throws IOException {
-        Consumer<String> log = LoggerFactory.getLogger(OperatorServer.class)::info;
         address = new OperatorServer(launch.admin(), launch.mostCallers(), new OperatorControls() {
             @Override
             public boolean isReady() {
@@ -33,20 +32,20 @@
 
             @Override
             public String metricsText() {
-                Gatherer.WorkerCounts known = gatherer.workerCounts();
+                GathererControl.WorkerCounts known = gatherer.control().workerCounts();
                 return figures.render(current.get().inForce(), known.known(), known.excluded());
             }
 
             @Override
             public boolean isKnownWorker(String id) {
-                return gatherer.isKnownWorker(id);
+                return gatherer.control().isKnownWorker(id);
             }
 
             @Override
             public void setBanned(String id, boolean out) {
-                gatherer.setBanned(id, out);
+                gatherer.control().setBanned(id, out);
             }
-        }, new BanRegister(), shared == null ? null : new BanFile(shared, log), clock, log);
+        }, new BanRegister(), shared == null ? null : new BanFile(shared), clock);
     }
 
     /**
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -24,7 +24,8 @@
 import wallmoor.rules.RuleReader;
 import wallmoor.sources.EndpointUpdater;
 import wallmoor.upgrade.HeartbeatFiles;
-import wallmoor.upgrade.LiveProcesses;
+import wallmoor.upgrade.ProcessPosition;
+import wallmoor.upgrade.QuotaUser;
 
 /** A gatherer with all that its configuration switches on: made, started, told of changes, and told to leave. */
 public final class Service {
@@ -79,7 +80,7 @@
         nodes = CalendarNodes.of(launch, clock, operator, figures);
         rules = operator.rules() == null ? null : new RulesService(operator.rules(), launch, this::agreed);
         RuleReader acting = rules == null ? RuleReader.NONE : rules.reader();
-        inForce = new EffectiveSettings(launch, nodes.gatherer()::updateSettings,
+        inForce = new EffectiveSettings(launch, nodes.gatherer().control()::updateSettings,
                 () -> acting.effectiveRule("settings"),
                 line -> log.info(STATE, line));
         Consumer<String> platformLog = LoggerFactory.getLogger(PlatformFront.class)::info;
@@ -90,7 +91,7 @@
         features = operator.ogc() == null ? null : features(clock, acting);
         edge = operator.edge() == null ? null : new EdgeService(operator.edge(), launch, inForce::launch, clock, nodes);
         group = operator.fleet() == null ? null : new GroupService(operator.fleet(), launch, share -> {
-            nodes.gatherer().setFleetPosition(share.memberCount(), share.rank());
+            nodes.gatherer().control().setFleetPosition(share.memberCount(), share.rank());
             if (features != null) {
                 features.setFleetPosition(share.memberCount(), share.rank());
             }
@@ -98,11 +99,11 @@
         operations = launch.admin() == null ? null
                 : new Operations(launch, inForce::launch, clock, nodes.gatherer(), figures, () -> ready, shared);
         beats = shared == null || !launch.inherited() ? null : new HeartbeatFiles(shared, clock, new Open(),
-                this::together, log::info);
+                this::together);
     }
 
     /** Queries and parts held at once, which the settings bound for all processes of this gatherer together. */
-    private final class Open implements HeartbeatFiles.QuotaUser {
+    private final class Open implements QuotaUser {
         @Override
         public int limit() {
             return inForce.maxOpenOfAllProcesses();
@@ -125,17 +126,18 @@
     }
 
     /** Old and new process are one gatherer while both are there: each has its part of what that may hold and send. */
-    private void together(LiveProcesses.ProcessPosition now) {
+    private void together(ProcessPosition now) {
         platform.setProcessCount(now.count());
         if (group == null) {
             RoutingSettings s = launch.settings();
-            nodes.gatherer().setFleetPosition(s.gatherers() * now.count(), s.position() + s.gatherers() * now.index());
+            nodes.gatherer().control().setFleetPosition(s.gatherers() * now.count(),
+                    s.position() + s.gatherers() * now.index());
         }
     }
 
     private FeaturesFront features(MonotonicClock clock, RuleReader acting) throws IOException {
-        Consumer<String> featuresLog = LoggerFactory.getLogger(FeaturesFront.class)::info;
-        return new FeaturesFront(operator.ogc(), operator.summaries(), acting, launch, clock, featuresLog);
+        return new FeaturesFront(operator.ogc(), operator.summaries(), acting, launch, clock,
+                LoggerFactory.getLogger(FeaturesFront.class));
     }
 
     /** Begins to serve; beside a process that serves already, once the list is heard. */
--- a/src/test/java/wallmoor/net/WatchFixture.java
+++ b/src/test/java/wallmoor/net/WatchFixture.java
@@ -14,6 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.After;
 import org.junit.Before;
+import org.slf4j.helpers.NOPLogger;
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.Gatherer;
 import wallmoor.core.MonotonicClock;
@@ -22,6 +23,7 @@
 import wallmoor.core.Worker;
 import wallmoor.discovery.DiscoveryWatch;
 import wallmoor.endpoints.RegistryPolicy;
+import wallmoor.endpoints.SourcePolicy;
 import wallmoor.sources.EndpointUpdater;
 
 /**
@@ -109,12 +111,12 @@
     void start(String way) throws Exception {
         LaunchConfig launch = launch(discovery.port(), way);
         var clock = new MonotonicClock();
-        gatherer = new Gatherer(launch.settings(), launch.seed(), clock, line -> {});
+        gatherer = new Gatherer(launch.settings(), launch.seed(), clock, NOPLogger.NOP_LOGGER);
         watch = new DiscoveryWatch(launch, gatherer);
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
         timers.start();
-        var list = new RegistryPolicy.SourcePolicy("list", true, 0, 1, 1000);
+        var list = new SourcePolicy("list", true, 0, 1, 1000);
         new EndpointUpdater(RegistryPolicy.of(List.of(list)), clock, gatherer, List.of(watch)).start();
         a = assigned(0);
         b = assigned(1);
@@ -146,6 +148,6 @@
     }
 
     void awaitListed(int count) throws InterruptedException {
-        Program.await(count + " nodes listed", () -> gatherer.workerCounts().known() == count);
+        Program.await(count + " nodes listed", () -> gatherer.control().workerCounts().known() == count);
     }
 }
