--- a/src/bench/java/wallmoor/net/RulesRounds.java
+++ b/src/bench/java/wallmoor/net/RulesRounds.java
@@ -25,10 +25,10 @@
                 long begun = System.nanoTime() / 1_000;
                 group.all.get(4).propose(version, 20);
                 group.awaitAll(version, group.others());
-                millis.add((group.lastBegan(version) - begun) / 1e3);
+                millis.add((group.lastActivation(version) - begun) / 1e3);
                 Thread.sleep(200);
             }
-            for (RulesGroup.One o : group.all) {
+            for (RulesGroup.RulesGatherer o : group.all) {
                 String status = Files.readString(java.nio.file.Path.of("/proc/" + o.process.pid() + "/status"));
                 System.out.println("m" + o.number + " "
                         + status.lines().filter(l -> l.startsWith("VmRSS") || l.startsWith("Threads"))
--- a/src/bench/java/wallmoor/net/RulesStorm.java
+++ b/src/bench/java/wallmoor/net/RulesStorm.java
@@ -47,7 +47,7 @@
             Console first = group.all.get(3).propose(1, WAIT);
             baseline.write(0, 1);
             if (first.code() != 0) {
-                return "seed " + seed + " FAILED at its first proposal: " + first + group.told();
+                return "seed " + seed + " FAILED at its first proposal: " + first + group.describe();
             }
             var written = new AtomicLong(1);
             var writing = new Thread(() -> write(group, baseline, proposing, written, new Random(~seed)), "writing");
@@ -66,16 +66,16 @@
             }
             double back = (System.nanoTime() - healed) / 1e9;
             group.await("all act wholly", l -> l.acts() && l.from() == l.to(), group.others());
-            long worst = group.worst();
-            long beside = group.sideBySide();
+            long worst = group.longestContradictionMicros();
+            long beside = group.longestOverlapMicros();
             long[] others = baseline.worst();
             return String.format(Locale.ROOT,
                     "seed %d leases %.2f side by side %s versions %d of %d written, gossip %.2f files %.2f, "
                             + "a proposal acted after %s s%s",
-                    seed, worst / 1e6, beside <= 0 ? "never" : beside / 1e6, group.all.get(4).last.to(),
+                    seed, worst / 1e6, beside <= 0 ? "never" : beside / 1e6, group.all.get(4).lastObservation.to(),
                     written.get(), others[0] / 1e6, others[1] / 1e6,
                     last.code() == 0 ? String.format(Locale.ROOT, "%.1f", back) : "NONE",
-                    last.code() == 0 ? "" : last + group.told());
+                    last.code() == 0 ? "" : last + group.describe());
         } catch (AssertionError e) {
             return "seed " + seed + " FAILED: " + e.getMessage();
         } finally {
@@ -90,7 +90,7 @@
                 Thread.sleep(WRITE_MILLIS);
                 int number = (int) written.incrementAndGet();
                 int at = random.nextInt(FIVE);
-                proposing.execute(() -> group.all.get(at).proposed(number, 2));
+                proposing.execute(() -> group.all.get(at).proposeDirectly(number, 2));
                 proposing.execute(() -> baseline.write(at, number));
             }
         } catch (InterruptedException e) {
--- a/src/test/java/wallmoor/net/AgreedPruningTest.java
+++ b/src/test/java/wallmoor/net/AgreedPruningTest.java
@@ -179,14 +179,14 @@
             await(who, "summaries=0;basis=none", 0);
         }
         Thread.sleep(500); // promises are held by now, and the file names all sites
-        assertTrue(group.all.get(0).proposed(TWO, WAIT).contains("\"acts\""));
+        assertTrue(group.all.get(0).proposeDirectly(TWO, WAIT).contains("\"acts\""));
         for (int who : FRONTS) {
             await(who, "summaries=1;basis=version", 2);
         }
 
-        group.cutOff(3, true); // its lease holds up what is added
-        group.cutOff(3, false);
-        var second = CompletableFuture.supplyAsync(() -> group.all.get(0).proposed(OTHERS, WAIT));
+        group.isolate(3, true); // its lease holds up what is added
+        group.isolate(3, false);
+        var second = CompletableFuture.supplyAsync(() -> group.all.get(0).proposeDirectly(OTHERS, WAIT));
         for (int who : new int[] {0, 1}) {
             awaitAny("m" + who + " asks at once what is taken away, and what is added still",
                     p -> p.who == who && "summaries=1;to=2;basis=careful".equals(p.by) && p.pruned == 1);
@@ -197,7 +197,7 @@
         group.relay.heal();
         await(3, "summaries=2;basis=version", 3);
 
-        assertTrue(group.all.get(3).proposed(ONE, WAIT).contains("\"acts\""));
+        assertTrue(group.all.get(3).proposeDirectly(ONE, WAIT).contains("\"acts\""));
         long told = System.nanoTime();
         for (int who : FRONTS) {
             await(who, "summaries=3;basis=version", 1);
@@ -221,6 +221,6 @@
         fleet.processes[0].destroyForcibly().onExit().join(); // of a site that is asked
         String failed = head("GET");
         assertTrue(failed, failed.startsWith("HTTP/1.1 50") && failed.contains("\r\nWallmoor-Rules: summaries=3;"));
-        assertTrue("its line names it", group.all.get(0).said("left out 0, by summaries 0 (none)"));
+        assertTrue("its line names it", group.all.get(0).hasLogged("left out 0, by summaries 0 (none)"));
     }
 }
--- a/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
+++ b/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
@@ -151,25 +151,25 @@
         assertEquals(0, rebalance(2, "resume").code());
 
         int killed = group.leader();
-        group.cutOff(3, true); // its lease holds the next step up
+        group.isolate(3, true); // its lease holds the next step up
         int other = (killed + 1) % RulesGroup.VOTERS;
         group.await("a step is accepted and does not act", l -> l.to() > l.from(), other);
         group.all.get(killed).kill();
         group.relay.heal();
         a.destroyForcibly().onExit().join();
         a = mover(logOfA, other);
-        long seen = group.all.get(other).last.to();
+        long seen = group.all.get(other).lastObservation.to();
         group.await("its step or a rival's acts", l -> l.acts() && l.from() >= seen, other);
         group.all.get(killed).start();
         group.await("it is back", l -> l.acts() && l.from() >= seen, killed);
 
         int cut = group.leader();
-        group.cutOff(cut, true);
-        long before = group.all.get(3).last.from();
+        group.isolate(cut, true);
+        long before = group.all.get(3).lastObservation.from();
         // how soon the others find a leader is RulesTest's: here it is cut off for three terms at most
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(3 * TERM_MILLIS);
-        for (RulesGroup.Look l = group.all.get(3).last; System.nanoTime() < until
-                && (l == null || l.from() <= before); l = group.all.get(3).last) {
+        for (RulesGroup.RuleObservation l = group.all.get(3).lastObservation; System.nanoTime() < until
+                && (l == null || l.from() <= before); l = group.all.get(3).lastObservation) {
             Thread.sleep(20);
         }
         group.relay.heal();
@@ -189,6 +189,6 @@
     private String said() {
         return String.join("\n", logOfA) + "\n" + String.join("\n", logOfB) + "\n" + rebalance(3, "status").out()
                 + Arrays.toString(movers.stream().map(Process::isAlive).toArray())
-                + group.all.stream().map(o -> "\nm" + o.number + ' ' + o.last).collect(Collectors.joining());
+                + group.all.stream().map(o -> "\nm" + o.number + ' ' + o.lastObservation).collect(Collectors.joining());
     }
 }
--- a/src/test/java/wallmoor/net/RulesGroup.java
+++ b/src/test/java/wallmoor/net/RulesGroup.java
@@ -26,33 +26,33 @@
  */
 final class RulesGroup implements AutoCloseable {
     static final int VOTERS = 3;
-    private static final int LOOK_MILLIS = 20;
-    private static final long MOST_WAIT = TimeUnit.SECONDS.toNanos(30);
+    private static final int OBSERVE_MILLIS = 20;
+    private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     /** What one said that it goes by, at a time of the clock that all processes of a machine share. */
-    record Look(int who, long now, long until, long from, long to, boolean acts, String leader) {}
+    record RuleObservation(int who, long now, long until, long from, long to, boolean acts, String leader) {}
 
     final TcpRelay relay;
-    final List<One> all = new ArrayList<>();
+    final List<RulesGatherer> all = new ArrayList<>();
     private final Path folder;
     private final int voters;
     private final long termMillis;
     private final String document;
-    private final IntFunction<String> more;
-    private final List<Look> looks = Collections.synchronizedList(new ArrayList<>());
-    private volatile boolean ended;
+    private final IntFunction<String> moreSettings;
+    private final List<RuleObservation> observations = Collections.synchronizedList(new ArrayList<>());
+    private volatile boolean closed;
 
     /** One gatherer and what the log of each of its processes said. */
-    final class One {
+    final class RulesGatherer {
         private final List<List<String>> logs = new CopyOnWriteArrayList<>();
         final int number;
         final int port;
         final int control;
         final Path directory;
         Process process;
-        volatile Look last;
+        volatile RuleObservation lastObservation;
 
-        One(int number, int port) throws IOException {
+        RulesGatherer(int number, int port) throws IOException {
             control = Ports.free();
             this.number = number;
             this.port = port;
@@ -67,7 +67,7 @@
                     .append(termMillis)
                     .append("ms\n  directory: ").append(directory).append("\n  control: 127.0.0.1:").append(control)
                     .append('\n')
-                    .append(more.apply(number));
+                    .append(moreSettings.apply(number));
             Path operator = Files.writeString(folder.resolve("operator-m" + number + ".yaml"), file);
             process = Program.launch(Program.config("m" + number, Program.SEED + number, Ports.free(), 1, "", 1024),
                     operator);
@@ -80,7 +80,7 @@
         }
 
         /** Whether the process that runs said so: one before it may have said the same. */
-        boolean said(String text) {
+        boolean hasLogged(String text) {
             return List.of(logs.get(logs.size() - 1).toArray(String[]::new)).stream().anyMatch(l -> l.contains(text));
         }
 
@@ -99,12 +99,12 @@
          * The same beside other commands, which {@link Console} can't: what the control port answers, empty where it is
          * killed.
          */
-        String proposed(int number, int wait) {
-            return proposed("{\"limits.open\":" + (54 + number) + "}", wait);
+        String proposeDirectly(int number, int wait) {
+            return proposeDirectly("{\"limits.open\":" + (54 + number) + "}", wait);
         }
 
         /** A body of the group's document. */
-        String proposed(String body, int wait) {
+        String proposeDirectly(String body, int wait) {
             try (var asker = new Socket("127.0.0.1", control)) {
                 asker.setSoTimeout((int) TimeUnit.SECONDS.toMillis(wait + 10));
                 asker.getOutputStream()
@@ -117,8 +117,8 @@
             }
         }
 
-        private void watch() {
-            while (!ended) {
+        private void observe() {
+            while (!closed) {
                 try (var asker = new Socket("127.0.0.1", control)) {
                     asker.setSoTimeout((int) TimeUnit.SECONDS.toMillis(20)); // it may stand still
                     asker.getOutputStream().write(("{\"do\":\"show\",\"name\":\"" + document + "\"}\n")
@@ -126,14 +126,15 @@
                     byte[] said = asker.getInputStream().readAllBytes();
                     Json.Obj o = Json.object(said, 0, said.length);
                     String basis = o.text("basis");
-                    last = new Look(number, (long) o.number("now_us", 0), (long) o.number("until_us", 0),
+                    lastObservation = new RuleObservation(number, (long) o.number("now_us", 0),
+                            (long) o.number("until_us", 0),
                             (long) o.number("from", 0),
                             (long) o.number("to", 0), basis.equals("version") || basis.equals("careful"),
                             o.text("leader"));
-                    looks.add(last);
-                    Thread.sleep(LOOK_MILLIS);
+                    observations.add(lastObservation);
+                    Thread.sleep(OBSERVE_MILLIS);
                 } catch (IOException | Json.Malformed e) {
-                    last = null;
+                    lastObservation = null;
                     pause();
                 } catch (InterruptedException e) {
                     return;
@@ -143,9 +144,9 @@
 
         private void pause() {
             try {
-                Thread.sleep(LOOK_MILLIS);
+                Thread.sleep(OBSERVE_MILLIS);
             } catch (InterruptedException e) {
-                ended = true;
+                closed = true;
             }
         }
     }
@@ -164,7 +165,7 @@
     RulesGroup(Path folder, int count, int voters, long termMillis, String document, IntFunction<String> more)
             throws Exception {
         this.document = document;
-        this.more = more;
+        this.moreSettings = more;
         this.folder = folder;
         this.voters = voters;
         this.termMillis = termMillis;
@@ -174,9 +175,9 @@
         }
         relay = new TcpRelay(ports);
         for (int i = 0; i < count; i++) {
-            all.add(new One(i, ports.get(i)));
+            all.add(new RulesGatherer(i, ports.get(i)));
             all.get(i).start();
-            var watching = new Thread(all.get(i)::watch, "watch-m" + i);
+            var watching = new Thread(all.get(i)::observe, "watch-m" + i);
             watching.setDaemon(true);
             watching.start();
         }
@@ -200,7 +201,7 @@
     /** Who leads, as those say who have a lease. */
     int leader() throws InterruptedException {
         await("a leader is known", l -> l.acts(), 3);
-        return Integer.parseInt(all.get(3).last.leader().substring(1));
+        return Integer.parseInt(all.get(3).lastObservation.leader().substring(1));
     }
 
     /** All act wholly on a version, and know no later one. */
@@ -208,24 +209,25 @@
         await("all act on " + version, l -> l.acts() && l.from() == version && l.to() == version, who);
     }
 
-    void await(String what, Predicate<Look> is, int... who) throws InterruptedException {
-        long until = System.nanoTime() + MOST_WAIT;
+    void await(String what, Predicate<RuleObservation> is, int... who) throws InterruptedException {
+        long until = System.nanoTime() + MAX_WAIT_NANOS;
         for (int n : who) {
-            for (Look l = all.get(n).last; l == null || !is.test(l); l = all.get(n).last) {
+            for (RuleObservation l = all.get(n).lastObservation; l == null
+                    || !is.test(l); l = all.get(n).lastObservation) {
                 if (System.nanoTime() > until) {
-                    throw new AssertionError(what + ": m" + n + " holds " + l + told());
+                    throw new AssertionError(what + ": m" + n + " holds " + l + describe());
                 }
-                Thread.sleep(LOOK_MILLIS / 2);
+                Thread.sleep(OBSERVE_MILLIS / 2);
             }
         }
     }
 
     /** What each holds, answers to {@code explain} and has logged: for whoever must find why something did not come. */
-    String told() {
+    String describe() {
         var said = new StringBuilder();
-        for (One o : all) {
-            String explained = o.last == null ? "" : o.rules("explain", "--json").out();
-            said.append("\nm").append(o.number).append(' ').append(o.last).append('\n').append(explained)
+        for (RulesGatherer o : all) {
+            String explained = o.lastObservation == null ? "" : o.rules("explain", "--json").out();
+            said.append("\nm").append(o.number).append(' ').append(o.lastObservation).append('\n').append(explained)
                     .append(o.logs.stream().map(l -> String.join("\n", l.toArray(String[]::new)))
                             .collect(Collectors.joining("\n")));
         }
@@ -233,7 +235,7 @@
     }
 
     /** Cuts one off, the one way or the other: what it sends, or what is sent to it. */
-    void cutOff(int who, boolean sends) {
+    void isolate(int who, boolean sends) {
         for (int n : others(who)) {
             relay.fault(sends ? who : n, sends ? n : who, TcpRelay.Fault.CUT);
         }
@@ -243,51 +245,52 @@
      * How long anybody can have acted without heeding a version that another had been seen to heed, microseconds: who
      * was seen to act counts as acting until it was seen not to, or until the lease's end that it told.
      */
-    long worst() {
-        var judge = new InvariantChecker();
-        judged(judge, false);
-        return judge.longestContradiction();
+    long longestContradictionMicros() {
+        var checker = new InvariantChecker();
+        check(checker, false);
+        return checker.longestContradiction();
     }
 
     /** The same of versions gone by wholly, of what was seen alone; above 0 two were seen side by side. */
-    long sideBySide() {
-        var judge = new InvariantChecker();
-        judged(judge, true);
-        return judge.longestOverlap();
+    long longestOverlapMicros() {
+        var checker = new InvariantChecker();
+        check(checker, true);
+        return checker.longestOverlap();
     }
 
-    private void judged(InvariantChecker judge, boolean seenAlone) {
-        synchronized (looks) {
-            for (Look l : looks) {
+    private void check(InvariantChecker checker, boolean seenAlone) {
+        synchronized (observations) {
+            for (RuleObservation l : observations) {
                 if (l.acts()) {
-                    judge.startedActing(l.who(), l.now(), l.from(), l.to(), seenAlone ? l.now() + 1 : l.until());
+                    checker.startedActing(l.who(), l.now(), l.from(), l.to(), seenAlone ? l.now() + 1 : l.until());
                 } else {
-                    judge.stoppedActing(l.who(), l.now());
+                    checker.stoppedActing(l.who(), l.now());
                 }
             }
-            judge.end(System.nanoTime() / 1_000);
+            checker.end(System.nanoTime() / 1_000);
         }
     }
 
     /** When the last of all was first seen to go by a version wholly, microseconds of the machine's clock. */
-    long lastBegan(long version) {
-        synchronized (looks) {
+    long lastActivation(long version) {
+        synchronized (observations) {
             return all.stream()
-                    .mapToLong(o -> looks.stream().filter(l -> l.who() == o.number && l.acts() && l.from() == version)
-                            .mapToLong(Look::now).min().orElseThrow())
+                    .mapToLong(o -> observations.stream()
+                            .filter(l -> l.who() == o.number && l.acts() && l.from() == version)
+                            .mapToLong(RuleObservation::now).min().orElseThrow())
                     .max().orElseThrow();
         }
     }
 
     /** Looks that were taken. */
-    int looks() {
-        return looks.size();
+    int observations() {
+        return observations.size();
     }
 
     @Override
     public void close() {
-        ended = true;
-        for (One o : all) {
+        closed = true;
+        for (RulesGatherer o : all) {
             if (o.process != null) {
                 o.kill();
             }
--- a/src/test/java/wallmoor/net/RulesTest.java
+++ b/src/test/java/wallmoor/net/RulesTest.java
@@ -31,7 +31,7 @@
     private static final long TERM_MILLIS = 1_000;
     private static final int FIVE = 5;
     /** A change of leader takes 5 s; a machine that shares one core with another program took five times that. */
-    private static final int WAIT = 40;
+    private static final int WAIT_SECONDS = 40;
 
     @ClassRule
     public static final TemporaryFolder FOLDER = new TemporaryFolder();
@@ -39,7 +39,7 @@
     private static int version;
 
     @Rule
-    public final TestWatcher anew = new TestWatcher() {
+    public final TestWatcher restartAfterFailure = new TestWatcher() {
         @Override
         protected void failed(Throwable why, Description test) {
             stop();
@@ -54,7 +54,7 @@
             propose(3);
             group.awaitAll(1, group.others());
             Program.await("the gatherer takes its limit from there",
-                    () -> group.all.get(4).said("limits in force: open 55, attempts 4"));
+                    () -> group.all.get(4).hasLogged("limits in force: open 55, attempts 4"));
         }
     }
 
@@ -68,23 +68,24 @@
 
     /** The next version, by way of one of them. */
     private void propose(int at) throws Exception {
-        Console said = group.all.get(at).propose(++version, WAIT);
+        Console said = group.all.get(at).propose(++version, WAIT_SECONDS);
         for (int i = 0; i < 3 && said.toString().contains("no verdict came"); i++) { // on a slow machine, within a term
-            said = group.all.get(at).propose(++version, WAIT);
+            said = group.all.get(at).propose(++version, WAIT_SECONDS);
         }
-        assertTrue(said.code() == 0 ? "" : said + group.told(), said.code() == 0);
+        assertTrue(said.code() == 0 ? "" : said + group.describe(), said.code() == 0);
         assertTrue(said.out(), said.out().contains("state acts"));
     }
 
     private CompletableFuture<String> proposing(int at, int number, int wait) {
-        return CompletableFuture.supplyAsync(() -> group.all.get(at).proposed(number, wait));
+        return CompletableFuture.supplyAsync(() -> group.all.get(at).proposeDirectly(number, wait));
     }
 
     /** Nobody was seen to act beside another for longer than a term; and none wholly beside one that did not know. */
-    private void judge() {
-        assertTrue("looked " + group.looks() + " times", group.looks() > 300);
-        assertTrue("contradicted for " + group.worst() + " us", group.worst() <= TERM_MILLIS * 1_000);
-        assertTrue("side by side for " + group.sideBySide() + " us", group.sideBySide() <= 0);
+    private void checkInvariants() {
+        assertTrue("looked " + group.observations() + " times", group.observations() > 300);
+        assertTrue("contradicted for " + group.longestContradictionMicros() + " us",
+                group.longestContradictionMicros() <= TERM_MILLIS * 1_000);
+        assertTrue("side by side for " + group.longestOverlapMicros() + " us", group.longestOverlapMicros() <= 0);
     }
 
     @Test
@@ -92,7 +93,7 @@
         int before = version;
         for (boolean sends : new boolean[] {true, false}) {
             int cut = group.leader();
-            group.cutOff(cut, sends);
+            group.isolate(cut, sends);
             propose(4);
             group.awaitAll(version, group.others(cut));
             group.await("it has no lease", l -> !l.acts(), cut);
@@ -100,7 +101,7 @@
             group.relay.heal();
             group.awaitAll(version, group.others());
         }
-        judge();
+        checkInvariants();
         Console history = group.all.get(4).rules("history", "settings");
         assertEquals(history.toString(), version, history.out().lines().count());
         assertEquals(0, group.all.get(3).rules("rollback", "settings", "" + before).code());
@@ -111,10 +112,10 @@
     @Test
     public void aLeaderIsKilledBetweenAcceptedAndActingAndTheNextPausedPastItsLease() throws Exception {
         int killed = group.leader();
-        group.cutOff(3, true); // its lease holds the change up
-        CompletableFuture<String> next = proposing(4, ++version, WAIT);
+        group.isolate(3, true); // its lease holds the change up
+        CompletableFuture<String> next = proposing(4, ++version, WAIT_SECONDS);
         group.await("it is accepted", l -> l.to() == version, 4);
-        assertEquals(version - 1, group.all.get(4).last.from());
+        assertEquals(version - 1, group.all.get(4).lastObservation.from());
         group.all.get(killed).kill();
         group.relay.heal();
         assertTrue(next.get(), next.get().contains("\"acts\""));
@@ -127,7 +128,7 @@
         group.awaitAll(version, group.others(paused));
         Program.signal(group.all.get(paused).process, "CONT");
         group.awaitAll(version, group.others());
-        judge();
+        checkInvariants();
     }
 
     @Test
@@ -145,15 +146,15 @@
         assertTrue(fewer.get(), fewer.get().contains("\"unknown\""));
         group.relay.heal();
         group.awaitAll(version, group.others());
-        judge();
+        checkInvariants();
         CompletableFuture<String> third = proposing(4, ++version, 1);
         group.await("it is known", l -> l.to() == version, 4);
-        group.all.forEach(RulesGroup.One::kill);
+        group.all.forEach(RulesGroup.RulesGatherer::kill);
         third.get();
         Path torn = group.all.get(0).directory.resolve("log");
         Files.write(torn, new byte[] {0x57, 0x4d, 0x72, 0x31, 0, 0}, StandardOpenOption.APPEND);
         long grown = Files.size(torn);
-        for (RulesGroup.One o : group.all) {
+        for (RulesGroup.RulesGatherer o : group.all) {
             o.start();
         }
         group.awaitAll(version, group.others());
@@ -163,7 +164,7 @@
         }
         loseOne(1);
         damageOne(2);
-        judge();
+        checkInvariants();
     }
 
     /** A voter without its files votes for nobody until it has learned; then one of the others may go. */
@@ -173,8 +174,8 @@
             Files.delete(group.all.get(lost).directory.resolve(file));
         }
         group.all.get(lost).start();
-        Program.await("it learns", () -> group.all.get(lost).said("had nothing kept: learns"));
-        Program.await("it has learned", () -> group.all.get(lost).said("has learned what the other voters know"));
+        Program.await("it learns", () -> group.all.get(lost).hasLogged("had nothing kept: learns"));
+        Program.await("it has learned", () -> group.all.get(lost).hasLogged("has learned what the other voters know"));
         group.all.get(0).kill();
         propose(4);
         group.all.get(0).start();
@@ -191,7 +192,7 @@
         bytes[20] ^= 1;
         Files.write(log, bytes);
         group.all.get(damaged).start();
-        Program.await("it says so", () -> group.all.get(damaged).said("does not vote: in "));
+        Program.await("it says so", () -> group.all.get(damaged).hasLogged("does not vote: in "));
         propose(4);
         group.awaitAll(version, group.others());
     }
