--- a/src/test/java/wallmoor/net/WatchEndsTest.java
+++ b/src/test/java/wallmoor/net/WatchEndsTest.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.Test;
+import org.slf4j.helpers.NOPLogger;
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.Gatherer;
 import wallmoor.core.MonotonicClock;
@@ -63,11 +64,11 @@
     @Test
     public void aRevisionIsHeldOnlyOnceItsNewsWasTakenIn() throws Exception {
         LaunchConfig launch = launch(discovery.port(), "subscribe");
-        gatherer = new Gatherer(launch.settings(), launch.seed(), new MonotonicClock(), line -> {});
+        gatherer = new Gatherer(launch.settings(), launch.seed(), new MonotonicClock(), NOPLogger.NOP_LOGGER);
         watch = new DiscoveryWatch(launch, gatherer);
         var fails = new AtomicInteger(1);
         var taken = new ArrayList<WatchEvent>();
-        gatherer.start(List.of());
+        gatherer.control().start(List.of());
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
         timers.start();
--- a/src/test/java/wallmoor/net/WatchFixture.java
+++ b/src/test/java/wallmoor/net/WatchFixture.java
@@ -14,6 +14,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.After;
 import org.junit.Before;
+import org.slf4j.helpers.NOPLogger;
 import wallmoor.config.LaunchConfig;
 import wallmoor.core.Gatherer;
 import wallmoor.core.MonotonicClock;
@@ -110,7 +111,7 @@
     void start(String way) throws Exception {
         LaunchConfig launch = launch(discovery.port(), way);
         var clock = new MonotonicClock();
-        gatherer = new Gatherer(launch.settings(), launch.seed(), clock, line -> {});
+        gatherer = new Gatherer(launch.settings(), launch.seed(), clock, NOPLogger.NOP_LOGGER);
         watch = new DiscoveryWatch(launch, gatherer);
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
@@ -147,6 +148,6 @@
     }
 
     void awaitListed(int count) throws InterruptedException {
-        Program.await(count + " nodes listed", () -> gatherer.workerCounts().known() == count);
+        Program.await(count + " nodes listed", () -> gatherer.control().workerCounts().known() == count);
     }
 }
