--- a/src/main/java/wallmoor/service/WarmUp.java
+++ b/src/main/java/wallmoor/service/WarmUp.java
@@ -192,7 +192,7 @@
         }
 
         @Override
-        public void setSoTimeout(int millis) {
+        public synchronized void setSoTimeout(int millis) {
             in.timeout = millis;
         }
 
@@ -202,7 +202,7 @@
         }
 
         @Override
-        public void close() throws IOException {
+        public synchronized void close() throws IOException {
             in.close();
             out.close();
             super.close();
