--- a/src/main/java/wallmoor/decision/AttemptFeedback.java
+++ b/src/main/java/wallmoor/decision/AttemptFeedback.java
@@ -1,6 +1,8 @@
 package wallmoor.decision;
 
-/** What the policy learns from the end of an attempt: of the worker's latency and health, and of its class's latency. */
+/**
+ * What the policy learns from the end of an attempt: of the worker's latency and health, and of its class's latency.
+ */
 final class AttemptFeedback {
     private final PolicyContext context;
     private final LatencyEstimator estimator;
--- a/src/main/java/wallmoor/decision/AttemptSender.java
+++ b/src/main/java/wallmoor/decision/AttemptSender.java
@@ -25,8 +25,8 @@
     }
 
     /**
-     * Sends an attempt of a part to the best worker. A query that has ended has all its parts finished; one whose time is
-     * up was ended by {@link QueryCompletion#endIfTimeIsUp} before this.
+     * Sends an attempt of a part to the best worker. A query that has ended has all its parts finished; one whose time
+     * is up was ended by {@link QueryCompletion#endIfTimeIsUp} before this.
      *
      * @param hedged whether it may go out beside another attempt of the part
      * @return the attempt, or null if a rule forbids it or no worker may be sent to
--- a/src/main/java/wallmoor/decision/ClassLatencies.java
+++ b/src/main/java/wallmoor/decision/ClassLatencies.java
@@ -39,8 +39,8 @@
 
     /**
      * When the client sent its first attempt: its latency objective runs from there, and a retry that comes too late
-     * takes no work. First attempts all have the same time until their deadline; a marked retry with another one has what
-     * is left of the client's time-out. Where clients don't mark retries, each query counts as a first attempt.
+     * takes no work. First attempts all have the same time until their deadline; a marked retry with another one has
+     * what is left of the client's time-out. Where clients don't mark retries, each query counts as a first attempt.
      */
     long clientStartTime(long now, QueryArrived query, int place, RoutingSettings settings) {
         long left = query.deadline() - now;
--- a/src/main/java/wallmoor/decision/ConcurrencyLimit.java
+++ b/src/main/java/wallmoor/decision/ConcurrencyLimit.java
@@ -1,8 +1,8 @@
 package wallmoor.decision;
 
 /**
- * The number of parts in flight at which a worker's latency first rose above its best by
- * {@link TuningParameters#LIMIT_LATENCY_RISE}: an adaptive concurrency limit, found from latencies as TCP Vegas does. It
+ * The number of parts in flight at which a worker's latency first rose above its best by {@link
+ * TuningParameters#LIMIT_LATENCY_RISE}: an adaptive concurrency limit, found from latencies as TCP Vegas does. It
  * rejects nothing; the load that {@link RedundancyPlanner} reckons with is measured by it.
  */
 final class ConcurrencyLimit {
--- a/src/main/java/wallmoor/decision/ConnectTimeoutDetector.java
+++ b/src/main/java/wallmoor/decision/ConnectTimeoutDetector.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * The share of attempts whose connect timed out, by zone. Where every zone has many of them the network or this gatherer
- * is slow; where one has them and another has none, that zone is lost or cut off, and its workers are to blame.
+ * The share of attempts whose connect timed out, by zone. Where every zone has many of them the network or this
+ * gatherer is slow; where one has them and another has none, that zone is lost or cut off, and its workers are to
+ * blame.
  */
 final class ConnectTimeoutDetector {
     private final Map<Integer, MovingAverage> timeoutShare = new HashMap<>();
--- a/src/main/java/wallmoor/decision/LatencyEstimator.java
+++ b/src/main/java/wallmoor/decision/LatencyEstimator.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * What a report of this age still counts: all up to the latency objective, then half for each one more. Once nothing
-     * is sent, nothing is heard that could say better.
+     * What a report of this age still counts: all up to the latency objective, then half for each one more. Once
+     * nothing is sent, nothing is heard that could say better.
      */
     static double decay(long age, long latencyObjective) {
         return Math.pow(0.5, (double) Math.max(0, age - latencyObjective) / latencyObjective);
--- a/src/main/java/wallmoor/decision/OutlierDetector.java
+++ b/src/main/java/wallmoor/decision/OutlierDetector.java
@@ -105,10 +105,10 @@
     }
 
     /**
-     * Ejects a worker that has answered nothing since its oldest part became late. A slow worker goes on answering other
-     * parts, so this seldom acts on plain overload. Where one long part is all that is in flight, the silence has to
-     * last {@link TuningParameters#LONE_PART_SILENCE_FACTOR} times as long. When wrong, the worker misses a few parts
-     * until its next answer or trial.
+     * Ejects a worker that has answered nothing since its oldest part became late. A slow worker goes on answering
+     * other parts, so this seldom acts on plain overload. Where one long part is all that is in flight, the silence has
+     * to last {@link TuningParameters#LONE_PART_SILENCE_FACTOR} times as long. When wrong, the worker misses a few
+     * parts until its next answer or trial.
      */
     private void checkSilence(TrackedWorker worker) {
         double bound = worker.inFlight.size() > 1 ? 1 : TuningParameters.LONE_PART_SILENCE_FACTOR;
@@ -119,8 +119,8 @@
     }
 
     /**
-     * Marks late parts, which weigh on the worker's rank, and tells other gatherers of parts long in flight. A part of a
-     * second phase is late at half the time that is left to it.
+     * Marks late parts, which weigh on the worker's rank, and tells other gatherers of parts long in flight. A part of
+     * a second phase is late at half the time that is left to it.
      */
     private void markLateParts(TrackedWorker worker, boolean everythingSlow) {
         for (TrackedAttempt attempt : worker.inFlight) {
--- a/src/main/java/wallmoor/decision/QueryReplenisher.java
+++ b/src/main/java/wallmoor/decision/QueryReplenisher.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Keeps the timely attempts of a query up to what it needs: parts not sent yet come first, then retries of failed parts,
- * and hedged requests for late ones.
+ * Keeps the timely attempts of a query up to what it needs: parts not sent yet come first, then retries of failed
+ * parts, and hedged requests for late ones.
  */
 final class QueryReplenisher {
     private final PolicyContext context;
--- a/src/main/java/wallmoor/decision/RedundancyPlanner.java
+++ b/src/main/java/wallmoor/decision/RedundancyPlanner.java
@@ -5,8 +5,8 @@
 
 /**
  * How many parts to send where any n of k make a complete answer: the Dummy Queues policy of Zubeldia's "Delay-Optimal
- * Policies in Partial Fork-Join Systems with Redundancy and Random Slowdowns" (docs/design.md), with the paper's r*, and
- * the load measured by the {@link ConcurrencyLimit} of each worker.
+ * Policies in Partial Fork-Join Systems with Redundancy and Random Slowdowns" (docs/design.md), with the paper's r*,
+ * and the load measured by the {@link ConcurrencyLimit} of each worker.
  */
 final class RedundancyPlanner {
     private final PolicyContext context;
@@ -21,8 +21,8 @@
     }
 
     /**
-     * How many of these parts to send, where so many are needed: more than that only if the load leaves room for spares,
-     * and the workers of all of them are idle.
+     * How many of these parts to send, where so many are needed: more than that only if the load leaves room for
+     * spares, and the workers of all of them are idle.
      *
      * @param ranked the query's parts, best first
      */
--- a/src/main/java/wallmoor/decision/RetryBudget.java
+++ b/src/main/java/wallmoor/decision/RetryBudget.java
@@ -1,6 +1,8 @@
 package wallmoor.decision;
 
-/** The retry budget: retries within a window stay below a minimum and a share of what arrived within the same window. */
+/**
+ * The retry budget: retries within a window stay below a minimum and a share of what arrived within the same window.
+ */
 final class RetryBudget {
     private final PolicyContext context;
     /** Queries and parts that arrived. Counted a round short, so that what the platform counts is never less. */
--- a/src/main/java/wallmoor/decision/RoutingPolicy.java
+++ b/src/main/java/wallmoor/decision/RoutingPolicy.java
@@ -7,8 +7,8 @@
 /**
  * The routing policy of one gatherer: an event-driven state machine that decides which part of a query goes to which
  * worker, when it is sent again, and how the query ends (docs/design.md). It takes events with their time, in
- * microseconds of the caller's clock, and returns {@link RoutingActions}. Single-threaded, with no clock and no input or
- * output of its own: equal events after an equal start give equal actions.
+ * microseconds of the caller's clock, and returns {@link RoutingActions}. Single-threaded, with no clock and no input
+ * or output of its own: equal events after an equal start give equal actions.
  *
  * <p>This class dispatches the events; each concern has a module of its own, which it puts together. Events of one
  * moment are followed by {@link #onRoundEnd}, which decides the queries that they touched.
--- a/src/main/java/wallmoor/decision/SlowStart.java
+++ b/src/main/java/wallmoor/decision/SlowStart.java
@@ -99,8 +99,8 @@
 
     /**
      * Parts that this gatherer may send within the window: its share of what a warm worker carries, at this worker's
-     * warmth. A worker with a core and no queue serves a part in the typical latency at the latest. What a process before
-     * this one sent is not known: a worker older than this process waits until that has left the window.
+     * warmth. A worker with a core and no queue serves a part in the typical latency at the latest. What a process
+     * before this one sent is not known: a worker older than this process waits until that has left the window.
      */
     private double allowance(TrackedWorker worker) {
         RoutingSettings settings = context.settings();
--- a/src/main/java/wallmoor/decision/TrackedWorker.java
+++ b/src/main/java/wallmoor/decision/TrackedWorker.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 
 /**
- * What this gatherer knows of one worker: its entry in the list, its parts in flight, its latency and failures, and what
- * other gatherers told of it. Times are microseconds of the caller's clock. The modules of the policy read and change
- * it; {@link WorkerTable} holds it.
+ * What this gatherer knows of one worker: its entry in the list, its parts in flight, its latency and failures, and
+ * what other gatherers told of it. Times are microseconds of the caller's clock. The modules of the policy read and
+ * change it; {@link WorkerTable} holds it.
  */
 final class TrackedWorker {
     final String id;
--- a/src/main/java/wallmoor/decision/TuningParameters.java
+++ b/src/main/java/wallmoor/decision/TuningParameters.java
@@ -1,9 +1,9 @@
 package wallmoor.decision;
 
 /**
- * The tuned values of the policy, each with its unit and reason. A "latency" as a unit is the typical latency of a part:
- * of its class where a class is at hand, else of the first class in force. Values that the design page marks "ours"
- * were measured on the bench.
+ * The tuned values of the policy, each with its unit and reason. A "latency" as a unit is the typical latency of a
+ * part: of its class where a class is at hand, else of the first class in force. Values that the design page marks
+ * "ours" were measured on the bench.
  */
 final class TuningParameters {
     private TuningParameters() {}
--- a/src/main/java/wallmoor/decision/WarmThroughput.java
+++ b/src/main/java/wallmoor/decision/WarmThroughput.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Answers of one warm worker of this size within a time of this length (microseconds); a size above the mean promises
-     * nothing.
+     * Answers of one warm worker of this size within a time of this length (microseconds); a size above the mean
+     * promises nothing.
      */
     double answersWithin(long length, double size) {
         return Math.min(1, size / meanSize) * Math.max(peak, mean()) * length;
--- a/src/main/java/wallmoor/decision/WorkerListPolling.java
+++ b/src/main/java/wallmoor/decision/WorkerListPolling.java
@@ -1,8 +1,8 @@
 package wallmoor.decision;
 
 /**
- * Asks discovery for the list of workers, and again with exponential backoff and jitter until a watch of it stands. Owns
- * the timer {@link #TIMER}.
+ * Asks discovery for the list of workers, and again with exponential backoff and jitter until a watch of it stands.
+ * Owns the timer {@link #TIMER}.
  */
 final class WorkerListPolling {
     /** The token of its timer. */
--- a/src/test/java/wallmoor/decision/RoutingPolicyTest.java
+++ b/src/test/java/wallmoor/decision/RoutingPolicyTest.java
@@ -139,7 +139,8 @@
         harness.endAttempt(strict + "/5", 0, harness.workerOf(2), AttemptEndReason.ERROR, 1000);
         assertEquals(3, harness.actions("startAttempt").size());
         assertTrue(harness.actions("fail").contains("fail " + strict));
-        harness.policy.onSettingsChanged(harness.now, site.settings(), Set.of(0)); // the class whose times all are held against
+        // the class whose latency is the unit of the others
+        harness.policy.onSettingsChanged(harness.now, site.settings(), Set.of(0));
         String fresh = harness.query(1, 7);
         harness.endAttempt(fresh + "/7", 0, harness.workerOf(3), AttemptEndReason.OK, 1000);
         assertTrue(harness.actions("answer").contains("answer " + fresh + " true"));
--- a/src/test/java/wallmoor/decision/SlowStartSimulation.java
+++ b/src/test/java/wallmoor/decision/SlowStartSimulation.java
@@ -10,8 +10,8 @@
 
 /**
  * Many modules and the workers that they share on one simulated clock. The workers of the first cell die together and
- * come back in slow start, so that all demand for their shards waits for what the modules send them. Each worker keeps the times
- * at which parts reached it, and {@link #worstExcess} holds them against the bound that the settings state.
+ * come back in slow start, so that all demand for their shards waits for what the modules send them. Each worker keeps
+ * the times at which parts reached it, and {@link #worstExcess} holds them against the bound that the settings state.
  */
 final class SlowStartSimulation {
     static final long MS = 1000;
@@ -110,7 +110,10 @@
         return now >= begun + 11 * SECOND && now < begun + 18 * SECOND;
     }
 
-    /** The most by which any window at a worker in slow start lies above what the bound allows then; 0 or less where none does. */
+    /**
+     * The most by which any window at a worker in slow start lies above what the bound allows then; 0 or less where
+     * none does.
+     */
     double worstExcess() {
         return machines.values().stream().mapToDouble(SimulatedWorker::excess).max().orElse(0);
     }
--- a/src/test/java/wallmoor/decision/SlowStartTest.java
+++ b/src/test/java/wallmoor/decision/SlowStartTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Any number of modules that don't talk send a worker that is cold no more than the settings allow all of them together,
- * in whatever window: under a burst, with restarts of modules, slow first connections and lists that tell late.
+ * Any number of modules that don't talk send a worker that is cold no more than the settings allow all of them
+ * together, in whatever window: under a burst, with restarts of modules, slow first connections and lists that tell
+ * late.
  */
 class SlowStartTest {
     private static final int DAYS = 12;
