--- a/src/bench/java/wallmoor/rules/ContradictionBenchmark.java
+++ b/src/bench/java/wallmoor/rules/ContradictionBenchmark.java
@@ -43,47 +43,50 @@
 
     private static double[] play(String way, int count, int faults, long seed) {
         if (way.equals("leases")) {
-            var model = new RuleSimulation(VOTERS, count, LeaseTiming.defaults(), TICK, 0.1, seed);
+            var simulation = new RuleSimulation(VOTERS, count, LeaseTiming.defaults(), TICK, 0.1, seed);
             int[] n = {0};
-            return struck(model.world(), model.checker(), count, faults, seed, model::start, model::elect,
-                    () -> model.propose("{\"limits.open\": " + n[0]++ + "}", "{\"limits.open\": 0}"));
+            return struck(simulation.cluster(), simulation.checker(), count, faults, seed, simulation::start,
+                    simulation::elect,
+                    () -> simulation.propose("{\"limits.open\": " + n[0]++ + "}", "{\"limits.open\": 0}"));
         } else if (way.equals("last writer")) {
-            var model = new LastWriterWinsBaseline(count, TICK, seed);
-            return struck(model.world, model.judge, count, faults, seed, model::start, v -> {}, model::write);
+            var simulation = new LastWriterWinsBaseline(count, TICK, seed);
+            return struck(simulation.cluster, simulation.checker, count, faults, seed, simulation::start, v -> {},
+                    simulation::write);
         }
-        var model = new LocalFileBaseline(count, TICK, seed);
-        return struck(model.world, model.judge, count, faults, seed, model::start, v -> {}, model::write);
+        var simulation = new LocalFileBaseline(count, TICK, seed);
+        return struck(simulation.cluster, simulation.checker, count, faults, seed, simulation::start, v -> {},
+                simulation::write);
     }
 
-    private static double[] struck(SimulatedCluster world, InvariantChecker judge, int count, int faults, long seed,
+    private static double[] struck(SimulatedCluster cluster, InvariantChecker checker, int count, int faults, long seed,
             IntConsumer start,
             IntConsumer elect, Runnable propose) {
-        var nemesis = new FaultInjector(world, VOTERS, count, seed, start, elect);
-        nemesis.skewClocks(LeaseTiming.defaults().clockDrift());
+        var faultInjector = new FaultInjector(cluster, VOTERS, count, seed, start, elect);
+        faultInjector.skewClocks(LeaseTiming.defaults().clockDrift());
         IntStream.range(0, count).forEach(start);
         for (int i = 0; i < 12; i++) { // the first version acts before anything is struck
             propose.run();
-            world.run(1_000_000);
+            cluster.run(1_000_000);
         }
         for (int i = 0; i < faults; i++) {
             propose.run();
-            world.run(nemesis.nextPause());
-            nemesis.injectFault();
+            cluster.run(faultInjector.nextFaultDelay());
+            faultInjector.injectFault();
         }
-        judge.end(world.now());
-        return new double[] {judge.longestContradiction() / 1e6, judge.longestOverlap() / 1e6,
-            (double) judge.totalActing() / world.now() / count};
+        checker.end(cluster.now());
+        return new double[] {checker.longestContradiction() / 1e6, checker.longestOverlap() / 1e6,
+            (double) checker.totalActing() / cluster.now() / count};
     }
 
     private static void quiet(int count) {
-        var model = new RuleSimulation(VOTERS, count, LeaseTiming.defaults(), TICK, 0, 1);
-        model.startAll();
-        model.world().run(15_000_000);
+        var simulation = new RuleSimulation(VOTERS, count, LeaseTiming.defaults(), TICK, 0, 1);
+        simulation.startAll();
+        simulation.cluster().run(15_000_000);
         double[] took = new double[PROPOSALS];
         long sent = System.nanoTime();
         for (int p = 0; p < PROPOSALS; p++) {
-            took[p] = toActing(model, p, 0, count) / 1e3;
-            model.world().run(300_000 + model.world().random().nextLong(1_000_000));
+            took[p] = toActing(simulation, p, 0, count) / 1e3;
+            simulation.cluster().run(300_000 + simulation.cluster().random().nextLong(1_000_000));
         }
         Arrays.sort(took);
         System.out.println(String.format(Locale.ROOT,
@@ -91,44 +94,44 @@
                         + "s of processor)",
                 PROPOSALS, took[PROPOSALS / 2], took[PROPOSALS * 99 / 100], took[PROPOSALS - 1],
                 (System.nanoTime() - sent) / 1e9));
-        leaderKilled(model, count);
+        leaderKilled(simulation, count);
     }
 
     /** From a proposal until all from this one on go wholly by it, microseconds. */
-    private static long toActing(RuleSimulation model, int open, int first, int count) {
-        long before = model.latestAccepted();
-        long begun = model.world().now();
-        while (!model.propose("{\"limits.open\": " + open + "}", "{\"limits.open\": 0}")) {
-            model.world().run(1_000);
+    private static long toActing(RuleSimulation simulation, int open, int first, int count) {
+        long before = simulation.latestAccepted();
+        long begun = simulation.cluster().now();
+        while (!simulation.propose("{\"limits.open\": " + open + "}", "{\"limits.open\": 0}")) {
+            simulation.cluster().run(1_000);
         }
-        while (!(model.latestAccepted() > before
+        while (!(simulation.latestAccepted() > before
                 && IntStream.range(first, count)
-                        .allMatch(i -> model.effectiveRule(i).activeVersion() == model.latestAccepted()
-                                && model.effectiveRule(i).basis() == EffectiveRule.Basis.VERSION))) {
-            model.world().run(1_000);
+                        .allMatch(i -> simulation.effectiveRule(i).activeVersion() == simulation.latestAccepted()
+                                && simulation.effectiveRule(i).basis() == EffectiveRule.Basis.VERSION))) {
+            simulation.cluster().run(1_000);
         }
-        return model.world().now() - begun;
+        return simulation.cluster().now() - begun;
     }
 
-    private static void leaderKilled(RuleSimulation model, int count) {
-        model.elect(0);
-        model.world().run(7_000_000);
-        model.world().kill(0);
-        model.world().run(20_000);
-        long took = toActing(model, 1, 1, count);
-        long again = toActing(model, 2, 1, count);
-        model.elect(1);
-        model.world().run(7_000_000);
-        model.world().kill(1);
+    private static void leaderKilled(RuleSimulation simulation, int count) {
+        simulation.elect(0);
+        simulation.cluster().run(7_000_000);
+        simulation.cluster().kill(0);
+        simulation.cluster().run(20_000);
+        long took = toActing(simulation, 1, 1, count);
+        long again = toActing(simulation, 2, 1, count);
+        simulation.elect(1);
+        simulation.cluster().run(7_000_000);
+        simulation.cluster().kill(1);
         long unsure = 0;
         long samples = 0;
-        for (int i = 0; i < 200; i++, model.world().run(100_000)) {
+        for (int i = 0; i < 200; i++, simulation.cluster().run(100_000)) {
             if (i == 30) {
-                model.start(0);
-                model.start(1);
+                simulation.start(0);
+                simulation.start(1);
             }
             unsure += IntStream.range(2, count)
-                    .filter(n -> model.effectiveRule(n).basis() == EffectiveRule.Basis.FALLBACK).count();
+                    .filter(n -> simulation.effectiveRule(n).basis() == EffectiveRule.Basis.FALLBACK).count();
             samples += count - 2;
         }
         System.out.println(String.format(Locale.ROOT,
--- a/src/bench/java/wallmoor/rules/LastWriterWinsBaseline.java
+++ b/src/bench/java/wallmoor/rules/LastWriterWinsBaseline.java
@@ -24,41 +24,41 @@
         @Override
         public void onTick(long now) {
             for (int i = 0; ticks % TICKS == 0 && i < FAN_OUT; i++) {
-                world.send(number, world.random().nextInt(newest.length), newest[number]);
+                cluster.send(number, cluster.random().nextInt(newest.length), newest[number]);
             }
             ticks++;
         }
     }
 
-    final SimulatedCluster world;
-    final InvariantChecker judge = new InvariantChecker();
+    final SimulatedCluster cluster;
+    final InvariantChecker checker = new InvariantChecker();
     private final long[] newest;
 
     LastWriterWinsBaseline(int count, long tick, long seed) {
         newest = new long[count];
-        world = new SimulatedCluster(count, tick, seed, this);
+        cluster = new SimulatedCluster(count, tick, seed, this);
     }
 
     void start(int number) {
-        world.start(number, life -> new Gossiper(number));
+        cluster.start(number, incarnation -> new Gossiper(number));
     }
 
     /** Somebody writes the next after what is known there. */
     void write() {
-        int at = world.random().nextInt(newest.length);
-        if (world.isRunning(at)) {
+        int at = cluster.random().nextInt(newest.length);
+        if (cluster.isRunning(at)) {
             newest[at] = (newest[at] / newest.length + 1) * newest.length + at;
-            onStep(at, world.now());
+            onStep(at, cluster.now());
         }
     }
 
     @Override
     public void onStep(int node, long at) {
-        judge.startedActing(node, at, newest[node], newest[node], Long.MAX_VALUE);
+        checker.startedActing(node, at, newest[node], newest[node], Long.MAX_VALUE);
     }
 
     @Override
     public void onStopped(int node, long at) {
-        judge.stoppedActing(node, at);
+        checker.stoppedActing(node, at);
     }
 }
--- a/src/bench/java/wallmoor/rules/LocalFileBaseline.java
+++ b/src/bench/java/wallmoor/rules/LocalFileBaseline.java
@@ -27,7 +27,7 @@
         @Override
         public void onTick(long now) {
             if (readAt == Long.MIN_VALUE) {
-                readAt = now - world.random().nextLong(EVERY);
+                readAt = now - cluster.random().nextLong(EVERY);
                 acts[number] = file[number]; // a start reads it too
             }
             if (now - readAt >= EVERY) {
@@ -39,15 +39,15 @@
                 changed = false;
                 for (int i = 1; i < file.length; i++) {
                     if (file[i] < file[0]) {
-                        world.send(0, i, file[0]);
+                        cluster.send(0, i, file[0]);
                     }
                 }
             }
         }
     }
 
-    final SimulatedCluster world;
-    final InvariantChecker judge = new InvariantChecker();
+    final SimulatedCluster cluster;
+    final InvariantChecker checker = new InvariantChecker();
     private final long[] file;
     private final long[] acts;
     private boolean changed;
@@ -55,16 +55,16 @@
     LocalFileBaseline(int count, long tick, long seed) {
         file = new long[count];
         acts = new long[count];
-        world = new SimulatedCluster(count, tick, seed, this);
+        cluster = new SimulatedCluster(count, tick, seed, this);
     }
 
     void start(int number) {
-        world.start(number, life -> new Reader(number));
+        cluster.start(number, incarnation -> new Reader(number));
     }
 
     /** The next file is put where it is copied from. */
     void write() {
-        if (world.isRunning(0)) {
+        if (cluster.isRunning(0)) {
             file[0]++;
             changed = true;
         }
@@ -72,11 +72,11 @@
 
     @Override
     public void onStep(int node, long at) {
-        judge.startedActing(node, at, acts[node], acts[node], Long.MAX_VALUE);
+        checker.startedActing(node, at, acts[node], acts[node], Long.MAX_VALUE);
     }
 
     @Override
     public void onStopped(int node, long at) {
-        judge.stoppedActing(node, at);
+        checker.stoppedActing(node, at);
     }
 }
--- a/src/main/java/wallmoor/service/EffectiveSettings.java
+++ b/src/main/java/wallmoor/service/EffectiveSettings.java
@@ -2,97 +2,100 @@
 
 import java.util.List;
 import java.util.Set;
-import java.util.function.Consumer;
 import java.util.function.Supplier;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.slf4j.Marker;
+import org.slf4j.MarkerFactory;
 import wallmoor.config.LaunchConfig;
 import wallmoor.decision.PlatformLimits;
 import wallmoor.decision.RoutingSettings;
+import wallmoor.log.Logging;
 import wallmoor.rules.EffectiveRule;
 
 /**
- * What the gatherer goes by: the settings of the file in force, lowered to what is agreed on, and of what all processes
- * of this gatherer may hold together this one's part. Each of the three changes at its own time. Here alone the
- * gatherer is told of settings, whole and under one lock: at no moment it goes by more than all three allow.
+ * The settings in effect: those of the configuration file, lowered by the agreed rule, and of the limits that all
+ * processes of this gatherer share, this process's quota. Each of the three changes at its own time. It alone updates
+ * the gatherer, with complete settings and under one lock, so that at no moment more is permitted than all three allow.
  */
 final class EffectiveSettings {
-    /** Who goes by them; settings that contradict themselves it refuses whole, by an IllegalArgumentException. */
+    private static final Logger LOG = LoggerFactory.getLogger(EffectiveSettings.class);
+    private static final Marker STATE = MarkerFactory.getMarker(Logging.STATE);
+
+    /** Receives the settings in effect; rejects contradictory ones with an IllegalArgumentException. */
     interface SettingsListener {
         /** As {@link wallmoor.core.Gatherer#updateSettings}. */
-        void settings(RoutingSettings next, List<String> classes, Set<Integer> vanished);
+        void onSettingsChanged(RoutingSettings next, List<String> classes, Set<Integer> vanished);
     }
 
-    /** So much this process may hold, of so much that all processes may hold together. */
+    /** This process may have {@code most} in flight of {@code all} that all processes may have together. */
     private record ProcessQuota(int most, int all) {
-        /** The same of another bound. */
-        int of(int other) {
-            return other == all ? most : (int) ((long) other * most / Math.max(1, all));
+        /** Returns the quota of another limit, in the same proportion. */
+        int of(int limit) {
+            return limit == all ? most : (int) ((long) limit * most / Math.max(1, all));
         }
     }
 
-    private final SettingsListener taker;
+    private final SettingsListener listener;
     private final Supplier<EffectiveRule> agreedRule;
-    private final Consumer<String> log;
     /** Written under the lock, read by every query. */
     private volatile LaunchConfig launch;
     private ProcessQuota processQuota = new ProcessQuota(1, 1);
-    /** Those of all processes together. */
+    /** Of all processes together; written under the lock. */
     private volatile PlatformLimits limits;
 
     /**
-     * Makes it; nothing is told before something changes.
+     * Creates them; the listener hears nothing before something changes.
      *
-     * @param start  what the taker was made with
-     * @param agreed what is agreed on just now of {@code settings}; asked at each change
-     * @param log    hears of limits that have changed
+     * @param start      the configuration that the listener was created with
+     * @param agreedRule the rule {@code settings} in effect, read at each change
      */
-    EffectiveSettings(LaunchConfig start, SettingsListener taker, Supplier<EffectiveRule> agreed,
-            Consumer<String> log) {
+    EffectiveSettings(LaunchConfig start, SettingsListener listener, Supplier<EffectiveRule> agreedRule) {
         launch = start;
         limits = start.settings().limits();
-        this.taker = taker;
-        this.agreedRule = agreed;
-        this.log = log;
+        this.listener = listener;
+        this.agreedRule = agreedRule;
     }
 
-    /** The start's configuration, as files read again have changed it. */
+    /** Returns the configuration as last reloaded. */
     LaunchConfig launch() {
         return launch;
     }
 
-    /** Queries and parts that all processes of this gatherer may hold together. */
+    /** Returns the queries and parts that all processes of this gatherer may have in flight together. */
     int maxOpenOfAllProcesses() {
         return limits.maxInFlight();
     }
 
     /**
-     * Another file holds from now on.
+     * The configuration was reloaded.
      *
-     * @throws IllegalArgumentException if its settings contradict themselves; nothing has changed then
+     * @throws IllegalArgumentException if its settings are contradictory; nothing has changed then
      */
-    synchronized void launch(LaunchConfig changed) {
-        publish(changed, processQuota);
-        launch = changed; // a query that finds a new class here finds it in the gatherer too
+    synchronized void onConfigReloaded(LaunchConfig reloaded) {
+        publish(reloaded, processQuota);
+        launch = reloaded; // after the gatherer: a query that finds a new class here finds it in the gatherer too
     }
 
-    /** Something else is agreed on. */
-    synchronized void agreedRule() {
+    /** The agreed rule in effect has changed. */
+    synchronized void onAgreedRuleChanged() {
         publish(launch, processQuota);
     }
 
-    /** This process may hold so many queries and parts from now on, where all processes may hold that. */
-    synchronized void processQuota(int most, int all) {
+    /** This process may have so much in flight from now on, of so much that all processes may have together. */
+    synchronized void onProcessQuotaChanged(int most, int all) {
         var changed = new ProcessQuota(most, all);
         publish(launch, changed);
         processQuota = changed;
     }
 
-    private void publish(LaunchConfig launch, ProcessQuota own) {
-        RoutingSettings all = AgreedLimits.of(launch.settings(), agreedRule.get());
-        RoutingSettings now = AgreedLimits.holding(all, own.of(all.limits().maxInFlight()));
-        taker.settings(now, launch.classes(), launch.vanished());
+    private void publish(LaunchConfig config, ProcessQuota quota) {
+        RoutingSettings all = AgreedLimits.lower(config.settings(), agreedRule.get());
+        RoutingSettings own = AgreedLimits.withMaxOpen(all, quota.of(all.limits().maxInFlight()));
+        listener.onSettingsChanged(own, config.classes(), config.vanished());
         if (!all.limits().equals(limits)) {
             limits = all.limits();
-            log.accept("limits in force: open " + limits.maxInFlight() + ", attempts " + limits.maxAttempts());
+            LOG.info(STATE, "limits in force: open {}, attempts {}", limits.maxInFlight(), limits.maxAttempts());
         }
     }
 }
--- a/src/main/java/wallmoor/service/EndpointPreview.java
+++ b/src/main/java/wallmoor/service/EndpointPreview.java
@@ -10,16 +10,20 @@
 import wallmoor.metrics.GathererMetrics;
 
 /**
- * The nodes as a gatherer started now would see them.
+ * The endpoints that a gatherer started now would use, for a command that shows them.
  *
- * @param allSourcesHeard whether every source was heard
+ * @param allSourcesHeard whether every source has answered
  */
 public record EndpointPreview(List<EndpointStatus> nodes, List<SourceStatus> sources,
         boolean allSourcesHeard) {
-    /** All changes of the first news are there by then. */
+    /** All changes of the sources' first answers have been applied by then. */
     private static final long SETTLE_MILLIS = 100;
 
-    /** Asks the sources for at most so many milliseconds; no query is taken and no node connected to. */
+    /**
+     * Polls the sources for at most {@code millis} milliseconds. No query is accepted and no node connected to.
+     *
+     * @throws Json.Malformed if the configuration's last known list is malformed
+     */
     public static EndpointPreview at(LaunchConfig launch, OperatorConfig operator, long millis)
             throws Json.Malformed, InterruptedException {
         var nodes = CalendarNodes.of(launch, new MonotonicClock(), operator, new GathererMetrics());
--- a/src/main/java/wallmoor/service/RulesService.java
+++ b/src/main/java/wallmoor/service/RulesService.java
@@ -14,50 +14,58 @@
 import wallmoor.rules.EffectiveRule;
 import wallmoor.rules.RuleReader;
 
-/** This gatherer's part in what all agree on, and its log: one line for each change of what it goes by. */
+/** This gatherer's part in the agreed rules: starts it, logs each change of a rule in effect, and closes it. */
 final class RulesService {
+    private static final Logger LOG = LoggerFactory.getLogger(RulesService.class);
     private static final Marker STATE = MarkerFactory.getMarker(Logging.STATE);
 
-    private final Logger log = LoggerFactory.getLogger(RulesService.class);
     private final RulesConfig config;
-    private final Runnable changed;
-    private final ConsensusService agreement;
+    private final Runnable onChange;
+    private final ConsensusService consensus;
     private final RulesControlServer control;
 
-    /** {@code changed} is told that something is gone by in another way; it must not wait for long. */
-    RulesService(RulesConfig config, LaunchConfig launch, Runnable changed) throws IOException {
+    /**
+     * Creates it; nothing runs before {@link #start}.
+     *
+     * @param onChange called on the consensus' thread when a rule in effect has changed; must not block for long
+     * @throws IOException if the stored state can't be read or the control port not be bound
+     */
+    RulesService(RulesConfig config, LaunchConfig launch, Runnable onChange) throws IOException {
         this.config = config;
-        this.changed = changed;
-        agreement = new ConsensusService(config, launch.name(), launch.seed(), this::changed,
-                line -> log.info(STATE, "rules: {}", line),
-                line -> log.warn("rules: {}", line));
-        control = config.control() == null ? null : new RulesControlServer(config.control(), launch.name(), agreement);
+        this.onChange = onChange;
+        consensus = new ConsensusService(config, launch.name(), launch.seed(), this::onRuleChanged,
+                line -> LOG.info(STATE, "rules: {}", line),
+                line -> LOG.warn("rules: {}", line));
+        control = config.control() == null ? null : new RulesControlServer(config.control(), launch.name(), consensus);
     }
 
-    private void changed(String name, EffectiveRule act) {
-        log.info(STATE, "rules: goes by {} {} to {}, as {}: {}", name, act.activeVersion(), act.latestVersion(),
-                act.basis().toString().toLowerCase(Locale.ROOT), act.body().toJson());
-        changed.run();
+    private void onRuleChanged(String name, EffectiveRule rule) {
+        LOG.info(STATE, "rule in effect changed: name={} active={} latest={} basis={} body={}", name,
+                rule.activeVersion(), rule.latestVersion(), rule.basis().toString().toLowerCase(Locale.ROOT),
+                rule.body().toJson());
+        onChange.run();
     }
 
+    /** Starts the consensus, and the control port where one is configured. */
     void start() {
-        agreement.start();
+        consensus.start();
         if (control != null) {
             control.start();
-            log.info("telling of the rules on {}", config.control());
+            LOG.info("rules control port open: address={}", config.control());
         }
     }
 
-    /** What is gone by, for whoever acts. */
+    /** Returns the source of the rules in effect. */
     RuleReader reader() {
-        return agreement;
+        return consensus;
     }
 
-    void leave() {
-        log.info("leaving the rules: {}", agreement.counters());
+    /** Closes the control port, then the consensus: the lease ends by its expiry. */
+    void close() {
+        LOG.info("rules closing: {}", consensus.counters());
         if (control != null) {
             control.close();
         }
-        agreement.close();
+        consensus.close();
     }
 }
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -81,8 +81,7 @@
         rules = operator.rules() == null ? null : new RulesService(operator.rules(), launch, this::agreed);
         RuleReader acting = rules == null ? RuleReader.NONE : rules.reader();
         inForce = new EffectiveSettings(launch, nodes.gatherer()::updateSettings,
-                () -> acting.effectiveRule("settings"),
-                line -> log.info(STATE, line));
+                () -> acting.effectiveRule("settings"));
         Consumer<String> platformLog = LoggerFactory.getLogger(PlatformFront.class)::info;
         platform = held == null
                 ? new PlatformFront(launch, inForce::launch, clock, nodes.gatherer(), nodes.workers(), platformLog)
@@ -121,7 +120,7 @@
 
         @Override
         public void setQuota(int most, int all) {
-            inForce.processQuota(most, all);
+            inForce.onProcessQuotaChanged(most, all);
         }
     }
 
@@ -142,7 +141,7 @@
     /** Begins to serve; beside a process that serves already, once the list is heard. */
     public void start() {
         if (rules != null) { // what was agreed on before this start lowers the limits before the first query
-            inForce.agreedRule();
+            inForce.onAgreedRuleChanged();
         }
         nodes.start();
         if (operations != null) {
@@ -209,7 +208,8 @@
             LaunchConfig read = LaunchConfig.read(System.getenv());
             OperatorConfig file = OperatorConfig.read(System.getenv(), read);
             LaunchConfig changed = inForce.launch().changedTo(read);
-            inForce.launch(changed); // refuses what contradicts itself: first, so that nothing else has changed then
+            // rejects contradictory settings: first, so that nothing else has changed then
+            inForce.onConfigReloaded(changed);
             Logging.apply(file.logging());
             nodes.reload(changed, file);
             if (features != null) {
@@ -232,7 +232,7 @@
 
     /** Something else is agreed on: it lowers the limits of the file that is in force. */
     private void agreed() {
-        inForce.agreedRule();
+        inForce.onAgreedRuleChanged();
     }
 
     /** A thread that runs {@link #leave}, for the program's end. */
@@ -277,7 +277,7 @@
             Thread.currentThread().interrupt();
         }
         if (rules != null) { // queries that end meanwhile go by what they were opened under
-            rules.leave();
+            rules.close();
         }
         if (operations != null) {
             operations.close();
--- a/src/main/java/wallmoor/simulation/InvariantChecker.java
+++ b/src/main/java/wallmoor/simulation/InvariantChecker.java
@@ -5,82 +5,90 @@
 import java.util.TreeMap;
 
 /**
- * Judges a history of acts, knowing nothing of how they came about. An act goes by a version wholly, and heeds all up
- * to a last one: what these take away it does not do. For each version there is a first time at which somebody heeds
- * it, a first at which somebody goes by it wholly, and a last at which somebody acts who does not heed it. Times are
- * microseconds.
+ * Checks a history of acts against the promise of the rules, apart from what made the history (as Jepsen's checkers).
+ * An actor acts on an active version in full, and respects the restrictions of all versions up to a latest one. For
+ * each version there is a first time at which somebody respects it, a first at which somebody acts on it in full, and a
+ * last at which somebody acts who does not respect it. Times are microseconds of one clock.
  */
 public final class InvariantChecker {
-    private record Open(long wholly, long heeds, long from, long until) {}
+    private record OngoingAct(long activeVersion, long latestVersion, long from, long until) {}
 
-    private final TreeMap<Long, Long> firstHeeded = new TreeMap<>();
-    private final TreeMap<Long, Long> firstWholly = new TreeMap<>();
+    private final TreeMap<Long, Long> firstRespected = new TreeMap<>();
+    private final TreeMap<Long, Long> firstActive = new TreeMap<>();
+    /** By latest version respected, when somebody last acted so. */
     private final TreeMap<Long, Long> lastActed = new TreeMap<>();
-    private final Map<Integer, Open> open = new HashMap<>();
+    private final Map<Integer, OngoingAct> ongoing = new HashMap<>();
     private long totalActing;
 
     /**
-     * From this time on somebody acts so, until the time it knows of, or until told otherwise.
+     * From this time on an actor acts so, until {@code until} or until another call for it.
      *
-     * @param wholly the version it goes by; 0 for none
-     * @param heeds  the last version it heeds
-     * @param until  it ceases by itself at this time; it was not before it
+     * @param activeVersion the version it acts on in full; 0 for none
+     * @param latestVersion the latest version it respects
+     * @param until         when it stops by itself
      */
-    public void startedActing(int who, long at, long wholly, long heeds, long until) {
-        Open before = open.get(who);
-        if (before != null && before.wholly == wholly && before.heeds == heeds && before.until == until) {
+    public void startedActing(int who, long at, long activeVersion, long latestVersion, long until) {
+        OngoingAct before = ongoing.get(who);
+        if (before != null && before.activeVersion == activeVersion && before.latestVersion == latestVersion
+                && before.until == until) {
             return;
         }
         stoppedActing(who, at);
         if (until > at) {
-            open.put(who, new Open(wholly, heeds, at, until));
-            firstHeeded.merge(heeds, at, Math::min);
-            firstWholly.merge(wholly, at, Math::min);
+            ongoing.put(who, new OngoingAct(activeVersion, latestVersion, at, until));
+            firstRespected.merge(latestVersion, at, Math::min);
+            firstActive.merge(activeVersion, at, Math::min);
         }
     }
 
-    /** From this time on it does not act. */
+    /** From this time on the actor does not act. */
     public void stoppedActing(int who, long at) {
-        Open was = open.remove(who);
-        if (was != null) {
-            long end = Math.min(at, was.until);
-            lastActed.merge(was.heeds, end, Math::max);
-            totalActing += end - was.from;
+        OngoingAct act = ongoing.remove(who);
+        if (act != null) {
+            long end = Math.min(at, act.until);
+            lastActed.merge(act.latestVersion, end, Math::max);
+            totalActing += end - act.from;
         }
     }
 
-    /** All cease. */
+    /** Ends the history: all actors stop. */
     public void end(long at) {
-        for (int who : Map.copyOf(open).keySet()) {
+        for (int who : Map.copyOf(ongoing).keySet()) {
             stoppedActing(who, at);
         }
     }
 
-    /** For how long all together have acted; after {@link #end}. */
+    /** Returns for how long all actors together have acted; after {@link #end}. */
     public long totalActing() {
         return totalActing;
     }
 
-    /** The longest that somebody acted without heeding a version that another heeded already; after {@link #end}. */
+    /**
+     * Returns for how long at most somebody acted without respecting a version that another respected already; after
+     * {@link #end}. 0 or less means never.
+     */
     public long longestContradiction() {
-        return longestContradiction(firstHeeded);
+        return longestAfter(firstRespected);
     }
 
-    /** The longest that somebody acted without heeding a version that another went by wholly; 0 or less is never. */
+    /**
+     * Returns for how long at most somebody acted without respecting a version that another acted on in full; after
+     * {@link #end}. 0 or less means never.
+     */
     public long longestOverlap() {
-        return longestContradiction(firstWholly);
+        return longestAfter(firstActive);
     }
 
-    private long longestContradiction(TreeMap<Long, Long> first) {
-        long worst = Long.MIN_VALUE;
+    private long longestAfter(TreeMap<Long, Long> firstTimes) {
+        long longest = Long.MIN_VALUE;
         long earliest = Long.MAX_VALUE;
-        // of a version and all after it, the first time counts: who heeds a later one heeds this one
-        for (long version : first.descendingKeySet()) {
-            earliest = Math.min(earliest, first.get(version));
+        // who respects a later version respects this one too, so the first time of this and all later ones counts
+        for (long version : firstTimes.descendingKeySet()) {
+            earliest = Math.min(earliest, firstTimes.get(version));
             for (long end : lastActed.headMap(version, false).values()) {
-                worst = Math.max(worst, end - earliest);
+                longest = Math.max(longest, end - earliest);
             }
         }
-        return worst;
+        return longest;
     }
 }
--- a/src/main/java/wallmoor/simulation/RuleSimulation.java
+++ b/src/main/java/wallmoor/simulation/RuleSimulation.java
@@ -7,272 +7,191 @@
 import wallmoor.rules.DocumentSchema;
 import wallmoor.rules.DocumentSchemas;
 import wallmoor.rules.EffectiveRule;
-import wallmoor.rules.LeaseHolder;
-import wallmoor.rules.LeaseMessage;
-import wallmoor.rules.LeaseTable;
+import wallmoor.rules.EffectiveRule.Basis;
 import wallmoor.rules.LeaseTiming;
 import wallmoor.rules.LogEntry;
 import wallmoor.rules.RuleDocument;
-import wallmoor.rules.RuleEvent;
 import wallmoor.rules.RuleProposal;
+import wallmoor.rules.RuleSnapshot;
 import wallmoor.rules.RuleStateMachine;
 import wallmoor.rules.VersionChain;
 
 /**
- * Gatherers that agree on one document, {@link #NAME}, by the real deciders; the first few of them vote as well. What
- * they act on is told to a {@link InvariantChecker}. Voters come to lead by themselves where they hear no leader, or
- * when told to.
+ * Simulation of gatherers that agree on one document, {@link #NAME}, with the real deciders of {@code wallmoor.rules};
+ * the first few nodes are voters as well. It owns what survives a process, which is each node's simulated disk, and
+ * reports what nodes act on to an {@link InvariantChecker}. Times are microseconds.
  */
 public final class RuleSimulation implements SimulatedCluster.ProcessListener {
-    /** The document. */
+    /** Name of the document. */
     public static final String NAME = "settings";
-    /** A voter that heard no leader for so long tries to come to lead. */
-    private static final long PATIENCE = 1_000_000;
 
-    private final class Gatherer implements SimulatedCluster.SimulatedProcess {
-        final int number;
-        final LeaseHolder holder;
-        int asks;
-        boolean answered = true;
+    private final LeaseTiming timing;
+    private final Map<String, DocumentSchema> schemas = DocumentSchemas.all();
+    private final int voterCount;
+    private final List<String> voterNames;
+    private final SimulatedCluster cluster;
+    private final SimulatedLog log;
+    private final InvariantChecker checker = new InvariantChecker();
+    private final SimulatedGatherer[] gatherers;
+    private final SimulatedVoter[] voters;
+    /** By node, the versions on its disk. */
+    private final List<List<VersionChain>> storedVersions = new ArrayList<>();
+    /** By voter, how many entries of the log are on its disk. */
+    private final int[] storedEntries;
+    /** Follows the log itself, ahead of every voter. */
+    private final RuleStateMachine decided;
+    private int decidedEntries;
+    private long rejections;
+    private long denials;
 
-        Gatherer(int number, int life) {
-            this.number = number;
-            holder = new LeaseHolder("g" + number, life, terms, kinds, kept.get(number));
-        }
+    /**
+     * Creates a simulation in which no process runs yet.
+     *
+     * @param tick      microseconds between two ticks of a process
+     * @param lateShare share of the log's notices that take up to three seconds
+     */
+    public RuleSimulation(int voterCount, int nodes, LeaseTiming timing, long tick, double lateShare, long seed) {
+        this.timing = timing;
+        this.voterCount = voterCount;
+        voterNames = IntStream.range(0, voterCount).mapToObj(RuleSimulation::nameOf).toList();
+        cluster = new SimulatedCluster(nodes, tick, seed, this);
+        log = new SimulatedLog(cluster, voterCount, lateShare);
+        gatherers = new SimulatedGatherer[nodes];
+        voters = new SimulatedVoter[voterCount];
+        storedEntries = new int[voterCount];
+        decided = new RuleStateMachine(voterNames);
+        IntStream.range(0, nodes).forEach(node -> storedVersions.add(List.of()));
+    }
 
-        @Override
-        public void onMessage(long now, int from, Object message) {
-            LeaseMessage.LeaseRequest ask = null;
-            if (message instanceof LeaseMessage.LeaseGrant g) {
-                answered = true;
-                asks = from;
-                ask = holder.onGrant(now, g);
-            } else if (message instanceof LeaseMessage.VersionUpdate n) {
-                asks = from;
-                ask = holder.onVersionUpdate(now, n);
-            } else if (message instanceof LeaseMessage.LeaseDenial d) {
-                denied++;
-                holder.onDenial(d);
-            }
-            send(ask);
-            kept.set(number, holder.knownVersions());
-        }
+    static String nameOf(int node) {
+        return "g" + node;
+    }
 
-        @Override
-        public void onTick(long now) {
-            LeaseMessage.LeaseRequest ask = holder.onTick(now);
-            if (ask != null && !answered) { // since the last renewal
-                asks = (asks + 1) % voters;
-            }
-            send(ask);
-        }
+    static int nodeOf(String name) {
+        return Integer.parseInt(name.substring(1));
+    }
 
-        private void send(LeaseMessage.LeaseRequest ask) {
-            if (ask != null) {
-                answered = false;
-                world.send(number, asks, ask);
-            }
-        }
+    /** Returns the processes' clocks and network. */
+    public SimulatedCluster cluster() {
+        return cluster;
     }
 
-    private final class Voter implements SimulatedCluster.SimulatedProcess, LeaseTable.Actions {
-        final int number;
-        final int life;
-        final Gatherer gatherer;
-        final RuleStateMachine ledger = new RuleStateMachine(names);
-        final LeaseTable grants;
-        int applied;
-        long heardAt;
-        long toldAt;
+    /** Returns what checks the nodes' acts. */
+    public InvariantChecker checker() {
+        return checker;
+    }
 
-        Voter(int number, int life) {
-            this.number = number;
-            this.life = life;
-            gatherer = new Gatherer(number, life);
-            grants = new LeaseTable("g" + number, life, terms, ledger, this);
-            heardAt = world.localTime(number, world.now());
-            apply(heardAt, logged[number]); // it had kept so much
-        }
+    SimulatedLog log() {
+        return log;
+    }
 
-        @Override
-        public void onMessage(long now, int from, Object message) {
-            if (message instanceof SimulatedLog.LogNotice.Attempt a) {
-                log.decide(number, a);
-            } else if (message instanceof SimulatedLog.LogNotice.Committed c) {
-                apply(now, c.upTo());
-            } else if (message instanceof SimulatedLog.LogNotice.Barrier b) {
-                apply(now, b.upTo());
-                if (b.success()) {
-                    grants.onBarrier(now, b.token());
-                } else {
-                    grants.onBarrierFailed(now, b.token());
-                }
-            } else if (message instanceof LogEntry e) {
-                log.append(number, e);
-            } else if (message instanceof LeaseMessage.LeaseRequest a) {
-                grants.onLeaseRequest(now, a);
-            } else {
-                gatherer.onMessage(now, from, message);
-            }
-        }
+    LeaseTiming timing() {
+        return timing;
+    }
 
-        @Override
-        public void onTick(long now) {
-            int heard = log.heardFromLeader(number);
-            grants.onElectionChanged(now, log.believesItLeads(number));
-            if (heard >= 0) {
-                heardAt = now;
-                apply(now, heard);
-            } else if (now - heardAt > PATIENCE + world.random().nextLong(PATIENCE)) {
-                elect(number);
-                heardAt = now;
-            }
-            RuleDocument pending = ledger.pending(NAME);
-            if (pending != null && now - toldAt > PATIENCE / 2) {
-                toldAt = now;
-                LogEntry verdict = DocumentSchemas.verdict("g" + number, kinds, pending);
-                IntStream.range(0, voters).forEach(v -> world.send(number, v, verdict));
-            }
-            grants.onTick(now);
-            gatherer.onTick(now);
-        }
+    Map<String, DocumentSchema> schemas() {
+        return schemas;
+    }
 
-        private void apply(long now, long upTo) {
-            for (; applied < upTo; applied++) {
-                List<RuleEvent> effects = ledger.apply(log.entries().get(applied));
-                grants.onApplied(now, effects);
-                for (RuleEvent e : effects) {
-                    if (e instanceof RuleEvent.VersionPending) {
-                        toldAt = Long.MIN_VALUE / 2;
-                    } else if (e instanceof RuleEvent.ProposalRejected) {
-                        refused++;
-                    }
-                }
-            }
-            logged[number] = applied;
-        }
+    int voterCount() {
+        return voterCount;
+    }
 
-        @Override
-        public void send(String holder, LeaseMessage message) {
-            world.send(number, Integer.parseInt(holder.substring(1)), message);
-        }
+    List<String> voterNames() {
+        return voterNames;
+    }
 
-        @Override
-        public void append(LogEntry entry) {
-            log.append(number, entry);
-        }
+    List<VersionChain> storedVersions(int node) {
+        return storedVersions.get(node);
+    }
 
-        @Override
-        public void startBarrier(long token) {
-            log.barrier(number, token);
-        }
+    void storeVersions(int node, List<VersionChain> versions) {
+        storedVersions.set(node, versions);
     }
 
-    private final LeaseTiming terms;
-    private final Map<String, DocumentSchema> kinds = DocumentSchemas.all();
-    private final int voters;
-    private final List<String> names;
-    private final SimulatedCluster world;
-    private final SimulatedLog log;
-    private final InvariantChecker checker = new InvariantChecker();
-    private final Gatherer[] gatherers;
-    private final Voter[] voting;
-    private final long[] logged;
-    private final RuleStateMachine all;
-    private int decided;
-    private final List<List<VersionChain>> kept = new ArrayList<>();
-    private long refused;
-    private long denied;
+    int storedEntries(int voter) {
+        return storedEntries[voter];
+    }
 
-    /**
-     * None of them started.
-     *
-     * @param late share of the log's notices that take up to three seconds
-     */
-    public RuleSimulation(int voters, int count, LeaseTiming terms, long tick, double late, long seed) {
-        this.terms = terms;
-        this.voters = voters;
-        names = IntStream.range(0, voters).mapToObj(i -> "g" + i).toList();
-        world = new SimulatedCluster(count, tick, seed, this);
-        log = new SimulatedLog(world, voters, late);
-        gatherers = new Gatherer[count];
-        voting = new Voter[voters];
-        logged = new long[voters];
-        all = new RuleStateMachine(names);
-        IntStream.range(0, count).forEach(i -> kept.add(List.of()));
+    void storeEntries(int voter, int count) {
+        storedEntries[voter] = count;
     }
 
-    /** The world they are in. */
-    public SimulatedCluster world() {
-        return world;
+    void countRejection() {
+        rejections++;
     }
 
-    /** What they did. */
-    public InvariantChecker checker() {
-        return checker;
+    void countDenial() {
+        denials++;
     }
 
-    /** Starts a gatherer, or starts it again. */
-    public void start(int number) {
-        world.start(number, life -> {
-            if (number >= voters) {
-                gatherers[number] = new Gatherer(number, life);
-                return gatherers[number];
+    /** Starts a node's process, or ends it and starts another. */
+    public void start(int node) {
+        cluster.start(node, incarnation -> {
+            if (node >= voterCount) {
+                gatherers[node] = new SimulatedGatherer(this, node, incarnation);
+                return gatherers[node];
             }
-            log.onProcessEnded(number);
-            voting[number] = new Voter(number, life);
-            gatherers[number] = voting[number].gatherer;
-            return voting[number];
+            log.onProcessEnded(node);
+            voters[node] = new SimulatedVoter(this, node, incarnation);
+            gatherers[node] = voters[node].gatherer();
+            return voters[node];
         });
     }
 
-    /** Starts all. */
+    /** Starts all nodes. */
     public void startAll() {
         IntStream.range(0, gatherers.length).forEach(this::start);
     }
 
-    /** What a gatherer had kept is lost; before it is started again. */
-    public void loseStoredVersions(int number) {
-        kept.set(number, List.of());
+    /** Loses the versions on a node's disk; to be called before the node is started again. */
+    public void loseStoredVersions(int node) {
+        storedVersions.set(node, List.of());
     }
 
-    /** A voter tries to come to lead. */
+    /** Has a voter stand for election. */
     public void elect(int voter) {
-        if (world.isRunning(voter) && log.elect(voter)) {
-            voting[voter].apply(world.localTime(voter, world.now()), log.entries().size());
-            voting[voter].grants.onElectionChanged(world.localTime(voter, world.now()), true);
+        if (cluster.isRunning(voter) && log.elect(voter)) {
+            voters[voter].onElected(cluster.localTime(voter, cluster.now()));
         }
     }
 
-    /** Whoever believes to lead is handed a proposal on the last version that it knows; whether there is one. */
+    /** Has a voter that believes it leads propose a version on the latest that it knows; false if there is none. */
     public boolean propose(String body, String fallback) {
-        for (int v = 0; v < voters; v++) {
-            if (world.isRunning(v) && log.believesItLeads(v)) {
-                RuleDocument head = voting[v].ledger.latestAccepted(NAME);
-                log.append(v, new LogEntry.ProposeVersion(new RuleProposal(NAME, head == null ? 0 : head.version(),
-                        head == null ? "" : head.hash(), "author", body, fallback)));
+        for (int voter = 0; voter < voterCount; voter++) {
+            if (cluster.isRunning(voter) && log.believesItLeads(voter)) {
+                RuleDocument latest = voters[voter].stateMachine().latestAccepted(NAME);
+                var proposal = new RuleProposal(NAME, latest == null ? 0 : latest.version(),
+                        latest == null ? "" : latest.hash(), "author", body, fallback);
+                log.append(voter, new LogEntry.ProposeVersion(proposal));
                 return true;
             }
         }
         return false;
     }
 
-    /** What a gatherer goes by now. */
-    public EffectiveRule effectiveRule(int number) {
-        return gatherers[number].holder.snapshot().effectiveRule(world.localTime(number, world.now()), NAME);
+    /** Returns the rule in effect at a node now. */
+    public EffectiveRule effectiveRule(int node) {
+        return gatherers[node].holder().snapshot().effectiveRule(cluster.localTime(node, cluster.now()), NAME);
     }
 
-    /** The last accepted version in the log's order, or 0. */
+    /** Returns the latest accepted version by the log itself, or 0. */
     public long latestAccepted() {
-        for (; decided < log.entries().size(); decided++) {
-            all.apply(log.entries().get(decided));
+        for (; decidedEntries < log.entries().size(); decidedEntries++) {
+            decided.apply(log.entries().get(decidedEntries));
         }
-        return all.latestAccepted(NAME) == null ? 0 : all.latestAccepted(NAME).version();
+        RuleDocument latest = decided.latestAccepted(NAME);
+        return latest == null ? 0 : latest.version();
+    }
+
+    /** Returns how many proposals were rejected, counted at each voter. */
+    public long rejections() {
+        return rejections;
     }
 
-    /** Proposals that came to nothing, counted at each voter; and leases that were denied. */
-    public List<Long> counts() {
-        return List.of(refused, denied);
+    /** Returns how many lease requests were denied. */
+    public long denials() {
+        return denials;
     }
 
     @Override
@@ -280,11 +199,11 @@
         if (gatherers[node] == null) {
             return;
         }
-        var snapshot = gatherers[node].holder.snapshot();
-        EffectiveRule act = snapshot.effectiveRule(world.localTime(node, at), NAME);
-        if (act.basis() == EffectiveRule.Basis.VERSION || act.basis() == EffectiveRule.Basis.CAREFUL) {
-            checker.startedActing(node, at, act.activeVersion(), act.latestVersion(),
-                    world.latestTrueTime(node, snapshot.leaseExpiry()));
+        RuleSnapshot snapshot = gatherers[node].holder().snapshot();
+        EffectiveRule rule = snapshot.effectiveRule(cluster.localTime(node, at), NAME);
+        if (rule.basis() == Basis.VERSION || rule.basis() == Basis.CAREFUL) {
+            checker.startedActing(node, at, rule.activeVersion(), rule.latestVersion(),
+                    cluster.latestTrueTime(node, snapshot.leaseExpiry()));
         } else {
             checker.stoppedActing(node, at);
         }
--- a/src/main/java/wallmoor/simulation/SimulatedCluster.java
+++ b/src/main/java/wallmoor/simulation/SimulatedCluster.java
@@ -1,6 +1,7 @@
 package wallmoor.simulation;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.function.IntFunction;
@@ -8,38 +9,41 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Nodes of any kind on one true time, each with a clock that may run apart from it, and a network; in one thread: the
- * same seed and the same faults give the same run. Never used by {@code serve}. It must not know what its nodes decide.
+ * Discrete-event simulation of processes of any kind in one thread: one true time, a clock for each node that may drift
+ * from it, and a network. The same seed and faults give the same run. It knows nothing of what its processes decide,
+ * and {@code serve} never uses it. Times are microseconds.
  */
 public final class SimulatedCluster {
-    /** A node's process. Times are those of its own clock, microseconds. */
+    /** A node's process. Times are those of its own clock. */
     public interface SimulatedProcess {
         /** A message has come. */
         void onMessage(long now, int from, Object message);
 
-        /** Time goes on. */
+        /** Time has passed. */
         void onTick(long now);
     }
 
-    /** What is told of a node's process, at true times. */
+    /** Observes processes, at true times. */
     public interface ProcessListener {
-        /** It has done what it did at this time, and goes on. */
+        /** The process has handled an event at this time, and runs on. */
         void onStep(int node, long at);
 
-        /** It stands still, or is dead, from this time on. */
+        /** The process is paused or has ended from this time on. */
         void onStopped(int node, long at);
     }
 
-    private record Event(long at, long order, int to, int incarnation, int from, Object message) {}
+    /** {@code order} keeps events of one time in the order in which they were scheduled. */
+    private record QueuedEvent(long at, long order, int to, int incarnation, int from, Object message) {}
 
     private static final class SimulatedHost {
-        SimulatedProcess node;
+        SimulatedProcess process;
         int incarnation;
         boolean up;
         double clockRate = 1;
         long clockOffset;
         long pausedUntil = Long.MIN_VALUE;
-        final List<Event> unread = new ArrayList<>();
+        /** What came while the process was paused. */
+        final List<QueuedEvent> unread = new ArrayList<>();
     }
 
     private static final int ANY_INCARNATION = -1;
@@ -47,152 +51,169 @@
 
     private final long tickMicros;
     private final RandomGenerator random;
-    private final PriorityQueue<Event> events = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-            : Long.compare(a.order, b.order));
+    private final PriorityQueue<QueuedEvent> events = new PriorityQueue<>(
+            Comparator.comparingLong(QueuedEvent::at).thenComparingLong(QueuedEvent::order));
     private final SimulatedHost[] hosts;
-    private final ProcessListener watcher;
-    private GroupSimulation.NetworkLink setLink = GroupSimulation.RELIABLE;
+    private final ProcessListener listener;
+    private GroupSimulation.NetworkLink link = GroupSimulation.RELIABLE;
     private long now;
     private long eventCount;
 
-    /** So many places without a node. {@code tick} is the time between two ticks of a node. */
-    public SimulatedCluster(int count, long tick, long seed, ProcessListener watcher) {
-        this.tickMicros = tick;
-        this.watcher = watcher;
+    /**
+     * Creates hosts without processes.
+     *
+     * @param tickMicros between two ticks of a process
+     */
+    public SimulatedCluster(int hostCount, long tickMicros, long seed, ProcessListener listener) {
+        this.tickMicros = tickMicros;
+        this.listener = listener;
         random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        hosts = new SimulatedHost[count];
-        for (int i = 0; i < count; i++) {
+        hosts = new SimulatedHost[hostCount];
+        for (int i = 0; i < hostCount; i++) {
             hosts[i] = new SimulatedHost();
         }
     }
 
-    /** True time. */
+    /** Returns the true time. */
     public long now() {
         return now;
     }
 
-    /** The world's own draws. */
+    /** Returns the source of the simulation's random draws. */
     public RandomGenerator random() {
         return random;
     }
 
-    /** What the network does from now on. */
+    /** Sets what the network does with each message from now on. */
     public void setLink(GroupSimulation.NetworkLink next) {
-        setLink = next;
+        link = next;
     }
 
-    /** How fast a node's clock runs, and what it shows at true time 0; before the node's first start. */
+    /** Sets the rate of a node's clock and what it shows at true time 0; to be called before the node's first start. */
     public void setClock(int node, double rate, long offset) {
         hosts[node].clockRate = rate;
         hosts[node].clockOffset = offset;
     }
 
-    /** What a node's clock shows at a true time. */
+    /** Returns what a node's clock shows at a true time. */
     public long localTime(int node, long at) {
         return hosts[node].clockOffset + (long) (at * hosts[node].clockRate);
     }
 
-    /** The true time at which a node's clock shows this, at the latest. */
+    /** Returns the latest true time at which a node's clock shows this. */
     public long latestTrueTime(int node, long local) {
         return (long) Math.ceil((local - hosts[node].clockOffset) / hosts[node].clockRate);
     }
 
-    /** Starts a process at a place. The maker is handed its life, which no other process there has. */
-    public void start(int node, IntFunction<SimulatedProcess> maker) {
-        SimulatedHost p = hosts[node];
+    /** Starts a process on a node, after ending the one there. The factory gets the process's incarnation. */
+    public void start(int node, IntFunction<SimulatedProcess> factory) {
+        SimulatedHost host = hosts[node];
         kill(node);
-        p.incarnation++;
-        p.up = true;
-        p.pausedUntil = Long.MIN_VALUE;
-        p.unread.clear();
-        p.node = maker.apply(p.incarnation);
-        events.add(new Event(now + 1 + random.nextLong(tickMicros), ++eventCount, node, p.incarnation, node, TICK));
-        watcher.onStep(node, now);
+        host.incarnation++;
+        host.up = true;
+        host.pausedUntil = Long.MIN_VALUE;
+        host.unread.clear();
+        host.process = factory.apply(host.incarnation);
+        schedule(now + 1 + random.nextLong(tickMicros), node, host.incarnation, node, TICK);
+        listener.onStep(node, now);
     }
 
-    /** A process ends: what was on its way to it is lost. */
+    /** Ends a process; what was on its way to it is lost. */
     public void kill(int node) {
         if (hosts[node].up) {
             hosts[node].up = false;
-            watcher.onStopped(node, now);
+            listener.onStopped(node, now);
         }
     }
 
-    /** A process stands still for so long; its clock goes on. */
+    /** Pauses a process for so long; its clock goes on. */
     public void pause(int node, long micros) {
-        if (isUp(node)) {
-            hosts[node].pausedUntil = Math.max(hosts[node].pausedUntil, now + micros);
-            watcher.onStopped(node, now);
-            events.add(new Event(hosts[node].pausedUntil, ++eventCount, node, hosts[node].incarnation, node, null));
+        SimulatedHost host = hosts[node];
+        if (host.up) {
+            host.pausedUntil = Math.max(host.pausedUntil, now + micros);
+            listener.onStopped(node, now);
+            schedule(host.pausedUntil, node, host.incarnation, node, null); // wakes it
         }
     }
 
-    /** Whether there is a process that has not ended. */
+    /** Returns whether there is a process that has not ended; it may be paused. */
     public boolean isUp(int node) {
         return hosts[node].up;
     }
 
-    /** Whether it runs now. */
+    /** Returns whether there is a process that is not paused. */
     public boolean isRunning(int node) {
         return hosts[node].up && now >= hosts[node].pausedUntil;
     }
 
-    /** Whether a message would get through now. */
+    /** Returns whether a message would get through now. */
     public boolean reaches(int from, int to) {
-        return from == to || setLink.delay(from, to, now, random) >= 0;
+        return from == to || link.delay(from, to, now, random) >= 0;
     }
 
-    /** Sends a message. */
+    /** Sends a message, which the network may delay or lose. */
     public void send(int from, int to, Object message) {
-        long delay = from == to ? 1 : setLink.delay(from, to, now, random);
+        long delay = from == to ? 1 : link.delay(from, to, now, random);
         if (delay >= 0) {
-            events.add(new Event(now + delay, ++eventCount, to, ANY_INCARNATION, from, message));
+            schedule(now + delay, to, ANY_INCARNATION, from, message);
         }
     }
 
-    /** Hands a process a message at a later time, come what may of the network; it is lost if the process ends. */
+    /** Delivers a message to a process after a time, past the network; it is lost if the process ends. */
     public void deliverLater(int node, long micros, Object message) {
-        events.add(new Event(now + micros, ++eventCount, node, hosts[node].incarnation, node, message));
+        schedule(now + micros, node, hosts[node].incarnation, node, message);
     }
 
-    /** Lets time pass. */
+    private void schedule(long at, int to, int incarnation, int from, Object message) {
+        events.add(new QueuedEvent(at, ++eventCount, to, incarnation, from, message));
+    }
+
+    /** Runs the simulation for so long. */
     public void run(long micros) {
         long end = now + micros;
         while (!events.isEmpty() && events.peek().at <= end) {
-            Event e = events.poll();
-            now = e.at;
-            SimulatedHost p = hosts[e.to];
-            if (!p.up || e.incarnation != ANY_INCARNATION && e.incarnation != p.incarnation) {
-                continue;
-            }
-            if (now < p.pausedUntil) {
-                p.unread.add(e);
-            } else if (!p.unread.isEmpty()) { // it wakes: what it does first is drawn, as threads would have it
-                p.unread.add(e);
-                List<Event> late = List.copyOf(p.unread);
-                p.unread.clear();
-                watcher.onStep(e.to, now); // before it hears of anything
-                if (random.nextBoolean()) {
-                    late.stream().filter(l -> l.message == TICK).forEach(l -> handle(p, l));
-                    late.stream().filter(l -> l.message != TICK).forEach(l -> handle(p, l));
-                } else {
-                    late.forEach(l -> handle(p, l));
-                }
-            } else {
-                handle(p, e);
-            }
+            QueuedEvent event = events.poll();
+            now = event.at;
+            deliver(hosts[event.to], event);
         }
         now = end;
     }
 
-    private void handle(SimulatedHost p, Event e) {
-        long local = localTime(e.to, now);
-        if (e.message == TICK) {
-            p.node.onTick(local);
-            events.add(new Event(now + tickMicros, ++eventCount, e.to, p.incarnation, e.to, TICK));
-        } else if (e.message != null) {
-            p.node.onMessage(local, e.from, e.message);
+    private void deliver(SimulatedHost host, QueuedEvent event) {
+        if (!host.up || event.incarnation != ANY_INCARNATION && event.incarnation != host.incarnation) {
+            return;
+        }
+        if (now < host.pausedUntil) {
+            host.unread.add(event);
+        } else if (host.unread.isEmpty()) {
+            handle(host, event);
+        } else {
+            host.unread.add(event);
+            wake(host, event.to);
+        }
+    }
+
+    /** Handles what came during a pause, in an order that is drawn, as threads of a real process would have it. */
+    private void wake(SimulatedHost host, int node) {
+        List<QueuedEvent> late = List.copyOf(host.unread);
+        host.unread.clear();
+        listener.onStep(node, now); // it may act before it hears of anything
+        if (random.nextBoolean()) {
+            late.stream().filter(event -> event.message == TICK).forEach(event -> handle(host, event));
+            late.stream().filter(event -> event.message != TICK).forEach(event -> handle(host, event));
+        } else {
+            late.forEach(event -> handle(host, event));
+        }
+    }
+
+    private void handle(SimulatedHost host, QueuedEvent event) {
+        long local = localTime(event.to, now);
+        if (event.message == TICK) {
+            host.process.onTick(local);
+            schedule(now + tickMicros, event.to, host.incarnation, event.to, TICK);
+        } else if (event.message != null) {
+            host.process.onMessage(local, event.from, event.message);
         }
-        watcher.onStep(e.to, now);
+        listener.onStep(event.to, now);
     }
 }
--- a/src/main/java/wallmoor/simulation/SimulatedLog.java
+++ b/src/main/java/wallmoor/simulation/SimulatedLog.java
@@ -6,131 +6,147 @@
 import wallmoor.rules.LogEntry;
 
 /**
- * The least that a consensus library promises, as bad as it may be: one order of entries, of which a majority decides;
- * a leader that was replaced may not know it; entries and barriers come late or never. A leader's barrier succeeds
- * where at one moment after its begin a majority had promised nothing to a later leader.
+ * The least that a Raft library promises, at its worst: one order of entries, each decided by a majority; a leader that
+ * was replaced may not know it; notices of commits and barriers come late or never. A barrier succeeds if at one moment
+ * after its start a majority had promised nothing to a later leader. Times are microseconds.
  */
 final class SimulatedLog {
-    private static final long QUICK = 10_000;
-    /** Some notices take so long: by then another may lead. */
-    private static final long LATE = 3_000_000;
-    private static final long UNHEARD = 1_000_000;
+    private static final long MAX_QUICK_DELAY = 10_000;
+    /** By then another voter may lead. */
+    private static final long MAX_LATE_DELAY = 3_000_000;
+    private static final long FAILED_BARRIER_DELAY = 1_000_000;
 
-    /** An entry came into the order, or a barrier came back, at a voter. */
+    /** What the log delivers to a voter. */
     sealed interface LogNotice {
+        /** So many entries have been committed. */
         record Committed(long upTo) implements LogNotice {}
 
+        /** A barrier has succeeded, with so many entries committed before it started, or has failed. */
         record Barrier(long token, boolean success, long upTo) implements LogNotice {}
 
+        /** An append, or a barrier where {@code entry} is null, that is decided as this arrives. */
         record Attempt(long term, LogEntry entry, long token, long upTo) implements LogNotice {}
     }
 
-    private final SimulatedCluster world;
+    private final SimulatedCluster cluster;
     private final int voters;
-    private final double late;
+    private final double lateShare;
     private final List<LogEntry> entries = new ArrayList<>();
-    private final long[] promised;
-    private final long[] leads;
-    /** Entries that each knows of, as far as it has led. */
-    private final int[] knows;
-    private long term;
-
-    /** {@code late} is the share of notices that take long. */
-    SimulatedLog(SimulatedCluster world, int voters, double late) {
-        this.world = world;
+    /** By voter, the latest term it has promised to follow. */
+    private final long[] promisedTerm;
+    /** By voter, the term in which it believes it leads, or 0. */
+    private final long[] leadingTerm;
+    /** By voter, how many entries it knew when it last led. */
+    private final int[] knownEntries;
+    private long latestTerm;
+
+    /** {@code lateShare} is the share of notices that take up to three seconds. */
+    SimulatedLog(SimulatedCluster cluster, int voters, double lateShare) {
+        this.cluster = cluster;
         this.voters = voters;
-        this.late = late;
-        promised = new long[voters];
-        leads = new long[voters];
-        knows = new int[voters];
+        this.lateShare = lateShare;
+        promisedTerm = new long[voters];
+        leadingTerm = new long[voters];
+        knownEntries = new int[voters];
     }
 
+    /** Returns all committed entries in their order. */
     List<LogEntry> entries() {
         return entries;
     }
 
-    /** A voter tries to come to lead; whether it does. */
+    /** A voter stands for election in a new term; returns whether a majority elects it. */
     boolean elect(int voter) {
-        int[] with = reached(voter);
-        if (2 * with.length <= voters) {
+        int[] electors = reachableFrom(voter);
+        if (2 * electors.length <= voters) {
             return false;
         }
-        leads[voter] = ++term;
-        knows[voter] = entries.size();
-        for (int v : with) {
-            promised[v] = term;
+        leadingTerm[voter] = ++latestTerm;
+        knownEntries[voter] = entries.size();
+        for (int elector : electors) {
+            promisedTerm[elector] = latestTerm;
         }
         return true;
     }
 
-    /** How many entries a voter hears of from the last leader that it hears; negative where it hears none. */
+    /**
+     * A voter hears the heartbeat of the latest leader that reaches it.
+     *
+     * @return how many entries that leader knows; negative where no leader is heard
+     */
     int heardFromLeader(int voter) {
         int leader = -1;
-        for (int v = 0; v < voters; v++) {
-            if (leads[v] >= Math.max(promised[voter], 1) && world.isRunning(v) && world.reaches(v, voter)) {
-                leader = v;
-                promised[voter] = leads[v];
+        for (int other = 0; other < voters; other++) {
+            if (leadingTerm[other] >= Math.max(promisedTerm[voter], 1) && cluster.isRunning(other)
+                    && cluster.reaches(other, voter)) {
+                leader = other;
+                promisedTerm[voter] = leadingTerm[other];
             }
         }
-        if (leads[voter] < promised[voter]) {
-            leads[voter] = 0; // it hears of one after it
+        if (leadingTerm[voter] < promisedTerm[voter]) {
+            leadingTerm[voter] = 0; // it hears of a later leader
         }
-        return leader < 0 ? -1 : knows[leader];
+        return leader < 0 ? -1 : knownEntries[leader];
     }
 
-    /** A voter's process has ended: it leads no more, and keeps what it promised. */
+    /** A voter's process has ended: it leads no more, and keeps its promise. */
     void onProcessEnded(int voter) {
-        leads[voter] = 0;
+        leadingTerm[voter] = 0;
     }
 
+    /** Returns whether a voter takes itself for the leader; another may have been elected since. */
     boolean believesItLeads(int voter) {
-        return leads[voter] > 0;
+        return leadingTerm[voter] > 0;
     }
 
+    /** Has the leader append an entry; lost where it leads no more by the time it is decided. */
     void append(int voter, LogEntry entry) {
-        if (leads[voter] > 0) {
-            world.deliverLater(voter, quick(), new LogNotice.Attempt(leads[voter], entry, 0, 0));
+        if (leadingTerm[voter] > 0) {
+            cluster.deliverLater(voter, quickDelay(), new LogNotice.Attempt(leadingTerm[voter], entry, 0, 0));
         }
     }
 
+    /** Has the leader start a barrier. */
     void barrier(int voter, long token) {
-        if (leads[voter] > 0) {
-            world.deliverLater(voter, world.random().nextBoolean() ? 1 : quick(),
-                    new LogNotice.Attempt(leads[voter], null, token,
-                            entries.size()));
+        if (leadingTerm[voter] > 0) {
+            long delay = cluster.random().nextBoolean() ? 1 : quickDelay();
+            cluster.deliverLater(voter, delay,
+                    new LogNotice.Attempt(leadingTerm[voter], null, token, entries.size()));
         } else {
-            world.deliverLater(voter, quick(), new LogNotice.Barrier(token, false, 0));
+            cluster.deliverLater(voter, quickDelay(), new LogNotice.Barrier(token, false, 0));
         }
     }
 
-    /** What was tried is decided now. */
+    /** Decides an append or a barrier now. */
     void decide(int voter, LogNotice.Attempt attempt) {
-        boolean holds = leads[voter] == attempt.term() && 2 * IntStream.of(reached(voter))
-                .filter(v -> promised[v] <= attempt.term()).count() > voters;
+        boolean succeeds = leadingTerm[voter] == attempt.term() && 2 * IntStream.of(reachableFrom(voter))
+                .filter(other -> promisedTerm[other] <= attempt.term()).count() > voters;
         if (attempt.entry() == null) {
-            world.deliverLater(voter, holds ? delay() : UNHEARD,
-                    new LogNotice.Barrier(attempt.token(), holds, holds ? attempt.upTo() : 0));
-        } else if (holds) {
+            cluster.deliverLater(voter, succeeds ? noticeDelay() : FAILED_BARRIER_DELAY,
+                    new LogNotice.Barrier(attempt.token(), succeeds, succeeds ? attempt.upTo() : 0));
+        } else if (succeeds) {
             entries.add(attempt.entry());
-            knows[voter] = entries.size();
-            for (int v : reached(voter)) {
-                world.deliverLater(v, delay(), new LogNotice.Committed(entries.size()));
+            knownEntries[voter] = entries.size();
+            for (int other : reachableFrom(voter)) {
+                cluster.deliverLater(other, noticeDelay(), new LogNotice.Committed(entries.size()));
             }
         }
     }
 
-    private int[] reached(int voter) {
+    /** Returns the voters that a voter can exchange messages with, itself included if it is up. */
+    private int[] reachableFrom(int voter) {
         return IntStream.range(0, voters)
-                .filter(v -> v == voter ? world.isUp(v) : world.isRunning(v) && world.reaches(voter, v)
-                        && world.reaches(v, voter))
+                .filter(other -> other == voter ? cluster.isUp(other) : cluster.isRunning(other)
+                        && cluster.reaches(voter, other) && cluster.reaches(other, voter))
                 .toArray();
     }
 
-    private long quick() {
-        return 1 + world.random().nextLong(QUICK);
+    private long quickDelay() {
+        return 1 + cluster.random().nextLong(MAX_QUICK_DELAY);
     }
 
-    private long delay() {
-        return world.random().nextDouble() < late ? 1 + world.random().nextLong(LATE) : quick();
+    private long noticeDelay() {
+        boolean late = cluster.random().nextDouble() < lateShare;
+        return late ? 1 + cluster.random().nextLong(MAX_LATE_DELAY) : quickDelay();
     }
 }
--- a/src/test/java/wallmoor/rules/LeaseInvariantsTest.java
+++ b/src/test/java/wallmoor/rules/LeaseInvariantsTest.java
@@ -14,138 +14,140 @@
 import wallmoor.simulation.GroupSimulation;
 import wallmoor.simulation.RuleSimulation;
 
-/** The promise on the model: small cases exhaustively, faults by seed, and a judge that can find fault. */
+/** The promise on the simulation: small cases exhaustively, faults by seed, and a judge that can find fault. */
 class LeaseInvariantsTest {
     private static final long SECOND = 1_000_000;
     private static final LeaseTiming TERMS = LeaseTiming.defaults();
     private static final long TICK = 100_000;
 
     private static RuleSimulation started(int count, long seed) {
-        var model = new RuleSimulation(3, count, TERMS, TICK, 0, seed);
-        model.startAll();
-        return model;
+        var simulation = new RuleSimulation(3, count, TERMS, TICK, 0, seed);
+        simulation.startAll();
+        return simulation;
     }
 
-    private static void propose(RuleSimulation model, int open) {
-        model.propose("{\"limits.open\": " + open + "}", "{\"limits.open\": 0}");
+    private static void propose(RuleSimulation simulation, int open) {
+        simulation.propose("{\"limits.open\": " + open + "}", "{\"limits.open\": 0}");
     }
 
     /** Proposes, again where that was lost, until all act wholly on it; the time it took, or -1 after two minutes. */
-    private static long untilAll(RuleSimulation model, int count, int open) {
-        long before = model.latestAccepted();
-        long begun = model.world().now();
-        for (int t = 0; t < 12_000; t++, model.world().run(10_000)) {
-            long head = model.latestAccepted();
+    private static long untilAll(RuleSimulation simulation, int count, int open) {
+        long before = simulation.latestAccepted();
+        long begun = simulation.cluster().now();
+        for (int t = 0; t < 12_000; t++, simulation.cluster().run(10_000)) {
+            long head = simulation.latestAccepted();
             if (head == before && t % 500 == 0) {
-                propose(model, open);
+                propose(simulation, open);
             }
             if (head > before && IntStream.range(0, count)
-                    .allMatch(i -> model.effectiveRule(i).basis() == EffectiveRule.Basis.VERSION
-                            && model.effectiveRule(i).activeVersion() == head)) {
-                return model.world().now() - begun;
+                    .allMatch(i -> simulation.effectiveRule(i).basis() == EffectiveRule.Basis.VERSION
+                            && simulation.effectiveRule(i).activeVersion() == head)) {
+                return simulation.cluster().now() - begun;
             }
         }
         return -1;
     }
 
     /** From a proposal until a gatherer acts wholly on it. */
-    private static long toAct(RuleSimulation model, int gatherer, int open) {
-        long before = model.latestAccepted();
-        long begun = model.world().now();
-        propose(model, open);
-        for (int t = 0; t < 2_000 && model.effectiveRule(gatherer).activeVersion() <= before; t++) {
-            model.world().run(10_000);
+    private static long toAct(RuleSimulation simulation, int gatherer, int open) {
+        long before = simulation.latestAccepted();
+        long begun = simulation.cluster().now();
+        propose(simulation, open);
+        for (int t = 0; t < 2_000 && simulation.effectiveRule(gatherer).activeVersion() <= before; t++) {
+            simulation.cluster().run(10_000);
         }
-        return model.world().now() - begun;
+        return simulation.cluster().now() - begun;
     }
 
-    private static void kept(RuleSimulation model, String what) {
-        model.checker().end(model.world().now());
-        assertTrue(model.checker().longestContradiction() <= TERMS.leaseTerm(),
-                what + ": contradicted for " + model.checker().longestContradiction());
-        assertTrue(model.checker().longestOverlap() <= 0, what + ": wholly for " + model.checker().longestOverlap());
+    private static void kept(RuleSimulation simulation, String what) {
+        simulation.checker().end(simulation.cluster().now());
+        assertTrue(simulation.checker().longestContradiction() <= TERMS.leaseTerm(),
+                what + ": contradicted for " + simulation.checker().longestContradiction());
+        assertTrue(simulation.checker().longestOverlap() <= 0,
+                what + ": wholly for " + simulation.checker().longestOverlap());
     }
 
     @Example
     void quietAVersionActsEverywhereSoonAndSaysWhatItIs() {
-        RuleSimulation model = started(9, 1);
-        model.world().run(10 * SECOND);
-        assertTrue(untilAll(model, 9, 5) >= 0);
-        long took = untilAll(model, 9, 3);
+        RuleSimulation simulation = started(9, 1);
+        simulation.cluster().run(10 * SECOND);
+        assertTrue(untilAll(simulation, 9, 5) >= 0);
+        long took = untilAll(simulation, 9, 3);
         assertTrue(took >= 0 && took < SECOND, "took " + took);
-        assertEquals(3, model.effectiveRule(8).body().amount("limits.open", -1));
-        model.world().setLink(
+        assertEquals(3, simulation.effectiveRule(8).body().amount("limits.open", -1));
+        simulation.cluster().setLink(
                 (from, to, now, r) -> from == 8 || to == 8 ? -1 : GroupSimulation.RELIABLE.delay(from, to, now, r));
-        propose(model, 9);
-        model.world().run(SECOND);
-        assertEquals(EffectiveRule.Basis.CAREFUL, model.effectiveRule(7).basis());
-        assertEquals(3, model.effectiveRule(7).body().amount("limits.open", -1),
+        propose(simulation, 9);
+        simulation.cluster().run(SECOND);
+        assertEquals(EffectiveRule.Basis.CAREFUL, simulation.effectiveRule(7).basis());
+        assertEquals(3, simulation.effectiveRule(7).body().amount("limits.open", -1),
                 "what is added waits for the one that is cut off");
-        propose(model, 2);
-        model.world().run(SECOND);
-        assertEquals(EffectiveRule.Basis.CAREFUL, model.effectiveRule(7).basis());
-        assertEquals(2, model.effectiveRule(7).body().amount("limits.open", -1), "what is taken away does not");
-        propose(model, 9);
-        model.world().run(4 * SECOND);
-        assertEquals(EffectiveRule.Basis.FALLBACK, model.effectiveRule(8).basis());
-        assertEquals(0, model.effectiveRule(8).body().amount("limits.open", -1));
-        assertEquals(9, model.effectiveRule(7).body().amount("limits.open", -1));
-        kept(model, "quiet");
+        propose(simulation, 2);
+        simulation.cluster().run(SECOND);
+        assertEquals(EffectiveRule.Basis.CAREFUL, simulation.effectiveRule(7).basis());
+        assertEquals(2, simulation.effectiveRule(7).body().amount("limits.open", -1), "what is taken away does not");
+        propose(simulation, 9);
+        simulation.cluster().run(4 * SECOND);
+        assertEquals(EffectiveRule.Basis.FALLBACK, simulation.effectiveRule(8).basis());
+        assertEquals(0, simulation.effectiveRule(8).body().amount("limits.open", -1));
+        assertEquals(9, simulation.effectiveRule(7).body().amount("limits.open", -1));
+        kept(simulation, "quiet");
     }
 
     @Example
     void afterARestartOfAllNumbersGoOn() {
-        RuleSimulation model = started(6, 4);
-        model.world().run(8 * SECOND);
-        assertTrue(untilAll(model, 6, 5) >= 0);
-        long before = model.latestAccepted();
-        IntStream.range(0, 6).forEach(model.world()::kill);
-        model.world().run(SECOND);
-        model.startAll();
-        assertEquals(EffectiveRule.Basis.FALLBACK, model.effectiveRule(5).basis());
-        assertTrue(untilAll(model, 6, 7) >= 0);
-        assertTrue(model.effectiveRule(5).activeVersion() > before);
-        kept(model, "restart");
+        RuleSimulation simulation = started(6, 4);
+        simulation.cluster().run(8 * SECOND);
+        assertTrue(untilAll(simulation, 6, 5) >= 0);
+        long before = simulation.latestAccepted();
+        IntStream.range(0, 6).forEach(simulation.cluster()::kill);
+        simulation.cluster().run(SECOND);
+        simulation.startAll();
+        assertEquals(EffectiveRule.Basis.FALLBACK, simulation.effectiveRule(5).basis());
+        assertTrue(untilAll(simulation, 6, 7) >= 0);
+        assertTrue(simulation.effectiveRule(5).activeVersion() > before);
+        kept(simulation, "restart");
     }
 
     @Example
     void aVoterThatIsAwayIsWaitedForOnce() {
-        RuleSimulation model = started(9, 5);
-        model.elect(0);
-        model.world().run(8 * SECOND);
-        model.world().kill(2);
-        assertTrue(IntStream.range(5, 9).allMatch(i -> model.effectiveRule(i).basis() == EffectiveRule.Basis.NONE));
-        long first = toAct(model, 8, 5);
-        long second = toAct(model, 8, 6);
+        RuleSimulation simulation = started(9, 5);
+        simulation.elect(0);
+        simulation.cluster().run(8 * SECOND);
+        simulation.cluster().kill(2);
+        assertTrue(
+                IntStream.range(5, 9).allMatch(i -> simulation.effectiveRule(i).basis() == EffectiveRule.Basis.NONE));
+        long first = toAct(simulation, 8, 5);
+        long second = toAct(simulation, 8, 6);
         assertTrue(first > TERMS.leaseTerm() && first < 2 * TERMS.leaseTerm(), "first " + first);
         assertTrue(second < TERMS.leaseTerm() / 2, "second " + second);
-        kept(model, "away");
+        kept(simulation, "away");
     }
 
     @Property(tries = 100, seed = "77")
     void underAnyFaultsNobodyContradictsForLongerThanTheTerm(@ForAll long seed, @ForAll boolean five) {
         int voters = five ? 5 : 3;
-        var model = new RuleSimulation(voters, 12, TERMS, TICK, 0.2, seed);
-        var nemesis = new FaultInjector(model.world(), voters, 12, seed, n -> {
-            if (model.world().random().nextInt(3) == 0) {
-                model.loseStoredVersions(n); // its disk is a new one
+        var simulation = new RuleSimulation(voters, 12, TERMS, TICK, 0.2, seed);
+        var faults = new FaultInjector(simulation.cluster(), voters, 12, seed, n -> {
+            if (simulation.cluster().random().nextInt(3) == 0) {
+                simulation.loseStoredVersions(n); // its disk is a new one
             }
-            model.start(n);
-        }, model::elect);
-        nemesis.skewClocks(TERMS.clockDrift());
-        model.startAll();
-        model.world().run(8 * SECOND);
+            simulation.start(n);
+        }, simulation::elect);
+        faults.skewClocks(TERMS.clockDrift());
+        simulation.startAll();
+        simulation.cluster().run(8 * SECOND);
         for (int i = 0; i < 60; i++) {
-            propose(model, i);
-            model.world().run(nemesis.nextPause());
-            nemesis.injectFault();
+            propose(simulation, i);
+            simulation.cluster().run(faults.nextFaultDelay());
+            faults.injectFault();
         }
-        model.world().setLink(GroupSimulation.RELIABLE);
-        IntStream.range(0, 12).filter(i -> !model.world().isUp(i)).forEach(model::start);
-        model.world().run(30 * SECOND); // the last of pauses, a leader, the leases of one before
-        assertTrue(untilAll(model, 12, 100) >= 0, "it goes on once faults are over");
-        assertEquals(0L, model.counts().get(1), "nobody is denied for what it knows");
-        kept(model, "seed " + seed);
+        simulation.cluster().setLink(GroupSimulation.RELIABLE);
+        IntStream.range(0, 12).filter(i -> !simulation.cluster().isUp(i)).forEach(simulation::start);
+        simulation.cluster().run(30 * SECOND); // the last of pauses, a leader, the leases of one before
+        assertTrue(untilAll(simulation, 12, 100) >= 0, "it goes on once faults are over");
+        assertEquals(0, simulation.denials(), "nobody is denied for what it knows");
+        kept(simulation, "seed " + seed);
     }
 
     /** All that may befall three that vote, of which the first leads, and a gatherer beside them. */
@@ -155,14 +157,14 @@
             (m, cut) -> cut[1] = true,
             (m, cut) -> cut[3] = true,
             (m, cut) -> cut[4] = true, // deaf and heard
-            (m, cut) -> m.world().pause(3, 3 * SECOND),
-            (m, cut) -> m.world().kill(3),
+            (m, cut) -> m.cluster().pause(3, 3 * SECOND),
+            (m, cut) -> m.cluster().kill(3),
             (m, cut) -> Arrays.fill(cut, false),
-            (m, cut) -> m.world().pause(0, 6 * SECOND),
-            (m, cut) -> m.world().pause(1, 6 * SECOND),
-            (m, cut) -> m.world().kill(0),
-            (m, cut) -> m.world().kill(1),
-            (m, cut) -> IntStream.range(0, 4).filter(i -> !m.world().isUp(i)).forEach(m::start),
+            (m, cut) -> m.cluster().pause(0, 6 * SECOND),
+            (m, cut) -> m.cluster().pause(1, 6 * SECOND),
+            (m, cut) -> m.cluster().kill(0),
+            (m, cut) -> m.cluster().kill(1),
+            (m, cut) -> IntStream.range(0, 4).filter(i -> !m.cluster().isUp(i)).forEach(m::start),
             (m, cut) -> m.elect(0),
             (m, cut) -> m.elect(1));
 
@@ -175,31 +177,31 @@
         long worst = Long.MIN_VALUE;
         long wholly = Long.MIN_VALUE;
         for (int order = 0; order < phases * Math.pow(ALL.size(), steps); order++) {
-            var model = new RuleSimulation(3, 4, terms, tick, 0, 1);
+            var simulation = new RuleSimulation(3, 4, terms, tick, 0, 1);
             boolean[] cut = new boolean[5];
-            model.world().setClock(0, 1 + TERMS.clockDrift(), 5);
-            model.world().setClock(3, 1 - TERMS.clockDrift(), 77);
-            model.world()
+            simulation.cluster().setClock(0, 1 + TERMS.clockDrift(), 5);
+            simulation.cluster().setClock(3, 1 - TERMS.clockDrift(), 77);
+            simulation.cluster()
                     .setLink((from, to, now, r) -> from != to && (cut[from] || cut[to] || cut[4] && to == 3) ? -1
                             : 2_000);
-            model.startAll();
-            model.elect(0);
-            model.world().run(SECOND);
-            propose(model, 5);
-            model.world().run(7 * SECOND + order % phases * terms.renewalInterval() / phases);
+            simulation.startAll();
+            simulation.elect(0);
+            simulation.cluster().run(SECOND);
+            propose(simulation, 5);
+            simulation.cluster().run(7 * SECOND + order % phases * terms.renewalInterval() / phases);
             int left = order / phases;
             for (int step = 0; step < steps; step++) {
-                ALL.get(left % ALL.size()).accept(model, cut);
+                ALL.get(left % ALL.size()).accept(simulation, cut);
                 left /= ALL.size();
                 if (step == 0) {
-                    propose(model, 7);
+                    propose(simulation, 7);
                 }
-                model.world().run(1_300_000);
+                simulation.cluster().run(1_300_000);
             }
-            model.world().run(8 * SECOND);
-            model.checker().end(model.world().now());
-            worst = Math.max(worst, model.checker().longestContradiction());
-            wholly = Math.max(wholly, model.checker().longestOverlap());
+            simulation.cluster().run(8 * SECOND);
+            simulation.checker().end(simulation.cluster().now());
+            worst = Math.max(worst, simulation.checker().longestContradiction());
+            wholly = Math.max(wholly, simulation.checker().longestOverlap());
         }
         return new long[] {worst, wholly};
     }
@@ -224,15 +226,15 @@
     @Example
     void everyLossOfTheFirstMessages() {
         for (int lost = 0; lost < 1 << 10; lost++) {
-            RuleSimulation model = started(3, 3);
-            model.elect(0);
-            model.world().run(7 * SECOND);
-            assertTrue(untilAll(model, 3, 5) >= 0);
+            RuleSimulation simulation = started(3, 3);
+            simulation.elect(0);
+            simulation.cluster().run(7 * SECOND);
+            assertTrue(untilAll(simulation, 3, 5) >= 0);
             int which = lost;
             int[] n = {0};
-            model.world().setLink((from, to, now, r) -> n[0] < 10 && (which >> n[0]++ & 1) != 0 ? -1 : 2_000);
-            assertTrue(untilAll(model, 3, 6) >= 0, "loss of " + Integer.toBinaryString(lost));
-            kept(model, "loss of " + Integer.toBinaryString(lost));
+            simulation.cluster().setLink((from, to, now, r) -> n[0] < 10 && (which >> n[0]++ & 1) != 0 ? -1 : 2_000);
+            assertTrue(untilAll(simulation, 3, 6) >= 0, "loss of " + Integer.toBinaryString(lost));
+            kept(simulation, "loss of " + Integer.toBinaryString(lost));
         }
     }
 }
--- a/src/test/java/wallmoor/service/EffectiveSettingsTest.java
+++ b/src/test/java/wallmoor/service/EffectiveSettingsTest.java
@@ -40,7 +40,7 @@
                 throw new IllegalArgumentException("no class");
             }
             told.add(settings.limits());
-        }, () -> agreed, line -> {});
+        }, () -> agreed);
     }
 
     private static LaunchConfig launch(int open, int attempts) {
@@ -77,15 +77,15 @@
             switch (step % 3) {
                 case 0 -> {
                     open = 20 * amount;
-                    inForce.launch(launch(open, amount));
+                    inForce.onConfigReloaded(launch(open, amount));
                 }
                 case 1 -> {
                     agreed = act(15 * amount, amount);
-                    inForce.agreedRule();
+                    inForce.onAgreedRuleChanged();
                 }
                 default -> {
                     share = 100 / amount;
-                    inForce.processQuota(100 / amount, 100);
+                    inForce.onProcessQuotaChanged(100 / amount, 100);
                 }
             }
             assertEquals("told once", 1, told.size());
@@ -105,17 +105,17 @@
                 bad.settings().withClasses(List.of()),
                 null, List.of(), List.of(), List.of(), 64, 64, 1, 1, 1, null, false,
                 java.util.Set.of(), java.util.Set.of(), true);
-        assertThrows(IllegalArgumentException.class, () -> inForce.launch(none));
+        assertThrows(IllegalArgumentException.class, () -> inForce.onConfigReloaded(none));
         assertEquals(START, inForce.launch());
         assertEquals(243, inForce.maxOpenOfAllProcesses());
-        inForce.processQuota(121, 243);
+        inForce.onProcessQuotaChanged(121, 243);
         assertEquals(121, told.get(told.size() - 1).maxInFlight());
     }
 
     /** One place tells the gatherer of settings: two could tell of more than is allowed, if only for a moment. */
     @Test
     public void nobodyElseTellsTheGathererOfSettings() throws Exception {
-        var call = Pattern.compile("gatherer(\\(\\))?(\\.|::)settings\\b");
+        var call = Pattern.compile("gatherer(\\(\\))?(\\.|::)updateSettings\\b");
         try (var files = Files.walk(Path.of("src/main/java/wallmoor"))) {
             List<Path> all = files.filter(f -> f.toString().endsWith(".java") && Files.isRegularFile(f)).toList();
             assertTrue(all.size() > 100);
