--- a/src/main/java/wallmoor/service/RulesService.java
+++ b/src/main/java/wallmoor/service/RulesService.java
@@ -33,9 +33,7 @@
     RulesService(RulesConfig config, LaunchConfig launch, Runnable onChange) throws IOException {
         this.config = config;
         this.onChange = onChange;
-        consensus = new ConsensusService(config, launch.name(), launch.seed(), this::onRuleChanged,
-                line -> LOG.info(STATE, "rules: {}", line),
-                line -> LOG.warn("rules: {}", line));
+        consensus = new ConsensusService(config, launch.name(), launch.seed(), this::onRuleChanged);
         control = config.control() == null ? null : new RulesControlServer(config.control(), launch.name(), consensus);
     }
 
