--- a/src/main/java/wallmoor/core/AttemptOutcome.java
+++ b/src/main/java/wallmoor/core/AttemptOutcome.java
@@ -2,13 +2,13 @@
 
 import wallmoor.decision.AttemptEndReason;
 
-/** How an attempt ended, in the words of the fronts. */
+/** How an attempt ended, as transports report it. */
 public enum AttemptOutcome {
     /** Served: the value is in. */
     SERVED(AttemptEndReason.OK),
     /** The worker answered with an error; it may have run. */
     ERROR(AttemptEndReason.ERROR),
-    /** Turned away unseen. */
+    /** Rejected before it ran. */
     REJECTED(AttemptEndReason.REJECTED),
     /** No answer in time; it may have run. */
     TIMED_OUT(AttemptEndReason.TIMEOUT),
@@ -16,11 +16,12 @@
     CONNECT_FAILED(AttemptEndReason.CONNECT_FAILED),
     /** The connection broke after the last byte was written; it may have run. */
     RESET(AttemptEndReason.RESET),
-    /** Called off; it may have run. */
+    /** Cancelled; it may have run. */
     CANCELLED(AttemptEndReason.CANCELLED),
-    /** Called off before any byte was written: never ran. */
+    /** Cancelled or no longer permitted before any byte was written: never ran. */
     NOT_SENT(AttemptEndReason.NOT_STARTED);
 
+    /** The same as the routing policy reads it. */
     final AttemptEndReason code;
 
     AttemptOutcome(AttemptEndReason code) {
--- a/src/main/java/wallmoor/service/EffectiveSettings.java
+++ b/src/main/java/wallmoor/service/EffectiveSettings.java
@@ -24,7 +24,7 @@
 
     /** Receives the settings in effect; rejects contradictory ones with an IllegalArgumentException. */
     interface SettingsListener {
-        /** As {@link wallmoor.core.Gatherer#updateSettings}. */
+        /** As {@link wallmoor.core.GathererControl#updateSettings}. */
         void onSettingsChanged(RoutingSettings next, List<String> classes, Set<Integer> vanished);
     }
 
--- a/src/main/java/wallmoor/sources/ChangePublisher.java
+++ b/src/main/java/wallmoor/sources/ChangePublisher.java
@@ -39,13 +39,13 @@
         logChanges(changes);
         List<WorkerEndpoint> endpoints = drainsFirst(changes);
         if (fromList) {
-            gatherer.updateEndpoints(false, endpoints.subList(0, Math.min(BATCH, endpoints.size())));
+            gatherer.control().updateEndpoints(false, endpoints.subList(0, Math.min(BATCH, endpoints.size())));
         }
         for (int from = fromList ? BATCH : 0; from < endpoints.size(); from += BATCH) {
             if (from > 0) {
                 LockSupport.parkNanos(BATCH_PAUSE_NANOS);
             }
-            gatherer.mergeEndpoints(endpoints.subList(from, Math.min(endpoints.size(), from + BATCH)));
+            gatherer.control().mergeEndpoints(endpoints.subList(from, Math.min(endpoints.size(), from + BATCH)));
         }
     }
 
--- a/src/main/java/wallmoor/sources/EndpointUpdater.java
+++ b/src/main/java/wallmoor/sources/EndpointUpdater.java
@@ -61,9 +61,9 @@
         for (EndpointSource source : sources) {
             applyInitial(source, initial);
         }
-        gatherer.start(initial);
+        gatherer.control().start(initial);
         if (!hasEndpointList()) {
-            gatherer.updateEndpoints(false, List.of()); // there is no list to ask for
+            gatherer.control().updateEndpoints(false, List.of()); // there is no list to ask for
         }
         if (sources.size() > 1 || !hasEndpointList()) { // a list alone has no timed rules
             Threads.start("endpoint-timers", this::runTimers);
