--- a/src/main/java/wallmoor/edge/EdgeQueries.java
+++ b/src/main/java/wallmoor/edge/EdgeQueries.java
@@ -86,8 +86,10 @@
         lastAnswerAt = clock.getAsLong() + millis * 1000;
     }
 
-    /** A device asks for a query. Of {@link RequestDecision.Execute} and {@link RequestDecision.Attach} see {@link #await}.
-     * */
+    /**
+     * A device asks for a query. For {@link RequestDecision.Execute} and {@link RequestDecision.Attach} see
+     * {@link #await}.
+     */
     public RequestDecision submit(IdempotencyKey key, EdgeRequest ask) {
         RunningQuery made = null;
         RequestDecision decision;
--- a/src/main/java/wallmoor/edge/http/EdgeHttp.java
+++ b/src/main/java/wallmoor/edge/http/EdgeHttp.java
@@ -35,8 +35,8 @@
 
 /**
  * The edge over HTTP/1.1: {@code PUT /queries/ID} asks, and may be said again whenever a link broke; {@code GET} tells
- * the outcome, waits for it, and goes on where an answer broke off. A thin wire: what becomes of a request is {@link EdgeQueries}
- * to say.
+ * the outcome, waits for it, and goes on where an answer broke off. A thin wire: {@link EdgeQueries} says what becomes
+ * of a request.
  */
 public final class EdgeHttp {
     private static final String JSON = "application/json";
--- a/src/main/java/wallmoor/idempotency/RequestStore.java
+++ b/src/main/java/wallmoor/idempotency/RequestStore.java
@@ -119,7 +119,7 @@
         }
     }
 
-    /** Evicts until the limits hold again, or the request just completed is itself evicted: its waiters still get it. */
+    /** Evicts until the limits hold again, or the request just completed is evicted: its waiters still get it. */
     private void evictExcess(RequestRecord completed, DeviceAccount account) {
         boolean retained = true;
         while (retained && (reservedBytes > limits.maxRetainedBytes()
--- a/src/test/java/wallmoor/net/EdgeTest.java
+++ b/src/test/java/wallmoor/net/EdgeTest.java
@@ -18,7 +18,6 @@
 import java.util.Arrays;
 import java.util.concurrent.TimeUnit;
 import java.util.zip.GZIPOutputStream;
-import org.junit.After;
 import org.junit.Test;
 import wallmoor.standin.LinkProxy;
 import wallmoor.standin.LinkProxy.Fate;
--- a/src/test/java/wallmoor/summaries/Asked.java
+++ b/src/test/java/wallmoor/summaries/Asked.java
@@ -3,7 +3,6 @@
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.random.RandomGenerator;
 
 /** Rows and conditions by chance: few values of many forms, so that they often meet and nearly meet. */
