--- a/src/bench/java/wallmoor/placement/LargePlacementsBenchmark.java
+++ b/src/bench/java/wallmoor/placement/LargePlacementsBenchmark.java
@@ -55,17 +55,7 @@
             boolean beside = random.nextInt(100) < kind.beside();
             List<Integer> taken = new ArrayList<>();
             while (taken.size() < kind.copies()) {
-                int best = -1;
-                for (int tries = 0; tries < 6 || best < 0; tries++) { // the least full for its weight, of a few
-                    int i = random.nextInt(n);
-                    boolean apart = beside && taken.size() < 2 ? !taken.contains(i)
-                            : taken.stream().noneMatch(t -> t % kind.cells() == i % kind.cells());
-                    if (apart && (beside || taken.stream().noneMatch(t -> t == i))
-                            && (best < 0
-                                    || used[i] / (weight[i] * disk[i]) < used[best] / (weight[best] * disk[best]))) {
-                        best = i;
-                    }
-                }
+                int best = leastFull(kind, random, taken, beside, used, weight, disk);
                 taken.add(best);
                 used[best] += mb[b];
                 on.add("n" + best);
@@ -75,6 +65,22 @@
         return new PlacementProblem(100_000, kind.spread(), kind.level(), nodes, blocks);
     }
 
+    /** The least full node for its weight, of a few drawn ones. */
+    private static int leastFull(Kind kind, Random random, List<Integer> taken, boolean beside, long[] used,
+            double[] weight, long[] disk) {
+        int best = -1;
+        for (int tries = 0; tries < 6 || best < 0; tries++) {
+            int i = random.nextInt(used.length);
+            boolean apart = beside && taken.size() < 2 ? !taken.contains(i)
+                    : taken.stream().noneMatch(t -> t % kind.cells() == i % kind.cells());
+            if (apart && (beside || taken.stream().noneMatch(t -> t == i))
+                    && (best < 0 || used[i] / (weight[i] * disk[i]) < used[best] / (weight[best] * disk[best]))) {
+                best = i;
+            }
+        }
+        return best;
+    }
+
     /** Prints a line for each kind and seed; how many seeds, nodes and blocks may be given. */
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 2;
--- a/src/main/java/wallmoor/placement/BlockReplicas.java
+++ b/src/main/java/wallmoor/placement/BlockReplicas.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /**
- * A block and its whole copies.
+ * A block and its complete replicas.
  *
- * @param sizeMb megabytes of one copy, 1 to {@link PlacementProblem#MOST_MB}
- * @param holders the ids of the nodes that hold a copy each, without repeats
+ * @param sizeMb  megabytes of one replica, 1 to {@link PlacementProblem#MOST_MB}
+ * @param holders ids of the distinct nodes that hold a replica each
  */
 public record BlockReplicas(String id, long sizeMb, List<String> holders) {
+    /** Takes a copy of the list. */
     public BlockReplicas {
         holders = List.copyOf(holders);
     }
--- a/src/main/java/wallmoor/placement/CopyLowerBound.java
+++ b/src/main/java/wallmoor/placement/CopyLowerBound.java
@@ -55,7 +55,7 @@
         mayCome = new long[areas];
         besideOn = new long[n];
         sums();
-        areas();
+        sumAreas();
     }
 
     static WindowBound of(PlacementModel model) {
@@ -98,41 +98,44 @@
         return BitSet.valueOf(shifted);
     }
 
-    private void areas() {
+    /** Sums up, by area, what each block must and may exchange. */
+    private void sumAreas() {
         var live = new boolean[areas];
-        int alive = 0;
+        int liveAreas = 0;
         for (int i = 0; i < used.length; i++) {
             if (!model.draining[i] && !live[area[i]]) {
                 live[area[i]] = true;
-                alive++;
+                liveAreas++;
             }
         }
-        var held = new int[areas];
-        var drains = new int[areas];
         for (int b = 0; b < model.sizeMb.length; b++) {
-            java.util.Arrays.fill(held, 0);
-            java.util.Arrays.fill(drains, 0);
-            for (int h : model.initialHolders[b]) {
-                held[area[h]]++;
-                drains[area[h]] += model.draining[h] ? 1 : 0;
-            }
             boolean apart = model.spread[b] && areas > 1;
-            for (int a = 0; a < areas; a++) {
-                long mb = model.sizeMb[b];
-                // it ends with one copy in every cell that there is
-                if (apart && model.initialHolders[b].length == alive) {
-                    net[a] += mb * ((live[a] ? 1 : 0) - held[a]);
-                } else {
-                    mayGo[a] += mb * held[a];
-                    mayCome[a] += !live[a] ? 0 : apart ? mb * Math.max(0, 1 - held[a])
-                            : mb * (model.initialHolders[b].length - held[a]);
-                }
-                int together = held[a] - drains[a];
-                if (apart && together > 1) {
-                    beside[a] += mb * (together - 1);
-                    for (int h : model.initialHolders[b]) {
-                        besideOn[h] += area[h] == a ? mb : 0;
-                    }
+            boolean everywhere = apart && model.initialHolders[b].length == liveAreas;
+            sumBlock(b, live, apart, everywhere);
+        }
+    }
+
+    /** @param everywhere whether the block ends with one replica in every live area */
+    private void sumBlock(int block, boolean[] live, boolean apart, boolean everywhere) {
+        var replicas = new int[areas];
+        var staying = new int[areas];
+        for (int node : model.initialHolders[block]) {
+            replicas[area[node]]++;
+            staying[area[node]] += model.draining[node] ? 0 : 1;
+        }
+        long mb = model.sizeMb[block];
+        for (int a = 0; a < areas; a++) {
+            if (everywhere) {
+                net[a] += mb * ((live[a] ? 1 : 0) - replicas[a]);
+            } else {
+                mayGo[a] += mb * replicas[a];
+                int mostMore = apart ? Math.max(0, 1 - replicas[a]) : model.initialHolders[block].length - replicas[a];
+                mayCome[a] += live[a] ? mb * mostMore : 0;
+            }
+            if (apart && staying[a] > 1) {
+                beside[a] += mb * (staying[a] - 1);
+                for (int node : model.initialHolders[block]) {
+                    besideOn[node] += area[node] == a ? mb : 0;
                 }
             }
         }
--- a/src/main/java/wallmoor/placement/FailureDomain.java
+++ b/src/main/java/wallmoor/placement/FailureDomain.java
@@ -1,6 +1,6 @@
 package wallmoor.placement;
 
-/** What no two whole copies of a block share. */
+/** What no two replicas of a block share. The names are stored. */
 public enum FailureDomain {
     CELL, NODE
 }
--- a/src/main/java/wallmoor/placement/PlacementModel.java
+++ b/src/main/java/wallmoor/placement/PlacementModel.java
@@ -12,7 +12,7 @@
  */
 final class PlacementModel {
     /** Room without the rule of room: more than all blocks there may be, and far from a long's end. */
-    private static final long ENDLESS = 1L << 50;
+    private static final long UNBOUNDED_MB = 1L << 50;
     /** Shares as doubles err by far less than this; within it the comparison is made in whole numbers. */
     private static final double NEAR = 1e-9;
     /** A millionth of a millionth: the unit of a share of a share. */
@@ -38,61 +38,81 @@
     /** Whether the nodes that count for the level end with shares of 0 to 1, so that a window of shares bounds them. */
     final boolean windowed;
 
-    /** All rules of the fleet. */
-    PlacementModel(PlacementProblem fleet) {
-        this(fleet, rules(fleet));
+    /** A model under all constraints of the problem. */
+    PlacementModel(PlacementProblem problem) {
+        this(problem, rules(problem));
     }
 
-    /** Some of its rules. */
-    PlacementModel(PlacementProblem fleet, Collection<PlacementConstraint> kept) {
-        this.fleet = fleet;
-        int n = fleet.nodes().size();
-        diskMb = new long[n];
-        capacityMb = new long[n];
-        draining = new boolean[n];
-        levelled = new boolean[n];
-        group = new int[n];
-        Map<String, Integer> index = new HashMap<>();
-        Map<String, Integer> cells = new HashMap<>();
-        for (int i = 0; i < n; i++) {
+    /** A model under some of the constraints. */
+    PlacementModel(PlacementProblem problem, Collection<PlacementConstraint> enforced) {
+        this.fleet = problem;
+        int nodes = problem.nodes().size();
+        diskMb = new long[nodes];
+        capacityMb = new long[nodes];
+        draining = new boolean[nodes];
+        levelled = new boolean[nodes];
+        group = new int[nodes];
+        int blocks = problem.blocks().size();
+        sizeMb = new long[blocks];
+        initialHolders = new int[blocks][];
+        spread = new boolean[blocks];
+        Map<String, Integer> nodeIndex = new HashMap<>();
+        groups = readNodes(nodeIndex);
+        Map<String, Integer> blockIndex = new HashMap<>();
+        readBlocks(nodeIndex, blockIndex);
+        level = enforce(enforced, nodeIndex, blockIndex);
+        windowed = level != PlacementProblem.NO_LEVEL && allLevelledBounded();
+    }
+
+    /** Reads the nodes, and returns the number of groups. */
+    private int readNodes(Map<String, Integer> nodeIndex) {
+        Map<String, Integer> groupByCell = new HashMap<>();
+        for (int i = 0; i < diskMb.length; i++) {
             StorageNode node = fleet.nodes().get(i);
-            index.put(node.id(), i);
+            nodeIndex.put(node.id(), i);
             diskMb[i] = node.diskMb();
-            capacityMb[i] = ENDLESS;
+            capacityMb[i] = UNBOUNDED_MB;
             levelled[i] = !node.draining();
-            Integer cell = cells.putIfAbsent(node.cell(), cells.size());
-            group[i] = fleet.spread() == FailureDomain.NODE ? i : cell == null ? cells.size() - 1 : cell;
+            groupByCell.putIfAbsent(node.cell(), groupByCell.size());
+            group[i] = fleet.spread() == FailureDomain.NODE ? i : groupByCell.get(node.cell());
         }
-        groups = fleet.spread() == FailureDomain.NODE ? n : cells.size();
-        int count = fleet.blocks().size();
-        sizeMb = new long[count];
-        initialHolders = new int[count][];
-        spread = new boolean[count];
-        Map<String, Integer> blocks = new HashMap<>();
-        for (int b = 0; b < count; b++) {
+        return fleet.spread() == FailureDomain.NODE ? diskMb.length : groupByCell.size();
+    }
+
+    private void readBlocks(Map<String, Integer> nodeIndex, Map<String, Integer> blockIndex) {
+        for (int b = 0; b < sizeMb.length; b++) {
             BlockReplicas block = fleet.blocks().get(b);
-            blocks.put(block.id(), b);
+            blockIndex.put(block.id(), b);
             sizeMb[b] = block.sizeMb();
-            initialHolders[b] = block.holders().stream().mapToInt(index::get).sorted().toArray();
+            initialHolders[b] = block.holders().stream().mapToInt(nodeIndex::get).sorted().toArray();
         }
-        int keptLevel = PlacementProblem.NO_LEVEL;
-        for (PlacementConstraint r : kept) {
-            switch (r.rule()) {
+    }
+
+    /** Applies the constraints, and returns the level. */
+    private int enforce(Collection<PlacementConstraint> enforced, Map<String, Integer> nodeIndex,
+            Map<String, Integer> blockIndex) {
+        int enforcedLevel = PlacementProblem.NO_LEVEL;
+        for (PlacementConstraint constraint : enforced) {
+            switch (constraint.rule()) {
                 case ROOM -> {
-                    int node = index.get(r.nodes().get(0));
+                    int node = nodeIndex.get(constraint.nodes().get(0));
                     capacityMb[node] = fleet.usable(fleet.nodes().get(node));
                 }
-                case DRAIN -> draining[index.get(r.nodes().get(0))] = true;
-                case SPREAD -> spread[blocks.get(r.blocks().get(0))] = true;
-                default -> keptLevel = fleet.level();
+                case DRAIN -> draining[nodeIndex.get(constraint.nodes().get(0))] = true;
+                case SPREAD -> spread[blockIndex.get(constraint.blocks().get(0))] = true;
+                default -> enforcedLevel = fleet.level();
             }
         }
-        level = keptLevel;
-        boolean bounded = level != PlacementProblem.NO_LEVEL;
-        for (int i = 0; i < n; i++) {
-            bounded &= !levelled[i] || capacityMb[i] != ENDLESS;
+        return enforcedLevel;
+    }
+
+    private boolean allLevelledBounded() {
+        for (int i = 0; i < capacityMb.length; i++) {
+            if (levelled[i] && capacityMb[i] == UNBOUNDED_MB) {
+                return false;
+            }
         }
-        windowed = bounded;
+        return true;
     }
 
     /** Every rule of a fleet, each for its node or block. */
--- a/src/main/java/wallmoor/placement/PlacementResult.java
+++ b/src/main/java/wallmoor/placement/PlacementResult.java
@@ -2,30 +2,30 @@
 
 import java.util.List;
 
-/** What a fleet's planning came to. */
+/** Result of planning the moves of a {@link PlacementProblem}. */
 public sealed interface PlacementResult {
     /**
-     * Moves, legal in this order and by their waves.
+     * Moves, legal one by one in this order and concurrently in their waves.
      *
-     * @param copiedMb      what they copy, in megabytes
-     * @param lowerBoundMb no plan copies less: proven
-     * @param optimal   proven to be the least: the two are equal
+     * @param copiedMb     megabytes that they copy
+     * @param lowerBoundMb proven: no plan copies less
+     * @param optimal      proven: the two are equal
      */
     record Plan(List<Move> moves, long copiedMb, long lowerBoundMb, boolean optimal) implements PlacementResult {}
 
     /**
-     * No plan exists: proven.
+     * Proven: no plan exists.
      *
-     * @param conflict  rules that no plan keeps together, whatever the others are
-     * @param minimal no smaller set of rules is infeasible: proven
+     * @param conflict constraints that no plan satisfies together, whatever the others are
+     * @param minimal  proven: no smaller set of constraints is unsatisfiable
      */
     record Infeasible(List<PlacementConstraint> conflict, boolean minimal) implements PlacementResult {}
 
     /**
-     * None was found, and none was shown not to exist.
+     * No plan was found, and none was proven not to exist.
      *
-     * @param lowerBoundMb no plan copies less
-     * @param placementsSeen  how many placements were looked at
+     * @param lowerBoundMb   no plan copies less
+     * @param placementsSeen placements that were searched
      */
     record NotFound(long lowerBoundMb, int placementsSeen) implements PlacementResult {}
 }
--- a/src/test/java/wallmoor/placement/BruteForce.java
+++ b/src/test/java/wallmoor/placement/BruteForce.java
@@ -165,26 +165,36 @@
                 return false;
             }
             for (int j = 0; level && j < nodes; j++) {
-                if (!fleet.nodes().get(i).draining() && !fleet.nodes().get(j).draining()) {
-                    long a = fleet.nodes().get(i).diskMb();
-                    long b = fleet.nodes().get(j).diskMb();
-                    // of the whole disk; a whole number in all fleets here
-                    long by = fleet.level() / 1_000 * (PlacementProblem.MILLION - fleet.headroom()) / 1_000;
-                    if ((used[i] * b - used[j] * a) * PlacementProblem.MILLION > by * a * b) {
-                        return false;
-                    }
+                if (!fleet.nodes().get(i).draining() && !fleet.nodes().get(j).draining() && uneven(i, j, used)) {
+                    return false;
                 }
             }
         }
         for (int b = 0; b < placed.length; b++) {
-            for (int c = 0; c < placed[b].length; c++) {
-                for (int d = 0; d < c; d++) {
-                    if (apart[b] && near(placed[b][c], placed[b][d])) {
-                        return false;
-                    }
-                }
+            if (apart[b] && anyNear(placed[b])) {
+                return false;
             }
         }
         return true;
     }
+
+    /** Whether the first node is fuller than the second by more than the level. */
+    private boolean uneven(int i, int j, long[] used) {
+        long a = fleet.nodes().get(i).diskMb();
+        long b = fleet.nodes().get(j).diskMb();
+        // of the whole disk; a whole number in all fleets here
+        long by = fleet.level() / 1_000 * (PlacementProblem.MILLION - fleet.headroom()) / 1_000;
+        return (used[i] * b - used[j] * a) * PlacementProblem.MILLION > by * a * b;
+    }
+
+    private boolean anyNear(int[] copies) {
+        for (int c = 0; c < copies.length; c++) {
+            for (int d = 0; d < c; d++) {
+                if (near(copies[c], copies[d])) {
+                    return true;
+                }
+            }
+        }
+        return false;
+    }
 }
