--- a/src/main/java/wallmoor/consensus/MonotonicClock.java
+++ b/src/main/java/wallmoor/consensus/RaftClock.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** For the Raft library, which measures the time between heartbeats: a wall clock that is set must not end a leader. */
-final class MonotonicClock extends Clock {
+final class RaftClock extends Clock {
     @Override
     public ZoneId getZone() {
         return ZoneOffset.UTC;
--- a/src/main/java/wallmoor/consensus/RaftLog.java
+++ b/src/main/java/wallmoor/consensus/RaftLog.java
@@ -61,7 +61,7 @@
     void start(StateMachine stateMachine, Transport transport) {
         node = RaftNode.newBuilder().setGroupId(RaftGroup.ID).setRestoredState(store.restoredState())
                 .setStore(store).setStateMachine(stateMachine).setTransport(transport).setExecutor(executor)
-                .setRandom(random).setClock(new MonotonicClock()).setConfig(config()).build();
+                .setRandom(random).setClock(new RaftClock()).setConfig(config()).build();
         CompletableFuture<?> unused = node.start();
     }
 
--- a/src/test/java/wallmoor/consensus/DurableStoreGoldenTest.java
+++ b/src/test/java/wallmoor/consensus/DurableStoreGoldenTest.java
@@ -9,6 +9,7 @@
 import io.microraft.model.log.SnapshotChunk;
 import io.microraft.persistence.RestoredRaftState;
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
@@ -48,7 +49,7 @@
 
     private LogEntry entry(long index, int term) {
         return models.createLogEntryBuilder().setIndex(index).setTerm(term)
-                .setOperation(("entry " + index + " of " + term).getBytes()).build();
+                .setOperation(("entry " + index + " of " + term).getBytes(StandardCharsets.US_ASCII)).build();
     }
 
     private SnapshotChunk chunk(DurableStore store, long index, int number) {
@@ -119,7 +120,8 @@
             assertArrayEquals(new byte[] {1, -1}, (byte[]) ((SnapshotChunk) chunks.get(1)).getOperation());
             assertEquals(List.of(4L, 5L), state.getLogEntries().stream().map(LogEntry::getIndex).toList());
             assertEquals(List.of(7, 7), state.getLogEntries().stream().map(LogEntry::getTerm).toList());
-            assertArrayEquals("entry 5 of 7".getBytes(), (byte[]) state.getLogEntries().get(1).getOperation());
+            assertArrayEquals("entry 5 of 7".getBytes(StandardCharsets.US_ASCII),
+                    (byte[]) state.getLogEntries().get(1).getOperation());
             store.close();
             assertArrayEquals(golden.get(log), Files.readAllBytes(at("log")));
             assertArrayEquals(golden.get("vote-reopened"), Files.readAllBytes(at("vote")));
--- a/src/test/java/wallmoor/consensus/DurableStoreTest.java
+++ b/src/test/java/wallmoor/consensus/DurableStoreTest.java
@@ -9,6 +9,7 @@
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import io.microraft.model.log.LogEntry;
 import io.microraft.persistence.RestoredRaftState;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
@@ -39,7 +40,7 @@
 
     private LogEntry entry(long index, int term) {
         return models.createLogEntryBuilder().setIndex(index).setTerm(term)
-                .setOperation(("entry " + index + " of " + term).getBytes()).build();
+                .setOperation(("entry " + index + " of " + term).getBytes(StandardCharsets.US_ASCII)).build();
     }
 
     private void vote(DurableStore store, int term, String whom) throws Exception {
