--- a/src/test/java/wallmoor/rules/LeaseHolderTest.java
+++ b/src/test/java/wallmoor/rules/LeaseHolderTest.java
@@ -90,11 +90,11 @@
     /** Voters that lost all they kept give no lease to one that knows what they don't: numbers would begin anew. */
     @Example
     void votersThatLostTheirFilesGiveNoLease() {
-        var ledger = new RuleStateMachine(List.of("a"));
+        var stateMachine = new RuleStateMachine(List.of("a"));
         var sent = new ArrayList<LeaseMessage>();
         var barriers = new ArrayList<Long>();
         var entries = new ArrayList<LogEntry>();
-        var grants = new LeaseTable("a", 1, TERMS, ledger, new LeaseTable.Actions() {
+        var leaseTable = new LeaseTable("a", 1, TERMS, stateMachine, new LeaseTable.Actions() {
             @Override
             public void send(String holder, LeaseMessage message) {
                 sent.add(message);
@@ -112,25 +112,25 @@
         });
         LeaseHolder knows = holder(List.of(FIRST));
         LeaseRequest early = knows.onTick(0);
-        grants.onLeaseRequest(0, early);
+        leaseTable.onLeaseRequest(0, early);
         assertEquals(List.of(), barriers, "it does not lead");
-        grants.onElectionChanged(0, true);
+        leaseTable.onElectionChanged(0, true);
         assertEquals(List.of(new LogEntry.LeaderElected("a", 1)), entries);
-        grants.onApplied(0, ledger.apply(entries.get(0)));
-        grants.onLeaseRequest(1, early);
+        leaseTable.onApplied(0, stateMachine.apply(entries.get(0)));
+        leaseTable.onLeaseRequest(1, early);
         assertEquals(List.of(), sent, "not before the barrier is back");
-        grants.onBarrier(2, barriers.get(0));
+        leaseTable.onBarrier(2, barriers.get(0));
         knows.onDenial((LeaseMessage.LeaseDenial) sent.get(0));
         assertTrue(knows.denialReason().contains("put their files back"), knows.denialReason());
         LeaseHolder fresh = new LeaseHolder("i", 1, TERMS, DocumentSchemas.all(), List.of());
         LeaseRequest ask = fresh.onTick(2);
-        grants.onLeaseRequest(3, ask);
-        grants.onLeaseRequest(3, ask);
-        grants.onBarrierFailed(4, barriers.get(1));
+        leaseTable.onLeaseRequest(3, ask);
+        leaseTable.onLeaseRequest(3, ask);
+        leaseTable.onBarrierFailed(4, barriers.get(1));
         assertEquals(1, sent.size(), "no lease by a barrier that failed");
-        grants.onLeaseRequest(5, fresh.onTick(2 + TERMS.renewalInterval()));
-        grants.onBarrier(6, barriers.get(2));
+        leaseTable.onLeaseRequest(5, fresh.onTick(2 + TERMS.renewalInterval()));
+        leaseTable.onBarrier(6, barriers.get(2));
         assertEquals(new LeaseGrant("i", 1, 2, List.of()), sent.get(1));
-        assertEquals(5 + TERMS.grantorWait(), grants.latestExpiry());
+        assertEquals(5 + TERMS.grantorWait(), leaseTable.latestExpiry());
     }
 }
--- a/src/test/java/wallmoor/rules/RuleCodecGoldenTest.java
+++ b/src/test/java/wallmoor/rules/RuleCodecGoldenTest.java
@@ -65,19 +65,19 @@
     }
 
     /** An accepted version that acts, one that does not act yet, and one that waits for verdicts. */
-    private static RuleStateMachine ledger() {
+    private static RuleStateMachine stateMachine() {
         List<String> voters = List.of("a", "b", "c");
-        var ledger = new RuleStateMachine(voters);
-        ledger.apply(new LogEntry.LeaderElected("a", LIFE));
+        var stateMachine = new RuleStateMachine(voters);
+        stateMachine.apply(new LogEntry.LeaderElected("a", LIFE));
         for (RuleDocument d : List.of(FIRST, SECOND)) {
-            ledger.apply(new LogEntry.ProposeVersion(d.proposal()));
-            voters.forEach(v -> ledger.apply(new LogEntry.VoterVerdict(v, d.name(), d.version(), d.hash(), "")));
+            stateMachine.apply(new LogEntry.ProposeVersion(d.proposal()));
+            voters.forEach(v -> stateMachine.apply(new LogEntry.VoterVerdict(v, d.name(), d.version(), d.hash(), "")));
         }
-        ledger.apply(new LogEntry.ActivateVersion(1, "settings", 1));
-        ledger.apply(new LogEntry.ProposeVersion(PLAN.proposal()));
-        RuleDocument pending = ledger.pending("plan");
-        ledger.apply(new LogEntry.VoterVerdict("c", "plan", 1, pending.hash(), ""));
-        return ledger;
+        stateMachine.apply(new LogEntry.ActivateVersion(1, "settings", 1));
+        stateMachine.apply(new LogEntry.ProposeVersion(PLAN.proposal()));
+        RuleDocument pending = stateMachine.pending("plan");
+        stateMachine.apply(new LogEntry.VoterVerdict("c", "plan", 1, pending.hash(), ""));
+        return stateMachine;
     }
 
     @Example
@@ -108,11 +108,11 @@
     }
 
     @Example
-    void aSavedLedgerOfAnEarlierReleaseIsRestoredAndSavedAlike() throws Exception {
+    void aSnapshotOfAnEarlierReleaseIsRestoredAndTakenAlike() throws Exception {
         byte[] bytes = golden("ledger");
         RuleStateMachine restored = RuleStateMachine.restoreSnapshot(List.of("a", "b", "c"), bytes);
         assertArrayEquals(bytes, restored.takeSnapshot());
-        assertArrayEquals(bytes, ledger().takeSnapshot());
+        assertArrayEquals(bytes, stateMachine().takeSnapshot());
         assertEquals(FIRST.version(), restored.activeVersion("settings"));
         assertEquals(SECOND, restored.latestAccepted("settings"));
         assertEquals(PLAN.proposal(), restored.pending("plan").proposal());
--- a/src/test/java/wallmoor/rules/RuleStateMachineTest.java
+++ b/src/test/java/wallmoor/rules/RuleStateMachineTest.java
@@ -17,7 +17,7 @@
 
 class RuleStateMachineTest {
     private static final List<String> VOTERS = List.of("a", "b", "c");
-    private final RuleStateMachine ledger = new RuleStateMachine(VOTERS);
+    private final RuleStateMachine stateMachine = new RuleStateMachine(VOTERS);
 
     private static RuleProposal settings(RuleDocument parent, String author, int open) {
         return new RuleProposal("settings", parent == null ? 0 : parent.version(), parent == null ? "" : parent.hash(),
@@ -26,13 +26,13 @@
     }
 
     private RuleEvent propose(RuleProposal p) {
-        return ledger.apply(new LogEntry.ProposeVersion(p)).get(0);
+        return stateMachine.apply(new LogEntry.ProposeVersion(p)).get(0);
     }
 
     private RuleDocument accepted(RuleProposal p) {
         RuleDocument d = ((RuleEvent.VersionPending) propose(p)).document();
-        VOTERS.forEach(v -> ledger.apply(DocumentSchemas.verdict(v, DocumentSchemas.all(), d)));
-        assertEquals(d, ledger.latestAccepted("settings"));
+        VOTERS.forEach(v -> stateMachine.apply(DocumentSchemas.verdict(v, DocumentSchemas.all(), d)));
+        assertEquals(d, stateMachine.latestAccepted("settings"));
         return d;
     }
 
@@ -48,7 +48,7 @@
         ProposalRejection cleos = refused(propose(settings(first, "cleo", 7)));
         assertEquals(new ProposalRejection(Reason.LOST, "settings", wins.version(), "bob", wins.hash()), cleos);
         assertEquals(new RuleEvent.VersionPending(wins), propose(bobs), "told twice it is still one");
-        VOTERS.forEach(v -> ledger.apply(DocumentSchemas.verdict(v, DocumentSchemas.all(), wins)));
+        VOTERS.forEach(v -> stateMachine.apply(DocumentSchemas.verdict(v, DocumentSchemas.all(), wins)));
         assertEquals(Reason.LOST, refused(propose(settings(first, "cleo", 7))).reason());
         assertEquals(new RuleEvent.VersionAccepted(bobs.idempotencyKey(), wins), propose(bobs));
         RuleDocument back = accepted(RuleProposal.rollback(wins, first, "ann"));
@@ -60,49 +60,50 @@
     void whatOneVotersProgramCannotReadIsRefusedByItsName() {
         RuleDocument first = accepted(settings(null, "ann", 5));
         RuleDocument next = ((RuleEvent.VersionPending) propose(settings(first, "bob", 6))).document();
-        ledger.apply(DocumentSchemas.verdict("a", DocumentSchemas.all(), next));
-        ProposalRejection why = refused(ledger.apply(DocumentSchemas.verdict("b", new HashMap<>(), next)).get(0));
+        stateMachine.apply(DocumentSchemas.verdict("a", DocumentSchemas.all(), next));
+        ProposalRejection why = refused(stateMachine.apply(DocumentSchemas.verdict("b", new HashMap<>(), next)).get(0));
         assertEquals(Reason.UNREADABLE, why.reason());
         assertTrue(why.message().startsWith("b cannot read settings 2"), why.message());
-        assertEquals(first, ledger.latestAccepted("settings"));
+        assertEquals(first, stateMachine.latestAccepted("settings"));
         RuleDocument again = ((RuleEvent.VersionPending) propose(settings(first, "cleo", 7))).document();
         assertEquals(3, again.version(), "a number that was refused is not given again");
-        assertEquals(List.of(), ledger.apply(DocumentSchemas.verdict("c", DocumentSchemas.all(), next)),
+        assertEquals(List.of(), stateMachine.apply(DocumentSchemas.verdict("c", DocumentSchemas.all(), next)),
                 "a late verdict does nothing");
-        assertEquals(List.of(), ledger.apply(DocumentSchemas.verdict("x", DocumentSchemas.all(), again)),
+        assertEquals(List.of(), stateMachine.apply(DocumentSchemas.verdict("x", DocumentSchemas.all(), again)),
                 "nor that of one who has no vote");
-        ledger.apply(new LogEntry.LeaderElected("a", 1));
-        assertEquals("a, b, c", refused(ledger.apply(new LogEntry.CloseVerdicts(1, "settings", 3)).get(0)).opponent());
+        stateMachine.apply(new LogEntry.LeaderElected("a", 1));
+        assertEquals("a, b, c",
+                refused(stateMachine.apply(new LogEntry.CloseVerdicts(1, "settings", 3)).get(0)).opponent());
         RuleDocument last = ((RuleEvent.VersionPending) propose(settings(first, "cleo", 7))).document();
-        ledger.apply(DocumentSchemas.verdict("a", DocumentSchemas.all(), last));
-        ledger.apply(DocumentSchemas.verdict("c", DocumentSchemas.all(), last));
-        assertEquals(List.of(), ledger.apply(new LogEntry.CloseVerdicts(0, "settings", last.version())),
+        stateMachine.apply(DocumentSchemas.verdict("a", DocumentSchemas.all(), last));
+        stateMachine.apply(DocumentSchemas.verdict("c", DocumentSchemas.all(), last));
+        assertEquals(List.of(), stateMachine.apply(new LogEntry.CloseVerdicts(0, "settings", last.version())),
                 "of an older leader");
         assertEquals(List.of(new RuleEvent.VersionAccepted(last.proposal().idempotencyKey(), last)),
-                ledger.apply(new LogEntry.CloseVerdicts(1, "settings", 4)));
+                stateMachine.apply(new LogEntry.CloseVerdicts(1, "settings", 4)));
     }
 
     @Example
     void onlyTheLeaderLetsActAndNothingGoesBack() {
         RuleDocument first = accepted(settings(null, "ann", 5));
-        ledger.apply(new LogEntry.LeaderElected("a", 1));
-        ledger.apply(new LogEntry.LeaderElected("b", 1));
-        assertEquals(List.of(), ledger.apply(new LogEntry.ActivateVersion(1, "settings", first.version())));
-        assertEquals(1, ledger.apply(new LogEntry.ActivateVersion(2, "settings", first.version())).size());
+        stateMachine.apply(new LogEntry.LeaderElected("a", 1));
+        stateMachine.apply(new LogEntry.LeaderElected("b", 1));
+        assertEquals(List.of(), stateMachine.apply(new LogEntry.ActivateVersion(1, "settings", first.version())));
+        assertEquals(1, stateMachine.apply(new LogEntry.ActivateVersion(2, "settings", first.version())).size());
         RuleDocument head = first;
         for (int i = 0; i < RuleStateMachine.MAX_INACTIVE_VERSIONS; i++) {
             head = accepted(settings(head, "ann", 10 + i));
         }
         assertEquals(Reason.BUSY, refused(propose(settings(head, "ann", 99))).reason());
-        ledger.apply(new LogEntry.ActivateVersion(2, "settings", head.version()));
-        assertEquals(List.of(), ledger.apply(new LogEntry.ActivateVersion(2, "settings", first.version())));
+        stateMachine.apply(new LogEntry.ActivateVersion(2, "settings", head.version()));
+        assertEquals(List.of(), stateMachine.apply(new LogEntry.ActivateVersion(2, "settings", first.version())));
         assertEquals(new VersionChain("settings", head.version(), head.version(), List.of(head)),
-                ledger.chain("settings"));
+                stateMachine.chain("settings"));
         for (int i = 0; i < 100; i++) {
             head = accepted(settings(head, "ann", i + 1));
-            ledger.apply(new LogEntry.ActivateVersion(2, "settings", head.version()));
+            stateMachine.apply(new LogEntry.ActivateVersion(2, "settings", head.version()));
         }
-        assertEquals(33, ledger.history("settings").size(), "the history is bounded");
+        assertEquals(33, stateMachine.history("settings").size(), "the history is bounded");
         assertEquals(Reason.MALFORMED,
                 refused(propose(new RuleProposal("Bad Name", 0, "", "me", "{}", "{}"))).reason());
         assertEquals(Reason.MALFORMED, refused(propose(new RuleProposal("plan", 4, "00", "me", "{}", "{}"))).reason());
@@ -113,41 +114,42 @@
                         .reason());
     }
 
-    /** Any entries, in any order: two ledgers come to the same, also where one was saved and restored on the way. */
+    /** Any entries, in any order: two state machines come to the same, also where one was restored on the way. */
     @Property(tries = 200, seed = "2")
-    void equalEntriesGiveEqualLedgers(@ForAll long seed) throws Exception {
+    void equalEntriesGiveEqualStates(@ForAll long seed) throws Exception {
         var random = new Random(seed);
-        var ledger = new RuleStateMachine(VOTERS);
+        var stateMachine = new RuleStateMachine(VOTERS);
         var other = new RuleStateMachine(VOTERS);
         long last = 0;
         for (int i = 0; i < 60; i++) {
-            RuleDocument head = ledger.latestAccepted("settings");
-            RuleDocument pending = ledger.pending("settings");
+            RuleDocument head = stateMachine.latestAccepted("settings");
+            RuleDocument pending = stateMachine.pending("settings");
             var choices = new ArrayList<LogEntry>(List.of(
                     new LogEntry.ProposeVersion(
                             settings(random.nextInt(4) == 0 ? null : head, "ann", random.nextInt(9))),
                     new LogEntry.LeaderElected(VOTERS.get(random.nextInt(3)), i),
-                    new LogEntry.ActivateVersion(ledger.leaderEpoch(), "settings", last),
-                    new LogEntry.ActivateVersion(ledger.leaderEpoch() - 1, "settings", last)));
+                    new LogEntry.ActivateVersion(stateMachine.leaderEpoch(), "settings", last),
+                    new LogEntry.ActivateVersion(stateMachine.leaderEpoch() - 1, "settings", last)));
             if (pending != null) {
                 for (String v : VOTERS) {
                     choices.add(DocumentSchemas.verdict(v,
                             random.nextInt(9) == 0 ? new HashMap<>() : DocumentSchemas.all(), pending));
                 }
-                choices.add(new LogEntry.CloseVerdicts(ledger.leaderEpoch(), "settings", pending.version()));
+                choices.add(new LogEntry.CloseVerdicts(stateMachine.leaderEpoch(), "settings", pending.version()));
             }
             LogEntry entry = choices.get(random.nextInt(choices.size()));
             byte[] bytes = LogEntryCodec.encode(entry);
             assertEquals(entry, LogEntryCodec.decode(bytes));
-            List<RuleEvent> effects = ledger.apply(entry);
+            List<RuleEvent> effects = stateMachine.apply(entry);
             assertEquals(effects, other.apply(LogEntryCodec.decode(bytes)));
             other = RuleStateMachine.restoreSnapshot(VOTERS, other.takeSnapshot());
-            assertArrayEquals(ledger.takeSnapshot(), other.takeSnapshot());
-            long now = ledger.latestAccepted("settings") == null ? 0 : ledger.latestAccepted("settings").version();
-            assertTrue(now >= last && ledger.activeVersion("settings") <= now, "a number went back");
+            assertArrayEquals(stateMachine.takeSnapshot(), other.takeSnapshot());
+            long now = stateMachine.latestAccepted("settings") == null ? 0
+                    : stateMachine.latestAccepted("settings").version();
+            assertTrue(now >= last && stateMachine.activeVersion("settings") <= now, "a number went back");
             last = now;
         }
-        byte[] saved = ledger.takeSnapshot();
+        byte[] saved = stateMachine.takeSnapshot();
         for (int cut = 0; cut < saved.length; cut++) {
             byte[] torn = Arrays.copyOf(saved, cut);
             assertThrows(CorruptDataException.class, () -> RuleStateMachine.restoreSnapshot(VOTERS, torn));
