--- a/src/main/java/wallmoor/decision/QueryReplenisher.java
+++ b/src/main/java/wallmoor/decision/QueryReplenisher.java
@@ -1,6 +1,7 @@
 package wallmoor.decision;
 
 import java.util.ArrayList;
+import java.util.DoubleSummaryStatistics;
 import java.util.List;
 
 /**
@@ -62,11 +63,19 @@
         return !hopeless;
     }
 
-    /** The weight of the parts that have been answered or still may be. */
+    /**
+     * The weight of the parts that have been answered or still may be. A loop, as the classes of a stream would be made
+     * at the first failure of each start; these statistics sum with the same compensation for rounding.
+     */
     private double attainableWeight(TrackedQuery query) {
-        return query.parts.stream()
-                .filter(p -> p.answered || !p.finished && !p.inFlight.isEmpty() || retryPolicy.mayAttempt(p))
-                .mapToDouble(p -> p.weight).sum();
+        var weights = new DoubleSummaryStatistics();
+        for (TrackedPart part : query.parts) {
+            boolean inFlight = !part.finished && !part.inFlight.isEmpty();
+            if (part.answered || inFlight || retryPolicy.mayAttempt(part)) {
+                weights.accept(part.weight);
+            }
+        }
+        return weights.getSum();
     }
 
     /**
