--- a/src/main/java/wallmoor/maintenance/ExhaustiveScheduler.java
+++ b/src/main/java/wallmoor/maintenance/ExhaustiveScheduler.java
@@ -146,7 +146,7 @@
                 .mapToLong(ExistingOutage::until).findFirst().orElse(SchedulingProblem.NEVER);
     }
 
-    /** The times at which an outage ends, and the openings of windows after them; null where no window is long enough. */
+    /** When an outage ends, and when a window opens after that; null where no window is long enough. */
     private TreeSet<Long> candidates(Job job, long from, List<PlacedJob> placed) {
         var times = new TreeSet<Long>(List.of(from));
         placed.forEach(other -> times.add(other.to()));
