--- a/src/bench/java/wallmoor/experiment/GroupTrial.java
+++ b/src/bench/java/wallmoor/experiment/GroupTrial.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
 import wallmoor.peers.GroupMembership;
@@ -147,10 +148,10 @@
     }
 
     /** Whom anybody holds removed. */
-    private static void note(GroupSimulation group, int n, GroupView[] seen, TreeSet<Integer> gone) {
+    private static void note(GroupSimulation group, int n, GroupView[] seen, Set<Integer> gone) {
         for (int i = 0; i < n; i++) {
             GroupView view = group.view(i);
-            if (view != seen[i]) { // what was looked at already tells nothing new
+            if (!view.equals(seen[i])) { // what was looked at already tells nothing new
                 seen[i] = view;
                 view.members().stream().filter(m -> m.state() == GroupView.MemberState.REMOVED)
                         .forEach(m -> gone.add(GroupSimulation.number(m.name())));
