--- a/src/main/java/wallmoor/core/Attempt.java
+++ b/src/main/java/wallmoor/core/Attempt.java
@@ -1,7 +1,8 @@
 package wallmoor.core;
 
 /**
- * One attempt of one part at one worker. It ends exactly once, by {@link Gatherer#report}. Times are microseconds on the
+ * One attempt of one part at one worker. It ends exactly once, by {@link Gatherer#report}. Times are microseconds on
+ * the
  * gatherer's clock.
  */
 public final class Attempt {
--- a/src/main/java/wallmoor/core/TimerQueue.java
+++ b/src/main/java/wallmoor/core/TimerQueue.java
@@ -7,7 +7,8 @@
 
 /**
  * The timers of the routing policy and the timeouts of attempts, by time. Guarded by the gatherer's lock, to which its
- * condition belongs; {@link #awaitDue} releases the lock while it waits. Times are microseconds on the gatherer's clock.
+ * condition belongs; {@link #awaitDue} releases the lock while it waits. Times are microseconds on the gatherer's
+ * clock.
  */
 final class TimerQueue {
     /** A timer of the policy, which has a token, or the timeout of an attempt. */
--- a/src/main/java/wallmoor/core/WorkerRegistry.java
+++ b/src/main/java/wallmoor/core/WorkerRegistry.java
@@ -85,7 +85,8 @@
         }
     }
 
-    /** Takes in endpoints, removed ones too until {@link #discardRemoved}; returns them as the routing policy reads them. */
+    /** Takes in endpoints, removed ones too until {@link #discardRemoved}; returns them as the routing policy reads
+     * them. */
     List<WorkerListEntry> update(Collection<WorkerEndpoint> endpoints) {
         var entries = new ArrayList<WorkerListEntry>();
         for (WorkerEndpoint endpoint : endpoints) {
--- a/src/main/java/wallmoor/frames/ConnectionState.java
+++ b/src/main/java/wallmoor/frames/ConnectionState.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/wallmoor/platform/QueryHeaders.java
+++ b/src/main/java/wallmoor/platform/QueryHeaders.java
@@ -3,7 +3,8 @@
 import wallmoor.http.HttpProtocolException;
 
 /**
- * Reads the headers of a query. By hand: a pattern would be compiled anew for each query, and its classes loaded at each
+ * Reads the headers of a query. By hand: a pattern would be compiled anew for each query, and its classes loaded at
+ * each
  * start.
  */
 final class QueryHeaders {
