--- a/src/main/java/wallmoor/consensus/PendingProposals.java
+++ b/src/main/java/wallmoor/consensus/PendingProposals.java
@@ -91,7 +91,7 @@
         }
     }
 
-    private static void removeEldest(LinkedHashMap<Long, ?> entries) {
+    private static void removeEldest(Map<Long, ?> entries) {
         if (entries.size() > MAX_ENTRIES) {
             entries.remove(entries.keySet().iterator().next());
         }
--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -142,6 +142,7 @@
     }
 
     /** Waits until the query may have a step; fails it if the policy has not ended it by its deadline. */
+    @SuppressWarnings("WaitNotInLoop") // the caller's loop looks again
     private void awaitChange(Query query) throws InterruptedException {
         long left = query.deadline + OVERDUE_MICROS - now();
         if (left > 0) {
--- a/src/main/java/wallmoor/core/TimerQueue.java
+++ b/src/main/java/wallmoor/core/TimerQueue.java
@@ -36,6 +36,7 @@
         add(new Timer(attempt.deadline, null, attempt));
     }
 
+    @SuppressWarnings("ReferenceEquality") // whether it is this one that has come first
     private void add(Timer timer) {
         timers.add(timer);
         if (timers.peek() == timer) {
@@ -49,6 +50,7 @@
     }
 
     /** Waits until the earliest timer is due, at most so many microseconds, or until an earlier one is added. */
+    @SuppressWarnings("WaitNotInLoop") // the caller's loop looks again
     void awaitDue(long atMostMicros, LongSupplier clock) throws InterruptedException {
         long wait = timers.isEmpty() ? atMostMicros : Math.min(atMostMicros, timers.peek().at - clock.getAsLong());
         if (wait > 0) {
--- a/src/main/java/wallmoor/decision/AttemptFeedback.java
+++ b/src/main/java/wallmoor/decision/AttemptFeedback.java
@@ -35,13 +35,13 @@
             case CANCELLED, TIMEOUT -> {
                 double usual = worker.latency.orElse(context.typicalLatency(attempt.part.query.classIndex));
                 if (!context.stalled() && end.duration() > usual) { // it took that long at least
-                    recordLatency(attempt, end.duration());
+                    recordLatency(attempt, (double) end.duration());
                 }
             }
             case ERROR -> outliers.recordFailure(worker, 1);
             case REJECTED, RESET, CONNECT_FAILED -> {
                 outliers.recordFailure(worker, 1);
-                boolean processLost = end.reason() == AttemptEndReason.RESET || noConnection && !connectTimedOut;
+                boolean processLost = end.reason() == AttemptEndReason.RESET || (noConnection && !connectTimedOut);
                 outliers.recordUnreachable(worker, end.reason(), processLost);
             }
             case NOT_STARTED -> {
@@ -70,7 +70,7 @@
 
     private void recordLatency(TrackedAttempt attempt, double latency) {
         TrackedWorker worker = attempt.worker;
-        worker.latency.add(latency, estimator.sampleWeight(context.now() - worker.lastAnsweredAt()));
+        worker.latency.add(latency, estimator.sampleWeight((double) (context.now() - worker.lastAnsweredAt())));
         worker.inFlightAtSend.add(attempt.totalInFlightBefore);
         worker.concurrencyLimit.record(worker.latency.orElse(latency), attempt.inFlightBefore,
                 context.settings().gatherers());
--- a/src/main/java/wallmoor/decision/AttemptSender.java
+++ b/src/main/java/wallmoor/decision/AttemptSender.java
@@ -50,7 +50,7 @@
         slowStart.recordSent(worker);
         attempt.afterIdle = idleConnections.areIdle(worker, part.query.classIndex);
         if (idleConnections.shouldClose(attempt)
-                || worker.ejected && worker.zone == context.settings().zone()) { // a new one, where it costs little
+                || (worker.ejected && worker.zone == context.settings().zone())) { // a new one, where it costs little
             context.actions.closeIdleConnections(worker.id);
         }
         worker.lastUsedAt = now;
@@ -71,7 +71,7 @@
     }
 
     private boolean mayBeSent(TrackedPart part, boolean hedged) {
-        boolean alone = part.inFlight.isEmpty() || hedged && context.settings().limits().parallelAttempts();
+        boolean alone = part.inFlight.isEmpty() || (hedged && context.settings().limits().parallelAttempts());
         return retryPolicy.mayAttempt(part) && alone && (part.attemptCount == 0 || retryBudget.allowsRetry());
     }
 }
--- a/src/main/java/wallmoor/decision/ClassLatencies.java
+++ b/src/main/java/wallmoor/decision/ClassLatencies.java
@@ -45,10 +45,11 @@
     long clientStartTime(long now, QueryArrived query, int place, RoutingSettings settings) {
         long left = query.deadline() - now;
         long timeout = settings.classes().get(place).clientTimeout();
-        boolean likeFirst = Math.abs(left - clientTime.get(place).orElse(left)) < TuningParameters.EQUAL_CLIENT_TIMES
-                * timeout;
+        boolean likeFirst = Math
+                .abs(left - clientTime.get(place).orElse((double) left)) < TuningParameters.EQUAL_CLIENT_TIMES
+                        * timeout;
         if (!query.retry()) {
-            clientTime.get(place).add(left);
+            clientTime.get(place).add((double) left);
         }
         boolean knownRetry = query.retry() && settings.clientsMarkRetries() && !likeFirst;
         return knownRetry ? Math.min(now, query.deadline() - timeout) : now;
--- a/src/main/java/wallmoor/decision/GossipExchange.java
+++ b/src/main/java/wallmoor/decision/GossipExchange.java
@@ -83,9 +83,9 @@
      * @param busy whether queries are open: then not more often than {@link TuningParameters#GOSSIP_INTERVAL_LATENCIES}
      */
     void send(boolean busy) {
-        if (!context.settings().limits().gossip() || changed.isEmpty() && reports.isEmpty()
-                || busy && context.now() - lastMessageAt < TuningParameters.GOSSIP_INTERVAL_LATENCIES
-                        * context.typicalLatency()) {
+        if (!context.settings().limits().gossip() || (changed.isEmpty() && reports.isEmpty())
+                || (busy && context.now() - lastMessageAt < TuningParameters.GOSSIP_INTERVAL_LATENCIES
+                        * context.typicalLatency())) {
             return;
         }
         lastMessageAt = context.now();
--- a/src/main/java/wallmoor/decision/OutlierDetector.java
+++ b/src/main/java/wallmoor/decision/OutlierDetector.java
@@ -38,7 +38,7 @@
     /** A part failed at this worker, or was served: a failure of 1 or 0, or of a share of one. */
     void recordFailure(TrackedWorker worker, double failure) {
         long gap = context.now() - Math.max(worker.lastAnsweredAt(), worker.failureRate.addedAt());
-        worker.failureRate.add(context.now(), failure, estimator.sampleWeight(gap));
+        worker.failureRate.add(context.now(), failure, estimator.sampleWeight((double) gap));
     }
 
     /**
@@ -91,8 +91,8 @@
                 }
             }
         }
-        return late > TuningParameters.WIDESPREAD_LATE_SHARE * healthy
-                && late > TuningParameters.WIDESPREAD_LATE_MINIMUM || connectTimeouts.inEveryZone();
+        return (late > TuningParameters.WIDESPREAD_LATE_SHARE * healthy
+                && late > TuningParameters.WIDESPREAD_LATE_MINIMUM) || connectTimeouts.inEveryZone();
     }
 
     /** How long nothing has come since a worker's oldest part went out, over the time that makes it late. */
@@ -128,8 +128,8 @@
             long age = context.now() - attempt.sentAt;
             double half = query.phase == 2 ? (query.usefulUntil() - attempt.sentAt) / 2.0 : Double.MAX_VALUE;
             boolean late = age > Math.min(half, estimator.lateAfter(attempt.part))
-                    || worker.ejected && context.now() < worker.halfOpenAt
-                            && age > context.typicalLatency(query.classIndex);
+                    || (worker.ejected && context.now() < worker.halfOpenAt
+                            && age > context.typicalLatency(query.classIndex));
             if (late && !attempt.late && !everythingSlow && !attempt.part.finished) {
                 recordFailure(worker, TuningParameters.LATE_FAILURE_WEIGHT);
             }
--- a/src/main/java/wallmoor/decision/QueryQuarantine.java
+++ b/src/main/java/wallmoor/decision/QueryQuarantine.java
@@ -48,7 +48,7 @@
         }
         boolean immediate = duration < TuningParameters.IMMEDIATE_RESET_LATENCIES
                 * context.typicalLatency(query.classIndex);
-        query.poisonEvidence += immediate || query.scouting && isAlarmed() ? TuningParameters.STRONG_POISON_EVIDENCE
+        query.poisonEvidence += immediate || (query.scouting && isAlarmed()) ? TuningParameters.STRONG_POISON_EVIDENCE
                 : TuningParameters.WEAK_POISON_EVIDENCE;
         query.scouting |= query.answeredWeight() == 0; // one that crashes workers is not to take the other replicas too
     }
--- a/src/main/java/wallmoor/decision/QueryReplenisher.java
+++ b/src/main/java/wallmoor/decision/QueryReplenisher.java
@@ -65,7 +65,7 @@
     /** The weight of the parts that have been answered or still may be. */
     private double attainableWeight(TrackedQuery query) {
         return query.parts.stream()
-                .filter(p -> p.answered || !p.finished && !p.inFlight.isEmpty() || retryPolicy.mayAttempt(p))
+                .filter(p -> p.answered || (!p.finished && !p.inFlight.isEmpty()) || retryPolicy.mayAttempt(p))
                 .mapToDouble(p -> p.weight).sum();
     }
 
@@ -84,7 +84,7 @@
         boolean workersSilent = part.inFlight.values().stream()
                 .allMatch(a -> a.worker.ejected || outliers.silence(a.worker) >= 1);
         TrackedWorker other = selector.choose(part);
-        if (!isBetterElsewhere(part, other) || !workersSilent && outliers.isEverythingSlow()
+        if (!isBetterElsewhere(part, other) || (!workersSilent && outliers.isEverythingSlow())
                 || context.now() >= retryPolicy.retryUntil(part)) {
             return false;
         }
--- a/src/main/java/wallmoor/decision/ReplicaSelector.java
+++ b/src/main/java/wallmoor/decision/ReplicaSelector.java
@@ -39,7 +39,7 @@
             boolean last = worker.ejected && (context.now() < worker.halfOpenAt || once);
             double rank = rank(worker, part) * (avoid.contains(worker) ? TuningParameters.AVOIDED_RANK_FACTOR : 1)
                     * (last ? TuningParameters.AVOIDED_RANK_FACTOR * TuningParameters.AVOIDED_RANK_FACTOR : 1);
-            if (best == null || rank < bestRank || rank == bestRank && context.random.nextBoolean()) {
+            if (best == null || rank < bestRank || (rank == bestRank && context.random.nextBoolean())) {
                 best = worker;
                 bestRank = rank;
             }
@@ -69,7 +69,7 @@
         }
         if (!worker.peerReports.isEmpty()) {
             rank *= Math.pow(1 + TuningParameters.FAILURE_RANK_LATENCIES,
-                    Math.min(TuningParameters.MAX_PEER_EJECTIONS, worker.peersThatEjected(context.now())));
+                    (double) Math.min(TuningParameters.MAX_PEER_EJECTIONS, worker.peersThatEjected(context.now())));
         }
         RoutingSettings settings = context.settings();
         return worker.zone == settings.zone() ? rank
@@ -81,7 +81,7 @@
      * of slow start. A shard with no reachable replica is rejected at once, not worn out by retries.
      */
     private boolean mayBeSentTo(TrackedWorker worker) {
-        if (worker.status != WorkerStatus.UP || worker.unreachable && context.now() < worker.halfOpenAt) {
+        if (worker.status != WorkerStatus.UP || (worker.unreachable && context.now() < worker.halfOpenAt)) {
             return false;
         }
         return slowStart.allows(worker);
--- a/src/main/java/wallmoor/decision/RoutingPolicy.java
+++ b/src/main/java/wallmoor/decision/RoutingPolicy.java
@@ -180,8 +180,8 @@
         }
         double workScale = 1;
         if (arrival.workHint() > 0) {
-            meanWorkHint.add(arrival.workHint());
-            workScale = arrival.workHint() / meanWorkHint.orElse(arrival.workHint());
+            meanWorkHint.add((double) arrival.workHint());
+            workScale = arrival.workHint() / meanWorkHint.orElse((double) arrival.workHint());
         }
         requests.add(new TrackedPart(arrival.id(), query, arrival.shard(), arrival.weight(), workScale));
         touched.add(query);
--- a/src/main/java/wallmoor/decision/WorkerTable.java
+++ b/src/main/java/wallmoor/decision/WorkerTable.java
@@ -23,7 +23,7 @@
     private final Map<Integer, TrackedWorker> byTag = new LinkedHashMap<>();
     /** The workers of each cell, in the order in which they were entered, as {@link #byId} has them. */
     private final Map<Integer, TreeMap<Long, TrackedWorker>> byCell = new HashMap<>();
-    private final Map<TrackedWorker, Long> entryNumbers = new IdentityHashMap<>();
+    private final IdentityHashMap<TrackedWorker, Long> entryNumbers = new IdentityHashMap<>();
     /** The holders of each shard that was asked for, until a change concerns them. */
     private final Map<Integer, List<TrackedWorker>> holders = new HashMap<>();
     private long entered;
--- a/src/main/java/wallmoor/dns/DnsSource.java
+++ b/src/main/java/wallmoor/dns/DnsSource.java
@@ -115,6 +115,7 @@
     }
 
     /** Waits until the configuration has changed, but no longer than this; false where the thread was interrupted. */
+    @SuppressWarnings("WaitNotInLoop") // woken too early, it asks once more than it had to
     private boolean awaitReload(Dns used, long millis) {
         lock.lock();
         try {
--- a/src/main/java/wallmoor/idempotency/IdempotentRequests.java
+++ b/src/main/java/wallmoor/idempotency/IdempotentRequests.java
@@ -88,7 +88,7 @@
 
     private RequestDecision execute(DeviceAccount account, IdempotencyKey key, BodyDigest digest, boolean mayRepeat) {
         // the outcome of a request that may not repeat needs its memory before anything runs
-        long bytes = IdempotencyLimits.RECORD_OVERHEAD_BYTES + (mayRepeat ? 0 : limits.maxOutcomeBytes());
+        long bytes = (long) IdempotencyLimits.RECORD_OVERHEAD_BYTES + (mayRepeat ? 0 : limits.maxOutcomeBytes());
         Optional<RejectionReason> rejection = store.admit(account, bytes);
         if (rejection.isPresent()) {
             return rejected(rejection.get());
@@ -165,7 +165,7 @@
                     "a body has " + limits.maxOutcomeBytes() + " bytes at most, and no more than it says");
         }
         RequestRecord request = store.upload(key);
-        if (request == null || offset == 0 && request.upload.capacity() != capacity) {
+        if (request == null || (offset == 0 && request.upload.capacity() != capacity)) {
             if (offset != 0) {
                 return new RequestDecision.AwaitChunk(0);
             }
--- a/src/main/java/wallmoor/maintenance/ExhaustiveScheduler.java
+++ b/src/main/java/wallmoor/maintenance/ExhaustiveScheduler.java
@@ -5,6 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableSet;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Predicate;
@@ -96,6 +97,7 @@
         return placed.size() == problem.jobs.size();
     }
 
+    @SuppressWarnings("ReferenceEquality") // the problem's own objects, each once
     private static boolean isPlaced(List<PlacedJob> placed, Job job) {
         return placed.stream().anyMatch(other -> other.job() == job);
     }
@@ -119,7 +121,7 @@
             }
             from = Math.max(from, end);
         }
-        TreeSet<Long> candidates = candidates(job, from, placed);
+        NavigableSet<Long> candidates = candidates(job, from, placed);
         if (candidates == null) {
             return NEVER;
         }
@@ -146,8 +148,8 @@
                 .mapToLong(ExistingOutage::until).findFirst().orElse(SchedulingProblem.NEVER);
     }
 
-    /** The times at which an outage ends, and the openings of windows after them; null where no window is long enough. */
-    private TreeSet<Long> candidates(Job job, long from, List<PlacedJob> placed) {
+    /** Times at which an outage ends, and the openings of windows after them; null where no window is long enough. */
+    private NavigableSet<Long> candidates(Job job, long from, List<PlacedJob> placed) {
         var times = new TreeSet<Long>(List.of(from));
         placed.forEach(other -> times.add(other.to()));
         problem.outages.stream().filter(outage -> outage.until() != SchedulingProblem.NEVER)
--- a/src/main/java/wallmoor/maintenance/MaintenanceAction.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceAction.java
@@ -59,13 +59,13 @@
             FleetSnapshot fleet, Budgets budgets) {
         MaintenanceStage stage = status.stage();
         boolean overdue = stage == MaintenanceStage.OVERDUE;
-        boolean out = stage == MaintenanceStage.OUT || overdue && !status.returned();
+        boolean out = stage == MaintenanceStage.OUT || (overdue && !status.returned());
         if (out && machine.incarnation().equals(status.incarnation())
                 && DrainCompletion.busyFor(machine, fleet, budgets).isEmpty()) {
             actions.add(new MaintenanceAction(ActionType.NOTIFY_FREE, machine.id()));
         }
         boolean serves = stage == MaintenanceStage.RETURNING || stage == MaintenanceStage.HELD
-                || stage == MaintenanceStage.GIVEN_UP || overdue && status.returned();
+                || stage == MaintenanceStage.GIVEN_UP || (overdue && status.returned());
         if (serves && status.drainedByOrder()) {
             actions.add(new MaintenanceAction(ActionType.SERVE, machine.id()));
         }
@@ -77,7 +77,7 @@
             actions.add(new MaintenanceAction(ActionType.NOTIFY_OVERDUE, machine));
         }
         if (status.stage() == MaintenanceStage.HELD
-                || status.stage() == MaintenanceStage.GIVEN_UP && status.drainedByOrder()) {
+                || (status.stage() == MaintenanceStage.GIVEN_UP && status.drainedByOrder())) {
             actions.add(new MaintenanceAction(ActionType.NOTIFY_WAITING, machine));
         }
     }
--- a/src/main/java/wallmoor/maintenance/MaintenancePlanner.java
+++ b/src/main/java/wallmoor/maintenance/MaintenancePlanner.java
@@ -64,7 +64,7 @@
 
     private static boolean isBetter(ListSchedule schedule, ListSchedule best) {
         return schedule.missed().size() < best.missed().size()
-                || schedule.isComplete() && best.isComplete() && schedule.endsAt() < best.endsAt();
+                || (schedule.isComplete() && best.isComplete() && schedule.endsAt() < best.endsAt());
     }
 
     /** The first complete schedule of all orders of the remaining jobs; null where there is none. */
--- a/src/main/java/wallmoor/maintenance/MaintenanceState.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceState.java
@@ -37,7 +37,7 @@
         requests.values().forEach(status -> {
             MaintenanceStage stage = status.stage();
             if (stage == MaintenanceStage.DRAINING || stage == MaintenanceStage.OUT
-                    || stage == MaintenanceStage.OVERDUE && !status.returned()) {
+                    || (stage == MaintenanceStage.OVERDUE && !status.returned())) {
                 machines.add(status.request().machine());
             }
         });
--- a/src/main/java/wallmoor/maintenance/MaintenanceStateMachine.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceStateMachine.java
@@ -120,7 +120,7 @@
         if (!returned && phase == MachinePhase.SERVING) { // somebody else let it serve: it is not idle any more
             return status.at(MaintenanceStage.DRAINING, now);
         }
-        if (!returned || out && phase == MachinePhase.AWAY) {
+        if (!returned || (out && phase == MachinePhase.AWAY)) {
             boolean inTime = out && age(status) <= status.request().workMillis() + budgets.overdueMillis();
             return inTime ? status.at(MaintenanceStage.OUT, now)
                     : status.at(MaintenanceStage.OVERDUE, now,
@@ -129,8 +129,8 @@
         if (phase == MachinePhase.SERVING && isSound(machine)) {
             return status.withReturned(true).at(MaintenanceStage.WARM, now);
         }
-        boolean returning = out || status.stage() == MaintenanceStage.RETURNING
-                && age(status) <= budgets.slowStartMillis() + budgets.overdueMillis();
+        boolean returning = out || (status.stage() == MaintenanceStage.RETURNING
+                && age(status) <= budgets.slowStartMillis() + budgets.overdueMillis());
         return status.withReturned(true).at(
                 returning ? MaintenanceStage.RETURNING : MaintenanceStage.OVERDUE, now, notSound(machine));
     }
--- a/src/main/java/wallmoor/maintenance/OutageLedger.java
+++ b/src/main/java/wallmoor/maintenance/OutageLedger.java
@@ -231,7 +231,7 @@
     /** Adds a violated constraint, with the machines that are out and count for it. */
     private void add(List<MaintenanceConstraint> found, MaintenanceConstraint violated, Predicate<Machine> counts,
             boolean firstOnly) {
-        if (!enforced.test(violated) || firstOnly && !found.isEmpty()) {
+        if (!enforced.test(violated) || (firstOnly && !found.isEmpty())) {
             return;
         }
         List<String> culprits = firstOnly ? List.of() : fleet.machines().stream()
--- a/src/main/java/wallmoor/maintenance/RequestOperations.java
+++ b/src/main/java/wallmoor/maintenance/RequestOperations.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 import java.util.List;
-import java.util.SortedMap;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 
 /** Staff's operations on requests, each as the next version of the state. All are idempotent. */
@@ -39,7 +39,7 @@
             throw new RequestRejectedException(request.machine() + " has the wish " + open.request().id()
                     + ", which is " + open.stage().word() + "; withdraw it first");
         }
-        SortedMap<String, RequestStatus> next = new TreeMap<>(state.requests());
+        NavigableMap<String, RequestStatus> next = new TreeMap<>(state.requests());
         if (next.size() >= MAX_REQUESTS) {
             next.remove(oldestEnded(next));
         }
@@ -53,7 +53,7 @@
     }
 
     /** The request to forget in favour of a new one; its id is free again then. */
-    private static String oldestEnded(SortedMap<String, RequestStatus> requests) throws RequestRejectedException {
+    private static String oldestEnded(NavigableMap<String, RequestStatus> requests) throws RequestRejectedException {
         return requests.values().stream().filter(status -> status.stage().isFinal() && !status.drainedByOrder())
                 .min(Comparator.comparingLong(RequestStatus::since)).map(status -> status.request().id())
                 .orElseThrow(() -> new RequestRejectedException(
@@ -114,7 +114,7 @@
     }
 
     private static MaintenanceState with(MaintenanceState state, RequestStatus status) {
-        SortedMap<String, RequestStatus> next = new TreeMap<>(state.requests());
+        NavigableMap<String, RequestStatus> next = new TreeMap<>(state.requests());
         next.put(status.request().id(), status);
         return state.with(next);
     }
--- a/src/main/java/wallmoor/maintenance/ScheduleConflictFinder.java
+++ b/src/main/java/wallmoor/maintenance/ScheduleConflictFinder.java
@@ -39,7 +39,11 @@
         this.problem = problem;
     }
 
-    /** The conflict of a problem without a schedule. @param missed the jobs that failed in the best attempt */
+    /**
+     * The conflict of a problem without a schedule.
+     *
+     * @param missed the jobs that failed in the best attempt
+     */
     static Conflict find(SchedulingProblem problem, List<Job> missed) {
         return new ScheduleConflictFinder(problem).find(missed);
     }
--- a/src/main/java/wallmoor/maintenance/SchedulingProblem.java
+++ b/src/main/java/wallmoor/maintenance/SchedulingProblem.java
@@ -16,7 +16,11 @@
     /** Index of a machine that is not in the fleet. */
     static final int UNKNOWN_MACHINE = -1;
 
-    /** A request that has not begun. @param machineIndex in the fleet, or -1 */
+    /**
+     * A request that has not begun.
+     *
+     * @param machineIndex in the fleet, or -1
+     */
     record Job(MaintenanceRequest request, int machineIndex, long outageMillis) {
         boolean hasDeadline() {
             return request.deadline() != MaintenanceRequest.NO_DEADLINE;
@@ -101,7 +105,7 @@
     private void addOwnOutage(Machine machine, int index, boolean recovered) {
         boolean serving = machine.phase() == MachinePhase.SERVING;
         boolean slowStart = serving && machine.isNode() && machine.servingMillis() < budgets.slowStartMillis();
-        if (slowStart || !serving && !recovered) {
+        if (slowStart || (!serving && !recovered)) {
             long until = slowStart ? now + budgets.slowStartMillis() - machine.servingMillis() : NEVER;
             outages.add(new ExistingOutage(machine.id(), index, budgets.capacityShare(machine), until));
         }
@@ -134,7 +138,7 @@
             case OUT -> Math.max(0, work - age) + afterWork;
             case RETURNING -> afterWork;
             case WARM -> Math.max(0, budgets.observationMillis() - age);
-            default -> recovered || status.returned() && machine.phase() != MachinePhase.AWAY ? afterWork
+            default -> recovered || (status.returned() && machine.phase() != MachinePhase.AWAY) ? afterWork
                     : NEVER - now;
         };
     }
--- a/src/main/java/wallmoor/migration/CopyRateLimiter.java
+++ b/src/main/java/wallmoor/migration/CopyRateLimiter.java
@@ -43,7 +43,7 @@
         double refill = bytesPerSecond * Math.max(0, now - refilledAt) / MICROS_PER_SECOND;
         availableBytes = Math.min(capacity, availableBytes + refill);
         refilledAt = Math.max(refilledAt, now);
-        if (availableBytes < Math.min(bytes, capacity)) {
+        if (availableBytes < Math.min((double) bytes, capacity)) {
             return false;
         }
         availableBytes -= bytes; // negative after a chunk larger than the bucket: the next one waits for the refill
@@ -58,7 +58,7 @@
         adjustedAt = now;
         bytesPerSecond = load >= LOAD_THRESHOLD
                 ? Math.max(bytesPerSecond / 2, (double) maxBytesPerSecond / MAX_REDUCTION)
-                : Math.min(maxBytesPerSecond, bytesPerSecond + (double) maxBytesPerSecond / INCREASE_STEPS);
+                : Math.min((double) maxBytesPerSecond, bytesPerSecond + (double) maxBytesPerSecond / INCREASE_STEPS);
     }
 
     /** The present rate, bytes a second. */
--- a/src/main/java/wallmoor/migration/Migration.java
+++ b/src/main/java/wallmoor/migration/Migration.java
@@ -47,7 +47,7 @@
     /** Reverses {@link #encode}. */
     static Migration decode(String text) throws UnreadablePlanException {
         String[] field = text.split(" ", -1);
-        if (field.length != FIELDS || !field[6].equals(FENCED) && !field[6].equals(NOT_FENCED)) {
+        if (field.length != FIELDS || (!field[6].equals(FENCED) && !field[6].equals(NOT_FENCED))) {
             throw new UnreadablePlanException("no move: " + text);
         }
         try {
--- a/src/main/java/wallmoor/migration/MigrationPlan.java
+++ b/src/main/java/wallmoor/migration/MigrationPlan.java
@@ -163,7 +163,7 @@
 
     /** The size of a disk on which blocks alone have as much usable space as they have on the node's. */
     private long plannableDiskMb(String node, DiskSpace space) {
-        long unreserved = PlacementProblem.MILLION - target.headroom();
+        long unreserved = (long) PlacementProblem.MILLION - target.headroom();
         long usableMb = target.usableMb(node, space.diskMb()) - space.otherMb();
         long diskMb = Math.max(0, usableMb) * PlacementProblem.MILLION / unreserved;
         while (diskMb * unreserved / PlacementProblem.MILLION < Math.max(1, usableMb)) {
--- a/src/main/java/wallmoor/migration/MigrationTask.java
+++ b/src/main/java/wallmoor/migration/MigrationTask.java
@@ -115,7 +115,7 @@
 
     private static boolean lacksSpace(ReplicaResponse response, long limitMb) {
         return response.code() == ResponseCode.NO_ROOM
-                || response.replica().state() != ReplicaState.ABSENT && !response.space().fits(0, limitMb);
+                || (response.replica().state() != ReplicaState.ABSENT && !response.space().fits(0, limitMb));
     }
 
     /** This stage is done. */
--- a/src/main/java/wallmoor/migration/http/PlanControlClient.java
+++ b/src/main/java/wallmoor/migration/http/PlanControlClient.java
@@ -33,7 +33,11 @@
     /** Carries a line to a control port, and all lines of the answer back. */
     @FunctionalInterface
     public interface ControlTransport {
-        /** @param timeoutMillis longest wait for each piece of the answer */
+        /**
+         * Asks at an address; returns the answer.
+         *
+         * @param timeoutMillis longest wait for each piece of the answer
+         */
         String ask(InetSocketAddress address, String line, long timeoutMillis) throws IOException;
     }
 
@@ -137,7 +141,7 @@
             List<Json.Obj> answer = ask(gatherer, line, SPARE_MILLIS);
             long leaseMillis = answer.isEmpty() ? 0 : (long) answer.get(0).number("lease_ms", 0);
             String basis = answer.isEmpty() ? "" : answer.get(0).text("basis");
-            if (leaseMillis == 0 || !BASIS_VERSION.equals(basis) && !BASIS_CAREFUL.equals(basis)) {
+            if (leaseMillis == 0 || (!BASIS_VERSION.equals(basis) && !BASIS_CAREFUL.equals(basis))) {
                 throw new IOException("the gatherer at " + name(gatherer) + ": has no lease");
             }
             long version = BASIS_VERSION.equals(basis) ? (long) answer.get(0).number("acting", 0) : 0;
--- a/src/main/java/wallmoor/ogc/FeaturesFront.java
+++ b/src/main/java/wallmoor/ogc/FeaturesFront.java
@@ -231,7 +231,7 @@
         Step.FinalStep end = asked.isEmpty() ? new Step.Answer(true, List.of())
                 : ask(exchange, request, c, id, asked,
                         new FeatureQuery(c, params.query(), null, wanted, from, safe(c)));
-        if (end instanceof Step.Answer || cuts != null && enough(cuts, c, from.size(), end)) {
+        if (end instanceof Step.Answer || (cuts != null && enough(cuts, c, from.size(), end))) {
             Map<Integer, FeatureQuery.ShardFeatures> shares = new HashMap<>();
             if (end instanceof Step.Answer a) {
                 a.values().forEach(v -> shares.put(v.shard(), FeatureQuery.ShardFeatures.decode(v)));
@@ -252,7 +252,7 @@
 
     /** Whether those left out alone are the least share of an answer: then it is one, though all others failed. */
     private boolean enough(SummaryLeases.PruningDecision cuts, Collection c, int all, Step.FinalStep end) {
-        boolean failed = end instanceof Step.Fail || end instanceof Step.Reject r && r.attempted();
+        boolean failed = end instanceof Step.Fail || (end instanceof Step.Reject r && r.attempted());
         return failed && cuts.decision().pruned().size() >= settings.classes().get(c.queryClass()).minimumShare() * all;
     }
 
@@ -273,7 +273,7 @@
             }
             int taken = 0;
             for (byte[] f : share.features()) {
-                if (returned == params.limit() || returned > 0 && features.size() + f.length > MOST_FEATURES_BYTES) {
+                if (returned == params.limit() || (returned > 0 && features.size() + f.length > MOST_FEATURES_BYTES)) {
                     break;
                 }
                 if (returned++ > 0) {
--- a/src/main/java/wallmoor/ogc/ItemsParameters.java
+++ b/src/main/java/wallmoor/ogc/ItemsParameters.java
@@ -117,7 +117,7 @@
         }
         int half = at.length / 2;
         // the west side may lie east of the east side: such a box spans the antimeridian
-        if (at.length != 4 && at.length != 6 || !(at[1] <= at[half + 1]) || half == 3 && !(at[2] <= at[5])
+        if ((at.length != 4 && at.length != 6) || !(at[1] <= at[half + 1]) || (half == 3 && !(at[2] <= at[5]))
                 || !java.util.Arrays.stream(at).allMatch(Double::isFinite)) {
             throw bad("bbox must be 4 or 6 numbers, the lower corner first");
         }
@@ -125,7 +125,7 @@
 
     private static void datetime(String value) throws HttpProtocolException {
         String[] ends = value.split("/", -1);
-        if (ends.length > 2 || ends.length == 1 && open(ends[0])) {
+        if (ends.length > 2 || (ends.length == 1 && open(ends[0]))) {
             throw bad("datetime must be a time or an interval");
         }
         OffsetDateTime before = null;
--- a/src/main/java/wallmoor/placement/CopyLowerBound.java
+++ b/src/main/java/wallmoor/placement/CopyLowerBound.java
@@ -89,7 +89,7 @@
         for (int w = 0; w < words.length; w++) {
             shifted[w + whole] |= words[w] << part;
             if (part > 0) {
-                shifted[w + whole + 1] |= words[w] >>> 64 - part;
+                shifted[w + whole + 1] |= words[w] >>> (64 - part);
             }
         }
         for (int w = 0; w < words.length; w++) {
--- a/src/main/java/wallmoor/placement/EvictionChoice.java
+++ b/src/main/java/wallmoor/placement/EvictionChoice.java
@@ -85,7 +85,7 @@
         for (int i = 0; i < descending.length && left > 0; i++) {
             boolean last = i == descending.length - 1;
             if (model.sizeMb[descending[i]] <= left || last
-                    || model.sizeMb[descending[i + 1]] < left && cover.isEmpty()) {
+                    || (model.sizeMb[descending[i + 1]] < left && cover.isEmpty())) {
                 cover.add(descending[i]);
                 left -= model.sizeMb[descending[i]];
             }
--- a/src/main/java/wallmoor/placement/PlacementConflictFinder.java
+++ b/src/main/java/wallmoor/placement/PlacementConflictFinder.java
@@ -152,7 +152,7 @@
                 List<PlacementConstraint> without = new ArrayList<>(kept.subList(0, from));
                 without.addAll(kept.subList(Math.min(kept.size(), from + some), kept.size()));
                 if (quick.test(new PlacementModel(fleet, without))
-                        || search && verdict(without) == Feasibility.INFEASIBLE) {
+                        || (search && verdict(without) == Feasibility.INFEASIBLE)) {
                     kept = without;
                 } else {
                     from += some;
--- a/src/main/java/wallmoor/placement/PlanVerifier.java
+++ b/src/main/java/wallmoor/placement/PlanVerifier.java
@@ -58,7 +58,7 @@
             if (b == null || !nodes.containsKey(m.from()) || !nodes.containsKey(m.to()) || b.sizeMb() != m.sizeMb()) {
                 violations.add(m + ": names what is not there, or another size");
             }
-            if (m.wave() != wave && m.wave() != wave + 1 || m.wave() < 1) {
+            if ((m.wave() != wave && m.wave() != wave + 1) || m.wave() < 1) {
                 violations.add(m + ": its wave does not follow");
             }
             wave = m.wave();
--- a/src/main/java/wallmoor/rules/KnownVersions.java
+++ b/src/main/java/wallmoor/rules/KnownVersions.java
@@ -4,6 +4,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 import wallmoor.rules.LeaseMessage.KnownVersion;
 
@@ -57,14 +58,14 @@
 
     /** Returns whether no known version contradicts the chain, and the two overlap or the chain is a later part. */
     private boolean continuesKnown(VersionChain chain) {
-        TreeMap<Long, RuleDocument> versions = versions(chain.name());
+        NavigableMap<Long, RuleDocument> versions = versions(chain.name());
         boolean agrees = chain.documents().stream()
                 .allMatch(document -> versions.getOrDefault(document.version(), document).equals(document));
         return agrees && (versions.isEmpty() || chain.activeVersion() >= versions.firstKey()
                 || chain.documents().contains(versions.firstEntry().getValue()));
     }
 
-    private TreeMap<Long, RuleDocument> versions(String name) {
+    private NavigableMap<Long, RuleDocument> versions(String name) {
         return versionsByName.getOrDefault(name, new TreeMap<>());
     }
 
--- a/src/main/java/wallmoor/rules/LeaseTable.java
+++ b/src/main/java/wallmoor/rules/LeaseTable.java
@@ -219,7 +219,7 @@
             KnownVersion known = request.knownVersions().get(name);
             RuleDocument latest = stateMachine.latestAccepted(name);
             if (known != null && (known.version() > latest.version()
-                    || known.version() == latest.version() && !known.hash().equals(latest.hash()))) {
+                    || (known.version() == latest.version() && !known.hash().equals(latest.hash())))) {
                 return name;
             }
         }
--- a/src/main/java/wallmoor/rules/VerdictTimer.java
+++ b/src/main/java/wallmoor/rules/VerdictTimer.java
@@ -36,7 +36,7 @@
     boolean isOver(long now, String name, Set<String> silent, int voters) {
         long waited = now - pendingSince.get(name).at();
         boolean sameAbsentMinority = absentVoters.containsAll(silent) && 2 * silent.size() < voters;
-        boolean over = waited >= leaseTerm || waited >= leaseTerm / SHORT_WAIT_DIVISOR && sameAbsentMinority;
+        boolean over = waited >= leaseTerm || (waited >= leaseTerm / SHORT_WAIT_DIVISOR && sameAbsentMinority);
         if (over) {
             absentVoters = silent;
         }
--- a/src/main/java/wallmoor/rules/VersionChain.java
+++ b/src/main/java/wallmoor/rules/VersionChain.java
@@ -25,12 +25,12 @@
         RuleDocument previous = null;
         for (RuleDocument document : documents) {
             if (!document.name().equals(name) || !document.hasValidHash()
-                    || previous != null && !isParent(previous, document)) {
+                    || (previous != null && !isParent(previous, document))) {
                 return false;
             }
             previous = document;
         }
-        return previous == null || previous.version() == latestVersion && startsAtActiveVersion();
+        return previous == null || (previous.version() == latestVersion && startsAtActiveVersion());
     }
 
     private static boolean isParent(RuleDocument parent, RuleDocument child) {
--- a/src/main/java/wallmoor/simulation/FaultInjector.java
+++ b/src/main/java/wallmoor/simulation/FaultInjector.java
@@ -99,6 +99,6 @@
 
     /** Returns on which side of a partition a node is: a hash of it, so that the sides differ from fault to fault. */
     private static int side(int node, int salt, int sides) {
-        return Math.floorMod((node * 0x9E3779B9 ^ salt) * 0x85EBCA6B >>> 8, sides);
+        return Math.floorMod(((node * 0x9E3779B9 ^ salt) * 0x85EBCA6B) >>> 8, sides);
     }
 }
--- a/src/main/java/wallmoor/simulation/InvariantChecker.java
+++ b/src/main/java/wallmoor/simulation/InvariantChecker.java
@@ -2,6 +2,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.TreeMap;
 
 /**
@@ -79,7 +80,7 @@
         return longestAfter(firstActive);
     }
 
-    private long longestAfter(TreeMap<Long, Long> firstTimes) {
+    private long longestAfter(NavigableMap<Long, Long> firstTimes) {
         long longest = Long.MIN_VALUE;
         long earliest = Long.MAX_VALUE;
         // who respects a later version respects this one too, so the first time of this and all later ones counts
--- a/src/main/java/wallmoor/simulation/SimulatedCluster.java
+++ b/src/main/java/wallmoor/simulation/SimulatedCluster.java
@@ -180,7 +180,7 @@
     }
 
     private void deliver(SimulatedHost host, QueuedEvent event) {
-        if (!host.up || event.incarnation != ANY_INCARNATION && event.incarnation != host.incarnation) {
+        if (!host.up || (event.incarnation != ANY_INCARNATION && event.incarnation != host.incarnation)) {
             return;
         }
         if (now < host.pausedUntil) {
--- a/src/test/java/wallmoor/adapter/SimulatorAdapterTest.java
+++ b/src/test/java/wallmoor/adapter/SimulatorAdapterTest.java
@@ -22,10 +22,16 @@
             + " Contract.ColdShare=0.2 Contract.Cold=10000000 Contract.FallMultiple=3 Contract.OverloadFor=2000000"
             + " LoadReport.Columns=outstanding,novel LoadReport.How=answers Unknown.Key=7";
     private static final String START = "START 77 " + SETTINGS + "\n";
-    private static final String LIST = "INVENTORY 0 2\nITEM 10.0.0.1:7000 0 0 0 up 1 -\n"
-            + "ITEM 10.0.0.2:7000 0 0 1 up - 0\nPEERS_KNOWN stale_copy 4 0\n";
-    private static final String QUERY = "INCOMING 00000000000000aa 0 - - 3000000 - 1 -1 1 0\n"
-            + "INCOMING 00000000000000ab 0 - - 3000000 - 1 0 1 0\n";
+    private static final String LIST = """
+            INVENTORY 0 2
+            ITEM 10.0.0.1:7000 0 0 0 up 1 -
+            ITEM 10.0.0.2:7000 0 0 1 up - 0
+            PEERS_KNOWN stale_copy 4 0
+            """;
+    private static final String QUERY = """
+            INCOMING 00000000000000aa 0 - - 3000000 - 1 -1 1 0
+            INCOMING 00000000000000ab 0 - - 3000000 - 1 0 1 0
+            """;
 
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
--- a/src/test/java/wallmoor/consensus/PreVoteRestartTest.java
+++ b/src/test/java/wallmoor/consensus/PreVoteRestartTest.java
@@ -103,7 +103,7 @@
 
     /** It votes for b, begins a pre-vote as b is not heard yet, and hears b lead in that term, twice. */
     private void followsLate(boolean mended) {
-        node.start();
+        var unused = node.start();
         run(TICK, false);
         vote(1);
         run(2_000, false);
--- a/src/test/java/wallmoor/consensus/VotingMemberTest.java
+++ b/src/test/java/wallmoor/consensus/VotingMemberTest.java
@@ -80,7 +80,7 @@
                         .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setQuerySequenceNumber(0)
                         .setFlowControlSequenceNumber(0).setLogEntries(List.of()).build());
         asked.set(0);
-        control.scheduleWithFixedDelay(() -> execute(() -> {
+        var unused = control.scheduleWithFixedDelay(() -> execute(() -> {
             try {
                 voter.tick(nowMicros());
             } catch (java.io.IOException e) {
@@ -131,6 +131,6 @@
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-        control.schedule(task, delay, unit);
+        var unused = control.schedule(task, delay, unit);
     }
 }
--- a/src/test/java/wallmoor/core/GathererPropertiesTest.java
+++ b/src/test/java/wallmoor/core/GathererPropertiesTest.java
@@ -26,6 +26,8 @@
     private static final int EVENTS = 300;
     private static final int THREADS = 8;
     private static final int QUERIES_EACH = 60;
+    private static final List<WorkerEndpoint.EndpointState> ENDPOINT_STATES = List
+            .of(WorkerEndpoint.EndpointState.values());
     private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
 
     private final AtomicLong clock = new AtomicLong(1_000_000_000);
@@ -89,7 +91,7 @@
                 }
                 case 6 ->
                     gatherer.control().updateEndpoints(false, List.of(member("" + (char) ('a' + random.nextInt(3)),
-                            WorkerEndpoint.EndpointState.values()[random.nextInt(3)])));
+                            ENDPOINT_STATES.get(random.nextInt(3)))));
                 default -> {
                     if (!open.isEmpty()) {
                         pickAll(open.get(random.nextInt(open.size())));
--- a/src/test/java/wallmoor/decision/QueryCompletionTest.java
+++ b/src/test/java/wallmoor/decision/QueryCompletionTest.java
@@ -39,7 +39,7 @@
 
         harness = new PolicyHarness(
                 new PolicyHarness.SiteSettings().onlyClass(PolicyHarness.SiteSettings.someParts(1, 0.5))).workers(12);
-        q = harness.query(0, 0, 2, 4, 6);
+        harness.query(0, 0, 2, 4, 6);
         harness.advance(3_990 * MS);
         assertTrue(harness.actions("answer").isEmpty());
     }
--- a/src/test/java/wallmoor/decision/SlowStartSimulation.java
+++ b/src/test/java/wallmoor/decision/SlowStartSimulation.java
@@ -252,7 +252,7 @@
 
         void begin() {
             brain = new RoutingPolicy(settings.amongGatherers(day.gatherers, place),
-                    day.seed * 1_000 + place * 10 + incarnation,
+                    day.seed * 1_000 + place * 10L + incarnation,
                     this);
             brain.onStart(now);
             brain.onWorkerList(now, WorkerListKind.CACHED,
--- a/src/test/java/wallmoor/discovery/WatchModel.java
+++ b/src/test/java/wallmoor/discovery/WatchModel.java
@@ -205,7 +205,7 @@
 
     /** The call goes on, as far as it can in this step. */
     private void call() {
-        if (state == ModelState.IDLE && (wanted || machineSchedulesCalls && machine.nextCallBy() <= now)) {
+        if (state == ModelState.IDLE && (wanted || (machineSchedulesCalls && machine.nextCallBy() <= now))) {
             calls++;
             calledAt = now;
             callFailed = false;
--- a/src/test/java/wallmoor/discovery/WatchStreamParserTest.java
+++ b/src/test/java/wallmoor/discovery/WatchStreamParserTest.java
@@ -18,6 +18,7 @@
 
 /** A watch's body is read alike wherever the network, the chunks or the lines cut it. */
 public class WatchStreamParserTest {
+    @SuppressWarnings("StringConcatToTextBlock") // a text block would lose the carriage returns
     private static final String INDENTED = "{\n  \"revision\": 43,\r\n\r\n \t\n  \"members\": [\n"
             + "    {\"id\": \"s-\u00e9\u20ac\ud83d\ude00\"},\n\n"
             + "    {\"id\": \"}{[\\\"\\\\\"}\n  ]\n}";
@@ -55,7 +56,7 @@
         }
 
         @Override
-        public void setSoTimeout(int millis) {
+        public synchronized void setSoTimeout(int millis) {
             assertTrue(millis > 0);
         }
 
--- a/src/test/java/wallmoor/dns/DnsDecisionsTest.java
+++ b/src/test/java/wallmoor/dns/DnsDecisionsTest.java
@@ -63,8 +63,8 @@
         int one = 0;
         for (int i = 0; i < 200; i++) {
             InetSocketAddress next = servers.next(70_000, Set.of());
-            servers.recordAnswer(next, next == ONE ? 40 : 5);
-            one += next == ONE ? 1 : 0;
+            servers.recordAnswer(next, next.equals(ONE) ? 40 : 5);
+            one += next.equals(ONE) ? 1 : 0;
         }
         assertTrue("the slow one is measured again now and then: " + one, one > 0 && one < 20);
     }
--- a/src/test/java/wallmoor/endpoints/EndpointRegistryPropertiesTest.java
+++ b/src/test/java/wallmoor/endpoints/EndpointRegistryPropertiesTest.java
@@ -33,7 +33,6 @@
         final Map<String, WorkerEndpoint> held = new TreeMap<>();
         /** What the list said last, for the nodes that it drains or has removed while a record may still live. */
         final Map<String, EndpointState> claimedByList = new HashMap<>();
-        final Set<String> namedByDns = new HashSet<>();
         long now = 1_000 * SECOND;
         int changes;
 
--- a/src/test/java/wallmoor/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/wallmoor/endpoints/EndpointRegistryTest.java
@@ -218,7 +218,8 @@
         assertEquals("the list's nodes are the module's to judge", List.of("w2", "w3", "w4"), serve());
         pass(6);
         assertEquals(List.of("w1", "w2", "w3", "w4"), serve());
-        assertEquals("tried again as a cold one", now - SECOND, members.get("w1").upSince(), SECOND);
+        assertEquals("tried again as a cold one", (float) now - SECOND, (float) members.get("w1").upSince(),
+                (float) SECOND);
         applyChanges(registry.reportConnection(now, "w1", false));
         pass(8);
         assertEquals("twice as long", 3, serve().size());
--- a/src/test/java/wallmoor/frames/WorkerConnectionRaceTest.java
+++ b/src/test/java/wallmoor/frames/WorkerConnectionRaceTest.java
@@ -1,5 +1,6 @@
 package wallmoor.frames;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertFalse;
 import static org.junit.Assert.assertTrue;
@@ -58,7 +59,7 @@
         await("the end of the first", () -> {
             again.set(gatherer.open("q", ONCE, clock.get() + GIVE_UP_MICROS, false,
                     List.of(new Query.PartRequest(0, 1, -1)),
-                    "c41e77d0".getBytes()));
+                    "c41e77d0".getBytes(UTF_8)));
             return again.get() != null;
         });
         Query second = again.get();
@@ -321,7 +322,7 @@
         byte[][] bad = {{0, 0, 0, 0}, {0, 0, 0, 0, 'A'}, {0x7f, 0, 0, 0, 'A'}, {-1, -1, -1, -1, 'A'},
             {0, 0, 0, 9, 'A', 'b'},
             {0, 0}, {0, 0, 0, 1, '?'}, {0, 0, 0, 1, 'E'}, {0, 0, 0, 1, 'A'}, {0, 0, 0, 2, 'A', '\n'},
-            "\0\0\0\15Ax ok 7 -\nvvv".getBytes(), "\0\0\0\17Abad.0 odd 7 -\n".getBytes()};
+            "\0\0\0\15Ax ok 7 -\nvvv".getBytes(UTF_8), "\0\0\0\17Abad.0 odd 7 -\n".getBytes(UTF_8)};
         for (int i = 0; i < bad.length; i++) {
             ManualWorker spoilt = worker();
             gatherer.control().updateEndpoints(true,
@@ -372,7 +373,7 @@
         ManualWorker.Peer peer = worker.accept();
         assertCall("q.0", peer.frame());
         socket.afterRead.shut();
-        peer.bytes("\0\0\0\20Aq.0 o".getBytes());
+        peer.bytes("\0\0\0\20Aq.0 o".getBytes(UTF_8));
         socket.afterRead.awaitHeld();
         links.close();
         socket.afterRead.open();
--- a/src/test/java/wallmoor/idempotency/IdempotentRequestsPropertiesTest.java
+++ b/src/test/java/wallmoor/idempotency/IdempotentRequestsPropertiesTest.java
@@ -102,8 +102,8 @@
         /** What may not repeat keeps its outcome for its window: it is replayed, and refused at most for hammering. */
         private void kept(int i, boolean mayRepeat, RequestDecision d) {
             if (!mayRepeat && ended.containsKey(i) && now < madeAt[i] + RULES.deduplicationWindow()) {
-                assertTrue(d instanceof RequestDecision.Replay || d instanceof RequestDecision.Reject r
-                        && r.reason() == RequestDecision.RejectionReason.RATE_LIMITED,
+                assertTrue(d instanceof RequestDecision.Replay || (d instanceof RequestDecision.Reject r
+                        && r.reason() == RequestDecision.RejectionReason.RATE_LIMITED),
                         "outcome lost before its window: " + d);
             }
         }
--- a/src/test/java/wallmoor/idempotency/IdempotentRequestsTest.java
+++ b/src/test/java/wallmoor/idempotency/IdempotentRequestsTest.java
@@ -1,5 +1,6 @@
 package wallmoor.idempotency;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertArrayEquals;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertSame;
@@ -26,7 +27,7 @@
 
     /** An id of version 7 that was made then. */
     static String id(long micros, int number) {
-        return new UUID(micros / 1000 << 16 | 0x7000 | number >>> 16 & 0xfff, 0x8000_0000_0000_0000L | number)
+        return new UUID((micros / 1000) << 16 | 0x7000 | (number >>> 16 & 0xfff), 0x8000_0000_0000_0000L | number)
                 .toString();
     }
 
@@ -199,13 +200,13 @@
     @Test
     public void aBodyComesInPiecesInAnyStateOfRepair() {
         IdempotencyKey key = key("d");
-        byte[] body = "0123456789abcdef".getBytes();
+        byte[] body = "0123456789abcdef".getBytes(UTF_8);
         assertEquals(new RequestDecision.AwaitChunk(0), piece(key, body, 4, 8, 16));
         assertEquals(new RequestDecision.AwaitChunk(6), piece(key, body, 0, 6, 16));
         assertEquals("again, and more of it", new RequestDecision.AwaitChunk(8), piece(key, body, 4, 8, 16));
         assertEquals("a hole", new RequestDecision.AwaitChunk(8), piece(key, body, 10, 16, 16));
         assertEquals(new RequestDecision.AwaitChunk(8), requests.outcome(now, key, true));
-        byte[] other = "01234567XXXXXXXX".getBytes();
+        byte[] other = "01234567XXXXXXXX".getBytes(UTF_8);
         assertEquals(new RequestDecision.AwaitChunk(12), piece(key, other, 8, 12, 16));
         assertEquals("another body is not mixed with the first", new RequestDecision.AwaitChunk(0),
                 piece(key, body, 8, 16, 16));
--- a/src/test/java/wallmoor/maintenance/MaintenanceInvariants.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceInvariants.java
@@ -55,8 +55,8 @@
             if (HAS.contains(was) || HAS.contains(status.stage())) {
                 assertTrue(ours.add(machine), machine + " has two wishes out");
             }
-            if (status.stage() == MaintenanceStage.DRAINING && !HAS.contains(was)
-                    || status.stage() == MaintenanceStage.OUT && was != MaintenanceStage.OUT) {
+            if ((status.stage() == MaintenanceStage.DRAINING && !HAS.contains(was))
+                    || (status.stage() == MaintenanceStage.OUT && was != MaintenanceStage.OUT)) {
                 began.add(machine);
             }
             if (status.stage() == MaintenanceStage.DRAINING) {
--- a/src/test/java/wallmoor/maintenance/MaintenancePlannerTest.java
+++ b/src/test/java/wallmoor/maintenance/MaintenancePlannerTest.java
@@ -135,7 +135,7 @@
                 if (random.nextInt(4) > 0) {
                     String after = "" + (char) ('a' + random.nextInt(4));
                     long by = random.nextBoolean() ? MaintenanceRequest.NO_DEADLINE
-                            : EACH * (1 + random.nextInt(3)) + random.nextInt(2) * 30_000;
+                            : EACH * (1 + random.nextInt(3)) + random.nextInt(2) * 30_000L;
                     wishes.add(random.nextInt(3) == 0 && !after.equals(id) ? wish(id, 20_000, by, after)
                             : wish(id, 20_000, by));
                 }
--- a/src/test/java/wallmoor/maintenance/MaintenanceSimulationTest.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceSimulationTest.java
@@ -63,7 +63,7 @@
                 w.budgets = FleetFixtures.kept(FleetFixtures.budgets(random.nextInt(3)), random.nextInt(1_000_000),
                         random.nextInt(3));
             case 10, 11 -> w.budgets = sane;
-            case 12 -> w.skew = random.nextInt(600_000) - 300_000;
+            case 12 -> w.skew = random.nextInt(600_000) - 300_000L;
             case 13 -> w.returns = random.nextBoolean();
             case 14 -> w.acting = RequestOperations.hold(w.acting, true);
             case 15, 16 -> w.acting = RequestOperations.hold(w.acting, false);
--- a/src/test/java/wallmoor/metrics/GathererMetricsTest.java
+++ b/src/test/java/wallmoor/metrics/GathererMetricsTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import java.util.Locale;
 import java.util.TreeMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -14,6 +15,7 @@
 import wallmoor.metrics.GathererMetrics.QueryEnd;
 
 class GathererMetricsTest {
+    private static final List<QueryEnd> ENDS = List.of(QueryEnd.values());
     private static final List<String> CLASSES = List.of("hold-car", "full-search", "late");
 
     @Property(tries = 300)
@@ -27,8 +29,8 @@
             int kind = what / CLASSES.size();
             if (kind < 4 && open[of] > 0) {
                 open[of]--;
-                figures.queryEnded(name, QueryEnd.values()[kind]);
-                plain.merge(QueryEnd.values()[kind].toString().toLowerCase() + "." + name, 1L, Long::sum);
+                figures.queryEnded(name, ENDS.get(kind));
+                plain.merge(ENDS.get(kind).toString().toLowerCase(Locale.ROOT) + "." + name, 1L, Long::sum);
             } else if (kind == 4) {
                 figures.addAttempts(name, what);
                 plain.merge("attempts." + name, (long) what, Long::sum);
--- a/src/test/java/wallmoor/migration/MigrationCoordinatorTest.java
+++ b/src/test/java/wallmoor/migration/MigrationCoordinatorTest.java
@@ -37,6 +37,7 @@
         SPOILS((w, r) -> w.spoilsUntil = w.now + 2_000_000),
         LOAD((w, r) -> w.nodes.values().forEach(n -> n.load = r.nextDouble()));
 
+        @SuppressWarnings("ImmutableEnumChecker") // a lambda without state
         final BiConsumer<MigrationSimulation, Random> does;
 
         Fault(BiConsumer<MigrationSimulation, Random> does) {
@@ -220,7 +221,7 @@
             for (int i = 0; i < 4; i++) {
                 int first = random.nextInt(4);
                 int second = (first + 1 + random.nextInt(3)) % 4;
-                long mb = 20 + random.nextInt(40);
+                long mb = 20L + random.nextInt(40);
                 if (used[first] + mb <= 90 && used[second] + mb <= 90) {
                     used[first] += mb;
                     used[second] += mb;
--- a/src/test/java/wallmoor/migration/MigrationSimulation.java
+++ b/src/test/java/wallmoor/migration/MigrationSimulation.java
@@ -307,7 +307,7 @@
         spoilsUntil = 0;
         nodes.values().forEach(n -> n.otherMb = 0);
         for (int i = 0; i < 6_000; i++) {
-            if ((state.stopped() && state.migrations().isEmpty() || state.paused() || state.frozenBlocks().size() > 0)
+            if (((state.stopped() && state.migrations().isEmpty()) || state.paused() || state.frozenBlocks().size() > 0)
                     && accepted == null) {
                 accepted = restarted();
                 actsAt = now + STEP;
--- a/src/test/java/wallmoor/net/GroupTest.java
+++ b/src/test/java/wallmoor/net/GroupTest.java
@@ -25,7 +25,6 @@
 import org.junit.rules.TemporaryFolder;
 import wallmoor.cli.Console;
 import wallmoor.json.Json;
-import wallmoor.peers.GroupMessage;
 import wallmoor.standin.GroupRelay;
 import wallmoor.standin.Ports;
 
@@ -41,6 +40,8 @@
      * Where a datagram tells what it is for: behind its array, its version and five bytes of the installation's name.
      */
     private static final int KIND_AT = 7;
+    /** The number of the kind ACK there. */
+    private static final byte ACK = 1;
 
     private static final int[] ALL = IntStream.range(0, FIVE).toArray();
     /** Twenty intervals: four times what it takes to remove one. */
@@ -271,7 +272,7 @@
     @Test
     public void oneThatHearsNobodyTakesNobodysQuorum() throws Exception {
         int[] others = {0, 1, 2, 4};
-        relay.filter = (sender, to, datagram) -> to == 3 && datagram[KIND_AT] == GroupMessage.MessageKind.ACK.ordinal();
+        relay.filter = (sender, to, datagram) -> to == 3 && datagram[KIND_AT] == ACK;
         awaitAll("it knows that it hears nobody", new int[] {3}, "quorum=false side=SMALLER reachable=1/5");
         for (int n : others) {
             Program.await("the others know of it", () -> MEMBERS.get(n).everSaid(" suspected="));
--- a/src/test/java/wallmoor/operator/OperatorServerTest.java
+++ b/src/test/java/wallmoor/operator/OperatorServerTest.java
@@ -1,5 +1,6 @@
 package wallmoor.operator;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
 
@@ -174,7 +175,7 @@
                     var socket = new Socket(p.at.getAddress(), p.at.getPort());
                     hanging.add(socket);
                     if (i % 2 == 0) {
-                        socket.getOutputStream().write("PUT /_workers/detach HTTP/1.1\r\nContent-Le".getBytes());
+                        socket.getOutputStream().write("PUT /_workers/detach HTTP/1.1\r\nContent-Le".getBytes(UTF_8));
                     }
                 }
                 for (int i = 0; i < 5; i++) { // a second for each call is the promise
--- a/src/test/java/wallmoor/peers/DeafMembersTest.java
+++ b/src/test/java/wallmoor/peers/DeafMembersTest.java
@@ -138,8 +138,8 @@
             boolean both = false;
             for (int tick = 0; tick < 200; tick++) {
                 group.run(SECOND / 10);
-                boolean now = goesOn(group, count, here, true) && holds(group, count, here, false)
-                        || goesOn(group, count, here, false) && holds(group, count, here, true);
+                boolean now = (goesOn(group, count, here, true) && holds(group, count, here, false))
+                        || (goesOn(group, count, here, false) && holds(group, count, here, true));
                 assertTrue(!now || tick < 100, run + ": " + count + " " + here + " deaf " + deaf + " at " + tick);
                 both |= now;
             }
--- a/src/test/java/wallmoor/peers/GroupMembershipPropertiesTest.java
+++ b/src/test/java/wallmoor/peers/GroupMembershipPropertiesTest.java
@@ -265,7 +265,7 @@
             group.run(SECOND);
             for (int i = 0; i < count; i++) {
                 for (String gone : group.membersIn(i, GroupView.MemberState.REMOVED)) {
-                    assertTrue(gone.equals("m9") || fault == 3 && gone.equals("m12"),
+                    assertTrue(gone.equals("m9") || (fault == 3 && gone.equals("m12")),
                             fault + ": " + i + " removed " + gone);
                 }
             }
--- a/src/test/java/wallmoor/placement/BruteForce.java
+++ b/src/test/java/wallmoor/placement/BruteForce.java
@@ -137,7 +137,7 @@
     }
 
     private boolean may(int[] own, int block, int copy, int to, long[] used) {
-        if (own[copy] == to || drains[to] || bounded[to] && over(to, used[to] + fleet.blocks().get(block).sizeMb())) {
+        if (own[copy] == to || drains[to] || (bounded[to] && over(to, used[to] + fleet.blocks().get(block).sizeMb()))) {
             return false;
         }
         for (int other = 0; other < own.length; other++) {
@@ -150,8 +150,8 @@
 
     private boolean near(int a, int b) {
         return a == b
-                || fleet.spread() == FailureDomain.CELL
-                        && fleet.nodes().get(a).cell().equals(fleet.nodes().get(b).cell());
+                || (fleet.spread() == FailureDomain.CELL
+                        && fleet.nodes().get(a).cell().equals(fleet.nodes().get(b).cell()));
     }
 
     private boolean over(int node, long mb) {
@@ -161,7 +161,7 @@
 
     private boolean done(int[][] placed, long[] used) {
         for (int i = 0; i < nodes; i++) {
-            if (drains[i] && used[i] > 0 || bounded[i] && !drains[i] && over(i, used[i])) {
+            if ((drains[i] && used[i] > 0) || (bounded[i] && !drains[i] && over(i, used[i]))) {
                 return false;
             }
             for (int j = 0; level && j < nodes; j++) {
@@ -183,7 +183,7 @@
         long a = fleet.nodes().get(i).diskMb();
         long b = fleet.nodes().get(j).diskMb();
         // of the whole disk; a whole number in all fleets here
-        long by = fleet.level() / 1_000 * (PlacementProblem.MILLION - fleet.headroom()) / 1_000;
+        long by = (long) fleet.level() / 1_000 * (PlacementProblem.MILLION - fleet.headroom()) / 1_000;
         return (used[i] * b - used[j] * a) * PlacementProblem.MILLION > by * a * b;
     }
 
--- a/src/test/java/wallmoor/placement/RandomPlacementProblems.java
+++ b/src/test/java/wallmoor/placement/RandomPlacementProblems.java
@@ -24,7 +24,7 @@
         int scale = 6 + random.nextInt(9);
         for (int i = 0; i < n; i++) {
             nodes.add(new StorageNode("n" + i, "c" + (random.nextInt(4) == 0 ? random.nextInt(cells) : i % cells),
-                    100L * (scale + random.nextInt(4)) + random.nextInt(2) * 10, random.nextInt(5) == 0));
+                    100L * (scale + random.nextInt(4)) + random.nextInt(2) * 10L, random.nextInt(5) == 0));
         }
         List<BlockReplicas> blocks = new ArrayList<>();
         int count = 1 + random.nextInt(mostBlocks);
--- a/src/test/java/wallmoor/rules/LeaseInvariantsTest.java
+++ b/src/test/java/wallmoor/rules/LeaseInvariantsTest.java
@@ -182,7 +182,7 @@
             simulation.cluster().setClock(0, 1 + TERMS.clockDrift(), 5);
             simulation.cluster().setClock(3, 1 - TERMS.clockDrift(), 77);
             simulation.cluster()
-                    .setLink((from, to, now, r) -> from != to && (cut[from] || cut[to] || cut[4] && to == 3) ? -1
+                    .setLink((from, to, now, r) -> from != to && (cut[from] || cut[to] || (cut[4] && to == 3)) ? -1
                             : 2_000);
             simulation.startAll();
             simulation.elect(0);
--- a/src/test/java/wallmoor/rules/RecordFileTest.java
+++ b/src/test/java/wallmoor/rules/RecordFileTest.java
@@ -1,5 +1,6 @@
 package wallmoor.rules;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -16,7 +17,8 @@
 
 /** Kept bytes: every torn prefix, every damaged byte. */
 class RecordFileTest {
-    private static final List<byte[]> THREE = List.of(new byte[] {1, 2, 3}, new byte[0], "the last one".getBytes());
+    private static final List<byte[]> THREE = List.of(new byte[] {1, 2, 3}, new byte[0],
+            "the last one".getBytes(UTF_8));
 
     private static byte[] file(List<byte[]> payloads) {
         byte[] all = {};
--- a/src/test/java/wallmoor/rules/RestrictiveMergeTest.java
+++ b/src/test/java/wallmoor/rules/RestrictiveMergeTest.java
@@ -6,6 +6,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -31,8 +32,11 @@
             case HIGHER -> ((Amount) bold).value() >= ((Amount) other).value() ? bold : other;
             case OFF -> new Flag(((Flag) bold).value() && ((Flag) other).value());
             case ON -> new Flag(((Flag) bold).value() || ((Flag) other).value());
-            case FEWER -> new Names(((Names) bold).value().stream().filter(((Names) other).value()::contains)
-                    .collect(java.util.stream.Collectors.toCollection(TreeSet::new)));
+            case FEWER -> {
+                var both = new TreeSet<>(((Names) bold).value());
+                both.retainAll(((Names) other).value());
+                yield new Names(both);
+            }
             case MORE -> {
                 var all = new TreeSet<>(((Names) bold).value());
                 all.addAll(((Names) other).value());
@@ -123,9 +127,10 @@
         for (DocumentSchema kind : List.of(DocumentSchemas.SETTINGS, DocumentSchemas.LIST, DocumentSchemas.SUMMARIES,
                 DocumentSchemas.PLAN, DocumentSchemas.MAINTENANCE)) {
             for (FieldSchema f : kind.fields()) {
-                String row = "| `" + kind.name() + "` | `" + f.path() + "` | " + f.merge().name().toLowerCase()
+                String row = "| `" + kind.name() + "` | `" + f.path() + "` | "
+                        + f.merge().name().toLowerCase(Locale.ROOT)
                         + " | "
-                        + f.missing().name().toLowerCase() + " |";
+                        + f.missing().name().toLowerCase(Locale.ROOT) + " |";
                 text.append(row).append('\n');
             }
         }
