--- a/src/main/java/wallmoor/consensus/PendingProposals.java
+++ b/src/main/java/wallmoor/consensus/PendingProposals.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
-import java.util.Map;
 import java.util.List;
+import java.util.Map;
 import java.util.function.Consumer;
 import wallmoor.rules.RuleDocument;
 import wallmoor.rules.RuleEvent;
--- a/src/main/java/wallmoor/decision/QueryReplenisher.java
+++ b/src/main/java/wallmoor/decision/QueryReplenisher.java
@@ -93,7 +93,7 @@
         boolean workersSilent = part.inFlight.values().stream()
                 .allMatch(a -> a.worker.ejected || outliers.silence(a.worker) >= 1);
         TrackedWorker other = selector.choose(part);
-        if (!isBetterElsewhere(part, other) || !workersSilent && outliers.isEverythingSlow()
+        if (!isBetterElsewhere(part, other) || (!workersSilent && outliers.isEverythingSlow())
                 || context.now() >= retryPolicy.retryUntil(part)) {
             return false;
         }
