--- a/src/main/java/wallmoor/consensus/PendingProposals.java
+++ b/src/main/java/wallmoor/consensus/PendingProposals.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
 import java.util.function.Consumer;
 import wallmoor.rules.RuleDocument;
 import wallmoor.rules.RuleEvent;
@@ -91,7 +92,7 @@
         }
     }
 
-    private static void removeEldest(LinkedHashMap<Long, ?> entries) {
+    private static void removeEldest(Map<Long, ?> entries) {
         if (entries.size() > MAX_ENTRIES) {
             entries.remove(entries.keySet().iterator().next());
         }
