--- a/src/bench/java/wallmoor/summaries/MillionQueries.java
+++ b/src/bench/java/wallmoor/summaries/MillionQueries.java
@@ -48,8 +48,8 @@
     }
 
     private void ask(int i) {
-        long ticket = known.asking(now, sites.get(i));
-        known.promised(now, keepers.get(i).asked(now, "g", ticket));
+        long ticket = known.beginRequest(now, sites.get(i));
+        known.acceptGrant(now, keepers.get(i).grantLease(now, "g", ticket));
     }
 
     /** Now and then a row of somewhere else, so that summaries must widen. */
@@ -60,7 +60,7 @@
         writes++;
         if (!w.confirm()) {
             widenings++;
-            long version = known.widened(now, w.widening());
+            long version = known.applyWidening(now, w.widening());
             if (!keepers.get(i).acknowledged(now, "g", version).contains(w.id())) {
                 throw new IllegalStateException("not confirmed");
             }
@@ -75,11 +75,11 @@
             deleted[i] = 0;
             SummaryBuilder next = keepers.get(i).rebuild();
             rows.get(i).forEach(next::add);
-            known.widened(now, keepers.get(i).adopt(now).widening());
+            known.applyWidening(now, keepers.get(i).adopt(now).widening());
             ask(i);
         }
         if (writes % 997 == 0) {
-            known.moved(now, sites.get(i).block());
+            known.invalidateBlock(now, sites.get(i).block());
             ask(i);
         }
     }
@@ -110,7 +110,7 @@
             time = new TimeSpan(like.time().from(), like.time().from() + random.nextInt(10) * 86_400_000_000L);
         }
         Conditions c = new Conditions(box, time, conditions);
-        SummaryCache.Lookup lookup = known.lookup(now, c);
+        SummaryLookup lookup = known.lookup(now, c);
         for (int i = 0; i < sites.size(); i++) {
             boolean has = false;
             for (Row row : rows.get(i)) {
--- a/src/bench/java/wallmoor/summaries/Rentals.java
+++ b/src/bench/java/wallmoor/summaries/Rentals.java
@@ -45,6 +45,6 @@
         for (int i = 0; i < rows; i++) {
             draft.add(row(random, site));
         }
-        return draft.told(1);
+        return draft.build(1);
     }
 }
--- a/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
+++ b/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
@@ -49,8 +49,9 @@
             Summary s = all.get(i);
             byte[] bytes = Encoding.encode(s);
             sent += bytes.length;
-            known.promised(1, new SiteMessage.LeaseGrant(known.asking(1, new Site(s.site(), s.block())), bytes,
-                    Long.MAX_VALUE / 2));
+            known.acceptGrant(1,
+                    new SiteMessage.SummaryLeaseGrant(known.beginRequest(1, new Site(s.site(), s.block())), bytes,
+                            Long.MAX_VALUE / 2));
         }
         System.out.println("bytes a site of " + ROWS + " rows: sent " + sent / sites + ", with the index "
                 + known.bytes() / sites);
--- a/src/main/java/wallmoor/cli/SummariesCommand.java
+++ b/src/main/java/wallmoor/cli/SummariesCommand.java
@@ -97,7 +97,7 @@
                             usual.longest(), usual.filterBits(), usual.boxes(), usual.spans()),
                     site, block, 1);
             new RowsFile(rows, texts == null ? List.of() : texts, time).read(draft::add);
-            Summary s = draft.told(1);
+            Summary s = draft.build(1);
             byte[] encoded = Encoding.encode(s);
             Path whole = out.toAbsolutePath().resolveSibling("." + out.getFileName() + ".new");
             Files.write(whole, encoded);
@@ -125,7 +125,7 @@
                 try {
                     Summary s = read(file);
                     MatchResult v = s.of(conditions);
-                    String why = v.kind() == MatchResult.MatchKind.CANNOT ? v.because() : null;
+                    String why = v.kind() == MatchResult.MatchKind.CANNOT ? v.reason() : null;
                     // a site with several files is skipped only where each of them excludes the query
                     boolean asked = verdicts.containsKey(s.site()) && verdicts.get(s.site()) == null;
                     verdicts.put(s.site(), asked ? null : why);
@@ -200,9 +200,9 @@
 
     private static void say(String what, MatchResult v) {
         System.out.println(what + ": " + switch (v.kind()) {
-            case CANNOT -> "cannot, " + v.because();
-            case UNKNOWN -> "unknown, " + v.because();
-            default -> "could match, " + v.because();
+            case CANNOT -> "cannot, " + v.reason();
+            case UNKNOWN -> "unknown, " + v.reason();
+            default -> "could match, " + v.reason();
         });
     }
 
--- a/src/main/java/wallmoor/ogc/FeaturesFront.java
+++ b/src/main/java/wallmoor/ogc/FeaturesFront.java
@@ -110,7 +110,7 @@
         Thread.sleep(handOverMillis);
         server.finish(finishMillis);
         if (promises != null) {
-            promises.leave();
+            promises.logTotals();
         }
     }
 
--- a/src/main/java/wallmoor/pruning/LeaseRenewal.java
+++ b/src/main/java/wallmoor/pruning/LeaseRenewal.java
@@ -23,22 +23,22 @@
     /** One server that does not answer holds up those of its thread alone. */
     private static final int THREADS = 4;
     /** Of a server that always has one more, the rest waits for the next round. */
-    private static final int MOST_AT_ONCE = 8;
-    private static final long FIRST_PAUSE_MILLIS = 250;
-    private static final long LONGEST_PAUSE_MILLIS = 4_000;
-    private static final long SHORTEST_SLEEP_MILLIS = 2;
+    private static final int MAX_POLLS_PER_ROUND = 8;
+    private static final long INITIAL_BACKOFF_MILLIS = 250;
+    private static final long MAX_BACKOFF_MILLIS = 4_000;
+    private static final long MIN_SLEEP_MILLIS = 2;
     /** A new list of servers, and what traffic found, is looked at so often. */
-    private static final long LONGEST_SLEEP_MILLIS = 50;
-    private static final int MOST_FAILURES = 16;
-    private static final long NANOS = 1_000_000;
+    private static final long MAX_SLEEP_MILLIS = 50;
+    private static final int MAX_FAILURES = 16;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final Logger log = LoggerFactory.getLogger(LeaseRenewal.class);
-    private final SummaryLeases promises;
+    private final SummaryLeases leases;
     private final SummariesConfig config;
     private final String gatherer;
 
     LeaseRenewal(SummaryLeases promises, SummariesConfig config, String gatherer) {
-        this.promises = promises;
+        this.leases = promises;
         this.config = config;
         this.gatherer = gatherer;
     }
@@ -60,30 +60,31 @@
     void start() {
         for (int i = 0; i < THREADS; i++) {
             int own = i;
-            Threads.start("summaries-" + i, () -> go(own));
+            Threads.start("summaries-" + i, () -> run(own));
         }
     }
 
-    private void go(int own) {
+    private void run(int own) {
         var visited = new HashMap<SummaryLeases.SummaryServer, ServerPollState>();
         List<SummaryLeases.SummaryServer> seen = null;
         try {
             while (true) {
-                promises.settle();
-                List<SummaryLeases.SummaryServer> servers = promises.servers();
+                leases.runControlTasks();
+                List<SummaryLeases.SummaryServer> servers = leases.servers();
                 if (servers != seen) {
                     seen = servers;
-                    take(visited, servers.stream().filter(s -> Math.floorMod(s.name().hashCode(), THREADS) == own)
-                            .toList());
+                    updateServers(visited,
+                            servers.stream().filter(s -> Math.floorMod(s.name().hashCode(), THREADS) == own)
+                                    .toList());
                 }
                 long next = Long.MAX_VALUE;
                 for (ServerPollState v : visited.values()) {
                     if (v.nextAt <= now()) {
-                        visit(v);
+                        poll(v);
                     }
                     next = Math.min(next, v.nextAt);
                 }
-                Thread.sleep(Math.max(SHORTEST_SLEEP_MILLIS, Math.min(LONGEST_SLEEP_MILLIS, next - now())));
+                Thread.sleep(Math.max(MIN_SLEEP_MILLIS, Math.min(MAX_SLEEP_MILLIS, next - now())));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -91,10 +92,10 @@
     }
 
     private static long now() {
-        return System.nanoTime() / NANOS;
+        return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    private void take(Map<SummaryLeases.SummaryServer, ServerPollState> visited,
+    private void updateServers(Map<SummaryLeases.SummaryServer, ServerPollState> visited,
             List<SummaryLeases.SummaryServer> servers) {
         var gone = new HashSet<>(visited.keySet());
         servers.forEach(gone::remove);
@@ -105,10 +106,10 @@
         }
     }
 
-    private void visit(ServerPollState v) {
+    private void poll(ServerPollState v) {
         String name = v.server.name();
         try {
-            hear(v);
+            pollWidenings(v);
             for (String block : v.server.blocks()) {
                 if (v.renewAt.getOrDefault(block, 0L) <= now()) {
                     renew(v, block);
@@ -121,21 +122,21 @@
             v.nextAt = now() + config.poll();
         } catch (IOException | HttpProtocolException | Json.Malformed | RuntimeException e) {
             v.call.close();
-            long pause = Math.min(LONGEST_PAUSE_MILLIS, FIRST_PAUSE_MILLIS << v.failures);
+            long pause = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << v.failures);
             if (v.failures == 0) {
                 log.warn("summaries of {} can't be had ({}): once its promise has ended it is asked every query", name,
                         e instanceof RuntimeException ? e.toString() : e.getMessage());
             }
-            v.failures = Math.min(MOST_FAILURES, v.failures + 1);
+            v.failures = Math.min(MAX_FAILURES, v.failures + 1);
             v.nextAt = now() + pause;
         }
     }
 
     /** Takes in what the server is about to confirm, until it has no more to tell. */
-    private void hear(ServerPollState v) throws IOException, HttpProtocolException, Json.Malformed {
+    private void pollWidenings(ServerPollState v) throws IOException, HttpProtocolException, Json.Malformed {
         List<WideningMessages.Acknowledged> counting = List.of();
-        for (int i = 0; i < MOST_AT_ONCE; i++) {
-            List<SiteMessage.Widening> news = v.call.news(counting);
+        for (int i = 0; i < MAX_POLLS_PER_ROUND; i++) {
+            List<SiteMessage.Widening> news = v.call.pollWidenings(counting);
             if (news.isEmpty()) {
                 return;
             }
@@ -144,25 +145,25 @@
                 if (!v.server.blocks().contains(w.site().block())) {
                     continue; // of what it was never asked for nothing is held
                 }
-                counting.add(new WideningMessages.Acknowledged(w.site().block(), w.epoch(), promises.widened(w)));
-                if (!promises.holds(w.site())) {
+                counting.add(new WideningMessages.Acknowledged(w.site().block(), w.epoch(), leases.applyWidening(w)));
+                if (!leases.hasLease(w.site())) {
                     v.renewAt.remove(w.site().block());
                 }
             }
         }
         if (!counting.isEmpty()) {
-            v.call.news(counting);
+            v.call.pollWidenings(counting);
         }
     }
 
     private void renew(ServerPollState v, String block) throws IOException, HttpProtocolException {
         var site = new Site(v.server.name(), block);
-        long ticket = promises.asking(site, v.server.address());
+        long ticket = leases.beginRequest(site, v.server.address());
         if (ticket < 0) {
             return;
         }
-        SiteMessage.LeaseGrant promise = v.call.promise(block, ticket);
-        promises.promised(site, promise);
+        SiteMessage.SummaryLeaseGrant promise = v.call.requestLease(block, ticket);
+        leases.acceptGrant(site, promise);
         long lifetime = Math.min(promise.lifetime() / 1000, config.lifetime());
         v.renewAt.put(block, now() + Math.max(config.poll(), lifetime / 2));
     }
--- a/src/main/java/wallmoor/pruning/SiteClient.java
+++ b/src/main/java/wallmoor/pruning/SiteClient.java
@@ -47,7 +47,7 @@
      * Asks for a block's summary. The ticket comes back from whoever made the promise: a copy that something on the way
      * has kept has an older one.
      */
-    SiteMessage.LeaseGrant promise(String block, long ticket) throws IOException, HttpProtocolException {
+    SiteMessage.SummaryLeaseGrant requestLease(String block, long ticket) throws IOException, HttpProtocolException {
         HttpMessage answer = ask("/summaries/promise?gatherer=" + gatherer + "&block=" + escaped(block)
                 + "&ticket=" + ticket, null);
         String lifetime = answer.header("Wallmoor-Lifetime-Ms");
@@ -61,12 +61,12 @@
                     "a summary of " + body.length() + " bytes: raise summaries.most_bytes, or lower "
                             + "`bytes` at the site");
         }
-        return new SiteMessage.LeaseGrant(Long.parseLong(back), Arrays.copyOfRange(body.buffer(), body.from(),
+        return new SiteMessage.SummaryLeaseGrant(Long.parseLong(back), Arrays.copyOfRange(body.buffer(), body.from(),
                 body.from() + body.length()), Long.parseLong(lifetime) * 1000);
     }
 
     /** Tells what counts now, and hears what else is to. */
-    List<SiteMessage.Widening> news(List<WideningMessages.Acknowledged> counting)
+    List<SiteMessage.Widening> pollWidenings(List<WideningMessages.Acknowledged> counting)
             throws IOException, HttpProtocolException, Json.Malformed {
         HttpMessage answer = ask("/summaries/news?gatherer=" + gatherer, WideningMessages.acknowledge(counting));
         return WideningMessages.read(site, answer.body(), mostBytes);
--- a/src/main/java/wallmoor/pruning/SummaryLeases.java
+++ b/src/main/java/wallmoor/pruning/SummaryLeases.java
@@ -51,31 +51,31 @@
     public record PruningDecision(Pruning.Decision decision, EffectiveRule under) {}
 
     /** Of what is told at once more is of no use: any one of a site's takes it out. */
-    private static final int MOST_TOLD = 256;
+    private static final int MAX_CONTROL_TASKS = 256;
     /** Blocks of all servers; beyond them sites are asked. */
-    private static final int MOST_SITES = 100_000;
+    private static final int MAX_SITES = 100_000;
     private static final Marker STATE = MarkerFactory.getMarker(Logging.STATE);
 
     private final Logger log = LoggerFactory.getLogger(SummaryLeases.class);
     private final SummariesConfig config;
     private final LongSupplier clock;
-    private final RuleReader acting;
+    private final RuleReader ruleReader;
     private final Object control = new Object();
     /** Guarded by {@link #control}. */
-    private final SummaryCache known;
+    private final SummaryCache cache;
     private final Pruning pruning;
     /** What traffic reads. Each is whole in itself, and ends by itself. */
-    private final Map<Site, LeasedSummary> counting = new ConcurrentHashMap<>();
+    private final Map<Site, LeasedSummary> leases = new ConcurrentHashMap<>();
     /** Found to be wrong. It outlives what else is known of a site. */
-    private final Set<Site> wrong = ConcurrentHashMap.newKeySet();
+    private final Set<Site> distrusted = ConcurrentHashMap.newKeySet();
     /** What traffic has to say to control; it never waits for it. */
-    private final Queue<Runnable> told = new ArrayBlockingQueue<>(MOST_TOLD);
+    private final Queue<Runnable> controlTasks = new ArrayBlockingQueue<>(MAX_CONTROL_TASKS);
     /** Guarded by {@link #control}: where each site is asked. */
     private final Map<Site, String> addresses = new HashMap<>();
-    private volatile Set<String> names;
-    private volatile List<SummaryServer> all = List.of();
+    private volatile Set<String> prunableNames;
+    private volatile List<SummaryServer> allServers = List.of();
     private volatile List<SummaryServer> servers = List.of();
-    private final LeaseRenewal rounds;
+    private final LeaseRenewal renewal;
     private final LongAdder asked = new LongAdder();
     private final LongAdder pruned = new LongAdder();
     private final LongAdder probed = new LongAdder();
@@ -93,20 +93,20 @@
     public SummaryLeases(SummariesConfig config, String gatherer, LongSupplier clock, RuleReader acting) {
         this.config = config;
         this.clock = clock;
-        this.acting = acting;
-        this.names = config.sites();
+        this.ruleReader = acting;
+        this.prunableNames = config.sites();
         var random = new SecureRandom();
         byte[] drawn = new byte[8];
         random.nextBytes(drawn);
-        known = new SummaryCache(SummaryLimits.usual(),
-                new SummaryCache.CacheLimits(MOST_SITES, config.memory(), config.margin() * 1000),
-                random.nextLong(1L << 58), this::tell);
-        pruning = new Pruning(known, new Pruning.ProbeBudget(config.share(), config.perSecond(), config.burst()),
+        cache = new SummaryCache(SummaryLimits.usual(),
+                new SummaryCache.CacheLimits(MAX_SITES, config.memory(), config.margin() * 1000),
+                random.nextLong(1L << 58), this::logEvent);
+        pruning = new Pruning(cache, new Pruning.ProbeBudget(config.share(), config.perSecond(), config.burst()),
                 new Random(random.nextLong()));
-        rounds = new LeaseRenewal(this, config, gatherer + "-" + HexFormat.of().formatHex(drawn));
+        renewal = new LeaseRenewal(this, config, gatherer + "-" + HexFormat.of().formatHex(drawn));
     }
 
-    private void tell(PruningEvent event) {
+    private void logEvent(PruningEvent event) {
         log.atError().addMarker(STATE).addKeyValue("site", event.site().name())
                 .addKeyValue("block", event.site().block()).addKeyValue("event", event.getClass().getSimpleName())
                 .log(event.text());
@@ -114,11 +114,11 @@
 
     /** Begins to ask. */
     public void start() {
-        rounds.start();
+        renewal.start();
     }
 
     /** Ends the asking, and says what came of it. */
-    public void leave() {
+    public void logTotals() {
         log.info("summaries: {} shares asked, {} left out, {} asked all the same", asked.sum(), pruned.sum(),
                 probed.sum());
     }
@@ -129,15 +129,15 @@
      */
     public void servers(List<SummaryServer> now) {
         synchronized (control) {
-            all = List.copyOf(now);
-            Set<String> wanted = names;
-            servers = all.stream().filter(s -> wanted.contains(s.name())).toList();
+            allServers = List.copyOf(now);
+            Set<String> wanted = prunableNames;
+            servers = allServers.stream().filter(s -> wanted.contains(s.name())).toList();
             var next = new HashMap<Site, String>();
             servers.forEach(s -> s.blocks().forEach(b -> next.put(new Site(s.name(), b), s.address())));
             for (Map.Entry<Site, String> old : addresses.entrySet()) {
                 if (!old.getValue().equals(next.get(old.getKey()))) {
-                    known.gone(clock.getAsLong(), old.getKey());
-                    counting.remove(old.getKey());
+                    cache.remove(clock.getAsLong(), old.getKey());
+                    leases.remove(old.getKey());
                 }
             }
             addresses.clear();
@@ -148,9 +148,9 @@
     /** Other sites may be left out from now on. One that was not among them and comes again is trusted again. */
     public void sites(Set<String> changed) {
         synchronized (control) {
-            names = changed;
-            wrong.removeIf(site -> !changed.contains(site.name()));
-            servers(all);
+            prunableNames = changed;
+            distrusted.removeIf(site -> !changed.contains(site.name()));
+            servers(allServers);
         }
     }
 
@@ -162,37 +162,37 @@
     // ---- control ------------------------------------------------------------------------------------------
 
     /** A site is about to be asked at this address: its ticket, or -1 where it is not there any more. */
-    long asking(Site site, String address) {
+    long beginRequest(Site site, String address) {
         synchronized (control) {
-            return address.equals(addresses.get(site)) ? known.asking(clock.getAsLong(), site) : -1;
+            return address.equals(addresses.get(site)) ? cache.beginRequest(clock.getAsLong(), site) : -1;
         }
     }
 
-    void promised(Site site, SiteMessage.LeaseGrant promise) {
+    void acceptGrant(Site site, SiteMessage.SummaryLeaseGrant promise) {
         synchronized (control) {
             long lifetime = Math.min(promise.lifetime(), config.lifetime() * 1000); // to count less is always safe
-            known.promised(clock.getAsLong(),
-                    new SiteMessage.LeaseGrant(promise.ticket(), promise.summary(), lifetime));
+            cache.acceptGrant(clock.getAsLong(),
+                    new SiteMessage.SummaryLeaseGrant(promise.ticket(), promise.summary(), lifetime));
             publish(site);
         }
     }
 
     /** Takes a widening in. What it returns counts for traffic by then. */
-    long widened(SiteMessage.Widening w) {
+    long applyWidening(SiteMessage.Widening w) {
         synchronized (control) {
-            long version = known.widened(clock.getAsLong(), w);
+            long version = cache.applyWidening(clock.getAsLong(), w);
             publish(w.site());
             return version;
         }
     }
 
-    boolean holds(Site site) {
-        return counting.containsKey(site);
+    boolean hasLease(Site site) {
+        return leases.containsKey(site);
     }
 
     /** Does what traffic left to be done. */
-    void settle() {
-        for (Runnable r = told.poll(); r != null; r = told.poll()) {
+    void runControlTasks() {
+        for (Runnable r = controlTasks.poll(); r != null; r = controlTasks.poll()) {
             synchronized (control) {
                 r.run();
             }
@@ -200,11 +200,11 @@
     }
 
     private void publish(Site site) {
-        LeasedSummary held = known.held(site);
+        LeasedSummary held = cache.leased(site);
         if (held == null) {
-            counting.remove(site);
+            leases.remove(site);
         } else {
-            counting.put(site, held);
+            leases.put(site, held);
         }
     }
 
@@ -215,31 +215,31 @@
      * came; both hold for the whole of it.
      */
     public PruningDecision decide(Conditions conditions, List<Pruning.Share> shares, boolean mayRepeat) {
-        EffectiveRule act = acting.effectiveRule(DOCUMENT);
+        EffectiveRule act = ruleReader.effectiveRule(DOCUMENT);
         long now = clock.getAsLong();
         Pruning.Decision d = pruning.decide(now, conditions, shares, mayRepeat, site -> excluding(now, act, conditions,
                 site));
         asked.add(d.ask().size());
         pruned.add(d.pruned().size());
         probed.add(d.probes().size());
-        return new PruningDecision(d, agrees() ? act : null);
+        return new PruningDecision(d, hasAgreement() ? act : null);
     }
 
     private Summary excluding(long now, EffectiveRule act, Conditions conditions, Site site) {
-        LeasedSummary held = counting.get(site);
-        if (held == null || wrong.contains(site) || !prunable(now, act, site.name(), held)) {
+        LeasedSummary held = leases.get(site);
+        if (held == null || distrusted.contains(site) || !prunable(now, act, site.name(), held)) {
             return null;
         }
         return held.excluding(now, conditions);
     }
 
-    private boolean agrees() {
-        return acting != RuleReader.NONE;
+    private boolean hasAgreement() {
+        return ruleReader != RuleReader.NONE;
     }
 
     /** Whether the operators' file lets it be left out, and the acting version too where there is an agreement. */
     private boolean prunable(long now, EffectiveRule act, String site, LeasedSummary held) {
-        return names.contains(site) && (!agrees() || PrunableSites.allow(act, site, now - held.since()));
+        return prunableNames.contains(site) && (!hasAgreement() || PrunableSites.allow(act, site, now - held.since()));
     }
 
     /**
@@ -252,14 +252,14 @@
      */
     public boolean probed(Pruning.PrunedShard cut, Site site, long epoch, long version, long rows) {
         Summary by = cut.by(site);
-        LeasedSummary held = counting.get(site);
+        LeasedSummary held = leases.get(site);
         long now = clock.getAsLong();
         if (held == null || held.summary() != by || held.until() <= now
-                || !Pruning.wrong(cut, site, epoch, version, rows) || !wrong.add(site)) {
+                || !Pruning.wrong(cut, site, epoch, version, rows) || !distrusted.add(site)) {
             return false;
         }
         // where there is no room others have filled it: this one is taken out all the same, and the log says less
-        if (!told.offer(() -> {
+        if (!controlTasks.offer(() -> {
             pruning.probed(clock.getAsLong(), cut, site, epoch, version, rows);
             publish(site);
         })) {
@@ -272,7 +272,7 @@
     /** What is held just now, for people and tests. */
     public List<String> lines() {
         var lines = new ArrayList<String>();
-        counting.forEach((site, held) -> lines.add(site.name() + " " + site.block() + " version "
+        leases.forEach((site, held) -> lines.add(site.name() + " " + site.block() + " version "
                 + held.summary().version()));
         return lines;
     }
--- a/src/main/java/wallmoor/summaries/Encoding.java
+++ b/src/main/java/wallmoor/summaries/Encoding.java
@@ -40,9 +40,9 @@
 
     /** The bytes that a property takes, without its name. */
     static int bytes(PropertySummary p) {
-        int bytes = 1 + (p.least <= p.most ? 16 : 0);
-        if (p.first != null) {
-            bytes += 8 + utf8(p.first) + utf8(p.last) + utf8(p.firstFolded) + utf8(p.lastFolded);
+        int bytes = 1 + (p.smallestNumber <= p.largestNumber ? 16 : 0);
+        if (p.firstText != null) {
+            bytes += 8 + utf8(p.firstText) + utf8(p.lastText) + utf8(p.firstFoldedText) + utf8(p.lastFoldedText);
         }
         if (p.values == null) {
             return bytes + 1 + p.filter.bits() / 8;
@@ -78,17 +78,18 @@
     }
 
     private static void property(ByteBuffer to, PropertySummary p) {
-        to.put((byte) ((p.missing ? MISSING : 0) | (p.odd ? ODD : 0) | (p.numbers ? NUMBERS : 0) | (p.texts ? TEXTS : 0)
-                | (p.least <= p.most ? EXTENT : 0) | (p.first != null ? TEXT_EXTENT : 0)
+        to.put((byte) ((p.missing ? MISSING : 0) | (p.unordered ? ODD : 0) | (p.numbers ? NUMBERS : 0)
+                | (p.texts ? TEXTS : 0)
+                | (p.smallestNumber <= p.largestNumber ? EXTENT : 0) | (p.firstText != null ? TEXT_EXTENT : 0)
                 | (p.values == null ? FILTER : 0)));
-        if (p.least <= p.most) {
-            to.putDouble(p.least).putDouble(p.most);
+        if (p.smallestNumber <= p.largestNumber) {
+            to.putDouble(p.smallestNumber).putDouble(p.largestNumber);
         }
-        if (p.first != null) {
-            text(to, p.first);
-            text(to, p.last);
-            text(to, p.firstFolded);
-            text(to, p.lastFolded);
+        if (p.firstText != null) {
+            text(to, p.firstText);
+            text(to, p.lastText);
+            text(to, p.firstFoldedText);
+            text(to, p.lastFoldedText);
         }
         if (p.values == null) {
             to.put((byte) Integer.numberOfTrailingZeros(p.filter.bits()));
@@ -181,22 +182,22 @@
         var p = new PropertySummary();
         int flags = from.get();
         p.missing = (flags & MISSING) != 0;
-        p.odd = (flags & ODD) != 0;
+        p.unordered = (flags & ODD) != 0;
         p.numbers = (flags & NUMBERS) != 0;
         p.texts = (flags & TEXTS) != 0;
         if ((flags & EXTENT) != 0) {
-            p.least = from.getDouble();
-            p.most = from.getDouble();
-            if (!(p.least <= p.most)) {
+            p.smallestNumber = from.getDouble();
+            p.largestNumber = from.getDouble();
+            if (!(p.smallestNumber <= p.largestNumber)) {
                 throw new IllegalArgumentException("a least above the most");
             }
         }
         if ((flags & TEXT_EXTENT) != 0) {
-            p.first = text(from);
-            p.last = text(from);
-            p.firstFolded = text(from);
-            p.lastFolded = text(from);
-        } else if (p.texts && !p.odd) {
+            p.firstText = text(from);
+            p.lastText = text(from);
+            p.firstFoldedText = text(from);
+            p.lastFoldedText = text(from);
+        } else if (p.texts && !p.unordered) {
             throw new IllegalArgumentException("texts without a least");
         }
         if ((flags & FILTER) != 0) {
--- a/src/main/java/wallmoor/summaries/LeasedSummary.java
+++ b/src/main/java/wallmoor/summaries/LeasedSummary.java
@@ -1,15 +1,15 @@
 package wallmoor.summaries;
 
 /**
- * What a gatherer holds of a site, at one moment. It is never changed, so that any thread may go by it, and it ends by
- * itself: whoever goes by it looks at the clock first.
+ * A site's summary with its lease, as a gatherer has cached it at one moment. Immutable, so that any thread may read
+ * it; the lease ends by itself, so a reader compares it with the clock first.
  *
  * @param summary what counts
- * @param since   when its promise was asked for, in microseconds
- * @param until   from then on it does not count, whatever else was heard
+ * @param since   when the lease was requested, in microseconds
+ * @param until   when the lease ends, in microseconds: from then on the summary doesn't count
  */
 public record LeasedSummary(Summary summary, long since, long until) {
-    /** The summary, where it counts at this time and excludes every row of the query; else null. */
+    /** The summary, where its lease runs at this time and it excludes every row of the query; else null. */
     public Summary excluding(long now, Conditions conditions) {
         return until > now && summary.excludes(conditions) != null ? summary : null;
     }
--- a/src/main/java/wallmoor/summaries/MatchResult.java
+++ b/src/main/java/wallmoor/summaries/MatchResult.java
@@ -4,9 +4,9 @@
  * Whether a site can hold a row that a query asks for.
  *
  * @param kind    which
- * @param because why, for people
+ * @param reason why, for people
  */
-public record MatchResult(MatchKind kind, String because) {
+public record MatchResult(MatchKind kind, String reason) {
     /** All but {@link #CANNOT} is asked. */
     public enum MatchKind {
         /** Its summary admits a match. */
@@ -17,7 +17,7 @@
         UNKNOWN
     }
 
-    static MatchResult could() {
+    static MatchResult couldMatch() {
         return new MatchResult(MatchKind.COULD_MATCH, "its summary admits a match");
     }
 
--- a/src/main/java/wallmoor/summaries/PropertyIndex.java
+++ b/src/main/java/wallmoor/summaries/PropertyIndex.java
@@ -31,12 +31,12 @@
             columns[slot] = filters.computeIfAbsent(bits[slot], BitSlicedBloomIndex::new).add(slot, filter);
             told.set(slot);
         }
-        boolean all = p.odd || p.texts || p.missing;
-        least[slot] = all ? Double.NEGATIVE_INFINITY : p.least;
-        most[slot] = all ? Double.POSITIVE_INFINITY : p.most;
-        if (p.missing && p.numbers && !p.texts && !p.odd) { // missing values meet only what is open below
+        boolean all = p.unordered || p.texts || p.missing;
+        least[slot] = all ? Double.NEGATIVE_INFINITY : p.smallestNumber;
+        most[slot] = all ? Double.POSITIVE_INFINITY : p.largestNumber;
+        if (p.missing && p.numbers && !p.texts && !p.unordered) { // missing values meet only what is open below
             least[slot] = Double.NEGATIVE_INFINITY;
-            most[slot] = p.most;
+            most[slot] = p.largestNumber;
         }
     }
 
--- a/src/main/java/wallmoor/summaries/PropertySummary.java
+++ b/src/main/java/wallmoor/summaries/PropertySummary.java
@@ -11,23 +11,23 @@
  */
 final class PropertySummary {
     /** A least or largest text is kept to so many signs: rounded down, and up. */
-    private static final int EXTENT = 24;
+    private static final int MAX_EXTENT_LENGTH = 24;
     /** Above all plain texts that begin with what stands before it. */
     private static final char ABOVE = '\u007f';
 
     boolean missing;
     /** It has values that some order puts elsewhere: not-a-number, truth values, texts that are not plain. */
-    boolean odd;
+    boolean unordered;
     boolean numbers;
     boolean texts;
     /** Of all that reads as a number, texts too; least above most: there are none. */
-    double least = Double.POSITIVE_INFINITY;
-    double most = Double.NEGATIVE_INFINITY;
+    double smallestNumber = Double.POSITIVE_INFINITY;
+    double largestNumber = Double.NEGATIVE_INFINITY;
     /** Of texts, with case and without; null where there are none. */
-    String first;
-    String last;
-    String firstFolded;
-    String lastFolded;
+    String firstText;
+    String lastText;
+    String firstFoldedText;
+    String lastFoldedText;
     /** The keys, or null where they are too many or too long. */
     TreeSet<String> values = new TreeSet<>();
     /** The keys' hashes, where the keys are not kept. */
@@ -38,15 +38,15 @@
     PropertySummary copy() {
         var p = new PropertySummary();
         p.missing = missing;
-        p.odd = odd;
+        p.unordered = unordered;
         p.numbers = numbers;
         p.texts = texts;
-        p.least = least;
-        p.most = most;
-        p.first = first;
-        p.last = last;
-        p.firstFolded = firstFolded;
-        p.lastFolded = lastFolded;
+        p.smallestNumber = smallestNumber;
+        p.largestNumber = largestNumber;
+        p.firstText = firstText;
+        p.lastText = lastText;
+        p.firstFoldedText = firstFoldedText;
+        p.lastFoldedText = lastFoldedText;
         p.values = values == null ? null : new TreeSet<>(values);
         p.filter = filter == null ? null : filter.copy();
         return p;
@@ -57,59 +57,59 @@
         if (key.isEmpty()) {
             missing = true;
             // a blank that is not ASCII: a site that does not take it for one puts it above all plain texts
-            odd |= value != null && value.toString().chars().anyMatch(c -> c > '~');
+            unordered |= value != null && value.toString().chars().anyMatch(c -> c > '~');
             return;
         }
-        key(key, s);
+        addKey(key, s);
         if (value instanceof Number n) {
             numbers = true;
-            number(KeyNormalizer.number(n));
-            odd |= Double.isNaN(KeyNormalizer.number(n));
+            addNumber(KeyNormalizer.number(n));
+            unordered |= Double.isNaN(KeyNormalizer.number(n));
         } else if (value instanceof String text) {
             texts = true;
             double d = KeyNormalizer.number(KeyNormalizer.fold(text));
             if (!Double.isNaN(d)) {
-                number(d);
+                addNumber(d);
             }
-            text(text);
+            addText(text);
         } else {
-            odd = true;
+            unordered = true;
         }
     }
 
-    private void number(double d) {
+    private void addNumber(double d) {
         if (!Double.isNaN(d)) {
-            least = Math.min(least, d);
-            most = Math.max(most, d);
+            smallestNumber = Math.min(smallestNumber, d);
+            largestNumber = Math.max(largestNumber, d);
         }
     }
 
-    private void text(String text) {
+    private void addText(String text) {
         if (!KeyNormalizer.plain(text)) {
-            odd = true;
+            unordered = true;
             return;
         }
-        extent(text, text, KeyNormalizer.fold(text), KeyNormalizer.fold(text));
+        widenTextExtent(text, text, KeyNormalizer.fold(text), KeyNormalizer.fold(text));
     }
 
-    private void extent(String low, String high, String lowFolded, String highFolded) {
-        first = lesser(first, low);
-        last = larger(last, high);
-        firstFolded = lesser(firstFolded, lowFolded);
-        lastFolded = larger(lastFolded, highFolded);
+    private void widenTextExtent(String low, String high, String lowFolded, String highFolded) {
+        firstText = lesser(firstText, low);
+        lastText = larger(lastText, high);
+        firstFoldedText = lesser(firstFoldedText, lowFolded);
+        lastFoldedText = larger(lastFoldedText, highFolded);
     }
 
     private static String lesser(String a, String b) {
-        String cut = b.length() > EXTENT ? b.substring(0, EXTENT) : b;
+        String cut = b.length() > MAX_EXTENT_LENGTH ? b.substring(0, MAX_EXTENT_LENGTH) : b;
         return a == null || cut.compareTo(a) < 0 ? cut : a;
     }
 
     private static String larger(String a, String b) {
-        String cut = b.length() > EXTENT + 1 ? b.substring(0, EXTENT) + ABOVE : b;
+        String cut = b.length() > MAX_EXTENT_LENGTH + 1 ? b.substring(0, MAX_EXTENT_LENGTH) + ABOVE : b;
         return a == null || cut.compareTo(a) > 0 ? cut : a;
     }
 
-    private void key(String key, SummaryLimits s) {
+    private void addKey(String key, SummaryLimits s) {
         if (values != null) {
             if (values.contains(key)) {
                 return;
@@ -118,13 +118,13 @@
                 values.add(key);
                 return;
             }
-            filtered(s.filterBits());
+            replaceValuesByFilter(s.filterBits());
         }
         filter.add(KeyNormalizer.hash(key));
     }
 
     /** Keeps the keys as a filter of so many bits from now on. */
-    void filtered(int bits) {
+    void replaceValuesByFilter(int bits) {
         filter = KeyBloomFilter.ofBits(bits);
         for (String v : values) {
             filter.add(KeyNormalizer.hash(v));
@@ -135,36 +135,37 @@
     /** Takes over all that another one tells. */
     void absorb(PropertySummary other, SummaryLimits s) {
         missing |= other.missing;
-        odd |= other.odd;
+        unordered |= other.unordered;
         numbers |= other.numbers;
         texts |= other.texts;
-        least = Math.min(least, other.least);
-        most = Math.max(most, other.most);
-        if (other.first != null) {
-            extent(other.first, other.last, other.firstFolded, other.lastFolded);
+        smallestNumber = Math.min(smallestNumber, other.smallestNumber);
+        largestNumber = Math.max(largestNumber, other.largestNumber);
+        if (other.firstText != null) {
+            widenTextExtent(other.firstText, other.lastText, other.firstFoldedText, other.lastFoldedText);
         }
         if (other.values != null) {
-            other.values.forEach(v -> key(v, s));
+            other.values.forEach(v -> addKey(v, s));
             return;
         }
         if (values != null) {
-            filtered(other.filter.bits());
+            replaceValuesByFilter(other.filter.bits());
         }
         filter = filter.with(other.filter);
     }
 
     /** Whether it admits already all that another one does. */
     boolean covers(PropertySummary o) {
-        return (missing || !o.missing) && (odd || !o.odd) && (numbers || !o.numbers) && (texts || !o.texts)
-                && least <= o.least && most >= o.most && coversTexts(o) && coversValues(o);
+        return (missing || !o.missing) && (unordered || !o.unordered) && (numbers || !o.numbers) && (texts || !o.texts)
+                && smallestNumber <= o.smallestNumber && largestNumber >= o.largestNumber && coversTexts(o)
+                && coversValues(o);
     }
 
     private boolean coversTexts(PropertySummary o) {
-        if (o.first == null) {
+        if (o.firstText == null) {
             return true;
         }
-        return first != null && first.compareTo(o.first) <= 0 && last.compareTo(o.last) >= 0
-                && firstFolded.compareTo(o.firstFolded) <= 0 && lastFolded.compareTo(o.lastFolded) >= 0;
+        return firstText != null && firstText.compareTo(o.firstText) <= 0 && lastText.compareTo(o.lastText) >= 0
+                && firstFoldedText.compareTo(o.firstFoldedText) <= 0 && lastFoldedText.compareTo(o.lastFoldedText) >= 0;
     }
 
     /** Of another's filter it can't be told which values it admits. */
@@ -189,7 +190,7 @@
     }
 
     private String excludes(Condition.Range r) {
-        if (odd || (numbers && texts) || (missing && r.low() == null)) {
+        if (unordered || (numbers && texts) || (missing && r.low() == null)) {
             return null;
         }
         if (numbers) {
@@ -198,18 +199,19 @@
         if (!texts) {
             return "no row has a value of " + r.property();
         }
-        if (r.numeric() && least <= most && outside(r) == null) {
+        if (r.numeric() && smallestNumber <= largestNumber && outside(r) == null) {
             return null; // a site may read its texts as numbers
         }
-        return apart(r.low(), r.high(), first, last)
-                && apart(folded(r.low()), folded(r.high()), firstFolded, lastFolded)
-                        ? r.property() + " is from " + first + " to " + last.replace(String.valueOf(ABOVE), "...")
+        return disjoint(r.low(), r.high(), firstText, lastText)
+                && disjoint(folded(r.low()), folded(r.high()), firstFoldedText, lastFoldedText)
+                        ? r.property() + " is from " + firstText + " to "
+                                + lastText.replace(String.valueOf(ABOVE), "...")
                         : null;
     }
 
     private String outside(Condition.Range r) {
-        if (most < r.lowest() || least > r.highest()) {
-            return r.property() + " is from " + shown(least) + " to " + shown(most);
+        if (largestNumber < r.lowest() || smallestNumber > r.highest()) {
+            return r.property() + " is from " + describe(smallestNumber) + " to " + describe(largestNumber);
         }
         if (sorted == null) {
             return null;
@@ -221,23 +223,24 @@
     }
 
     /** Before its summary is told: lays its numbers out for ranges. */
-    void settle() {
-        sorted = numbers && !texts && !odd && values != null
+    void sortNumbers() {
+        sorted = numbers && !texts && !unordered && values != null
                 ? values.stream().mapToDouble(Double::parseDouble).sorted().toArray() : null;
     }
 
     /** What it holds, for people. */
-    String shown() {
+    String describe() {
         return (values == null ? "filter of " + filter.bits() + " bits, " + Math.round(100 * filter.full()) + " % full"
                 : values.size() + " values")
-                + (least <= most ? ", numbers from " + shown(least) + " to "
-                        + shown(most) : "")
-                + (first == null ? "" : ", texts from " + first + " to " + last.replace(String.valueOf(ABOVE), "..."))
+                + (smallestNumber <= largestNumber ? ", numbers from " + describe(smallestNumber) + " to "
+                        + describe(largestNumber) : "")
+                + (firstText == null ? ""
+                        : ", texts from " + firstText + " to " + lastText.replace(String.valueOf(ABOVE), "..."))
                 + (missing ? ", missing in some rows" : "") + (numbers && texts ? ", numbers and texts mixed" : "")
-                + (odd ? ", with values that can't be put in order" : "");
+                + (unordered ? ", with values that can't be put in order" : "");
     }
 
-    private static String shown(double d) {
+    private static String describe(double d) {
         return d == Math.rint(d) && Math.abs(d) < 1e15 ? String.valueOf((long) d) : String.valueOf(d);
     }
 
@@ -245,7 +248,7 @@
         return end == null ? null : KeyNormalizer.fold(end);
     }
 
-    private static boolean apart(String low, String high, String first, String last) {
+    private static boolean disjoint(String low, String high, String first, String last) {
         if ((low != null && !KeyNormalizer.plain(low)) || (high != null && !KeyNormalizer.plain(high))) {
             return false;
         }
--- a/src/main/java/wallmoor/summaries/Pruning.java
+++ b/src/main/java/wallmoor/summaries/Pruning.java
@@ -100,7 +100,7 @@
      * @param mayRepeat whether its class may: only then is anything asked that need not be
      */
     public Decision decide(long now, Conditions conditions, List<Share> shares, boolean mayRepeat) {
-        SummaryCache.Lookup lookup = known.lookup(now, conditions);
+        SummaryLookup lookup = known.lookup(now, conditions);
         return decide(now, conditions, shares, mayRepeat, lookup::excluding);
     }
 
@@ -168,7 +168,7 @@
             return false;
         }
         Summary s = cut.by(site);
-        known.falseCut(now, site, s.epoch(), s.version(), s.excludes(cut.conditions) + ", and " + rows + " rows came");
+        known.distrust(now, site, s.epoch(), s.version(), s.excludes(cut.conditions) + ", and " + rows + " rows came");
         return true;
     }
 
--- a/src/main/java/wallmoor/summaries/Summary.java
+++ b/src/main/java/wallmoor/summaries/Summary.java
@@ -33,7 +33,7 @@
         this.boxes = List.copyOf(boxes);
         this.spans = List.copyOf(spans);
         this.properties = new TreeMap<>(properties);
-        this.properties.values().forEach(PropertySummary::settle);
+        this.properties.values().forEach(PropertySummary::sortNumbers);
     }
 
     /** Who tells. */
@@ -96,7 +96,7 @@
                 return MatchResult.unknown("its summary tells nothing of " + p.property());
             }
         }
-        return MatchResult.could();
+        return MatchResult.couldMatch();
     }
 
     String excludes(Conditions c) {
@@ -164,7 +164,7 @@
         lines.add(timeless ? "times: some rows have none, so every time may match" : "times: " + spans.size()
                 + " spans");
         spans.forEach(s -> lines.add("  " + time(s.from()) + "/" + time(s.to())));
-        properties.forEach((name, p) -> lines.add("property " + name + ": " + p.shown()));
+        properties.forEach((name, p) -> lines.add("property " + name + ": " + p.describe()));
         return lines;
     }
 
--- a/src/main/java/wallmoor/summaries/SummaryBuilder.java
+++ b/src/main/java/wallmoor/summaries/SummaryBuilder.java
@@ -56,14 +56,14 @@
             spans.add(row.time().roomy());
         }
         for (String name : row.values().keySet()) {
-            known(name);
+            propertyOrNull(name);
         }
         properties.forEach((name, p) -> p.add(row.values().get(name), settings));
         rows++;
     }
 
     /** The property of that name, or null where it is one that can't be told of. */
-    private PropertySummary known(String name) {
+    private PropertySummary propertyOrNull(String name) {
         PropertySummary p = properties.get(name);
         // one that comes late may have been left out before: what rows then had of it is not known any more
         if (p == null && complete && properties.size() < settings.properties()
@@ -86,7 +86,7 @@
         other.boxes().forEach(boxes::add);
         other.spans().forEach(spans::add);
         for (String name : other.properties().keySet()) {
-            known(name);
+            propertyOrNull(name);
         }
         // what the other left out can't be told of any longer: its rows may have any value of it
         properties.keySet().removeIf(name -> !other.properties().containsKey(name) && !other.complete());
@@ -103,7 +103,7 @@
     }
 
     /** What is told of it, under this version, in at most so many bytes as the settings say. */
-    public Summary told(long version) {
+    public Summary build(long version) {
         var less = new TreeMap<String, PropertySummary>();
         properties.forEach((name, p) -> {
             PropertySummary copy = p.copy();
@@ -111,21 +111,21 @@
             less.put(name, copy);
         });
         boolean all = complete;
-        Summary made = made(version, all, less);
+        Summary made = snapshot(version, all, less);
         while (Encoding.encode(made).length > settings.bytes()) {
-            all &= coarser(less);
-            made = made(version, all, less);
+            all &= coarsenLargest(less);
+            made = snapshot(version, all, less);
         }
         return made;
     }
 
-    private Summary made(long version, boolean all, Map<String, PropertySummary> of) {
+    private Summary snapshot(long version, boolean all, Map<String, PropertySummary> of) {
         return new Summary(site, block, epoch, version, rows, all, placeless, timeless, placeless ? List.of()
                 : boxes.told(), timeless ? List.of() : spans.told(), of);
     }
 
     /** Tells the largest property by half the bytes; or not at all, which returns false. */
-    private static boolean coarser(Map<String, PropertySummary> of) {
+    private static boolean coarsenLargest(Map<String, PropertySummary> of) {
         String largest = null;
         int most = -1;
         for (var e : of.entrySet()) {
@@ -138,7 +138,7 @@
         PropertySummary p = of.get(largest);
         int bits = Integer.highestOneBit(Math.max(1, most * 4));
         if (p.values != null && most > 2 * KeyBloomFilter.LEAST_BITS / 8) {
-            p.filtered(Math.max(KeyBloomFilter.LEAST_BITS, bits));
+            p.replaceValuesByFilter(Math.max(KeyBloomFilter.LEAST_BITS, bits));
         } else if (p.filter != null && p.filter.bits() > KeyBloomFilter.LEAST_BITS) {
             p.filter = p.filter.shrunk(p.filter.bits() / 2);
         } else {
--- a/src/main/java/wallmoor/summaries/SummaryMaintainer.java
+++ b/src/main/java/wallmoor/summaries/SummaryMaintainer.java
@@ -23,12 +23,13 @@
      * @param id       of the write
      * @param confirm  whether it may be confirmed at once; else its id is told later
      * @param widening to be told to all of {@code tell}, in order, again until acknowledged; or null
-     * @param tell     gatherers
+     * @param gatherersToNotify     gatherers
      */
-    public record WriteDecision(long id, boolean confirm, SiteMessage.Widening widening, List<String> tell) {}
+    public record WriteDecision(long id, boolean confirm, SiteMessage.Widening widening,
+            List<String> gatherersToNotify) {}
 
     /** Gatherers that are promised anything at once: every write that widens waits for each of them. */
-    private static final int MOST_HOLDERS = 1000;
+    private static final int MAX_LEASE_HOLDERS = 1000;
 
     private final SummaryLimits settings;
     private final Site site;
@@ -37,19 +38,19 @@
     /** Before this nothing is confirmed: a life before this one may have promised what is not known any more. */
     private final long quietUntil;
     /** By gatherer and version, until when it may hold that version. */
-    private final Map<String, TreeMap<Long, Long>> grants = new HashMap<>();
+    private final Map<String, TreeMap<Long, Long>> leaseEnds = new HashMap<>();
     /**
      * What was sent as it stands and may still be held, with the widenings since, and until when. How a holder puts
      * a widening to what it has is its own affair: that it admits all of what was sent is what can be built on.
      */
-    private final Map<Long, OutstandingLease> sent = new HashMap<>();
-    private final List<PendingWrite> waiting = new ArrayList<>();
-    private SummaryBuilder draft;
-    private SummaryBuilder next;
+    private final Map<Long, OutstandingLease> outstanding = new HashMap<>();
+    private final List<PendingWrite> pendingWrites = new ArrayList<>();
+    private SummaryBuilder builder;
+    private SummaryBuilder rebuilding;
     /** Of {@link #version}, or null until somebody asks: making it costs many times what a write does. */
-    private Summary told;
+    private Summary currentSummary;
     private long version = 1;
-    private long writes;
+    private long lastWriteId;
 
     /**
      * Keeps a block's summary.
@@ -67,24 +68,25 @@
         this.settings = settings;
         this.site = site;
         this.epoch = epoch;
-        this.draft = draft;
+        this.builder = draft;
         this.lifetime = lifetime;
         this.quietUntil = first ? at : at + lifetime;
-        this.told = draft.told(version);
-        if (told.epoch() != epoch || !told.site().equals(site.name()) || !told.block().equals(site.block())) {
+        this.currentSummary = draft.build(version);
+        if (currentSummary.epoch() != epoch || !currentSummary.site().equals(site.name())
+                || !currentSummary.block().equals(site.block())) {
             throw new IllegalArgumentException("the draft is of another site, block or epoch");
         }
     }
 
     /** A gatherer asks for the summary. What is promised to one too many has ended when it comes. */
-    public SiteMessage.LeaseGrant asked(long at, String gatherer, long ticket) {
-        free(at, 0); // forgets promises that have ended
-        if (!grants.containsKey(gatherer) && grants.size() >= MOST_HOLDERS) {
-            return new SiteMessage.LeaseGrant(ticket, Encoding.encode(told()), 0);
+    public SiteMessage.SummaryLeaseGrant grantLease(long at, String gatherer, long ticket) {
+        noOlderLeases(at, 0); // forgets promises that have ended
+        if (!leaseEnds.containsKey(gatherer) && leaseEnds.size() >= MAX_LEASE_HOLDERS) {
+            return new SiteMessage.SummaryLeaseGrant(ticket, Encoding.encode(currentSummary()), 0);
         }
-        grants.computeIfAbsent(gatherer, g -> new TreeMap<>()).merge(version, at + lifetime, Math::max);
-        sent.put(version, new OutstandingLease(told(), at + lifetime));
-        return new SiteMessage.LeaseGrant(ticket, Encoding.encode(told()), lifetime);
+        leaseEnds.computeIfAbsent(gatherer, g -> new TreeMap<>()).merge(version, at + lifetime, Math::max);
+        outstanding.put(version, new OutstandingLease(currentSummary(), at + lifetime));
+        return new SiteMessage.SummaryLeaseGrant(ticket, Encoding.encode(currentSummary()), lifetime);
     }
 
     /** Rows are to be written: they are covered from now on, and confirmed when this says so. */
@@ -92,33 +94,33 @@
         var alone = new SummaryBuilder(settings, site.name(), site.block(), epoch);
         for (Row row : rows) {
             alone.add(row);
-            draft.add(row);
-            if (next != null) {
-                next.add(row);
+            builder.add(row);
+            if (rebuilding != null) {
+                rebuilding.add(row);
             }
         }
-        Summary delta = alone.told(0);
-        boolean free = free(at, version + 1);
+        Summary delta = alone.build(0);
+        boolean free = noOlderLeases(at, version + 1);
         // also what is not sent yet: of one version there is one summary
-        boolean covered = (told == null || told.covers(delta)) && sent.values().stream()
+        boolean covered = (currentSummary == null || currentSummary.covers(delta)) && outstanding.values().stream()
                 .allMatch(s -> s.summary.covers(delta));
         if (at >= quietUntil && (free || covered)) {
             if (free) {
-                changed();
+                advanceVersion();
             }
-            return new WriteDecision(++writes, true, null, List.of());
+            return new WriteDecision(++lastWriteId, true, null, List.of());
         }
         long from = version;
-        changed();
-        waiting.add(new PendingWrite(++writes, version));
-        return new WriteDecision(writes, false,
+        advanceVersion();
+        pendingWrites.add(new PendingWrite(++lastWriteId, version));
+        return new WriteDecision(lastWriteId, false,
                 new SiteMessage.Widening(site, epoch, from, version, Encoding.encode(delta)),
-                List.copyOf(grants.keySet()));
+                List.copyOf(leaseEnds.keySet()));
     }
 
-    private void changed() {
+    private void advanceVersion() {
         version++;
-        told = null;
+        currentSummary = null;
     }
 
     /**
@@ -127,7 +129,7 @@
      * @return the writes that may be confirmed now
      */
     public List<Long> acknowledged(long at, String gatherer, long version) {
-        var own = grants.get(gatherer);
+        var own = leaseEnds.get(gatherer);
         if (own != null && version <= this.version) {
             var older = own.headMap(version);
             long until = older.values().stream().mapToLong(Long::longValue).max().orElse(Long.MIN_VALUE);
@@ -147,11 +149,11 @@
     }
 
     /** When {@link #tick} has something to do, or {@link Long#MAX_VALUE}. */
-    public long due() {
-        if (waiting.isEmpty()) {
+    public long nextDeadline() {
+        if (pendingWrites.isEmpty()) {
             return Long.MAX_VALUE;
         }
-        return Math.max(quietUntil, grants.values().stream().flatMap(g -> g.values().stream())
+        return Math.max(quietUntil, leaseEnds.values().stream().flatMap(g -> g.values().stream())
                 .mapToLong(Long::longValue)
                 .min().orElse(quietUntil));
     }
@@ -160,33 +162,33 @@
      * Begins a summary anew, as deleted rows leave the old one too wide: the caller adds to it every row that there is.
      */
     public SummaryBuilder rebuild() {
-        next = new SummaryBuilder(settings, site.name(), site.block(), epoch);
-        return next;
+        rebuilding = new SummaryBuilder(settings, site.name(), site.block(), epoch);
+        return rebuilding;
     }
 
     /** All rows are in the new summary. It stands from now on; what was told before is to be asked for anew. */
     public WriteDecision adopt(long at) {
-        if (next == null) {
+        if (rebuilding == null) {
             throw new IllegalStateException("no summary was begun");
         }
-        draft = next;
-        next = null;
-        changed();
-        free(at, version); // forgets promises that have ended
-        return new WriteDecision(++writes, true, new SiteMessage.Widening(site, epoch, version - 1, version, null),
-                List.copyOf(grants.keySet()));
+        builder = rebuilding;
+        rebuilding = null;
+        advanceVersion();
+        noOlderLeases(at, version); // forgets promises that have ended
+        return new WriteDecision(++lastWriteId, true, new SiteMessage.Widening(site, epoch, version - 1, version, null),
+                List.copyOf(leaseEnds.keySet()));
     }
 
     /** What is told now. */
-    public Summary told() {
-        told = told == null ? draft.told(version) : told;
-        return told;
+    public Summary currentSummary() {
+        currentSummary = currentSummary == null ? builder.build(version) : currentSummary;
+        return currentSummary;
     }
 
     private List<Long> confirmable(long at) {
         var now = new ArrayList<Long>();
-        waiting.removeIf(w -> {
-            boolean free = free(at, w.version);
+        pendingWrites.removeIf(w -> {
+            boolean free = noOlderLeases(at, w.version);
             if (free) {
                 now.add(w.id);
             }
@@ -196,10 +198,10 @@
     }
 
     /** Whether nobody may hold a version older than this one. */
-    private boolean free(long at, long version) {
-        grants.values().forEach(g -> g.values().removeIf(until -> until <= at));
-        grants.values().removeIf(Map::isEmpty);
-        sent.values().removeIf(x -> x.until <= at);
-        return at >= quietUntil && grants.values().stream().allMatch(g -> g.firstKey() >= version);
+    private boolean noOlderLeases(long at, long version) {
+        leaseEnds.values().forEach(g -> g.values().removeIf(until -> until <= at));
+        leaseEnds.values().removeIf(Map::isEmpty);
+        outstanding.values().removeIf(x -> x.until <= at);
+        return at >= quietUntil && leaseEnds.values().stream().allMatch(g -> g.firstKey() >= version);
     }
 }
--- a/src/test/java/wallmoor/pruning/SummaryLeasesTest.java
+++ b/src/test/java/wallmoor/pruning/SummaryLeasesTest.java
@@ -59,7 +59,7 @@
     }
 
     private void hold(String address) {
-        promises.promised(SITE, keeper.asked(now, "g", promises.asking(SITE, address)));
+        promises.acceptGrant(SITE, keeper.grantLease(now, "g", promises.beginRequest(SITE, address)));
     }
 
     private List<Pruning.PrunedShard> pruned() {
@@ -140,11 +140,11 @@
         assertEquals(1, pruned().size());
         now++;
         assertEquals(0, pruned().size());
-        long old = promises.asking(SITE, "a:1");
+        long old = promises.beginRequest(SITE, "a:1");
         at("b:1", "fs1", "fs2");
-        promises.promised(SITE, keeper.asked(now, "g", old));
+        promises.acceptGrant(SITE, keeper.grantLease(now, "g", old));
         assertEquals("what the old address says counts no more", 0, pruned().size());
-        assertEquals(-1, promises.asking(SITE, "a:1"));
+        assertEquals(-1, promises.beginRequest(SITE, "a:1"));
         hold("b:1");
         assertEquals(1, pruned().size());
         at("b:1", "fs2");
@@ -158,12 +158,12 @@
         assertFalse("none", promises.probed(cut, SITE, Long.MIN_VALUE, Long.MIN_VALUE, 0));
         assertFalse("newer data", promises.probed(cut, SITE, 1, 2, 1));
         SummaryMaintainer.WriteDecision w = keeper.write(now, List.of(row("Multan")));
-        assertEquals(2, promises.widened(w.widening()));
+        assertEquals(2, promises.applyWidening(w.widening()));
         assertEquals("widened, and still without it", 1, pruned().size());
         assertFalse("it was widened since", promises.probed(cut, SITE, Long.MIN_VALUE, Long.MIN_VALUE, 1));
         assertTrue(promises.probed(pruned().get(0), SITE, Long.MIN_VALUE, Long.MIN_VALUE, 1));
         assertEquals("at once", 0, pruned().size());
-        promises.settle();
+        promises.runControlTasks();
         at("a:1", "fs2");
         at("a:1", "fs1", "fs2");
         hold("a:1");
@@ -172,7 +172,7 @@
         promises.sites(Set.of("fs1"));
         hold("a:1");
         assertEquals("the operators' word does", 1, pruned().size());
-        promises.widened(new SiteMessage.Widening(SITE, 1, 2, 9, null));
+        promises.applyWidening(new SiteMessage.Widening(SITE, 1, 2, 9, null));
         assertEquals("what it has now is not known", 0, pruned().size());
     }
 
--- a/src/test/java/wallmoor/standin/RowServer.java
+++ b/src/test/java/wallmoor/standin/RowServer.java
@@ -122,7 +122,7 @@
     }
 
     private synchronized byte[] promise(HttpExchange x, Map<String, String> q) {
-        SiteMessage.LeaseGrant p = keeper.asked(now(), q.get("gatherer"), Long.parseLong(q.get("ticket")));
+        SiteMessage.SummaryLeaseGrant p = keeper.grantLease(now(), q.get("gatherer"), Long.parseLong(q.get("ticket")));
         x.getResponseHeaders().set("Wallmoor-Ticket", "" + p.ticket());
         x.getResponseHeaders().set("Wallmoor-Lifetime-Ms", "" + p.lifetime() / 1000);
         byte[] bytes = p.summary().clone();
@@ -173,7 +173,8 @@
                     confirmed.complete(null);
                 } else {
                     waiting.put(w.id(), confirmed);
-                    w.tell().forEach(g -> news.computeIfAbsent(g, x -> new ArrayDeque<>()).add(w.widening()));
+                    w.gatherersToNotify()
+                            .forEach(g -> news.computeIfAbsent(g, x -> new ArrayDeque<>()).add(w.widening()));
                 }
             }
             confirmed.join();
@@ -185,7 +186,7 @@
     private String items(HttpExchange x, Map<String, String> q) {
         parts.addAndGet(q.getOrDefault("offset", "0").equals("0") ? 1 : 0); // its later pages are of the same part
         synchronized (this) {
-            x.getResponseHeaders().set("Wallmoor-Data", epoch + "." + keeper.told().version());
+            x.getResponseHeaders().set("Wallmoor-Data", epoch + "." + keeper.currentSummary().version());
         }
         int offset = Integer.parseInt(q.getOrDefault("offset", "0"));
         int limit = Integer.parseInt(q.getOrDefault("limit", "10"));
--- a/src/test/java/wallmoor/summaries/EncodingGoldenTest.java
+++ b/src/test/java/wallmoor/summaries/EncodingGoldenTest.java
@@ -62,7 +62,7 @@
     private static Summary of(SummaryLimits settings, List<Row> rows) {
         var draft = new SummaryBuilder(settings, "khi-1", "kar\u0101chi", 1_767_225_600_000_001L);
         rows.forEach(draft::add);
-        return draft.told(7);
+        return draft.build(7);
     }
 
     private static List<Row> column(String property, Object... values) {
--- a/src/test/java/wallmoor/summaries/PruningTest.java
+++ b/src/test/java/wallmoor/summaries/PruningTest.java
@@ -32,7 +32,7 @@
 
     private SummaryMaintainer held(long at, Site site, String... cities) {
         SummaryMaintainer k = keeper(site, cities);
-        known.promised(at, k.asked(at, "g", known.asking(at, site)));
+        known.acceptGrant(at, k.grantLease(at, "g", known.beginRequest(at, site)));
         return k;
     }
 
@@ -85,11 +85,11 @@
         assertTrue(pruning.probed(2000, cut, liar, 1, 1, 3));
         assertTrue(events.get(0) instanceof PruningEvent.FalseCut f && f.site().equals(liar) && f.text()
                 .contains("3 rows came"));
-        known.promised(3000, k.asked(3000, "g", known.asking(3000, liar)));
-        assertEquals(MatchResult.MatchKind.UNKNOWN, known.lookup(3000, city("Lahore")).of(liar).kind());
+        known.acceptGrant(3000, k.grantLease(3000, "g", known.beginRequest(3000, liar)));
+        assertEquals(MatchResult.MatchKind.UNKNOWN, known.lookup(3000, city("Lahore")).match(liar).kind());
         known.readmit(liar);
-        known.promised(4000, k.asked(4000, "g", known.asking(4000, liar)));
-        assertEquals(MatchResult.MatchKind.CANNOT, known.lookup(4000, city("Lahore")).of(liar).kind());
+        known.acceptGrant(4000, k.grantLease(4000, "g", known.beginRequest(4000, liar)));
+        assertEquals(MatchResult.MatchKind.CANNOT, known.lookup(4000, city("Lahore")).match(liar).kind());
     }
 
     @Test
@@ -114,13 +114,13 @@
         SummaryMaintainer.WriteDecision between = k.write(4, List.of(row("Karachi", 10)));
         assertFalse("the box round both is not held by anybody yet", far.confirm() || between.confirm());
         var box = new Conditions(Conditions.box("9,9,11,11"), null, List.of());
-        assertEquals(MatchResult.MatchKind.CANNOT, known.lookup(4, box).of(a).kind());
-        assertEquals(List.of(), k.acknowledged(5, "g", k.told().version() - 2));
-        assertEquals(2, known.widened(5, far.widening()));
+        assertEquals(MatchResult.MatchKind.CANNOT, known.lookup(4, box).match(a).kind());
+        assertEquals(List.of(), k.acknowledged(5, "g", k.currentSummary().version() - 2));
+        assertEquals(2, known.applyWidening(5, far.widening()));
         assertEquals(List.of(far.id()), k.acknowledged(5, "g", 2));
         assertEquals("none acknowledges, the promise ends", List.of(), k.tick(4 * SECOND));
         assertEquals(List.of(between.id()), k.tick(5 * SECOND + 1));
-        assertNotEquals(MatchResult.MatchKind.CANNOT, known.lookup(5 * SECOND + 1, box).of(a).kind());
-        assertEquals(Long.MAX_VALUE, k.due());
+        assertNotEquals(MatchResult.MatchKind.CANNOT, known.lookup(5 * SECOND + 1, box).match(a).kind());
+        assertEquals(Long.MAX_VALUE, k.nextDeadline());
     }
 }
--- a/src/test/java/wallmoor/summaries/PromiseModelTest.java
+++ b/src/test/java/wallmoor/summaries/SummaryLeaseModelTest.java
@@ -17,7 +17,7 @@
  * Sites and gatherers on a network that delays, reorders, repeats, loses and tears, with restarts of both, blocks that
  * move and promises that run out. Whatever happens, a gatherer leaves out no site that has confirmed a matching row.
  */
-class PromiseModelTest {
+class SummaryLeaseModelTest {
     private static final long LIFETIME = 1_000_000;
     private static final SummaryCache.CacheLimits BOUNDS = new SummaryCache.CacheLimits(100, 1 << 20, 20_000);
 
@@ -77,15 +77,16 @@
         }
 
         private void ask(int g, Site site) {
-            long t = known[g].asking(now, site);
+            long t = known[g].beginRequest(now, site);
             send(() -> {
-                SiteMessage.LeaseGrant p = keepers.get(site).asked(now, "g" + g, t);
+                SiteMessage.SummaryLeaseGrant p = keepers.get(site).grantLease(now, "g" + g, t);
                 boolean torn = random.nextInt(20) == 0;
                 var come = torn
-                        ? new SiteMessage.LeaseGrant(t, Arrays.copyOf(p.summary(), random.nextInt(p.summary().length)),
+                        ? new SiteMessage.SummaryLeaseGrant(t,
+                                Arrays.copyOf(p.summary(), random.nextInt(p.summary().length)),
                                 LIFETIME)
                         : p;
-                send(() -> known[g].promised(now, come)); // it may have been started since
+                send(() -> known[g].acceptGrant(now, come)); // it may have been started since
             });
         }
 
@@ -102,10 +103,10 @@
         }
 
         private void tell(Site site, SummaryMaintainer k, SummaryMaintainer.WriteDecision w) {
-            for (String name : w.tell()) {
+            for (String name : w.gatherersToNotify()) {
                 int g = name.charAt(1) - '0';
                 send(() -> {
-                    long version = known[g].widened(now, w.widening());
+                    long version = known[g].applyWidening(now, w.widening());
                     send(() -> {
                         if (keepers.get(site) == k) {
                             confirm(site, k.acknowledged(now, name, version));
@@ -157,21 +158,21 @@
                 }
             }
             for (SummaryCache k : known) {
-                k.moved(now, "x");
+                k.invalidateBlock(now, "x");
             }
         }
 
         private void check() {
             for (SummaryCache k : known) {
                 Conditions c = Asked.conditions(random);
-                SummaryCache.Lookup lookup = k.lookup(now, c);
+                SummaryLookup lookup = k.lookup(now, c);
                 for (Site site : sites) {
                     Summary s = lookup.excluding(site);
                     cuts += s != null ? 1 : 0;
-                    assertEquals(s != null, lookup.of(site).kind() == MatchResult.MatchKind.CANNOT);
+                    assertEquals(s != null, lookup.match(site).kind() == MatchResult.MatchKind.CANNOT);
                     for (Row row : s == null ? List.<Row>of() : confirmed.get(site)) {
                         assertFalse(Readings.matches(row, c, applied.get(site)), () -> "a false cut at " + site + ": "
-                                + lookup.of(site) + " but " + row + " meets " + c);
+                                + lookup.match(site) + " but " + row + " meets " + c);
                     }
                 }
             }
--- a/src/test/java/wallmoor/summaries/SummaryPropertiesTest.java
+++ b/src/test/java/wallmoor/summaries/SummaryPropertiesTest.java
@@ -47,7 +47,7 @@
         var all = rows(random, random.nextInt(5) == 0 ? 400 : 20);
         var draft = new SummaryBuilder(s, "a", "b", 1);
         all.forEach(draft::add);
-        Summary told = draft.told(1);
+        Summary told = draft.build(1);
         for (int i = 0; i < 3; i++) {
             byte[] sent = Encoding.encode(told);
             assertTrue(sent.length <= s.bytes(), "" + sent.length);
@@ -57,7 +57,7 @@
             List<Row> more = rows(random, 4);
             var alone = new SummaryBuilder(settings(random), "a", "b", 1);
             more.forEach(alone::add);
-            Summary delta = alone.told(0);
+            Summary delta = alone.build(0);
             boolean covered = told.covers(delta);
             var wider = new SummaryBuilder(s, told);
             wider.absorb(delta);
@@ -65,7 +65,7 @@
             if (covered) {
                 holds(told, all, random);
             }
-            told = wider.told(i + 2);
+            told = wider.build(i + 2);
         }
     }
 
@@ -85,7 +85,7 @@
                                 step)
                         : new SummaryBuilder(settings(random), held[slot]);
                 rows(random, 5).forEach(draft::add);
-                held[slot] = draft.told(step);
+                held[slot] = draft.build(step);
                 index.put(slot, held[slot]);
             }
             Conditions c = Asked.conditions(random);
@@ -101,7 +101,7 @@
         var random = new Random(seed);
         var draft = new SummaryBuilder(settings(random), "a", "b", 1);
         rows(random, 10).forEach(draft::add);
-        byte[] good = Encoding.encode(draft.told(1));
+        byte[] good = Encoding.encode(draft.build(1));
         byte[] torn = Arrays.copyOf(good, random.nextInt(good.length));
         assertEquals(UnreadableSummaryException.Fault.TORN,
                 assertThrows(UnreadableSummaryException.class, () -> Encoding.decode(torn))
@@ -138,7 +138,7 @@
             draft.add(new Row(java.util.Map.of("city", "Karachi", "price", (long) i, "plate", "K-" + i),
                     Row.Coordinates.of(i % 2 == 0 ? 179.5 : -179.5, -17), TimeSpan.parse("2026-01-05T10:00:00Z")));
         }
-        Summary s = draft.told(1);
+        Summary s = draft.build(1);
         for (String none : List.of("city=Lahore", "price=1000..", "price=..-1", "plate=K-1000", "city=L..M", "city=",
                 "city=a..b")) {
             assertTrue(s.excludes(new Conditions(null, null, List.of(Condition.parse(none)))) != null, none);
