--- a/src/main/java/wallmoor/pruning/LeaseRenewal.java
+++ b/src/main/java/wallmoor/pruning/LeaseRenewal.java
@@ -16,8 +16,8 @@
 import wallmoor.summaries.SiteMessage;
 
 /**
- * Goes round the servers, a few threads for all: hears what each is about to confirm, says that it counts, and asks for
- * each promise anew at half of its lifetime. A server that fails is left for a while, longer each time.
+ * Polls the servers, a few threads for all: applies and acknowledges the widenings of each, and renews each lease at
+ * half of its lifetime. A server that fails is polled again after an exponential backoff.
  */
 final class LeaseRenewal {
     /** One server that does not answer holds up those of its thread alone. */
@@ -27,7 +27,7 @@
     private static final long INITIAL_BACKOFF_MILLIS = 250;
     private static final long MAX_BACKOFF_MILLIS = 4_000;
     private static final long MIN_SLEEP_MILLIS = 2;
-    /** A new list of servers, and what traffic found, is looked at so often. */
+    /** How often a new list of servers, and the findings of request threads, are looked at. */
     private static final long MAX_SLEEP_MILLIS = 50;
     private static final int MAX_FAILURES = 16;
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -122,26 +122,26 @@
             v.nextAt = now() + config.poll();
         } catch (IOException | HttpProtocolException | Json.Malformed | RuntimeException e) {
             v.call.close();
-            long pause = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << v.failures);
+            long backoff = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << v.failures);
             if (v.failures == 0) {
                 log.warn("summaries of {} can't be had ({}): once its promise has ended it is asked every query", name,
                         e instanceof RuntimeException ? e.toString() : e.getMessage());
             }
             v.failures = Math.min(MAX_FAILURES, v.failures + 1);
-            v.nextAt = now() + pause;
+            v.nextAt = now() + backoff;
         }
     }
 
-    /** Takes in what the server is about to confirm, until it has no more to tell. */
+    /** Applies and acknowledges the widenings of the server, until it has none left. */
     private void pollWidenings(ServerPollState v) throws IOException, HttpProtocolException, Json.Malformed {
         List<WideningMessages.Acknowledged> counting = List.of();
         for (int i = 0; i < MAX_POLLS_PER_ROUND; i++) {
-            List<SiteMessage.Widening> news = v.call.pollWidenings(counting);
-            if (news.isEmpty()) {
+            List<SiteMessage.Widening> widenings = v.call.pollWidenings(counting);
+            if (widenings.isEmpty()) {
                 return;
             }
             counting = new ArrayList<>();
-            for (SiteMessage.Widening w : news) {
+            for (SiteMessage.Widening w : widenings) {
                 if (!v.server.blocks().contains(w.site().block())) {
                     continue; // of what it was never asked for nothing is held
                 }
@@ -162,9 +162,9 @@
         if (ticket < 0) {
             return;
         }
-        SiteMessage.SummaryLeaseGrant promise = v.call.requestLease(block, ticket);
-        leases.acceptGrant(site, promise);
-        long lifetime = Math.min(promise.lifetime() / 1000, config.lifetime());
+        SiteMessage.SummaryLeaseGrant grant = v.call.requestLease(block, ticket);
+        leases.acceptGrant(site, grant);
+        long lifetime = Math.min(grant.lifetime() / 1000, config.lifetime());
         v.renewAt.put(block, now() + Math.max(config.poll(), lifetime / 2));
     }
 }
--- a/src/main/java/wallmoor/pruning/SiteClient.java
+++ b/src/main/java/wallmoor/pruning/SiteClient.java
@@ -17,12 +17,12 @@
 import wallmoor.json.Json;
 import wallmoor.summaries.SiteMessage;
 
-/** Asks one server, on one connection that is kept from one asking to the next. One thread uses it. */
+/** The HTTP client of one server, on one persistent connection. Not thread-safe. */
 final class SiteClient {
     private static final int CONNECT_MILLIS = 250;
     /** A server that takes longer is left for later: others wait for this thread. */
     private static final int ANSWER_MILLIS = 500;
-    private static final int MOST_NEWS = 256 * 1024;
+    private static final int MAX_WIDENINGS_BYTES = 256 * 1024;
 
     private final String site;
     private final String address;
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Asks for a block's summary. The ticket comes back from whoever made the promise: a copy that something on the way
-     * has kept has an older one.
+     * Requests a lease on a block's summary. The grant repeats the ticket of its request: a response that a proxy has
+     * cached has an older one.
      */
     SiteMessage.SummaryLeaseGrant requestLease(String block, long ticket) throws IOException, HttpProtocolException {
         HttpMessage answer = ask("/summaries/promise?gatherer=" + gatherer + "&block=" + escaped(block)
@@ -65,7 +65,7 @@
                 body.from() + body.length()), Long.parseLong(lifetime) * 1000);
     }
 
-    /** Tells what counts now, and hears what else is to. */
+    /** Acknowledges the widenings applied, and polls for further ones. */
     List<SiteMessage.Widening> pollWidenings(List<WideningMessages.Acknowledged> counting)
             throws IOException, HttpProtocolException, Json.Malformed {
         HttpMessage answer = ask("/summaries/news?gatherer=" + gatherer, WideningMessages.acknowledge(counting));
@@ -74,12 +74,12 @@
 
     /** Asks; on a kept connection that the server has closed meanwhile, once more on a new one: it may be repeated. */
     private HttpMessage ask(String target, byte[] json) throws IOException, HttpProtocolException {
-        boolean kept = socket != null;
+        boolean reused = socket != null;
         try {
             return once(target, json);
         } catch (IOException e) {
             close();
-            if (!kept) {
+            if (!reused) {
                 throw e;
             }
             return once(target, json);
@@ -93,14 +93,14 @@
             InetSocketAddress to = LaunchConfig.address("address", address);
             socket.connect(to, CONNECT_MILLIS);
             in = new HttpReader(socket);
-            in.takeBodiesOf(Math.max(mostBytes, MOST_NEWS));
+            in.takeBodiesOf(Math.max(mostBytes, MAX_WIDENINGS_BYTES));
         }
         if (json == null) {
             HttpWriter.get(socket.getOutputStream(), address, target, "Cache-Control: no-store\r\n");
         } else {
             HttpWriter.post(socket.getOutputStream(), address, target, json);
         }
-        boolean whole = false;
+        boolean reusable = false;
         try {
             if (!in.await(ANSWER_MILLIS)) {
                 throw new IOException("closed before an answer");
@@ -109,12 +109,12 @@
             if (answer.status() != 200) {
                 throw new HttpProtocolException(502, "status " + answer.status());
             }
-            whole = answer.keep();
+            reusable = answer.keep();
             return answer;
         } catch (java.net.SocketTimeoutException e) {
             throw new HttpProtocolException(504, "no answer within " + ANSWER_MILLIS + " ms");
         } finally {
-            if (!whole) {
+            if (!reusable) {
                 close();
             }
         }
--- a/src/main/java/wallmoor/pruning/SummaryLeases.java
+++ b/src/main/java/wallmoor/pruning/SummaryLeases.java
@@ -32,8 +32,8 @@
 import wallmoor.summaries.SummaryLimits;
 
 /**
- * What sites promise, and which of them need not be asked just now. What is held changes under one lock, in threads of
- * control; traffic reads what each site's {@link LeasedSummary} says and the clock, and waits for none of them.
+ * The leases on sites' summaries, and which sites a query can leave out (partition pruning). The cache changes under
+ * one lock, in control threads; request threads read each site's {@link LeasedSummary} and the clock, and never wait.
  */
 public final class SummaryLeases {
     /** The document of the gatherers' agreement that names the sites. */
@@ -50,9 +50,9 @@
      */
     public record PruningDecision(Pruning.Decision decision, EffectiveRule under) {}
 
-    /** Of what is told at once more is of no use: any one of a site's takes it out. */
+    /** Queued findings of request threads; more are of no use, as any one of a site's distrusts it. */
     private static final int MAX_CONTROL_TASKS = 256;
-    /** Blocks of all servers; beyond them sites are asked. */
+    /** Blocks of all servers; sites beyond them are queried. */
     private static final int MAX_SITES = 100_000;
     private static final Marker STATE = MarkerFactory.getMarker(Logging.STATE);
 
@@ -64,13 +64,13 @@
     /** Guarded by {@link #control}. */
     private final SummaryCache cache;
     private final Pruning pruning;
-    /** What traffic reads. Each is whole in itself, and ends by itself. */
+    /** What request threads read. Each is immutable, and its lease ends by itself. */
     private final Map<Site, LeasedSummary> leases = new ConcurrentHashMap<>();
-    /** Found to be wrong. It outlives what else is known of a site. */
+    /** Sites whose summary was found wrong. An entry outlives the cached summary. */
     private final Set<Site> distrusted = ConcurrentHashMap.newKeySet();
-    /** What traffic has to say to control; it never waits for it. */
+    /** Findings of request threads for the control threads; a full queue drops them. */
     private final Queue<Runnable> controlTasks = new ArrayBlockingQueue<>(MAX_CONTROL_TASKS);
-    /** Guarded by {@link #control}: where each site is asked. */
+    /** Guarded by {@link #control}: the address of each site. */
     private final Map<Site, String> addresses = new HashMap<>();
     private volatile Set<String> prunableNames;
     private volatile List<SummaryServer> allServers = List.of();
@@ -81,7 +81,7 @@
     private final LongAdder probed = new LongAdder();
 
     /**
-     * Makes it; nobody is asked before {@link #start}.
+     * No lease is requested before {@link #start}.
      *
      * @param gatherer for people; what sites know this process by is drawn anew at each start, since an
      *                 acknowledgement of one process does not hold for another
@@ -112,12 +112,12 @@
                 .log(event.text());
     }
 
-    /** Begins to ask. */
+    /** Starts the threads that request and renew leases. */
     public void start() {
         renewal.start();
     }
 
-    /** Ends the asking, and says what came of it. */
+    /** Logs the totals, at shutdown. */
     public void logTotals() {
         log.info("summaries: {} shares asked, {} left out, {} asked all the same", asked.sum(), pruned.sum(),
                 probed.sum());
@@ -154,30 +154,30 @@
         }
     }
 
-    /** Whom to ask. */
+    /** The servers whose leases are renewed. */
     List<SummaryServer> servers() {
         return servers;
     }
 
     // ---- control ------------------------------------------------------------------------------------------
 
-    /** A site is about to be asked at this address: its ticket, or -1 where it is not there any more. */
+    /** A lease is about to be requested at this address: the ticket, or -1 where the site is not there any more. */
     long beginRequest(Site site, String address) {
         synchronized (control) {
             return address.equals(addresses.get(site)) ? cache.beginRequest(clock.getAsLong(), site) : -1;
         }
     }
 
-    void acceptGrant(Site site, SiteMessage.SummaryLeaseGrant promise) {
+    void acceptGrant(Site site, SiteMessage.SummaryLeaseGrant grant) {
         synchronized (control) {
-            long lifetime = Math.min(promise.lifetime(), config.lifetime() * 1000); // to count less is always safe
+            long lifetime = Math.min(grant.lifetime(), config.lifetime() * 1000); // a shorter lease is always safe
             cache.acceptGrant(clock.getAsLong(),
-                    new SiteMessage.SummaryLeaseGrant(promise.ticket(), promise.summary(), lifetime));
+                    new SiteMessage.SummaryLeaseGrant(grant.ticket(), grant.summary(), lifetime));
             publish(site);
         }
     }
 
-    /** Takes a widening in. What it returns counts for traffic by then. */
+    /** Applies a widening. The version that it returns counts for request threads by then. */
     long applyWidening(SiteMessage.Widening w) {
         synchronized (control) {
             long version = cache.applyWidening(clock.getAsLong(), w);
@@ -190,7 +190,7 @@
         return leases.containsKey(site);
     }
 
-    /** Does what traffic left to be done. */
+    /** Runs what request threads queued. */
     void runControlTasks() {
         for (Runnable r = controlTasks.poll(); r != null; r = controlTasks.poll()) {
             synchronized (control) {
@@ -269,7 +269,7 @@
         return true;
     }
 
-    /** What is held just now, for people and tests. */
+    /** The leased summaries, a line each, for operators and tests. */
     public List<String> lines() {
         var lines = new ArrayList<String>();
         leases.forEach((site, held) -> lines.add(site.name() + " " + site.block() + " version "
--- a/src/main/java/wallmoor/summaries/Box.java
+++ b/src/main/java/wallmoor/summaries/Box.java
@@ -29,14 +29,14 @@
     /**
      * A query's box in degrees.
      *
-     * @throws IllegalArgumentException with what is wrong
+     * @throws InvalidConditionException with what is wrong
      */
     static Box of(double w, double s, double e, double n) {
         if (!Double.isFinite(w) || !Double.isFinite(e) || Math.abs(w) > 540 || Math.abs(e) > 540) {
-            throw new IllegalArgumentException("west and east must be degrees from -180 to 180");
+            throw new InvalidConditionException("west and east must be degrees from -180 to 180");
         }
         if (!(s >= -90) || !(n <= 90) || s > n) {
-            throw new IllegalArgumentException("south and north must be degrees from -90 to 90, south first");
+            throw new InvalidConditionException("south and north must be degrees from -90 to 90, south first");
         }
         double width = w <= e ? Math.min(360, e - w) : (e - w) % 360 + 360;
         return outward(w, width, s, n);
--- a/src/main/java/wallmoor/summaries/Condition.java
+++ b/src/main/java/wallmoor/summaries/Condition.java
@@ -40,17 +40,17 @@
      *
      * @param low  the least, or null for an open end
      * @param high the largest, or null likewise
-     * @throws IllegalArgumentException if both are open, or the numbers' order is wrong
+     * @throws InvalidConditionException if both are open, or the numbers' order is wrong
      */
     static Condition range(String property, String low, String high) {
         if (low == null && high == null) {
-            throw new IllegalArgumentException("a range needs an end");
+            throw new InvalidConditionException("a range needs an end");
         }
         var range = new Range(property, low, high,
                 low == null ? Double.NEGATIVE_INFINITY : KeyNormalizer.number(KeyNormalizer.fold(low)),
                 high == null ? Double.POSITIVE_INFINITY : KeyNormalizer.number(KeyNormalizer.fold(high)));
         if (range.lowest > range.highest) {
-            throw new IllegalArgumentException("the range ends before it begins: " + low + ".." + high);
+            throw new InvalidConditionException("the range ends before it begins: " + low + ".." + high);
         }
         return range;
     }
@@ -58,12 +58,12 @@
     /**
      * {@code FIELD=VALUE}, {@code FIELD=LO..HI}, {@code FIELD=LO..} or {@code FIELD=..HI}.
      *
-     * @throws IllegalArgumentException with what is wrong
+     * @throws InvalidConditionException with what is wrong
      */
     static Condition parse(String text) {
         int sign = text.indexOf('=');
         if (sign < 1) {
-            throw new IllegalArgumentException("it is not FIELD=VALUE or FIELD=LO..HI: " + text);
+            throw new InvalidConditionException("it is not FIELD=VALUE or FIELD=LO..HI: " + text);
         }
         String property = text.substring(0, sign);
         String value = text.substring(sign + 1);
--- a/src/main/java/wallmoor/summaries/Conditions.java
+++ b/src/main/java/wallmoor/summaries/Conditions.java
@@ -17,7 +17,7 @@
     public Conditions {
         properties = List.copyOf(properties);
         if (properties.size() > MOST) {
-            throw new IllegalArgumentException("more than " + MOST + " conditions");
+            throw new InvalidConditionException("more than " + MOST + " conditions");
         }
     }
 
@@ -43,12 +43,12 @@
      * A box {@code W,S,E,N} in degrees, where W may lie east of E; or with heights, {@code W,S,LOW,E,N,HIGH}, that are
      * not looked at.
      *
-     * @throws IllegalArgumentException with what is wrong
+     * @throws InvalidConditionException with what is wrong
      */
     public static QueryBox box(String text) {
         String[] sides = text.split(",", -1);
         if (sides.length != 4 && sides.length != 6) {
-            throw new IllegalArgumentException("it is not W,S,E,N: " + text);
+            throw new InvalidConditionException("it is not W,S,E,N: " + text);
         }
         var at = new double[sides.length];
         try {
@@ -56,7 +56,7 @@
                 at[i] = Double.parseDouble(sides[i].strip());
             }
         } catch (NumberFormatException e) {
-            throw new IllegalArgumentException("it is not W,S,E,N in numbers: " + text, e);
+            throw new InvalidConditionException("it is not W,S,E,N in numbers: " + text, e);
         }
         int half = at.length / 2;
         return new QueryBox(Box.of(at[0], at[1], at[half], at[half + 1]));
--- a/src/main/java/wallmoor/summaries/Encoding.java
+++ b/src/main/java/wallmoor/summaries/Encoding.java
@@ -142,15 +142,19 @@
         try {
             Summary s = body(from);
             if (from.remaining() != 4) {
-                throw new IllegalArgumentException("more after its end");
+                throw malformed("more after its end");
             }
             return s;
         } catch (BufferUnderflowException | IllegalArgumentException e) {
-            throw new UnreadableSummaryException(Fault.MALFORMED, "the summary says what none can, " + e.getMessage());
+            throw malformed(e.getMessage());
         }
     }
 
-    private static Summary body(ByteBuffer from) {
+    private static UnreadableSummaryException malformed(String what) {
+        return new UnreadableSummaryException(Fault.MALFORMED, "the summary says what none can, " + what);
+    }
+
+    private static Summary body(ByteBuffer from) throws UnreadableSummaryException {
         String site = text(from);
         String block = text(from);
         long epoch = from.getLong();
@@ -168,17 +172,17 @@
         var properties = new TreeMap<String, PropertySummary>();
         for (int n = count(from, from.getShort() & 0xffff, 6); n > 0; n--) {
             if (properties.put(text(from), property(from)) != null) {
-                throw new IllegalArgumentException("a property twice");
+                throw malformed("a property twice");
             }
         }
         if (rows < 0) {
-            throw new IllegalArgumentException("less than no rows");
+            throw malformed("less than no rows");
         }
         return new Summary(site, block, epoch, version, rows, (flags & COMPLETE) != 0, (flags & PLACELESS) != 0,
                 (flags & TIMELESS) != 0, boxes, spans, properties);
     }
 
-    private static PropertySummary property(ByteBuffer from) {
+    private static PropertySummary property(ByteBuffer from) throws UnreadableSummaryException {
         var p = new PropertySummary();
         int flags = from.get();
         p.missing = (flags & MISSING) != 0;
@@ -189,7 +193,7 @@
             p.smallestNumber = from.getDouble();
             p.largestNumber = from.getDouble();
             if (!(p.smallestNumber <= p.largestNumber)) {
-                throw new IllegalArgumentException("a least above the most");
+                throw malformed("a least above the most");
             }
         }
         if ((flags & TEXT_EXTENT) != 0) {
@@ -198,12 +202,12 @@
             p.firstFoldedText = text(from);
             p.lastFoldedText = text(from);
         } else if (p.texts && !p.unordered) {
-            throw new IllegalArgumentException("texts without a least");
+            throw malformed("texts without a least");
         }
         if ((flags & FILTER) != 0) {
             int bits = from.get();
             if (bits < 8 || bits > 20) {
-                throw new IllegalArgumentException("a filter of 2^" + bits + " bits");
+                throw malformed("a filter of 2^" + bits + " bits");
             }
             var words = new long[count(from, 1 << (bits - 6), 8)];
             for (int i = 0; i < words.length; i++) {
@@ -221,14 +225,14 @@
     }
 
     /** So many things of so many bytes each must still be there. */
-    private static int count(ByteBuffer from, int n, int each) {
+    private static int count(ByteBuffer from, int n, int each) throws UnreadableSummaryException {
         if (n > from.remaining() / each) {
-            throw new IllegalArgumentException("more counted than there is");
+            throw malformed("more counted than there is");
         }
         return n;
     }
 
-    private static String text(ByteBuffer from) {
+    private static String text(ByteBuffer from) throws UnreadableSummaryException {
         int length = count(from, from.getShort() & 0xffff, 1);
         var bytes = new byte[length];
         from.get(bytes);
--- a/src/main/java/wallmoor/summaries/MatchResult.java
+++ b/src/main/java/wallmoor/summaries/MatchResult.java
@@ -1,19 +1,19 @@
 package wallmoor.summaries;
 
 /**
- * Whether a site can hold a row that a query asks for.
+ * Whether a site can hold a row that matches a query.
  *
- * @param kind    which
- * @param reason why, for people
+ * @param kind   the result
+ * @param reason for operators
  */
 public record MatchResult(MatchKind kind, String reason) {
-    /** All but {@link #CANNOT} is asked. */
+    /** A site is queried unless it is {@link #CANNOT}. */
     public enum MatchKind {
         /** Its summary admits a match. */
         COULD_MATCH,
-        /** Its summary excludes every row, and the site's promise on it is alive. */
+        /** Its summary excludes every row, and the lease on it runs. */
         CANNOT,
-        /** Nothing counts that was told of it. */
+        /** No lease on a summary of its runs. */
         UNKNOWN
     }
 
--- a/src/main/java/wallmoor/summaries/PropertySummary.java
+++ b/src/main/java/wallmoor/summaries/PropertySummary.java
@@ -4,13 +4,13 @@
 import java.util.TreeSet;
 
 /**
- * What a summary tells of one property. Not changed any more once its summary is told.
+ * The summary of one property: its values or a filter of them, and its extents. Not changed once its summary is built.
  *
  * <p>A range is excluded only where every order that a site may have excludes it; where values of several kinds are
  * mixed, or can't be put in order, none is (the table in docs/summaries.md).
  */
 final class PropertySummary {
-    /** A least or largest text is kept to so many signs: rounded down, and up. */
+    /** Characters of a smallest or largest text that are kept: rounded down, and up. */
     private static final int MAX_EXTENT_LENGTH = 24;
     /** Above all plain texts that begin with what stands before it. */
     private static final char ABOVE = '\u007f';
@@ -132,7 +132,7 @@
         values = null;
     }
 
-    /** Takes over all that another one tells. */
+    /** Widens this one by all that another one covers. */
     void absorb(PropertySummary other, SummaryLimits s) {
         missing |= other.missing;
         unordered |= other.unordered;
@@ -168,7 +168,7 @@
                 && firstFoldedText.compareTo(o.firstFoldedText) <= 0 && lastFoldedText.compareTo(o.lastFoldedText) >= 0;
     }
 
-    /** Of another's filter it can't be told which values it admits. */
+    /** Which values another's filter admits can't be enumerated, so such a one is never covered. */
     private boolean coversValues(PropertySummary o) {
         return o.values != null && o.values.stream()
                 .allMatch(v -> values != null ? values.contains(v) : filter.may(KeyNormalizer.hash(v)));
@@ -222,13 +222,13 @@
                 : r.property() + " is none of its " + values.size() + " values";
     }
 
-    /** Before its summary is told: lays its numbers out for ranges. */
+    /** Sorts its numbers for range conditions, once its summary is built. */
     void sortNumbers() {
         sorted = numbers && !texts && !unordered && values != null
                 ? values.stream().mapToDouble(Double::parseDouble).sorted().toArray() : null;
     }
 
-    /** What it holds, for people. */
+    /** Its contents, for operators. */
     String describe() {
         return (values == null ? "filter of " + filter.bits() + " bits, " + Math.round(100 * filter.full()) + " % full"
                 : values.size() + " values")
--- a/src/main/java/wallmoor/summaries/SummaryBuilder.java
+++ b/src/main/java/wallmoor/summaries/SummaryBuilder.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A summary in the making: rows are added, other summaries taken in, and what is told of it fits its bytes. */
+/** Builds a summary from rows and other summaries, within the size that the limits give. */
 public final class SummaryBuilder {
     private final SummaryLimits settings;
     private final String site;
@@ -18,13 +18,13 @@
     private final BoundedCover<TimeSpan> spans;
     private final Map<String, PropertySummary> properties = new TreeMap<>();
 
-    /** Of no rows yet. */
+    /** A builder with no rows. */
     public SummaryBuilder(SummaryLimits settings, String site, String block, long epoch) {
         this(settings, new Summary(site, block, epoch, 0, 0, true, false, false, List.of(), List.of(),
                 Map.of()));
     }
 
-    /** That goes on from a summary. */
+    /** A builder that begins with a summary. */
     SummaryBuilder(SummaryLimits settings, Summary from) {
         if (Encoding.utf8(from.site()) > Encoding.LONGEST_NAME || Encoding.utf8(from.block()) > Encoding.LONGEST_NAME) {
             throw new IllegalArgumentException("names of sites and blocks have " + Encoding.LONGEST_NAME
@@ -43,7 +43,7 @@
         from.properties().forEach((name, p) -> properties.put(name, p.copy()));
     }
 
-    /** Takes a row in. */
+    /** Adds a row. */
     public void add(Row row) {
         if (row.place() == null) {
             placeless = true;
@@ -62,7 +62,7 @@
         rows++;
     }
 
-    /** The property of that name, or null where it is one that can't be told of. */
+    /** The property of that name, or null where the limits leave no room for it. */
     private PropertySummary propertyOrNull(String name) {
         PropertySummary p = properties.get(name);
         // one that comes late may have been left out before: what rows then had of it is not known any more
@@ -76,7 +76,7 @@
         return p;
     }
 
-    /** Takes in all that another summary tells. */
+    /** Adds all that another summary covers. */
     void absorb(Summary other) {
         if (other.rows() == 0) {
             return;
@@ -102,7 +102,7 @@
         rows += other.rows();
     }
 
-    /** What is told of it, under this version, in at most so many bytes as the settings say. */
+    /** The summary of all that was added, under this version, encoded in at most the bytes of the limits. */
     public Summary build(long version) {
         var less = new TreeMap<String, PropertySummary>();
         properties.forEach((name, p) -> {
@@ -124,7 +124,7 @@
                 : boxes.told(), timeless ? List.of() : spans.told(), of);
     }
 
-    /** Tells the largest property by half the bytes; or not at all, which returns false. */
+    /** Halves the bytes of the largest property, or leaves it out. Returns whether the summary is still complete. */
     private static boolean coarsenLargest(Map<String, PropertySummary> of) {
         String largest = null;
         int most = -1;
--- a/src/main/java/wallmoor/summaries/SummaryMaintainer.java
+++ b/src/main/java/wallmoor/summaries/SummaryMaintainer.java
@@ -7,59 +7,60 @@
 import java.util.TreeMap;
 
 /**
- * A site's side: it keeps the summary of one block, and says when a write may be confirmed. Whoever was promised a
- * summary has acknowledged a wider one by then, or the promise has ended. Decides only; one caller at a time, times in
- * microseconds, never going back.
+ * The grantor's side of the leases: a site's summary of one block, and when a write may be confirmed. By then each
+ * lease holder has acknowledged a summary that covers the write, or its lease has ended. Decides only and does no input
+ * or output; not thread-safe. Times are in microseconds and never go back.
  */
 public final class SummaryMaintainer {
-    /** A write that waits. */
+    /** A write that waits until no lease on an older version runs. */
     private record PendingWrite(long id, long version) {}
 
     private record OutstandingLease(Summary summary, long until) {}
 
     /**
-     * What comes of writing.
+     * Whether a write may be confirmed, and who is to be notified first.
      *
      * @param id       of the write
-     * @param confirm  whether it may be confirmed at once; else its id is told later
-     * @param widening to be told to all of {@code tell}, in order, again until acknowledged; or null
-     * @param gatherersToNotify     gatherers
+     * @param confirm  whether it may be confirmed at once; else its id is returned later, by {@link #acknowledged} or
+     *                 {@link #tick}
+     * @param widening to be sent to each of {@code gatherersToNotify}, in order, again until acknowledged; or null
+     * @param gatherersToNotify gatherers with a lease
      */
     public record WriteDecision(long id, boolean confirm, SiteMessage.Widening widening,
             List<String> gatherersToNotify) {}
 
-    /** Gatherers that are promised anything at once: every write that widens waits for each of them. */
+    /** Gatherers with a lease at once: every write that widens waits for each of them. */
     private static final int MAX_LEASE_HOLDERS = 1000;
 
     private final SummaryLimits settings;
     private final Site site;
     private final long epoch;
     private final long lifetime;
-    /** Before this nothing is confirmed: a life before this one may have promised what is not known any more. */
+    /** Before this nothing is confirmed: an earlier incarnation may have granted leases that are not known any more. */
     private final long quietUntil;
-    /** By gatherer and version, until when it may hold that version. */
+    /** By gatherer and version, when its lease on that version ends. */
     private final Map<String, TreeMap<Long, Long>> leaseEnds = new HashMap<>();
     /**
-     * What was sent as it stands and may still be held, with the widenings since, and until when. How a holder puts
-     * a widening to what it has is its own affair: that it admits all of what was sent is what can be built on.
+     * The summaries granted in full, by version, and when the last lease on each ends. How a holder applies a widening
+     * to its copy is its own affair: that the copy admits all of what was granted is what can be relied on.
      */
     private final Map<Long, OutstandingLease> outstanding = new HashMap<>();
     private final List<PendingWrite> pendingWrites = new ArrayList<>();
     private SummaryBuilder builder;
     private SummaryBuilder rebuilding;
-    /** Of {@link #version}, or null until somebody asks: making it costs many times what a write does. */
+    /** Of {@link #version}, or null until it is requested: building it costs many times what a write does. */
     private Summary currentSummary;
     private long version = 1;
     private long lastWriteId;
 
     /**
-     * Keeps a block's summary.
+     * Maintains a block's summary.
      *
      * @param draft    of all rows there are
-     * @param epoch    larger than in any life before
+     * @param epoch    larger than in any earlier incarnation
      * @param at       now
-     * @param lifetime of a promise
-     * @param first    whether this site never promised anything of this block before; else all writes wait for one
+     * @param lifetime of a lease, in microseconds
+     * @param first    whether this site never granted a lease on this block before; else all writes wait for one
      *              lifetime
      */
     public SummaryMaintainer(SummaryLimits settings, Site site, long epoch, SummaryBuilder draft, long at,
@@ -78,9 +79,9 @@
         }
     }
 
-    /** A gatherer asks for the summary. What is promised to one too many has ended when it comes. */
+    /** Grants a gatherer a lease on the summary; beyond the limit of holders, one with no lifetime. */
     public SiteMessage.SummaryLeaseGrant grantLease(long at, String gatherer, long ticket) {
-        noOlderLeases(at, 0); // forgets promises that have ended
+        noOlderLeases(at, 0); // forgets leases that have ended
         if (!leaseEnds.containsKey(gatherer) && leaseEnds.size() >= MAX_LEASE_HOLDERS) {
             return new SiteMessage.SummaryLeaseGrant(ticket, Encoding.encode(currentSummary()), 0);
         }
@@ -100,12 +101,12 @@
             }
         }
         Summary delta = alone.build(0);
-        boolean free = noOlderLeases(at, version + 1);
+        boolean unleased = noOlderLeases(at, version + 1);
         // also what is not sent yet: of one version there is one summary
         boolean covered = (currentSummary == null || currentSummary.covers(delta)) && outstanding.values().stream()
                 .allMatch(s -> s.summary.covers(delta));
-        if (at >= quietUntil && (free || covered)) {
-            if (free) {
+        if (at >= quietUntil && (unleased || covered)) {
+            if (unleased) {
                 advanceVersion();
             }
             return new WriteDecision(++lastWriteId, true, null, List.of());
@@ -124,7 +125,7 @@
     }
 
     /**
-     * A gatherer has taken in a widening to this version, or dropped what it held.
+     * A gatherer has applied a widening to this version, or dropped its copy.
      *
      * @return the writes that may be confirmed now
      */
@@ -142,7 +143,7 @@
     }
 
     /**
-     * What time alone brings about: the writes that may be confirmed now, as all promises that exclude them have ended.
+     * The writes that may be confirmed now, as all leases that exclude them have ended.
      */
     public List<Long> tick(long at) {
         return confirmable(at);
@@ -159,14 +160,14 @@
     }
 
     /**
-     * Begins a summary anew, as deleted rows leave the old one too wide: the caller adds to it every row that there is.
+     * Begins to rebuild the summary, as deleted rows leave the old one too wide: the caller adds every row there is.
      */
     public SummaryBuilder rebuild() {
         rebuilding = new SummaryBuilder(settings, site.name(), site.block(), epoch);
         return rebuilding;
     }
 
-    /** All rows are in the new summary. It stands from now on; what was told before is to be asked for anew. */
+    /** Replaces the summary by the rebuilt one, with all rows in it. Leases on older versions are revoked. */
     public WriteDecision adopt(long at) {
         if (rebuilding == null) {
             throw new IllegalStateException("no summary was begun");
@@ -174,12 +175,12 @@
         builder = rebuilding;
         rebuilding = null;
         advanceVersion();
-        noOlderLeases(at, version); // forgets promises that have ended
+        noOlderLeases(at, version); // forgets leases that have ended
         return new WriteDecision(++lastWriteId, true, new SiteMessage.Widening(site, epoch, version - 1, version, null),
                 List.copyOf(leaseEnds.keySet()));
     }
 
-    /** What is told now. */
+    /** The summary of the present version. */
     public Summary currentSummary() {
         currentSummary = currentSummary == null ? builder.build(version) : currentSummary;
         return currentSummary;
@@ -188,16 +189,16 @@
     private List<Long> confirmable(long at) {
         var now = new ArrayList<Long>();
         pendingWrites.removeIf(w -> {
-            boolean free = noOlderLeases(at, w.version);
-            if (free) {
+            boolean unleased = noOlderLeases(at, w.version);
+            if (unleased) {
                 now.add(w.id);
             }
-            return free;
+            return unleased;
         });
         return now;
     }
 
-    /** Whether nobody may hold a version older than this one. */
+    /** Whether no lease on a version older than this one runs. */
     private boolean noOlderLeases(long at, long version) {
         leaseEnds.values().forEach(g -> g.values().removeIf(until -> until <= at));
         leaseEnds.values().removeIf(Map::isEmpty);
--- a/src/main/java/wallmoor/summaries/TimeSpan.java
+++ b/src/main/java/wallmoor/summaries/TimeSpan.java
@@ -41,16 +41,21 @@
      * An RFC 3339 time, a day, or an interval {@code A/B} of them, either end of which may be {@code ..} or empty. A
      * day is the whole of it in any zone.
      *
-     * @throws IllegalArgumentException with what is wrong, where it is none of these
+     * @throws InvalidConditionException with what is wrong, where it is none of these
      */
     public static TimeSpan parse(String text) {
         String[] ends = text.split("/", -1);
         if (ends.length > 2 || (ends.length == 1 && open(ends[0]))) {
-            throw new IllegalArgumentException("it is neither a time nor an interval A/B: " + text);
+            throw new InvalidConditionException("it is neither a time nor an interval A/B: " + text);
         }
         TimeSpan first = open(ends[0]) ? null : one(ends[0]);
         TimeSpan last = ends.length == 1 ? first : open(ends[1]) ? null : one(ends[1]);
-        return new TimeSpan(first == null ? Long.MIN_VALUE : first.from, last == null ? Long.MAX_VALUE : last.to);
+        long from = first == null ? Long.MIN_VALUE : first.from;
+        long to = last == null ? Long.MAX_VALUE : last.to;
+        if (from > to) {
+            throw new InvalidConditionException("it ends before it begins");
+        }
+        return new TimeSpan(from, to);
     }
 
     private static boolean open(String end) {
@@ -68,7 +73,7 @@
             }
             return micros(LocalDateTime.parse(text).atOffset(ZoneOffset.UTC), ZONES);
         } catch (DateTimeException | ArithmeticException e) {
-            throw new IllegalArgumentException("it is no RFC 3339 time: " + text, e);
+            throw new InvalidConditionException("it is no RFC 3339 time: " + text, e);
         }
     }
 
