--- a/src/main/java/wallmoor/ogc/FeatureServerTransport.java
+++ b/src/main/java/wallmoor/ogc/FeatureServerTransport.java
@@ -23,7 +23,7 @@
     private final int connectMillis;
     private final ThreadPoolExecutor threads;
     private final Map<Attempt, FeatureFetch> out = new ConcurrentHashMap<>();
-    private final Map<String, Deque<FeatureFetch.PooledConnection>> kept = new HashMap<>();
+    private final Map<String, Deque<PooledConnection>> kept = new HashMap<>();
 
     FeatureServerTransport(Gatherer gatherer, int connectMillis, int most) {
         this.gatherer = gatherer;
@@ -48,7 +48,7 @@
     private void run(FeatureFetch fetch, Attempt attempt, boolean fresh) {
         try {
             boolean anew = fresh || !((FeatureQuery) attempt.query().attachment()).idempotent();
-            FeatureFetch.PooledConnection back = fetch.run(take(attempt.worker().address(), anew));
+            PooledConnection back = fetch.run(take(attempt.worker().address(), anew));
             if (back != null) {
                 keep(back);
             }
@@ -66,11 +66,11 @@
     }
 
     /** A connection that can be used, or null; {@code anew}: the idle ones are not trusted. */
-    private FeatureFetch.PooledConnection take(String address, boolean anew) {
+    private PooledConnection take(String address, boolean anew) {
         while (!anew) {
-            FeatureFetch.PooledConnection last;
+            PooledConnection last;
             synchronized (kept) {
-                Deque<FeatureFetch.PooledConnection> here = kept.get(address);
+                Deque<PooledConnection> here = kept.get(address);
                 last = here == null ? null : here.pollLast();
             }
             if (last == null) {
@@ -84,16 +84,16 @@
         return null;
     }
 
-    private void keep(FeatureFetch.PooledConnection back) {
-        var old = new ArrayList<FeatureFetch.PooledConnection>();
+    private void keep(PooledConnection back) {
+        var old = new ArrayList<PooledConnection>();
         synchronized (kept) {
-            Deque<FeatureFetch.PooledConnection> here = kept.computeIfAbsent(back.address(), a -> new ArrayDeque<>());
+            Deque<PooledConnection> here = kept.computeIfAbsent(back.address(), a -> new ArrayDeque<>());
             here.addLast(back);
             if (here.size() > MOST_KEPT) {
                 old.add(here.pollFirst());
             }
             kept.values().forEach(all -> all.removeIf(k -> k.isOld() && old.add(k)));
         }
-        old.forEach(FeatureFetch.PooledConnection::close);
+        old.forEach(PooledConnection::close);
     }
 }
--- /dev/null
+++ b/src/main/java/wallmoor/ogc/ItemsPage.java
@@ -0,0 +1,112 @@
+package wallmoor.ogc;
+
+import static wallmoor.ogc.HttpResponses.GEOJSON;
+import static wallmoor.ogc.HttpResponses.JSON;
+import static wallmoor.ogc.HttpResponses.bytes;
+
+import java.io.ByteArrayOutputStream;
+import java.time.Instant;
+import java.time.temporal.ChronoUnit;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import wallmoor.config.OgcConfig.Collection;
+import wallmoor.http.HttpReader;
+
+/**
+ * One page of features, merged shard by shard up to the page's limit and size; the rest is for the next page. A page
+ * that lacks a shard's share says so, and its next link asks for that share again: no page loses features silently.
+ */
+final class ItemsPage {
+    /** Features of a page at most, in bytes: the longest body, but for room for what stands round the features. */
+    static final int MAX_FEATURES_BYTES = HttpReader.MOST_BODY - 8 * 1024;
+    /** A guess at what stands round the features, in bytes. */
+    private static final int ENVELOPE_BYTES = 1024;
+
+    private final Collection collection;
+    private final ItemsParameters parameters;
+    private final ByteArrayOutputStream features = new ByteArrayOutputStream();
+    private final Map<Integer, Integer> nextOffsets = new LinkedHashMap<>();
+    private final List<Integer> missingShards = new ArrayList<>();
+    private int returned;
+
+    /**
+     * Merges a page.
+     *
+     * @param offsets how many features earlier pages have taken, for each shard of this page
+     * @param shares  what each shard gave; one that is absent is missing
+     */
+    ItemsPage(Collection collection, ItemsParameters parameters, Map<Integer, Integer> offsets,
+            Map<Integer, FeatureQuery.ShardFeatures> shares) {
+        this.collection = collection;
+        this.parameters = parameters;
+        offsets.forEach((shard, offset) -> merge(shard, offset, shares.get(shard)));
+    }
+
+    private void merge(Integer shard, int offset, FeatureQuery.ShardFeatures share) {
+        if (share == null) {
+            missingShards.add(shard);
+            nextOffsets.put(shard, offset);
+            return;
+        }
+        int taken = 0;
+        for (byte[] feature : share.features()) {
+            if (!hasRoom(feature)) {
+                break;
+            }
+            add(feature);
+            taken++;
+        }
+        if (share.hasMore() || taken < share.features().size()) {
+            nextOffsets.put(shard, offset + taken);
+        }
+    }
+
+    /** Whether the feature fits this page; the first one always does. */
+    private boolean hasRoom(byte[] feature) {
+        return returned < parameters.limit()
+                && (returned == 0 || features.size() + feature.length <= MAX_FEATURES_BYTES);
+    }
+
+    private void add(byte[] feature) {
+        if (returned > 0) {
+            features.write(',');
+        }
+        features.writeBytes(feature);
+        returned++;
+    }
+
+    /**
+     * The page as a GeoJSON feature collection.
+     *
+     * @param base          what links begin with
+     * @param target        the request's target, for the link to this page
+     * @param pruningMember the member that tells of pruned shards, with a comma before it, or nothing
+     */
+    byte[] document(String base, String target, String pruningMember) {
+        boolean complete = missingShards.isEmpty();
+        var document = new ByteArrayOutputStream(features.size() + ENVELOPE_BYTES);
+        document.writeBytes(bytes("{\"type\":\"FeatureCollection\",\"timeStamp\":\"" + timeStamp()
+                + "\",\"numberReturned\":" + returned + ",\"complete\":" + complete
+                + (complete ? "" : ",\"missingShards\":" + missingShards) + pruningMember + ","
+                + links(base, target).member() + ",\"features\":["));
+        document.writeBytes(features.toByteArray());
+        document.writeBytes(bytes("]}"));
+        return document.toByteArray();
+    }
+
+    private LinkList links(String base, String target) {
+        String path = "/collections/" + collection.id();
+        var links = new LinkList(base).add("self", GEOJSON, "This page", target)
+                .add("collection", JSON, collection.title(), path);
+        if (!nextOffsets.isEmpty()) {
+            links.add("next", GEOJSON, "Next page", path + "/items" + parameters.nextPage(nextOffsets));
+        }
+        return links;
+    }
+
+    private static String timeStamp() {
+        return Instant.now().truncatedTo(ChronoUnit.SECONDS).toString();
+    }
+}
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -134,8 +134,7 @@
     }
 
     private FeaturesFront features(MonotonicClock clock, RuleReader acting) throws IOException {
-        return new FeaturesFront(operator.ogc(), operator.summaries(), acting, launch, clock,
-                LoggerFactory.getLogger(FeaturesFront.class));
+        return new FeaturesFront(operator.ogc(), operator.summaries(), acting, launch, clock);
     }
 
     /** Begins to serve; beside a process that serves already, once the list is heard. */
--- a/src/test/java/wallmoor/ogc/FetchPermissionTest.java
+++ b/src/test/java/wallmoor/ogc/FetchPermissionTest.java
@@ -74,7 +74,7 @@
         server.close();
     }
 
-    private Future<FeatureFetch.PooledConnection> fetch() {
+    private Future<PooledConnection> fetch() {
         return threads.submit(() -> new FeatureFetch(send.attempts().get(0), gatherer, 5_000).run(null));
     }
 
@@ -87,7 +87,7 @@
     @Test
     public void aClientThatLeavesBeforeTheFirstRequestIsNotAskedFor() throws Exception {
         gatherer.clientDisconnected(query);
-        Future<FeatureFetch.PooledConnection> fetch = fetch();
+        Future<PooledConnection> fetch = fetch();
         assertEquals("", all(server.accept()));
         fetch.get(15, TimeUnit.SECONDS);
         assertTrue(gatherer.awaitStep(query) instanceof Step.ClientGone);
@@ -96,7 +96,7 @@
     @Test
     public void aClientThatLeavesAfterTheFirstRequestHasItCalledOff() throws Exception {
         var fetch = new FeatureFetch(send.attempts().get(0), gatherer, 5_000);
-        Future<FeatureFetch.PooledConnection> run = threads.submit(() -> fetch.run(null));
+        Future<PooledConnection> run = threads.submit(() -> fetch.run(null));
         Socket peer = server.accept();
         assertEquals('G', peer.getInputStream().read());
         gatherer.clientDisconnected(query);
@@ -110,7 +110,7 @@
     public void aDrainThatIsToldBeforeTheFirstRequestHolds() throws Exception {
         gatherer.control().updateEndpoints(false,
                 List.of(member(server.getLocalPort(), WorkerEndpoint.EndpointState.DRAINING)));
-        Future<FeatureFetch.PooledConnection> fetch = fetch();
+        Future<PooledConnection> fetch = fetch();
         assertEquals("", all(server.accept()));
         fetch.get(15, TimeUnit.SECONDS);
     }
@@ -129,7 +129,7 @@
 
     @Test
     public void oneThatIsPermittedIsServed() throws Exception {
-        Future<FeatureFetch.PooledConnection> fetch = fetch();
+        Future<PooledConnection> fetch = fetch();
         Socket peer = server.accept();
         var seen = new ArrayList<Integer>();
         while (seen.size() < 4 || !seen.subList(seen.size() - 4, seen.size()).equals(List.of(13, 10, 13, 10))) {
