--- a/src/main/java/wallmoor/ogc/FeatureFetch.java
+++ b/src/main/java/wallmoor/ogc/FeatureFetch.java
@@ -50,7 +50,7 @@
             }
         } catch (SendNotPermittedException e) {
             outcome = AttemptOutcome.NOT_SENT;
-        } catch (RequestRejectedException e) {
+        } catch (ServerRejectedException e) {
             outcome = AttemptOutcome.REJECTED;
         } catch (IOException e) {
             outcome = connection.hasSent() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
--- a/src/main/java/wallmoor/ogc/FetchConnection.java
+++ b/src/main/java/wallmoor/ogc/FetchConnection.java
@@ -97,11 +97,11 @@
      *
      * @throws IOException                if the connection failed or the attempt was cancelled
      * @throws HttpProtocolException      if the answer is malformed, too long (413) or has another status (502)
-     * @throws RequestRejectedException   if the server rejected the first request
+     * @throws ServerRejectedException   if the server rejected the first request
      * @throws SendNotPermittedException  if the first request may no longer be sent
      */
     HttpMessage get(String target)
-            throws IOException, HttpProtocolException, RequestRejectedException, SendNotPermittedException {
+            throws IOException, HttpProtocolException, ServerRejectedException, SendNotPermittedException {
         boolean first = !sent;
         if (ended) { // this server closes after each page
             reconnect();
@@ -139,9 +139,9 @@
     }
 
     private static void requireStatus(int status, boolean first, String target)
-            throws RequestRejectedException, HttpProtocolException {
+            throws ServerRejectedException, HttpProtocolException {
         if (first && (status == 429 || status == 503)) {
-            throw new RequestRejectedException(status);
+            throw new ServerRejectedException(status);
         }
         if (status != 200 && !(status == 404 && target.matches("[^?]*/items/[^/]+"))) {
             throw new HttpProtocolException(502, "status " + status);
--- a/src/main/java/wallmoor/ogc/ShardPageReader.java
+++ b/src/main/java/wallmoor/ogc/ShardPageReader.java
@@ -42,12 +42,12 @@
 
     /** Reads the shard's part of a page, or the one feature that the query names. */
     FeatureQuery.ShardFeatures read() throws IOException, HttpProtocolException, Json.Malformed,
-            RequestRejectedException, SendNotPermittedException {
+            ServerRejectedException, SendNotPermittedException {
         return query.featureId() != null ? readFeature() : readPages();
     }
 
     private FeatureQuery.ShardFeatures readFeature() throws IOException, HttpProtocolException, Json.Malformed,
-            RequestRejectedException, SendNotPermittedException {
+            ServerRejectedException, SendNotPermittedException {
         HttpMessage answer = get(query.collection().items(attempt.shard()) + "/" + query.featureId());
         if (answer.status() != 404) {
             ByteSlice body = answer.body();
@@ -57,7 +57,7 @@
     }
 
     private FeatureQuery.ShardFeatures readPages() throws IOException, HttpProtocolException, Json.Malformed,
-            RequestRejectedException, SendNotPermittedException {
+            ServerRejectedException, SendNotPermittedException {
         int offset = query.offsets().get(attempt.shard());
         String target = target(offset);
         for (int page = 0; page < MAX_PAGES; page++) {
@@ -84,7 +84,7 @@
         return share(query.maxFeatures(), true);
     }
 
-    private HttpMessage get(String target) throws IOException, HttpProtocolException, RequestRejectedException,
+    private HttpMessage get(String target) throws IOException, HttpProtocolException, ServerRejectedException,
             SendNotPermittedException {
         HttpMessage answer = connection.get(target);
         dataVersion = answer.header("Wallmoor-Data");
