--- a/src/main/java/wallmoor/ogc/FeaturesFront.java
+++ b/src/main/java/wallmoor/ogc/FeaturesFront.java
@@ -97,7 +97,7 @@
         Thread.sleep(handOverMillis);
         server.finish(finishMillis);
         if (summaryLeases != null) {
-            summaryLeases.leave();
+            summaryLeases.logTotals();
         }
     }
 
