--- a/src/main/java/wallmoor/placement/WaveScheduler.java
+++ b/src/main/java/wallmoor/placement/WaveScheduler.java
@@ -42,7 +42,7 @@
             for (ReplicaMove s : taken) {
                 used[s.from()] -= model.sizeMb[s.block()];
                 used[s.to()] += model.sizeMb[s.block()];
-                holders[s.block()] = withMoved(holders[s.block()], s);
+                holders[s.block()] = holdersAfter(holders[s.block()], s);
                 moves.add(new Move(model.fleet.blocks().get(s.block()).id(), model.fleet.nodes().get(s.from()).id(),
                         model.fleet.nodes().get(s.to()).id(), model.sizeMb[s.block()], wave));
             }
@@ -52,7 +52,7 @@
     }
 
     /** The holders after a step. */
-    static int[] withMoved(int[] holders, ReplicaMove s) {
+    static int[] holdersAfter(int[] holders, ReplicaMove s) {
         int[] after = holders.clone();
         for (int i = 0; i < after.length; i++) {
             if (after[i] == s.from()) {
