--- a/src/main/java/wallmoor/placement/AStarSearch.java
+++ b/src/main/java/wallmoor/placement/AStarSearch.java
@@ -1,7 +1,6 @@
 package wallmoor.placement;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.Deque;
@@ -12,204 +11,239 @@
 import wallmoor.placement.PlacementModel.ReplicaMove;
 
 /**
- * The least bytes, by A* over placements: a placement is the node of every copy, an edge is a legal move, its length
- * the move's bytes. So what must be moved twice to make room is found and counted. Ends at the goal, at the end of all
- * that can be reached, or when its budget is used up.
+ * Plans of the least bytes, by A* search over placements. A vertex is the node of every replica, an edge is a legal
+ * move, its length the move's megabytes; the heuristic is {@link #estimate}. So a block that must move twice to make
+ * room is found and counted. Ends at the goal, when all reachable placements are seen, or when its budget is used up.
  */
 final class AStarSearch {
-    /** What a search came to: a way, or none where all was seen, or neither. */
+    /**
+     * Result of a search: a plan, or none where all was seen, or neither.
+     *
+     * @param moves          the plan; null where none was found
+     * @param copiedMb       megabytes that the plan copies; 0 without one
+     * @param complete       whether the search ended before its budget did
+     * @param lowerBoundMb   no plan copies less, in megabytes
+     * @param placementsSeen placements that were reached
+     */
     record SearchResult(List<ReplicaMove> moves, long copiedMb, boolean complete, long lowerBoundMb,
             int placementsSeen) {}
 
-    /** A placement that was reached. */
-    private record SearchNode(String at, long cost, long estimate, SearchNode before, ReplicaMove step) {}
+    /**
+     * A vertex that was reached.
+     *
+     * @param placement the holders of all blocks, a character each
+     * @param costMb    megabytes copied on the way
+     * @param totalMb   {@code costMb} and the estimate of what is left
+     * @param previous  the vertex that it was reached from; null at the start
+     * @param move      the move that led here; null at the start
+     */
+    private record SearchNode(String placement, long costMb, long totalMb, SearchNode previous, ReplicaMove move) {}
 
     private final PlacementModel model;
     private final int budget;
-    private final int[] first;
+    /** Where each block's holders begin in a placement's text, and at the end the text's length. */
+    private final int[] offset;
+    /** The holders and used megabytes of the placement that is looked at. */
     private final int[][] holders;
-    private final long[] used;
+    private final long[] usedMb;
+    /** Scratch of {@link #forcedBySpreadMb}: a block's replicas in each group, and those of them on draining nodes. */
     private final int[] inGroup;
     private final int[] drainingInGroup;
+    private final Map<String, Long> bestCostMb = new HashMap<>();
+    private final PriorityQueue<SearchNode> open = new PriorityQueue<>(
+            Comparator.comparingLong(SearchNode::totalMb).thenComparingLong(reached -> -reached.costMb()));
 
-    /** {@code budget}: placements kept at most. */
+    /** @param budget placements that are kept at most */
     AStarSearch(PlacementModel model, int budget) {
         this.model = model;
         this.budget = budget;
         int blocks = model.sizeMb.length;
-        first = new int[blocks + 1];
+        offset = new int[blocks + 1];
         holders = new int[blocks][];
-        for (int b = 0; b < blocks; b++) {
-            first[b + 1] = first[b] + model.initialHolders[b].length;
-            holders[b] = new int[model.initialHolders[b].length];
+        for (int block = 0; block < blocks; block++) {
+            offset[block + 1] = offset[block] + model.initialHolders[block].length;
         }
-        used = new long[model.nodes()];
+        usedMb = new long[model.nodes()];
         inGroup = new int[model.groups];
         drainingInGroup = new int[model.groups];
     }
 
-    /** Whether nothing can move, and not all rules are kept: then no plan exists. */
+    /** Whether nothing can move and a constraint is violated: then no plan exists. */
     static boolean stuck(PlacementModel model) {
-        var exact = new AStarSearch(model, 1);
-        System.arraycopy(model.initialHolders, 0, exact.holders, 0, model.initialHolders.length);
-        System.arraycopy(model.initialUsedMb(), 0, exact.used, 0, exact.used.length);
-        if (exact.goal()) {
-            return false;
-        }
-        for (int b = 0; b < model.initialHolders.length; b++) {
-            for (int from : model.initialHolders[b]) {
+        var search = new AStarSearch(model, 1);
+        search.read(search.initialPlacement());
+        return !search.isGoal() && !search.anyMove();
+    }
+
+    private boolean anyMove() {
+        for (int block = 0; block < holders.length; block++) {
+            for (int from : holders[block]) {
                 for (int to = 0; to < model.nodes(); to++) {
-                    if (exact.may(b, model.initialHolders[b], from, to)) {
-                        return false;
+                    if (isLegal(block, from, to)) {
+                        return true;
                     }
                 }
             }
         }
-        return true;
+        return false;
     }
 
-    private boolean may(int block, int[] own, int from, int to) {
-        return to != from && !model.draining[to] && used[to] + model.sizeMb[block] <= model.capacityMb[to]
-                && model.maySpread(block, own, from, to);
+    private boolean isLegal(int block, int from, int to) {
+        return to != from && !model.draining[to] && usedMb[to] + model.sizeMb[block] <= model.capacityMb[to]
+                && model.maySpread(block, holders[block], from, to);
     }
 
-    /** Looks for a way of less than {@code below} megabytes. */
-    SearchResult search(long below) {
-        Map<String, Long> best = new HashMap<>();
-        var open = new PriorityQueue<SearchNode>(Comparator.comparingLong(SearchNode::estimate)
-                .thenComparingLong(r -> -r.cost()));
-        var start = new char[first[first.length - 1]];
-        for (int b = 0; b < holders.length; b++) {
-            write(start, b, model.initialHolders[b]);
-        }
-        String begin = new String(start);
-        read(begin);
-        offer(new SearchNode(begin, 0, estimate(), null, null), below, best, open);
+    /** Searches for a plan of less than {@code belowMb} megabytes. */
+    SearchResult search(long belowMb) {
+        bestCostMb.clear();
+        open.clear();
+        String start = initialPlacement();
+        read(start);
+        offer(new SearchNode(start, 0, estimate(), null, null), belowMb);
         while (!open.isEmpty()) {
-            SearchNode at = open.poll();
-            if (at.cost() > best.get(at.at())) {
+            SearchNode current = open.poll();
+            if (current.costMb() > bestCostMb.get(current.placement())) {
                 continue;
             }
-            read(at.at());
-            if (goal()) {
-                return new SearchResult(steps(at), at.cost(), true, at.cost(), best.size());
+            read(current.placement());
+            if (isGoal()) {
+                return new SearchResult(movesTo(current), current.costMb(), true, current.costMb(), bestCostMb.size());
             }
-            if (best.size() >= budget) {
-                return new SearchResult(null, 0, false, at.estimate(), best.size());
+            if (bestCostMb.size() >= budget) {
+                return new SearchResult(null, 0, false, current.totalMb(), bestCostMb.size());
             }
-            expand(at, below, best, open);
+            expand(current, belowMb);
         }
-        return new SearchResult(null, 0, true, below, best.size());
+        return new SearchResult(null, 0, true, belowMb, bestCostMb.size());
     }
 
-    private static void offer(SearchNode r, long below, Map<String, Long> best, PriorityQueue<SearchNode> open) {
-        if (r.estimate() < below) {
-            Long known = best.get(r.at());
-            if (known == null || r.cost() < known) {
-                best.put(r.at(), r.cost());
-                open.add(r);
-            }
+    /** Opens a vertex, unless it can't lead to a plan below the limit or was reached at no more cost. */
+    private void offer(SearchNode reached, long belowMb) {
+        if (reached.totalMb() >= belowMb) {
+            return;
+        }
+        Long known = bestCostMb.get(reached.placement());
+        if (known == null || reached.costMb() < known) {
+            bestCostMb.put(reached.placement(), reached.costMb());
+            open.add(reached);
         }
     }
 
-    private void expand(SearchNode at, long below, Map<String, Long> best, PriorityQueue<SearchNode> open) {
-        char[] text = at.at().toCharArray();
-        for (int b = 0; b < holders.length; b++) {
-            int[] own = holders[b].clone();
-            for (int c = 0; c < own.length; c++) {
-                int from = own[c];
-                if (c > 0 && own[c - 1] == from) {
+    /** Offers every vertex that is one legal move from the current one, which the fields hold. */
+    private void expand(SearchNode current, long belowMb) {
+        char[] text = current.placement().toCharArray();
+        for (int block = 0; block < holders.length; block++) {
+            int[] own = holders[block];
+            for (int replica = 0; replica < own.length; replica++) {
+                if (replica > 0 && own[replica - 1] == own[replica]) {
                     continue; // a second copy there, which only a block that need not be spread has
                 }
                 for (int to = 0; to < model.nodes(); to++) {
-                    if (!may(b, own, from, to)) {
-                        continue;
+                    if (isLegal(block, own[replica], to)) {
+                        offerMove(current, text, new ReplicaMove(block, own[replica], to), replica, belowMb);
                     }
-                    int[] moved = own.clone();
-                    moved[c] = to;
-                    Arrays.sort(moved);
-                    write(text, b, moved);
-                    holders[b] = moved;
-                    used[from] -= model.sizeMb[b];
-                    used[to] += model.sizeMb[b];
-                    long cost = at.cost() + model.sizeMb[b];
-                    offer(new SearchNode(new String(text), cost, cost + estimate(), at, new ReplicaMove(b, from, to)),
-                            below,
-                            best, open);
-                    used[from] += model.sizeMb[b];
-                    used[to] -= model.sizeMb[b];
-                    holders[b] = own;
-                    write(text, b, own);
                 }
             }
         }
     }
 
+    /** Offers the vertex after a move; the fields and {@code text} are the current vertex's again afterwards. */
+    private void offerMove(SearchNode current, char[] text, ReplicaMove move, int replica, long belowMb) {
+        int block = move.block();
+        long sizeMb = model.sizeMb[block];
+        int[] own = holders[block];
+        int[] moved = own.clone();
+        moved[replica] = move.to();
+        Arrays.sort(moved); // replicas are alike: one text for each placement
+        write(text, block, moved);
+        holders[block] = moved;
+        usedMb[move.from()] -= sizeMb;
+        usedMb[move.to()] += sizeMb;
+        long costMb = current.costMb() + sizeMb;
+        offer(new SearchNode(new String(text), costMb, costMb + estimate(), current, move), belowMb);
+        usedMb[move.from()] += sizeMb;
+        usedMb[move.to()] -= sizeMb;
+        holders[block] = own;
+        write(text, block, own);
+    }
+
+    private String initialPlacement() {
+        var text = new char[offset[holders.length]];
+        for (int block = 0; block < holders.length; block++) {
+            write(text, block, model.initialHolders[block]);
+        }
+        return new String(text);
+    }
+
     private void write(char[] text, int block, int[] own) {
-        for (int c = 0; c < own.length; c++) {
-            text[first[block] + c] = (char) own[c];
+        for (int replica = 0; replica < own.length; replica++) {
+            text[offset[block] + replica] = (char) own[replica];
         }
     }
 
     private void read(String placement) {
-        Arrays.fill(used, 0);
-        for (int b = 0; b < holders.length; b++) {
-            holders[b] = new int[first[b + 1] - first[b]];
-            for (int c = 0; c < holders[b].length; c++) {
-                holders[b][c] = placement.charAt(first[b] + c);
-                used[holders[b][c]] += model.sizeMb[b];
+        Arrays.fill(usedMb, 0);
+        for (int block = 0; block < holders.length; block++) {
+            int[] own = new int[offset[block + 1] - offset[block]];
+            for (int replica = 0; replica < own.length; replica++) {
+                own[replica] = placement.charAt(offset[block] + replica);
+                usedMb[own[replica]] += model.sizeMb[block];
             }
+            holders[block] = own;
         }
     }
 
-    private boolean goal() {
-        for (int i = 0; i < used.length; i++) {
-            if (used[i] > (model.draining[i] ? 0 : model.capacityMb[i])) {
+    private boolean isGoal() {
+        for (int node = 0; node < usedMb.length; node++) {
+            if (usedMb[node] > (model.draining[node] ? 0 : model.capacityMb[node])) {
                 return false;
             }
         }
-        return forcedBySpread() == 0 && model.level(used);
+        return forcedBySpreadMb() == 0 && model.level(usedMb);
     }
 
-    /** Bytes that must move at least: what drains, and of the rest what is over or beside, whichever is more. */
+    /**
+     * The heuristic: megabytes that must move at least, so it is admissible. What drains, and of the rest what is over
+     * capacity or colocated, whichever is more.
+     */
     private long estimate() {
-        long draining = 0;
-        long over = 0;
-        for (int i = 0; i < used.length; i++) {
-            if (model.draining[i]) {
-                draining += used[i];
+        long drainingMb = 0;
+        long excessMb = 0;
+        for (int node = 0; node < usedMb.length; node++) {
+            if (model.draining[node]) {
+                drainingMb += usedMb[node];
             } else {
-                over += Math.max(0, used[i] - model.capacityMb[i]);
+                excessMb += Math.max(0, usedMb[node] - model.capacityMb[node]);
             }
         }
-        return draining + Math.max(over, forcedBySpread());
+        return drainingMb + Math.max(excessMb, forcedBySpreadMb());
     }
 
-    /** Of the copies that stand together on nodes that don't drain, all but one must leave. */
-    private long forcedBySpread() {
-        long forced = 0;
-        for (int b = 0; b < holders.length; b++) {
-            if (!model.spread[b] || holders[b].length < 2) {
+    /** Of a block's replicas in one group, on nodes that don't drain, all but one must leave: their megabytes. */
+    private long forcedBySpreadMb() {
+        long forcedMb = 0;
+        for (int block = 0; block < holders.length; block++) {
+            if (!model.spread[block] || holders[block].length < 2) {
                 continue;
             }
             Arrays.fill(inGroup, 0);
             Arrays.fill(drainingInGroup, 0);
-            for (int h : holders[b]) {
-                inGroup[model.group[h]]++;
-                drainingInGroup[model.group[h]] += model.draining[h] ? 1 : 0;
+            for (int holder : holders[block]) {
+                inGroup[model.group[holder]]++;
+                drainingInGroup[model.group[holder]] += model.draining[holder] ? 1 : 0;
             }
-            for (int g = 0; g < inGroup.length; g++) {
-                forced += Math.max(0, inGroup[g] - drainingInGroup[g] - 1) * model.sizeMb[b];
+            for (int group = 0; group < inGroup.length; group++) {
+                forcedMb += Math.max(0, inGroup[group] - drainingInGroup[group] - 1) * model.sizeMb[block];
             }
         }
-        return forced;
+        return forcedMb;
     }
 
-    private static List<ReplicaMove> steps(SearchNode goal) {
-        Deque<ReplicaMove> way = new ArrayDeque<>();
-        for (SearchNode r = goal; r.before() != null; r = r.before()) {
-            way.addFirst(r.step());
+    private static List<ReplicaMove> movesTo(SearchNode goal) {
+        Deque<ReplicaMove> moves = new ArrayDeque<>();
+        for (SearchNode reached = goal; reached.previous() != null; reached = reached.previous()) {
+            moves.addFirst(reached.move());
         }
-        return new ArrayList<>(way);
+        return List.copyOf(moves);
     }
 }
--- a/src/main/java/wallmoor/placement/PlacementConflictFinder.java
+++ b/src/main/java/wallmoor/placement/PlacementConflictFinder.java
@@ -7,20 +7,22 @@
 import java.util.function.Predicate;
 
 /**
- * Why there is no plan: the fewest rules that can't be kept together. Found by hitting sets: whatever rules can be
- * kept together, one of those left out is a reason; so the fewest that hit all such sets are tried, until they can't
- * be kept. Where that would take too long, rules are left out as long as a proof stands without them.
+ * Explains an infeasible problem by a small unsatisfiable set of its constraints. The smallest one is found by implicit
+ * hitting sets: of each set of constraints that can be satisfied together, one that is left out belongs to the
+ * conflict; so the smallest sets that hit all such complements are tried, until one is unsatisfiable. Where that would
+ * take too long, a minimal unsatisfiable subset is sought by deletion: constraints are left out as long as a proof
+ * stands without them.
  */
 final class PlacementConflictFinder {
-    /** Rules of a fleet whose fewest reasons are looked for: each look may be a search of its own. */
-    private static final int MOST_RULES = 40;
+    /** Constraints of a problem whose smallest conflict is sought, at most: each check may be a search of its own. */
+    private static final int MAX_CONSTRAINTS = 40;
     /**
-     * What one search may keep, as a part of a plan's placements: there are many; all together may keep twice a
-     * plan's.
+     * A check may keep one in so many of the placements that a plan's search may: there are many checks. All together
+     * may keep twice a plan's.
      */
-    private static final int PART = 5;
-    /** Sets of rules that a proof of a large fleet is tried with; each takes some thirty milliseconds. */
-    private static final int LOOKS = 200;
+    private static final int CHECK_PART = 5;
+    /** Sets that deletion tries of a large problem; each takes some thirty milliseconds. */
+    private static final int MAX_DELETIONS = 200;
     private static final List<Predicate<PlacementModel>> PROOFS = List.of(CapacityProof::proven,
             m -> CopyLowerBound.of(m).copiedMb() == CopyLowerBound.INFEASIBLE, AStarSearch::stuck);
 
@@ -28,30 +30,30 @@
         FEASIBLE, INFEASIBLE, UNKNOWN
     }
 
-    private final PlacementProblem fleet;
-    private final List<PlacementConstraint> rules;
+    private final PlacementProblem problem;
+    private final List<PlacementConstraint> constraints;
     private final int placements;
-    private long left;
+    private long budgetLeft;
 
-    private PlacementConflictFinder(PlacementProblem fleet, int placements) {
-        this.fleet = fleet;
+    private PlacementConflictFinder(PlacementProblem problem, int placements) {
+        this.problem = problem;
         this.placements = placements;
-        left = 2L * placements;
-        this.rules = PlacementModel.rules(fleet);
+        budgetLeft = 2L * placements;
+        this.constraints = PlacementModel.rules(problem);
     }
 
-    /** The reasons of a fleet that is known to have no plan; {@code placements} is what a plan's search may keep. */
-    static PlacementResult.Infeasible of(PlacementProblem fleet, int placements) {
-        var because = new PlacementConflictFinder(fleet, placements);
-        boolean few = because.rules.size() <= MOST_RULES;
-        PlacementResult.Infeasible fewest = few ? because.fewest() : null;
-        because.left = 2L * placements;
-        if (fewest != null) {
-            return fewest;
+    /** The conflict of a problem that is known to have no plan; {@code placements} is what a plan's search may keep. */
+    static PlacementResult.Infeasible of(PlacementProblem problem, int placements) {
+        var finder = new PlacementConflictFinder(problem, placements);
+        boolean few = finder.constraints.size() <= MAX_CONSTRAINTS;
+        PlacementResult.Infeasible smallest = few ? finder.smallestConflict() : null;
+        finder.budgetLeft = 2L * placements;
+        if (smallest != null) {
+            return smallest;
         }
-        Predicate<PlacementModel> quick = PROOFS.stream().filter(p -> p.test(new PlacementModel(fleet))).findFirst()
+        Predicate<PlacementModel> quick = PROOFS.stream().filter(p -> p.test(new PlacementModel(problem))).findFirst()
                 .orElse(m -> false);
-        return new PlacementResult.Infeasible(because.fewer(quick, few), false);
+        return new PlacementResult.Infeasible(finder.byDeletion(quick, few), false);
     }
 
     /** Whether a quick proof shows that a model's rules can't be kept. */
@@ -63,24 +65,24 @@
      * By hitting sets; null where the searches it takes are too many. Rules that may or may not go together count as
      * if they did.
      */
-    private PlacementResult.Infeasible fewest() {
+    private PlacementResult.Infeasible smallestConflict() {
         List<Set<Integer>> toHit = new ArrayList<>();
         boolean sure = true;
-        while (left > 0) {
-            Set<Integer> hit = hit(toHit);
+        while (budgetLeft > 0) {
+            Set<Integer> hit = smallestHittingSet(toHit);
             if (hit == null) {
                 return null;
             }
-            Feasibility verdict = verdict(reasons(hit));
+            Feasibility verdict = check(select(hit));
             if (verdict == Feasibility.INFEASIBLE) {
-                return new PlacementResult.Infeasible(reasons(hit), sure);
+                return new PlacementResult.Infeasible(select(hit), sure);
             }
             sure &= verdict == Feasibility.FEASIBLE;
             Set<Integer> kept = new HashSet<>(hit);
             Set<Integer> out = new HashSet<>();
-            for (int r = 0; r < rules.size(); r++) {
+            for (int r = 0; r < constraints.size(); r++) {
                 if (kept.add(r)) {
-                    Feasibility with = verdict(reasons(kept));
+                    Feasibility with = check(select(kept));
                     sure &= with != Feasibility.UNKNOWN;
                     if (with == Feasibility.INFEASIBLE) {
                         kept.remove(r);
@@ -93,9 +95,9 @@
         return null;
     }
 
-    /** The fewest rules of which one is in each set; null where a set is empty. */
-    private Set<Integer> hit(List<Set<Integer>> sets) {
-        for (int size = 0; size <= rules.size(); size++) {
+    /** The smallest set of constraints that has one of each given set; null where one of those is empty. */
+    private Set<Integer> smallestHittingSet(List<Set<Integer>> sets) {
+        for (int size = 0; size <= constraints.size(); size++) {
             Set<Integer> found = hit(sets, new HashSet<>(), size);
             if (found != null) {
                 return found;
@@ -105,12 +107,12 @@
     }
 
     private Set<Integer> hit(List<Set<Integer>> sets, Set<Integer> taken, int more) {
-        left--; // wide sets take long to hit: that counts as the searches do
+        budgetLeft--; // wide sets take long to hit: that counts as the searches do
         Set<Integer> missed = sets.stream().filter(s -> s.stream().noneMatch(taken::contains)).findFirst().orElse(null);
         if (missed == null) {
             return taken;
         }
-        if (more == 0 || left <= 0) {
+        if (more == 0 || budgetLeft <= 0) {
             return null;
         }
         for (int r : missed) {
@@ -124,35 +126,36 @@
         return null;
     }
 
-    private Feasibility verdict(List<PlacementConstraint> kept) {
-        var model = new PlacementModel(fleet, kept);
+    private Feasibility check(List<PlacementConstraint> kept) {
+        var model = new PlacementModel(problem, kept);
         if (!proven(model)) {
             if (PlacementPlanner.draft(model, CopyLowerBound.of(model)) != null) {
                 return Feasibility.FEASIBLE;
             }
-            int most = (int) Math.min(Math.min(placements / PART, left), PlacementPlanner.budget(model, placements));
+            int most = (int) Math.min(Math.min(placements / CHECK_PART, budgetLeft),
+                    PlacementPlanner.budget(model, placements));
             AStarSearch.SearchResult found = new AStarSearch(model, most).search(Long.MAX_VALUE);
-            left -= found.placementsSeen();
+            budgetLeft -= found.placementsSeen();
             return found.moves() != null ? Feasibility.FEASIBLE
                     : found.complete() ? Feasibility.INFEASIBLE : Feasibility.UNKNOWN;
         }
         return Feasibility.INFEASIBLE;
     }
 
-    private List<PlacementConstraint> reasons(Set<Integer> which) {
-        return which.stream().sorted().map(rules::get).toList();
+    private List<PlacementConstraint> select(Set<Integer> which) {
+        return which.stream().sorted().map(constraints::get).toList();
     }
 
     /** Leaves rules out, many at a time and then few, as long as a proof stands: a quick one, or by a search. */
-    private List<PlacementConstraint> fewer(Predicate<PlacementModel> quick, boolean search) {
-        int looks = LOOKS;
-        List<PlacementConstraint> kept = rules;
+    private List<PlacementConstraint> byDeletion(Predicate<PlacementModel> quick, boolean search) {
+        int deletionsLeft = MAX_DELETIONS;
+        List<PlacementConstraint> kept = constraints;
         for (int some = Integer.highestOneBit(Math.max(1, kept.size() / 2)); some >= 1; some /= 2) {
-            for (int from = 0; from < kept.size() && looks-- > 0;) {
+            for (int from = 0; from < kept.size() && deletionsLeft-- > 0;) {
                 List<PlacementConstraint> without = new ArrayList<>(kept.subList(0, from));
                 without.addAll(kept.subList(Math.min(kept.size(), from + some), kept.size()));
-                if (quick.test(new PlacementModel(fleet, without))
-                        || (search && verdict(without) == Feasibility.INFEASIBLE)) {
+                if (quick.test(new PlacementModel(problem, without))
+                        || (search && check(without) == Feasibility.INFEASIBLE)) {
                     kept = without;
                 } else {
                     from += some;
--- a/src/main/java/wallmoor/placement/WaveScheduler.java
+++ b/src/main/java/wallmoor/placement/WaveScheduler.java
@@ -7,59 +7,82 @@
 import wallmoor.placement.PlacementModel.ReplicaMove;
 
 /**
- * Puts steps that are legal one after another into waves of moves that run at once. A block's steps keep their order.
- * A step that has to wait keeps its room on its node where there is some, and lets nobody in before it where there is
- * none: so whatever comes early, the first of the steps left is always legal, and the waves never come to a stop.
+ * Wave scheduling: puts moves that are legal one after another into waves of moves that run concurrently. A block's
+ * moves keep their order. A move that has to wait reserves its room on its target where there is some, and lets no
+ * later one in where there is none: so the first of the moves left is always legal, and scheduling always ends.
  */
 final class WaveScheduler {
-    private WaveScheduler() {}
+    private final PlacementModel model;
+    private final int[][] holders;
+    private final long[] usedMb;
+    private final List<Move> scheduled = new ArrayList<>();
 
-    static List<Move> schedule(PlacementModel model, List<ReplicaMove> steps) {
-        int[][] holders = model.initialHolders.clone();
-        long[] used = model.initialUsedMb();
-        List<Move> moves = new ArrayList<>();
-        List<ReplicaMove> left = steps;
-        for (int wave = 1; !left.isEmpty(); wave++) {
-            List<ReplicaMove> taken = new ArrayList<>();
-            List<ReplicaMove> later = new ArrayList<>();
-            Set<Integer> blocks = new HashSet<>();
-            Set<Integer> closed = new HashSet<>();
-            long[] atOnce = used.clone();
-            for (ReplicaMove s : left) {
-                long mb = model.sizeMb[s.block()];
-                boolean first = blocks.add(s.block());
-                if (closed.contains(s.to()) || atOnce[s.to()] + mb > model.capacityMb[s.to()]) {
-                    closed.add(s.to());
-                    later.add(s);
-                } else {
-                    atOnce[s.to()] += mb;
-                    (first && model.maySpread(s.block(), holders[s.block()], s.from(), s.to()) ? taken : later).add(s);
-                }
-            }
-            if (taken.isEmpty()) {
-                throw new IllegalStateException("steps that are not legal one after another");
+    private WaveScheduler(PlacementModel model) {
+        this.model = model;
+        holders = model.initialHolders.clone();
+        usedMb = model.initialUsedMb();
+    }
+
+    /** Schedules all moves, given in an order in which each is legal; waves count from 1. */
+    static List<Move> schedule(PlacementModel model, List<ReplicaMove> moves) {
+        var scheduler = new WaveScheduler(model);
+        List<ReplicaMove> waiting = moves;
+        for (int wave = 1; !waiting.isEmpty(); wave++) {
+            waiting = scheduler.scheduleWave(wave, waiting);
+        }
+        return scheduler.scheduled;
+    }
+
+    /** Schedules the moves that can run in a wave, and returns those that wait. */
+    private List<ReplicaMove> scheduleWave(int wave, List<ReplicaMove> waiting) {
+        List<ReplicaMove> running = new ArrayList<>();
+        List<ReplicaMove> later = new ArrayList<>();
+        Set<Integer> seenBlocks = new HashSet<>();
+        Set<Integer> closedTargets = new HashSet<>();
+        long[] reservedMb = usedMb.clone(); // sources keep their bytes until the wave has ended
+        for (ReplicaMove move : waiting) {
+            long sizeMb = model.sizeMb[move.block()];
+            boolean firstOfBlock = seenBlocks.add(move.block());
+            int to = move.to();
+            if (closedTargets.contains(to) || reservedMb[to] + sizeMb > model.capacityMb[to]) {
+                closedTargets.add(to);
+                later.add(move);
+                continue;
             }
-            for (ReplicaMove s : taken) {
-                used[s.from()] -= model.sizeMb[s.block()];
-                used[s.to()] += model.sizeMb[s.block()];
-                holders[s.block()] = holdersAfter(holders[s.block()], s);
-                moves.add(new Move(model.fleet.blocks().get(s.block()).id(), model.fleet.nodes().get(s.from()).id(),
-                        model.fleet.nodes().get(s.to()).id(), model.sizeMb[s.block()], wave));
+            reservedMb[to] += sizeMb;
+            if (firstOfBlock && model.maySpread(move.block(), holders[move.block()], move.from(), to)) {
+                running.add(move);
+            } else {
+                later.add(move);
             }
-            left = later;
         }
-        return moves;
+        if (running.isEmpty()) {
+            throw new IllegalStateException("steps that are not legal one after another");
+        }
+        running.forEach(move -> complete(move, wave));
+        return later;
+    }
+
+    private void complete(ReplicaMove move, int wave) {
+        int block = move.block();
+        long sizeMb = model.sizeMb[block];
+        usedMb[move.from()] -= sizeMb;
+        usedMb[move.to()] += sizeMb;
+        holders[block] = holdersAfter(holders[block], move);
+        PlacementProblem problem = model.fleet;
+        scheduled.add(new Move(problem.blocks().get(block).id(), problem.nodes().get(move.from()).id(),
+                problem.nodes().get(move.to()).id(), sizeMb, wave));
     }
 
-    /** The holders after a step. */
-    static int[] holdersAfter(int[] holders, ReplicaMove s) {
+    /** A block's holders after one of its moves. */
+    static int[] holdersAfter(int[] holders, ReplicaMove move) {
         int[] after = holders.clone();
         for (int i = 0; i < after.length; i++) {
-            if (after[i] == s.from()) {
-                after[i] = s.to();
+            if (after[i] == move.from()) {
+                after[i] = move.to();
                 return after;
             }
         }
-        throw new IllegalStateException("block " + s.block() + " is not on node " + s.from());
+        throw new IllegalStateException("block " + move.block() + " is not on node " + move.from());
     }
 }
