--- a/src/main/java/wallmoor/placement/CapacityProof.java
+++ b/src/main/java/wallmoor/placement/CapacityProof.java
@@ -78,7 +78,7 @@
         return capacityMb;
     }
 
-    /** Of the blocks of a size or larger, each node has whole slots of that size: there must be one for each replica. */
+    /** Of the blocks of a size or larger, each node has whole slots of that size: each replica needs one. */
     private static boolean tooFewSlots(PlacementModel model) {
         long[] sizesMb = Arrays.stream(model.sizeMb).distinct().sorted().toArray();
         long[] replicas = new long[sizesMb.length];
