--- a/src/main/java/wallmoor/rules/AppendRetry.java
+++ b/src/main/java/wallmoor/rules/AppendRetry.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Decides when an entry that the log has not returned yet is appended again, as a log may lose an appended entry with a
- * change of leader. Times are microseconds.
+ * Decides when an entry that was appended but has not been applied yet is appended again, as the log may lose an
+ * appended entry when the leader changes. Times are microseconds.
  */
 final class AppendRetry {
     private static final int RETRIES_PER_TERM = 5;
@@ -17,18 +17,18 @@
         this.leaseTerm = leaseTerm;
     }
 
-    /** Returns whether the entry is to be appended now, and takes it as appended if so. */
+    /** Returns whether the entry is due to be appended now; if so, records it as appended at this time. */
     boolean isDue(long now, LogEntry entry) {
-        Long last = appendedAt.get(entry);
-        if (last != null && now - last < leaseTerm / RETRIES_PER_TERM) {
+        Long lastAppendedAt = appendedAt.get(entry);
+        if (lastAppendedAt != null && now - lastAppendedAt < leaseTerm / RETRIES_PER_TERM) {
             return false;
         }
-        appendedAt.values().removeIf(at -> now - at > leaseTerm);
+        appendedAt.values().removeIf(time -> now - time > leaseTerm);
         appendedAt.put(entry, now);
         return true;
     }
 
-    /** Forgets all entries. */
+    /** Removes all recorded entries. */
     void clear() {
         appendedAt.clear();
     }
--- a/src/main/java/wallmoor/rules/ByteWriter.java
+++ b/src/main/java/wallmoor/rules/ByteWriter.java
@@ -6,7 +6,7 @@
 
 /**
  * Builds bytes for {@link ByteReader}: integers of eight bytes, big-endian; texts in UTF-8 and byte arrays, each after
- * its length. Grows as needed; not for use by several threads.
+ * its length. Its buffer grows as needed. Not thread-safe.
  */
 public final class ByteWriter {
     private static final int INITIAL_BYTES = 256;
@@ -14,7 +14,7 @@
     private byte[] buffer = new byte[INITIAL_BYTES];
     private int size;
 
-    /** Appends an integer. */
+    /** Appends an integer of eight bytes, big-endian. */
     public ByteWriter writeLong(long value) {
         reserve(Long.BYTES).putLong(value);
         return this;
@@ -25,21 +25,21 @@
         return writeBytes(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Appends all fields of a document, its hash included. */
+    /** Appends all fields of a document, including its hash. */
     public ByteWriter writeDocument(RuleDocument document) {
         return writeText(document.name()).writeLong(document.version()).writeLong(document.parentVersion())
                 .writeText(document.parentHash()).writeText(document.author()).writeText(document.body())
                 .writeText(document.fallback()).writeText(document.hash());
     }
 
-    /** Appends bytes after their count. */
+    /** Appends a byte array after its length. */
     public ByteWriter writeBytes(byte[] bytes) {
         writeLong(bytes.length);
         reserve(bytes.length).put(bytes);
         return this;
     }
 
-    /** Returns a copy of all that was written. */
+    /** Returns a copy of all bytes written so far. */
     public byte[] toByteArray() {
         return Arrays.copyOf(buffer, size);
     }
--- a/src/main/java/wallmoor/rules/CorruptDataException.java
+++ b/src/main/java/wallmoor/rules/CorruptDataException.java
@@ -1,12 +1,20 @@
 package wallmoor.rules;
 
-/** Stored or received bytes are not what was written. The message says where, and what an operator can do. */
+/**
+ * Thrown when stored or received bytes can't be decoded. The message has the error, its byte offset, and the remedy for
+ * an operator.
+ */
 public final class CorruptDataException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates one that says what is wrong at which byte offset. */
-    public CorruptDataException(String what, long offset) {
-        super(what + " at byte " + offset
-                + ": put this file aside and let this member fetch all from the other voters");
+    /**
+     * Creates an exception.
+     *
+     * @param error  description of the error
+     * @param offset of the error in the decoded bytes
+     */
+    public CorruptDataException(String error, long offset) {
+        super(error + " at byte " + offset
+                + ": move this file away; this member then fetches its data from the other voters");
     }
 }
--- a/src/main/java/wallmoor/rules/DocumentSchema.java
+++ b/src/main/java/wallmoor/rules/DocumentSchema.java
@@ -9,9 +9,9 @@
 import wallmoor.json.Json;
 
 /**
- * Schema of one kind of document: parses and checks bodies, and merges the bodies of several versions in effect. A body
- * is a JSON object without nesting. A field that the schema lacks makes the body invalid instead of being skipped: what
- * one program skips another acts on.
+ * Schema of one kind of document: parses and validates bodies, and merges the bodies of several versions in effect. A
+ * body is a JSON object without nesting. A field that the schema lacks makes the body invalid instead of being ignored,
+ * as a release that ignored the field would act differently from one that knows it.
  */
 public final class DocumentSchema {
     private final String name;
@@ -21,9 +21,9 @@
     /**
      * Creates a schema.
      *
-     * @param name      of its documents
-     * @param fields    all that a body may have; the first that matches a name is that name's
-     * @param invariant between fields: returns what is wrong with a body, or null
+     * @param name      name of the documents that have this schema
+     * @param fields    the fields that a body may have; the first one that matches a field's name applies to it
+     * @param invariant check across several fields: returns the error in a body, or null
      */
     public DocumentSchema(String name, List<FieldSchema> fields, Function<RuleBody, String> invariant) {
         this.name = name;
@@ -31,7 +31,7 @@
         this.invariant = invariant;
     }
 
-    /** Returns the name of its documents. */
+    /** Returns the name of the documents that have this schema. */
     public String name() {
         return name;
     }
@@ -42,10 +42,10 @@
     }
 
     /**
-     * Parses a body and checks it against this schema.
+     * Parses a body and validates it against this schema.
      *
-     * @throws InvalidRuleException if it is no JSON object, has a field or value that the schema lacks, or breaks the
-     *                              invariant between fields
+     * @throws InvalidRuleException if it is not a JSON object, has a field or value that the schema does not allow, or
+     *                              breaks the invariant
      */
     public RuleBody parse(String json) throws InvalidRuleException {
         byte[] bytes = json.getBytes(StandardCharsets.UTF_8);
@@ -58,9 +58,9 @@
             throw invalid(e.getMessage());
         }
         var body = new RuleBody(values);
-        String fault = invariant.apply(body);
-        if (fault != null) {
-            throw invalid(fault);
+        String error = invariant.apply(body);
+        if (error != null) {
+            throw invalid(error);
         }
         return body;
     }
@@ -68,36 +68,38 @@
     private FieldValue parseField(String fieldName, Object json) throws InvalidRuleException {
         FieldSchema field = field(fieldName);
         if (field == null) {
-            throw invalid(fieldName + " is no field of this program's");
+            throw invalid(fieldName + " is not a field that this program knows");
         }
         FieldValue value = FieldValue.ofJson(json);
-        String violation = value == null ? "is no number, text, yes or no, or list of names" : field.violation(value);
+        String violation = value == null ? "is not a finite number, a text, true or false, or a list of texts"
+                : field.violation(value);
         if (violation != null) {
             throw invalid(fieldName + " " + violation);
         }
         return value;
     }
 
-    private InvalidRuleException invalid(String fault) {
-        return new InvalidRuleException(name + ": " + fault);
+    private InvalidRuleException invalid(String error) {
+        return new InvalidRuleException(name + ": " + error);
     }
 
     /**
-     * Parses a document's body and its fallback, and checks that the fallback permits nothing that the body does not.
+     * Parses a document's body and its fallback, and checks that the fallback permits nothing that the body does not
+     * permit.
      *
      * @return the body
      */
     public RuleBody validate(RuleDocument document) throws InvalidRuleException {
         RuleBody body = parse(document.body());
         if (!isAtMostAsPermissive(parse(document.fallback()), body)) {
-            throw invalid("the fallback gives what the body does not");
+            throw invalid("the fallback permits something that the body does not permit");
         }
         return body;
     }
 
     /**
-     * Merges two bodies field by field into the more restrictive of each. The result need not keep the invariant
-     * between fields.
+     * Merges two bodies field by field: the result has the more restrictive value of each field. It may break the
+     * schema's invariant.
      */
     public RuleBody meet(RuleBody a, RuleBody b) {
         var names = new TreeSet<>(a.fields().keySet());
@@ -112,17 +114,17 @@
         return new RuleBody(merged);
     }
 
-    /** Returns the fallback that keeps all restrictions of a body and permits nothing. */
+    /** Returns the most restrictive fallback of a body: it has all restrictions of the body and permits nothing. */
     public RuleBody minimalFallback(RuleBody body) {
         return meet(body, RuleBody.EMPTY);
     }
 
-    /** Returns whether the first body permits nothing that the second does not. */
+    /** Returns whether the first body permits nothing that the second one does not permit. */
     public boolean isAtMostAsPermissive(RuleBody a, RuleBody b) {
         return meet(a, b).equals(a);
     }
 
-    /** Returns the schema of the field of this name, or null. */
+    /** Returns the schema of the field with this name, or null. */
     FieldSchema field(String fieldName) {
         for (FieldSchema field : fields) {
             if (field.matches(fieldName)) {
--- a/src/main/java/wallmoor/rules/DocumentState.java
+++ b/src/main/java/wallmoor/rules/DocumentState.java
@@ -8,16 +8,16 @@
 import wallmoor.rules.ProposalRejection.Reason;
 
 /**
- * The versions of one document in the replicated state machine: at most one pending version that waits for the voters'
- * verdicts, the accepted ones, and which of these is active. Its transitions depend on log entries alone.
+ * The versions of one document in the replicated state machine: at most one pending version, which waits for the
+ * voters' verdicts, the accepted versions, and which of them is active. State changes depend on log entries alone.
  */
 final class DocumentState {
     private final TreeMap<Long, RuleDocument> accepted = new TreeMap<>();
-    /** By voter, its objection to the pending version; empty where its program can read it. */
+    /** By voter, its objection to the pending version; empty if the voter's program can read it. */
     private final TreeMap<String, String> verdicts = new TreeMap<>();
     private RuleDocument pending;
     private long activeVersion;
-    /** The highest version number ever assigned, also to a version that was rejected. */
+    /** The highest version number ever assigned, including those of rejected versions. */
     private long highestVersion;
 
     /** Returns the latest accepted version, or null. */
@@ -35,29 +35,29 @@
         return activeVersion;
     }
 
-    /** Returns the accepted versions that are kept, the oldest first. */
+    /** Returns the accepted versions that are retained, the oldest first. */
     List<RuleDocument> history() {
         return List.copyOf(accepted.values());
     }
 
-    /** Returns the active version, if any, and those accepted after it. */
+    /** Returns the active version, if any, and the versions accepted after it. */
     VersionChain chain(String name) {
         RuleDocument latest = latestAccepted();
         return new VersionChain(name, activeVersion, latest == null ? 0 : latest.version(),
                 List.copyOf(accepted.tailMap(activeVersion, true).values()));
     }
 
-    /** Returns the voters that have sent no verdict on the pending version; none where nothing is pending. */
+    /** Returns the voters that have sent no verdict on the pending version; empty if no version is pending. */
     SortedSet<String> votersWithoutVerdict(Set<String> voters) {
-        var silent = new TreeSet<String>();
+        var missing = new TreeSet<String>();
         if (pending != null) {
-            silent.addAll(voters);
-            silent.removeAll(verdicts.keySet());
+            missing.addAll(voters);
+            missing.removeAll(verdicts.keySet());
         }
-        return silent;
+        return missing;
     }
 
-    /** Applies a well-formed proposal. One that is pending or accepted already is idempotent. */
+    /** Applies a valid proposal. A repeated one that is already pending or accepted changes nothing. */
     RuleEvent propose(RuleProposal proposal) {
         if (pending != null && pending.proposal().equals(proposal)) {
             return new RuleEvent.VersionPending(pending);
@@ -76,19 +76,19 @@
         return new RuleEvent.VersionPending(pending);
     }
 
-    /** Returns why the proposal can't become the next version, or null. */
+    /** Returns the reason why the proposal can't become the next version, or null. */
     private ProposalRejection conflict(RuleProposal proposal) {
         RuleDocument latest = latestAccepted();
-        boolean onLatest = isParent(latest, proposal);
-        RuleDocument winner = pending != null && onLatest ? pending : latest;
-        if (winner != null && (!onLatest || pending != null)) {
-            boolean sameParent = winner.parentVersion() == proposal.parentVersion()
+        boolean isOnLatest = isParent(latest, proposal);
+        RuleDocument winner = pending != null && isOnLatest ? pending : latest;
+        if (winner != null && (!isOnLatest || pending != null)) {
+            boolean hasSameParent = winner.parentVersion() == proposal.parentVersion()
                     && winner.parentHash().equals(proposal.parentHash());
-            return new ProposalRejection(sameParent ? Reason.LOST : Reason.OLD_PARENT, proposal.name(),
+            return new ProposalRejection(hasSameParent ? Reason.LOST : Reason.OLD_PARENT, proposal.name(),
                     winner.version(), winner.author(), winner.hash());
-        } else if (!onLatest) {
+        } else if (!isOnLatest) {
             return new ProposalRejection(Reason.MALFORMED, proposal.name(), 0, "",
-                    "there is no version yet, so it can have no parent");
+                    "the proposal names a parent, but the document has no accepted version");
         }
         int inactive = accepted.tailMap(activeVersion, false).size();
         return inactive < RuleStateMachine.MAX_INACTIVE_VERSIONS ? null
@@ -101,7 +101,7 @@
                 : proposal.parentVersion() == latest.version() && proposal.parentHash().equals(latest.hash());
     }
 
-    /** Applies a verdict: one objection rejects the pending version, and consent of all voters accepts it. */
+    /** Applies a verdict: one objection rejects the pending version, and the consent of all voters accepts it. */
     List<RuleEvent> addVerdict(LogEntry.VoterVerdict verdict, Set<String> voters) {
         if (!isPending(verdict.version()) || !pending.hash().equals(verdict.hash())
                 || !voters.contains(verdict.voter())) {
@@ -114,7 +114,7 @@
         return verdicts.size() == voters.size() ? List.of(accept()) : List.of();
     }
 
-    /** Decides the pending version by the verdicts that came: a majority without objection accepts it. */
+    /** Decides on the pending version by the verdicts received: a majority without objection accepts it. */
     List<RuleEvent> closeVerdicts(long version, Set<String> voters) {
         if (!isPending(version)) {
             return List.of();
@@ -125,22 +125,23 @@
         return List.of(reject(Reason.UNHEARD, String.join(", ", votersWithoutVerdict(voters)), ""));
     }
 
-    /** Activates an accepted version; an older one than the active is never activated again. */
+    /** Activates an accepted version; a version older than the active one is never activated again. */
     List<RuleEvent> activate(String name, long version) {
         if (version <= activeVersion || !accepted.containsKey(version)) {
             return List.of();
         }
         activeVersion = version;
-        dropOldHistory();
+        trimHistory();
         return List.of(new RuleEvent.VersionActivated(name, version));
     }
 
-    private void dropOldHistory() {
+    private void trimHistory() {
         long chars = 0;
-        int kept = 0;
+        int retained = 0;
         for (RuleDocument document : List.copyOf(accepted.headMap(activeVersion, false).descendingMap().values())) {
             chars += document.body().length() + document.fallback().length();
-            if (++kept > RuleStateMachine.MAX_SUPERSEDED_VERSIONS || chars > RuleStateMachine.MAX_SUPERSEDED_CHARS) {
+            if (++retained > RuleStateMachine.MAX_SUPERSEDED_VERSIONS
+                    || chars > RuleStateMachine.MAX_SUPERSEDED_CHARS) {
                 accepted.remove(document.version());
             }
         }
@@ -157,37 +158,37 @@
         return new RuleEvent.VersionAccepted(document.proposal().idempotencyKey(), document);
     }
 
-    private RuleEvent reject(Reason reason, String opponent, String detail) {
+    private RuleEvent reject(Reason reason, String blockedBy, String detail) {
         RuleDocument document = pending;
         pending = null;
         return new RuleEvent.ProposalRejected(document.proposal().idempotencyKey(),
-                new ProposalRejection(reason, document.name(), document.version(), opponent, detail));
+                new ProposalRejection(reason, document.name(), document.version(), blockedBy, detail));
     }
 
-    /** Writes the state for a snapshot; the bytes are stored and sent, so their order may not change. */
-    void writeTo(ByteWriter to) {
-        to.writeLong(activeVersion).writeLong(highestVersion).writeLong(pending == null ? 0 : 1);
+    /** Writes the state for a snapshot. The bytes are stored and sent, so the order of fields must not change. */
+    void writeTo(ByteWriter writer) {
+        writer.writeLong(activeVersion).writeLong(highestVersion).writeLong(pending == null ? 0 : 1);
         if (pending != null) {
-            to.writeDocument(pending).writeLong(verdicts.size());
-            verdicts.forEach((voter, objection) -> to.writeText(voter).writeText(objection));
+            writer.writeDocument(pending).writeLong(verdicts.size());
+            verdicts.forEach((voter, objection) -> writer.writeText(voter).writeText(objection));
         }
-        to.writeLong(accepted.size());
-        accepted.values().forEach(to::writeDocument);
+        writer.writeLong(accepted.size());
+        accepted.values().forEach(writer::writeDocument);
     }
 
-    /** Reads what {@link #writeTo} wrote. */
-    static DocumentState readFrom(ByteReader from) throws CorruptDataException {
+    /** Reads a state that {@link #writeTo} wrote. */
+    static DocumentState readFrom(ByteReader reader) throws CorruptDataException {
         var state = new DocumentState();
-        state.activeVersion = from.readLong();
-        state.highestVersion = from.readLong();
-        if (from.readLong() == 1) {
-            state.pending = from.readDocument();
-            for (long left = from.readCount(); left > 0; left--) {
-                state.verdicts.put(from.readText(), from.readText());
+        state.activeVersion = reader.readLong();
+        state.highestVersion = reader.readLong();
+        if (reader.readLong() == 1) {
+            state.pending = reader.readDocument();
+            for (long remaining = reader.readCount(); remaining > 0; remaining--) {
+                state.verdicts.put(reader.readText(), reader.readText());
             }
         }
-        for (long left = from.readCount(); left > 0; left--) {
-            RuleDocument document = from.readDocument();
+        for (long remaining = reader.readCount(); remaining > 0; remaining--) {
+            RuleDocument document = reader.readDocument();
             state.accepted.put(document.version(), document);
         }
         return state;
--- a/src/main/java/wallmoor/rules/EffectiveRule.java
+++ b/src/main/java/wallmoor/rules/EffectiveRule.java
@@ -1,23 +1,25 @@
 package wallmoor.rules;
 
 /**
- * The version of a document that is in effect for a gatherer at one moment. A query keeps the one that it was opened
- * under to its end.
+ * The rule of a document that is in effect for a gatherer at one moment. A query uses the rule with which it started
+ * until it ends.
  *
- * @param activeVersion the version of which everything holds; 0 where none does
- * @param latestVersion the latest version known: of it and those between, only what they restrict holds
- * @param body          the fields in effect; empty where nothing is known
+ * @param basis         the kind of versions that the rule was made from
+ * @param activeVersion number of the active version; 0 if there is none
+ * @param latestVersion number of the latest known version; of the versions after the active one, only the restrictions
+ *                      are in effect
+ * @param body          the fields in effect; empty if no version is known
  */
 public record EffectiveRule(Basis basis, long activeVersion, long latestVersion, RuleBody body) {
-    /** By what right a gatherer acts on it. The names are shown to operators. */
+    /** The kind of versions that a rule was made from. Operators see the names. */
     public enum Basis {
-        /** Under a lease, the active version. */
+        /** The active version, under a lease. */
         VERSION,
-        /** Under a lease, with a later version known that is not active yet: what that restricts holds already. */
+        /** The active version, under a lease, with the restrictions of later versions that are not active yet. */
         CAREFUL,
-        /** Without a lease, or with a version that this program can't read: the versions' fallbacks. */
+        /** The fallbacks of the versions: there is no lease, or this program can't read a version. */
         FALLBACK,
-        /** Nothing is known: the gatherer's own files hold. */
+        /** No version is known: the gatherer's own configuration files are in effect. */
         NONE
     }
 }
--- a/src/main/java/wallmoor/rules/FieldSchema.java
+++ b/src/main/java/wallmoor/rules/FieldSchema.java
@@ -4,19 +4,19 @@
 import wallmoor.rules.FieldValue.Amount;
 
 /**
- * A field that bodies of a schema may have.
+ * Schema of a field of a document's body.
  *
- * @param path    its name; a last part of {@code *} stands for any one name, such as a node's, a block's or a tenant's
+ * @param path    name of the field; a trailing {@code *} matches any name, such as that of a node, block or tenant
  * @param merge   which of two values is the more restrictive
- * @param missing what it means where a body lacks the field
- * @param minimum of numbers
- * @param maximum of numbers
+ * @param missing meaning of a body without the field
+ * @param minimum smallest allowed number
+ * @param maximum largest allowed number
  */
 public record FieldSchema(String path, RestrictiveMerge merge, MissingFieldMeaning missing, double minimum,
         double maximum) {
     private static final double MAX_NUMBER = 1e15;
 
-    /** What it means that a body lacks a field. */
+    /** The meaning of a body without the field. */
     public enum MissingFieldMeaning {
         /** Nothing is permitted: the most restrictive meaning. */
         NOTHING,
@@ -24,20 +24,25 @@
         UNBOUND
     }
 
-    /** Checks that a field without an order permits nothing where it is missing: else merging is not associative. */
+    /**
+     * Checks that a missing field without an order permits nothing, as merging would not be associative otherwise.
+     *
+     * @throws IllegalArgumentException if it is unbound
+     */
     public FieldSchema {
         if (merge == RestrictiveMerge.NEITHER && missing != MissingFieldMeaning.NOTHING) {
             throw new IllegalArgumentException(
-                    path + ": of what is neither way careful nothing is given where it is missing");
+                    path + ": a field merged by " + merge + " must have NOTHING as the meaning of a missing field, not "
+                            + missing);
         }
     }
 
-    /** Returns a field that is no number. */
+    /** Returns the schema of a field that is not a number. */
     static FieldSchema of(String path, RestrictiveMerge merge, MissingFieldMeaning missing) {
         return new FieldSchema(path, merge, missing, 0, MAX_NUMBER);
     }
 
-    /** Returns whether a name in a body is this field's. */
+    /** Returns whether this schema applies to the field of a body with this name. */
     boolean matches(String name) {
         if (!path.endsWith("*")) {
             return path.equals(name);
@@ -46,16 +51,16 @@
         return name.length() > prefix && name.startsWith(path.substring(0, prefix));
     }
 
-    /** Returns what is wrong with a value, or null. The type's name is part of verdicts in the log. */
+    /** Returns the error of a value, or null. Voters put it into the verdicts that are stored in the log. */
     String violation(FieldValue value) {
         if (!merge.valueType.isInstance(value)) {
-            return "is no " + merge.valueType.getSimpleName().toLowerCase(Locale.ROOT);
+            return "is not of type " + merge.valueType.getSimpleName().toLowerCase(Locale.ROOT);
         }
         return value instanceof Amount a && !(a.value() >= minimum && a.value() <= maximum)
-                ? "is " + a.value() + ", not from " + minimum + " to " + maximum : null;
+                ? "is " + a.value() + ", which is not from " + minimum + " to " + maximum : null;
     }
 
-    /** Returns the more restrictive of two values; null stands for a missing field. */
+    /** Returns the more restrictive of two values; null means that the field is missing. */
     FieldValue meet(FieldValue a, FieldValue b) {
         if (a == null || b == null) {
             return missing == MissingFieldMeaning.NOTHING ? null : a == null ? b : a;
--- a/src/main/java/wallmoor/rules/FieldValue.java
+++ b/src/main/java/wallmoor/rules/FieldValue.java
@@ -7,15 +7,15 @@
 import java.util.SortedSet;
 import java.util.TreeSet;
 
-/** Value of a field of a rule's body. */
+/** Value of a field in a document's body. */
 public sealed interface FieldValue {
     /** A finite number. */
     record Amount(double value) implements FieldValue {}
 
-    /** True or false. */
+    /** A boolean. */
     record Flag(boolean value) implements FieldValue {}
 
-    /** A text; of two that differ, neither is more restrictive. */
+    /** A text. Of two different texts, neither is more restrictive. */
     record Text(String value) implements FieldValue {}
 
     /** A set of names. */
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Returns a parsed JSON value as a field's, or null where it is of no such type. */
+    /** Converts a parsed JSON value. Returns null if it is not of one of the types above. */
     static FieldValue ofJson(Object json) {
         if (json instanceof Number number && Double.isFinite(number.doubleValue())) {
             return new Amount(number.doubleValue());
--- a/src/main/java/wallmoor/rules/HolderProcess.java
+++ b/src/main/java/wallmoor/rules/HolderProcess.java
@@ -1,9 +1,10 @@
 package wallmoor.rules;
 
 /**
- * One process of a lease holder: leases of an earlier process of the same name are not its own.
+ * One process of a lease holder. It does not own the leases of an earlier process with the same name.
  *
- * @param incarnation differs between two processes of one name
+ * @param holder      name of the lease holder
+ * @param incarnation number that differs between two processes of the same name
  */
 record HolderProcess(String holder, long incarnation) {
     /** Returns the process that sent a request. */
--- a/src/main/java/wallmoor/rules/InvalidRuleException.java
+++ b/src/main/java/wallmoor/rules/InvalidRuleException.java
@@ -1,10 +1,10 @@
 package wallmoor.rules;
 
-/** A rule's body does not match this program's schema. The message says which field and why. */
+/** Thrown when a document's body does not match its schema. The message names the field and the error. */
 public final class InvalidRuleException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates one that says what is wrong, for the operator. */
+    /** Creates an exception with a message for the operator. */
     public InvalidRuleException(String message) {
         super(message);
     }
--- a/src/main/java/wallmoor/rules/KnownVersions.java
+++ b/src/main/java/wallmoor/rules/KnownVersions.java
@@ -9,31 +9,31 @@
 import wallmoor.rules.LeaseMessage.KnownVersion;
 
 /**
- * The accepted versions of each document that a lease holder knows, from the active one on, and which is active. What
- * comes from a leader is taken only where it continues what is known.
+ * The accepted versions of each document that a lease holder knows, from the active one on, and which one is active.
+ * Versions from a leader are added only if they continue the known ones.
  */
 final class KnownVersions {
     /**
-     * What a leader's chains changed.
+     * The changes that a leader's chains made.
      *
-     * @param newVersion whether a version is known now that was not
-     * @param changed    whether that, or a version has become active
+     * @param hasNewVersion whether a version was added
+     * @param hasChanged    whether a version was added or activated
      */
-    record Learned(boolean newVersion, boolean changed) {}
+    record Learned(boolean hasNewVersion, boolean hasChanged) {}
 
     private final Map<String, TreeMap<Long, RuleDocument>> versionsByName = new TreeMap<>();
     private final Map<String, Long> activeVersions = new HashMap<>();
 
-    /** Takes what continues the known versions; an altered or incomplete chain, or of another history, is skipped. */
+    /** Adds chains that continue the known versions; skips one that is altered, incomplete or of another history. */
     Learned learn(List<VersionChain> chains) {
-        boolean newVersion = false;
-        boolean activated = false;
+        boolean hasNewVersion = false;
+        boolean hasActivated = false;
         for (VersionChain chain : chains) {
-            newVersion |= addDocuments(chain);
-            activated |= activate(chain);
+            hasNewVersion |= addDocuments(chain);
+            hasActivated |= activate(chain);
             versions(chain.name()).headMap(activeVersion(chain.name()), false).clear();
         }
-        return new Learned(newVersion, newVersion || activated);
+        return new Learned(hasNewVersion, hasNewVersion || hasActivated);
     }
 
     private boolean addDocuments(VersionChain chain) {
@@ -56,12 +56,15 @@
         return true;
     }
 
-    /** Returns whether no known version contradicts the chain, and the two overlap or the chain is a later part. */
+    /**
+     * Returns whether the chain agrees with all known versions, and either its active version is not older than the
+     * first known version or it contains that version.
+     */
     private boolean continuesKnown(VersionChain chain) {
         NavigableMap<Long, RuleDocument> versions = versions(chain.name());
-        boolean agrees = chain.documents().stream()
+        boolean isConsistent = chain.documents().stream()
                 .allMatch(document -> versions.getOrDefault(document.version(), document).equals(document));
-        return agrees && (versions.isEmpty() || chain.activeVersion() >= versions.firstKey()
+        return isConsistent && (versions.isEmpty() || chain.activeVersion() >= versions.firstKey()
                 || chain.documents().contains(versions.firstEntry().getValue()));
     }
 
@@ -80,7 +83,7 @@
         return versions == null ? null : versions.lastEntry().getValue();
     }
 
-    /** Returns the active version's number, or 0. */
+    /** Returns the number of the active version, or 0 if there is none. */
     long activeVersion(String name) {
         return activeVersions.getOrDefault(name, 0L);
     }
@@ -96,7 +99,7 @@
         return names().stream().map(this::chain).toList();
     }
 
-    /** Returns number and hash of each document's latest version, for a lease request. */
+    /** Returns the number and hash of the latest version of each document, for a lease request. */
     Map<String, KnownVersion> latestOfEach() {
         var latest = new HashMap<String, KnownVersion>();
         for (String name : names()) {
--- a/src/main/java/wallmoor/rules/LeaseMessageCodec.java
+++ b/src/main/java/wallmoor/rules/LeaseMessageCodec.java
@@ -11,8 +11,8 @@
 import wallmoor.rules.LeaseMessage.VersionUpdate;
 
 /**
- * Binary codec of {@link LeaseMessage}, and of the version chains that a lease holder stores over a restart. Neither
- * the type numbers nor the order of fields may change: gatherers of another release read them.
+ * Binary codec of {@link LeaseMessage}, and of the version chains that a lease holder stores for its next process. The
+ * type numbers and the order of fields must not change, as gatherers of other releases read them.
  */
 public final class LeaseMessageCodec {
     private static final int REQUEST = 1;
@@ -22,24 +22,25 @@
 
     private LeaseMessageCodec() {}
 
-    /** Encodes a message as it is sent. */
+    /** Encodes a message for the network. */
     public static byte[] encode(LeaseMessage message) {
-        var to = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION);
+        var writer = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION);
         if (message instanceof LeaseRequest request) {
-            to.writeLong(REQUEST).writeText(request.holder()).writeLong(request.incarnation())
+            writer.writeLong(REQUEST).writeText(request.holder()).writeLong(request.incarnation())
                     .writeLong(request.sequence());
-            writeKnownVersions(to, request.knownVersions());
+            writeKnownVersions(writer, request.knownVersions());
         } else if (message instanceof LeaseGrant grant) {
-            to.writeLong(GRANT).writeText(grant.holder()).writeLong(grant.incarnation()).writeLong(grant.sequence());
-            writeChains(to, grant.chains());
+            writer.writeLong(GRANT).writeText(grant.holder()).writeLong(grant.incarnation())
+                    .writeLong(grant.sequence());
+            writeChains(writer, grant.chains());
         } else if (message instanceof LeaseDenial denial) {
-            to.writeLong(DENIAL).writeText(denial.holder()).writeLong(denial.incarnation())
+            writer.writeLong(DENIAL).writeText(denial.holder()).writeLong(denial.incarnation())
                     .writeLong(denial.sequence()).writeText(denial.reason());
         } else if (message instanceof VersionUpdate update) {
-            to.writeLong(UPDATE);
-            writeChains(to, update.chains());
+            writer.writeLong(UPDATE);
+            writeChains(writer, update.chains());
         }
-        return to.toByteArray();
+        return writer.toByteArray();
     }
 
     /**
@@ -48,85 +49,86 @@
      * @throws CorruptDataException if the bytes are not exactly one message of this format version
      */
     public static LeaseMessage decode(byte[] bytes) throws CorruptDataException {
-        var from = new ByteReader(bytes).readFormatVersion();
-        LeaseMessage message = readMessage(from, from.readLong());
-        from.expectEnd();
+        var reader = new ByteReader(bytes).readFormatVersion();
+        LeaseMessage message = readMessage(reader, reader.readLong());
+        reader.expectEnd();
         return message;
     }
 
-    /** Encodes what a lease holder knows as the records of a file, one for each document. */
+    /** Encodes the versions that a lease holder knows as the records of a file, one for each document. */
     public static List<byte[]> encodeKnownVersions(List<VersionChain> known) {
         return known.stream().map(LeaseMessageCodec::encodeChain).toList();
     }
 
     /**
-     * Decodes the records of such a file.
+     * Decodes the records of a file of known versions.
      *
-     * @throws CorruptDataException if a record is not what {@link #encodeKnownVersions} wrote
+     * @throws CorruptDataException if {@link #encodeKnownVersions} can't have written a record
      */
     public static List<VersionChain> decodeKnownVersions(List<byte[]> records) throws CorruptDataException {
         var all = new ArrayList<VersionChain>();
         for (byte[] record : records) {
-            var from = new ByteReader(record).readFormatVersion();
-            all.addAll(readChains(from));
-            from.expectEnd();
+            var reader = new ByteReader(record).readFormatVersion();
+            all.addAll(readChains(reader));
+            reader.expectEnd();
         }
         return List.copyOf(all);
     }
 
     private static byte[] encodeChain(VersionChain chain) {
-        var to = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION);
-        writeChains(to, List.of(chain));
-        return to.toByteArray();
+        var writer = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION);
+        writeChains(writer, List.of(chain));
+        return writer.toByteArray();
     }
 
-    private static LeaseMessage readMessage(ByteReader from, long type) throws CorruptDataException {
+    private static LeaseMessage readMessage(ByteReader reader, long type) throws CorruptDataException {
         if (type == REQUEST) {
-            return new LeaseRequest(from.readText(), from.readLong(), from.readLong(), readKnownVersions(from));
+            return new LeaseRequest(reader.readText(), reader.readLong(), reader.readLong(), readKnownVersions(reader));
         } else if (type == GRANT) {
-            return new LeaseGrant(from.readText(), from.readLong(), from.readLong(), readChains(from));
+            return new LeaseGrant(reader.readText(), reader.readLong(), reader.readLong(), readChains(reader));
         } else if (type == DENIAL) {
-            return new LeaseDenial(from.readText(), from.readLong(), from.readLong(), from.readText());
+            return new LeaseDenial(reader.readText(), reader.readLong(), reader.readLong(), reader.readText());
         } else if (type == UPDATE) {
-            return new VersionUpdate(readChains(from));
+            return new VersionUpdate(readChains(reader));
         }
-        throw new CorruptDataException("a message of unknown type " + type, Long.BYTES);
+        throw new CorruptDataException("unknown lease message type " + type, Long.BYTES);
     }
 
-    private static void writeKnownVersions(ByteWriter to, Map<String, KnownVersion> known) {
-        to.writeLong(known.size());
-        known.forEach((name, version) -> to.writeText(name).writeLong(version.version()).writeText(version.hash()));
+    private static void writeKnownVersions(ByteWriter writer, Map<String, KnownVersion> known) {
+        writer.writeLong(known.size());
+        known.forEach((name, version) -> writer.writeText(name).writeLong(version.version()).writeText(version.hash()));
     }
 
-    private static Map<String, KnownVersion> readKnownVersions(ByteReader from) throws CorruptDataException {
+    private static Map<String, KnownVersion> readKnownVersions(ByteReader reader) throws CorruptDataException {
         var known = new HashMap<String, KnownVersion>();
-        for (long left = from.readCount(); left > 0; left--) {
-            known.put(from.readText(), new KnownVersion(from.readLong(), from.readText()));
+        for (long remaining = reader.readCount(); remaining > 0; remaining--) {
+            known.put(reader.readText(), new KnownVersion(reader.readLong(), reader.readText()));
         }
         return known;
     }
 
-    private static void writeChains(ByteWriter to, List<VersionChain> chains) {
-        to.writeLong(chains.size());
+    private static void writeChains(ByteWriter writer, List<VersionChain> chains) {
+        writer.writeLong(chains.size());
         for (VersionChain chain : chains) {
-            to.writeText(chain.name()).writeLong(chain.activeVersion()).writeLong(chain.latestVersion())
+            writer.writeText(chain.name()).writeLong(chain.activeVersion()).writeLong(chain.latestVersion())
                     .writeLong(chain.documents().size());
-            chain.documents().forEach(to::writeDocument);
+            chain.documents().forEach(writer::writeDocument);
         }
     }
 
-    private static List<VersionChain> readChains(ByteReader from) throws CorruptDataException {
+    private static List<VersionChain> readChains(ByteReader reader) throws CorruptDataException {
         var chains = new ArrayList<VersionChain>();
-        for (long left = from.readCount(); left > 0; left--) {
-            chains.add(new VersionChain(from.readText(), from.readLong(), from.readLong(), readDocuments(from)));
+        for (long remaining = reader.readCount(); remaining > 0; remaining--) {
+            chains.add(
+                    new VersionChain(reader.readText(), reader.readLong(), reader.readLong(), readDocuments(reader)));
         }
         return List.copyOf(chains);
     }
 
-    private static List<RuleDocument> readDocuments(ByteReader from) throws CorruptDataException {
+    private static List<RuleDocument> readDocuments(ByteReader reader) throws CorruptDataException {
         var documents = new ArrayList<RuleDocument>();
-        for (long left = from.readCount(); left > 0; left--) {
-            documents.add(from.readDocument());
+        for (long remaining = reader.readCount(); remaining > 0; remaining--) {
+            documents.add(reader.readDocument());
         }
         return documents;
     }
--- a/src/main/java/wallmoor/rules/LeaseTable.java
+++ b/src/main/java/wallmoor/rules/LeaseTable.java
@@ -13,28 +13,31 @@
 import wallmoor.rules.LeaseMessage.VersionUpdate;
 
 /**
- * The leader's side of leases (Gray and Cheriton 1989): which lease holders have a lease until when and which versions
- * each knows. From that it decides when an accepted version may become active: once no lease is left whose holder does
- * not know it. Times are microseconds on this process's own monotonic clock. Single-threaded.
+ * The leader's side of the lease protocol (Gray and Cheriton 1989): the expiry of each holder's lease and the versions
+ * that each holder knows. The leader activates an accepted version once all holders of unexpired leases know it. Times
+ * are microseconds on this process's own monotonic clock. Single-threaded.
  *
- * <p>Of the log it needs, beside the order of entries, a barrier: when a barrier succeeds, all entries that were
- * committed anywhere before it started have been applied here. A voter that has lost its leadership gets no barrier to
- * succeed, so it needs no leader lease of its own and no clock of a voter is compared with another's.
+ * <p>Besides the order of entries, the log must provide a barrier: when a barrier succeeds, all entries that any voter
+ * had committed before it started have been applied here. Barriers of a voter that is no longer the leader fail, so the
+ * leader needs no lease of its own, and clocks of different voters are never compared.
  */
 public final class LeaseTable {
-    /** What the table asks its owner to do. */
+    /** The actions that the owner of the table performs for it. */
     public interface Actions {
-        /** Sends a message to a lease holder; it may be lost. */
+        /** Sends a message to a lease holder. The message may be lost. */
         void send(String holder, LeaseMessage message);
 
-        /** Appends an entry to the log; it may be lost, and is appended again while it is still wanted. */
+        /** Appends an entry to the log. The entry may be lost; the table appends it again while it is needed. */
         void append(LogEntry entry);
 
-        /** Starts a barrier; at most one runs. {@link #onBarrier} or {@link #onBarrierFailed} must follow. */
+        /**
+         * Starts a barrier. At most one runs at a time. When it ends, the owner calls {@link #onBarrier} or
+         * {@link #onBarrierFailed}.
+         */
         void startBarrier(long token);
     }
 
-    /** Processes that are granted leases at once; more are denied one. */
+    /** Maximum number of processes with a lease; further processes are denied one. */
     private static final int MAX_HOLDERS = 10_000;
 
     private static final class LeaseRecord {
@@ -53,14 +56,18 @@
     private final BarrierQueue barriers = new BarrierQueue();
     private final VerdictTimer verdictTimer;
     private final AppendRetry appendRetry;
-    private boolean elected;
+    private boolean isElected;
     private boolean isLeader;
     private long leaderSince;
 
     /**
      * Creates an empty table. It grants leases only after its own {@link LogEntry.LeaderElected} has been applied.
      *
-     * @param incarnation of this process: never the same for two processes of one voter
+     * @param self         name of this voter
+     * @param incarnation  number of this process; must differ between two processes of the same voter
+     * @param timing       durations of the lease protocol
+     * @param stateMachine the state machine of this voter, which its owner applies the log to
+     * @param actions      actions that the owner performs for the table
      */
     public LeaseTable(String self, long incarnation, LeaseTiming timing, RuleStateMachine stateMachine,
             Actions actions) {
@@ -73,13 +80,16 @@
         appendRetry = new AppendRetry(timing.leaseTerm());
     }
 
-    /** The log's election has made this voter the leader, or ended that; a new leader announces itself in the log. */
-    public void onElectionChanged(long now, boolean nowElected) {
-        elected = nowElected;
+    /**
+     * Handles an election of the log that made this voter the leader, or ended its leadership. A new leader appends
+     * {@link LogEntry.LeaderElected}.
+     */
+    public void onElectionChanged(long now, boolean isNowElected) {
+        isElected = isNowElected;
         appendDueEntries(now);
     }
 
-    /** The state machine has applied an entry, with these events. */
+    /** Handles the events of an entry that the state machine has applied. */
     public void onApplied(long now, List<RuleEvent> events) {
         for (RuleEvent event : events) {
             if (event instanceof RuleEvent.LeaderChanged) {
@@ -98,7 +108,7 @@
     private void onLeaderChanged(long now) {
         isLeader = stateMachine.isLeader(self, incarnation);
         leaderSince = now;
-        leases.clear(); // those of an earlier leadership are waited out like any other leader's
+        leases.clear(); // leases of this voter's earlier leadership are waited out like those of any other leader
         barriers.clear();
         appendRetry.clear();
         verdictTimer.clear();
@@ -117,8 +127,8 @@
     }
 
     /**
-     * A lease holder asks for a lease. The versions that it knows count at once; the lease is granted once a barrier
-     * that starts after this has succeeded.
+     * Handles a lease request. The versions that the holder knows are recorded at once. The lease is granted when a
+     * barrier that starts after this call has succeeded.
      */
     public void onLeaseRequest(long now, LeaseRequest request) {
         if (!isLeader) {
@@ -126,13 +136,13 @@
         }
         var process = HolderProcess.of(request);
         if (!leases.containsKey(process) && isFull(now)) {
-            deny(request, "leases are out to " + MAX_HOLDERS + " gatherers");
+            deny(request, "the maximum of " + MAX_HOLDERS + " gatherers have a lease already");
             return;
         }
         LeaseRecord lease = leases.computeIfAbsent(process, p -> new LeaseRecord());
         lease.requestedAt = now;
         if (request.sequence() <= lease.sequence) {
-            return; // overtaken by a later request, which says more
+            return; // outdated: a later request with newer known versions has arrived already
         }
         lease.sequence = request.sequence();
         request.knownVersions()
@@ -149,7 +159,7 @@
         return leases.size() >= MAX_HOLDERS;
     }
 
-    /** A barrier has succeeded: the requests that waited for it are answered. */
+    /** Handles a barrier that succeeded: answers the requests that waited for it. */
     public void onBarrier(long now, long token) {
         if (!barriers.finish(token)) {
             return;
@@ -161,7 +171,7 @@
         startBarrierIfNeeded(now);
     }
 
-    /** A barrier has failed: its requests get no answer, and are made again by their holders. */
+    /** Handles a barrier that failed: drops the requests that waited for it, which their holders repeat. */
     public void onBarrierFailed(long now, long token) {
         if (barriers.finish(token)) {
             barriers.takeWaiting();
@@ -169,7 +179,7 @@
         }
     }
 
-    /** Time has passed; to be called several times a second. */
+    /** Handles a timer tick. The owner calls it several times a second. */
     public void onTick(long now) {
         appendDueEntries(now);
         dropExpired(now);
@@ -179,7 +189,7 @@
         leases.values().removeIf(lease -> lease.expiry <= now && now - lease.requestedAt > timing.leaseTerm());
     }
 
-    /** Returns when the last lease is over that this or an earlier leader may have granted. */
+    /** Returns the time at which the last lease expires that this or an earlier leader may have granted. */
     public long latestExpiry() {
         return leases.values().stream().mapToLong(lease -> lease.expiry)
                 .reduce(leaderSince + timing.grantorWait(), Math::max);
@@ -192,9 +202,9 @@
     }
 
     /**
-     * Grants a lease, or denies it to a holder that knows a version which is not in this log. The lease counts from the
-     * request, which came before the barrier started; so it is over within a lease term of true time after that start,
-     * counted here by this clock at its fastest.
+     * Grants a lease, or denies it if the holder knows a version that is not in this log. The lease counts from the
+     * time of the request, which is before the start of the barrier. So it expires within one lease term of true time
+     * after that start; its expiry here allows for a clock that runs at its fastest rate.
      */
     private void grantOrDeny(HolderProcess process, LeaseRequest request) {
         String unknown = versionNotInLog(request);
@@ -208,7 +218,7 @@
                 chainsFor(request)));
     }
 
-    /** Returns the name of a document of which the holder knows what never was in this log, or null. */
+    /** Returns the name of a document of which the holder knows a version that is not in this log, or null. */
     private String versionNotInLog(LeaseRequest request) {
         for (String name : request.knownVersions().keySet()) {
             if (stateMachine.latestAccepted(name) == null) {
@@ -226,27 +236,28 @@
         return null;
     }
 
-    /** Returns the versions in effect of each document, with the documents themselves where the holder lacks one. */
+    /** Returns the versions in effect of each document; with their contents if the holder lacks the latest version. */
     private List<VersionChain> chainsFor(LeaseRequest request) {
         var chains = new ArrayList<VersionChain>();
         for (String name : stateMachine.documentNames()) {
             RuleDocument latest = stateMachine.latestAccepted(name);
             if (latest != null) {
                 KnownVersion known = request.knownVersions().get(name);
-                boolean upToDate = known != null && known.version() == latest.version();
+                boolean isUpToDate = known != null && known.version() == latest.version();
                 VersionChain chain = stateMachine.chain(name);
-                chains.add(upToDate ? chain.withoutDocuments() : chain);
+                chains.add(isUpToDate ? chain.withoutDocuments() : chain);
             }
         }
         return chains;
     }
 
-    /** Denies a lease where the voters have lost versions: nobody may act on numbers that begin anew. */
+    /** Denies a lease if the voters have lost versions, as they may assign the lost version numbers again. */
     private void denyUnknownVersion(LeaseRequest request, String name) {
         RuleDocument latest = stateMachine.latestAccepted(name);
-        deny(request, "it knows " + name + " " + request.knownVersions().get(name).version() + ", the voters have "
+        deny(request, "this gatherer knows " + name + " " + request.knownVersions().get(name).version()
+                + ", which is not in the voters' log; their latest version is "
                 + (latest == null ? 0 : latest.version())
-                + " and not that one: they have lost what they kept; put their files back");
+                + ": the voters have lost stored data; restore the voters' files");
     }
 
     private void deny(LeaseRequest request, String reason) {
@@ -254,10 +265,10 @@
                 new LeaseDenial(request.holder(), request.incarnation(), request.sequence(), reason));
     }
 
-    /** Appends what the leader owes the log: its own election, the end of waits for verdicts, and activations. */
+    /** Appends the entries that are due: the leader's election, the closing of verdicts, and activations. */
     private void appendDueEntries(long now) {
         if (!isLeader) {
-            if (elected) {
+            if (isElected) {
                 append(now, new LogEntry.LeaderElected(self, incarnation));
             }
             return;
@@ -275,7 +286,7 @@
         }
     }
 
-    /** Returns whether an inactive version may become active: no lease is left whose holder does not know it. */
+    /** Returns whether a version may become active: all holders of unexpired leases must know it. */
     private boolean mayActivate(long now, String name, long version) {
         return version > stateMachine.activeVersion(name) && now >= leaderSince + timing.grantorWait()
                 && leases.values().stream().allMatch(
--- a/src/main/java/wallmoor/rules/LogEntry.java
+++ b/src/main/java/wallmoor/rules/LogEntry.java
@@ -1,30 +1,30 @@
 package wallmoor.rules;
 
 /**
- * An entry of the replicated log, as in Raft. Entries of a leader carry its epoch as a fencing token: the state machine
- * ignores one whose epoch, version or hash is no longer current.
+ * An entry of the replicated log, as in Raft. Entries of a leader carry its epoch as a fencing token. The state machine
+ * ignores entries whose epoch, version or hash is no longer current.
  */
 public sealed interface LogEntry {
-    /** An author proposes a version. */
+    /** Proposes a version of a document. */
     record ProposeVersion(RuleProposal proposal) implements LogEntry {}
 
     /**
-     * A voter says whether its program can read a pending version.
+     * Reports whether a voter's program can read a pending version.
      *
-     * @param objection why it can't; empty where it can
+     * @param objection why the program can't read it; empty if it can
      */
     record VoterVerdict(String voter, String name, long version, String hash, String objection) implements LogEntry {}
 
-    /** The leader has waited long enough for verdicts: those that came decide on the version. */
+    /** Ends the leader's wait for verdicts: the verdicts received decide on the version. */
     record CloseVerdicts(long leaderEpoch, String name, long version) implements LogEntry {}
 
     /**
-     * A voter leads from this entry on, and alone grants leases.
+     * Makes a voter the leader from this entry on. Only the leader grants leases.
      *
-     * @param incarnation tells two processes of one voter apart
+     * @param incarnation number that differs between two processes of the same voter
      */
     record LeaderElected(String voter, long incarnation) implements LogEntry {}
 
-    /** No lease is left whose holder does not know this version: it becomes active. */
+    /** Activates a version, as all holders of unexpired leases know it. */
     record ActivateVersion(long leaderEpoch, String name, long version) implements LogEntry {}
 }
--- a/src/main/java/wallmoor/rules/LogEntryCodec.java
+++ b/src/main/java/wallmoor/rules/LogEntryCodec.java
@@ -7,8 +7,8 @@
 import wallmoor.rules.LogEntry.VoterVerdict;
 
 /**
- * Binary codec of {@link LogEntry}: the format version, the entry's type, then its fields in order. The bytes are
- * stored in the replicated log and sent between voters, so neither the type numbers nor the order of fields may change.
+ * Binary codec of {@link LogEntry}: the format version, the type of the entry, then its fields in order. The bytes are
+ * stored in the replicated log and sent between voters, so the type numbers and the order of fields must not change.
  */
 public final class LogEntryCodec {
     /** Version of every binary format of this package; bytes of another version are rejected. */
@@ -22,24 +22,24 @@
 
     private LogEntryCodec() {}
 
-    /** Encodes an entry as the log carries it. */
+    /** Encodes an entry for the log. */
     public static byte[] encode(LogEntry entry) {
-        var to = new ByteWriter().writeLong(FORMAT_VERSION);
+        var writer = new ByteWriter().writeLong(FORMAT_VERSION);
         if (entry instanceof ProposeVersion propose) {
-            to.writeLong(PROPOSE);
-            writeProposal(to, propose.proposal());
+            writer.writeLong(PROPOSE);
+            writeProposal(writer, propose.proposal());
         } else if (entry instanceof VoterVerdict verdict) {
-            to.writeLong(VERDICT).writeText(verdict.voter()).writeText(verdict.name()).writeLong(verdict.version())
+            writer.writeLong(VERDICT).writeText(verdict.voter()).writeText(verdict.name()).writeLong(verdict.version())
                     .writeText(verdict.hash()).writeText(verdict.objection());
         } else if (entry instanceof CloseVerdicts close) {
-            to.writeLong(CLOSE).writeLong(close.leaderEpoch()).writeText(close.name()).writeLong(close.version());
+            writer.writeLong(CLOSE).writeLong(close.leaderEpoch()).writeText(close.name()).writeLong(close.version());
         } else if (entry instanceof LeaderElected elected) {
-            to.writeLong(LEADER).writeText(elected.voter()).writeLong(elected.incarnation());
+            writer.writeLong(LEADER).writeText(elected.voter()).writeLong(elected.incarnation());
         } else if (entry instanceof ActivateVersion activate) {
-            to.writeLong(ACTIVATE).writeLong(activate.leaderEpoch()).writeText(activate.name())
+            writer.writeLong(ACTIVATE).writeLong(activate.leaderEpoch()).writeText(activate.name())
                     .writeLong(activate.version());
         }
-        return to.toByteArray();
+        return writer.toByteArray();
     }
 
     /**
@@ -48,35 +48,35 @@
      * @throws CorruptDataException if the bytes are not exactly one entry of this format version
      */
     public static LogEntry decode(byte[] bytes) throws CorruptDataException {
-        var from = new ByteReader(bytes).readFormatVersion();
-        LogEntry entry = readEntry(from, from.readLong());
-        from.expectEnd();
+        var reader = new ByteReader(bytes).readFormatVersion();
+        LogEntry entry = readEntry(reader, reader.readLong());
+        reader.expectEnd();
         return entry;
     }
 
-    private static LogEntry readEntry(ByteReader from, long type) throws CorruptDataException {
+    private static LogEntry readEntry(ByteReader reader, long type) throws CorruptDataException {
         if (type == PROPOSE) {
-            return new ProposeVersion(readProposal(from));
+            return new ProposeVersion(readProposal(reader));
         } else if (type == VERDICT) {
-            return new VoterVerdict(from.readText(), from.readText(), from.readLong(), from.readText(),
-                    from.readText());
+            return new VoterVerdict(reader.readText(), reader.readText(), reader.readLong(), reader.readText(),
+                    reader.readText());
         } else if (type == CLOSE) {
-            return new CloseVerdicts(from.readLong(), from.readText(), from.readLong());
+            return new CloseVerdicts(reader.readLong(), reader.readText(), reader.readLong());
         } else if (type == LEADER) {
-            return new LeaderElected(from.readText(), from.readLong());
+            return new LeaderElected(reader.readText(), reader.readLong());
         } else if (type == ACTIVATE) {
-            return new ActivateVersion(from.readLong(), from.readText(), from.readLong());
+            return new ActivateVersion(reader.readLong(), reader.readText(), reader.readLong());
         }
-        throw new CorruptDataException("an entry of unknown type " + type, Long.BYTES);
+        throw new CorruptDataException("unknown log entry type " + type, Long.BYTES);
     }
 
-    private static void writeProposal(ByteWriter to, RuleProposal proposal) {
-        to.writeText(proposal.name()).writeLong(proposal.parentVersion()).writeText(proposal.parentHash())
+    private static void writeProposal(ByteWriter writer, RuleProposal proposal) {
+        writer.writeText(proposal.name()).writeLong(proposal.parentVersion()).writeText(proposal.parentHash())
                 .writeText(proposal.author()).writeText(proposal.body()).writeText(proposal.fallback());
     }
 
-    private static RuleProposal readProposal(ByteReader from) throws CorruptDataException {
-        return new RuleProposal(from.readText(), from.readLong(), from.readText(), from.readText(), from.readText(),
-                from.readText());
+    private static RuleProposal readProposal(ByteReader reader) throws CorruptDataException {
+        return new RuleProposal(reader.readText(), reader.readLong(), reader.readText(), reader.readText(),
+                reader.readText(), reader.readText());
     }
 }
--- a/src/main/java/wallmoor/rules/ProposalRejection.java
+++ b/src/main/java/wallmoor/rules/ProposalRejection.java
@@ -1,44 +1,47 @@
 package wallmoor.rules;
 
 /**
- * Why a proposal was rejected.
+ * The reason why a proposal was rejected.
  *
- * @param name         of the document
- * @param aboutVersion the version rejected, or the one that won over it
- * @param opponent     the voter that objects or is silent, or the winner's author
- * @param detail       by reason, such as a voter's objection or the winner's hash
+ * @param name         name of the document
+ * @param aboutVersion the rejected version, or the version that was accepted or pending before it
+ * @param blockedBy    the voter that objected, the voters without a verdict, or the author of the earlier version
+ * @param detail       depends on the reason, such as a voter's objection or the hash of the earlier version
  */
-public record ProposalRejection(Reason reason, String name, long aboutVersion, String opponent, String detail) {
-    /** Reasons for a rejection. */
+public record ProposalRejection(Reason reason, String name, long aboutVersion, String blockedBy, String detail) {
+    /** Reasons for a rejection. The names are part of responses to clients. */
     public enum Reason {
-        /** Another proposal on the same parent was first in the log. */
+        /** Another proposal on the same parent came first in the log. */
         LOST,
         /** The parent is not the latest accepted version. */
         OLD_PARENT,
-        /** A voter's program can't read it. */
+        /** A voter's program can't read the proposed version. */
         UNREADABLE,
         /** Fewer than a majority of voters sent a verdict in time. */
         UNHEARD,
         /** Too many accepted versions are not active yet. */
         BUSY,
-        /** It is too large, or its name, author or parent is invalid. */
+        /** The proposal is too large, or its name, author or parent is invalid. */
         MALFORMED
     }
 
-    /** Returns a sentence for the author: what happened and what to do. */
+    /** Returns a message for the author with the reason and the remedy. */
     public String message() {
         String version = name + " " + aboutVersion;
         return switch (reason) {
             case LOST ->
-                version + " by " + opponent + " was proposed first on the same parent: look at it and propose again";
+                version + " by " + blockedBy + " was proposed first on the same parent: review it and propose again";
             case OLD_PARENT ->
-                "the last version is " + version + " by " + opponent + ": look at it and propose again on it";
+                "the parent is outdated, the latest version is " + version + " by " + blockedBy
+                        + ": review it and propose again on top of it";
             case UNREADABLE ->
-                opponent + " cannot read " + version + " (" + detail + "): correct it, or put the newer program on "
-                        + opponent;
+                blockedBy + " cannot read " + version + " (" + detail
+                        + "): correct the document, or upgrade the program on " + blockedBy;
             case UNHEARD ->
-                "of " + version + " no verdict came from " + opponent + ": see that they run, and propose again";
-            case BUSY -> detail + " versions wait until all know them: propose again once " + version + " acts";
+                "no verdict came from " + blockedBy + " on " + version
+                        + " in time: check that these voters run, and propose again";
+            case BUSY ->
+                detail + " accepted versions are not active yet: propose again once " + version + " is active";
             case MALFORMED -> name + ": " + detail;
         };
     }
--- a/src/main/java/wallmoor/rules/RecordFile.java
+++ b/src/main/java/wallmoor/rules/RecordFile.java
@@ -7,36 +7,37 @@
 import java.util.zip.CRC32C;
 
 /**
- * Codec of files of records, each with its length and a CRC-32C. A log file grows by one record a write: a torn write
- * leaves an incomplete last record, which is cut. Any other fault is corruption and is never skipped, as a vote or an
- * entry that was confirmed may stand behind it. A file that is replaced as a whole ends with a record that counts the
- * others; without that record the file before it holds.
+ * Codec of files of records, each with its length and a CRC-32C checksum. A log file grows by one record per write: a
+ * torn write leaves an incomplete last record, which is truncated. Any other damage is corruption and is never skipped,
+ * as a vote or an entry that was acknowledged may follow it. A file that is replaced atomically ends with a closing
+ * record that has the number of the other records; a file without it is invalid, and the previous file remains valid.
  */
 public final class RecordFile {
-    /** Bytes of one record's payload: a snapshot of the state machine fits. */
+    /** Maximum size of a record's payload. A snapshot of the state machine fits into one record. */
     public static final int MAX_RECORD_BYTES = 64 << 20;
+    /** Start of each record: "WMr1" in ASCII. */
     private static final int MAGIC = 0x574d7231;
     private static final int HEADER_BYTES = 3 * Integer.BYTES;
 
     /**
      * The records of a log file.
      *
-     * @param records     all complete ones
-     * @param validLength bytes that they take: what follows is torn, and is to be cut before more is written
+     * @param records     the payloads of all complete records
+     * @param validLength length of the complete records in bytes; the caller truncates the file to it before it appends
      */
     public record DecodedRecords(List<byte[]> records, int validLength) {}
 
     private RecordFile() {}
 
-    /** Encodes a record to be appended in one write. */
+    /** Encodes a record, which the caller appends in one write. */
     public static byte[] encodeRecord(byte[] payload) {
         if (payload.length > MAX_RECORD_BYTES) {
             throw new IllegalArgumentException(
-                    "a record of " + payload.length + " bytes; " + MAX_RECORD_BYTES + " at most");
+                    "record payload of " + payload.length + " bytes exceeds the maximum of " + MAX_RECORD_BYTES);
         }
-        var to = ByteBuffer.allocate(HEADER_BYTES + payload.length);
-        to.putInt(MAGIC).putInt(payload.length).putInt(checksum(payload, 0, payload.length)).put(payload);
-        return to.array();
+        var buffer = ByteBuffer.allocate(HEADER_BYTES + payload.length);
+        buffer.putInt(MAGIC).putInt(payload.length).putInt(checksum(payload, 0, payload.length)).put(payload);
+        return buffer.array();
     }
 
     /**
@@ -46,58 +47,59 @@
      */
     public static DecodedRecords decodeLog(byte[] file) throws CorruptDataException {
         var records = new ArrayList<byte[]>();
-        int at = 0;
-        for (int next; (next = recordEnd(file, at)) > 0; at = next) {
-            records.add(Arrays.copyOfRange(file, at + HEADER_BYTES, next));
+        int offset = 0;
+        for (int next; (next = recordEnd(file, offset)) > 0; offset = next) {
+            records.add(Arrays.copyOfRange(file, offset + HEADER_BYTES, next));
         }
-        for (int later = at + 1; later <= file.length - HEADER_BYTES; later++) {
+        for (int later = offset + 1; later <= file.length - HEADER_BYTES; later++) {
             if (recordEnd(file, later) > 0) {
-                throw new CorruptDataException("a record is damaged, and whole ones follow it", at);
+                throw new CorruptDataException("damaged record, which is followed by complete records,", offset);
             }
         }
-        return new DecodedRecords(List.copyOf(records), at);
+        return new DecodedRecords(List.copyOf(records), offset);
     }
 
-    /** Encodes a complete file of these records, with the record that closes it. */
+    /** Encodes a complete file of records with these payloads and the closing record. */
     public static byte[] encodeComplete(List<byte[]> payloads) {
-        List<byte[]> written = payloads.stream().map(RecordFile::encodeRecord).toList();
-        var to = ByteBuffer.allocate(written.stream().mapToInt(w -> w.length).sum() + HEADER_BYTES + Long.BYTES);
-        written.forEach(to::put);
-        return to.put(encodeRecord(closing(payloads.size()))).array();
+        List<byte[]> records = payloads.stream().map(RecordFile::encodeRecord).toList();
+        var buffer = ByteBuffer.allocate(records.stream().mapToInt(r -> r.length).sum() + HEADER_BYTES + Long.BYTES);
+        records.forEach(buffer::put);
+        return buffer.put(encodeRecord(closingPayload(payloads.size()))).array();
     }
 
     /**
-     * Decodes a file written by {@link #encodeComplete}, without the record that closes it.
+     * Decodes a file that {@link #encodeComplete} encoded. The closing record is not returned.
      *
-     * @throws CorruptDataException if the file is damaged or was not written to its end
+     * @throws CorruptDataException if the file is damaged or incomplete
      */
     public static List<byte[]> decodeComplete(byte[] file) throws CorruptDataException {
-        DecodedRecords read = decodeLog(file);
-        int last = read.records().size() - 1;
-        if (read.validLength() != file.length || last < 0 || !Arrays.equals(read.records().get(last), closing(last))) {
-            throw new CorruptDataException("a file was not written to its end", read.validLength());
+        DecodedRecords decoded = decodeLog(file);
+        int last = decoded.records().size() - 1;
+        if (decoded.validLength() != file.length || last < 0
+                || !Arrays.equals(decoded.records().get(last), closingPayload(last))) {
+            throw new CorruptDataException("incomplete file without a valid closing record", decoded.validLength());
         }
-        return read.records().subList(0, last);
+        return decoded.records().subList(0, last);
     }
 
-    private static byte[] closing(int count) {
-        return ByteBuffer.allocate(Long.BYTES).putInt(MAGIC).putInt(count).array();
+    private static byte[] closingPayload(int recordCount) {
+        return ByteBuffer.allocate(Long.BYTES).putInt(MAGIC).putInt(recordCount).array();
     }
 
-    /** Returns where the record ends that begins here; negative where no complete one does. */
-    private static int recordEnd(byte[] file, int at) {
-        if (file.length - at < HEADER_BYTES) {
+    /** Returns the end of the record that starts at this offset; negative if there is no complete record. */
+    private static int recordEnd(byte[] file, int offset) {
+        if (file.length - offset < HEADER_BYTES) {
             return -1;
         }
-        var head = ByteBuffer.wrap(file, at, HEADER_BYTES);
-        if (head.getInt() != MAGIC) {
+        var header = ByteBuffer.wrap(file, offset, HEADER_BYTES);
+        if (header.getInt() != MAGIC) {
             return -1;
         }
-        int length = head.getInt();
-        int checksum = head.getInt();
-        return length < 0 || length > MAX_RECORD_BYTES || length > file.length - at - HEADER_BYTES
-                || checksum != checksum(file, at + HEADER_BYTES, length)
-                        ? -1 : at + HEADER_BYTES + length;
+        int length = header.getInt();
+        int checksum = header.getInt();
+        return length < 0 || length > MAX_RECORD_BYTES || length > file.length - offset - HEADER_BYTES
+                || checksum != checksum(file, offset + HEADER_BYTES, length)
+                        ? -1 : offset + HEADER_BYTES + length;
     }
 
     private static int checksum(byte[] bytes, int from, int length) {
--- a/src/main/java/wallmoor/rules/RestrictiveMerge.java
+++ b/src/main/java/wallmoor/rules/RestrictiveMerge.java
@@ -7,9 +7,9 @@
 import wallmoor.rules.FieldValue.Text;
 
 /**
- * Which of two values of a field is the more restrictive. The values of a field form a meet-semilattice: {@link #meet}
- * is associative, commutative and idempotent, so the order in which versions become known does not matter. The names
- * stand in docs/versions.md.
+ * The rule by which one of two values of a field is the more restrictive. The values of a field form a
+ * meet-semilattice: {@link #meet} is associative, commutative and idempotent, so the order in which versions become
+ * known does not matter. docs/versions.md lists the names.
  */
 public enum RestrictiveMerge {
     /** The smaller number. */
@@ -24,17 +24,17 @@
     FEWER(Names.class),
     /** The names in either set. */
     MORE(Names.class),
-    /** Neither of two that differ: the field is missing until all versions in effect agree, and readers do without. */
+    /** No order: if two values differ, the field is missing until all versions in effect agree on its value. */
     NEITHER(Text.class);
 
-    /** The type of such a field's values. */
+    /** The type of the field's values. */
     final Class<? extends FieldValue> valueType;
 
     RestrictiveMerge(Class<? extends FieldValue> valueType) {
         this.valueType = valueType;
     }
 
-    /** Returns the more restrictive of both, or null where they differ and have no order. */
+    /** Returns the more restrictive value, or null if the values differ and have no order. */
     FieldValue meet(FieldValue a, FieldValue b) {
         return switch (this) {
             case LOWER -> new Amount(Math.min(((Amount) a).value(), ((Amount) b).value()));
--- a/src/main/java/wallmoor/rules/RuleBody.java
+++ b/src/main/java/wallmoor/rules/RuleBody.java
@@ -10,12 +10,12 @@
 import wallmoor.rules.FieldValue.Names;
 import wallmoor.rules.FieldValue.Text;
 
-/** A rule's body: its values by field. Immutable, so that any thread reads it without waiting. */
+/** A document's body: its values by field name. Immutable, so any thread reads it without locking. */
 public record RuleBody(SortedMap<String, FieldValue> fields) {
     /** A body without fields. */
     public static final RuleBody EMPTY = new RuleBody(new TreeMap<>());
 
-    /** Integers below this are written without a fraction; a double holds them all exactly. */
+    /** Integers below this bound are written without a fraction; a double represents each of them exactly. */
     private static final double MAX_EXACT_INTEGER = 1e15;
 
     /** Copies the map. */
@@ -23,59 +23,59 @@
         fields = Collections.unmodifiableSortedMap(new TreeMap<>(fields));
     }
 
-    /** Returns a JSON object, which {@link DocumentSchema#parse} reads as this body again. */
+    /** Returns a JSON object, which {@link DocumentSchema#parse} parses into an equal body. */
     public String toJson() {
-        var to = new StringBuilder("{");
+        var json = new StringBuilder("{");
         fields.forEach((name, value) -> {
-            to.append(to.length() == 1 ? "" : ",");
-            Json.quote(to, name);
-            to.append(':');
-            append(to, value);
+            json.append(json.length() == 1 ? "" : ",");
+            Json.quote(json, name);
+            json.append(':');
+            append(json, value);
         });
-        return to.append('}').toString();
+        return json.append('}').toString();
     }
 
-    private static void append(StringBuilder to, FieldValue value) {
+    private static void append(StringBuilder json, FieldValue value) {
         if (value instanceof Amount amount) {
             double number = amount.value();
             boolean isInteger = number == Math.rint(number) && Math.abs(number) < MAX_EXACT_INTEGER;
-            to.append(isInteger ? Long.toString((long) number) : Double.toString(number));
+            json.append(isInteger ? Long.toString((long) number) : Double.toString(number));
         } else if (value instanceof Flag flag) {
-            to.append(flag.value());
+            json.append(flag.value());
         } else if (value instanceof Text text) {
-            Json.quote(to, text.value());
+            Json.quote(json, text.value());
         } else if (value instanceof Names names) {
-            appendNames(to, names.value());
+            appendNames(json, names.value());
         }
     }
 
-    private static void appendNames(StringBuilder to, SortedSet<String> names) {
+    private static void appendNames(StringBuilder json, SortedSet<String> names) {
         String separator = "";
-        to.append('[');
+        json.append('[');
         for (String name : names) {
-            to.append(separator);
-            Json.quote(to, name);
+            json.append(separator);
+            Json.quote(json, name);
             separator = ",";
         }
-        to.append(']');
+        json.append(']');
     }
 
-    /** Returns a number, or the default where the field is missing. */
+    /** Returns a number, or the default if the field is missing. */
     public double amount(String field, double defaultValue) {
         return fields.get(field) instanceof Amount amount ? amount.value() : defaultValue;
     }
 
-    /** Returns a flag, or the default where the field is missing. */
+    /** Returns a flag, or the default if the field is missing. */
     public boolean flag(String field, boolean defaultValue) {
         return fields.get(field) instanceof Flag flag ? flag.value() : defaultValue;
     }
 
-    /** Returns a text, or null where the field is missing. */
+    /** Returns a text, or null if the field is missing. */
     public String text(String field) {
         return fields.get(field) instanceof Text text ? text.value() : null;
     }
 
-    /** Returns whether a set of names contains this one; false where the field is missing. */
+    /** Returns whether a set of names contains a name; false if the field is missing. */
     public boolean containsName(String field, String name) {
         return fields.get(field) instanceof Names names && names.value().contains(name);
     }
--- a/src/main/java/wallmoor/rules/RuleDocument.java
+++ b/src/main/java/wallmoor/rules/RuleDocument.java
@@ -4,30 +4,31 @@
  * One immutable version of a rule document. A change is a new version with a higher number, linked to its parent by
  * number and hash.
  *
- * @param name          of the document, which has a {@link DocumentSchema} of that name
- * @param version       higher than that of any version before it, rejected ones included
- * @param parentVersion 0 for a document's first
- * @param parentHash    empty for a document's first
- * @param body          a JSON object
- * @param fallback      a JSON object that holds for a gatherer without a lease
- * @param hash          SHA-256 of all the rest, in hexadecimal digits
+ * @param name          name of the document, which is also the name of its {@link DocumentSchema}
+ * @param version       version number, higher than that of all earlier versions, including rejected ones
+ * @param parentVersion version number of the parent; 0 for the first version
+ * @param parentHash    hash of the parent; empty for the first version
+ * @param author        person or program that proposed the version
+ * @param body          JSON object
+ * @param fallback      JSON object that is in effect for a gatherer without a lease
+ * @param hash          SHA-256 of the other fields, in hexadecimal digits
  */
 public record RuleDocument(String name, long version, long parentVersion, String parentHash, String author, String body,
         String fallback, String hash) {
 
-    /** Returns a proposal as the version of this number. */
+    /** Returns the version with this number that a proposal becomes. */
     public static RuleDocument of(RuleProposal proposal, long version) {
         return new RuleDocument(proposal.name(), version, proposal.parentVersion(), proposal.parentHash(),
                 proposal.author(), proposal.body(), proposal.fallback(),
                 Sha256.of(proposal.idempotencyKey(), Long.toString(version)));
     }
 
-    /** Returns the proposal that this version came from. */
+    /** Returns the proposal that this version was made from. */
     RuleProposal proposal() {
         return new RuleProposal(name, parentVersion, parentHash, author, body, fallback);
     }
 
-    /** Returns whether the hash is that of the contents. */
+    /** Returns whether the hash matches the other fields. */
     public boolean hasValidHash() {
         return equals(of(proposal(), version));
     }
--- a/src/main/java/wallmoor/rules/RuleEvaluator.java
+++ b/src/main/java/wallmoor/rules/RuleEvaluator.java
@@ -8,17 +8,17 @@
 import wallmoor.rules.EffectiveRule.Basis;
 
 /**
- * Works out which rules are in effect from the versions that a lease holder knows. Under a lease that is the active
- * version, merged field by field with each accepted version after it so that what any of them restricts holds already.
- * Without a lease, or where a version is invalid for this program, it is the merge of all their fallbacks.
+ * Evaluates which rules are in effect from the versions that a lease holder knows. Under a lease that is the active
+ * version, merged field by field with each accepted version after it so that their restrictions are in effect already.
+ * Without a lease, or if a version is invalid for this program, it is the merge of all their fallbacks.
  */
 final class RuleEvaluator {
     /**
      * The rules in effect.
      *
-     * @param underLease   by document's name
-     * @param withoutLease by document's name
-     * @param invalid      by document's name, why this program can't read one of its versions
+     * @param underLease   rules under a lease, by document name
+     * @param withoutLease rules without a lease, by document name
+     * @param invalid      why this program can't read one of the versions, by document name
      */
     record Evaluation(Map<String, EffectiveRule> underLease, Map<String, EffectiveRule> withoutLease,
             Map<String, String> invalid) {}
@@ -26,7 +26,12 @@
     private final String program;
     private final Map<String, DocumentSchema> schemas;
 
-    /** {@code program} names this gatherer in what it says of an invalid version. */
+    /**
+     * Creates an evaluator.
+     *
+     * @param program name of this gatherer, for messages about invalid versions
+     * @param schemas schemas of the documents that this program reads, by document name
+     */
     RuleEvaluator(String program, Map<String, DocumentSchema> schemas) {
         this.program = program;
         this.schemas = Map.copyOf(schemas);
@@ -58,10 +63,10 @@
         }
         EffectiveRule fallback = rule(Basis.FALLBACK, chain, fallbacks);
         result.withoutLease().put(name, fallback);
-        // with no active version nothing may be done yet that a body permits beyond its fallback
-        boolean usable = chain.activeVersion() != 0 && !result.invalid().containsKey(name);
+        // without an active version, nothing is permitted yet beyond the fallbacks
+        boolean isUsable = chain.activeVersion() != 0 && !result.invalid().containsKey(name);
         Basis basis = chain.activeVersion() == chain.latestVersion() ? Basis.VERSION : Basis.CAREFUL;
-        result.underLease().put(name, usable ? rule(basis, chain, bodies) : fallback);
+        result.underLease().put(name, isUsable ? rule(basis, chain, bodies) : fallback);
     }
 
     private EffectiveRule rule(Basis basis, VersionChain chain, List<RuleBody> bodies) {
--- a/src/main/java/wallmoor/rules/RuleEvent.java
+++ b/src/main/java/wallmoor/rules/RuleEvent.java
@@ -1,24 +1,24 @@
 package wallmoor.rules;
 
-/** What a log entry changed when {@link RuleStateMachine} applied it. */
+/** A change that {@link RuleStateMachine} made when it applied a log entry. */
 public sealed interface RuleEvent {
-    /** A proposal has become a version with a number, which waits for the voters' verdicts. */
+    /** A proposal has become a numbered version, which waits for the voters' verdicts. */
     record VersionPending(RuleDocument document) implements RuleEvent {}
 
-    /** A version is accepted: what it restricts holds wherever it is known. */
+    /** A version was accepted: its restrictions are in effect for each gatherer that knows it. */
     record VersionAccepted(String idempotencyKey, RuleDocument document) implements RuleEvent {}
 
-    /** A proposal is rejected, before or after it got a number. */
+    /** A proposal was rejected, before or after it received a version number. */
     record ProposalRejected(String idempotencyKey, ProposalRejection rejection) implements RuleEvent {}
 
-    /** An accepted version has become the active one: what it permits holds as well. */
+    /** An accepted version has become the active one: its permissions are in effect as well. */
     record VersionActivated(String name, long version) implements RuleEvent {}
 
     /**
-     * Another voter leads, or another process of the same.
+     * Another voter, or another process of the same voter, has become the leader.
      *
-     * @param incarnation tells two processes of one voter apart
-     * @param leaderEpoch the leader's fencing token
+     * @param incarnation number that differs between two processes of the same voter
+     * @param leaderEpoch fencing token of the leader
      */
     record LeaderChanged(String voter, long incarnation, long leaderEpoch) implements RuleEvent {}
 }
--- a/src/main/java/wallmoor/rules/RuleReader.java
+++ b/src/main/java/wallmoor/rules/RuleReader.java
@@ -1,14 +1,17 @@
 package wallmoor.rules;
 
-/** Source of the rules in effect for this gatherer. An answer is good for one act; it never blocks. */
+/** Source of the rules in effect for this gatherer. Callers read a rule again for each action; reads never block. */
 public interface RuleReader {
-    /** For a program that agrees with nobody: its own files hold. Code may compare with it to learn that. */
+    /**
+     * Reader of a program without replicated rules, whose own configuration files are in effect. Code may compare a
+     * reader with it.
+     */
     RuleReader NONE = new Standalone();
 
-    /** Returns the rule in effect now of the document of this name; never null. */
+    /** Returns the rule of the document with this name that is in effect now; never null. */
     EffectiveRule effectiveRule(String name);
 
-    /** Agrees with nobody. A class of its own, as every start loads it and a lambda would be linked each time. */
+    /** Reader without rules. It is a class, as every process start loads it and a lambda would be linked each time. */
     final class Standalone implements RuleReader {
         private Standalone() {}
 
--- a/src/main/java/wallmoor/rules/RuleSnapshot.java
+++ b/src/main/java/wallmoor/rules/RuleSnapshot.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * What a gatherer may act on, and until when. Immutable: any thread reads the last one without waiting, and compares
- * the lease's expiry with the time at each act. A process that was paused does so with the time at which it wakes, so
- * an old snapshot does no harm.
+ * The rules in effect for a gatherer, and the expiry of its lease. Immutable: any thread reads the latest snapshot
+ * without locking, and compares the expiry with the current time at each action. A process that was paused compares it
+ * with the time at which it resumes, so it never acts under an expired lease on an old snapshot.
  *
- * @param leaseExpiry  on this process's own monotonic clock, microseconds; at that time the lease is over
- * @param underLease   the rules in effect before the expiry, by document's name
- * @param withoutLease the rules in effect from then on, by document's name
+ * @param leaseExpiry  time from which the lease is no longer valid, microseconds on this process's own monotonic clock
+ * @param underLease   the rules in effect before the expiry, by document name
+ * @param withoutLease the rules in effect from the expiry on, by document name
  */
 public record RuleSnapshot(long leaseExpiry, Map<String, EffectiveRule> underLease,
         Map<String, EffectiveRule> withoutLease) {
@@ -21,7 +21,7 @@
         withoutLease = Map.copyOf(withoutLease);
     }
 
-    /** Returns the rule in effect of a document at this time, microseconds; never null. */
+    /** Returns the rule of a document that is in effect at this time in microseconds; never null. */
     public EffectiveRule effectiveRule(long now, String name) {
         return (now < leaseExpiry ? underLease : withoutLease).getOrDefault(name, NONE);
     }
--- a/src/main/java/wallmoor/rules/RuleStateMachine.java
+++ b/src/main/java/wallmoor/rules/RuleStateMachine.java
@@ -13,20 +13,23 @@
 
 /**
  * The replicated state machine behind the log, as in Raft: every voter applies the same entries in the same order and
- * so reaches the same state, which is all versions of all documents and who leads. It assumes nothing of the log but
- * that order. It never parses a document's body, as voters may run different releases; whether a body can be read comes
- * in as {@link LogEntry.VoterVerdict}. Single-threaded.
+ * so reaches the same state, which is the versions of all documents and the leader. It relies on no other property of
+ * the log. It never parses the body of a document, as voters may run different releases; a
+ * {@link LogEntry.VoterVerdict} reports whether a voter's program can read it. Single-threaded.
  */
 public final class RuleStateMachine {
-    /** Characters of a body and its fallback together: the summaries of 10,000 sites with a short hash each fit. */
+    /** Maximum characters of a body and its fallback; enough for 10,000 sites' summaries with a short hash each. */
     public static final int MAX_BODY_CHARS = 1 << 19;
-    /** Accepted versions of a document that are not active yet: every lease holder keeps and merges them all. */
+    /** Maximum accepted versions of a document that are not active yet; lease holders store and merge all of them. */
     static final int MAX_INACTIVE_VERSIONS = 4;
-    /** Versions kept of a document that came before the active one, for rollbacks and the history shown. */
+    /** Maximum versions of a document before the active one that are retained, for rollbacks and the history. */
     static final int MAX_SUPERSEDED_VERSIONS = 32;
-    /** Characters of these; with the versions in effect, six documents take 21 Mi at worst, a third of a 64 MB heap. */
+    /**
+     * Maximum characters of the retained versions before the active one. With the versions in effect, six documents
+     * take at most 21 Mi, a third of a 64 MB heap.
+     */
     static final int MAX_SUPERSEDED_CHARS = 1 << 20;
-    /** Documents: one for each schema of this release, and room for those of later ones. */
+    /** Maximum number of documents: one for each schema of this release, and spare ones for later releases. */
     private static final int MAX_DOCUMENTS = 6;
     private static final int MAX_AUTHOR_CHARS = 256;
     private static final Pattern NAME = Pattern.compile("[a-z][a-z0-9_-]{0,31}");
@@ -40,19 +43,20 @@
     /**
      * Creates the state before the first entry.
      *
-     * @param voters the names of all voters, whether they run or not
+     * @param voters names of all voters, running or not
      */
     public RuleStateMachine(Collection<String> voters) {
         this.voters = new TreeSet<>(voters);
         if (voters.isEmpty() || this.voters.size() != voters.size()) {
-            throw new IllegalArgumentException("voters: each needs a name of its own");
+            throw new IllegalArgumentException(
+                    "voters must be a non-empty list without duplicate names, but is " + voters);
         }
     }
 
     /**
      * Applies the next entry of the log.
      *
-     * @return what changed; nothing where the entry is outdated, such as one of an older leader
+     * @return the changes; empty if the entry is outdated, such as an entry of an older leader
      */
     public List<RuleEvent> apply(LogEntry entry) {
         if (entry instanceof LogEntry.ProposeVersion propose) {
@@ -76,28 +80,28 @@
     }
 
     private RuleEvent propose(RuleProposal proposal) {
-        String malformed = malformed(proposal);
-        if (malformed != null) {
+        String error = validationError(proposal);
+        if (error != null) {
             return new RuleEvent.ProposalRejected(proposal.idempotencyKey(),
-                    new ProposalRejection(Reason.MALFORMED, proposal.name(), 0, "", malformed));
+                    new ProposalRejection(Reason.MALFORMED, proposal.name(), 0, "", error));
         }
         return documents.computeIfAbsent(proposal.name(), name -> new DocumentState()).propose(proposal);
     }
 
-    /** Returns what is wrong with the proposal's form, or null. */
-    private String malformed(RuleProposal proposal) {
+    /** Returns the error in a malformed proposal, or null. */
+    private String validationError(RuleProposal proposal) {
         if (!NAME.matcher(proposal.name()).matches()) {
-            return "is no name of a document";
+            return "the document name must match " + NAME.pattern();
         } else if (!documents.containsKey(proposal.name()) && documents.size() >= MAX_DOCUMENTS) {
-            return "there are " + MAX_DOCUMENTS + " documents already";
+            return "the maximum of " + MAX_DOCUMENTS + " documents exist already";
         } else if (proposal.body().length() + proposal.fallback().length() > MAX_BODY_CHARS) {
-            return "has more than " + MAX_BODY_CHARS + " characters";
+            return "body and fallback together have more than " + MAX_BODY_CHARS + " characters";
         }
         return proposal.author().isBlank() || proposal.author().length() > MAX_AUTHOR_CHARS
-                ? "has no author of 1 to " + MAX_AUTHOR_CHARS + " characters" : null;
+                ? "the author must not be blank and must have at most " + MAX_AUTHOR_CHARS + " characters" : null;
     }
 
-    /** Returns how many leaders there have been: the fencing token of entries that a leader appends. */
+    /** Returns the number of leaders so far, which is the fencing token of the current leader's entries. */
     public long leaderEpoch() {
         return leaderEpoch;
     }
@@ -107,7 +111,7 @@
         return leader.equals(voter) && leaderIncarnation == incarnation;
     }
 
-    /** Returns the name of the leader; empty before the first. */
+    /** Returns the name of the leader; empty before the first one. */
     public String leader() {
         return leader;
     }
@@ -122,7 +126,7 @@
         return List.copyOf(documents.keySet());
     }
 
-    /** Returns the accepted versions of a document that are kept, the oldest first. */
+    /** Returns the accepted versions of a document that are retained, the oldest first. */
     public List<RuleDocument> history(String name) {
         DocumentState state = documents.get(name);
         return state == null ? List.of() : state.history();
@@ -134,7 +138,7 @@
         return state == null ? null : state.latestAccepted();
     }
 
-    /** Returns the number of the active version, or 0. */
+    /** Returns the number of the active version, or 0 if there is none. */
     public long activeVersion(String name) {
         DocumentState state = documents.get(name);
         return state == null ? 0 : state.activeVersion();
@@ -146,42 +150,42 @@
         return state == null ? null : state.pending();
     }
 
-    /** Returns the voters that have sent no verdict on the pending version; none where nothing is pending. */
+    /** Returns the voters that have sent no verdict on the pending version; empty if no version is pending. */
     public SortedSet<String> votersWithoutVerdict(String name) {
         DocumentState state = documents.get(name);
         return state == null ? Collections.emptySortedSet() : state.votersWithoutVerdict(voters);
     }
 
-    /** Returns the active version of a document, if any, and those accepted after it. */
+    /** Returns the active version of a document, if any, and the versions accepted after it. */
     public VersionChain chain(String name) {
         DocumentState state = documents.get(name);
         return state == null ? new VersionChain(name, 0, 0, List.of()) : state.chain(name);
     }
 
-    /** Returns the complete state as bytes, for a snapshot of the log; equal states give equal bytes. */
+    /** Returns the complete state as bytes, for a snapshot of the log. Equal states give equal bytes. */
     public byte[] takeSnapshot() {
-        var to = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(leaderEpoch).writeText(leader)
+        var writer = new ByteWriter().writeLong(LogEntryCodec.FORMAT_VERSION).writeLong(leaderEpoch).writeText(leader)
                 .writeLong(leaderIncarnation).writeLong(documents.size());
-        documents.forEach((name, state) -> state.writeTo(to.writeText(name)));
-        return to.toByteArray();
+        documents.forEach((name, state) -> state.writeTo(writer.writeText(name)));
+        return writer.toByteArray();
     }
 
     /**
      * Restores the state from a snapshot.
      *
-     * @throws CorruptDataException if the bytes are not what {@link #takeSnapshot} returned
+     * @throws CorruptDataException if the bytes are not a snapshot that {@link #takeSnapshot} returned
      */
     public static RuleStateMachine restoreSnapshot(Collection<String> voters, byte[] snapshot)
             throws CorruptDataException {
         var restored = new RuleStateMachine(voters);
-        var from = new ByteReader(snapshot).readFormatVersion();
-        restored.leaderEpoch = from.readLong();
-        restored.leader = from.readText();
-        restored.leaderIncarnation = from.readLong();
-        for (long left = from.readCount(); left > 0; left--) {
-            restored.documents.put(from.readText(), DocumentState.readFrom(from));
+        var reader = new ByteReader(snapshot).readFormatVersion();
+        restored.leaderEpoch = reader.readLong();
+        restored.leader = reader.readText();
+        restored.leaderIncarnation = reader.readLong();
+        for (long remaining = reader.readCount(); remaining > 0; remaining--) {
+            restored.documents.put(reader.readText(), DocumentState.readFrom(reader));
         }
-        from.expectEnd();
+        reader.expectEnd();
         return restored;
     }
 }
--- a/src/main/java/wallmoor/rules/Sha256.java
+++ b/src/main/java/wallmoor/rules/Sha256.java
@@ -6,11 +6,11 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 over texts, each after its length so that no two lists of texts give the same input. */
+/** SHA-256 over texts. Each text follows its length, so that no two lists of texts give the same input. */
 final class Sha256 {
     private Sha256() {}
 
-    /** Returns the hash in hexadecimal digits. */
+    /** Returns the hash of these texts in hexadecimal digits. */
     static String of(String... texts) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
--- a/src/main/java/wallmoor/rules/VerdictTimer.java
+++ b/src/main/java/wallmoor/rules/VerdictTimer.java
@@ -5,26 +5,26 @@
 import java.util.Set;
 
 /**
- * How long the leader waits for voters' verdicts on a pending version before it closes them: a lease term, or a part of
- * one where all silent voters were silent the last time too and are fewer than half, so that a voter which is down
- * delays one change and not each. Times are microseconds on the leader's monotonic clock.
+ * Timer of the leader's wait for verdicts on a pending version. The wait is one lease term, or a part of it if all
+ * missing voters were missing the last time too and are fewer than half of the voters. So a voter that is down delays
+ * only the first change. Times are microseconds on the leader's monotonic clock.
  */
 final class VerdictTimer {
-    /** The short wait is this part of a lease term. */
+    /** Divisor of the lease term that gives the short wait. */
     private static final int SHORT_WAIT_DIVISOR = 5;
 
-    private record PendingSince(long version, long at) {}
+    private record PendingSince(long version, long startedAt) {}
 
     private final long leaseTerm;
     private final Map<String, PendingSince> pendingSince = new HashMap<>();
-    /** Voters that were silent when a version was last closed without them. */
-    private Set<String> absentVoters = Set.of();
+    /** Voters without a verdict when the last wait ended. */
+    private Set<String> lastMissingVoters = Set.of();
 
     VerdictTimer(long leaseTerm) {
         this.leaseTerm = leaseTerm;
     }
 
-    /** Starts the wait for a pending version, unless it runs already: a repeated proposal is pending twice. */
+    /** Starts the wait for a pending version unless it has started already, as a repeated proposal causes two calls. */
     void start(long now, RuleDocument pending) {
         PendingSince before = pendingSince.get(pending.name());
         if (before == null || before.version() != pending.version()) {
@@ -32,20 +32,26 @@
         }
     }
 
-    /** Returns whether the pending version of this document has waited for long enough, by who is still silent. */
-    boolean isOver(long now, String name, Set<String> silent, int voters) {
-        long waited = now - pendingSince.get(name).at();
-        boolean sameAbsentMinority = absentVoters.containsAll(silent) && 2 * silent.size() < voters;
-        boolean over = waited >= leaseTerm || (waited >= leaseTerm / SHORT_WAIT_DIVISOR && sameAbsentMinority);
-        if (over) {
-            absentVoters = silent;
+    /**
+     * Returns whether the wait for verdicts on the pending version of a document is over; if so, records the missing
+     * voters.
+     *
+     * @param missing    voters that have sent no verdict
+     * @param voterCount number of all voters
+     */
+    boolean isOver(long now, String name, Set<String> missing, int voterCount) {
+        long waited = now - pendingSince.get(name).startedAt();
+        boolean isSameMinority = lastMissingVoters.containsAll(missing) && 2 * missing.size() < voterCount;
+        boolean isOver = waited >= leaseTerm || (waited >= leaseTerm / SHORT_WAIT_DIVISOR && isSameMinority);
+        if (isOver) {
+            lastMissingVoters = missing;
         }
-        return over;
+        return isOver;
     }
 
-    /** Forgets all waits, and who was absent. */
+    /** Removes all waits and the record of missing voters. */
     void clear() {
         pendingSince.clear();
-        absentVoters = Set.of();
+        lastMissingVoters = Set.of();
     }
 }
--- a/src/main/java/wallmoor/rules/VersionChain.java
+++ b/src/main/java/wallmoor/rules/VersionChain.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * The versions of one document that are in effect: the active one and the accepted ones after it.
+ * The versions of one document that are in effect: the active one and the versions accepted after it.
  *
- * @param activeVersion 0 where none is active yet
- * @param latestVersion the latest accepted
- * @param documents     all of them, the oldest first; or none for a receiver that knows them
+ * @param name          name of the document
+ * @param activeVersion number of the active version; 0 if no version is active yet
+ * @param latestVersion number of the latest accepted version
+ * @param documents     the versions, the oldest first; empty for a receiver that knows them
  */
 public record VersionChain(String name, long activeVersion, long latestVersion, List<RuleDocument> documents) {
     /** Copies the list. */
@@ -20,7 +21,7 @@
         return new VersionChain(name, activeVersion, latestVersion, List.of());
     }
 
-    /** Returns whether each document is the parent of the next, none is altered, and none is missing. */
+    /** Returns whether each version is the parent of the next one, and no version is altered or missing. */
     boolean isLinked() {
         RuleDocument previous = null;
         for (RuleDocument document : documents) {
--- a/src/test/java/wallmoor/cli/RulesCheckTest.java
+++ b/src/test/java/wallmoor/cli/RulesCheckTest.java
@@ -34,7 +34,7 @@
     @Test
     public void whatIsNoBodyIsRefusedByItsField() throws Exception {
         assertTrue(check("settings", "{\"limits.open\":\"many\"}").err().contains("limits.open"));
-        assertTrue(check("settings", "{\"limit.open\":1}").err().contains("limit.open is no field"));
+        assertTrue(check("settings", "{\"limit.open\":1}").err().contains("limit.open is not a field"));
         assertEquals(2, check("setings", "{}").code());
         assertEquals(2, check("settings", "{").code());
         assertEquals(2, Console.run("rules", "check", "settings", "nowhere.json").code());
--- a/src/test/java/wallmoor/rules/LeaseHolderTest.java
+++ b/src/test/java/wallmoor/rules/LeaseHolderTest.java
@@ -14,18 +14,18 @@
 import wallmoor.rules.LeaseMessage.LeaseRequest;
 import wallmoor.rules.LeaseMessage.VersionUpdate;
 
-/** Both sides by hand: what a gatherer goes by, and whom a leader gives a lease. */
+/** Tests which rules a lease holder applies, and to which holders a leader grants leases. */
 class LeaseHolderTest {
-    private static final LeaseTiming TERMS = LeaseTiming.defaults();
-    private static final RuleDocument ONE = RuleDocument
+    private static final LeaseTiming TIMING = LeaseTiming.defaults();
+    private static final RuleDocument VERSION_1 = RuleDocument
             .of(new RuleProposal("settings", 0, "", "ann", "{\"limits.open\": 5}", "{\"limits.open\": 1}"), 1);
-    private static final RuleDocument TWO = RuleDocument
-            .of(new RuleProposal("settings", 1, ONE.hash(), "ann", "{\"limits.open\": 9, \"new\": 1}", "{}"), 2);
-    private static final VersionChain FIRST = new VersionChain("settings", 1, 1, List.of(ONE));
-    private static final VersionChain BOTH = new VersionChain("settings", 1, 2, List.of(ONE, TWO));
+    private static final RuleDocument VERSION_2 = RuleDocument
+            .of(new RuleProposal("settings", 1, VERSION_1.hash(), "ann", "{\"limits.open\": 9, \"new\": 1}", "{}"), 2);
+    private static final VersionChain CHAIN_OF_1 = new VersionChain("settings", 1, 1, List.of(VERSION_1));
+    private static final VersionChain CHAIN_OF_2 = new VersionChain("settings", 1, 2, List.of(VERSION_1, VERSION_2));
 
-    private static LeaseHolder holder(List<VersionChain> kept) {
-        return new LeaseHolder("h", 7, TERMS, DocumentSchemas.all(), kept);
+    private static LeaseHolder holder(List<VersionChain> stored) {
+        return new LeaseHolder("h", 7, TIMING, DocumentSchemas.all(), stored);
     }
 
     private static EffectiveRule.Basis basis(LeaseHolder holder, long now) {
@@ -33,68 +33,74 @@
     }
 
     @Example
-    void aLeaseCountsFromTheAskAndIsOverOnTheDot() {
-        LeaseHolder holder = holder(List.of(FIRST));
-        assertEquals(EffectiveRule.Basis.FALLBACK, basis(holder, 0), "what was kept, by one that may not be sure");
-        LeaseRequest ask = holder.onTick(0);
-        assertNull(holder.onTick(TERMS.renewalInterval() - 1));
-        assertNotNull(holder.onTick(TERMS.renewalInterval()));
-        holder.onGrant(3_000_000, new LeaseGrant("h", 6, ask.sequence(), List.of(FIRST)));
-        assertEquals(EffectiveRule.Basis.FALLBACK, basis(holder, 3_000_000), "the grant of another process");
-        holder.onGrant(3_000_000, new LeaseGrant("h", 7, ask.sequence(), List.of(FIRST)));
-        RuleSnapshot read = holder.snapshot();
-        assertEquals(EffectiveRule.Basis.VERSION, read.effectiveRule(TERMS.holderDuration() - 1, "settings").basis());
-        assertEquals(EffectiveRule.Basis.FALLBACK, read.effectiveRule(TERMS.holderDuration(), "settings").basis(),
-                "one that wakes with an old snapshot");
-        assertEquals(EffectiveRule.Basis.NONE, read.effectiveRule(0, "plan").basis());
-        RuleBody queries = read.effectiveRule(4_000_000, "settings").body();
-        assertSame(queries, read.effectiveRule(4_000_001, "settings").body(), "nothing is made anew for each query");
+    void leaseCountsFromRequestAndEndsAtItsExpiry() {
+        LeaseHolder holder = holder(List.of(CHAIN_OF_1));
+        assertEquals(EffectiveRule.Basis.FALLBACK, basis(holder, 0),
+                "stored versions give the fallback until a lease is granted");
+        LeaseRequest request = holder.onTick(0);
+        assertNull(holder.onTick(TIMING.renewalInterval() - 1));
+        assertNotNull(holder.onTick(TIMING.renewalInterval()));
+        holder.onGrant(3_000_000, new LeaseGrant("h", 6, request.sequence(), List.of(CHAIN_OF_1)));
+        assertEquals(EffectiveRule.Basis.FALLBACK, basis(holder, 3_000_000), "a grant for another process is ignored");
+        holder.onGrant(3_000_000, new LeaseGrant("h", 7, request.sequence(), List.of(CHAIN_OF_1)));
+        RuleSnapshot snapshot = holder.snapshot();
+        assertEquals(EffectiveRule.Basis.VERSION,
+                snapshot.effectiveRule(TIMING.holderDuration() - 1, "settings").basis());
+        assertEquals(EffectiveRule.Basis.FALLBACK, snapshot.effectiveRule(TIMING.holderDuration(), "settings").basis(),
+                "an old snapshot gives the fallback after the expiry");
+        assertEquals(EffectiveRule.Basis.NONE, snapshot.effectiveRule(0, "plan").basis());
+        RuleBody body = snapshot.effectiveRule(4_000_000, "settings").body();
+        assertSame(body, snapshot.effectiveRule(4_000_001, "settings").body(), "each read returns the same body");
     }
 
     @Example
-    void whatItsProgramCannotReadItDoesNotActOnAndSaysSo() {
+    void appliesFallbackAndReportsVersionItCannotRead() {
         LeaseHolder holder = holder(List.of());
-        LeaseRequest ask = holder.onTick(0);
-        assertNotNull(holder.onGrant(1, new LeaseGrant("h", 7, ask.sequence(), List.of(FIRST))),
-                "it tells at once what it knows now");
-        LeaseRequest told = holder.onVersionUpdate(2, new VersionUpdate(List.of(BOTH)));
-        assertEquals(2, told.knownVersions().get("settings").version());
+        LeaseRequest request = holder.onTick(0);
+        assertNotNull(holder.onGrant(1, new LeaseGrant("h", 7, request.sequence(), List.of(CHAIN_OF_1))),
+                "reports the newly known version at once");
+        LeaseRequest report = holder.onVersionUpdate(2, new VersionUpdate(List.of(CHAIN_OF_2)));
+        assertEquals(2, report.knownVersions().get("settings").version());
         assertEquals(
                 new EffectiveRule(EffectiveRule.Basis.FALLBACK, 1, 2,
                         new RuleBody(new java.util.TreeMap<>(Map.of("limits.open", new FieldValue.Amount(1))))),
                 holder.snapshot().effectiveRule(3, "settings"));
         assertTrue(
                 holder.invalidDocuments().get("settings")
-                        .startsWith("h cannot read settings 2: settings: new is no field"));
-        assertEquals(List.of(BOTH), holder(holder.knownVersions()).knownVersions(), "what is kept is what was known");
+                        .startsWith("h cannot read settings 2: settings: new is not a field"));
+        assertEquals(List.of(CHAIN_OF_2), holder(holder.knownVersions()).knownVersions(),
+                "a holder restores the stored versions");
     }
 
     @Example
-    void whatDoesNotFollowGivesNoLease() {
+    void ignoresLeaseWithVersionsThatDoNotContinueKnownOnes() {
         RuleDocument other = RuleDocument.of(new RuleProposal("settings", 0, "", "eve", "{\"limits.open\": 99}", "{}"),
                 1);
-        RuleDocument forged = new RuleDocument("settings", 2, 1, ONE.hash(), "eve", "{}", "{}", TWO.hash());
-        for (VersionChain bad : List.of(
+        RuleDocument forged = new RuleDocument("settings", 2, 1, VERSION_1.hash(), "eve", "{}", "{}", VERSION_2.hash());
+        for (VersionChain invalid : List.of(
                 new VersionChain("settings", 1, 2,
                         List.of(other, RuleDocument.of(new RuleProposal("settings", 1, other.hash(), "eve",
                                 "{}", "{}"), 2))),
-                new VersionChain("settings", 1, 2, List.of(ONE, forged)),
+                new VersionChain("settings", 1, 2, List.of(VERSION_1, forged)),
                 new VersionChain("settings", 2, 3, List.of()))) {
-            LeaseHolder holder = holder(List.of(FIRST));
-            holder.onGrant(1, new LeaseGrant("h", 7, holder.onTick(0).sequence(), List.of(bad)));
-            assertEquals(EffectiveRule.Basis.FALLBACK, basis(holder, 1), bad.toString());
-            assertTrue(holder.denialReason().startsWith("what came of settings"));
+            LeaseHolder holder = holder(List.of(CHAIN_OF_1));
+            holder.onGrant(1, new LeaseGrant("h", 7, holder.onTick(0).sequence(), List.of(invalid)));
+            assertEquals(EffectiveRule.Basis.FALLBACK, basis(holder, 1), invalid.toString());
+            assertTrue(holder.denialReason().startsWith("the leader's versions of settings"));
         }
     }
 
-    /** Voters that lost all they kept give no lease to one that knows what they don't: numbers would begin anew. */
+    /**
+     * Voters that lost their stored data would assign known version numbers again, so they must not grant a lease to a
+     * holder that knows a lost version.
+     */
     @Example
-    void votersThatLostTheirFilesGiveNoLease() {
+    void deniesLeaseToHolderThatKnowsLostVersion() {
         var stateMachine = new RuleStateMachine(List.of("a"));
         var sent = new ArrayList<LeaseMessage>();
         var barriers = new ArrayList<Long>();
         var entries = new ArrayList<LogEntry>();
-        var leaseTable = new LeaseTable("a", 1, TERMS, stateMachine, new LeaseTable.Actions() {
+        var leaseTable = new LeaseTable("a", 1, TIMING, stateMachine, new LeaseTable.Actions() {
             @Override
             public void send(String holder, LeaseMessage message) {
                 sent.add(message);
@@ -110,27 +116,27 @@
                 barriers.add(token);
             }
         });
-        LeaseHolder knows = holder(List.of(FIRST));
-        LeaseRequest early = knows.onTick(0);
+        LeaseHolder informed = holder(List.of(CHAIN_OF_1));
+        LeaseRequest early = informed.onTick(0);
         leaseTable.onLeaseRequest(0, early);
-        assertEquals(List.of(), barriers, "it does not lead");
+        assertEquals(List.of(), barriers, "a voter that is not the leader starts no barrier");
         leaseTable.onElectionChanged(0, true);
         assertEquals(List.of(new LogEntry.LeaderElected("a", 1)), entries);
         leaseTable.onApplied(0, stateMachine.apply(entries.get(0)));
         leaseTable.onLeaseRequest(1, early);
-        assertEquals(List.of(), sent, "not before the barrier is back");
+        assertEquals(List.of(), sent, "no response before the barrier succeeds");
         leaseTable.onBarrier(2, barriers.get(0));
-        knows.onDenial((LeaseMessage.LeaseDenial) sent.get(0));
-        assertTrue(knows.denialReason().contains("put their files back"), knows.denialReason());
-        LeaseHolder fresh = new LeaseHolder("i", 1, TERMS, DocumentSchemas.all(), List.of());
-        LeaseRequest ask = fresh.onTick(2);
-        leaseTable.onLeaseRequest(3, ask);
-        leaseTable.onLeaseRequest(3, ask);
+        informed.onDenial((LeaseMessage.LeaseDenial) sent.get(0));
+        assertTrue(informed.denialReason().contains("restore the voters' files"), informed.denialReason());
+        LeaseHolder fresh = new LeaseHolder("i", 1, TIMING, DocumentSchemas.all(), List.of());
+        LeaseRequest request = fresh.onTick(2);
+        leaseTable.onLeaseRequest(3, request);
+        leaseTable.onLeaseRequest(3, request);
         leaseTable.onBarrierFailed(4, barriers.get(1));
-        assertEquals(1, sent.size(), "no lease by a barrier that failed");
-        leaseTable.onLeaseRequest(5, fresh.onTick(2 + TERMS.renewalInterval()));
+        assertEquals(1, sent.size(), "a failed barrier grants no lease");
+        leaseTable.onLeaseRequest(5, fresh.onTick(2 + TIMING.renewalInterval()));
         leaseTable.onBarrier(6, barriers.get(2));
         assertEquals(new LeaseGrant("i", 1, 2, List.of()), sent.get(1));
-        assertEquals(5 + TERMS.grantorWait(), leaseTable.latestExpiry());
+        assertEquals(5 + TIMING.grantorWait(), leaseTable.latestExpiry());
     }
 }
--- a/src/test/java/wallmoor/rules/LeaseInvariantsTest.java
+++ b/src/test/java/wallmoor/rules/LeaseInvariantsTest.java
@@ -14,129 +14,136 @@
 import wallmoor.simulation.GroupSimulation;
 import wallmoor.simulation.RuleSimulation;
 
-/** The promise on the simulation: small cases exhaustively, faults by seed, and a judge that can find fault. */
+/**
+ * Tests in simulation that gatherers never act on contradicting versions for longer than a lease term: exhaustively for
+ * small cases, with random faults, and with a check that the invariant checker detects violations.
+ */
 class LeaseInvariantsTest {
-    private static final long SECOND = 1_000_000;
-    private static final LeaseTiming TERMS = LeaseTiming.defaults();
-    private static final long TICK = 100_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final LeaseTiming TIMING = LeaseTiming.defaults();
+    private static final long TICK_MICROS = 100_000;
 
-    private static RuleSimulation started(int count, long seed) {
-        var simulation = new RuleSimulation(3, count, TERMS, TICK, 0, seed);
+    private static RuleSimulation startSimulation(int nodes, long seed) {
+        var simulation = new RuleSimulation(3, nodes, TIMING, TICK_MICROS, 0, seed);
         simulation.startAll();
         return simulation;
     }
 
-    private static void propose(RuleSimulation simulation, int open) {
-        simulation.propose("{\"limits.open\": " + open + "}", "{\"limits.open\": 0}");
+    private static void propose(RuleSimulation simulation, int limit) {
+        simulation.propose("{\"limits.open\": " + limit + "}", "{\"limits.open\": 0}");
     }
 
-    /** Proposes, again where that was lost, until all act wholly on it; the time it took, or -1 after two minutes. */
-    private static long untilAll(RuleSimulation simulation, int count, int open) {
+    /**
+     * Proposes a version, again if the proposal was lost, until it is active at all nodes. Returns the time taken in
+     * microseconds, or -1 after two minutes.
+     */
+    private static long timeUntilActiveEverywhere(RuleSimulation simulation, int nodes, int limit) {
         long before = simulation.latestAccepted();
-        long begun = simulation.cluster().now();
-        for (int t = 0; t < 12_000; t++, simulation.cluster().run(10_000)) {
-            long head = simulation.latestAccepted();
-            if (head == before && t % 500 == 0) {
-                propose(simulation, open);
+        long startedAt = simulation.cluster().now();
+        for (int i = 0; i < 12_000; i++, simulation.cluster().run(10_000)) {
+            long latest = simulation.latestAccepted();
+            if (latest == before && i % 500 == 0) {
+                propose(simulation, limit);
             }
-            if (head > before && IntStream.range(0, count)
-                    .allMatch(i -> simulation.effectiveRule(i).basis() == EffectiveRule.Basis.VERSION
-                            && simulation.effectiveRule(i).activeVersion() == head)) {
-                return simulation.cluster().now() - begun;
+            if (latest > before && IntStream.range(0, nodes)
+                    .allMatch(node -> simulation.effectiveRule(node).basis() == EffectiveRule.Basis.VERSION
+                            && simulation.effectiveRule(node).activeVersion() == latest)) {
+                return simulation.cluster().now() - startedAt;
             }
         }
         return -1;
     }
 
-    /** From a proposal until a gatherer acts wholly on it. */
-    private static long toAct(RuleSimulation simulation, int gatherer, int open) {
+    /** Returns the time in microseconds from a proposal until the new version is active at a gatherer. */
+    private static long timeUntilActive(RuleSimulation simulation, int gatherer, int limit) {
         long before = simulation.latestAccepted();
-        long begun = simulation.cluster().now();
-        propose(simulation, open);
-        for (int t = 0; t < 2_000 && simulation.effectiveRule(gatherer).activeVersion() <= before; t++) {
+        long startedAt = simulation.cluster().now();
+        propose(simulation, limit);
+        for (int i = 0; i < 2_000 && simulation.effectiveRule(gatherer).activeVersion() <= before; i++) {
             simulation.cluster().run(10_000);
         }
-        return simulation.cluster().now() - begun;
+        return simulation.cluster().now() - startedAt;
     }
 
-    private static void kept(RuleSimulation simulation, String what) {
+    private static void assertInvariants(RuleSimulation simulation, String scenario) {
         simulation.checker().end(simulation.cluster().now());
-        assertTrue(simulation.checker().longestContradiction() <= TERMS.leaseTerm(),
-                what + ": contradicted for " + simulation.checker().longestContradiction());
+        assertTrue(simulation.checker().longestContradiction() <= TIMING.leaseTerm(),
+                scenario + ": contradicting versions for " + simulation.checker().longestContradiction() + " us");
         assertTrue(simulation.checker().longestOverlap() <= 0,
-                what + ": wholly for " + simulation.checker().longestOverlap());
+                scenario + ": overlapping active versions for " + simulation.checker().longestOverlap() + " us");
     }
 
     @Example
-    void quietAVersionActsEverywhereSoonAndSaysWhatItIs() {
-        RuleSimulation simulation = started(9, 1);
-        simulation.cluster().run(10 * SECOND);
-        assertTrue(untilAll(simulation, 9, 5) >= 0);
-        long took = untilAll(simulation, 9, 3);
-        assertTrue(took >= 0 && took < SECOND, "took " + took);
+    void activatesVersionWithinASecondAndAppliesRestrictionsBeforeActivation() {
+        RuleSimulation simulation = startSimulation(9, 1);
+        simulation.cluster().run(10 * SECOND_MICROS);
+        assertTrue(timeUntilActiveEverywhere(simulation, 9, 5) >= 0);
+        long duration = timeUntilActiveEverywhere(simulation, 9, 3);
+        assertTrue(duration >= 0 && duration < SECOND_MICROS, "activated after " + duration + " us");
         assertEquals(3, simulation.effectiveRule(8).body().amount("limits.open", -1));
         simulation.cluster().setLink(
                 (from, to, now, r) -> from == 8 || to == 8 ? -1 : GroupSimulation.RELIABLE.delay(from, to, now, r));
         propose(simulation, 9);
-        simulation.cluster().run(SECOND);
+        simulation.cluster().run(SECOND_MICROS);
         assertEquals(EffectiveRule.Basis.CAREFUL, simulation.effectiveRule(7).basis());
         assertEquals(3, simulation.effectiveRule(7).body().amount("limits.open", -1),
-                "what is added waits for the one that is cut off");
+                "a permission is not in effect while a disconnected gatherer has a lease");
         propose(simulation, 2);
-        simulation.cluster().run(SECOND);
+        simulation.cluster().run(SECOND_MICROS);
         assertEquals(EffectiveRule.Basis.CAREFUL, simulation.effectiveRule(7).basis());
-        assertEquals(2, simulation.effectiveRule(7).body().amount("limits.open", -1), "what is taken away does not");
+        assertEquals(2, simulation.effectiveRule(7).body().amount("limits.open", -1),
+                "a restriction is in effect at once");
         propose(simulation, 9);
-        simulation.cluster().run(4 * SECOND);
+        simulation.cluster().run(4 * SECOND_MICROS);
         assertEquals(EffectiveRule.Basis.FALLBACK, simulation.effectiveRule(8).basis());
         assertEquals(0, simulation.effectiveRule(8).body().amount("limits.open", -1));
         assertEquals(9, simulation.effectiveRule(7).body().amount("limits.open", -1));
-        kept(simulation, "quiet");
+        assertInvariants(simulation, "quiet");
     }
 
     @Example
-    void afterARestartOfAllNumbersGoOn() {
-        RuleSimulation simulation = started(6, 4);
-        simulation.cluster().run(8 * SECOND);
-        assertTrue(untilAll(simulation, 6, 5) >= 0);
+    void versionNumbersIncreaseAfterRestartOfAllNodes() {
+        RuleSimulation simulation = startSimulation(6, 4);
+        simulation.cluster().run(8 * SECOND_MICROS);
+        assertTrue(timeUntilActiveEverywhere(simulation, 6, 5) >= 0);
         long before = simulation.latestAccepted();
         IntStream.range(0, 6).forEach(simulation.cluster()::kill);
-        simulation.cluster().run(SECOND);
+        simulation.cluster().run(SECOND_MICROS);
         simulation.startAll();
         assertEquals(EffectiveRule.Basis.FALLBACK, simulation.effectiveRule(5).basis());
-        assertTrue(untilAll(simulation, 6, 7) >= 0);
+        assertTrue(timeUntilActiveEverywhere(simulation, 6, 7) >= 0);
         assertTrue(simulation.effectiveRule(5).activeVersion() > before);
-        kept(simulation, "restart");
+        assertInvariants(simulation, "restart");
     }
 
     @Example
-    void aVoterThatIsAwayIsWaitedForOnce() {
-        RuleSimulation simulation = started(9, 5);
+    void waitsLeaseTermForVerdictOfStoppedVoterOnlyOnce() {
+        RuleSimulation simulation = startSimulation(9, 5);
         simulation.elect(0);
-        simulation.cluster().run(8 * SECOND);
+        simulation.cluster().run(8 * SECOND_MICROS);
         simulation.cluster().kill(2);
         assertTrue(
                 IntStream.range(5, 9).allMatch(i -> simulation.effectiveRule(i).basis() == EffectiveRule.Basis.NONE));
-        long first = toAct(simulation, 8, 5);
-        long second = toAct(simulation, 8, 6);
-        assertTrue(first > TERMS.leaseTerm() && first < 2 * TERMS.leaseTerm(), "first " + first);
-        assertTrue(second < TERMS.leaseTerm() / 2, "second " + second);
-        kept(simulation, "away");
+        long first = timeUntilActive(simulation, 8, 5);
+        long second = timeUntilActive(simulation, 8, 6);
+        assertTrue(first > TIMING.leaseTerm() && first < 2 * TIMING.leaseTerm(), "first " + first);
+        assertTrue(second < TIMING.leaseTerm() / 2, "second " + second);
+        assertInvariants(simulation, "away");
     }
 
     @Property(tries = 100, seed = "77")
-    void underAnyFaultsNobodyContradictsForLongerThanTheTerm(@ForAll long seed, @ForAll boolean five) {
-        int voters = five ? 5 : 3;
-        var simulation = new RuleSimulation(voters, 12, TERMS, TICK, 0.2, seed);
+    void contradictionsLastAtMostLeaseTermUnderRandomFaults(@ForAll long seed, @ForAll boolean hasFiveVoters) {
+        int voters = hasFiveVoters ? 5 : 3;
+        var simulation = new RuleSimulation(voters, 12, TIMING, TICK_MICROS, 0.2, seed);
         var faults = new FaultInjector(simulation.cluster(), voters, 12, seed, n -> {
             if (simulation.cluster().random().nextInt(3) == 0) {
-                simulation.loseStoredVersions(n); // its disk is a new one
+                simulation.loseStoredVersions(n); // the node restarts with an empty disk
             }
             simulation.start(n);
         }, simulation::elect);
-        faults.skewClocks(TERMS.clockDrift());
+        faults.skewClocks(TIMING.clockDrift());
         simulation.startAll();
-        simulation.cluster().run(8 * SECOND);
+        simulation.cluster().run(8 * SECOND_MICROS);
         for (int i = 0; i < 60; i++) {
             propose(simulation, i);
             simulation.cluster().run(faults.nextFaultDelay());
@@ -144,24 +151,25 @@
         }
         simulation.cluster().setLink(GroupSimulation.RELIABLE);
         IntStream.range(0, 12).filter(i -> !simulation.cluster().isUp(i)).forEach(simulation::start);
-        simulation.cluster().run(30 * SECOND); // the last of pauses, a leader, the leases of one before
-        assertTrue(untilAll(simulation, 12, 100) >= 0, "it goes on once faults are over");
-        assertEquals(0, simulation.denials(), "nobody is denied for what it knows");
-        kept(simulation, "seed " + seed);
+        simulation.cluster().run(30 * SECOND_MICROS); // the last pauses, an election, the leases of the previous leader
+        assertTrue(timeUntilActiveEverywhere(simulation, 12, 100) >= 0,
+                "a version is activated after the faults have ended");
+        assertEquals(0, simulation.denials(), "no lease request is denied");
+        assertInvariants(simulation, "seed " + seed);
     }
 
-    /** All that may befall three that vote, of which the first leads, and a gatherer beside them. */
-    private static final List<BiConsumer<RuleSimulation, boolean[]>> ALL = List.of(
+    /** All faults and repairs of three voters, of which the first is the leader, and one gatherer. */
+    private static final List<BiConsumer<RuleSimulation, boolean[]>> STEPS = List.of(
             (m, cut) -> {},
             (m, cut) -> cut[0] = true,
             (m, cut) -> cut[1] = true,
             (m, cut) -> cut[3] = true,
-            (m, cut) -> cut[4] = true, // deaf and heard
-            (m, cut) -> m.cluster().pause(3, 3 * SECOND),
+            (m, cut) -> cut[4] = true, // node 3 receives no messages, but sends
+            (m, cut) -> m.cluster().pause(3, 3 * SECOND_MICROS),
             (m, cut) -> m.cluster().kill(3),
             (m, cut) -> Arrays.fill(cut, false),
-            (m, cut) -> m.cluster().pause(0, 6 * SECOND),
-            (m, cut) -> m.cluster().pause(1, 6 * SECOND),
+            (m, cut) -> m.cluster().pause(0, 6 * SECOND_MICROS),
+            (m, cut) -> m.cluster().pause(1, 6 * SECOND_MICROS),
             (m, cut) -> m.cluster().kill(0),
             (m, cut) -> m.cluster().kill(1),
             (m, cut) -> IntStream.range(0, 4).filter(i -> !m.cluster().isUp(i)).forEach(m::start),
@@ -169,72 +177,78 @@
             (m, cut) -> m.elect(1));
 
     /**
-     * Two versions among four, the leader's clock as fast and another's as slow as may be; each order of {@link #ALL}
-     * in so many steps, which are a part of a term apart so that leases begin and end between them; and that begun in
-     * so many phases of the renewals.
+     * Simulates each sequence of {@link #STEPS} with two versions and four nodes. The leader's clock is as fast as
+     * allowed and the gatherer's as slow as allowed. The steps are a part of a lease term apart, so that leases start
+     * and expire between them.
+     *
+     * @param steps  length of a sequence
+     * @param phases number of start times within a renewal interval
+     * @return the longest contradiction and the longest overlap of active versions, microseconds
      */
-    static long[] everyOrder(int steps, LeaseTiming terms, long tick, int phases) {
-        long worst = Long.MIN_VALUE;
-        long wholly = Long.MIN_VALUE;
-        for (int order = 0; order < phases * Math.pow(ALL.size(), steps); order++) {
-            var simulation = new RuleSimulation(3, 4, terms, tick, 0, 1);
+    static long[] worstOfAllSequences(int steps, LeaseTiming timing, long tick, int phases) {
+        long longestContradiction = Long.MIN_VALUE;
+        long longestOverlap = Long.MIN_VALUE;
+        for (int sequence = 0; sequence < phases * Math.pow(STEPS.size(), steps); sequence++) {
+            var simulation = new RuleSimulation(3, 4, timing, tick, 0, 1);
             boolean[] cut = new boolean[5];
-            simulation.cluster().setClock(0, 1 + TERMS.clockDrift(), 5);
-            simulation.cluster().setClock(3, 1 - TERMS.clockDrift(), 77);
+            simulation.cluster().setClock(0, 1 + TIMING.clockDrift(), 5);
+            simulation.cluster().setClock(3, 1 - TIMING.clockDrift(), 77);
             simulation.cluster()
                     .setLink((from, to, now, r) -> from != to && (cut[from] || cut[to] || (cut[4] && to == 3)) ? -1
                             : 2_000);
             simulation.startAll();
             simulation.elect(0);
-            simulation.cluster().run(SECOND);
+            simulation.cluster().run(SECOND_MICROS);
             propose(simulation, 5);
-            simulation.cluster().run(7 * SECOND + order % phases * terms.renewalInterval() / phases);
-            int left = order / phases;
+            simulation.cluster().run(7 * SECOND_MICROS + sequence % phases * timing.renewalInterval() / phases);
+            int remaining = sequence / phases;
             for (int step = 0; step < steps; step++) {
-                ALL.get(left % ALL.size()).accept(simulation, cut);
-                left /= ALL.size();
+                STEPS.get(remaining % STEPS.size()).accept(simulation, cut);
+                remaining /= STEPS.size();
                 if (step == 0) {
                     propose(simulation, 7);
                 }
                 simulation.cluster().run(1_300_000);
             }
-            simulation.cluster().run(8 * SECOND);
+            simulation.cluster().run(8 * SECOND_MICROS);
             simulation.checker().end(simulation.cluster().now());
-            worst = Math.max(worst, simulation.checker().longestContradiction());
-            wholly = Math.max(wholly, simulation.checker().longestOverlap());
+            longestContradiction = Math.max(longestContradiction, simulation.checker().longestContradiction());
+            longestOverlap = Math.max(longestOverlap, simulation.checker().longestOverlap());
         }
-        return new long[] {worst, wholly};
+        return new long[] {longestContradiction, longestOverlap};
     }
 
     @Example
-    void everyOrderOfCutsPausesCrashesAndLeaders() {
-        long[] worst = everyOrder(3, TERMS, 4 * TICK, 1);
-        assertTrue(worst[0] <= TERMS.leaseTerm() && worst[1] <= 0, Arrays.toString(worst));
-        worst = everyOrder(1, TERMS, TICK / 10, 20);
-        assertTrue(worst[0] <= TERMS.leaseTerm() && worst[1] <= 0, Arrays.toString(worst));
-        assertTrue(worst[0] > 0.95 * TERMS.leaseTerm(), "the bound is nearly reached: " + Arrays.toString(worst));
+    void contradictionsLastAtMostLeaseTermForAllSequencesOfFaults() {
+        long[] worst = worstOfAllSequences(3, TIMING, 4 * TICK_MICROS, 1);
+        assertTrue(worst[0] <= TIMING.leaseTerm() && worst[1] <= 0, Arrays.toString(worst));
+        worst = worstOfAllSequences(1, TIMING, TICK_MICROS / 10, 20);
+        assertTrue(worst[0] <= TIMING.leaseTerm() && worst[1] <= 0, Arrays.toString(worst));
+        assertTrue(worst[0] > 0.95 * TIMING.leaseTerm(),
+                "the longest contradiction is close to the bound: " + Arrays.toString(worst));
     }
 
-    /** Without the margin for clocks the same orders break the promise, and the judge sees it. */
+    /** Without a margin for clock drift, the same sequences break the invariant, which the checker must detect. */
     @Example
-    void withoutAMarginForClocksTheJudgeFindsFault() {
-        long[] worst = everyOrder(1, new LeaseTiming(TERMS.leaseTerm(), 0), TICK / 10, 20);
+    void checkerDetectsOverlapWithoutMarginForClockDrift() {
+        long[] worst = worstOfAllSequences(1, new LeaseTiming(TIMING.leaseTerm(), 0), TICK_MICROS / 10, 20);
         assertTrue(worst[1] > 0, Arrays.toString(worst));
     }
 
-    /** Each of the first ten messages after a proposal is lost or comes. */
+    /** Tests all combinations of lost and delivered messages among the first ten after a proposal. */
     @Example
-    void everyLossOfTheFirstMessages() {
+    void activatesVersionDespiteAnyLossOfTheFirstTenMessages() {
         for (int lost = 0; lost < 1 << 10; lost++) {
-            RuleSimulation simulation = started(3, 3);
+            RuleSimulation simulation = startSimulation(3, 3);
             simulation.elect(0);
-            simulation.cluster().run(7 * SECOND);
-            assertTrue(untilAll(simulation, 3, 5) >= 0);
-            int which = lost;
-            int[] n = {0};
-            simulation.cluster().setLink((from, to, now, r) -> n[0] < 10 && (which >> n[0]++ & 1) != 0 ? -1 : 2_000);
-            assertTrue(untilAll(simulation, 3, 6) >= 0, "loss of " + Integer.toBinaryString(lost));
-            kept(simulation, "loss of " + Integer.toBinaryString(lost));
+            simulation.cluster().run(7 * SECOND_MICROS);
+            assertTrue(timeUntilActiveEverywhere(simulation, 3, 5) >= 0);
+            int lostBits = lost;
+            int[] sent = {0};
+            simulation.cluster()
+                    .setLink((from, to, now, r) -> sent[0] < 10 && (lostBits >> sent[0]++ & 1) != 0 ? -1 : 2_000);
+            assertTrue(timeUntilActiveEverywhere(simulation, 3, 6) >= 0, "loss of " + Integer.toBinaryString(lost));
+            assertInvariants(simulation, "loss of " + Integer.toBinaryString(lost));
         }
     }
 }
--- a/src/test/java/wallmoor/rules/RecordFileTest.java
+++ b/src/test/java/wallmoor/rules/RecordFileTest.java
@@ -15,15 +15,15 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Kept bytes: every torn prefix, every damaged byte. */
+/** Tests decoding of files that are truncated at each byte or have a damaged byte. */
 class RecordFileTest {
-    private static final List<byte[]> THREE = List.of(new byte[] {1, 2, 3}, new byte[0],
+    private static final List<byte[]> PAYLOADS = List.of(new byte[] {1, 2, 3}, new byte[0],
             "the last one".getBytes(UTF_8));
 
-    private static byte[] file(List<byte[]> payloads) {
+    private static byte[] encodeAll(List<byte[]> payloads) {
         byte[] all = {};
-        for (byte[] p : payloads) {
-            byte[] record = RecordFile.encodeRecord(p);
+        for (byte[] payload : payloads) {
+            byte[] record = RecordFile.encodeRecord(payload);
             int before = all.length;
             all = Arrays.copyOf(all, before + record.length);
             System.arraycopy(record, 0, all, before, record.length);
@@ -31,68 +31,71 @@
         return all;
     }
 
-    private static void assertSame(List<byte[]> expected, List<byte[]> read) {
-        assertEquals(expected.size(), read.size());
-        IntStream.range(0, read.size()).forEach(i -> assertArrayEquals(expected.get(i), read.get(i)));
+    private static void assertPayloads(List<byte[]> expected, List<byte[]> actual) {
+        assertEquals(expected.size(), actual.size());
+        IntStream.range(0, actual.size()).forEach(i -> assertArrayEquals(expected.get(i), actual.get(i)));
     }
 
-    /** Cut at each byte, and the rest zeros or rubbish as a file system may leave it: what was whole before stays. */
+    /**
+     * Truncates a file at each byte, with nothing, zeros or other bytes after it, as a file system may leave them after
+     * a crash. All complete records must be decoded.
+     */
     @Example
-    void everyTornTailIsCut() throws Exception {
-        byte[] file = file(THREE);
+    void truncatesTornLastRecordAtEachByte() throws Exception {
+        byte[] file = encodeAll(PAYLOADS);
         int[] ends = {0, 15, 27, 27 + 24};
         assertEquals(ends[3], file.length);
         for (int cut = 0; cut <= file.length; cut++) {
-            int whole = cut >= ends[3] ? 3 : cut >= ends[2] ? 2 : cut >= ends[1] ? 1 : 0;
-            for (int behind : new int[] {0, 7, 100}) {
+            int complete = cut >= ends[3] ? 3 : cut >= ends[2] ? 2 : cut >= ends[1] ? 1 : 0;
+            for (int extra : new int[] {0, 7, 100}) {
                 for (byte fill : new byte[] {0, 0x57, -1}) {
-                    byte[] torn = Arrays.copyOf(file, cut + behind);
+                    byte[] torn = Arrays.copyOf(file, cut + extra);
                     Arrays.fill(torn, cut, torn.length, fill);
-                    if (behind > 0 && cut < file.length && file[cut] == fill) {
-                        continue; // that byte would have been written all the same
+                    if (extra > 0 && cut < file.length && file[cut] == fill) {
+                        continue; // the fill byte equals the next byte of the file
                     }
-                    RecordFile.DecodedRecords read = RecordFile.decodeLog(torn);
-                    assertEquals(ends[whole], read.validLength(), cut + " " + behind);
-                    assertSame(THREE.subList(0, whole), read.records());
+                    RecordFile.DecodedRecords decoded = RecordFile.decodeLog(torn);
+                    assertEquals(ends[complete], decoded.validLength(), "cut at " + cut + ", extra bytes " + extra);
+                    assertPayloads(PAYLOADS.subList(0, complete), decoded.records());
                 }
             }
         }
     }
 
-    /** A byte changed in the last record looks torn; anywhere before, it is told and nothing is skipped. */
+    /** Damage in the last record looks like a torn write. Damage before it is an error, and no record is skipped. */
     @Example
-    void damageBeforeTheLastRecordIsTold() throws Exception {
-        byte[] file = file(THREE);
-        for (int at = 0; at < file.length; at++) {
-            byte[] bad = file.clone();
-            bad[at] ^= 0x20;
-            if (at < 27) {
-                assertThrows(CorruptDataException.class, () -> RecordFile.decodeLog(bad), "byte " + at);
+    void rejectsDamageBeforeLastRecord() throws Exception {
+        byte[] file = encodeAll(PAYLOADS);
+        for (int offset = 0; offset < file.length; offset++) {
+            byte[] damaged = file.clone();
+            damaged[offset] ^= 0x20;
+            if (offset < 27) {
+                assertThrows(CorruptDataException.class, () -> RecordFile.decodeLog(damaged), "byte " + offset);
             } else {
-                assertSame(THREE.subList(0, 2), RecordFile.decodeLog(bad).records());
+                assertPayloads(PAYLOADS.subList(0, 2), RecordFile.decodeLog(damaged).records());
             }
         }
     }
 
     @Example
-    void aReplacementThatIsNotWholeIsNone() throws Exception {
-        byte[] file = RecordFile.encodeComplete(THREE);
-        assertSame(THREE, RecordFile.decodeComplete(file));
+    void rejectsTruncatedCompleteFile() throws Exception {
+        byte[] file = RecordFile.encodeComplete(PAYLOADS);
+        assertPayloads(PAYLOADS, RecordFile.decodeComplete(file));
         for (int cut = 0; cut < file.length; cut++) {
             byte[] torn = Arrays.copyOf(file, cut);
             assertThrows(CorruptDataException.class, () -> RecordFile.decodeComplete(torn), "cut at " + cut);
         }
     }
 
-    /** A record whose contents look like a record does not hide a torn one. */
+    /** Tests that all records are decoded and a torn last one is dropped, even if a payload looks like a record. */
     @Property(tries = 200, seed = "8")
-    void whatIsWrittenIsRead(@ForAll List<@Size(max = 40) byte[]> payloads,
+    void decodesEncodedPayloadsAndDropsTornLastRecord(@ForAll List<@Size(max = 40) byte[]> payloads,
             @ForAll @IntRange(min = 0, max = 39) int cut)
             throws Exception {
         var all = new ArrayList<>(payloads);
         all.add(new byte[cut]);
-        assertSame(all, RecordFile.decodeLog(file(all)).records());
-        byte[] file = file(all);
-        assertSame(payloads, RecordFile.decodeLog(Arrays.copyOf(file, file.length - 1 - cut / 4)).records());
+        assertPayloads(all, RecordFile.decodeLog(encodeAll(all)).records());
+        byte[] file = encodeAll(all);
+        assertPayloads(payloads, RecordFile.decodeLog(Arrays.copyOf(file, file.length - 1 - cut / 4)).records());
     }
 }
--- a/src/test/java/wallmoor/rules/RestrictiveMergeTest.java
+++ b/src/test/java/wallmoor/rules/RestrictiveMergeTest.java
@@ -22,59 +22,60 @@
 import wallmoor.rules.FieldValue.Text;
 
 /**
- * The table of careful fields held against the code: what a gatherer goes by while a version is known and not acting.
+ * Tests the field-by-field merge of versions in effect against an independent implementation, and the fields' merge
+ * rules against the documented table.
  */
 class RestrictiveMergeTest {
-    /** Of each direction the careful one of two values, and what is not asked of the code but said here once more. */
-    private static FieldValue careful(RestrictiveMerge way, FieldValue bold, FieldValue other) {
-        return switch (way) {
-            case LOWER -> ((Amount) bold).value() <= ((Amount) other).value() ? bold : other;
-            case HIGHER -> ((Amount) bold).value() >= ((Amount) other).value() ? bold : other;
-            case OFF -> new Flag(((Flag) bold).value() && ((Flag) other).value());
-            case ON -> new Flag(((Flag) bold).value() || ((Flag) other).value());
+    /** Returns the more restrictive of two values; implemented independently of {@link RestrictiveMerge#meet}. */
+    private static FieldValue moreRestrictive(RestrictiveMerge merge, FieldValue a, FieldValue b) {
+        return switch (merge) {
+            case LOWER -> ((Amount) a).value() <= ((Amount) b).value() ? a : b;
+            case HIGHER -> ((Amount) a).value() >= ((Amount) b).value() ? a : b;
+            case OFF -> new Flag(((Flag) a).value() && ((Flag) b).value());
+            case ON -> new Flag(((Flag) a).value() || ((Flag) b).value());
             case FEWER -> {
-                var both = new TreeSet<>(((Names) bold).value());
-                both.retainAll(((Names) other).value());
+                var both = new TreeSet<>(((Names) a).value());
+                both.retainAll(((Names) b).value());
                 yield new Names(both);
             }
             case MORE -> {
-                var all = new TreeSet<>(((Names) bold).value());
-                all.addAll(((Names) other).value());
+                var all = new TreeSet<>(((Names) a).value());
+                all.addAll(((Names) b).value());
                 yield new Names(all);
             }
-            case NEITHER -> bold.equals(other) ? bold : null;
+            case NEITHER -> a.equals(b) ? a : null;
         };
     }
 
-    private static FieldValue value(FieldSchema f, int x) {
-        Class<? extends FieldValue> type = f.merge().valueType;
+    private static FieldValue value(FieldSchema field, int draw) {
+        Class<? extends FieldValue> type = field.merge().valueType;
         if (type == Amount.class) {
-            return new Amount(Math.min(f.maximum(), f.minimum() + x % 5 * 0.25));
+            return new Amount(Math.min(field.maximum(), field.minimum() + draw % 5 * 0.25));
         } else if (type == Flag.class) {
-            return new Flag(x % 2 == 0);
+            return new Flag(draw % 2 == 0);
         } else if (type == Text.class) {
-            return new Text("t" + x % 3);
+            return new Text("t" + draw % 3);
         }
         var names = new ArrayList<String>();
         for (int i = 0; i < 4; i++) {
-            if ((x >> i & 1) != 0) {
+            if ((draw >> i & 1) != 0) {
                 names.add("n" + i);
             }
         }
         return Names.of(names);
     }
 
-    /** A body of a kind: each field, and two of each that stands for many, is there or not. */
-    private static RuleBody body(DocumentSchema kind, List<Integer> xs) {
+    /** Returns a body in which each field, and two fields of each pattern, is present or missing. */
+    private static RuleBody body(DocumentSchema schema, List<Integer> draws) {
         var fields = new TreeMap<String, FieldValue>();
         int i = 0;
-        for (FieldSchema f : kind.fields()) {
-            for (String name : f.path().endsWith("*")
-                    ? List.of(f.path().replace("*", "n1"), f.path().replace("*", "n2"))
-                    : List.of(f.path())) {
-                int x = xs.get(i++ % xs.size());
-                if (x % 4 != 3) {
-                    fields.put(name, value(f, x / 4));
+        for (FieldSchema field : schema.fields()) {
+            for (String name : field.path().endsWith("*")
+                    ? List.of(field.path().replace("*", "n1"), field.path().replace("*", "n2"))
+                    : List.of(field.path())) {
+                int draw = draws.get(i++ % draws.size());
+                if (draw % 4 != 3) {
+                    fields.put(name, value(field, draw / 4));
                 }
             }
         }
@@ -87,50 +88,53 @@
     }
 
     @Property(tries = 300, seed = "5")
-    void whatIsKnownAndNotActingMeetsFieldByField(@ForAll("draws") List<Integer> x, @ForAll("draws") List<Integer> y) {
-        for (DocumentSchema kind : DocumentSchemas.all().values()) {
-            RuleBody a = body(kind, x);
-            RuleBody b = body(kind, y);
-            RuleBody met = kind.meet(a, b);
+    void mergesToMoreRestrictiveValueOfEachField(@ForAll("draws") List<Integer> drawsA,
+            @ForAll("draws") List<Integer> drawsB) {
+        for (DocumentSchema schema : DocumentSchemas.all().values()) {
+            RuleBody a = body(schema, drawsA);
+            RuleBody b = body(schema, drawsB);
+            RuleBody merged = schema.meet(a, b);
             var names = new TreeSet<>(a.fields().keySet());
             names.addAll(b.fields().keySet());
-            for (String n : names) {
-                FieldSchema f = kind.field(n);
-                FieldValue u = a.fields().get(n);
-                FieldValue v = b.fields().get(n);
-                boolean lacks = u == null || v == null;
-                FieldValue expected = !lacks ? careful(f.merge(), u, v)
-                        : f.missing() == FieldSchema.MissingFieldMeaning.NOTHING ? null : u == null ? v : u;
-                assertEquals(expected, met.fields().get(n), kind.name() + " " + n);
+            for (String name : names) {
+                FieldSchema field = schema.field(name);
+                FieldValue left = a.fields().get(name);
+                FieldValue right = b.fields().get(name);
+                boolean isMissing = left == null || right == null;
+                FieldValue expected = !isMissing ? moreRestrictive(field.merge(), left, right)
+                        : field.missing() == FieldSchema.MissingFieldMeaning.NOTHING ? null
+                                : left == null ? right : left;
+                assertEquals(expected, merged.fields().get(name), schema.name() + " " + name);
             }
         }
     }
 
     @Property(tries = 300, seed = "6")
-    void theOrderInWhichVersionsAreMetIsNothing(@ForAll("draws") List<Integer> x, @ForAll("draws") List<Integer> y,
-            @ForAll("draws") List<Integer> z) {
-        for (DocumentSchema kind : DocumentSchemas.all().values()) {
-            RuleBody a = body(kind, x);
-            RuleBody b = body(kind, y);
-            RuleBody c = body(kind, z);
-            assertEquals(kind.meet(a, b), kind.meet(b, a));
-            assertEquals(a, kind.meet(a, a));
-            assertEquals(kind.meet(kind.meet(a, b), c), kind.meet(a, kind.meet(b, c)));
-            assertTrue(kind.isAtMostAsPermissive(kind.meet(a, b), a) && kind.isAtMostAsPermissive(kind.meet(a, b), b));
+    void mergeIsCommutativeIdempotentAndAssociative(@ForAll("draws") List<Integer> drawsA,
+            @ForAll("draws") List<Integer> drawsB, @ForAll("draws") List<Integer> drawsC) {
+        for (DocumentSchema schema : DocumentSchemas.all().values()) {
+            RuleBody a = body(schema, drawsA);
+            RuleBody b = body(schema, drawsB);
+            RuleBody c = body(schema, drawsC);
+            assertEquals(schema.meet(a, b), schema.meet(b, a));
+            assertEquals(a, schema.meet(a, a));
+            assertEquals(schema.meet(schema.meet(a, b), c), schema.meet(a, schema.meet(b, c)));
+            assertTrue(schema.isAtMostAsPermissive(schema.meet(a, b), a)
+                    && schema.isAtMostAsPermissive(schema.meet(a, b), b));
         }
     }
 
-    /** The tables themselves, so that a direction is not turned unseen. The page shows the same. */
+    /** Guards against an unnoticed change of a field's merge rule: the documentation has the same table. */
     @Example
-    void theTablesAreThoseOfThePage() throws Exception {
+    void tableOfFieldsMatchesDocumentation() throws Exception {
         var text = new StringBuilder();
-        for (DocumentSchema kind : List.of(DocumentSchemas.SETTINGS, DocumentSchemas.LIST, DocumentSchemas.SUMMARIES,
+        for (DocumentSchema schema : List.of(DocumentSchemas.SETTINGS, DocumentSchemas.LIST, DocumentSchemas.SUMMARIES,
                 DocumentSchemas.PLAN, DocumentSchemas.MAINTENANCE)) {
-            for (FieldSchema f : kind.fields()) {
-                String row = "| `" + kind.name() + "` | `" + f.path() + "` | "
-                        + f.merge().name().toLowerCase(Locale.ROOT)
+            for (FieldSchema field : schema.fields()) {
+                String row = "| `" + schema.name() + "` | `" + field.path() + "` | "
+                        + field.merge().name().toLowerCase(Locale.ROOT)
                         + " | "
-                        + f.missing().name().toLowerCase(Locale.ROOT) + " |";
+                        + field.missing().name().toLowerCase(Locale.ROOT) + " |";
                 text.append(row).append('\n');
             }
         }
@@ -139,8 +143,8 @@
     }
 
     @Example
-    void bodiesAreCheckedByTheirKind() throws Exception {
-        for (Map.Entry<DocumentSchema, String> bad : List.<Map.Entry<DocumentSchema, String>>of(
+    void rejectsBodiesThatViolateTheirSchema() throws Exception {
+        for (Map.Entry<DocumentSchema, String> invalid : List.<Map.Entry<DocumentSchema, String>>of(
                 Map.entry(DocumentSchemas.SETTINGS, "{\"limits.open\": true}"),
                 Map.entry(DocumentSchemas.SETTINGS, "{\"unknown\": 1}"),
                 Map.entry(DocumentSchemas.SETTINGS, "{\"shares.cold\": 1.5}"),
@@ -150,15 +154,16 @@
                 Map.entry(DocumentSchemas.SUMMARIES, "{\"prunable\": [\"a\"]}"),
                 Map.entry(DocumentSchemas.PLAN, "{\"owners.1\": []}"),
                 Map.entry(DocumentSchemas.LIST, "{\"nodes\": [1]}"))) {
-            assertThrows(InvalidRuleException.class, () -> bad.getKey().parse(bad.getValue()), bad.getValue());
+            assertThrows(InvalidRuleException.class, () -> invalid.getKey().parse(invalid.getValue()),
+                    invalid.getValue());
         }
         RuleBody plan = DocumentSchemas.PLAN
                 .parse("{\"owners.7\": [\"a\", \"b\"], \"paused\": false, \"copies.7\": 2}");
         assertTrue(plan.containsName("owners.7", "b") && !plan.flag("paused", true) && plan.amount("copies.7", 0) == 2);
-        var bold = RuleDocument.of(
+        var permissiveFallback = RuleDocument.of(
                 new RuleProposal("settings", 0, "", "me", "{\"limits.open\": 5}", "{\"limits.open\": 6}"),
                 1);
-        assertThrows(InvalidRuleException.class, () -> DocumentSchemas.SETTINGS.validate(bold),
-                "a fallback is no bolder");
+        assertThrows(InvalidRuleException.class, () -> DocumentSchemas.SETTINGS.validate(permissiveFallback),
+                "a fallback must not permit more than the body");
     }
 }
