--- a/src/main/java/wallmoor/rules/DocumentSchemas.java
+++ b/src/main/java/wallmoor/rules/DocumentSchemas.java
@@ -21,12 +21,12 @@
 public final class DocumentSchemas {
     private static final long DAY_MS = 86_400_000;
 
-    /** Settings that replace those in each gatherer's own file. Durations are milliseconds. */
+    /** Settings that would otherwise be in each gatherer's own file. Durations are milliseconds. */
     public static final DocumentSchema SETTINGS = new DocumentSchema("settings", List.of(
             new FieldSchema("limits.*", LOWER, UNBOUND, 0, 1e9),
             new FieldSchema("allowances.*", LOWER, NOTHING, 0, 1e9), // queries per second of a tenant
-            new FieldSchema("shares.*", LOWER, NOTHING, 0, 1), // of retries, of a cold node's load
-            // before a retry, before a result is requested again
+            new FieldSchema("shares.*", LOWER, NOTHING, 0, 1), // such as of retries or of a cold node's load
+            // such as before a retry or before a result is requested again
             new FieldSchema("waits.*", HIGHER, UNBOUND, 0, DAY_MS),
             FieldSchema.of("allow.*", OFF, NOTHING),
             FieldSchema.of("forbid.*", ON, UNBOUND),
@@ -113,8 +113,8 @@
         if (!(body.fields().get(subset) instanceof Names names)) {
             return null;
         }
-        boolean contained = body.fields().get(superset) instanceof Names all
+        boolean isContained = body.fields().get(superset) instanceof Names all
                 && all.value().containsAll(names.value());
-        return contained ? null : subset + " contains a name that is not in " + superset;
+        return isContained ? null : subset + " contains a name that is not in " + superset;
     }
 }
--- a/src/main/java/wallmoor/rules/ProposalRejection.java
+++ b/src/main/java/wallmoor/rules/ProposalRejection.java
@@ -4,7 +4,7 @@
  * The reason why a proposal was rejected.
  *
  * @param name         name of the document
- * @param aboutVersion the rejected version, or the version that was accepted or pending before it
+ * @param aboutVersion the rejected version, or the earlier version that prevented it; 0 for a malformed proposal
  * @param blockedBy    the voter that objected, the voters without a verdict, or the author of the earlier version
  * @param detail       depends on the reason, such as a voter's objection or the hash of the earlier version
  */
