--- a/src/main/java/wallmoor/platform/PlatformFront.java
+++ b/src/main/java/wallmoor/platform/PlatformFront.java
@@ -171,7 +171,7 @@
         }
         long timeout = Math.min(QueryHeaders.timeoutMicros(request.header("X-Deadline")),
                 inForce.settings().classes().get(queryClass).clientTimeout());
-        long deadline = Math.min(clock.at(request.begunAt()) + timeout, lastAnswerAt) - WIRE_MARGIN_MICROS;
+        long deadline = Math.min(clock.fromNanoTime(request.begunAt()) + timeout, lastAnswerAt) - WIRE_MARGIN_MICROS;
         boolean retry = "1".equals(request.header("X-Retry"));
         Query query = gatherer.open(id, queryClass, deadline, retry, parts(body),
                 asked.getBytes(StandardCharsets.UTF_8));
@@ -192,7 +192,7 @@
 
     private List<Query.PartRequest> parts(Json.Obj body) throws HttpProtocolException {
         try {
-            return QueryBody.asks(body, launch.settings().layout().shards());
+            return QueryBody.parseParts(body, launch.settings().layout().shards());
         } catch (QueryBody.InvalidQueryBodyException e) {
             throw new HttpProtocolException(400, e.getMessage());
         }
