--- a/src/main/java/wallmoor/peers/AntiEntropy.java
+++ b/src/main/java/wallmoor/peers/AntiEntropy.java
@@ -8,18 +8,18 @@
 import java.util.Set;
 
 /**
- * Anti-entropy (Demers et al., PODC 1987): now and then a member exchanges digests of its table with another, and both
- * tell what they know where these differ. One of those asked is a seed and one a member that was removed: so two sides
- * of a partition that has healed find each other again. Times are microseconds.
+ * Exchanges digests of the table with another member at intervals, after which both send each other the content of the
+ * buckets that differ (anti-entropy, Demers et al., PODC 1987). Each exchange also goes to a seed and to a member that
+ * was removed, so that the two sides of a partition find each other after it has healed. Times are microseconds.
  */
 final class AntiEntropy {
     private static final long NEVER = -1;
-    /** The next exchange follows after its interval, give or take a quarter. */
-    private static final double LEAST_INTERVAL = 0.75;
-    private static final double INTERVAL_SPREAD = 0.5;
-    /** Bytes of a bucket's digest in a message. */
+    /** The time between two exchanges is a random 75 % to 125 % of the interval. */
+    private static final double MIN_INTERVAL_FACTOR = 0.75;
+    private static final double INTERVAL_FACTOR_RANGE = 0.5;
+    /** Size of a bucket's digest in a message. */
     private static final int DIGEST_BYTES = 9;
-    /** Updates that fit so many datagrams go in them; more go as one message, over a connection. */
+    /** Updates that need more datagrams than this are sent as one message over a connection. */
     private static final int MAX_DATAGRAMS = 32;
 
     private final MembershipParameters parameters;
@@ -30,10 +30,10 @@
     private final MessageSender sender;
     private final Quorum quorum;
     private final Random random;
-    private long nextAt;
-    /** Since when others' digests have differed from this member's. */
+    private long nextExchangeAt;
+    /** Time since which the received digests have differed from this member's; {@link #NEVER} if the last was equal. */
     private long differsSince = NEVER;
-    /** The next exchange is to even out a difference. */
+    /** Whether the next exchange is meant to resolve a known difference. */
     private boolean isDifferenceKnown;
 
     AntiEntropy(MembershipParameters parameters, MembershipTable table, List<String> seeds,
@@ -48,34 +48,36 @@
         this.random = random;
     }
 
-    /** The member starts: it asks its seeds. */
+    /** Starts with an exchange with all seeds. */
     void onStart(long now) {
         exchange(now, false);
     }
 
-    /** Has the next exchange at the next tick. */
-    void hasten(long now) {
-        nextAt = now;
+    /** Schedules the next exchange for the next tick. */
+    void exchangeSoon(long now) {
+        nextExchangeAt = now;
     }
 
-    /** Exchanges digests where it is time. */
+    /** Exchanges digests if an exchange is due. */
     void onTick(long now) {
         if (differsSince != NEVER) {
-            hastenForDifference(now);
+            advanceForDifference(now);
         }
-        if (now >= nextAt) {
+        if (now >= nextExchangeAt) {
             exchange(now, isDifferenceKnown);
             isDifferenceKnown = false;
         }
     }
 
-    private void hastenForDifference(long now) {
-        long differing = now - differsSince;
-        if (differing > parameters.probeInterval() / 2 && quorum.mayBePartitioned(now)) {
-            nextAt = now; // a side must know soon which it is
-        } else if (differing > parameters.suspectAfter()) {
-            // dissemination should have evened that out by now
-            nextAt = Math.min(nextAt, now + (long) (parameters.probeInterval() * random.nextDouble()));
+    /** Schedules an earlier exchange if the digests have differed for too long. */
+    private void advanceForDifference(long now) {
+        long differingMicros = now - differsSince;
+        if (differingMicros > parameters.probeInterval() / 2 && quorum.mayBePartitioned(now)) {
+            nextExchangeAt = now; // in a partition a member must learn soon whether its side has a quorum
+        } else if (differingMicros > parameters.suspectAfter()) {
+            // Dissemination should have resolved the difference by now.
+            nextExchangeAt = Math.min(nextExchangeAt,
+                    now + (long) (parameters.probeInterval() * random.nextDouble()));
         } else {
             return;
         }
@@ -84,8 +86,10 @@
     }
 
     /**
-     * Exchanges with a member at random, or one that was heard recently where what is known differs, and with a seed
-     * and one that went.
+     * Exchanges digests with one other member, with a seed and with a removed member. With no other member present, the
+     * exchange goes to all seeds.
+     *
+     * @param differs whether a difference is known; if so, a recently active member is preferred to a random one
      */
     private void exchange(long now, boolean differs) {
         table.expireTombstones(now);
@@ -94,7 +98,8 @@
             peer = peers.sample(1).stream().findFirst();
         }
         long interval = peer.isEmpty() ? parameters.probeInterval() : parameters.antiEntropyInterval();
-        nextAt = now + (long) (interval * (LEAST_INTERVAL + INTERVAL_SPREAD * random.nextDouble()));
+        nextExchangeAt = now
+                + (long) (interval * (MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * random.nextDouble()));
         differsSince = NEVER;
         var addresses = new HashSet<String>();
         if (peer.isEmpty()) {
@@ -109,9 +114,9 @@
         addresses.stream().sorted().forEach(a -> sendDigests(a, GroupMessage.DIGEST_REQUEST, List.of()));
     }
 
-    /** One that was removed hears by it that it was, if it is there. */
+    /** Exchanges digests with a random removed member, which learns from it that it was removed. */
     private void exchangeWithRemoved(Set<String> addresses) {
-        List<MemberEntry> removed = table.all().stream()
+        List<MemberEntry> removed = table.entries().stream()
                 .filter(entry -> entry.isRemoved() && !entry.announcement().left()).toList();
         if (!removed.isEmpty()) {
             MemberEntry entry = removed.get(random.nextInt(removed.size()));
@@ -120,17 +125,17 @@
         }
     }
 
-    private void sendDigests(String address, long round, List<MembershipUpdate> first) {
-        int bytes = parameters.maxUpdateBytes() - DIGEST_BYTES * TableDigest.BUCKETS;
-        sender.sendDigests(address, round, dissemination.fill(new ArrayList<>(first), bytes));
+    private void sendDigests(String address, long sequence, List<MembershipUpdate> firstUpdates) {
+        int maxBytes = parameters.maxUpdateBytes() - DIGEST_BYTES * TableDigest.BUCKET_COUNT;
+        sender.sendDigests(address, sequence, dissemination.fill(new ArrayList<>(firstUpdates), maxBytes));
     }
 
-    /** A message has come whose sender's digest is the same as this member's, or differs. */
+    /** Records whether the digest in a received message differs from this member's. */
     void onDigest(long now, boolean differs) {
         differsSince = !differs ? NEVER : differsSince == NEVER ? now : differsSince;
     }
 
-    /** Another member has sent its digests, and they differ: it is asked back once, and told what is known here. */
+    /** Answers digests that differ: with this member's digests if they were a request, and with updates. */
     void onDigests(GroupMessage message) {
         if (message.sequence() == GroupMessage.DIGEST_REQUEST) {
             sendDigests(message.sender().address(), GroupMessage.DIGEST_REPLY, List.of());
@@ -138,25 +143,26 @@
         sendUpdates(message.sender().address(), message.bucketDigests());
     }
 
-    /** All that is known of the buckets that differ; in as many datagrams as it takes, where they are few. */
+    /** Sends the content of the buckets that differ, in several datagrams or in one message if it is too large. */
     private void sendUpdates(String address, List<Long> digests) {
         List<MembershipUpdate> all = table.updatesWhereDifferent(digests);
-        int total = all.stream().mapToInt(MembershipUpdate::encodedSize).sum();
-        int most = total > parameters.maxUpdateBytes() * MAX_DATAGRAMS ? total : parameters.maxUpdateBytes();
+        int totalBytes = all.stream().mapToInt(MembershipUpdate::encodedSize).sum();
+        int maxBytes = totalBytes > parameters.maxUpdateBytes() * MAX_DATAGRAMS ? totalBytes
+                : parameters.maxUpdateBytes();
         int from = 0;
         while (from < all.size()) {
-            int to = endOfMessage(all, from, most);
+            int to = endOfMessage(all, from, maxBytes);
             sender.sendUpdates(address, List.copyOf(all.subList(from, to)));
             from = to;
         }
     }
 
-    /** At least one update goes with a message, and as many as so many bytes hold. */
-    private static int endOfMessage(List<MembershipUpdate> all, int from, int bytes) {
+    /** Returns the end index of the updates for one message: at least one, and as many as fit {@code maxBytes}. */
+    private static int endOfMessage(List<MembershipUpdate> all, int from, int maxBytes) {
         int to = from;
-        int room = bytes;
-        while (to < all.size() && (to == from || all.get(to).encodedSize() <= room)) {
-            room -= all.get(to).encodedSize();
+        int remainingBytes = maxBytes;
+        while (to < all.size() && (to == from || all.get(to).encodedSize() <= remainingBytes)) {
+            remainingBytes -= all.get(to).encodedSize();
             to++;
         }
         return to;
--- a/src/main/java/wallmoor/peers/CutDetector.java
+++ b/src/main/java/wallmoor/peers/CutDetector.java
@@ -8,12 +8,13 @@
 import wallmoor.peers.GroupView.PartitionSide;
 
 /**
- * Multi-process cut detection (Rapid, 4.2): members that most of their witnesses suspect are removed, together with all
- * others that are about to be, and only where a quorum is on this side. Times are microseconds.
+ * Detects multi-process cuts (Rapid, 4.2): members that enough of their witnesses suspect are removed together, once no
+ * further members are about to reach that threshold, and only if this side has a quorum. A witness is an observer that
+ * is reachable itself. Times are microseconds.
  */
 final class CutDetector {
     private static final long NEVER = -1;
-    /** A member that so many suspect may be about to be removed (Rapid: the low watermark L). */
+    /** Suspicions from which a member may be about to be removed (Rapid: the low watermark L). */
     private static final int PENDING_SUSPICIONS = 2;
 
     private final MembershipParameters parameters;
@@ -22,9 +23,9 @@
     private final Quorum quorum;
     private final UpdateProcessor updates;
     private final ViewPublisher publisher;
-    /** Since when there has been one to remove. */
+    /** Time since which at least one member has been due for removal; {@link #NEVER} if none is. */
     private long cutSince = NEVER;
-    /** Since when a quorum has been here. */
+    /** Time since which this side has had a quorum; {@link #NEVER} if it has none. */
     private long quorumSince = NEVER;
     private long removals;
 
@@ -38,16 +39,16 @@
         this.publisher = publisher;
     }
 
-    /** Members removed since the start. */
+    /** Returns the number of members removed since the start. */
     long removals() {
         return removals;
     }
 
-    /** Removes all that are to be, once they have been stable for long enough. */
+    /** Removes the members that are due, once the suspicions have been stable or the maximum delay has passed. */
     void onTick(long now) {
         boolean hasQuorum = quorum.sideByReachability(now) == PartitionSide.LARGER;
         quorumSince = !hasQuorum ? NEVER : quorumSince == NEVER ? now : quorumSince;
-        // suspicions of before the quorum came back must go first
+        // Suspicions from before the quorum was regained must be withdrawn before any of them leads to a removal.
         if (table.suspected().isEmpty() || !hasQuorum || now - quorumSince < parameters.suspectAfter()) {
             cutSince = NEVER;
             return;
@@ -65,7 +66,7 @@
         }
     }
 
-    /** Adds those that are to be removed; whether others may be about to be. */
+    /** Adds the members that are due for removal to {@code cut}; returns whether further ones may be about to be. */
     private boolean collectCut(List<MemberEntry> cut) {
         boolean isMorePending = false;
         for (var suspected : table.suspected().entrySet()) {
@@ -93,11 +94,12 @@
     }
 
     /**
-     * With those that were removed, observers changed for all that were removed before or with them. Who observes one
-     * of these now would have suspected it: it reports so, as others that have removed fewer so far wait for its word.
+     * Reports a suspicion of each removed member that this member observes now. Each removal changes the rings, and so
+     * the observers of members that were removed before or in the same cut. Other gatherers that have removed fewer
+     * members so far need the new observers' suspicions to reach the threshold.
      */
     private void confirmRemovals(long now) {
-        for (MemberEntry entry : table.all()) {
+        for (MemberEntry entry : table.entries()) {
             if (entry.isRemoved() && !entry.announcement().left() && !entry.isSuspectedBy(self.name())
                     && table.rings().observers(entry.name()).contains(self.name())) {
                 updates.report(now, entry, true);
--- a/src/main/java/wallmoor/peers/DigestHistory.java
+++ b/src/main/java/wallmoor/peers/DigestHistory.java
@@ -4,40 +4,40 @@
 import java.util.Map;
 
 /**
- * This member's own digests of late: one whose digest is among them knows nothing that this member does not, and so
- * this member is abreast of it. Times are microseconds.
+ * Records this member's own recent digests. A sender whose digest is among them has no information that this member
+ * lacks, so that this member is up to date with it. Times are microseconds.
  */
 final class DigestHistory {
     private final MembershipParameters parameters;
     private final MembershipTable table;
-    /** Until when each was this member's own. */
+    /** Own digests, each with the last time when it was current. */
     private final Map<Long, Long> digests = new LinkedHashMap<>();
-    private long abreastAt;
+    private long upToDateAt;
 
     DigestHistory(MembershipParameters parameters, MembershipTable table) {
         this.parameters = parameters;
         this.table = table;
     }
 
-    /** The member starts. */
+    /** Starts with this member regarded as up to date. */
     void onStart(long now) {
-        abreastAt = now;
+        upToDateAt = now;
     }
 
-    /** A tick: remembers the present digest, and forgets old ones. */
+    /** Records the current digest and discards old ones. */
     void onTick(long now) {
         digests.put(table.digest(), now);
         digests.values().removeIf(at -> now - at > parameters.recentWindow());
     }
 
-    /** Another member has sent its digest, and what it sent with it was taken in. */
+    /** Processes another member's digest, after the updates in the same message have been merged. */
     void onDigest(long now, long digest) {
         digests.put(table.digest(), now);
-        abreastAt = digests.containsKey(digest) ? now : abreastAt;
+        upToDateAt = digests.containsKey(digest) ? now : upToDateAt;
     }
 
-    /** Whether one spoke recently that knew nothing more. */
-    boolean isAbreast(long now) {
-        return now - abreastAt <= parameters.recentWindow();
+    /** Returns whether a message arrived recently from a member that has no information that this one lacks. */
+    boolean isUpToDate(long now) {
+        return now - upToDateAt <= parameters.recentWindow();
     }
 }
--- a/src/main/java/wallmoor/peers/Dissemination.java
+++ b/src/main/java/wallmoor/peers/Dissemination.java
@@ -7,11 +7,14 @@
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
 /**
- * Dissemination of membership updates (SWIM, 4.1): they are piggybacked on all messages, and while there are any, also
- * sent each tick to one member by themselves (Lifeguard's dedicated gossip).
+ * Disseminates membership updates (SWIM, 4.1): they are piggybacked on all messages, and while any are queued, also
+ * sent to one member at each tick in a message of their own (Lifeguard's dedicated gossip).
  */
 final class Dissemination {
-    /** Each update is sent so many times the decimal logarithm of the group's size: all have it then (SWIM, 4.1). */
+    /**
+     * Each update is sent this many times the decimal logarithm of the group's size, after which all members have it
+     * with high probability (SWIM, 4.1).
+     */
     private static final int RETRANSMIT_FACTOR = 4;
 
     private final MembershipParameters parameters;
@@ -30,20 +33,21 @@
         this.sender = sender;
     }
 
-    /** Queues an update for others. */
+    /** Queues an update to be sent to others. */
     void enqueue(MembershipUpdate update) {
         queue.enqueue(new DisseminationQueue.Topic(update.name(), update instanceof Suspicion));
     }
 
     /**
-     * Gossips with one that was heard recently, as what goes to one that does not hear would count as told. A member
-     * that hears nobody may be observed by none of those on its side of a partition: it asks others what they know.
+     * Sends queued updates to one recently active member; updates to a member that can't receive them would count as
+     * transmitted. If no member is active although some are suspected, it sends digests to a random member to request
+     * updates: all observers of this member may be on the other side of a partition.
      */
     void onTick(long now) {
         Optional<MemberEntry> peer = peers.leastRecentlyGossiped(now);
         if (!queue.isEmpty()) {
             peer.ifPresent(entry -> {
-                entry.gossiped(now);
+                entry.markGossiped(now);
                 sender.sendUpdates(entry.address(), updatesFor(entry.name()));
             });
         }
@@ -54,32 +58,34 @@
         }
     }
 
-    /** What goes with a message to this member: updates, or if it is silent only what it must know of itself. */
+    /**
+     * Returns the updates for a message to this member: the queued ones, or if it is silent only those about itself.
+     */
     List<MembershipUpdate> updatesFor(long now, MemberEntry receiver) {
-        return peers.wasHeardRecently(now, receiver) ? updatesFor(receiver.name()) : updatesAbout(receiver.name());
+        return peers.isRecentlyActive(now, receiver) ? updatesFor(receiver.name()) : updatesAbout(receiver.name());
     }
 
-    /** The updates that were sent least, after what the receiver must know of itself. */
+    /** Returns the updates about the receiver itself, followed by the queued ones that were sent least often. */
     List<MembershipUpdate> updatesFor(String receiver) {
         return fill(updatesAbout(receiver), parameters.maxUpdateBytes());
     }
 
-    /** The updates that were sent least, to a receiver whose name is not known. */
+    /** Returns the queued updates that were sent least often, for a receiver whose name is not known. */
     List<MembershipUpdate> updatesForAnyone() {
         return fill(new ArrayList<>(), parameters.maxUpdateBytes());
     }
 
-    /** Adds the updates that were sent least, as many as so many bytes hold together with the first ones. */
-    List<MembershipUpdate> fill(List<MembershipUpdate> updates, int bytes) {
-        int transmissions = (int) Math.ceil(RETRANSMIT_FACTOR * Math.max(1, Math.log10(table.size())));
-        int room = bytes - updates.stream().mapToInt(MembershipUpdate::encodedSize).sum();
-        queue.appendTo(room, transmissions, this::known, updates);
+    /** Appends queued updates, least often sent first, up to {@code maxBytes} in total; returns the same list. */
+    List<MembershipUpdate> fill(List<MembershipUpdate> updates, int maxBytes) {
+        int maxTransmissions = (int) Math.ceil(RETRANSMIT_FACTOR * Math.max(1, Math.log10(table.size())));
+        int remainingBytes = maxBytes - updates.stream().mapToInt(MembershipUpdate::encodedSize).sum();
+        queue.appendTo(remainingBytes, maxTransmissions, this::currentUpdates, updates);
         return updates;
     }
 
     /**
-     * What a member must know of itself: a suspicion of it, or its incarnation as known here, which it refutes if it is
-     * there to do so (Lifeguard's buddy system).
+     * Returns the updates that a member must get about itself in order to refute them: a suspicion of it, or the
+     * announcement with which it left or was removed (Lifeguard's buddy system).
      */
     List<MembershipUpdate> updatesAbout(String name) {
         var updates = new ArrayList<MembershipUpdate>();
@@ -88,7 +94,7 @@
             return updates;
         }
         if (entry.isRemoved() || entry.announcement().left()) {
-            // by this one's own word: others may have heard it again meanwhile
+            // The suspicion is this member's own, as the other observers may have withdrawn theirs meanwhile.
             updates.add(entry.announcement());
             updates.add(new Suspicion(name, entry.announcement().incarnation(), self.name(), self.nextSequence(),
                     true));
@@ -98,7 +104,7 @@
         return updates;
     }
 
-    private List<MembershipUpdate> known(DisseminationQueue.Topic topic) {
+    private List<MembershipUpdate> currentUpdates(DisseminationQueue.Topic topic) {
         MemberEntry entry = table.get(topic.name());
         if (entry == null) {
             return List.of();
@@ -106,7 +112,7 @@
         if (!topic.suspicions()) {
             return List.of(entry.announcement());
         }
-        Set<String> observers = table.rings().observers(entry.name()); // others' word does not count
+        Set<String> observers = table.rings().observers(entry.name()); // suspicions by other members don't count
         return entry.suspicions().stream().filter(s -> observers.contains(s.observer()))
                 .map(s -> (MembershipUpdate) s).toList();
     }
--- a/src/main/java/wallmoor/peers/DisseminationQueue.java
+++ b/src/main/java/wallmoor/peers/DisseminationQueue.java
@@ -11,51 +11,59 @@
 import java.util.function.Function;
 
 /**
- * Topics that are still to be disseminated: what was sent least goes first, and each a limited number of times (SWIM,
- * 4.1). A topic is a member's own announcement, or all suspicions of it together, as they stand when they are sent: of
- * a member that many observers suspect there is one topic and not one for each. Taking one costs the same however many
- * there are.
+ * The topics that are still to be disseminated. Those that were sent least often go first, and each is sent a limited
+ * number of times (SWIM, 4.1). A topic is either a member's own announcement or all suspicions of the member together,
+ * with their content at the time of sending; so a member that many observers suspect has one topic and not one for each
+ * observer. The cost of taking a topic does not depend on the number of topics.
  */
 final class DisseminationQueue {
-    /** The member that it is about, and whether it is what others report of hearing it. */
+    /**
+     * A topic about one member.
+     *
+     * @param name        the member's name
+     * @param suspicions true for the suspicions of the member, false for its announcement
+     */
     record Topic(String name, boolean suspicions) {}
 
-    /** By how often they were sent; of each what waits longest first. */
+    /** Topics by the number of times they were sent; in each set the one that waits longest is first. */
     private final List<Set<Topic>> byTransmissions = new ArrayList<>();
     private final Map<Topic, Integer> transmissions = new HashMap<>();
 
-    /** Something new is to be told on this topic. */
+    /** Adds a topic with new content, to be sent the full number of times. */
     void enqueue(Topic topic) {
-        Integer before = transmissions.put(topic, 0);
-        if (before != null) {
-            byTransmissions.get(before).remove(topic);
+        Integer previous = transmissions.put(topic, 0);
+        if (previous != null) {
+            byTransmissions.get(previous).remove(topic);
         }
-        sentTimes(0).add(topic);
+        topicsSent(0).add(topic);
     }
 
-    /** Whether there is nothing left to tell. */
+    /** Returns whether no topic is left to send. */
     boolean isEmpty() {
         return transmissions.isEmpty();
     }
 
     /**
-     * Adds the updates of the next topics to a message.
+     * Appends the updates of the next topics to a message.
      *
-     * @param room   for so many bytes by {@link MembershipUpdate#encodedSize}; one topic goes all the same
-     * @param limit  times that each topic is sent in all
-     * @param source what there is to say on a topic now
+     * @param maxBytes         maximum size of the appended updates by {@link MembershipUpdate#encodedSize}; the first
+     *                         topic may exceed it, unless it is not positive
+     * @param maxTransmissions number of times that each topic is sent in total
+     * @param updatesOf        returns the current updates of a topic; a topic without updates is dropped
      */
-    void appendTo(int room, int limit, Function<Topic, List<MembershipUpdate>> source, List<MembershipUpdate> message) {
-        int left = room;
-        var sent = new LinkedHashMap<Topic, Integer>(); // queued again at the end: for this message once each
-        for (int times = 0; times < byTransmissions.size() && left > 0; times++) {
-            Iterator<Topic> waiting = byTransmissions.get(times).iterator();
-            while (left > 0 && waiting.hasNext()) {
+    void appendTo(int maxBytes, int maxTransmissions, Function<Topic, List<MembershipUpdate>> updatesOf,
+            List<MembershipUpdate> message) {
+        int remainingBytes = maxBytes;
+        // Topics are queued again only at the end, so that each is in this message at most once.
+        var sent = new LinkedHashMap<Topic, Integer>();
+        for (int count = 0; count < byTransmissions.size() && remainingBytes > 0; count++) {
+            Iterator<Topic> waiting = byTransmissions.get(count).iterator();
+            while (remainingBytes > 0 && waiting.hasNext()) {
                 Topic topic = waiting.next();
-                List<MembershipUpdate> updates = times < limit ? source.apply(topic) : List.of();
+                List<MembershipUpdate> updates = count < maxTransmissions ? updatesOf.apply(topic) : List.of();
                 int size = updates.stream().mapToInt(MembershipUpdate::encodedSize).sum();
-                if (size > left && left < room) {
-                    left = 0; // the next message begins with it
+                if (size > remainingBytes && remainingBytes < maxBytes) {
+                    remainingBytes = 0; // the next message begins with this topic
                     continue;
                 }
                 waiting.remove();
@@ -63,21 +71,22 @@
                     transmissions.remove(topic);
                     continue;
                 }
-                left -= size;
+                remainingBytes -= size;
                 updates.stream().filter(u -> !message.contains(u)).forEach(message::add);
-                sent.put(topic, times + 1);
+                sent.put(topic, count + 1);
             }
         }
-        sent.forEach((topic, times) -> {
-            sentTimes(times).add(topic);
-            transmissions.put(topic, times);
+        sent.forEach((topic, count) -> {
+            topicsSent(count).add(topic);
+            transmissions.put(topic, count);
         });
     }
 
-    private Set<Topic> sentTimes(int times) {
-        while (byTransmissions.size() <= times) {
+    /** Returns the topics that were sent this number of times. */
+    private Set<Topic> topicsSent(int count) {
+        while (byTransmissions.size() <= count) {
             byTransmissions.add(new LinkedHashSet<>());
         }
-        return byTransmissions.get(times);
+        return byTransmissions.get(count);
     }
 }
--- a/src/main/java/wallmoor/peers/EvidenceCollector.java
+++ b/src/main/java/wallmoor/peers/EvidenceCollector.java
@@ -7,7 +7,7 @@
 import wallmoor.peers.MemberEvidence.ReportedState;
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
-/** Tells why a member is in its state. */
+/** Collects the evidence for a member's state. */
 final class EvidenceCollector {
     private final MembershipTable table;
     private final FailureDetector detector;
@@ -17,7 +17,7 @@
         this.detector = detector;
     }
 
-    /** Why this member is in its state; null where there is none of this name. */
+    /** Returns the evidence for this member's state, or null if no member of this name is known. */
     MemberEvidence explain(long now, String name) {
         MemberEntry entry = table.get(name);
         if (entry == null) {
@@ -30,14 +30,14 @@
         var reports = new ArrayList<ObserverReport>();
         for (String observer : reporting) {
             reports.add(new ObserverReport(observer, observers.contains(observer), witnesses.contains(observer),
-                    reported(entry.suspicionBy(observer))));
+                    reportedState(entry.suspicionBy(observer))));
         }
         return new MemberEvidence(name, entry.address(), entry.announcement().incarnation(), entry.state(),
                 entry.since(), witnesses.size(), Reachability.cutThreshold(witnesses.size()),
-                detector.silence(now, name), reports);
+                detector.silenceMicros(now, name), reports);
     }
 
-    private static ReportedState reported(Suspicion latest) {
+    private static ReportedState reportedState(Suspicion latest) {
         if (latest == null) {
             return ReportedState.NOTHING;
         }
--- a/src/main/java/wallmoor/peers/FailureDetector.java
+++ b/src/main/java/wallmoor/peers/FailureDetector.java
@@ -7,24 +7,25 @@
 import java.util.TreeMap;
 
 /**
- * Probes this member's subjects on the rings, directly and then through others (SWIM, 3.1 and 4.1), and reports a
- * suspicion of each that was not heard for long enough, or takes it back. Times are microseconds.
+ * Probes this member's subjects on the rings, first directly and then through other members (SWIM, 3.1 and 4.1). It
+ * reports a suspicion of each subject that has not answered for the suspicion timeout, and withdraws it once the
+ * subject answers again. Times are microseconds.
  */
 final class FailureDetector {
-    /** The next probe is sent after an interval, give or take a tenth. */
-    private static final double LEAST_INTERVAL = 0.9;
-    private static final double INTERVAL_SPREAD = 0.2;
+    /** The time between two probes is a random 90 % to 110 % of the probe interval. */
+    private static final double MIN_INTERVAL_FACTOR = 0.9;
+    private static final double INTERVAL_FACTOR_RANGE = 0.2;
     private static final long NO_PROBE = -1;
 
-    /** A subject as its observer sees it. */
+    /** The state of a subject that this member observes. */
     private static final class Subject {
         private long nextProbeAt;
         private long probedAt;
-        /** The number of the probe that was not answered yet. */
+        /** Sequence number of the probe that is not answered yet, or {@link #NO_PROBE}. */
         private long pendingProbe = NO_PROBE;
-        private boolean probedIndirectly;
-        private long heardAt;
-        private boolean suspected;
+        private boolean isProbedIndirectly;
+        private long lastAnswerAt;
+        private boolean isSuspected;
         private long suspectedIncarnation;
         private long bootId;
     }
@@ -42,7 +43,7 @@
     private final MessageSender sender;
     private final Random random;
     private final Map<String, Subject> subjects = new TreeMap<>();
-    /** By this member's own number of the probe. */
+    /** Relayed probes by this member's own sequence number. */
     private final Map<Long, Relay> relays = new LinkedHashMap<>();
     private long probes;
     private long unansweredProbes;
@@ -62,36 +63,36 @@
         this.random = random;
     }
 
-    /** Probes sent to subjects since the start. */
+    /** Returns the number of probes sent to subjects since the start, without relayed ones. */
     long probes() {
         return probes;
     }
 
-    /** Of these the ones that were not answered in time. */
+    /** Returns the number of probes to subjects that were not answered before the probe timeout. */
     long unansweredProbes() {
         return unansweredProbes;
     }
 
-    /** Suspicions reported since the start. */
+    /** Returns the number of suspicions reported since the start. */
     long suspicions() {
         return suspicions;
     }
 
-    /** Since when this subject has not been heard, or a negative number where it is none. */
-    long silence(long now, String name) {
+    /** Returns the microseconds since this subject last answered, or a negative number if it is not a subject. */
+    long silenceMicros(long now, String name) {
         Subject subject = subjects.get(name);
-        return subject == null ? -1 : now - subject.heardAt;
+        return subject == null ? -1 : now - subject.lastAnswerAt;
     }
 
-    /** After a pause of this process silence is counted anew. */
-    void restart(long now) {
+    /** Restarts all suspicion timeouts after a pause of this process, during which answers could not be received. */
+    void restartTimeouts(long now) {
         subjects.values().forEach(subject -> {
-            subject.heardAt = now;
+            subject.lastAnswerAt = now;
             subject.pendingProbe = NO_PROBE;
         });
     }
 
-    /** Asks others about probes that timed out, suspects who is silent, and sends the probes that are due. */
+    /** Sends indirect probes after timeouts, suspects silent subjects and sends the probes that are due. */
     void onTick(long now) {
         relays.values().removeIf(r -> r.expiresAt() < now);
         Set<String> names = subjectNames();
@@ -104,8 +105,8 @@
                 timedOut++;
                 probeIndirectly(now, subject, name);
             }
-            followProcess(now, subject, entry);
-            if (isToBeSuspected(now, subject, entry)) {
+            resetForNewProcess(now, subject, entry);
+            if (shouldSuspect(now, subject, entry)) {
                 suspect(now, subject, entry);
             }
             if (now >= subject.nextProbeAt) {
@@ -113,10 +114,13 @@
             }
         }
         unansweredProbes += timedOut;
-        health.probesTimedOut(timedOut, names.size());
+        health.onProbesTimedOut(timedOut, names.size());
     }
 
-    /** Rejoining members are probed as their observers would if they were back: so it is seen whether they are. */
+    /**
+     * Returns the names of this member's subjects and of the rejoining members that it would observe. The latter are
+     * probed before their admission, to find out whether they are reachable.
+     */
     private Set<String> subjectNames() {
         Set<String> names = table.rings().subjects(self.name());
         for (MemberEntry entry : table.rejoining()) {
@@ -129,67 +133,68 @@
 
     private Subject newSubject(long now, String name) {
         var subject = new Subject();
-        subject.heardAt = now;
+        subject.lastAnswerAt = now;
         subject.bootId = table.get(name).announcement().bootId();
         subject.nextProbeAt = now + (long) (parameters.probeInterval() * random.nextDouble());
         return subject;
     }
 
     private boolean hasTimedOut(long now, Subject subject) {
-        return subject.pendingProbe != NO_PROBE && !subject.probedIndirectly
+        return subject.pendingProbe != NO_PROBE && !subject.isProbedIndirectly
                 && now - subject.probedAt > health.probeTimeout();
     }
 
     private void probeIndirectly(long now, Subject subject, String name) {
-        subject.probedIndirectly = true;
-        for (MemberEntry helper : peers.sampleWithout(name, parameters.indirectProbers())) {
+        subject.isProbedIndirectly = true;
+        for (MemberEntry helper : peers.sampleExcluding(name, parameters.indirectProbers())) {
             sender.sendIndirectProbe(helper.address(), subject.pendingProbe, name,
                     dissemination.updatesFor(now, helper));
         }
     }
 
-    /** Nothing is held against another process of the same name. */
-    private static void followProcess(long now, Subject subject, MemberEntry entry) {
+    /** Ends the suspicion and restarts the timeout if another process of the same name has replaced the subject. */
+    private static void resetForNewProcess(long now, Subject subject, MemberEntry entry) {
         if (subject.bootId != entry.announcement().bootId()) {
             subject.bootId = entry.announcement().bootId();
-            subject.heardAt = now;
-            subject.suspected = false;
+            subject.lastAnswerAt = now;
+            subject.isSuspected = false;
         }
     }
 
-    /** A subject that announces a new incarnation and is still not heard is suspected anew. */
-    private boolean isToBeSuspected(long now, Subject subject, MemberEntry entry) {
-        boolean isNews = !subject.suspected || subject.suspectedIncarnation != entry.announcement().incarnation();
-        return isNews && now - subject.heardAt > parameters.suspectAfter() && !health.isRecovering(now);
+    /** Returns whether to report a suspicion; a silent subject is reported again after each new incarnation. */
+    private boolean shouldSuspect(long now, Subject subject, MemberEntry entry) {
+        boolean isNew = !subject.isSuspected || subject.suspectedIncarnation != entry.announcement().incarnation();
+        return isNew && now - subject.lastAnswerAt > parameters.suspectAfter() && !health.isRecovering(now);
     }
 
     private void suspect(long now, Subject subject, MemberEntry entry) {
-        subject.suspected = true;
+        subject.isSuspected = true;
         subject.suspectedIncarnation = entry.announcement().incarnation();
         suspicions++;
         updates.report(now, entry, true);
     }
 
     private void probe(long now, Subject subject, MemberEntry entry) {
-        // else updates would go where they most likely are not heard, and count as told
+        // A subject that did not answer the last probe probably does not receive this one either. Queued updates would
+        // then count as transmitted without having arrived, so it gets only updates about itself.
         boolean isAnswering = subject.pendingProbe == NO_PROBE;
         subject.nextProbeAt = now
-                + (long) (parameters.probeInterval() * (LEAST_INTERVAL + INTERVAL_SPREAD * random.nextDouble()));
+                + (long) (parameters.probeInterval() * (MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * random.nextDouble()));
         subject.probedAt = now;
-        subject.probedIndirectly = false;
+        subject.isProbedIndirectly = false;
         subject.pendingProbe = self.nextSequence();
         probes++;
         sender.sendProbe(entry.address(), subject.pendingProbe, isAnswering ? dissemination.updatesFor(entry.name())
                 : dissemination.updatesAbout(entry.name()));
     }
 
-    /** Another member probes this one. */
+    /** Answers a probe from another member. */
     void onProbe(GroupMessage probe) {
         sender.sendAck(probe.sender().address(), probe.sequence(), null,
                 dissemination.updatesFor(probe.sender().name()));
     }
 
-    /** Another member asks this one to probe a third. */
+    /** Probes a third member on behalf of the sender, unless it is unknown or too many relayed probes are pending. */
     void onIndirectProbe(long now, GroupMessage request) {
         MemberEntry target = table.get(request.target());
         if (target == null || relays.size() >= parameters.maxMembers()) {
@@ -201,7 +206,7 @@
         sender.sendProbe(target.address(), sequence, dissemination.updatesFor(now, target));
     }
 
-    /** A probe was answered: one of this member's own, perhaps through another, or one on behalf of another. */
+    /** Processes the answer to a probe of this member, direct or relayed, or to one on behalf of another member. */
     void onAck(long now, GroupMessage ack) {
         Relay relay = relays.remove(ack.sequence());
         if (relay != null) {
@@ -216,13 +221,13 @@
             return;
         }
         if (isDirect) {
-            health.probeAnswered();
+            health.onProbeAnswered();
         }
         subject.pendingProbe = NO_PROBE;
-        subject.heardAt = now;
+        subject.lastAnswerAt = now;
         MemberEntry entry = table.get(name);
-        if (subject.suspected || entry.isSuspectedBy(self.name())) {
-            subject.suspected = false;
+        if (subject.isSuspected || entry.isSuspectedBy(self.name())) {
+            subject.isSuspected = false;
             updates.report(now, entry, false);
         }
     }
--- a/src/main/java/wallmoor/peers/GroupMembership.java
+++ b/src/main/java/wallmoor/peers/GroupMembership.java
@@ -4,22 +4,22 @@
 import java.util.Random;
 
 /**
- * One member's part in the group: events with their time in, messages and changes of view out. Single-threaded; equal
- * events after an equal start give equal actions.
+ * Runs the membership protocol for one member. Not thread-safe. The protocol is deterministic: the same parameters, seed
+ * and sequence of events give the same messages and views.
  *
- * <p>Each member probes its subjects on the rings, directly and then through others (SWIM, Das et al., DSN 2002; see
- * {@link FailureDetector}). It suspects whom it can't hear, and that is disseminated on all messages ({@link
- * Dissemination}); {@link AntiEntropy} evens out what that leaves. A member is removed once most of its observers that
- * are witnesses suspect it, together with all others that are about to be (Rapid, Suresh et al., USENIX ATC 2018;
- * {@link CutDetector}), and only where a {@link Quorum} is reached. A suspected member that hears of it begins a new
- * incarnation ({@link Refutation}). One that was paused suspects nobody for a while, and one whose probes fail in
- * numbers waits longer for an answer (Lifeguard; {@link LocalHealth}).
+ * <p>Each member probes its subjects on the rings, first directly and then through others (SWIM, Das et al., DSN 2002;
+ * {@link FailureDetector}). Suspicions of silent subjects are piggybacked on all messages ({@link Dissemination}), and
+ * {@link AntiEntropy} resolves the remaining differences. A member is removed once enough of its witnesses suspect it,
+ * together with all others that are about to be removed (Rapid, Suresh et al., USENIX ATC 2018; {@link CutDetector}),
+ * and only with a {@link Quorum}. A member that receives a suspicion of itself begins a new incarnation ({@link
+ * Refutation}). A member reports no suspicions for some time after a pause, and waits longer for answers if most of its
+ * probes fail at once (Lifeguard; {@link LocalHealth}).
  */
 public final class GroupMembership implements MembershipProtocol {
-    /** Others that are notified of leaving, for each ring: that some of them hear it is enough. */
+    /** Members that are notified of leaving, per ring; it is sufficient that some of them receive the notice. */
     private static final int LEAVE_NOTICES_PER_RING = 4;
-    /** What a larger message brought is not gossiped on: others that lack it exchange digests as well. */
-    private static final int MAX_UPDATES_DISSEMINATED = 200;
+    /** The updates of a larger message are not disseminated, as members that lack them exchange digests as well. */
+    private static final int MAX_DISSEMINATED_UPDATES = 200;
 
     private final MembershipParameters parameters;
     private final LocalIdentity self;
@@ -38,12 +38,12 @@
     private long staleMessages;
 
     /**
-     * A member that has not met the others yet.
+     * Creates a member that knows no others yet.
      *
-     * @param bootId of this process: its start on the wall clock in microseconds; only tells two processes of one name
-     *               apart
-     * @param seeds  addresses of which some may be gone, and one may be its own
-     * @param seed   of all random draws
+     * @param bootId start of this process on the wall clock, in microseconds, which distinguishes processes of the same
+     *               name
+     * @param seeds  addresses of members to contact first; some may be unreachable, and this member's own is ignored
+     * @param seed   seed of the random source
      */
     public GroupMembership(String name, String address, long bootId, List<String> seeds,
             MembershipParameters parameters, long seed, Output output) {
@@ -75,7 +75,7 @@
         publisher.publish(now, "started");
     }
 
-    /** A tick that is late tells of a pause of this process. */
+    /** Processes a tick; one that is much too late indicates a pause of this process. */
     @Override
     public void onTick(long now) {
         long gap = health.onTick(now);
@@ -83,25 +83,25 @@
             return;
         }
         if (gap > parameters.pauseThreshold()) {
-            health.pauseEnded(now, gap);
-            detector.restart(now);
-            antiEntropy.hasten(now);
+            health.onPauseEnded(now, gap);
+            detector.restartTimeouts(now);
+            antiEntropy.exchangeSoon(now);
         }
         antiEntropy.onTick(now);
         digests.onTick(now);
         detector.onTick(now);
         dissemination.onTick(now);
         cuts.onTick(now);
-        if (table.admit(now)) {
-            publisher.learned(now);
+        if (table.admitRejoining(now)) {
+            publisher.onTableChanged(now);
         }
         if (table.unreachable().contains(self.name())) {
-            health.reportedUnreachable(now);
+            health.onReportedUnreachable(now);
         }
         publisher.onTick(now);
     }
 
-    /** One of an incarnation that is over only has its sender told so. */
+    /** Processes a message; one from an incarnation that has ended is only answered with this information. */
     @Override
     public void onMessage(long now, GroupMessage message) {
         MembershipUpdate.Announcement from = message.sender();
@@ -113,13 +113,13 @@
             refutation.onUpdateAboutSelf(now, from, true);
             return;
         }
-        MemberEntry sending = table.get(from.name());
-        if (sending != null && sending.isObsolete(from.incarnation())) {
+        MemberEntry entry = table.get(from.name());
+        if (entry != null && entry.isObsolete(from.incarnation())) {
             onStaleMessage(message);
             return;
         }
-        if (sending != null) {
-            sending.heard(now);
+        if (entry != null) {
+            entry.markMessageReceived(now);
         }
         processUpdates(now, message);
         boolean differs = message.digest() != table.digest();
@@ -134,11 +134,11 @@
                     antiEntropy.onDigests(message);
                 }
             }
-            case UPDATES -> {} // all of it was taken in already
+            case UPDATES -> {} // its updates were processed above
         }
     }
 
-    /** What a member decided while it was out of date is not taken up. */
+    /** Informs the sender that its incarnation has ended, and ignores the content, which may be out of date. */
     private void onStaleMessage(GroupMessage message) {
         staleMessages++;
         boolean isAnswer = message.kind() == GroupMessage.MessageKind.ACK
@@ -150,12 +150,12 @@
     }
 
     private void processUpdates(long now, GroupMessage message) {
-        boolean wasPublished = !publisher.hasUnpublished();
-        boolean disseminate = message.updates().size() <= MAX_UPDATES_DISSEMINATED;
+        boolean wasPublished = !publisher.hasUnpublishedChanges();
+        boolean disseminate = message.updates().size() <= MAX_DISSEMINATED_UPDATES;
         updates.process(now, message.sender(), disseminate);
         message.updates().forEach(update -> updates.process(now, update, disseminate));
-        if (wasPublished && publisher.hasUnpublished()) {
-            publisher.learnedFrom(message.sender().name());
+        if (wasPublished && publisher.hasUnpublishedChanges()) {
+            publisher.setSource(message.sender().name());
         }
     }
 
@@ -176,12 +176,12 @@
         return publisher.view();
     }
 
-    /** Why a member is in its state; null where there is none of this name. */
+    /** Returns the evidence for a member's state, or null if no member of this name is known. */
     public MemberEvidence explain(long now, String name) {
         return new EvidenceCollector(table, detector).explain(now, name);
     }
 
-    /** Figures since the start. */
+    /** Returns the counts since the start. */
     public MembershipCounts counts() {
         return new MembershipCounts(detector.probes(), detector.unansweredProbes(), detector.suspicions(),
                 refutation.refutations(), cuts.removals(), staleMessages);
--- a/src/main/java/wallmoor/peers/GroupView.java
+++ b/src/main/java/wallmoor/peers/GroupView.java
@@ -3,57 +3,59 @@
 import java.util.List;
 
 /**
- * Who is there, as one member sees it.
+ * The members of the group and their states, as one member sees them.
  *
- * @param version        of this process' own; each change has the next
- * @param side           this member's side of a network partition, as far as it can tell
- * @param reachable      members that this one reaches, itself included
- * @param configuredSize members that there are meant to be
- * @param members        by name
+ * @param version        number of the view, which each change increases; it is local to this process
+ * @param side           this member's side of a network partition, if it can be determined
+ * @param reachable      number of members that this one reaches, including itself
+ * @param configuredSize configured number of members
+ * @param members        all known members in the order of their names, including those that left or were removed
  */
 public record GroupView(long version, PartitionSide side, int reachable, int configuredSize, List<Member> members) {
 
     /** A side of a network partition. The log and the control port write these names. */
     public enum PartitionSide {
-        /** More than half of the group is here. */
+        /** More than half of the configured members are on this side. */
         LARGER,
-        /** Fewer than half are. */
+        /** Fewer than half of the configured members are on this side. */
         SMALLER,
         /**
-         * Just half; or more members than there are meant to be; or this process was paused, or most don't hear it.
+         * The side can't be determined: exactly half of the members are reachable; or more members are present than
+         * configured; or this process was paused, is suspected by most of its observers, has given up its name, or may
+         * lack information that others have.
          */
         CANT_TELL
     }
 
     /** State of a member. The log and the control port write these names. */
     public enum MemberState {
-        /** Takes part, and nobody whose word counts suspects it. */
+        /** The member takes part, and no reachable observer suspects it. */
         ALIVE,
-        /** Takes part, and an observer suspects it. */
+        /** The member takes part, and at least one reachable observer suspects it. */
         SUSPECTED,
-        /** Has left with notice. */
+        /** The member has announced that it leaves. */
         LEFT,
-        /** Was removed, and has not been admitted again. */
+        /** The member was removed and has not been admitted again. */
         REMOVED
     }
 
     /**
-     * One member.
+     * One member's state.
      *
-     * @param since       when it came to this state, in microseconds on the caller's clock
-     * @param suspectedBy observers that suspect it and whose word counts
+     * @param since       time when it entered this state, in microseconds on the caller's clock
+     * @param suspectedBy names of the reachable observers that suspect it
      */
     public record Member(String name, String address, long incarnation, MemberState state, long since,
             List<String> suspectedBy) {
-        /** Whether it takes part: it has neither left nor been removed. */
+        /** Returns whether the member takes part: it has neither left nor been removed. */
         public boolean isPresent() {
             return state == MemberState.ALIVE || state == MemberState.SUSPECTED;
         }
     }
 
     /**
-     * Whether more than half of the group is on this side. Without a quorum nobody is removed, and no decision that
-     * rests on the group may be put into force.
+     * Returns whether more than half of the configured members are on this side. Without a quorum no member is removed,
+     * and no decision that depends on the group may take effect.
      */
     public boolean hasQuorum() {
         return side == PartitionSide.LARGER;
--- a/src/main/java/wallmoor/peers/LiveMemberCount.java
+++ b/src/main/java/wallmoor/peers/LiveMemberCount.java
@@ -4,45 +4,45 @@
 import java.util.TreeSet;
 
 /**
- * Among how many gatherers the quotas that they have in common are divided, such as what a node that is warming up
- * may be sent, and this one's rank among them. Counted are those that are present in the view. Who joins counts at
- * once, so that the shares never add up to more than all; who goes counts on until the view has been stable for a
- * while, as the others may not know yet. Without a quorum, and until the view has been stable for as long after one
- * came back, the configured number holds. All who know the same members count the same and have different ranks.
- * Times are microseconds on the caller's clock.
+ * Counts the gatherers that shared quotas are divided by, such as the request rate for a node in slow start, and ranks
+ * this gatherer among them. A member that joins counts at once, so that the shares never add up to more than the quota.
+ * A member that leaves or is removed counts until the view has been stable for {@code stableMicros}, because other
+ * gatherers may not have noticed yet. Without a quorum, and until the view has been stable for the same time after the
+ * quorum is regained, the configured count applies. Gatherers with the same view have the same count and different
+ * ranks. Times are microseconds on the caller's clock.
  */
 public final class LiveMemberCount {
     /**
-     * This gatherer's position among those that divide what they have in common.
+     * This gatherer's position among the gatherers that share a quota.
      *
-     * @param memberCount gatherers that divide it, this one included
-     * @param rank        this one's among them, from 0
+     * @param memberCount number of gatherers that share it, including this one
+     * @param rank        this gatherer's rank by name, from 0
      */
     public record GroupPosition(int memberCount, int rank) {}
 
     private final String self;
     private final GroupPosition configured;
-    private final long stableTime;
-    /** Those present in the last view; null without a quorum. */
+    private final long stableMicros;
+    /** Names of the members that are present in the latest view; null without a quorum. */
     private Set<String> present;
     private long presentSince;
-    /** Those that count; null where the configured number does. */
+    /** Names of the members that are counted; null while the configured count applies. */
     private TreeSet<String> counted;
 
     /**
-     * Nobody is known yet.
+     * Creates a count that returns the configured position until a view with a quorum has been stable.
      *
-     * @param self       this gatherer's name
-     * @param configured what holds without a quorum
-     * @param stableTime microseconds that the view must stay as it is before anybody ceases to count
+     * @param self         this gatherer's name
+     * @param configured   position that applies without a quorum
+     * @param stableMicros microseconds without a change of the present members before absent members no longer count
      */
-    public LiveMemberCount(String self, GroupPosition configured, long stableTime) {
+    public LiveMemberCount(String self, GroupPosition configured, long stableMicros) {
         this.self = self;
         this.configured = configured;
-        this.stableTime = stableTime;
+        this.stableMicros = stableMicros;
     }
 
-    /** The view has changed. */
+    /** Processes a change of the view. */
     public void onView(long now, GroupView view) {
         Set<String> next = view.hasQuorum() ? presentMembers(view) : null;
         if (next == null || !next.equals(present)) {
@@ -66,9 +66,9 @@
         return names;
     }
 
-    /** The position as it is now. */
+    /** Returns the position at this time. */
     public GroupPosition position(long now) {
-        if (present != null && now - presentSince >= stableTime) {
+        if (present != null && now - presentSince >= stableMicros) {
             counted = new TreeSet<>(present);
         }
         return counted == null || !counted.contains(self) ? configured
--- a/src/main/java/wallmoor/peers/LocalHealth.java
+++ b/src/main/java/wallmoor/peers/LocalHealth.java
@@ -1,19 +1,19 @@
 package wallmoor.peers;
 
 /**
- * Awareness of this member's own health (Lifeguard, Dadgar et al., DSN 2018): one whose probes fail in numbers waits
- * longer for an answer, and one that was paused, or that most of its observers don't hear, trusts its own conclusions
- * less. Times are microseconds.
+ * Tracks this member's own health (Lifeguard, Dadgar et al., DSN 2018). A member waits longer for answers if most of
+ * its probes fail at once, and does not rely on its own conclusions after a pause or while most of its observers
+ * suspect it. Times are microseconds.
  */
 final class LocalHealth {
-    /** Highest local health multiplier: at each step an answer is awaited half as long again. */
+    /** Highest local health multiplier; each step adds half of the configured probe timeout. */
     private static final int MAX_MULTIPLIER = 6;
-    /** After a pause nothing is believed for as long again, and for so many intervals at most. */
+    /** The recovery after a pause is as long as the pause, up to this number of probe intervals. */
     private static final int MAX_RECOVERY_INTERVALS = 10;
 
     private final MembershipParameters parameters;
     private int multiplier;
-    private long tickedAt;
+    private long lastTickAt;
     private long recoveringUntil;
     private long unreachableUntil;
 
@@ -21,53 +21,58 @@
         this.parameters = parameters;
     }
 
-    /** The member starts. */
+    /** Starts the measurement of gaps between ticks. */
     void onStart(long now) {
-        tickedAt = now;
+        lastTickAt = now;
     }
 
-    /** A tick; returns how long ago the last one was. */
+    /** Processes a tick; returns the time since the previous one. */
     long onTick(long now) {
-        long gap = now - tickedAt;
-        tickedAt = now;
+        long gap = now - lastTickAt;
+        lastTickAt = now;
         return gap;
     }
 
-    /** How long an answer is awaited before others are asked to probe. */
+    /** Returns the time to wait for an answer before indirect probes are sent. */
     long probeTimeout() {
         return parameters.probeTimeout() + parameters.probeTimeout() * multiplier / 2;
     }
 
-    /** So many probes of so many subjects timed out in one tick. */
-    void probesTimedOut(int count, int subjects) {
+    /**
+     * Processes the probes that timed out at one tick.
+     *
+     * @param count    number of probes that timed out
+     * @param subjects number of subjects
+     */
+    void onProbesTimedOut(int count, int subjects) {
         if (count > 1 && count * 2 > subjects) {
-            // that all of them are gone is less likely than that this one is
+            // A fault of this member is more likely than the failure of most of its subjects.
             multiplier = Math.min(MAX_MULTIPLIER, multiplier + 1);
         }
     }
 
-    /** A direct probe was answered. */
-    void probeAnswered() {
+    /** Processes the answer to a direct probe. */
+    void onProbeAnswered() {
         multiplier = Math.max(0, multiplier - 1);
     }
 
-    /** This process was paused for so long. Whom it did not hear meanwhile may have spoken all the time. */
-    void pauseEnded(long now, long gap) {
+    /** Begins the recovery from a pause of this process, during which messages from others may have gone unnoticed. */
+    void onPauseEnded(long now, long gap) {
         recoveringUntil = now + Math.min(gap, MAX_RECOVERY_INTERVALS * parameters.probeInterval())
                 + parameters.suspectAfter();
     }
 
-    /** Whether a pause was so recent that silence of others tells nothing. */
+    /** Returns whether a pause was so recent that the silence of others is no evidence of a failure. */
     boolean isRecovering(long now) {
         return now < recoveringUntil;
     }
 
-    /** Most of this member's observers report that they don't hear it. */
-    void reportedUnreachable(long now) {
+    /** Records that most of this member's observers suspect it. */
+    void onReportedUnreachable(long now) {
         unreachableUntil = now + parameters.suspectAfter();
     }
 
-    /** Whether that was so recent that this member may have been removed. */
+    /** Returns whether most observers suspected this member so recently that others may have removed it. */
     boolean wasReportedUnreachable(long now) {
         return now < unreachableUntil;
     }
--- a/src/main/java/wallmoor/peers/LocalIdentity.java
+++ b/src/main/java/wallmoor/peers/LocalIdentity.java
@@ -3,13 +3,14 @@
 import wallmoor.peers.MembershipUpdate.Announcement;
 
 /**
- * This member's own announcement, and the sequence numbers of its probes and suspicions. Both begin at the process'
- * start on the wall clock, and so beyond those of its last process, unless that clock was set back.
+ * This member's own announcement, and the sequence numbers of its probes and suspicions. Both the incarnation and the
+ * sequence numbers begin at the process' start time on the wall clock, and so are higher than those of the previous
+ * process unless that clock was set back.
  */
 final class LocalIdentity {
     private Announcement announcement;
     private long lastSequence;
-    private boolean yielded;
+    private boolean hasYielded;
 
     LocalIdentity(String name, String address, long bootId) {
         announcement = new Announcement(name, address, bootId, bootId, false);
@@ -32,28 +33,28 @@
         return announcement;
     }
 
-    /** Begins a new incarnation, which voids what was said of earlier ones (SWIM, 4.2). */
+    /** Begins a new incarnation, which invalidates all updates about earlier ones (SWIM, 4.2). */
     void beginIncarnation(long incarnation) {
         announcement = new Announcement(name(), announcement.address(), bootId(), incarnation, false);
     }
 
-    /** Announces that it leaves. */
+    /** Replaces the announcement by one that states that this member has left. */
     void leave() {
         announcement = new Announcement(name(), announcement.address(), bootId(), incarnation(), true);
     }
 
-    /** Leaves the name to another process that has it and was there first. */
+    /** Gives up the name, because another process that started earlier uses it. */
     void yieldName() {
-        yielded = true;
+        hasYielded = true;
     }
 
     boolean hasYielded() {
-        return yielded;
+        return hasYielded;
     }
 
-    /** Whether it takes part: it has neither left nor yielded its name. */
+    /** Returns whether this member takes part in the group: it has neither left nor given up its name. */
     boolean isActive() {
-        return !yielded && !announcement.left();
+        return !hasYielded && !announcement.left();
     }
 
     long nextSequence() {
--- a/src/main/java/wallmoor/peers/MemberEntry.java
+++ b/src/main/java/wallmoor/peers/MemberEntry.java
@@ -10,11 +10,12 @@
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
 /**
- * One member in the {@link MembershipTable}: its latest announcement, the suspicions of that incarnation, and when it
- * was last heard and told. Times are microseconds on the caller's clock. Whoever changes what is announced or suspected
- * reports it to the table, which keeps its indexes and digests by it.
+ * One member in the {@link MembershipTable}: its latest announcement, the suspicions of that incarnation, and the times
+ * of the last message from it and of the last gossip to it. Times are microseconds on the caller's clock. The table must
+ * update its indexes and digests after each change of the announcement or the suspicions.
  */
 final class MemberEntry {
+    /** Earlier than any time; half of the minimum, so that differences with it don't overflow. */
     private static final long NEVER = Long.MIN_VALUE / 2;
     /** Lower than any incarnation. */
     private static final long NONE_REMOVED = -1;
@@ -23,22 +24,22 @@
     private final int bucket;
     private final long discoveredAt;
     private Announcement announcement;
-    /** By observer; most members are never suspected. */
+    /** Suspicions by observer; an immutable empty map until the first one, as most members are never suspected. */
     private Map<String, Suspicion> suspicions = Map.of();
-    /** The incarnation that was removed here. */
+    /** The latest incarnation that was removed in this member's table. */
     private long removedIncarnation = NONE_REMOVED;
-    /** A removed member that announced a new incarnation is admitted at this time, unless it is still not heard. */
+    /** Earliest time of admission of a removed member that announced a new incarnation, or {@link #NOT_REJOINING}. */
     private long admitAt = NOT_REJOINING;
-    private long lastHeardAt = NEVER;
+    private long lastMessageAt = NEVER;
     private long lastGossipAt = NEVER;
     private MemberState state = MemberState.ALIVE;
     private long since;
-    /** It went long ago: remembered, but no longer told to others. */
-    private boolean withheld;
-    /** What it adds to the digest of its bucket. */
+    /** True if the entry is an old tombstone that is retained but no longer sent to others. */
+    private boolean isWithheld;
+    /** The entry's summand in the digest of its bucket. */
     private long digestContribution;
 
-    /** A member that was heard of for the first time. */
+    /** Creates the entry of a member whose first announcement has arrived. */
     MemberEntry(Announcement announcement, long now) {
         this.announcement = announcement;
         since = now;
@@ -58,43 +59,43 @@
         return announcement;
     }
 
-    /** Takes a newer announcement; suspicions of earlier incarnations end with it. */
-    void announce(Announcement next) {
+    /** Replaces the announcement by a newer one and discards the suspicions of earlier incarnations. */
+    void updateAnnouncement(Announcement next) {
         announcement = next;
-        withheld = false;
+        isWithheld = false;
         if (!suspicions.isEmpty()) {
             suspicions.values().removeIf(s -> s.incarnation() < next.incarnation());
         }
     }
 
-    /** What each observer reported last of this incarnation, suspicions that were taken back included. */
+    /** Returns the latest report of each observer on this incarnation, including withdrawn suspicions. */
     Collection<Suspicion> suspicions() {
         return suspicions.values();
     }
 
-    /** What this observer reported last, or null. */
+    /** Returns the latest report of this observer, or null. */
     Suspicion suspicionBy(String observer) {
         return suspicions.get(observer);
     }
 
-    /** Whether this observer suspects this incarnation, by its latest report. */
+    /** Returns whether this observer suspects this incarnation, by its latest report. */
     boolean isSuspectedBy(String observer) {
         Suspicion s = suspicions.get(observer);
         return s != null && s.isActive();
     }
 
-    /** Those of these observers that suspect it. */
+    /** Returns the observers among these that suspect the member. */
     Set<String> suspectedBy(Set<String> observers) {
         var suspecting = new HashSet<String>();
         observers.stream().filter(this::isSuspectedBy).forEach(suspecting::add);
         return suspecting;
     }
 
-    /** Takes an observer's report of this incarnation; whether it was new. */
-    boolean report(Suspicion suspicion) {
+    /** Merges an observer's report on this incarnation; returns whether it was newer than the known one. */
+    boolean mergeSuspicion(Suspicion suspicion) {
         Suspicion old = suspicions.get(suspicion.observer());
-        boolean isNews = old == null ? suspicion.isActive() : suspicion.sequence() > old.sequence();
-        if (!isNews) {
+        boolean isNewer = old == null ? suspicion.isActive() : suspicion.sequence() > old.sequence();
+        if (!isNewer) {
             return false;
         }
         if (suspicions.isEmpty()) {
@@ -104,13 +105,14 @@
         return true;
     }
 
-    /** Whether this incarnation is over: a newer one is known, or it was removed or has left. */
+    /** Returns whether this incarnation has ended: a newer one is known, or it was removed or has left. */
     boolean isObsolete(long incarnation) {
         return incarnation < announcement.incarnation() || incarnation <= removedIncarnation
                 || (announcement.left() && incarnation == announcement.incarnation());
     }
 
-    void remove() {
+    /** Marks the current incarnation as removed. */
+    void markRemoved() {
         removedIncarnation = announcement.incarnation();
     }
 
@@ -118,7 +120,7 @@
         return removedIncarnation >= announcement.incarnation();
     }
 
-    /** Was removed and announced a new incarnation, which its observers have yet to hear. */
+    /** Returns whether the member was removed and has announced a new incarnation that is not admitted yet. */
     boolean isRejoining() {
         return admitAt > NOT_REJOINING;
     }
@@ -127,7 +129,7 @@
         return admitAt;
     }
 
-    void rejoin(long admissionTime) {
+    void startRejoining(long admissionTime) {
         admitAt = admissionTime;
     }
 
@@ -135,68 +137,72 @@
         admitAt = NOT_REJOINING;
     }
 
-    /** Takes part: neither left nor removed nor rejoining. */
+    /** Returns whether the member takes part: it has neither left nor been removed, and is not rejoining. */
     boolean isPresent() {
         return !announcement.left() && !isRemoved() && !isRejoining();
     }
 
-    /** Present, and suspected by an observer, whether that observer's word counts or not. */
+    /** Returns whether the member is present and any member suspects it, whether that one is credible or not. */
     boolean isSuspected() {
         return isPresent() && suspicions.values().stream().anyMatch(Suspicion::isActive);
     }
 
-    /** The state that the last view published. */
+    /** Returns the state in the latest published view. */
     MemberState state() {
         return state;
     }
 
-    /** When it came to its state. */
+    /** Returns the time when the member entered its state. */
     long since() {
         return since;
     }
 
-    void enter(MemberState next, long now) {
+    void enterState(MemberState next, long now) {
         if (next != state) {
             state = next;
             since = now;
         }
     }
 
-    void heard(long now) {
-        lastHeardAt = now;
+    /** Records that a message from the member has arrived. */
+    void markMessageReceived(long now) {
+        lastMessageAt = now;
     }
 
-    long lastHeardAt() {
-        return lastHeardAt;
+    long lastMessageAt() {
+        return lastMessageAt;
     }
 
-    /** When it was last heard, or discovered if that was later. */
+    /** Returns the time of the last message from the member, or of its discovery if that was later. */
     long lastSeenAt() {
-        return Math.max(lastHeardAt, discoveredAt);
+        return Math.max(lastMessageAt, discoveredAt);
     }
 
-    void gossiped(long now) {
+    /** Records that a message was sent to the member only to disseminate updates. */
+    void markGossiped(long now) {
         lastGossipAt = now;
     }
 
-    /** When a message was last sent to it only to disseminate updates. */
+    /** Returns the time when a message was last sent to the member only to disseminate updates. */
     long lastGossipAt() {
         return lastGossipAt;
     }
 
+    /** Returns whether the entry is an old tombstone that is no longer sent to others. */
     boolean isWithheld() {
-        return withheld;
+        return isWithheld;
     }
 
+    /** Ends sending this entry to others. */
     void withhold() {
-        withheld = true;
+        isWithheld = true;
     }
 
     int bucket() {
         return bucket;
     }
 
-    /** Keeps what it now adds to its bucket's digest; returns by how much that grew. */
+    /** Replaces the summand in the bucket's digest; returns the difference from the previous one. */
     long replaceDigestContribution(long contribution) {
         long change = contribution - digestContribution;
         digestContribution = contribution;
--- a/src/main/java/wallmoor/peers/MemberEvidence.java
+++ b/src/main/java/wallmoor/peers/MemberEvidence.java
@@ -3,32 +3,32 @@
 import java.util.List;
 
 /**
- * Why a member is in its state, as one other sees it.
+ * The evidence for a member's state in the view of another member.
  *
- * @param incarnation  that is meant
- * @param since        when it came to its state, in microseconds on the protocol's clock
- * @param witnesses    observers whose word counts
- * @param cutThreshold so many of them must suspect it before it is removed (Rapid: the high watermark H)
- * @param silentMicros microseconds since this member last heard it itself; negative where it does not observe it
- * @param reports      of its observers, and of others that reported on this incarnation
+ * @param incarnation  the member's current incarnation
+ * @param since        time when it entered its state, in microseconds on the protocol's clock
+ * @param witnesses    number of its observers that are reachable
+ * @param cutThreshold number of suspecting witnesses at which it is removed (Rapid: the high watermark H)
+ * @param silentMicros microseconds since it last answered this member; negative if this member does not observe it
+ * @param reports      reports of its observers, and of other members that reported on this incarnation
  */
 public record MemberEvidence(String name, String address, long incarnation, GroupView.MemberState state, long since,
         int witnesses, int cutThreshold, long silentMicros, List<ObserverReport> reports) {
-    /** What one reported last. The control port writes these names. */
+    /** The latest report of an observer. The control port writes these names in lower case. */
     public enum ReportedState {
-        /** That it does not hear the member. */
+        /** The observer suspects the member. */
         DOUBTS,
-        /** That it hears the member again. */
+        /** The observer has withdrawn its suspicion. */
         HEARS_AGAIN,
-        /** Nothing: it has heard the member all along. */
+        /** The observer has never suspected this incarnation. */
         NOTHING
     }
 
     /**
-     * One member's report on another.
+     * One member's latest report on another.
      *
-     * @param isObserver whether it stands before the member on a ring; the word of others does not count
-     * @param isWitness  whether its word counts now: most of its own observers hear it
+     * @param isObserver whether the reporting member is an observer; the reports of others don't count
+     * @param isWitness  whether its report counts now: it is an observer and reachable itself
      */
     public record ObserverReport(String name, boolean isObserver, boolean isWitness, ReportedState reported) {}
 }
--- a/src/main/java/wallmoor/peers/MembershipCounts.java
+++ b/src/main/java/wallmoor/peers/MembershipCounts.java
@@ -1,14 +1,14 @@
 package wallmoor.peers;
 
 /**
- * What one member's part in the group came to since its start.
+ * The counts of one member's protocol events since its start.
  *
- * @param probes           sent to subjects
- * @param unansweredProbes of these, not answered before others were asked to probe
- * @param suspicions       reported by this member
- * @param refutations      of suspicions of this member
- * @param removals         of others, in this member's view
- * @param staleMessages    from incarnations that were over
+ * @param probes           probes sent to subjects
+ * @param unansweredProbes probes that were not answered before the probe timeout
+ * @param suspicions       suspicions reported by this member
+ * @param refutations      suspicions of this member that it refuted
+ * @param removals         members that were removed from this member's view
+ * @param staleMessages    received messages from incarnations that had ended
  */
 public record MembershipCounts(long probes, long unansweredProbes, long suspicions, long refutations, long removals,
         long staleMessages) {}
--- a/src/main/java/wallmoor/peers/MembershipProtocol.java
+++ b/src/main/java/wallmoor/peers/MembershipProtocol.java
@@ -1,32 +1,36 @@
 package wallmoor.peers;
 
 /**
- * A group membership protocol as one member runs it: events with their time in, messages and changes of view out. The
- * simulation and the transport drive any such; so protocols can be measured side by side. Times are microseconds on a
- * clock that only goes forward.
+ * A group membership protocol from the side of one member. Its inputs are events with their times, its outputs messages
+ * and changes of the view. The simulation and the transport can drive any implementation, so that protocols can be
+ * compared. Times are microseconds on a monotonic clock.
  */
 public interface MembershipProtocol {
-    /** Where the protocol's actions go. */
+    /** Receives the protocol's outputs. */
     interface Output {
         /** Sends a message to the member at this address. */
         void send(String address, GroupMessage message);
 
-        /** The view has changed; {@code why} is the evidence, for the log. */
-        void viewChanged(GroupView view, String why);
+        /**
+         * Reports a change of the view.
+         *
+         * @param cause what caused the change, for the log
+         */
+        void viewChanged(GroupView view, String cause);
     }
 
-    /** The member starts. */
+    /** Starts the member. */
     void onStart(long now);
 
-    /** Time goes on: several times an interval. */
+    /** Processes timeouts and sends what is due; to be called several times per probe interval. */
     void onTick(long now);
 
-    /** A message has come. */
+    /** Processes a received message. */
     void onMessage(long now, GroupMessage message);
 
-    /** The member leaves with notice: nothing is sent or decided after it. */
+    /** Announces that the member leaves; afterwards it sends and decides nothing more. */
     void leave(long now);
 
-    /** The view as it is. */
+    /** Returns the current view. */
     GroupView view();
 }
--- a/src/main/java/wallmoor/peers/MembershipTable.java
+++ b/src/main/java/wallmoor/peers/MembershipTable.java
@@ -10,9 +10,10 @@
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
 /**
- * All that is known of members, by name, and who suspects whom. A newer incarnation wins over an older one; of one
- * incarnation leaving wins over being there. It holds state and the rules of precedence, and sends nothing. The rings,
- * {@link Reachability} and {@link TableDigest} follow each change.
+ * The known members by name, with the suspicions of each. An announcement of a newer incarnation replaces one of an
+ * older incarnation; within an incarnation, an announcement of leaving replaces one of being present. The table holds
+ * state and these rules of precedence, and sends no messages. It updates the rings, {@link Reachability} and
+ * {@link TableDigest} after each change.
  */
 final class MembershipTable {
     private final MembershipParameters parameters;
@@ -23,14 +24,14 @@
     private final TableDigest digest = new TableDigest();
     private int presentCount;
 
-    /** Nobody is known yet, not even the member {@code self} itself. */
+    /** Creates an empty table; the member {@code self} itself is not in it yet. */
     MembershipTable(MembershipParameters parameters, String self) {
         this.parameters = parameters;
         rings = new ObserverRings(parameters.ringCount());
         reachability = new Reachability(self, rings);
     }
 
-    private void changed(MemberEntry entry) {
+    private void onEntryChanged(MemberEntry entry) {
         digest.update(entry);
         boolean ringsChanged = entry.isPresent() != rings.contains(entry.name());
         if (ringsChanged && entry.isPresent()) {
@@ -43,13 +44,13 @@
         reachability.entryChanged(entry, ringsChanged);
     }
 
-    /** The entry of this name, or null. */
+    /** Returns the entry of this name, or null. */
     MemberEntry get(String name) {
         return entries.get(name);
     }
 
-    /** All entries by name, of members that went as well. */
-    Collection<MemberEntry> all() {
+    /** Returns all entries in the order of their names, including those of members that left or were removed. */
+    Collection<MemberEntry> entries() {
         return entries.values();
     }
 
@@ -57,7 +58,7 @@
         return entries.size();
     }
 
-    /** Members that take part, this one included. */
+    /** Returns the number of present members, including this one. */
     int presentCount() {
         return presentCount;
     }
@@ -66,7 +67,7 @@
         return rings;
     }
 
-    /** Takes an announcement in; whether it was news. */
+    /** Merges an announcement; returns whether it was newer than the known one. */
     boolean merge(Announcement announced, long now) {
         MemberEntry entry = entries.get(announced.name());
         if (entry == null) {
@@ -79,9 +80,9 @@
             return false;
         } else {
             updateRejoining(entry, announced, now);
-            entry.announce(announced);
+            entry.updateAnnouncement(announced);
         }
-        changed(entry);
+        onEntryChanged(entry);
         return true;
     }
 
@@ -92,37 +93,40 @@
 
     private void updateRejoining(MemberEntry entry, Announcement next, long now) {
         Announcement known = entry.announcement();
-        if (next.bootId() != known.bootId() || next.left()) { // a process that has just started was never silent
+        if (next.bootId() != known.bootId() || next.left()) { // a new process has not been silent yet
             entry.endRejoining();
             rejoining.remove(entry.name());
         } else if ((entry.isRemoved() && !known.left()) || entry.isRejoining()) {
-            entry.rejoin(now + parameters.suspectAfter() + 2 * parameters.probeInterval());
+            entry.startRejoining(now + parameters.suspectAfter() + 2 * parameters.probeInterval());
             rejoining.put(entry.name(), entry);
         }
     }
 
-    /** Takes an observer's report in; whether it was news. One of an incarnation that is over tells nothing. */
+    /**
+     * Merges an observer's report; returns whether it was newer than the known one. A report on another incarnation
+     * than the announced one is ignored.
+     */
     boolean merge(Suspicion suspicion) {
         MemberEntry entry = entries.get(suspicion.name());
         if (entry == null || suspicion.incarnation() != entry.announcement().incarnation()
-                || !entry.report(suspicion)) {
+                || !entry.mergeSuspicion(suspicion)) {
             return false;
         }
-        changed(entry);
+        onEntryChanged(entry);
         return true;
     }
 
-    /** Members that were removed and say that they are back. */
+    /** Returns the members that were removed and have announced a new incarnation since. */
     Collection<MemberEntry> rejoining() {
         return rejoining.values();
     }
 
     /**
-     * Admits those that were rejoining for long enough for their observers to suspect them, and that are not suspected
-     * by so many as would have them removed again; whether there were any.
+     * Admits rejoining members whose admission time has come, which leaves their observers enough time to suspect them,
+     * unless so many witnesses suspect them that they would be removed again. Returns whether any member was admitted.
      */
-    boolean admit(long now) {
-        boolean any = false;
+    boolean admitRejoining(long now) {
+        boolean hasAdmitted = false;
         for (MemberEntry entry : List.copyOf(rejoining.values())) {
             if (now < entry.admitAt()) {
                 continue;
@@ -132,22 +136,22 @@
             if (suspecting == 0 || suspecting < Reachability.cutThreshold(witnesses.size())) {
                 entry.endRejoining();
                 rejoining.remove(entry.name());
-                changed(entry);
-                any = true;
+                onEntryChanged(entry);
+                hasAdmitted = true;
             }
         }
-        return any;
+        return hasAdmitted;
     }
 
-    /** Removes this incarnation of a member; the entry stays as a tombstone. */
+    /** Removes this incarnation of a member; its entry remains as a tombstone. */
     void remove(MemberEntry entry) {
-        entry.remove();
-        changed(entry);
+        entry.markRemoved();
+        onEntryChanged(entry);
     }
 
     /**
-     * Forgets those that went long ago. Half of that time before, they are no longer told: else one that has just
-     * forgotten them would learn them anew from one that is about to.
+     * Deletes tombstones that are older than the retention. After half of the retention a tombstone is no longer sent
+     * to others; otherwise a member that has just deleted it would receive it again from one that still has it.
      */
     void expireTombstones(long now) {
         entries.values().removeIf(entry -> {
@@ -163,45 +167,49 @@
         });
     }
 
-    /** Suspected members, each with the observers whose word counts. */
+    /** Returns the suspected members, each with the reachable observers that suspect it. */
     Map<String, Set<String>> suspected() {
         return reachability.suspected();
     }
 
-    /** Members that more than half of their observers suspect, of the observers whose word counts. */
+    /** Returns the members that more than half of their credible observers suspect. */
     Set<String> unreachable() {
         return reachability.unreachable();
     }
 
-    /** Observers of a member whose word counts. */
+    /** Returns the reachable observers of a member. */
     Set<String> witnesses(String name) {
         return reachability.witnesses(name);
     }
 
-    /** Members that this one reaches, itself included. */
+    /** Returns the number of members that this one reaches, including itself. */
     int reachableCount() {
         return reachability.reachableCount(presentCount);
     }
 
-    /** Equal wherever the same is known of the same members. */
+    /** Returns the digest of the table, which is equal to that of another table with the same content. */
     long digest() {
         return digest.total();
     }
 
-    /** The digests of the buckets of members. */
+    /** Returns the digest of each bucket of members. */
     List<Long> bucketDigests() {
         return digest.buckets();
     }
 
-    /** All that is known of the buckets whose digests are not these, as updates; of all where there are none. */
+    /**
+     * Returns the content of the buckets whose digests differ from the given ones, as updates.
+     *
+     * @param digests another table's digests by bucket; if empty, the content of all buckets is returned
+     */
     List<MembershipUpdate> updatesWhereDifferent(List<Long> digests) {
-        var all = new ArrayList<MembershipUpdate>();
+        var updates = new ArrayList<MembershipUpdate>();
         for (MemberEntry entry : entries.values()) {
             if (!entry.isWithheld() && digest.differs(entry, digests)) {
-                all.add(entry.announcement());
-                all.addAll(entry.suspicions());
+                updates.add(entry.announcement());
+                updates.addAll(entry.suspicions());
             }
         }
-        return all;
+        return updates;
     }
 }
--- a/src/main/java/wallmoor/peers/MembershipUpdate.java
+++ b/src/main/java/wallmoor/peers/MembershipUpdate.java
@@ -1,24 +1,26 @@
 package wallmoor.peers;
 
-/** An update of what is known of a member, which messages carry beside their own purpose (SWIM, 4.1). */
+/** An update about one member, which is piggybacked on messages of any kind (SWIM, 4.1). */
 public sealed interface MembershipUpdate {
-    /** The member that it is about. */
+    /** Returns the name of the member that the update is about. */
     String name();
 
     /**
-     * The incarnation that is meant: a member that refutes a suspicion, or comes back, begins a newer one (SWIM, 4.2).
+     * Returns the incarnation of the member that the update is about. A member begins a newer incarnation when it
+     * refutes a suspicion or rejoins (SWIM, 4.2).
      */
     long incarnation();
 
-    /** Bytes that it takes in a message, about: numbers here are some ten bytes each. */
+    /** Returns the approximate size in a message, in bytes. The large numbers take about ten bytes each. */
     int encodedSize();
 
     /**
-     * A member is there, or has left with notice. Only the member itself announces that, others repeat it.
+     * A member's statement that it is present or has left. Only the member itself creates announcements; others forward
+     * them.
      *
-     * @param address where it can be reached
-     * @param bootId  tells two processes of one name apart: the start on the wall clock, in microseconds
-     * @param left    whether it has left
+     * @param address host and port that the member receives messages at
+     * @param bootId  identifies the process among those of the same name: its start on the wall clock, in microseconds
+     * @param left    whether the member has left the group
      */
     record Announcement(String name, String address, long bootId, long incarnation, boolean left)
             implements
@@ -32,11 +34,11 @@
     }
 
     /**
-     * An observer does not hear a member, or hears it again (Rapid: an alert).
+     * An observer's report that it no longer receives answers from a member, or receives them again (Rapid: an alert).
      *
-     * @param observer whose report it is
-     * @param sequence the observer's own count: the latest report holds
-     * @param isActive whether it suspects the member; false where that is taken back
+     * @param observer name of the reporting member
+     * @param sequence number that grows with each report of the observer; the report with the highest number is valid
+     * @param isActive true if the observer suspects the member, false if it withdraws its suspicion
      */
     record Suspicion(String name, long incarnation, String observer, long sequence, boolean isActive)
             implements
@@ -45,7 +47,8 @@
 
         @Override
         public int encodedSize() {
-            return FIXED_BYTES + observer.length(); // those of one member follow each other, and name it once
+            // The member's name is not counted: consecutive suspicions of one member are encoded with a single name.
+            return FIXED_BYTES + observer.length();
         }
     }
 }
--- a/src/main/java/wallmoor/peers/MessageSender.java
+++ b/src/main/java/wallmoor/peers/MessageSender.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import wallmoor.peers.GroupMessage.MessageKind;
 
-/** Composes this member's messages: each carries its own announcement and the digest of what it knows. */
+/** Composes and sends this member's messages. Each carries the sender's announcement and the digest of its table. */
 final class MessageSender {
-    /** What has no purpose but its updates is not answered, and needs no number. */
+    /** The sequence number of a message with updates only, which is not answered. */
     private static final long NO_SEQUENCE = 0;
 
     private final LocalIdentity self;
@@ -18,12 +18,12 @@
         this.output = output;
     }
 
-    /** Sends a probe with this number. */
+    /** Sends a probe with this sequence number. */
     void sendProbe(String address, long sequence, List<MembershipUpdate> updates) {
         send(address, MessageKind.PROBE, sequence, null, updates);
     }
 
-    /** Asks for a probe of another member on this one's behalf (SWIM: ping-req). */
+    /** Requests a probe of the target on this member's behalf (SWIM: ping-req). */
     void sendIndirectProbe(String address, long sequence, String target, List<MembershipUpdate> updates) {
         send(address, MessageKind.INDIRECT_PROBE, sequence, target, updates);
     }
@@ -31,20 +31,24 @@
     /**
      * Answers a probe.
      *
-     * @param target the member that answered, where this one probed it for another; else null
+     * @param target the member that answered, if this member probed it on behalf of the receiver; null otherwise
      */
     void sendAck(String address, long sequence, String target, List<MembershipUpdate> updates) {
         send(address, MessageKind.ACK, sequence, target, updates);
     }
 
-    /** Sends updates alone. */
+    /** Sends a message that carries updates only. */
     void sendUpdates(String address, List<MembershipUpdate> updates) {
         send(address, MessageKind.UPDATES, NO_SEQUENCE, null, updates);
     }
 
-    /** Sends digests, so that the receiver tells what it knows where they differ; {@code round} as in the message. */
-    void sendDigests(String address, long round, List<MembershipUpdate> updates) {
-        output.send(address, new GroupMessage(MessageKind.DIGEST, self.announcement(), round, null, table.digest(),
+    /**
+     * Sends the digests of the table, which the receiver answers with its updates for the buckets that differ.
+     *
+     * @param sequence {@link GroupMessage#DIGEST_REQUEST} or {@link GroupMessage#DIGEST_REPLY}
+     */
+    void sendDigests(String address, long sequence, List<MembershipUpdate> updates) {
+        output.send(address, new GroupMessage(MessageKind.DIGEST, self.announcement(), sequence, null, table.digest(),
                 table.bucketDigests(), updates));
     }
 
--- a/src/main/java/wallmoor/peers/ObserverRings.java
+++ b/src/main/java/wallmoor/peers/ObserverRings.java
@@ -15,13 +15,13 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Who observes whom: members stand on several rings, in an order of each ring's own that follows from names alone, and
- * each observes its successor on every ring (Rapid, Suresh et al., USENIX ATC 2018). So each has as many observers and
- * subjects as there are rings at most, whatever the group's size, and everybody who knows the same members computes the
- * same observers.
+ * Assigns observers to members. Members are placed on several rings, each in a different order that depends on the
+ * names alone, and each member observes its successor on every ring (Rapid, Suresh et al., USENIX ATC 2018). So a
+ * member has at most as many observers and subjects as there are rings, whatever the group's size, and gatherers that
+ * know the same members compute the same observers.
  *
- * <p>Members that come and go are placed together, when somebody next asks: a thousand that join cost one pass over the
- * rings and not a thousand.
+ * <p>Added and removed members are placed together at the next query, so that a thousand joining members cost one pass
+ * over the rings and not a thousand.
  */
 final class ObserverRings {
     private record RingPosition(long hash, String name) implements Comparable<RingPosition> {
@@ -34,16 +34,17 @@
     private static final int TO_OBSERVER = -1;
     private static final int TO_SUBJECT = 1;
 
-    /** Each in the order of its positions. */
+    /** The positions on each ring in ascending order. */
     private final RingPosition[][] rings;
     private final Set<String> members = new HashSet<>();
-    /** Added and removed since the rings were last put in order. */
+    /** Members added since the last update of the rings. */
     private final Set<String> added = new LinkedHashSet<>();
+    /** Members removed since the last update of the rings. */
     private final Set<String> removed = new HashSet<>();
-    /** Each member's index on each ring; null until it is asked for after a change. */
+    /** Each member's index on each ring; null from a change until the next use. */
     private Map<String, int[]> indexes;
 
-    /** Nobody stands on them yet. */
+    /** Creates this number of empty rings. */
     ObserverRings(int count) {
         rings = new RingPosition[count][0];
     }
@@ -64,38 +65,39 @@
         return members.contains(name);
     }
 
-    /** Who observes this member: it need not stand on the rings itself. */
+    /** Returns the observers of this member, which need not be on the rings itself. */
     Set<String> observers(String name) {
         return neighbours(name, TO_OBSERVER);
     }
 
-    /** Whom this member observes. */
+    /** Returns the members that this member observes. */
     Set<String> subjects(String name) {
         return neighbours(name, TO_SUBJECT);
     }
 
     /**
-     * Members that this one reaches over chains of observers: those that it hears itself; and those that more of the
-     * reached ones which observe them hear than others suspect.
+     * Returns the members that {@code start} reaches over chains of observers, including itself: its own subjects that
+     * it does not suspect, and the members with more reached observers that don't suspect them than observers that do.
      *
-     * @param doesNotHear whether the observer named first reports that it does not hear the subject named second, or
-     *                    its word does not count
-     * @param suspecting  how many report so of a subject
+     * @param reportsSilence  whether the first argument, an observer, suspects the second one, its subject, or the
+     *                        subject is unreachable
+     * @param suspectingCount number of observers that suspect a member
      */
-    Set<String> reachableFrom(String start, BiPredicate<String, String> doesNotHear, ToIntFunction<String> suspecting) {
+    Set<String> reachableFrom(String start, BiPredicate<String, String> reportsSilence,
+            ToIntFunction<String> suspectingCount) {
         applyChanges();
         indexes = indexes == null ? computeIndexes() : indexes;
         var reached = new HashSet<String>(Set.of(start));
-        var hearing = new HashMap<String, Integer>();
+        var trustingCounts = new HashMap<String, Integer>();
         var queue = new ArrayDeque<String>(reached);
         while (!queue.isEmpty()) {
             String observer = queue.poll();
-            for (String subject : allObserveAll() ? subjects(observer) : successors(indexes.get(observer))) {
-                if (reached.contains(subject) || doesNotHear.test(observer, subject)) {
+            for (String subject : isFullMesh() ? subjects(observer) : successors(indexes.get(observer))) {
+                if (reached.contains(subject) || reportsSilence.test(observer, subject)) {
                     continue;
                 }
-                int against = observer.equals(start) ? 0 : suspecting.applyAsInt(subject);
-                if (against == 0 || hearing.merge(subject, 1, Integer::sum) > against) {
+                int suspecting = observer.equals(start) ? 0 : suspectingCount.applyAsInt(subject);
+                if (suspecting == 0 || trustingCounts.merge(subject, 1, Integer::sum) > suspecting) {
                     reached.add(subject);
                     queue.add(subject);
                 }
@@ -104,7 +106,7 @@
         return reached;
     }
 
-    /** The same as {@link #subjects(String)}, without a search for each ring. */
+    /** Returns the same as {@link #subjects(String)}, without a binary search on each ring. */
     private List<String> successors(int[] index) {
         var found = new ArrayList<String>(rings.length);
         for (int r = 0; index != null && r < rings.length; r++) {
@@ -126,39 +128,39 @@
         return all;
     }
 
-    /** Different members chosen evenly, without the named ones; fewer where there are not so many. */
-    List<String> sample(int most, Set<String> without, Random random) {
+    /** Returns up to {@code maxCount} different members, chosen uniformly at random, without the excluded ones. */
+    List<String> sample(int maxCount, Set<String> excluded, Random random) {
         applyChanges();
         RingPosition[] all = rings[0];
-        if (all.length <= 2 * (most + without.size())) {
+        if (all.length <= 2 * (maxCount + excluded.size())) {
             var candidates = new ArrayList<String>();
             for (RingPosition p : all) {
-                if (!without.contains(p.name)) {
+                if (!excluded.contains(p.name)) {
                     candidates.add(p.name);
                 }
             }
             Collections.shuffle(candidates, random);
-            return candidates.subList(0, Math.min(most, candidates.size()));
+            return candidates.subList(0, Math.min(maxCount, candidates.size()));
         }
         var chosen = new LinkedHashSet<String>();
-        while (chosen.size() < most) { // at least half of all are neither chosen nor excluded: it ends soon
+        while (chosen.size() < maxCount) { // ends soon: at least half of all members are neither chosen nor excluded
             String name = all[random.nextInt(all.length)].name;
-            if (!without.contains(name)) {
+            if (!excluded.contains(name)) {
                 chosen.add(name);
             }
         }
         return List.copyOf(chosen);
     }
 
-    /** So few stand on the rings that each could be observed by all others. */
-    private boolean allObserveAll() {
+    /** Returns whether the group is so small that every member observes all others. */
+    private boolean isFullMesh() {
         return rings[0].length <= rings.length + 1;
     }
 
     private Set<String> neighbours(String name, int step) {
         applyChanges();
         var found = new LinkedHashSet<String>();
-        if (allObserveAll()) {
+        if (isFullMesh()) {
             for (RingPosition p : rings[0]) {
                 found.add(p.name);
             }
@@ -174,7 +176,7 @@
     private String neighbour(int ring, String name, int step) {
         RingPosition[] all = rings[ring];
         int found = Arrays.binarySearch(all, position(ring, name));
-        int insertion = -found - 1; // where it would stand: before the one that is there
+        int insertion = -found - 1; // index of the successor, if the member is not on the ring
         int next = found >= 0 ? found + step : step == TO_OBSERVER ? insertion - 1 : insertion;
         return all[Math.floorMod(next, all.length)].name;
     }
@@ -193,7 +195,7 @@
             for (String name : added) {
                 next.add(position(r, name));
             }
-            next.sort(null); // the first part is in order already, which the sort makes use of
+            next.sort(null); // fast, as the first part is already sorted
             rings[r] = next.toArray(RingPosition[]::new);
         }
         added.clear();
@@ -205,7 +207,7 @@
         return new RingPosition(mix(mix(ring + 1) ^ hash(name)), name);
     }
 
-    /** As {@link String#hashCode}, over 64 bits. */
+    /** Returns a 64-bit hash, computed like {@link String#hashCode} but from another start value. */
     private static long hash(String name) {
         long h = 1125899906842597L;
         for (int i = 0; i < name.length(); i++) {
@@ -214,7 +216,7 @@
         return h;
     }
 
-    /** Spreads a number over all bits (the finalizer of SplitMix64, Steele et al., OOPSLA 2014). */
+    /** Mixes all bits of a number (the finalizer of SplitMix64, Steele et al., OOPSLA 2014). */
     static long mix(long z) {
         long once = (z ^ (z >>> 30)) * 0xbf58476d1ce4e5b9L;
         long twice = (once ^ (once >>> 27)) * 0x94d049bb133111ebL;
--- a/src/main/java/wallmoor/peers/PeerSelector.java
+++ b/src/main/java/wallmoor/peers/PeerSelector.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Chooses members to send something to, at random from the group's one source. */
+/** Selects members at random to send messages to, with the random source that all parts of the protocol share. */
 final class PeerSelector {
     private final MembershipParameters parameters;
     private final MembershipTable table;
@@ -20,28 +20,29 @@
         this.random = random;
     }
 
-    /** Others that are present, so many at most. */
-    List<MemberEntry> sample(int most) {
-        return sample(most, Set.of(self));
+    /** Returns up to {@code maxCount} other members that are present. */
+    List<MemberEntry> sample(int maxCount) {
+        return sample(maxCount, Set.of(self));
     }
 
-    /** The same without this member. */
-    List<MemberEntry> sampleWithout(String name, int most) {
-        return sample(most, Set.of(self, name));
+    /** Returns up to {@code maxCount} other members that are present, without the named one. */
+    List<MemberEntry> sampleExcluding(String name, int maxCount) {
+        return sample(maxCount, Set.of(self, name));
     }
 
-    private List<MemberEntry> sample(int most, Set<String> without) {
-        return table.rings().sample(most, without, random).stream().map(table::get).toList();
+    private List<MemberEntry> sample(int maxCount, Set<String> excluded) {
+        return table.rings().sample(maxCount, excluded, random).stream().map(table::get).toList();
     }
 
     /**
-     * One other that was heard recently, if there is any: of those gossiped to longest ago, at random. An update is
-     * sent a limited number of times, and where two or three are left to tell, chance would give all of them to one.
+     * Returns one other recently active member: a random one of those that were gossiped to longest ago, or empty if
+     * none is active. An update is sent a limited number of times; with only two or three candidates, a purely random
+     * choice could send all copies to the same one.
      */
     Optional<MemberEntry> leastRecentlyGossiped(long now) {
         var candidates = new ArrayList<MemberEntry>();
-        for (MemberEntry entry : table.all()) {
-            if (!wasHeardRecently(now, entry) || entry.name().equals(self)) {
+        for (MemberEntry entry : table.entries()) {
+            if (!isRecentlyActive(now, entry) || entry.name().equals(self)) {
                 continue;
             }
             if (!candidates.isEmpty() && entry.lastGossipAt() < candidates.get(0).lastGossipAt()) {
@@ -55,8 +56,11 @@
                 : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 
-    /** Probes come each interval: who is silent for longer has lost its way to here, or is gone. */
-    boolean wasHeardRecently(long now, MemberEntry entry) {
-        return entry.isPresent() && now - entry.lastHeardAt() <= parameters.recentWindow();
+    /**
+     * Returns whether the member is present and a message from it arrived within the recent window. Probes arrive once
+     * per interval, so that a member that is silent for longer has failed or can't reach this one.
+     */
+    boolean isRecentlyActive(long now, MemberEntry entry) {
+        return entry.isPresent() && now - entry.lastMessageAt() <= parameters.recentWindow();
     }
 }
--- a/src/main/java/wallmoor/peers/Quorum.java
+++ b/src/main/java/wallmoor/peers/Quorum.java
@@ -3,10 +3,10 @@
 import java.util.Set;
 import wallmoor.peers.GroupView.PartitionSide;
 
-/** Whether more than half of the group is on this member's side of a network partition, as far as it can tell. */
+/** Determines which side of a network partition this member is on, and so whether it has a quorum. */
 final class Quorum {
-    /** More than one in so many neighbours that are silent tell of a partition. */
-    private static final int SILENT_ONE_IN = 4;
+    /** A partition is possible if more than one in this number of neighbours is silent. */
+    private static final int SILENT_NEIGHBOUR_DIVISOR = 4;
 
     private final MembershipParameters parameters;
     private final MembershipTable table;
@@ -24,18 +24,19 @@
     }
 
     /**
-     * This member's side. Where there may be a partition, what this member does not know of yet may be that its side is
-     * the smaller one: it has no quorum unless one has spoken of late that knew nothing more.
+     * Returns this member's side. While a partition is possible, suspicions that have not arrived yet could show that
+     * this is the smaller side. So this member then claims the larger side only if a message arrived recently from a
+     * member that has no newer information.
      */
     PartitionSide side(long now) {
         PartitionSide side = sideByReachability(now);
-        boolean mayBeBehind = side == PartitionSide.LARGER && !digests.isAbreast(now) && mayBePartitioned(now);
-        return mayBeBehind ? PartitionSide.CANT_TELL : side;
+        boolean mayBeOutdated = side == PartitionSide.LARGER && !digests.isUpToDate(now) && mayBePartitioned(now);
+        return mayBeOutdated ? PartitionSide.CANT_TELL : side;
     }
 
     /**
-     * The side by who is reachable alone. A member that most don't hear may be removed by a side that it takes for its
-     * own: it can't tell until they hear it again.
+     * Returns the side by the number of reachable members alone. The side of a member that most of its observers suspect
+     * is unknown, because the members that it counts as reachable may have removed it already.
      */
     PartitionSide sideByReachability(long now) {
         int size = parameters.groupSize();
@@ -47,14 +48,14 @@
     }
 
     /**
-     * Whether more than a quarter of those that observe this member or are observed by it have said nothing for as long
-     * as suspecting takes: there may be a partition, whatever has been told of it so far.
+     * Returns whether a partition is possible: more than a quarter of this member's observers and subjects have been
+     * silent for longer than the suspicion timeout, even if no suspicion of them has arrived yet.
      */
     boolean mayBePartitioned(long now) {
         Set<String> neighbours = table.rings().observers(self.name());
         neighbours.addAll(table.rings().subjects(self.name()));
         long silent = neighbours.stream().map(table::get)
                 .filter(entry -> now - entry.lastSeenAt() > parameters.suspectAfter()).count();
-        return SILENT_ONE_IN * silent > neighbours.size();
+        return SILENT_NEIGHBOUR_DIVISOR * silent > neighbours.size();
     }
 }
--- a/src/main/java/wallmoor/peers/Reachability.java
+++ b/src/main/java/wallmoor/peers/Reachability.java
@@ -8,34 +8,36 @@
 import wallmoor.peers.UnreachableMembers.SuspectedMember;
 
 /**
- * Who is suspected by observers whose word counts, and how many members this one reaches. What is asked for often is
- * computed once after a change, so that its cost does not grow with the group.
+ * Computes which members are suspected by credible observers, and how many members this one reaches. Results are cached
+ * until the table changes, so that the cost of a query does not grow with the group.
  */
 final class Reachability {
-    /** Observers that suspect an entry, of all of its observers, while the rings were in this version. */
+    /** The observers of an entry and those of them that suspect it, computed for this version of the rings. */
     private record CachedObservers(long ringVersion, SuspectedMember suspected) {}
 
     private final String self;
     private final ObserverRings rings;
-    /** Entries that any observer suspects, by name. */
+    /** Present entries that at least one member suspects, by name. */
     private final TreeMap<String, MemberEntry> suspectedEntries = new TreeMap<>();
     private final Map<String, CachedObservers> cachedObservers = new HashMap<>();
     private long ringVersion;
-    /** Null where something has changed since they were computed. */
+    /** Cached result; null if an entry has changed since it was computed. */
     private Map<String, Set<String>> suspected;
+    /** Cached result; valid while {@link #suspected} is not null. */
     private Set<String> unreachable;
+    /** Cached result; null if an entry has changed since it was computed. */
     private Integer reachableCount;
 
-    /** Nobody is known yet. */
+    /** Creates the state for an empty table. */
     Reachability(String self, ObserverRings rings) {
         this.self = self;
         this.rings = rings;
     }
 
     /**
-     * An entry has changed.
+     * Processes a change of an entry.
      *
-     * @param ringsChanged whether it joined or left the rings by that
+     * @param ringsChanged whether the change added the member to the rings or removed it from them
      */
     void entryChanged(MemberEntry entry, boolean ringsChanged) {
         if (ringsChanged) {
@@ -51,13 +53,13 @@
         reachableCount = null;
     }
 
-    /** Suspected members, each with the observers whose word counts: that of unreachable ones does not. */
+    /** Returns the suspected members, each with the reachable observers that suspect it. */
     Map<String, Set<String>> suspected() {
         refresh();
         return suspected;
     }
 
-    /** Members that more than half of their observers suspect, of the observers whose word counts. */
+    /** Returns the members that more than half of their credible observers suspect. */
     Set<String> unreachable() {
         refresh();
         return unreachable;
@@ -95,36 +97,39 @@
         return cached.suspected();
     }
 
-    /** Observers of a member that are witnesses: present, and reachable themselves. */
+    /** Returns the witnesses of a member: its observers that are reachable themselves. */
     Set<String> witnesses(String name) {
         Set<String> observers = rings.observers(name);
         observers.removeAll(unreachable());
         return observers;
     }
 
-    /** Two in three of the witnesses; and never the word of one alone, where there is another. */
+    /**
+     * Returns the number of suspecting witnesses at which a member is removed: two thirds, rounded up, and at least two
+     * if there are two or more witnesses.
+     */
     static int cutThreshold(int witnesses) {
         return Math.max(Math.min(2, witnesses), (2 * witnesses + 2) / 3);
     }
 
     /**
-     * Members that this one hears, or that more of the reachable ones which observe them hear than suspect; without the
-     * unreachable ones. That nobody is known to suspect a member tells nothing where those who would are not heard
-     * themselves: so a few of many that are cut off don't take silence for a quorum, nor one report that has not come
-     * yet. And that one or a few suspect a member tells little where more hear it: so one that hears nobody takes
-     * nobody's quorum.
+     * Returns the number of reachable members: this one, its own subjects that it does not suspect, and the members that
+     * have more reachable observers without a suspicion than observers with one; unreachable members are not included.
+     * Only reachable observers count, because the absence of a suspicion means nothing if the reports of the observers
+     * can't arrive. So a small part of a large group that is cut off does not assume a quorum. As a few suspicions are
+     * outvoted, a single member that receives nothing can't deprive the others of their quorum.
      *
-     * @param present members on the rings, which all are reachable where none is suspected
+     * @param present number of members on the rings, which is the result if none is suspected
      */
     int reachableCount(int present) {
         if (reachableCount == null) {
             reachableCount = suspectedEntries.isEmpty() ? present
-                    : rings.reachableFrom(self, this::doesNotHear, this::suspectingCount).size();
+                    : rings.reachableFrom(self, this::reportsSilence, this::suspectingCount).size();
         }
         return reachableCount;
     }
 
-    private boolean doesNotHear(String observer, String subject) {
+    private boolean reportsSilence(String observer, String subject) {
         MemberEntry entry = suspectedEntries.get(subject);
         return unreachable().contains(subject) || (entry != null && entry.isSuspectedBy(observer));
     }
--- a/src/main/java/wallmoor/peers/Refutation.java
+++ b/src/main/java/wallmoor/peers/Refutation.java
@@ -4,13 +4,13 @@
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
 /**
- * Refutation of what is said of this member itself (SWIM, 4.2): a suspicion, or an incarnation that it did not begin,
- * is answered by a newer incarnation.
+ * Refutes updates about this member itself (SWIM, 4.2): it begins a newer incarnation after a suspicion, or after an
+ * incarnation that it did not begin.
  */
 final class Refutation {
     /**
-     * A name whose incarnation was taken by another process so often has two processes: the one that started later
-     * yields.
+     * Number of times that another process may announce this name with a newer incarnation. After more conflicts two
+     * processes with the name must be running, and the one that started later gives up the name.
      */
     private static final int MAX_CONFLICTS = 3;
 
@@ -32,23 +32,23 @@
         this.publisher = publisher;
     }
 
-    /** Suspicions that were refuted since the start. */
+    /** Returns the number of suspicions refuted since the start. */
     long refutations() {
         return refutations;
     }
 
     /**
-     * Takes an update about this member.
+     * Processes an update about this member.
      *
-     * @param disseminate whether a new incarnation is to be gossiped to others
+     * @param disseminate whether a new incarnation is queued for dissemination
      */
     void onUpdateAboutSelf(long now, MembershipUpdate update, boolean disseminate) {
         if (update.incarnation() < self.incarnation()) {
             return;
         }
         if (update instanceof Announcement a && a.bootId() != self.bootId()) {
-            conflict(now, a, disseminate);
-        } else if (update instanceof Suspicion s && isToBeRefuted(now, s)) {
+            onNameConflict(now, a, disseminate);
+        } else if (update instanceof Suspicion s && shouldRefute(now, s)) {
             refutations++;
             refutedAt = now;
             beginIncarnation(now, s.incarnation() + 1, disseminate);
@@ -57,30 +57,32 @@
         }
     }
 
-    private void conflict(long now, Announcement other, boolean disseminate) {
+    private void onNameConflict(long now, Announcement other, boolean disseminate) {
         if (++conflicts > MAX_CONFLICTS && other.bootId() < self.bootId()) {
             self.yieldName();
-            publisher.publish(now, "another process has this name and was here first: taking no part");
+            publisher.publish(now, "another process has this name and started earlier: this one no longer takes part");
             return;
         }
         beginIncarnation(now, other.incarnation() + 1, disseminate);
     }
 
     /**
-     * Not too often, or those that never hear it could never agree. And the word of one that was removed counts
-     * nowhere: to refute it would tell all others something new for nothing.
+     * Returns whether to refute a suspicion. Refutations are limited to one per one and a half suspicion timeouts, as
+     * each one voids the earlier suspicions, and observers that receive nothing from this member could otherwise never
+     * reach the threshold. A suspicion by an absent member is not refuted: it counts nowhere, and the refutation would
+     * only cause needless dissemination.
      */
-    private boolean isToBeRefuted(long now, Suspicion suspicion) {
+    private boolean shouldRefute(long now, Suspicion suspicion) {
         MemberEntry observer = table.get(suspicion.observer());
-        boolean isObserverGone = observer != null && !observer.isPresent();
-        return suspicion.isActive() && !isObserverGone
+        boolean isObserverAbsent = observer != null && !observer.isPresent();
+        return suspicion.isActive() && !isObserverAbsent
                 && (refutations == 0 || now - refutedAt >= 3 * parameters.suspectAfter() / 2);
     }
 
     private void beginIncarnation(long now, long incarnation, boolean disseminate) {
         self.beginIncarnation(incarnation);
         table.merge(self.announcement(), now);
-        publisher.learned(now);
+        publisher.onTableChanged(now);
         if (disseminate) {
             dissemination.enqueue(self.announcement());
         }
--- a/src/main/java/wallmoor/peers/TableDigest.java
+++ b/src/main/java/wallmoor/peers/TableDigest.java
@@ -5,25 +5,26 @@
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
 /**
- * Digests for anti-entropy: equal wherever the same is known of the same members, whatever each has concluded from it.
- * Members fall into buckets by name, each with a digest of its own, so that two tables that differ need only exchange
- * the buckets that do.
+ * Computes the digests for anti-entropy. Two tables with the same announcements and active suspicions have equal
+ * digests, even if the members have drawn different conclusions from them, such as removals. Members are assigned to
+ * buckets by name, and each bucket has its own digest, so that only buckets that differ need to be exchanged.
  */
 final class TableDigest {
-    /** A power of two. */
-    static final int BUCKETS = 64;
+    /** A power of two, so that a hash is reduced to a bucket by a bit mask. */
+    static final int BUCKET_COUNT = 64;
     private static final long HASH_FACTOR = 31;
     private static final long INCARNATION_FACTOR = 1_000_003;
-    private static final long LEFT = 7;
+    /** Summand that distinguishes an announcement of leaving. */
+    private static final long LEFT_SUMMAND = 7;
 
-    private final long[] buckets = new long[BUCKETS];
+    private final long[] buckets = new long[BUCKET_COUNT];
     private long total;
 
     static int bucketOf(String name) {
-        return (int) (ObserverRings.mix(name.hashCode()) & (BUCKETS - 1));
+        return (int) (ObserverRings.mix(name.hashCode()) & (BUCKET_COUNT - 1));
     }
 
-    /** The entry has changed. */
+    /** Updates the digests after a change of the entry. */
     void update(MemberEntry entry) {
         long change = entry.replaceDigestContribution(entry.isWithheld() ? 0 : contribution(entry));
         buckets[entry.bucket()] += change;
@@ -33,30 +34,34 @@
     private static long contribution(MemberEntry entry) {
         MembershipUpdate.Announcement announced = entry.announcement();
         long hash = HASH_FACTOR * announced.name().hashCode() + announced.incarnation() * INCARNATION_FACTOR
-                + (announced.left() ? LEFT : 0);
+                + (announced.left() ? LEFT_SUMMAND : 0);
         for (Suspicion s : entry.suspicions()) {
-            // who never knew a suspicion knows no less than who knows that it was taken back
+            // A table without a suspicion is equal to one in which the suspicion is withdrawn.
             hash = s.isActive() ? hash * HASH_FACTOR + s.observer().hashCode() : hash;
         }
         return ObserverRings.mix(hash);
     }
 
-    /** The digest of the complete table. */
+    /** Returns the digest of the complete table. */
     long total() {
         return total;
     }
 
-    /** The digest of each bucket. */
+    /** Returns the digest of each bucket. */
     List<Long> buckets() {
-        var all = new ArrayList<Long>(BUCKETS);
+        var digests = new ArrayList<Long>(BUCKET_COUNT);
         for (long digest : buckets) {
-            all.add(digest);
+            digests.add(digest);
         }
-        return all;
+        return digests;
     }
 
-    /** Whether this entry's bucket differs from another table's; all do where the other table's are not known. */
+    /**
+     * Returns whether the digest of this entry's bucket differs from that of another table.
+     *
+     * @param others the other table's digests by bucket; if their number is wrong, each bucket counts as different
+     */
     boolean differs(MemberEntry entry, List<Long> others) {
-        return others.size() != BUCKETS || others.get(entry.bucket()) != buckets[entry.bucket()];
+        return others.size() != BUCKET_COUNT || others.get(entry.bucket()) != buckets[entry.bucket()];
     }
 }
--- a/src/main/java/wallmoor/peers/UnreachableMembers.java
+++ b/src/main/java/wallmoor/peers/UnreachableMembers.java
@@ -5,23 +5,24 @@
 import java.util.Set;
 
 /**
- * Which members the group does not hear: those that more than half of their observers suspect. The word of such a
- * member no longer counts, neither for nor against others, and those that the largest share of their observers suspects
- * go first: so many dead ones don't vouch for each other by their silence, and a few that hear nobody, and suspect all,
- * are found out before they are believed, or never are believed.
+ * Computes which suspected members are unreachable: those that more than half of their credible observers suspect. An
+ * observer is credible unless it is unreachable itself; the reports of an unreachable observer count neither for nor
+ * against others. Members with the largest share of suspecting observers are classified first. So several dead members
+ * that observe each other are not taken for alive because they report nothing, and a few members that receive nothing
+ * and suspect everybody are classified as unreachable before their suspicions count.
  */
 final class UnreachableMembers {
     /**
-     * Who suspects a member.
+     * The observers of a suspected member.
      *
      * @param suspectedBy observers that suspect it
-     * @param observers   all that observe it, the suspecting ones included
+     * @param observers   all its observers, including the suspecting ones
      */
     record SuspectedMember(Set<String> suspectedBy, Set<String> observers) {}
 
     private UnreachableMembers() {}
 
-    /** Those of the suspected members that are unreachable. */
+    /** Returns the names of the suspected members that are unreachable. */
     static Set<String> of(Map<String, SuspectedMember> suspected) {
         var unreachable = new HashSet<String>();
         while (true) {
@@ -33,28 +34,31 @@
         }
     }
 
-    /** Those that the largest share of credible observers suspects, where it is more than half; none otherwise. */
+    /**
+     * Returns the members with the largest share of credible observers that suspect them, or an empty set if no share
+     * is more than half. Members that are already in {@code unreachable} are skipped.
+     */
     private static Set<String> mostSuspected(Map<String, SuspectedMember> suspected, Set<String> unreachable) {
-        var most = new HashSet<String>();
-        long numerator = 1; // of the share to beat
-        long denominator = 2;
+        var mostSuspected = new HashSet<String>();
+        long largestNumerator = 1; // the largest share so far as a fraction, which begins at one half
+        long largestDenominator = 2;
         for (var member : suspected.entrySet()) {
             if (unreachable.contains(member.getKey())) {
                 continue;
             }
             long suspecting = countCredible(member.getValue().suspectedBy(), unreachable);
             long observing = countCredible(member.getValue().observers(), unreachable);
-            long difference = suspecting * denominator - numerator * observing;
+            long difference = suspecting * largestDenominator - largestNumerator * observing;
             if (difference > 0) {
-                most.clear();
-                numerator = suspecting;
-                denominator = observing;
+                mostSuspected.clear();
+                largestNumerator = suspecting;
+                largestDenominator = observing;
             }
-            if (difference > 0 || (difference == 0 && !most.isEmpty())) {
-                most.add(member.getKey());
+            if (difference > 0 || (difference == 0 && !mostSuspected.isEmpty())) {
+                mostSuspected.add(member.getKey());
             }
         }
-        return most;
+        return mostSuspected;
     }
 
     private static int countCredible(Set<String> observers, Set<String> unreachable) {
--- a/src/main/java/wallmoor/peers/UpdateProcessor.java
+++ b/src/main/java/wallmoor/peers/UpdateProcessor.java
@@ -3,7 +3,10 @@
 import wallmoor.peers.MembershipUpdate.Announcement;
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
-/** Merges what others say of members, and what this one reports itself; what was news is disseminated. */
+/**
+ * Merges updates from other members and this member's own reports into the table, and disseminates those that change
+ * it.
+ */
 final class UpdateProcessor {
     private final LocalIdentity self;
     private final MembershipTable table;
@@ -22,41 +25,41 @@
     }
 
     /**
-     * Takes in an update that another member sent.
+     * Processes an update that another member sent.
      *
-     * @param disseminate whether what is news by it is to be gossiped to others
+     * @param disseminate whether the update is forwarded to others if it changes the table
      */
     void process(long now, MembershipUpdate update, boolean disseminate) {
         if (update.name().equals(self.name())) {
             refutation.onUpdateAboutSelf(now, update, disseminate);
         } else if (update instanceof Announcement a && table.merge(a, now)) {
-            merged(now, a, disseminate);
+            onMerged(now, a, disseminate);
         } else if (update instanceof Suspicion s && table.merge(s)) {
-            suspicionMerged(now, s, disseminate);
+            onSuspicionMerged(now, s, disseminate);
         }
     }
 
-    /** This member reports that it suspects another, or that it hears it again. */
+    /** Reports that this member suspects the subject, or that it withdraws its suspicion. */
     void report(long now, MemberEntry subject, boolean isSuspected) {
         var suspicion = new Suspicion(subject.name(), subject.announcement().incarnation(), self.name(),
                 self.nextSequence(), isSuspected);
         if (table.merge(suspicion)) {
-            suspicionMerged(now, suspicion, true);
+            onSuspicionMerged(now, suspicion, true);
         }
     }
 
-    /** When a suspicion of a present member last came or went. */
+    /** Returns the time when a suspicion of a present member was last reported or withdrawn. */
     long suspicionsChangedAt() {
         return suspicionsChangedAt;
     }
 
-    private void suspicionMerged(long now, Suspicion suspicion, boolean disseminate) {
+    private void onSuspicionMerged(long now, Suspicion suspicion, boolean disseminate) {
         suspicionsChangedAt = table.get(suspicion.name()).isPresent() ? now : suspicionsChangedAt;
-        merged(now, suspicion, disseminate);
+        onMerged(now, suspicion, disseminate);
     }
 
-    private void merged(long now, MembershipUpdate update, boolean disseminate) {
-        publisher.learned(now);
+    private void onMerged(long now, MembershipUpdate update, boolean disseminate) {
+        publisher.onTableChanged(now);
         if (disseminate) {
             dissemination.enqueue(update);
         }
--- a/src/main/java/wallmoor/peers/ViewPublisher.java
+++ b/src/main/java/wallmoor/peers/ViewPublisher.java
@@ -8,8 +8,8 @@
 import wallmoor.peers.GroupView.PartitionSide;
 
 /**
- * Publishes this member's view: once nothing new has come for a while, so that what belongs together is one change, or
- * at once where a quorum comes or goes.
+ * Publishes this member's view: after a short time without further changes, so that related changes are published
+ * together, or immediately if the side of a partition changes.
  */
 final class ViewPublisher {
     private static final long NEVER = -1;
@@ -18,10 +18,11 @@
     private final MembershipTable table;
     private final Quorum quorum;
     private final MembershipProtocol.Output output;
-    /** Since when something is known that the view does not hold; {@link #NEVER} where nothing is. */
+    /** Time of the first change that is not published yet; {@link #NEVER} if there is none. */
     private long unpublishedSince = NEVER;
-    private long learnedAt;
-    /** The member that first told it; null where it came of time. */
+    /** Time of the latest change. */
+    private long changedAt;
+    /** The sender of the message with the first unpublished change; null if no message caused it. */
     private String source;
     private GroupView view;
 
@@ -33,37 +34,41 @@
         this.output = output;
     }
 
-    /** The view as it was last published. */
+    /** Returns the latest published view. */
     GroupView view() {
         return view;
     }
 
-    /** The table has changed. */
-    void learned(long now) {
-        unpublishedSince = hasUnpublished() ? unpublishedSince : now;
-        learnedAt = now;
+    /** Records a change of the table. */
+    void onTableChanged(long now) {
+        unpublishedSince = hasUnpublishedChanges() ? unpublishedSince : now;
+        changedAt = now;
     }
 
-    boolean hasUnpublished() {
+    boolean hasUnpublishedChanges() {
         return unpublishedSince != NEVER;
     }
 
-    /** What is not published yet was first told by this member. */
-    void learnedFrom(String member) {
+    /** Records the sender of the message with the first unpublished change. */
+    void setSource(String member) {
         source = member;
     }
 
-    /** Publishes what is due. */
+    /** Publishes the view if a change is due. */
     void onTick(long now) {
-        boolean isDue = hasUnpublished() && (now - learnedAt >= parameters.probeInterval() / 2
+        boolean isDue = hasUnpublishedChanges() && (now - changedAt >= parameters.probeInterval() / 2
                 || now - unpublishedSince >= 2 * parameters.probeInterval());
         if (quorum.side(now) != view.side() || isDue) {
             publish(now, source == null ? "time" : "told by " + source);
         }
     }
 
-    /** Publishes the view if it has changed; {@code why} is the evidence, for the log. */
-    void publish(long now, String why) {
+    /**
+     * Updates the view, and reports it if it has changed.
+     *
+     * @param cause what caused the change, for the log
+     */
+    void publish(long now, String cause) {
         unpublishedSince = NEVER;
         source = null;
         List<GroupView.Member> members = members(now);
@@ -72,16 +77,16 @@
         long version = view == null ? 1 : isSame ? view.version() : view.version() + 1;
         view = new GroupView(version, side, table.reachableCount(), parameters.groupSize(), members);
         if (!isSame) {
-            output.viewChanged(view, why);
+            output.viewChanged(view, cause);
         }
     }
 
     private List<GroupView.Member> members(long now) {
         Map<String, Set<String>> suspected = table.suspected();
         var members = new ArrayList<GroupView.Member>();
-        for (MemberEntry entry : table.all()) {
+        for (MemberEntry entry : table.entries()) {
             Set<String> suspectedBy = suspected.getOrDefault(entry.name(), Set.of());
-            entry.enter(stateOf(entry, !suspectedBy.isEmpty()), now);
+            entry.enterState(stateOf(entry, !suspectedBy.isEmpty()), now);
             members.add(new GroupView.Member(entry.name(), entry.address(), entry.announcement().incarnation(),
                     entry.state(), entry.since(), suspectedBy.stream().sorted().toList()));
         }
@@ -99,8 +104,8 @@
     }
 
     /**
-     * One more that suspects a suspected member is evidence, and no change; nor is what one that is removed says of
-     * itself.
+     * Returns whether two lists of members are equal for subscribers. A further suspicion of a member that is already
+     * suspected is no change, nor is a new incarnation of a removed member.
      */
     private static boolean isSame(List<GroupView.Member> before, List<GroupView.Member> after) {
         boolean isSame = before.size() == after.size();
--- a/src/main/java/wallmoor/peers/package-info.java
+++ b/src/main/java/wallmoor/peers/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Group membership of the gatherers: who of them is there (SWIM, Lifeguard and Rapid; the rules stand in
- * docs/peers.md). Decides; no I/O, no clock, no threads, and no random source but its seed. Knows nothing of sockets
- * or of how a message is encoded.
+ * Group membership of the gatherers: which gatherers are present, decided with the methods of SWIM, Lifeguard and Rapid
+ * (docs/peers.md has the rules). The package has no I/O, clock or threads, and its only random source is seeded by the
+ * caller. It does not depend on sockets or on the encoding of messages.
  */
 package wallmoor.peers;
--- a/src/main/java/wallmoor/peers/udp/DropReason.java
+++ b/src/main/java/wallmoor/peers/udp/DropReason.java
@@ -1,15 +1,15 @@
 package wallmoor.peers.udp;
 
-/** Why a message was dropped: a counter each, by the name in lower case. */
+/** The reason why a message was dropped. Each has a counter that is named by the constant in lower case. */
 enum DropReason {
-    /** It does not have the form of a message. */
+    /** The message can't be decoded. */
     MALFORMED,
-    /** It is of another version of the form. */
+    /** The message has another version of the format. */
     VERSION,
-    /** It is of another group. */
+    /** The message is from another installation. */
     INSTALLATION,
-    /** It has more bytes than may come that way. */
+    /** The message is longer than its transport permits. */
     TOO_LONG,
-    /** It could not be sent. */
+    /** The message could not be sent. */
     UNSENT
 }
--- a/src/main/java/wallmoor/peers/udp/DroppedMessageException.java
+++ b/src/main/java/wallmoor/peers/udp/DroppedMessageException.java
@@ -1,8 +1,8 @@
 package wallmoor.peers.udp;
 
 /**
- * What came is no message that this member can use, and nothing of it is used. It has no stack trace, as anybody can
- * send such.
+ * Thrown if a received message is unusable and therefore dropped without any effect. It has no stack trace, to keep the
+ * cost of invalid messages low, which anybody can send.
  */
 final class DroppedMessageException extends Exception {
     private static final long serialVersionUID = 1;
--- a/src/main/java/wallmoor/peers/udp/FleetControlServer.java
+++ b/src/main/java/wallmoor/peers/udp/FleetControlServer.java
@@ -13,8 +13,8 @@
 import wallmoor.peers.MemberEvidence;
 
 /**
- * The control port of {@code fleet}: one line asks, {@code members} or {@code explain NAME}, and JSON objects answer
- * what this member knows of the group. It changes nothing.
+ * Serves the control port of {@code fleet}. A request is one line, {@code members} or {@code explain NAME}; the response
+ * consists of JSON objects that describe the group as this member sees it. Requests are read-only.
  */
 public final class FleetControlServer implements AutoCloseable {
     private static final RequestLimits LIMITS = new RequestLimits(257, 1_000);
@@ -24,34 +24,35 @@
     private final String self;
     private final GroupTransport group;
 
-    /** Listens at an address of loopback; {@link #start} begins to answer. */
+    /** Binds the control port to a loopback address; {@link #start} begins to serve. */
     public FleetControlServer(InetSocketAddress listen, String self, GroupTransport group) throws IOException {
         this.self = self;
         this.group = group;
         server = ControlServer.sequential(listen, "peers-control", LIMITS);
     }
 
-    /** Begins to answer. */
+    /** Starts to serve requests. */
     public void start() {
         server.start(this::handle);
     }
 
-    /** The answer's last object ends without a line end, as it did in earlier versions. */
+    /** Handles a request. The last object of the response has no line end, for compatibility with earlier versions. */
     private void handle(byte[] request, OutputStream response) throws IOException {
         String text = new String(request, StandardCharsets.ISO_8859_1);
-        String[] words = text.substring(0, text.indexOf('\n')).trim().split(" +", 2);
+        String command = text.substring(0, text.indexOf('\n')).trim();
+        String[] words = command.split(" +", 2);
         try (JsonGenerator out = JsonLines.generator(response)) {
             if (words[0].equals("members") && words.length == 1) {
-                members(out);
+                writeMembers(out);
             } else if (words[0].equals("explain") && words.length == 2) {
-                explain(out, words[1]);
+                writeEvidence(out, words[1]);
             } else {
-                JsonLines.writeFault(out, "asks neither members nor explain NAME");
+                JsonLines.writeFault(out, "unknown command \"" + command + "\": expected members or explain NAME");
             }
         }
     }
 
-    private void members(JsonGenerator out) throws IOException {
+    private void writeMembers(JsonGenerator out) throws IOException {
         GroupView view = group.view();
         out.writeStartObject();
         out.writeStringField("self", self);
@@ -66,43 +67,45 @@
         }
         out.writeEndObject();
         out.writeEndObject();
-        for (GroupView.Member m : view.members()) {
+        for (GroupView.Member member : view.members()) {
             out.writeStartObject();
-            member(out, m.name(), m.address(), m.incarnation(), m.state(), m.since());
+            writeMember(out, member.name(), member.address(), member.incarnation(), member.state(), member.since());
             out.writeArrayFieldStart("doubted_by");
-            for (String by : m.suspectedBy()) {
-                out.writeString(by);
+            for (String observer : member.suspectedBy()) {
+                out.writeString(observer);
             }
             out.writeEndArray();
             out.writeEndObject();
         }
     }
 
-    private void explain(JsonGenerator out, String name) throws IOException {
-        MemberEvidence e = group.explain(name);
-        if (e == null) {
-            JsonLines.writeFault(out, "knows no member " + name);
+    private void writeEvidence(JsonGenerator out, String name) throws IOException {
+        MemberEvidence evidence = group.explain(name);
+        if (evidence == null) {
+            JsonLines.writeFault(out, "member \"" + name + "\" is unknown in the group");
             return;
         }
         out.writeStartObject();
-        member(out, e.name(), e.address(), e.incarnation(), e.state(), e.since());
-        out.writeNumberField("witnesses", e.witnesses());
-        out.writeNumberField("needed", e.cutThreshold());
-        if (e.silentMicros() >= 0) {
-            out.writeNumberField("unheard_ms", e.silentMicros() / MICROS_PER_MILLI);
+        writeMember(out, evidence.name(), evidence.address(), evidence.incarnation(), evidence.state(),
+                evidence.since());
+        out.writeNumberField("witnesses", evidence.witnesses());
+        out.writeNumberField("needed", evidence.cutThreshold());
+        if (evidence.silentMicros() >= 0) {
+            out.writeNumberField("unheard_ms", evidence.silentMicros() / MICROS_PER_MILLI);
         }
         out.writeEndObject();
-        for (MemberEvidence.ObserverReport v : e.reports()) {
+        for (MemberEvidence.ObserverReport report : evidence.reports()) {
             out.writeStartObject();
-            out.writeStringField("observer", v.name());
-            out.writeBooleanField("observes", v.isObserver());
-            out.writeBooleanField("witness", v.isWitness());
-            out.writeStringField("said", v.reported().toString().toLowerCase(Locale.ROOT));
+            out.writeStringField("observer", report.name());
+            out.writeBooleanField("observes", report.isObserver());
+            out.writeBooleanField("witness", report.isWitness());
+            out.writeStringField("said", report.reported().toString().toLowerCase(Locale.ROOT));
             out.writeEndObject();
         }
     }
 
-    private static void member(JsonGenerator out, String name, String address, long incarnation,
+    /** Writes the fields that both responses have for a member. */
+    private static void writeMember(JsonGenerator out, String name, String address, long incarnation,
             GroupView.MemberState state,
             long since)
             throws IOException {
--- a/src/main/java/wallmoor/peers/udp/GroupMessageCodec.java
+++ b/src/main/java/wallmoor/peers/udp/GroupMessageCodec.java
@@ -15,23 +15,24 @@
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
 /**
- * Encodes messages: a CBOR array (RFC 8949) of the form's version, the installation's name and the message's fields, in
- * a fixed order. What does not have exactly this form is dropped with a {@link DropReason}, and nothing of it is used.
+ * Encodes and decodes messages. The format is a CBOR array (RFC 8949) of the format version, the installation's name and
+ * the message's fields in a fixed order. A message that deviates from it is dropped with a {@link DropReason}, without
+ * any effect.
  */
 final class GroupMessageCodec {
-    /** A datagram with its headers fits an Ethernet frame, tunnels included. */
+    /** With its headers, a datagram of this size fits an Ethernet frame, even through a tunnel. */
     static final int MAX_DATAGRAM_BYTES = 1_200;
-    /** Bytes of a table at most, which go by themselves: some 60 for each of ten thousand members, and suspicions. */
+    /** Sufficient for ten thousand members with about 60 bytes each, and suspicions. */
     static final int MAX_TABLE_BYTES = 2 * 1024 * 1024;
-    private static final int VERSION = 2;
+    private static final int FORMAT_VERSION = 2;
     private static final int MAX_TEXT_CHARS = 128;
     private static final int MAX_BUCKETS = 64;
-    /** The least that an update takes: more of them than that can't be there. */
+    /** The smallest encoded update, which limits the number of updates in a message. */
     private static final int MIN_UPDATE_BYTES = 6;
     private static final int ANNOUNCEMENT = 0;
     private static final int SUSPICIONS = 1;
-    private static final int TYPICAL_BYTES = 256;
-    /** A kind is its place in this list. */
+    private static final int INITIAL_BUFFER_BYTES = 256;
+    /** The kinds of messages; the number of a kind on the wire is its index. */
     private static final List<MessageKind> KINDS = List.of(MessageKind.PROBE, MessageKind.ACK,
             MessageKind.INDIRECT_PROBE, MessageKind.DIGEST, MessageKind.UPDATES);
 
@@ -42,7 +43,10 @@
         this.installation = installation;
     }
 
-    /** The bytes of a message: of its updates as many as fit a datagram, and all of a table's. */
+    /**
+     * Encodes a message. The last updates are omitted as far as necessary to fit a datagram, except for messages of kind
+     * {@link MessageKind#UPDATES}, which are always complete.
+     */
     byte[] encode(GroupMessage message) throws IOException {
         int count = message.updates().size();
         byte[] bytes = encode(message, message.updates());
@@ -54,10 +58,10 @@
     }
 
     private byte[] encode(GroupMessage message, List<MembershipUpdate> updates) throws IOException {
-        var bytes = new ByteArrayOutputStream(TYPICAL_BYTES);
+        var bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (CBORGenerator out = factory.createGenerator(bytes)) {
             out.writeStartArray();
-            out.writeNumber(VERSION);
+            out.writeNumber(FORMAT_VERSION);
             out.writeString(installation);
             out.writeNumber(KINDS.indexOf(message.kind()));
             encodeAnnouncement(out, message.sender());
@@ -76,19 +80,19 @@
 
     private static void encodeUpdates(CBORGenerator out, List<MembershipUpdate> updates) throws IOException {
         out.writeNumber(updates.size());
-        int done = 0;
-        while (done < updates.size()) {
-            if (updates.get(done) instanceof Announcement announcement) {
+        int index = 0;
+        while (index < updates.size()) {
+            if (updates.get(index) instanceof Announcement announcement) {
                 out.writeNumber(ANNOUNCEMENT);
                 encodeAnnouncement(out, announcement);
-                done++;
+                index++;
             } else {
-                done += encodeSuspicions(out, updates.subList(done, updates.size()));
+                index += encodeSuspicions(out, updates.subList(index, updates.size()));
             }
         }
     }
 
-    /** Those suspicions of one incarnation that come first, together; how many they were. */
+    /** Encodes the leading suspicions of the same incarnation of a member as one block; returns their number. */
     private static int encodeSuspicions(CBORGenerator out, List<MembershipUpdate> updates) throws IOException {
         MembershipUpdate first = updates.get(0);
         int count = 1;
@@ -118,18 +122,19 @@
     }
 
     /**
-     * The message in a datagram, or in a table's connection.
+     * Decodes a message from a datagram or a connection.
      *
-     * @param length bytes that came
-     * @param most   bytes that may come that way
+     * @param length   number of received bytes
+     * @param maxBytes maximum length on this transport
+     * @throws DroppedMessageException if the message is too long or malformed, or has another version or installation
      */
-    GroupMessage decode(byte[] bytes, int length, int most) throws DroppedMessageException {
-        if (length > most) {
+    GroupMessage decode(byte[] bytes, int length, int maxBytes) throws DroppedMessageException {
+        if (length > maxBytes) {
             throw new DroppedMessageException(DropReason.TOO_LONG);
         }
         try (JsonParser in = factory.createParser(bytes, 0, length)) {
             expect(in.nextToken() == JsonToken.START_ARRAY);
-            if (decodeLong(in) != VERSION) {
+            if (decodeLong(in) != FORMAT_VERSION) {
                 throw new DroppedMessageException(DropReason.VERSION);
             }
             if (!decodeText(in).equals(installation)) {
@@ -139,7 +144,8 @@
             expect(in.nextToken() == JsonToken.END_ARRAY && in.nextToken() == null);
             return message;
         } catch (IOException | RuntimeException e) {
-            throw new DroppedMessageException(DropReason.MALFORMED); // the library's own faults may be of either type
+            // The parser throws exceptions of both types on malformed input.
+            throw new DroppedMessageException(DropReason.MALFORMED);
         }
     }
 
@@ -174,9 +180,9 @@
         expect(count >= 0 && count <= length / MIN_UPDATE_BYTES);
         var updates = new ArrayList<MembershipUpdate>();
         while (updates.size() < count) {
-            long form = decodeLong(in);
-            expect(form == ANNOUNCEMENT || form == SUSPICIONS);
-            if (form == ANNOUNCEMENT) {
+            long type = decodeLong(in);
+            expect(type == ANNOUNCEMENT || type == SUSPICIONS);
+            if (type == ANNOUNCEMENT) {
                 updates.add(decodeAnnouncement(in));
             } else {
                 decodeSuspicions(in, count - updates.size(), updates);
@@ -185,13 +191,13 @@
         return updates;
     }
 
-    private static void decodeSuspicions(JsonParser in, long most, List<MembershipUpdate> updates)
+    private static void decodeSuspicions(JsonParser in, long maxCount, List<MembershipUpdate> updates)
             throws IOException,
             DroppedMessageException {
         String name = decodeText(in);
         long incarnation = decodeLong(in);
         long count = decodeLong(in);
-        expect(count > 0 && count <= most);
+        expect(count > 0 && count <= maxCount);
         for (long i = 0; i < count; i++) {
             updates.add(new Suspicion(name, incarnation, decodeText(in), decodeLong(in), decodeFlag(in)));
         }
@@ -201,8 +207,9 @@
         return new Announcement(decodeText(in), decodeText(in), decodeLong(in), decodeLong(in), decodeFlag(in));
     }
 
-    private static void expect(boolean isSo) throws DroppedMessageException {
-        if (!isSo) {
+    /** Drops the message as malformed if the condition is false. */
+    private static void expect(boolean condition) throws DroppedMessageException {
+        if (!condition) {
             throw new DroppedMessageException(DropReason.MALFORMED);
         }
     }
--- a/src/main/java/wallmoor/peers/udp/GroupTransport.java
+++ b/src/main/java/wallmoor/peers/udp/GroupTransport.java
@@ -25,10 +25,11 @@
 import wallmoor.peers.MembershipProtocol;
 
 /**
- * The group's I/O: one datagram socket, a thread that reads it and one that ticks the protocol; what no datagram
- * holds goes by {@link TableTransfer}. One lock stands round the protocol; its messages and changes of view go out
- * after the lock is given back, so that no send and no subscriber holds it up. The kernel's receive buffer is the
- * only queue: what does not fit there is lost, as datagrams may be.
+ * Runs the membership protocol over the network. It has one datagram socket, a thread that reads from it and a thread
+ * that ticks the protocol; messages that are too large for a datagram go through {@link TableTransfer}. One lock guards
+ * the protocol. Messages and changes of the view are passed on after the lock is released, so that sending and
+ * subscribers don't block the protocol. Received datagrams are queued only in the kernel's receive buffer, and lost if
+ * it is full.
  */
 public final class GroupTransport {
     private static final Logger LOG = LoggerFactory.getLogger(GroupTransport.class);
@@ -36,23 +37,30 @@
     private static final long NANOS_PER_MICRO = 1_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Where this member takes part. All of it is checked where it is read. */
+    /**
+     * The configuration of this member, which is validated when it is read.
+     *
+     * @param installation name of the group; messages from other installations are dropped
+     * @param listen       address that the sockets are bound to
+     * @param address      host and port that other members reach this one at
+     * @param seeds        addresses of members to contact first
+     */
     public record LocalMember(String installation, String name, InetSocketAddress listen, String address,
             List<String> seeds) {}
 
-    private record ViewChange(GroupView view, String why) {}
+    private record ViewChange(GroupView view, String cause) {}
 
     private final DatagramSocket socket;
     private final TableTransfer tables;
     private final GroupMessageCodec codec;
-    /** Guards itself and all that its events give. */
+    /** Also the lock that guards itself, {@link #outgoing} and {@link #changes}. */
     private final GroupMembership membership;
     private final long tickMillis;
     private final List<BiConsumer<GroupView, String>> subscribers = new ArrayList<>();
     private final List<OutgoingMessage> outgoing = new ArrayList<>();
     private final List<ViewChange> changes = new ArrayList<>();
-    /** Held while changes are handed on, so that subscribers get them in order. */
-    private final Object notifying = new Object();
+    /** Locked while subscribers are notified, so that they receive the changes in order. */
+    private final Object notificationLock = new Object();
     private final TransportCounters counters = new TransportCounters();
     private final Counter received = counters.counter("received");
     private final Counter sent = counters.counter("sent");
@@ -61,9 +69,10 @@
     private volatile boolean closed;
 
     /**
-     * Binds the socket; {@link #start} begins to take part.
+     * Binds the sockets; {@link #start} starts the protocol.
      *
-     * @throws IOException where the address can't be bound
+     * @param seed seed of the protocol's random source
+     * @throws IOException if the address can't be bound
      */
     public GroupTransport(LocalMember local, MembershipParameters parameters, long seed) throws IOException {
         codec = new GroupMessageCodec(local.installation());
@@ -86,12 +95,15 @@
         gauge("stale", MembershipCounts::staleMessages);
     }
 
-    /** Notifies of each change of view in order, with its evidence. To be called before {@link #start}. */
+    /**
+     * Adds a subscriber that receives the changes of the view in order, each with its cause as text for the log. To be
+     * called before {@link #start}.
+     */
     public void subscribe(BiConsumer<GroupView, String> subscriber) {
         subscribers.add(subscriber);
     }
 
-    /** Begins to take part. */
+    /** Starts the protocol and the threads. */
     public void start() {
         handle(() -> membership.onStart(nowMicros()));
         tables.start();
@@ -99,7 +111,7 @@
         Threads.start("peers-tick", this::tick);
     }
 
-    /** Leaves with notice and closes. */
+    /** Announces that this member leaves and closes the sockets. */
     public void leave() {
         handle(() -> membership.leave(nowMicros()));
         closed = true;
@@ -107,18 +119,18 @@
         try {
             tables.close();
         } catch (IOException e) {
-            LOG.warn("peers can't close: {}", e.toString());
+            LOG.warn("group table listener close failed: error=\"{}\"", e.toString());
         }
     }
 
-    /** The view as it is. */
+    /** Returns the current view. */
     public GroupView view() {
         synchronized (membership) {
             return membership.view();
         }
     }
 
-    /** Why a member is in its state; null where there is none of this name. */
+    /** Returns the evidence for a member's state, or null if no member of this name is known. */
     public MemberEvidence explain(String member) {
         synchronized (membership) {
             return membership.explain(nowMicros(), member);
@@ -133,12 +145,12 @@
         });
     }
 
-    /** What came and went since the start, and what was dropped and why, by name. */
+    /** Returns the counters since the start by name: messages received and sent, drops by reason, protocol events. */
     public Map<String, Long> counters() {
-        return counters.all();
+        return counters.snapshot();
     }
 
-    /** Microseconds that only go forward: a wall clock that is set moves nothing here. */
+    /** Returns the microseconds of a monotonic clock, which a change of the wall clock does not affect. */
     public static long nowMicros() {
         return System.nanoTime() / NANOS_PER_MICRO;
     }
@@ -164,29 +176,29 @@
                 receive(buffer, packet.getLength(), GroupMessageCodec.MAX_DATAGRAM_BYTES);
             } catch (IOException e) {
                 if (!closed) {
-                    LOG.warn("peers can't read: {}", e.toString());
+                    LOG.warn("group datagram receive failed: error=\"{}\"", e.toString());
                 }
             }
         }
     }
 
-    private void receive(byte[] bytes, int length, int most) {
+    private void receive(byte[] bytes, int length, int maxBytes) {
         try {
-            GroupMessage message = codec.decode(bytes, length, most);
+            GroupMessage message = codec.decode(bytes, length, maxBytes);
             handle(() -> membership.onMessage(nowMicros(), message));
         } catch (DroppedMessageException e) {
             dropped.get(e.reason()).inc();
         }
     }
 
-    /** Runs one event of the protocol under its lock, then sends and tells what came of it. */
+    /** Runs one event of the protocol under its lock, then sends the resulting messages and notifies subscribers. */
     private void handle(Runnable event) {
         List<OutgoingMessage> toSend;
         synchronized (membership) {
             try {
                 event.run();
-            } catch (RuntimeException e) { // one message must not end the thread that all others come by
-                LOG.warn("peers failed: {}", e.toString());
+            } catch (RuntimeException e) { // a fault in one event must not end the thread, which handles all others
+                LOG.warn("group event failed: error=\"{}\"", e.toString());
             }
             toSend = List.copyOf(outgoing);
             outgoing.clear();
@@ -196,19 +208,19 @@
     }
 
     private void notifySubscribers() {
-        synchronized (notifying) {
-            List<ViewChange> toTell;
+        synchronized (notificationLock) {
+            List<ViewChange> toNotify;
             synchronized (membership) {
-                toTell = List.copyOf(changes);
+                toNotify = List.copyOf(changes);
                 changes.clear();
             }
-            toTell.forEach(change -> subscribers.forEach(s -> s.accept(change.view(), change.why())));
+            toNotify.forEach(change -> subscribers.forEach(s -> s.accept(change.view(), change.cause())));
         }
     }
 
     private void send(OutgoingMessage message) {
         try {
-            // looks no name up, whatever others told
+            // Rejects host names, so that an address from another member can't cause a DNS lookup.
             InetSocketAddress to = LaunchConfig.address("address", message.address());
             byte[] bytes = message.bytes();
             if (bytes.length > GroupMessageCodec.MAX_DATAGRAM_BYTES) {
@@ -221,11 +233,12 @@
             sent.inc();
             sentBytes.inc(bytes.length);
         } catch (IOException | RuntimeException e) {
-            dropped.get(DropReason.UNSENT).inc(); // as good as lost on its way: what others told is no address, say
+            // Treated like a message lost in the network; the address from another member may be invalid, for example.
+            dropped.get(DropReason.UNSENT).inc();
         }
     }
 
-    /** A message that waits for the lock to be given back. */
+    /** An encoded message that is sent after the lock is released. */
     private static final class OutgoingMessage {
         private final String address;
         private final byte[] bytes;
@@ -244,7 +257,7 @@
         }
     }
 
-    /** Keeps what an event gives until the lock is given back. */
+    /** Collects the outputs of an event until the lock is released. */
     private final class ProtocolOutput implements MembershipProtocol.Output {
         @Override
         public void send(String address, GroupMessage message) {
@@ -256,8 +269,8 @@
         }
 
         @Override
-        public void viewChanged(GroupView view, String why) {
-            changes.add(new ViewChange(view, why));
+        public void viewChanged(GroupView view, String cause) {
+            changes.add(new ViewChange(view, cause));
         }
     }
 }
--- a/src/main/java/wallmoor/peers/udp/SequentialAcceptor.java
+++ b/src/main/java/wallmoor/peers/udp/SequentialAcceptor.java
@@ -6,26 +6,34 @@
 import java.net.Socket;
 import wallmoor.http.Threads;
 
-/** Accepts connections one after another on one thread, and closes each once it has been handled. */
+/** Accepts and handles connections one after another on a single thread, and closes each after it has been handled. */
 final class SequentialAcceptor implements AutoCloseable {
-    /** Handles a connection, within a time of its own. */
+    /** Handles a connection; it must enforce a timeout itself, as further connections wait meanwhile. */
     interface ConnectionHandler {
-        void handle(Socket from) throws IOException;
+        void handle(Socket connection) throws IOException;
     }
 
     private final ServerSocket server;
 
-    /** Listens; what connects waits until {@link #start}, so many at most. */
+    /**
+     * Binds the server socket; {@link #start} begins to accept.
+     *
+     * @param backlog maximum number of connections that wait to be accepted
+     */
     SequentialAcceptor(InetSocketAddress listen, int backlog) throws IOException {
         server = new ServerSocket();
-        // a process that comes back at once finds its old connections waiting out their time
+        // After a quick restart, connections of the previous process may still be in the state TIME_WAIT.
         server.setReuseAddress(true);
         server.bind(listen, backlog);
     }
 
-    /** Begins to accept; {@code onFailure} runs for each that was not handled while this listens. */
-    void start(String thread, ConnectionHandler handler, Runnable onFailure) {
-        Threads.start(thread, () -> {
+    /**
+     * Starts the accepting thread.
+     *
+     * @param onFailure runs after each connection that could not be accepted or handled, unless this is closed
+     */
+    void start(String threadName, ConnectionHandler handler, Runnable onFailure) {
+        Threads.start(threadName, () -> {
             while (!isClosed()) {
                 acceptOne(handler, onFailure);
             }
@@ -33,8 +41,8 @@
     }
 
     private void acceptOne(ConnectionHandler handler, Runnable onFailure) {
-        try (Socket from = server.accept()) {
-            handler.handle(from);
+        try (Socket connection = server.accept()) {
+            handler.handle(connection);
         } catch (IOException e) {
             if (!isClosed()) {
                 onFailure.run();
--- a/src/main/java/wallmoor/peers/udp/TableTransfer.java
+++ b/src/main/java/wallmoor/peers/udp/TableTransfer.java
@@ -16,28 +16,34 @@
 import wallmoor.http.Threads;
 
 /**
- * Transfers tables that no datagram holds: one connection each, a length in four bytes and so many bytes, no answer.
- * One thread takes them one after another and one sends; each has two seconds, so that a member that stalls holds up
- * nobody for longer, and one that can't be reached loses only its own.
+ * Transfers tables that are too large for a datagram, each over a connection of its own: the length in four bytes and the
+ * encoded message, without a response. One thread receives and one sends, both one table at a time. Each transfer is
+ * limited to two seconds, so that a member that stalls delays others by no more than that, and a member that can't be
+ * reached loses only its own tables.
  */
 final class TableTransfer implements AutoCloseable {
-    /** For a complete table, connecting included. */
+    /** Limit for receiving a table, for connecting, and for sending a table including connecting. */
     private static final int TIMEOUT_MILLIS = 2_000;
-    /** Tables that wait to be sent: more are dropped, as the next exchange tells the same. */
-    private static final int MAX_WAITING = 16;
+    /** Tables that may wait to be sent. Further ones are dropped, as the next exchange sends the same content. */
+    private static final int MAX_QUEUED_TABLES = 16;
     private static final int BACKLOG = 64;
-    /** Longest wait for a table to send before it is seen that this end is closed. */
+    /** Longest wait for a table to send, after which the sending thread checks whether this is closed. */
     private static final long POLL_MILLIS = 500;
     private static final int CHUNK_BYTES = 16 * 1024;
 
     private final SequentialAcceptor acceptor;
     private final Consumer<byte[]> receiver;
-    private final BlockingQueue<OutgoingTable> waiting = new ArrayBlockingQueue<>(MAX_WAITING);
+    private final BlockingQueue<OutgoingTable> queue = new ArrayBlockingQueue<>(MAX_QUEUED_TABLES);
     private final Counter sent;
     private final Counter received;
     private final Counter failed;
 
-    /** Listens where the datagrams come to; {@code receiver} gets the bytes of each table, on one thread. */
+    /**
+     * Binds the server socket; {@link #start} begins to receive and send.
+     *
+     * @param listen   address of the server socket, the same as that of the datagrams
+     * @param receiver called with the bytes of each table, always on the same thread
+     */
     TableTransfer(InetSocketAddress listen, TransportCounters counters, Consumer<byte[]> receiver) throws IOException {
         this.receiver = receiver;
         sent = counters.counter("tables_sent");
@@ -48,52 +54,59 @@
 
     void start() {
         acceptor.start("peers-tables-in", this::receive, failed::inc);
-        Threads.start("peers-tables-out", this::sendWaiting);
+        Threads.start("peers-tables-out", this::sendQueued);
     }
 
-    /** Sends it when its turn comes; false where too many wait. */
+    /** Queues a table for sending; returns false if the queue is full. */
     boolean offer(InetSocketAddress to, byte[] table) {
-        return waiting.offer(new OutgoingTable(to, table));
+        return queue.offer(new OutgoingTable(to, table));
     }
 
-    private void receive(Socket from) throws IOException {
-        byte[] table = readTable(from);
+    private void receive(Socket connection) throws IOException {
+        byte[] table = readTable(connection);
         received.inc();
         receiver.accept(table);
     }
 
-    private static byte[] readTable(Socket from) throws IOException {
+    private static byte[] readTable(Socket connection) throws IOException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
-        int length = ByteBuffer.wrap(read(from, Integer.BYTES, deadline)).getInt();
+        int length = ByteBuffer.wrap(read(connection, Integer.BYTES, deadline)).getInt();
         if (length < 0 || length > GroupMessageCodec.MAX_TABLE_BYTES) {
-            throw new IOException("a table of " + length + " bytes");
+            throw new IOException(
+                    "table length " + length + " is not between 0 and " + GroupMessageCodec.MAX_TABLE_BYTES + " bytes");
         }
-        return read(from, length, deadline);
+        return read(connection, length, deadline);
     }
 
-    /** Reads so many bytes; the memory it takes grows with what comes, not with what is announced. */
-    private static byte[] read(Socket from, int length, long deadline) throws IOException {
-        var all = new ByteArrayOutputStream(Math.min(length, CHUNK_BYTES));
+    /**
+     * Reads {@code length} bytes. The memory grows with the bytes received, not with the length that the sender claims.
+     *
+     * @param deadline time by {@link System#nanoTime} by which all bytes must have arrived
+     */
+    private static byte[] read(Socket connection, int length, long deadline) throws IOException {
+        var buffer = new ByteArrayOutputStream(Math.min(length, CHUNK_BYTES));
         byte[] chunk = new byte[Math.min(length, CHUNK_BYTES)];
-        while (all.size() < length) {
-            long left = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
-            if (left <= 0) {
-                throw new SocketTimeoutException("a table came too slowly");
+        while (buffer.size() < length) {
+            long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
+            if (remainingMillis <= 0) {
+                throw new SocketTimeoutException("only " + buffer.size() + " of " + length
+                        + " bytes of a table received within " + TIMEOUT_MILLIS + " ms");
             }
-            from.setSoTimeout((int) left);
-            int count = from.getInputStream().read(chunk, 0, Math.min(chunk.length, length - all.size()));
+            connection.setSoTimeout((int) remainingMillis);
+            int count = connection.getInputStream().read(chunk, 0, Math.min(chunk.length, length - buffer.size()));
             if (count < 0) {
-                throw new EOFException("a table was cut short");
+                throw new EOFException(
+                        "connection closed after " + buffer.size() + " of " + length + " bytes of a table");
             }
-            all.write(chunk, 0, count);
+            buffer.write(chunk, 0, count);
         }
-        return all.toByteArray();
+        return buffer.toByteArray();
     }
 
-    private void sendWaiting() {
+    private void sendQueued() {
         try {
             while (!acceptor.isClosed()) {
-                OutgoingTable next = waiting.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
+                OutgoingTable next = queue.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
                 if (next != null) {
                     send(next);
                 }
@@ -104,16 +117,16 @@
     }
 
     private void send(OutgoingTable table) {
-        var to = new Socket();
-        Thread watchdog = Threads.start("peers-tables-watch", () -> closeLater(to));
-        try (to) {
-            to.connect(table.to, TIMEOUT_MILLIS);
-            to.setSoLinger(true, 0); // closing must not wait for what is not read either
-            var out = new DataOutputStream(to.getOutputStream());
+        var socket = new Socket();
+        Thread watchdog = Threads.start("peers-tables-watch", () -> closeAfterTimeout(socket));
+        try (socket) {
+            socket.connect(table.to, TIMEOUT_MILLIS);
+            socket.setSoLinger(true, 0); // closing must not wait for unread bytes
+            var out = new DataOutputStream(socket.getOutputStream());
             out.writeInt(table.bytes.length);
             out.write(table.bytes);
-            to.shutdownOutput();
-            boolean isRead = to.getInputStream().read() < 0; // the far end closes once it has all of it
+            socket.shutdownOutput();
+            boolean isRead = socket.getInputStream().read() < 0; // the receiver closes after it has read the table
             (isRead ? sent : failed).inc();
         } catch (IOException e) {
             failed.inc();
@@ -122,13 +135,13 @@
         }
     }
 
-    /** Gives up what the far end does not read in time: a blocked write knows no timeout of its own. */
-    private static void closeLater(Socket socket) {
+    /** Closes the socket after the timeout, unless interrupted. A blocked write has no timeout of its own. */
+    private static void closeAfterTimeout(Socket socket) {
         try {
             Thread.sleep(TIMEOUT_MILLIS);
             socket.close();
         } catch (InterruptedException | IOException e) {
-            Thread.currentThread().interrupt(); // sent in time, or closed already
+            Thread.currentThread().interrupt(); // the table was sent in time, or the socket is closed
         }
     }
 
@@ -137,7 +150,7 @@
         acceptor.close();
     }
 
-    /** A table that waits to be sent. */
+    /** An encoded table in the queue. */
     private static final class OutgoingTable {
         private final InetSocketAddress to;
         private final byte[] bytes;
--- a/src/main/java/wallmoor/peers/udp/TransportCounters.java
+++ b/src/main/java/wallmoor/peers/udp/TransportCounters.java
@@ -8,27 +8,27 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the group's I/O has counted since its start, by name. Counting takes no lock; a registry of its own, as nobody
- * else may add to it or empty it.
+ * The counters of the group's I/O since its start, by name. Counting takes no lock. The registry is not shared, so that
+ * no other code adds metrics to it or clears it.
  */
 final class TransportCounters {
     private final MetricRegistry registry = new MetricRegistry();
 
-    /** The counter of this name, made when it is first asked for. */
+    /** Returns the counter of this name; the first call creates it. */
     Counter counter(String name) {
         return registry.counter(name);
     }
 
-    /** Counts what is counted elsewhere: asked for when the counters are. */
+    /** Adds a value that is counted elsewhere; it is read for each snapshot. */
     void gauge(String name, LongSupplier value) {
         registry.registerGauge(name, (Gauge<Long>) value::getAsLong);
     }
 
-    /** All of them, by name. */
-    Map<String, Long> all() {
-        var all = new TreeMap<String, Long>();
-        registry.getCounters().forEach((name, counter) -> all.put(name, counter.getCount()));
-        registry.getGauges().forEach((name, gauge) -> all.put(name, (Long) gauge.getValue()));
-        return all;
+    /** Returns the current values of all counters and gauges by name. */
+    Map<String, Long> snapshot() {
+        var values = new TreeMap<String, Long>();
+        registry.getCounters().forEach((name, counter) -> values.put(name, counter.getCount()));
+        registry.getGauges().forEach((name, gauge) -> values.put(name, (Long) gauge.getValue()));
+        return values;
     }
 }
--- a/src/main/java/wallmoor/peers/udp/package-info.java
+++ b/src/main/java/wallmoor/peers/udp/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The I/O of the group of gatherers: datagrams, tables by TCP, and the control port. What a message means is decided in
- * {@code peers}.
+ * I/O of the group of gatherers: datagrams over UDP, large tables over TCP, and the control port. The protocol itself
+ * is in {@code peers}.
  */
 package wallmoor.peers.udp;
--- a/src/test/java/wallmoor/peers/udp/TableTransferTest.java
+++ b/src/test/java/wallmoor/peers/udp/TableTransferTest.java
@@ -68,7 +68,7 @@
                 out.writeShort(7);
                 assertArrayEquals(new byte[] {0, 7}, taken.poll(20, TimeUnit.SECONDS));
             }
-            assertEquals(Map.of("tables_sent", 0L, "tables_received", 1L, "tables_failed", 3L), counters.all());
+            assertEquals(Map.of("tables_sent", 0L, "tables_received", 1L, "tables_failed", 3L), counters.snapshot());
             assertTrue(taken.isEmpty());
         }
     }
