--- a/src/main/java/wallmoor/peers/GroupMembership.java
+++ b/src/main/java/wallmoor/peers/GroupMembership.java
@@ -4,8 +4,8 @@
 import java.util.Random;
 
 /**
- * Runs the membership protocol for one member. Not thread-safe. The protocol is deterministic: the same parameters, seed
- * and sequence of events give the same messages and views.
+ * Runs the membership protocol for one member. Not thread-safe. The protocol is deterministic: the same parameters,
+ * seed and sequence of events give the same messages and views.
  *
  * <p>Each member probes its subjects on the rings, first directly and then through others (SWIM, Das et al., DSN 2002;
  * {@link FailureDetector}). Suspicions of silent subjects are piggybacked on all messages ({@link Dissemination}), and
@@ -32,9 +32,9 @@
     private final ViewPublisher publisher;
     private final Refutation refutation;
     private final UpdateProcessor updates;
-    private final FailureDetector detector;
+    private final FailureDetector failureDetector;
     private final AntiEntropy antiEntropy;
-    private final CutDetector cuts;
+    private final CutDetector cutDetector;
     private long staleMessages;
 
     /**
@@ -60,10 +60,10 @@
         publisher = new ViewPublisher(parameters, table, quorum, output);
         refutation = new Refutation(parameters, self, table, dissemination, publisher);
         updates = new UpdateProcessor(self, table, refutation, dissemination, publisher);
-        detector = new FailureDetector(parameters, table, self, health, peers, dissemination, updates, sender, random);
+        failureDetector = new FailureDetector(parameters, table, self, health, peers, dissemination, updates, sender, random);
         List<String> otherSeeds = seeds.stream().filter(s -> !s.equals(address)).toList();
         antiEntropy = new AntiEntropy(parameters, table, otherSeeds, peers, dissemination, sender, quorum, random);
-        cuts = new CutDetector(parameters, table, self, quorum, updates, publisher);
+        cutDetector = new CutDetector(parameters, table, self, quorum, updates, publisher);
     }
 
     @Override
@@ -84,14 +84,14 @@
         }
         if (gap > parameters.pauseThreshold()) {
             health.onPauseEnded(now, gap);
-            detector.restartTimeouts(now);
+            failureDetector.restartTimeouts(now);
             antiEntropy.exchangeSoon(now);
         }
         antiEntropy.onTick(now);
         digests.onTick(now);
-        detector.onTick(now);
+        failureDetector.onTick(now);
         dissemination.onTick(now);
-        cuts.onTick(now);
+        cutDetector.onTick(now);
         if (table.admitRejoining(now)) {
             publisher.onTableChanged(now);
         }
@@ -126,9 +126,9 @@
         antiEntropy.onDigest(now, differs);
         digests.onDigest(now, message.digest());
         switch (message.kind()) {
-            case PROBE -> detector.onProbe(message);
-            case ACK -> detector.onAck(now, message);
-            case INDIRECT_PROBE -> detector.onIndirectProbe(now, message);
+            case PROBE -> failureDetector.onProbe(message);
+            case ACK -> failureDetector.onAck(now, message);
+            case INDIRECT_PROBE -> failureDetector.onIndirectProbe(now, message);
             case DIGEST -> {
                 if (differs) {
                     antiEntropy.onDigests(message);
@@ -178,12 +178,12 @@
 
     /** Returns the evidence for a member's state, or null if no member of this name is known. */
     public MemberEvidence explain(long now, String name) {
-        return new EvidenceCollector(table, detector).explain(now, name);
+        return new EvidenceCollector(table, failureDetector).explain(now, name);
     }
 
     /** Returns the counts since the start. */
     public MembershipCounts counts() {
-        return new MembershipCounts(detector.probes(), detector.unansweredProbes(), detector.suspicions(),
-                refutation.refutations(), cuts.removals(), staleMessages);
+        return new MembershipCounts(failureDetector.probes(), failureDetector.unansweredProbes(), failureDetector.suspicions(),
+                refutation.refutations(), cutDetector.removals(), staleMessages);
     }
 }
--- a/src/main/java/wallmoor/peers/MemberEntry.java
+++ b/src/main/java/wallmoor/peers/MemberEntry.java
@@ -11,8 +11,8 @@
 
 /**
  * One member in the {@link MembershipTable}: its latest announcement, the suspicions of that incarnation, and the times
- * of the last message from it and of the last gossip to it. Times are microseconds on the caller's clock. The table must
- * update its indexes and digests after each change of the announcement or the suspicions.
+ * of the last message from it and of the last gossip to it. Times are microseconds on the caller's clock. The table
+ * must update its indexes and digests after each change of the announcement or the suspicions.
  */
 final class MemberEntry {
     /** Earlier than any time; half of the minimum, so that differences with it don't overflow. */
--- a/src/main/java/wallmoor/peers/Quorum.java
+++ b/src/main/java/wallmoor/peers/Quorum.java
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Returns the side by the number of reachable members alone. The side of a member that most of its observers suspect
-     * is unknown, because the members that it counts as reachable may have removed it already.
+     * Returns the side by the number of reachable members alone. The side of a member that most of its observers
+     * suspect is unknown, because the members that it counts as reachable may have removed it already.
      */
     PartitionSide sideByReachability(long now) {
         int size = parameters.groupSize();
--- a/src/main/java/wallmoor/peers/Reachability.java
+++ b/src/main/java/wallmoor/peers/Reachability.java
@@ -113,11 +113,11 @@
     }
 
     /**
-     * Returns the number of reachable members: this one, its own subjects that it does not suspect, and the members that
-     * have more reachable observers without a suspicion than observers with one; unreachable members are not included.
-     * Only reachable observers count, because the absence of a suspicion means nothing if the reports of the observers
-     * can't arrive. So a small part of a large group that is cut off does not assume a quorum. As a few suspicions are
-     * outvoted, a single member that receives nothing can't deprive the others of their quorum.
+     * Returns the number of reachable members: this one, its own subjects that it does not suspect, and the members
+     * that have more reachable observers without a suspicion than observers with one; unreachable members are not
+     * included. Only reachable observers count, because the absence of a suspicion means nothing if the reports of the
+     * observers can't arrive. So a small part of a large group that is cut off does not assume a quorum. As a few
+     * suspicions are outvoted, a single member that receives nothing can't deprive the others of their quorum.
      *
      * @param present number of members on the rings, which is the result if none is suspected
      */
--- a/src/main/java/wallmoor/peers/Refutation.java
+++ b/src/main/java/wallmoor/peers/Refutation.java
@@ -21,7 +21,7 @@
     private final ViewPublisher publisher;
     private int conflicts;
     private long refutations;
-    private long refutedAt;
+    private long lastRefutationAt;
 
     Refutation(MembershipParameters parameters, LocalIdentity self, MembershipTable table, Dissemination dissemination,
             ViewPublisher publisher) {
@@ -50,7 +50,7 @@
             onNameConflict(now, a, disseminate);
         } else if (update instanceof Suspicion s && shouldRefute(now, s)) {
             refutations++;
-            refutedAt = now;
+            lastRefutationAt = now;
             beginIncarnation(now, s.incarnation() + 1, disseminate);
         } else if (update instanceof Announcement a && a.left()) {
             beginIncarnation(now, a.incarnation() + 1, disseminate);
@@ -76,7 +76,7 @@
         MemberEntry observer = table.get(suspicion.observer());
         boolean isObserverAbsent = observer != null && !observer.isPresent();
         return suspicion.isActive() && !isObserverAbsent
-                && (refutations == 0 || now - refutedAt >= 3 * parameters.suspectAfter() / 2);
+                && (refutations == 0 || now - lastRefutationAt >= 3 * parameters.suspectAfter() / 2);
     }
 
     private void beginIncarnation(long now, long incarnation, boolean disseminate) {
--- a/src/main/java/wallmoor/peers/udp/FleetControlServer.java
+++ b/src/main/java/wallmoor/peers/udp/FleetControlServer.java
@@ -13,8 +13,8 @@
 import wallmoor.peers.MemberEvidence;
 
 /**
- * Serves the control port of {@code fleet}. A request is one line, {@code members} or {@code explain NAME}; the response
- * consists of JSON objects that describe the group as this member sees it. Requests are read-only.
+ * Serves the control port of {@code fleet}. A request is one line, {@code members} or {@code explain NAME}; the
+ * response consists of JSON objects that describe the group as this member sees it. Requests are read-only.
  */
 public final class FleetControlServer implements AutoCloseable {
     private static final RequestLimits LIMITS = new RequestLimits(257, 1_000);
--- a/src/main/java/wallmoor/peers/udp/GroupMessageCodec.java
+++ b/src/main/java/wallmoor/peers/udp/GroupMessageCodec.java
@@ -15,9 +15,9 @@
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
 /**
- * Encodes and decodes messages. The format is a CBOR array (RFC 8949) of the format version, the installation's name and
- * the message's fields in a fixed order. A message that deviates from it is dropped with a {@link DropReason}, without
- * any effect.
+ * Encodes and decodes messages. The format is a CBOR array (RFC 8949) of the format version, the installation's name
+ * and the message's fields in a fixed order. A message that deviates from it is dropped with a {@link DropReason},
+ * without any effect.
  */
 final class GroupMessageCodec {
     /** With its headers, a datagram of this size fits an Ethernet frame, even through a tunnel. */
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Encodes a message. The last updates are omitted as far as necessary to fit a datagram, except for messages of kind
-     * {@link MessageKind#UPDATES}, which are always complete.
+     * Encodes a message. The last updates are omitted as far as necessary to fit a datagram, except for messages of
+     * kind {@link MessageKind#UPDATES}, which are always complete.
      */
     byte[] encode(GroupMessage message) throws IOException {
         int count = message.updates().size();
--- a/src/main/java/wallmoor/peers/udp/TableTransfer.java
+++ b/src/main/java/wallmoor/peers/udp/TableTransfer.java
@@ -16,10 +16,10 @@
 import wallmoor.http.Threads;
 
 /**
- * Transfers tables that are too large for a datagram, each over a connection of its own: the length in four bytes and the
- * encoded message, without a response. One thread receives and one sends, both one table at a time. Each transfer is
- * limited to two seconds, so that a member that stalls delays others by no more than that, and a member that can't be
- * reached loses only its own tables.
+ * Transfers tables that are too large for a datagram, each over a connection of its own: the length in four bytes and
+ * the encoded message, without a response. One thread receives and one sends, both one table at a time. Each transfer
+ * is limited to two seconds, so that a member that stalls delays others by no more than that, and a member that can't
+ * be reached loses only its own tables.
  */
 final class TableTransfer implements AutoCloseable {
     /** Limit for receiving a table, for connecting, and for sending a table including connecting. */
@@ -58,8 +58,8 @@
     }
 
     /** Queues a table for sending; returns false if the queue is full. */
-    boolean offer(InetSocketAddress to, byte[] table) {
-        return queue.offer(new OutgoingTable(to, table));
+    boolean offer(InetSocketAddress address, byte[] table) {
+        return queue.offer(new OutgoingTable(address, table));
     }
 
     private void receive(Socket connection) throws IOException {
@@ -120,7 +120,7 @@
         var socket = new Socket();
         Thread watchdog = Threads.start("peers-tables-watch", () -> closeAfterTimeout(socket));
         try (socket) {
-            socket.connect(table.to, TIMEOUT_MILLIS);
+            socket.connect(table.address, TIMEOUT_MILLIS);
             socket.setSoLinger(true, 0); // closing must not wait for unread bytes
             var out = new DataOutputStream(socket.getOutputStream());
             out.writeInt(table.bytes.length);
@@ -152,11 +152,11 @@
 
     /** An encoded table in the queue. */
     private static final class OutgoingTable {
-        private final InetSocketAddress to;
+        private final InetSocketAddress address;
         private final byte[] bytes;
 
-        OutgoingTable(InetSocketAddress to, byte[] bytes) {
-            this.to = to;
+        OutgoingTable(InetSocketAddress address, byte[] bytes) {
+            this.address = address;
             this.bytes = bytes;
         }
     }
--- a/src/test/java/wallmoor/peers/DisseminationQueueTest.java
+++ b/src/test/java/wallmoor/peers/DisseminationQueueTest.java
@@ -9,14 +9,14 @@
 import wallmoor.peers.DisseminationQueue.Topic;
 import wallmoor.peers.MembershipUpdate.Announcement;
 
-/** The queue tells everything often enough, the new first. */
+/** The dissemination queue sends each topic the required number of times, and the least sent topics first. */
 class DisseminationQueueTest {
     private static List<MembershipUpdate> announcement(Topic topic) {
         return List.of(new Announcement(topic.name(), "a", 1, 1, false));
     }
 
     @Example
-    void eachTopicIsSentSoOftenAndNewerOnesFirst() {
+    void sendsEachTopicTwiceAndLeastSentFirst() {
         var queue = new DisseminationQueue();
         for (int i = 0; i < 10; i++) {
             queue.enqueue(new Topic("m" + i, false));
@@ -30,7 +30,7 @@
             if (i == 1) {
                 queue.enqueue(new Topic("m0", false));
                 queue.appendTo(30, 2, DisseminationQueueTest::announcement, message);
-                assertEquals("m6", message.get(message.size() - 1).name(), "what waits longest unsent");
+                assertEquals("m6", message.get(message.size() - 1).name(), "the unsent topic that waits longest");
                 sent.add(message.get(message.size() - 1));
             }
         }
--- a/src/test/java/wallmoor/peers/GroupMembershipTest.java
+++ b/src/test/java/wallmoor/peers/GroupMembershipTest.java
@@ -12,9 +12,9 @@
 import wallmoor.peers.MembershipUpdate.Announcement;
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
-/** One member, event by event: what it answers, refutes and relays. */
+/** The reactions of a single member to single events: answers, refutations and relayed probes. */
 class GroupMembershipTest {
-    private static final long SECOND = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long BOOT_ID = 1_000;
     private static final Announcement OTHER = new Announcement("other", "o:1", 7, 7, false);
     private static final Announcement THIRD = new Announcement("third", "t:1", 8, 8, false);
@@ -22,7 +22,7 @@
     private record Sent(String address, GroupMessage message) {}
 
     private final List<Sent> sent = new ArrayList<>();
-    private final List<String> changes = new ArrayList<>();
+    private final List<String> causes = new ArrayList<>();
     private final GroupMembership member = new GroupMembership("self", "s:1", BOOT_ID, List.of("o:1"),
             MembershipParameters.of(3), 5, new MembershipProtocol.Output() {
                 @Override
@@ -31,8 +31,8 @@
                 }
 
                 @Override
-                public void viewChanged(GroupView view, String why) {
-                    changes.add(why);
+                public void viewChanged(GroupView view, String cause) {
+                    causes.add(cause);
                 }
             });
 
@@ -43,12 +43,12 @@
     }
 
     @Example
-    void itAsksItsSeedsAndAnswersProbes() {
+    void sendsDigestsToSeedsAndAnswersProbes() {
         member.onStart(0);
         assertEquals("o:1", sent.get(0).address());
         assertEquals(MessageKind.DIGEST, sent.get(0).message().kind());
         assertEquals(GroupMessage.DIGEST_REQUEST, sent.get(0).message().sequence());
-        receive(SECOND, MessageKind.PROBE, OTHER, 41, null);
+        receive(MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 41, null);
         assertEquals(1, sent.size());
         assertEquals("o:1", sent.get(0).address());
         assertEquals(MessageKind.ACK, sent.get(0).message().kind());
@@ -57,10 +57,10 @@
     }
 
     @Example
-    void itProbesAThirdForAnotherAndRelaysTheAnswerOnce() {
+    void probesOnBehalfOfOtherAndRelaysAnswerOnce() {
         member.onStart(0);
         receive(1, MessageKind.INDIRECT_PROBE, OTHER, 41, "third");
-        assertEquals(List.of(), sent, "nobody of that name is known");
+        assertEquals(List.of(), sent, "the target is unknown");
         receive(2, MessageKind.UPDATES, THIRD, 0, null);
         receive(3, MessageKind.INDIRECT_PROBE, OTHER, 42, "third");
         assertEquals("t:1", sent.get(0).address());
@@ -76,23 +76,24 @@
     }
 
     @Example
-    void itRefutesASuspicionByANewIncarnationButNotTooOften() {
+    void refutesSuspicionByNewIncarnationWithLimitedRate() {
         member.onStart(0);
-        receive(SECOND, MessageKind.PROBE, OTHER, 1, null, new Suspicion("self", BOOT_ID, "other", 9, true));
+        receive(MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 1, null, new Suspicion("self", BOOT_ID, "other", 9, true));
         assertEquals(BOOT_ID + 1, sent.get(0).message().sender().incarnation());
         assertEquals(1, member.counts().refutations());
-        receive(5 * SECOND, MessageKind.PROBE, OTHER, 2, null, new Suspicion("self", BOOT_ID + 1, "other", 10, true));
-        assertEquals(BOOT_ID + 1, sent.get(0).message().sender().incarnation(), "four and a half intervals");
-        receive(6 * SECOND, MessageKind.PROBE, OTHER, 3, null, new Suspicion("self", BOOT_ID, "other", 11, true));
-        assertEquals(BOOT_ID + 1, sent.get(0).message().sender().incarnation(), "of an incarnation that is over");
-        receive(6 * SECOND, MessageKind.PROBE, OTHER, 4, null, new Suspicion("self", BOOT_ID + 1, "other", 12, true));
+        receive(5 * MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 2, null, new Suspicion("self", BOOT_ID + 1, "other", 10, true));
+        assertEquals(BOOT_ID + 1, sent.get(0).message().sender().incarnation(),
+                "less than four and a half intervals after the last refutation");
+        receive(6 * MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 3, null, new Suspicion("self", BOOT_ID, "other", 11, true));
+        assertEquals(BOOT_ID + 1, sent.get(0).message().sender().incarnation(), "suspicion of an earlier incarnation");
+        receive(6 * MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 4, null, new Suspicion("self", BOOT_ID + 1, "other", 12, true));
         assertEquals(BOOT_ID + 2, sent.get(0).message().sender().incarnation());
         assertEquals(2, member.counts().refutations());
     }
 
-    /** The name goes back and forth three times; then the process that started later takes no part. */
+    /** Both processes announce newer incarnations in turn; after three conflicts the one that started later stops. */
     @Example
-    void ofTwoProcessesOfOneNameTheLaterOneYields() {
+    void yieldsNameToProcessThatStartedEarlier() {
         member.onStart(0);
         long incarnation = BOOT_ID;
         for (int conflict = 1; conflict <= 3; conflict++) {
@@ -104,14 +105,14 @@
             assertEquals(twin.incarnation() + 1, incarnation);
         }
         receive(4, MessageKind.PROBE, new Announcement("self", "s:2", BOOT_ID - 1, incarnation, false), 1, null);
-        assertTrue(changes.get(changes.size() - 1).startsWith("another process has this name"), changes.toString());
+        assertTrue(causes.get(causes.size() - 1).startsWith("another process has this name"), causes.toString());
         receive(5, MessageKind.PROBE, OTHER, 3, null);
         assertEquals(List.of(), sent);
         assertFalse(member.view().hasQuorum());
     }
 
     @Example
-    void digestsThatDifferAreAnsweredWithDigestsOnceAndWithUpdates() {
+    void answersDifferentDigestsWithDigestsOnceAndWithUpdates() {
         member.onStart(0);
         receive(1, MessageKind.UPDATES, THIRD, 0, null);
         receive(2, MessageKind.DIGEST, OTHER, GroupMessage.DIGEST_REQUEST, null);
@@ -124,7 +125,7 @@
     }
 
     @Example
-    void leavingIsAnnouncedAndIsTheLastThingItDoes() {
+    void announcesLeavingAndSendsNothingAfterwards() {
         member.onStart(0);
         receive(1, MessageKind.UPDATES, THIRD, 0, null, OTHER);
         sent.clear();
--- a/src/test/java/wallmoor/peers/LiveMemberCountTest.java
+++ b/src/test/java/wallmoor/peers/LiveMemberCountTest.java
@@ -13,15 +13,15 @@
 import net.jqwik.api.constraints.Size;
 import wallmoor.peers.LiveMemberCount.GroupPosition;
 
-/**
- * Among how many what is shared is shared: grows at once, shrinks late, and is the configured number without a quorum.
- */
+/** The live member count grows immediately, shrinks after a stable time, and is the configured one without a quorum. */
 class LiveMemberCountTest {
-    private static final long STEADY = 10;
+    private static final long STABLE_MICROS = 10;
     private static final GroupPosition CONFIGURED = new GroupPosition(9, 7);
 
-    private static GroupView view(boolean quorum, String... names) {
-        return new GroupView(1, quorum ? GroupView.PartitionSide.LARGER : GroupView.PartitionSide.SMALLER, names.length,
+    /** Creates a view; a name that ends in "?" is suspected, and one that ends in "!" is removed. */
+    private static GroupView view(boolean hasQuorum, String... names) {
+        return new GroupView(1, hasQuorum ? GroupView.PartitionSide.LARGER : GroupView.PartitionSide.SMALLER,
+                names.length,
                 9, Arrays.stream(names)
                         .map(n -> new GroupView.Member(n, n, 1,
                                 n.endsWith("?") ? GroupView.MemberState.SUSPECTED
@@ -32,17 +32,17 @@
     }
 
     @Example
-    void itGrowsAtOnceAndShrinksOnceAllHaveHadTimeToKnow() {
-        var count = new LiveMemberCount("b", CONFIGURED, STEADY);
+    void growsImmediatelyAndShrinksAfterStableTime() {
+        var count = new LiveMemberCount("b", CONFIGURED, STABLE_MICROS);
         count.onView(0, view(true, "a", "b", "c"));
-        assertEquals(CONFIGURED, count.position(9), "not steady yet");
+        assertEquals(CONFIGURED, count.position(9), "the view is not stable yet");
         assertEquals(new GroupPosition(3, 1), count.position(10));
         count.onView(20, view(true, "a", "aa", "b", "c"));
         assertEquals(new GroupPosition(4, 2), count.position(20));
         count.onView(30, view(true, "a!", "aa", "b", "c"));
         assertEquals(new GroupPosition(4, 2), count.position(39));
         count.onView(39, view(true, "a!", "aa", "b", "c", "d"));
-        assertEquals(new GroupPosition(5, 2), count.position(45), "the one that went and the one that came both count");
+        assertEquals(new GroupPosition(5, 2), count.position(45), "the removed and the added member both count");
         assertEquals(new GroupPosition(4, 1), count.position(49));
         count.onView(50, view(false, "aa", "b"));
         assertEquals(CONFIGURED, count.position(500));
@@ -51,34 +51,37 @@
         assertEquals(new GroupPosition(4, 1), count.position(610));
     }
 
-    /** Whatever comes and goes: never fewer than are there, and who has long known the same has another place. */
+    /**
+     * With random sequences of views, the count is at least the number of present members, so that the shares add up to
+     * at most the quota; members with the same stable view have different ranks.
+     */
     @Property(tries = 200, seed = "8")
-    void sharesNeverAddUpToMoreThanAll(@ForAll @Size(max = 12) List<@IntRange(min = 1, max = 31) Integer> views) {
-        var counts = IntStream.range(0, 5).mapToObj(i -> new LiveMemberCount("m" + i, new GroupPosition(5, i), STEADY))
+    void sharesNeverExceedQuota(@ForAll @Size(max = 12) List<@IntRange(min = 1, max = 31) Integer> views) {
+        var counts = IntStream.range(0, 5).mapToObj(i -> new LiveMemberCount("m" + i, new GroupPosition(5, i), STABLE_MICROS))
                 .toList();
         long now = 0;
-        for (int there : views) {
-            now += 1 + there % 12;
-            String[] names = IntStream.range(0, 5).filter(i -> (there >> i & 1) != 0).mapToObj(i -> "m" + i)
+        for (int presentMask : views) {
+            now += 1 + presentMask % 12;
+            String[] names = IntStream.range(0, 5).filter(i -> (presentMask >> i & 1) != 0).mapToObj(i -> "m" + i)
                     .toArray(String[]::new);
-            boolean quorum = names.length > 2;
+            boolean hasQuorum = names.length > 2;
             double shares = 0;
             for (int i = 0; i < 5; i++) {
-                if ((there >> i & 1) != 0) {
-                    counts.get(i).onView(now, view(quorum, names));
-                    GroupPosition share = counts.get(i).position(now);
-                    assertTrue(share.rank() >= 0 && share.rank() < share.memberCount()
-                            && share.memberCount() >= names.length);
-                    shares += 1.0 / share.memberCount();
+                if ((presentMask >> i & 1) != 0) {
+                    counts.get(i).onView(now, view(hasQuorum, names));
+                    GroupPosition position = counts.get(i).position(now);
+                    assertTrue(position.rank() >= 0 && position.rank() < position.memberCount()
+                            && position.memberCount() >= names.length);
+                    shares += 1.0 / position.memberCount();
                 }
             }
-            assertTrue(shares <= 1 + 1e-9, there + ": " + shares);
+            assertTrue(shares <= 1 + 1e-9, presentMask + ": " + shares);
         }
-        long later = now + STEADY;
-        var places = counts.stream().map(c -> {
-            c.onView(later - STEADY, view(true, "m0", "m1", "m2", "m3", "m4"));
+        long later = now + STABLE_MICROS;
+        var positions = counts.stream().map(c -> {
+            c.onView(later - STABLE_MICROS, view(true, "m0", "m1", "m2", "m3", "m4"));
             return c.position(later);
         }).toList();
-        assertEquals(IntStream.range(0, 5).mapToObj(i -> new GroupPosition(5, i)).toList(), places);
+        assertEquals(IntStream.range(0, 5).mapToObj(i -> new GroupPosition(5, i)).toList(), positions);
     }
 }
--- a/src/test/java/wallmoor/peers/ObserverRingsTest.java
+++ b/src/test/java/wallmoor/peers/ObserverRingsTest.java
@@ -10,10 +10,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Rings kept up with each change are those made anew. */
+/** Rings after any sequence of changes equal newly created rings with the same members. */
 class ObserverRingsTest {
     @Property(tries = 50, seed = "2")
-    void whoStandsOnThemIsAllThatCounts(@ForAll long seed) {
+    void observersDependOnlyOnCurrentMembers(@ForAll long seed) {
         var random = new Random(seed);
         var changed = new ObserverRings(8);
         var names = new TreeSet<String>();
@@ -26,7 +26,7 @@
                 changed.remove(name);
             }
             if (random.nextBoolean()) {
-                changed.subjects(name); // puts them in their places now
+                changed.subjects(name); // applies the pending changes now
             }
         }
         var fresh = new ObserverRings(8);
@@ -37,8 +37,8 @@
             assertEquals(names, changed.reachableFrom(name, (o, s) -> false, s -> 0));
             assertEquals(Set.of(name), changed.reachableFrom(name, (o, s) -> o.equals(name), s -> 0));
         }
-        List<String> some = changed.sample(3, Set.of("m0"), random);
-        assertEquals(Math.min(3, names.size() - (names.contains("m0") ? 1 : 0)), Set.copyOf(some).size());
-        assertTrue(names.containsAll(some) && !some.contains("m0"));
+        List<String> sample = changed.sample(3, Set.of("m0"), random);
+        assertEquals(Math.min(3, names.size() - (names.contains("m0") ? 1 : 0)), Set.copyOf(sample).size());
+        assertTrue(names.containsAll(sample) && !sample.contains("m0"));
     }
 }
--- a/src/test/java/wallmoor/peers/UnreachableMembersTest.java
+++ b/src/test/java/wallmoor/peers/UnreachableMembersTest.java
@@ -7,30 +7,30 @@
 import net.jqwik.api.Example;
 import wallmoor.peers.UnreachableMembers.SuspectedMember;
 
-/** Whose word counts no more. */
+/** The classification of members as unreachable by the suspicions of their observers. */
 class UnreachableMembersTest {
     private static SuspectedMember suspected(Set<String> by, String... observers) {
         return new SuspectedMember(by, Set.of(observers));
     }
 
     @Example
-    void halfOfTheObserversIsNotEnough() {
+    void requiresMoreThanHalfOfObservers() {
         assertEquals(Set.of(), UnreachableMembers.of(Map.of("a", suspected(Set.of("b", "c"), "b", "c", "d", "e"))));
         assertEquals(Set.of("a"),
                 UnreachableMembers.of(Map.of("a", suspected(Set.of("b", "c", "d"), "b", "c", "d", "e"))));
     }
 
-    /** Each of two dead ones is observed by the other, whose silence would vouch for it. */
+    /** Two dead members observe each other; the missing report of one must not count in favour of the other. */
     @Example
-    void deadMembersDontVouchForEachOther() {
+    void findsDeadMembersThatObserveEachOther() {
         assertEquals(Set.of("a", "b"), UnreachableMembers.of(Map.of(
                 "a", suspected(Set.of("c", "d", "e"), "b", "c", "d", "e"),
                 "b", suspected(Set.of("c", "d"), "a", "c", "d", "e"))));
     }
 
-    /** One that hears nobody suspects all: it is found out first, and its word goes with it. */
+    /** A member that receives nothing suspects all; it is classified first, and its suspicions no longer count. */
     @Example
-    void oneThatSuspectsAllIsFoundOutFirst() {
+    void ignoresSuspicionsOfMemberThatSuspectsAll() {
         assertEquals(Set.of("a"), UnreachableMembers.of(Map.of(
                 "a", suspected(Set.of("b", "c", "d"), "b", "c", "d"),
                 "b", suspected(Set.of("a", "c"), "a", "c", "d"),
--- a/src/test/java/wallmoor/peers/udp/RecordedRunsTest.java
+++ b/src/test/java/wallmoor/peers/udp/RecordedRunsTest.java
@@ -20,69 +20,70 @@
 import wallmoor.simulation.GroupSimulation;
 
 /**
- * Runs of a group on the model under seeded faults, whose every message and every change of view is the same as when
- * they were recorded. What is meant to change the decisions records them anew; what only moves code must not.
+ * Simulated runs of a group with seeded faults, in which each message and each change of a view must equal the recorded
+ * ones. A change that is meant to alter the protocol's decisions must record them again; a refactoring must not.
  */
 class RecordedRunsTest {
-    private static final long SECOND = 1_000_000;
-    private static final int FAULTS = 10;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final int FAULT_COUNT = 10;
 
-    /** What the members of one run do, and a hash over all of it. */
+    /** Counts the messages and changes of views in one run, and computes a hash of them. */
     private static final class Trace {
-        private final GroupMessageCodec wire = new GroupMessageCodec("khi");
+        private final GroupMessageCodec codec = new GroupMessageCodec("khi");
         private final MessageDigest hash;
         private long messages;
-        private long views;
+        private long viewChanges;
 
         Trace() throws NoSuchAlgorithmException {
             hash = MessageDigest.getInstance("SHA-256");
         }
 
-        void sent(String name, long now, String address, GroupMessage message) {
+        void onMessageSent(String name, long now, String address, GroupMessage message) {
             messages++;
             try {
-                text(name + ">" + address + "@" + now + ":");
-                hash.update(wire.encode(message));
+                hashLine(name + ">" + address + "@" + now + ":");
+                hash.update(codec.encode(message));
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
         }
 
-        void changed(String name, long now, GroupView view, String why) {
-            views++;
-            text(name + "@" + now + ":" + view.version() + " " + view.side() + " " + view.reachable() + "/"
-                    + view.configuredSize() + " " + why);
-            for (GroupView.Member m : view.members()) {
-                text(m.name() + " " + m.address() + " " + m.incarnation() + " " + m.state() + " " + m.since() + " "
-                        + m.suspectedBy());
+        void onViewChanged(String name, long now, GroupView view, String cause) {
+            viewChanges++;
+            hashLine(name + "@" + now + ":" + view.version() + " " + view.side() + " " + view.reachable() + "/"
+                    + view.configuredSize() + " " + cause);
+            for (GroupView.Member member : view.members()) {
+                hashLine(member.name() + " " + member.address() + " " + member.incarnation() + " " + member.state()
+                        + " " + member.since() + " " + member.suspectedBy());
             }
         }
 
-        private void text(String text) {
-            hash.update(text.getBytes(StandardCharsets.UTF_8));
+        private void hashLine(String line) {
+            hash.update(line.getBytes(StandardCharsets.UTF_8));
             hash.update((byte) '\n');
         }
 
-        String line() {
-            return messages + " " + views + " " + HexFormat.of().formatHex(hash.digest());
+        /** Returns the counts and the hash in the form of the recorded file. */
+        String summary() {
+            return messages + " " + viewChanges + " " + HexFormat.of().formatHex(hash.digest());
         }
     }
 
-    /** One member whose doings are traced. */
+    /** A member whose messages and changes of view are added to the trace. */
     private static final class TracedMember implements MembershipProtocol, MembershipProtocol.Output {
         private final String name;
         private final Trace trace;
-        private final Output actions;
+        private final Output output;
         private final MembershipProtocol traced;
         private long now;
 
-        TracedMember(Trace trace, String name, String address, long boot, List<String> seeds,
-                MembershipParameters rules, long seed,
-                Output actions) {
+        TracedMember(Trace trace, String name, String address, long bootId, List<String> seeds,
+                MembershipParameters parameters, long seed,
+                Output output) {
             this.name = name;
             this.trace = trace;
-            this.actions = actions;
-            traced = new GroupMembership(name, address, boot, seeds, rules, seed, this);
+            this.output = output;
+            traced = new GroupMembership(name, address, bootId, seeds, parameters, seed, this);
         }
 
         @Override
@@ -116,35 +117,35 @@
 
         @Override
         public void send(String address, GroupMessage message) {
-            trace.sent(name, now, address, message);
-            actions.send(address, message);
+            trace.onMessageSent(name, now, address, message);
+            output.send(address, message);
         }
 
         @Override
-        public void viewChanged(GroupView view, String why) {
-            trace.changed(name, now, view, why);
-            actions.viewChanged(view, why);
+        public void viewChanged(GroupView view, String cause) {
+            trace.onViewChanged(name, now, view, cause);
+            output.viewChanged(view, cause);
         }
     }
 
-    /** Plays a group of so many: messages, views and the hash over them. */
-    static String play(int count, long seed) throws NoSuchAlgorithmException {
+    /** Simulates a group of {@code count} members with faults; returns its messages, view changes and hash. */
+    static String simulate(int count, long seed) throws NoSuchAlgorithmException {
         var trace = new Trace();
         var group = new GroupSimulation(count, MembershipParameters.of(count), seed,
-                (name, address, boot, seeds, rules, own, actions) -> new TracedMember(trace, name, address, boot, seeds,
-                        rules, own, actions));
+                (name, address, bootId, seeds, parameters, memberSeed, output) -> new TracedMember(trace, name, address,
+                        bootId, seeds, parameters, memberSeed, output));
         group.startAll();
-        group.run(15 * SECOND);
+        group.run(15 * MICROS_PER_SECOND);
         var random = new Random(seed);
         boolean[] down = new boolean[count];
-        for (int i = 0; i < FAULTS; i++) {
+        for (int i = 0; i < FAULT_COUNT; i++) {
             int a = random.nextInt(count);
             switch (i % 6) {
                 case 0 -> group.setLink((from, to, now, r) -> r.nextDouble() < 0.3 ? -1 : 1_000 + r.nextLong(50_000));
                 case 1 -> group.setLink((from, to, now, r) -> from <= a != to <= a ? -1 : 2_000);
                 case 2 -> {
                     group.setLink(GroupSimulation.RELIABLE);
-                    group.pause(a, SECOND * (1 + random.nextInt(10)));
+                    group.pause(a, MICROS_PER_SECOND * (1 + random.nextInt(10)));
                 }
                 case 3 -> {
                     group.kill(a);
@@ -167,16 +168,16 @@
                     }
                 }
             }
-            group.run((2 + random.nextInt(8)) * SECOND);
+            group.run((2 + random.nextInt(8)) * MICROS_PER_SECOND);
         }
         group.setLink(GroupSimulation.RELIABLE);
-        group.run(20 * SECOND);
-        return trace.line();
+        group.run(20 * MICROS_PER_SECOND);
+        return trace.summary();
     }
 
-    /** Each line: how many members, the seed, messages, changes of view, and the hash. */
+    /** Each recorded line holds the number of members, the seed, the messages, the view changes and the hash. */
     @Test
-    void eachRunIsTheOneThatWasRecorded() throws Exception {
+    void runsEqualRecordedOnes() throws Exception {
         String recorded;
         try (InputStream in = RecordedRunsTest.class.getResourceAsStream("/golden/peers/runs.txt")) {
             assertNotNull(in);
@@ -184,7 +185,7 @@
         }
         for (String run : recorded.lines().toList()) {
             String[] fields = run.split(" ", 3);
-            assertEquals(fields[2], play(Integer.parseInt(fields[0]), Long.parseLong(fields[1])), run);
+            assertEquals(fields[2], simulate(Integer.parseInt(fields[0]), Long.parseLong(fields[1])), run);
         }
     }
 }
