--- a/src/bench/java/wallmoor/peers/SwimBaseline.java
+++ b/src/bench/java/wallmoor/peers/SwimBaseline.java
@@ -152,7 +152,7 @@
 
     private List<MembershipUpdate> known(DisseminationQueue.Topic topic) {
         Member m = members.get(topic.name());
-        if (!topic.suspicions()) {
+        if (!topic.isSuspicion()) {
             return List.of(m.announcement);
         }
         return m.state != MemberState.SUSPECTED ? List.of()
@@ -173,7 +173,7 @@
     }
 
     private void refute(MembershipUpdate update) {
-        boolean isAgainst = update instanceof Suspicion || (update instanceof Announcement a && a.left());
+        boolean isAgainst = update instanceof Suspicion || (update instanceof Announcement a && a.hasLeft());
         if (isAgainst && update.incarnation() >= self.incarnation()) {
             self = new Announcement(self.name(), self.address(), self.bootId(), update.incarnation() + 1, false);
             members.get(self.name()).announcement = self;
@@ -192,9 +192,9 @@
             }
             return isNews;
         }
-        boolean isRemoval = a.left() && a.incarnation() >= known.announcement.incarnation()
+        boolean isRemoval = a.hasLeft() && a.incarnation() >= known.announcement.incarnation()
                 && known.state != MemberState.REMOVED;
-        boolean isNewer = !a.left() && a.incarnation() > known.announcement.incarnation();
+        boolean isNewer = !a.hasLeft() && a.incarnation() > known.announcement.incarnation();
         if (isRemoval || isNewer) {
             known.state = isRemoval ? MemberState.REMOVED : MemberState.ALIVE;
             known.announcement = a;
--- a/src/main/java/wallmoor/peers/AntiEntropy.java
+++ b/src/main/java/wallmoor/peers/AntiEntropy.java
@@ -117,7 +117,7 @@
     /** Exchanges digests with a random removed member, which learns from it that it was removed. */
     private void exchangeWithRemoved(Set<String> addresses) {
         List<MemberEntry> removed = table.entries().stream()
-                .filter(entry -> entry.isRemoved() && !entry.announcement().left()).toList();
+                .filter(entry -> entry.isRemoved() && !entry.announcement().hasLeft()).toList();
         if (!removed.isEmpty()) {
             MemberEntry entry = removed.get(random.nextInt(removed.size()));
             addresses.remove(entry.address());
--- a/src/main/java/wallmoor/peers/CutDetector.java
+++ b/src/main/java/wallmoor/peers/CutDetector.java
@@ -100,7 +100,7 @@
      */
     private void confirmRemovals(long now) {
         for (MemberEntry entry : table.entries()) {
-            if (entry.isRemoved() && !entry.announcement().left() && !entry.isSuspectedBy(self.name())
+            if (entry.isRemoved() && !entry.announcement().hasLeft() && !entry.isSuspectedBy(self.name())
                     && table.rings().observers(entry.name()).contains(self.name())) {
                 updates.report(now, entry, true);
             }
--- a/src/main/java/wallmoor/peers/Dissemination.java
+++ b/src/main/java/wallmoor/peers/Dissemination.java
@@ -93,7 +93,7 @@
         if (entry == null) {
             return updates;
         }
-        if (entry.isRemoved() || entry.announcement().left()) {
+        if (entry.isRemoved() || entry.announcement().hasLeft()) {
             // The suspicion is this member's own, as the other observers may have withdrawn theirs meanwhile.
             updates.add(entry.announcement());
             updates.add(new Suspicion(name, entry.announcement().incarnation(), self.name(), self.nextSequence(),
@@ -109,7 +109,7 @@
         if (entry == null) {
             return List.of();
         }
-        if (!topic.suspicions()) {
+        if (!topic.isSuspicion()) {
             return List.of(entry.announcement());
         }
         Set<String> observers = table.rings().observers(entry.name()); // suspicions by other members don't count
--- a/src/main/java/wallmoor/peers/DisseminationQueue.java
+++ b/src/main/java/wallmoor/peers/DisseminationQueue.java
@@ -21,9 +21,9 @@
      * A topic about one member.
      *
      * @param name        the member's name
-     * @param suspicions true for the suspicions of the member, false for its announcement
+     * @param isSuspicion true for the suspicions of the member, false for its announcement
      */
-    record Topic(String name, boolean suspicions) {}
+    record Topic(String name, boolean isSuspicion) {}
 
     /** Topics by the number of times they were sent; in each set the one that waits longest is first. */
     private final List<Set<Topic>> byTransmissions = new ArrayList<>();
--- a/src/main/java/wallmoor/peers/LocalIdentity.java
+++ b/src/main/java/wallmoor/peers/LocalIdentity.java
@@ -54,7 +54,7 @@
 
     /** Returns whether this member takes part in the group: it has neither left nor given up its name. */
     boolean isActive() {
-        return !hasYielded && !announcement.left();
+        return !hasYielded && !announcement.hasLeft();
     }
 
     long nextSequence() {
--- a/src/main/java/wallmoor/peers/MemberEntry.java
+++ b/src/main/java/wallmoor/peers/MemberEntry.java
@@ -108,7 +108,7 @@
     /** Returns whether this incarnation has ended: a newer one is known, or it was removed or has left. */
     boolean isObsolete(long incarnation) {
         return incarnation < announcement.incarnation() || incarnation <= removedIncarnation
-                || (announcement.left() && incarnation == announcement.incarnation());
+                || (announcement.hasLeft() && incarnation == announcement.incarnation());
     }
 
     /** Marks the current incarnation as removed. */
@@ -139,7 +139,7 @@
 
     /** Returns whether the member takes part: it has neither left nor been removed, and is not rejoining. */
     boolean isPresent() {
-        return !announcement.left() && !isRemoved() && !isRejoining();
+        return !announcement.hasLeft() && !isRemoved() && !isRejoining();
     }
 
     /** Returns whether the member is present and any member suspects it, whether that one is credible or not. */
--- a/src/main/java/wallmoor/peers/MembershipTable.java
+++ b/src/main/java/wallmoor/peers/MembershipTable.java
@@ -88,15 +88,15 @@
 
     private static boolean isNewer(Announcement next, Announcement known) {
         return next.incarnation() > known.incarnation()
-                || (next.incarnation() == known.incarnation() && next.left() && !known.left());
+                || (next.incarnation() == known.incarnation() && next.hasLeft() && !known.hasLeft());
     }
 
     private void updateRejoining(MemberEntry entry, Announcement next, long now) {
         Announcement known = entry.announcement();
-        if (next.bootId() != known.bootId() || next.left()) { // a new process has not been silent yet
+        if (next.bootId() != known.bootId() || next.hasLeft()) { // a new process has not been silent yet
             entry.endRejoining();
             rejoining.remove(entry.name());
-        } else if ((entry.isRemoved() && !known.left()) || entry.isRejoining()) {
+        } else if ((entry.isRemoved() && !known.hasLeft()) || entry.isRejoining()) {
             entry.startRejoining(now + parameters.suspectAfter() + 2 * parameters.probeInterval());
             rejoining.put(entry.name(), entry);
         }
--- a/src/main/java/wallmoor/peers/MembershipUpdate.java
+++ b/src/main/java/wallmoor/peers/MembershipUpdate.java
@@ -20,9 +20,9 @@
      *
      * @param address host and port that the member receives messages at
      * @param bootId  identifies the process among those of the same name: its start on the wall clock, in microseconds
-     * @param left    whether the member has left the group
+     * @param hasLeft whether the member has left the group
      */
-    record Announcement(String name, String address, long bootId, long incarnation, boolean left)
+    record Announcement(String name, String address, long bootId, long incarnation, boolean hasLeft)
             implements
                 MembershipUpdate {
         private static final int FIXED_BYTES = 24;
--- a/src/main/java/wallmoor/peers/Refutation.java
+++ b/src/main/java/wallmoor/peers/Refutation.java
@@ -52,7 +52,7 @@
             refutations++;
             lastRefutationAt = now;
             beginIncarnation(now, s.incarnation() + 1, disseminate);
-        } else if (update instanceof Announcement a && a.left()) {
+        } else if (update instanceof Announcement a && a.hasLeft()) {
             beginIncarnation(now, a.incarnation() + 1, disseminate);
         }
     }
--- a/src/main/java/wallmoor/peers/TableDigest.java
+++ b/src/main/java/wallmoor/peers/TableDigest.java
@@ -34,7 +34,7 @@
     private static long contribution(MemberEntry entry) {
         MembershipUpdate.Announcement announced = entry.announcement();
         long hash = HASH_FACTOR * announced.name().hashCode() + announced.incarnation() * INCARNATION_FACTOR
-                + (announced.left() ? LEFT_SUMMAND : 0);
+                + (announced.hasLeft() ? LEFT_SUMMAND : 0);
         for (Suspicion s : entry.suspicions()) {
             // A table without a suspicion is equal to one in which the suspicion is withdrawn.
             hash = s.isActive() ? hash * HASH_FACTOR + s.observer().hashCode() : hash;
--- a/src/main/java/wallmoor/peers/ViewPublisher.java
+++ b/src/main/java/wallmoor/peers/ViewPublisher.java
@@ -94,7 +94,7 @@
     }
 
     private static MemberState stateOf(MemberEntry entry, boolean isSuspected) {
-        if (entry.announcement().left()) {
+        if (entry.announcement().hasLeft()) {
             return MemberState.LEFT;
         }
         if (entry.isRemoved() || entry.isRejoining()) {
--- a/src/main/java/wallmoor/peers/udp/GroupMessageCodec.java
+++ b/src/main/java/wallmoor/peers/udp/GroupMessageCodec.java
@@ -118,7 +118,7 @@
         out.writeString(announcement.address());
         out.writeNumber(announcement.bootId());
         out.writeNumber(announcement.incarnation());
-        out.writeBoolean(announcement.left());
+        out.writeBoolean(announcement.hasLeft());
     }
 
     /**
--- a/src/test/java/wallmoor/peers/GroupMembershipTest.java
+++ b/src/test/java/wallmoor/peers/GroupMembershipTest.java
@@ -131,7 +131,7 @@
         sent.clear();
         member.leave(2);
         assertEquals(List.of("o:1", "t:1"), sent.stream().map(Sent::address).sorted().toList());
-        assertTrue(sent.stream().allMatch(s -> s.message().sender().left()));
+        assertTrue(sent.stream().allMatch(s -> s.message().sender().hasLeft()));
         receive(3, MessageKind.PROBE, OTHER, 1, null);
         member.onTick(4);
         assertEquals(List.of(), sent);
