--- a/src/test/java/wallmoor/rules/RestrictiveMergeTest.java
+++ b/src/test/java/wallmoor/rules/RestrictiveMergeTest.java
@@ -16,6 +16,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
+import wallmoor.rules.FieldSchema.MissingFieldMeaning;
 import wallmoor.rules.FieldValue.Amount;
 import wallmoor.rules.FieldValue.Flag;
 import wallmoor.rules.FieldValue.Names;
@@ -102,8 +103,7 @@
                 FieldValue right = b.fields().get(name);
                 boolean isMissing = left == null || right == null;
                 FieldValue expected = !isMissing ? moreRestrictive(field.merge(), left, right)
-                        : field.missing() == FieldSchema.MissingFieldMeaning.NOTHING ? null
-                                : left == null ? right : left;
+                        : field.missing() == MissingFieldMeaning.NOTHING ? null : left == null ? right : left;
                 assertEquals(expected, merged.fields().get(name), schema.name() + " " + name);
             }
         }
