--- a/src/test/java/wallmoor/adapter/SimulatorAdapterTest.java
+++ b/src/test/java/wallmoor/adapter/SimulatorAdapterTest.java
@@ -104,7 +104,7 @@
         malformed("line 2: INVENTORY field Elements", "TURN 0 1\nINVENTORY 0 2\nITEM a 0 0 0 up 1 -\nGO\n");
         malformed("line 3: START field Params lacks the required setting Round",
                 batch(0, 1, "SWITCH_TO 0\n", START.replace(" Round=5000", "")));
-        malformed("line 3: START field Params is refused: settings.position",
+        malformed("line 3: START field Params is refused: settings.Position is 4, but must be from 0 to",
                 batch(0, 1, "SWITCH_TO 0\n", START.replace("Position=0", "Position=4")));
     }
 
--- a/src/test/java/wallmoor/decision/RoutingPolicyTest.java
+++ b/src/test/java/wallmoor/decision/RoutingPolicyTest.java
@@ -100,7 +100,7 @@
         site.gatherers = 0;
         var refused = assertThrows(IllegalArgumentException.class,
                 () -> new RoutingPolicy(site.settings(), 1, harness));
-        assertTrue(refused.getMessage().contains("settings.gatherers"));
+        assertTrue(refused.getMessage().contains("settings.Instances is 0, but must be at least 1"));
         assertThrows(NullPointerException.class, () -> new RoutingPolicy(null, 1, harness));
     }
 
