--- a/src/main/java/wallmoor/decision/Absent.java
+++ b/src/main/java/wallmoor/decision/Absent.java
@@ -1,8 +1,8 @@
 package wallmoor.decision;
 
-/** Stands for a number that was not given. An absent text is null. */
+/** The marker for a number that is absent. An absent text is null. */
 public final class Absent {
-    /** A time, a hint or a count that was not given. */
+    /** The value of an absent time, hint or count. */
     public static final long VALUE = -1;
 
     private Absent() {}
--- a/src/main/java/wallmoor/decision/AdmissionControl.java
+++ b/src/main/java/wallmoor/decision/AdmissionControl.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * Admission control: sheds at once what can't meet its latency objective, the least weight for its work first, and what
- * would be too much to hold. Owns the shares that classes were served of their weight.
+ * Admission control: rejects a query on arrival if it is unlikely to meet its latency objective, or if this gatherer
+ * already holds too many queries and parts. Queries with little weight for their work are rejected first.
  */
 final class AdmissionControl {
     private final PolicyContext context;
@@ -26,62 +26,70 @@
         this.estimator = estimator;
         this.strain = strain;
         RoutingSettings settings = context.settings();
-        fairness = new ClassFairness(settings.classes(), settings.costs().worstServedClass());
+        fairness = new ClassFairness(settings.classes(), settings.costs().worstClassWeight());
     }
 
-    /** New settings are in force; classes at the vanished places take no query any more. */
-    void reload(RoutingSettings next, Set<Integer> vanished) {
-        fairness.ensureClasses(next.classes().size(), vanished, next.costs().worstServedClass());
+    /**
+     * Applies new settings.
+     *
+     * @param removedClasses indexes of classes that take no further queries
+     */
+    void reload(RoutingSettings newSettings, Set<Integer> removedClasses) {
+        fairness.ensureClasses(newSettings.classes().size(), removedClasses, newSettings.costs().worstClassWeight());
     }
 
-    /** A worker has answered a part. */
+    /** Records that a worker has answered a part. */
     void recordAnswer() {
         lastAnswerAt = context.now();
     }
 
-    /** A query has ended. */
+    /** Records the end of a query. */
     void recordEnd(TrackedQuery query, boolean inTime) {
-        fairness.add(query.classIndex, query.queryClass.priorityWeight() * query.weightFactor, inTime);
+        fairness.record(query.classIndex, query.queryClass.priorityWeight() * query.weightFactor, inTime);
     }
 
-    /** Whether a query may start. Notes what its parts are expected to take. */
+    /** Returns whether a query may start, and stores in the query the expected time of its parts. */
     boolean admits(TrackedQuery query) {
         List<TrackedPart> ranked = selector.ranked(query.parts);
         int needed = query.partsNeeded(ranked);
-        double mean = 0;
+        double meanPartTime = 0;
         for (TrackedPart part : ranked.subList(0, needed)) {
             TrackedWorker worker = selector.choose(part);
-            mean += worker == null ? Double.POSITIVE_INFINITY
+            meanPartTime += worker == null ? Double.POSITIVE_INFINITY
                     : estimator.expectedLatency(worker, query.classIndex) / needed;
         }
-        double aged = mean * LatencyEstimator.decay(context.now() - Math.max(lastAnswerAt, lastAdmissionAt),
+        double decayedPartTime = meanPartTime * LatencyEstimator.decay(context.now() - Math.max(lastAnswerAt, lastAdmissionAt),
                 query.queryClass.latencyObjective());
-        double relative = relativeWeightForWork(query, needed);
-        query.predictedPartTime = mean;
-        MovingAverage stretch = context.latencies.queryStretch(query.classIndex);
-        double unlearntStretch = Math.min(needed, TuningParameters.INITIAL_QUERY_STRETCH);
-        double time = aged * stretch.orElse(unlearntStretch);
-        strain.record(time, query.latencyObjective());
+        double relativeWeight = relativeWeightForWork(query, needed);
+        query.predictedPartTime = meanPartTime;
+        MovingAverage latencyRatio = context.latencies.queryLatencyRatio(query.classIndex);
+        double initialRatio = Math.min(needed, TuningParameters.INITIAL_QUERY_LATENCY_RATIO);
+        double expectedTime = decayedPartTime * latencyRatio.orElse(initialRatio);
+        strain.record(expectedTime, query.latencyObjective());
         double shift = Math.min(TuningParameters.MAX_RELATIVE_WEIGHT,
-                Math.max(TuningParameters.MIN_RELATIVE_WEIGHT, relative)) - 1;
-        double allowed = TuningParameters.ADMISSION_OBJECTIVE_SHARE * (1 + shift * strain.scarcity())
+                Math.max(TuningParameters.MIN_RELATIVE_WEIGHT, relativeWeight)) - 1;
+        double allowedTime = TuningParameters.ADMISSION_OBJECTIVE_SHARE * (1 + shift * strain.scarcity())
                 * query.latencyObjective();
-        if (time > allowed) {
-            stretch.add(unlearntStretch); // one that is rejected would never learn again
+        if (expectedTime > allowedTime) {
+            // without this sample a class whose queries are all rejected would never learn a lower ratio
+            latencyRatio.add(initialRatio);
         }
-        boolean admitted = time <= allowed && !requests.isFull(context.settings());
+        boolean admitted = expectedTime <= allowedTime && !requests.isFull(context.settings());
         lastAdmissionAt = admitted ? context.now() : lastAdmissionAt;
         return admitted;
     }
 
-    /** The root of a query's weight for its work over the mean, before the query itself counts in that mean. */
+    /**
+     * Returns the square root of the query's weight for its work, relative to the mean, then adds the query to that
+     * mean.
+     */
     private double relativeWeightForWork(TrackedQuery query, int needed) {
         double work = context.settings().weightByWork() ? (double) needed / query.parts.size()
                 : needed + TuningParameters.FOLLOW_UP_WORK * query.queryClass.followUpParts();
         double weightForWork = query.queryClass.priorityWeight() * query.weightFactor
-                * fairness.weight(query.classIndex) / work;
-        double relative = Math.sqrt(weightForWork / meanWeightForWork.orElse(weightForWork));
+                * fairness.weightFactor(query.classIndex) / work;
+        double relativeWeight = Math.sqrt(weightForWork / meanWeightForWork.orElse(weightForWork));
         meanWeightForWork.add(weightForWork);
-        return relative;
+        return relativeWeight;
     }
 }
--- a/src/main/java/wallmoor/decision/AttemptEndReason.java
+++ b/src/main/java/wallmoor/decision/AttemptEndReason.java
@@ -1,25 +1,25 @@
 package wallmoor.decision;
 
-/** How an attempt ended, as the transport reports it. */
+/** The reasons for the end of an attempt, as the transport reports them. */
 public enum AttemptEndReason {
     /** The worker answered. */
     OK(false),
     /** The worker answered with an error. */
     ERROR(false),
-    /** The worker shed the load: it did not take the part. */
+    /** The worker shed load and did not take the part. */
     REJECTED(true),
-    /** No answer within the time that the attempt had. */
+    /** The worker did not answer within the attempt's timeout. */
     TIMEOUT(false),
-    /** No connection came up. */
+    /** No connection could be established. */
     CONNECT_FAILED(true),
-    /** The connection broke under the attempt. */
+    /** The connection broke during the attempt. */
     RESET(false),
     /** The attempt was cancelled by {@link RoutingActions#cancelAttempt}. */
     CANCELLED(false),
-    /** It could not begin in time, and so was never sent. */
+    /** The attempt could not start in time and was never sent. */
     NOT_STARTED(true);
 
-    /** Whether this end proves that the part was not executed. */
+    /** Whether this reason proves that the part was not executed. */
     public final boolean neverRan;
 
     AttemptEndReason(boolean neverRan) {
--- a/src/main/java/wallmoor/decision/AttemptFeedback.java
+++ b/src/main/java/wallmoor/decision/AttemptFeedback.java
@@ -1,7 +1,7 @@
 package wallmoor.decision;
 
 /**
- * What the policy learns from the end of an attempt: of the worker's latency and health, and of its class's latency.
+ * Updates the policy's statistics when an attempt ends: the worker's latency and health, and the latency of its class.
  */
 final class AttemptFeedback {
     private final PolicyContext context;
@@ -21,46 +21,47 @@
         this.admission = admission;
     }
 
-    /** An attempt has ended, and is no longer among those in flight. */
+    /** Records the end of an attempt that is no longer in flight. */
     void record(TrackedAttempt attempt, AttemptEnded end) {
         TrackedWorker worker = attempt.worker;
-        boolean noConnection = end.reason() == AttemptEndReason.CONNECT_FAILED;
-        long timeout = context.settings().limits().connectTimeout();
-        boolean connectTimedOut = noConnection && timeout > 0 && end.duration() >= timeout;
+        boolean connectFailed = end.reason() == AttemptEndReason.CONNECT_FAILED;
+        long connectTimeout = context.settings().limits().connectTimeout();
+        boolean connectTimedOut = connectFailed && connectTimeout > 0 && end.duration() >= connectTimeout;
         if (outliers.recordConnect(worker, connectTimedOut)) {
             return;
         }
         switch (end.reason()) {
             case OK -> recordAnswer(attempt, end.duration());
             case CANCELLED, TIMEOUT -> {
-                double usual = worker.latency.orElse(context.typicalLatency(attempt.part.query.classIndex));
-                if (!context.stalled() && end.duration() > usual) { // it took that long at least
+                double typicalLatency = worker.latency.orElse(context.typicalLatency(attempt.part.query.classIndex));
+                // the elapsed time is a lower bound of the latency
+                if (!context.isStalled() && end.duration() > typicalLatency) {
                     recordLatency(attempt, (double) end.duration());
                 }
             }
             case ERROR -> outliers.recordFailure(worker, 1);
             case REJECTED, RESET, CONNECT_FAILED -> {
                 outliers.recordFailure(worker, 1);
-                boolean processLost = end.reason() == AttemptEndReason.RESET || (noConnection && !connectTimedOut);
+                boolean processLost = end.reason() == AttemptEndReason.RESET || (connectFailed && !connectTimedOut);
                 outliers.recordUnreachable(worker, end.reason(), processLost);
             }
             case NOT_STARTED -> {
-                // the worker saw nothing of it
+                // the attempt never reached the worker
             }
         }
     }
 
     private void recordAnswer(TrackedAttempt attempt, long duration) {
         TrackedWorker worker = attempt.worker;
-        double latency = Math.max(context.settings().roundInterval(), duration); // a clock may stand still
+        double latency = Math.max(context.settings().roundInterval(), duration); // the measured duration may be 0
         latency /= Math.max(TuningParameters.MIN_WORK_SCALE, attempt.part.workScale);
-        if (!context.stalled()) {
+        if (!context.isStalled()) {
             recordLatency(attempt, latency);
             context.latencies.partLatency(attempt.part.query.classIndex).add(latency);
         }
         worker.answeredAt = context.now();
         admission.recordAnswer();
-        if (!context.stalled()) {
+        if (!context.isStalled()) {
             slowStart.recordAnswer(worker);
         }
         idleConnections.recordAnswer(attempt);
--- a/src/main/java/wallmoor/decision/AttemptSender.java
+++ b/src/main/java/wallmoor/decision/AttemptSender.java
@@ -1,6 +1,6 @@
 package wallmoor.decision;
 
-/** The one place where attempts are sent and cancelled: it holds them against the rules. */
+/** Sends and cancels all attempts, and checks them against the rules for attempts, retries and hedged requests. */
 final class AttemptSender {
     private final PolicyContext context;
     private final ReplicaSelector selector;
@@ -25,11 +25,11 @@
     }
 
     /**
-     * Sends an attempt of a part to the best worker. A query that has ended has all its parts finished; one whose time
-     * is up was ended by {@link QueryCompletion#endIfTimeIsUp} before this.
+     * Sends an attempt of a part to the best worker. The parts of an ended query are finished and are not sent. The
+     * caller has already ended queries whose time is up, see {@link QueryCompletion#endIfTimeIsUp}.
      *
-     * @param hedged whether it may go out beside another attempt of the part
-     * @return the attempt, or null if a rule forbids it or no worker may be sent to
+     * @param hedged whether the attempt may run in parallel with another attempt of the part
+     * @return the attempt, or null if a rule forbids it or no worker is available
      */
     TrackedAttempt send(TrackedPart part, boolean hedged) {
         if (!mayBeSent(part, hedged)) {
@@ -49,20 +49,21 @@
         gossip.recordChange(worker);
         slowStart.recordSent(worker);
         attempt.afterIdle = idleConnections.areIdle(worker, part.query.classIndex);
+        // a trial of an ejected worker gets a new connection in the own zone only, where connecting is cheap
         if (idleConnections.shouldClose(attempt)
-                || (worker.ejected && worker.zone == context.settings().zone())) { // a new one, where it costs little
+                || (worker.ejected && worker.zone == context.settings().zone())) {
             context.actions.closeIdleConnections(worker.id);
         }
         worker.lastUsedAt = now;
         if (worker.ejected) {
             outliers.recordTrial(worker);
         }
-        long giveUpAfter = Math.max(context.settings().roundInterval(), part.query.usefulUntil() - now);
-        context.actions.startAttempt(part.id, worker.id, giveUpAfter, retryPolicy.beginWithin(part));
+        long timeout = Math.max(context.settings().roundInterval(), part.query.usefulUntil() - now);
+        context.actions.startAttempt(part.id, worker.id, timeout, retryPolicy.maxStartDelay(part));
         return attempt;
     }
 
-    /** Cancels an attempt, once, where the platform allows it. */
+    /** Cancels an attempt if the platform supports cancellation and it was not cancelled before. */
     void cancel(TrackedAttempt attempt) {
         if (!attempt.cancelled && context.settings().limits().cancellation()) {
             attempt.cancelled = true;
@@ -71,7 +72,7 @@
     }
 
     private boolean mayBeSent(TrackedPart part, boolean hedged) {
-        boolean alone = part.inFlight.isEmpty() || (hedged && context.settings().limits().parallelAttempts());
-        return retryPolicy.mayAttempt(part) && alone && (part.attemptCount == 0 || retryBudget.allowsRetry());
+        boolean isParallelismAllowed = part.inFlight.isEmpty() || (hedged && context.settings().limits().parallelAttempts());
+        return retryPolicy.mayAttempt(part) && isParallelismAllowed && (part.attemptCount == 0 || retryBudget.allowsRetry());
     }
 }
--- a/src/main/java/wallmoor/decision/ClassFairness.java
+++ b/src/main/java/wallmoor/decision/ClassFairness.java
@@ -5,59 +5,62 @@
 import java.util.Set;
 
 /**
- * What each class was served of the weight it asked for, fading with queries. Where the operators count the class that
- * is served worst by itself, one more query served of it counts twice: in the whole, and again in its class's share.
+ * The share of each class's requested weight that was served in time, decaying with each query. If the settings give
+ * the worst-served class an extra weight, one more served query of that class counts twice: in the overall share and
+ * again in the share of its class.
  */
 final class ClassFairness {
-    private double[] asked;
-    private double[] served;
-    private double worstClassCounts;
+    private double[] requestedWeight;
+    private double[] servedWeight;
+    private double worstClassWeight;
 
     /**
-     * Knows of no query yet.
+     * Creates the shares before any query has ended.
      *
-     * @param worstClassCounts what the share of the class served worst counts, over what the share of the whole does
+     * @param worstClassWeight weight of the worst-served class's share, relative to the overall share
      */
-    ClassFairness(List<QueryClass> classes, double worstClassCounts) {
-        this.worstClassCounts = worstClassCounts;
-        asked = new double[classes.size()];
-        served = new double[classes.size()];
+    ClassFairness(List<QueryClass> classes, double worstClassWeight) {
+        this.worstClassWeight = worstClassWeight;
+        requestedWeight = new double[classes.size()];
+        servedWeight = new double[classes.size()];
     }
 
-    /** There are so many places of classes from now on; those that vanished ask for nothing and are served nothing. */
-    void ensureClasses(int places, Set<Integer> vanished, double newWorstClassCounts) {
-        worstClassCounts = newWorstClassCounts;
-        asked = Arrays.copyOf(asked, places);
-        served = Arrays.copyOf(served, places);
-        vanished.forEach(place -> {
-            asked[place] = 0;
-            served[place] = 0;
+    /** Extends the shares to this number of classes and resets the shares of removed classes. */
+    void ensureClasses(int classCount, Set<Integer> removedClasses, double newWorstClassWeight) {
+        worstClassWeight = newWorstClassWeight;
+        requestedWeight = Arrays.copyOf(requestedWeight, classCount);
+        servedWeight = Arrays.copyOf(servedWeight, classCount);
+        removedClasses.forEach(classIndex -> {
+            requestedWeight[classIndex] = 0;
+            servedWeight[classIndex] = 0;
         });
     }
 
-    /** A query of this class and priority weight has ended. */
-    void add(int place, double priorityWeight, boolean inTime) {
-        for (int i = 0; i < asked.length; i++) {
-            asked[i] *= 1 - TuningParameters.CLASS_SHARE_SAMPLE_WEIGHT;
-            served[i] *= 1 - TuningParameters.CLASS_SHARE_SAMPLE_WEIGHT;
+    /** Records that a query of this class and priority weight has ended. */
+    void record(int classIndex, double priorityWeight, boolean inTime) {
+        for (int i = 0; i < requestedWeight.length; i++) {
+            requestedWeight[i] *= 1 - TuningParameters.CLASS_SHARE_SAMPLE_WEIGHT;
+            servedWeight[i] *= 1 - TuningParameters.CLASS_SHARE_SAMPLE_WEIGHT;
         }
-        asked[place] += priorityWeight;
-        served[place] += inTime ? priorityWeight : 0;
+        requestedWeight[classIndex] += priorityWeight;
+        servedWeight[classIndex] += inTime ? priorityWeight : 0;
     }
 
-    /** What one unit of weight served of this class counts, over what it counts in the whole alone. */
-    double weight(int place) {
-        double all = 0;
-        double least = 1;
-        for (int i = 0; i < asked.length; i++) {
-            all += asked[i];
-            least = Math.min(least, servedShare(i));
+    /**
+     * Returns the value of one unit of weight served of this class, relative to its value in the overall share alone.
+     */
+    double weightFactor(int classIndex) {
+        double totalRequested = 0;
+        double lowestShare = 1;
+        for (int i = 0; i < requestedWeight.length; i++) {
+            totalRequested += requestedWeight[i];
+            lowestShare = Math.min(lowestShare, servedShare(i));
         }
-        boolean servedBetter = servedShare(place) > least + TuningParameters.EQUAL_CLASS_SHARES;
-        return servedBetter || asked[place] <= 0 ? 1 : 1 + worstClassCounts * all / asked[place];
+        boolean isServedBetter = servedShare(classIndex) > lowestShare + TuningParameters.CLASS_SHARE_TOLERANCE;
+        return isServedBetter || requestedWeight[classIndex] <= 0 ? 1 : 1 + worstClassWeight * totalRequested / requestedWeight[classIndex];
     }
 
-    private double servedShare(int place) {
-        return asked[place] <= 0 ? 1 : served[place] / asked[place];
+    private double servedShare(int classIndex) {
+        return requestedWeight[classIndex] <= 0 ? 1 : servedWeight[classIndex] / requestedWeight[classIndex];
     }
 }
--- a/src/main/java/wallmoor/decision/ClassLatencies.java
+++ b/src/main/java/wallmoor/decision/ClassLatencies.java
@@ -3,27 +3,33 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What is learnt of the times of each class, by the class's place in the settings, which it keeps for good. */
+/**
+ * Latency statistics of each class, by the class's index in the settings. A class keeps its index for the life of the
+ * process.
+ */
 final class ClassLatencies {
     private final List<MovingAverage> partLatency = new ArrayList<>();
-    private final List<MovingAverage> queryStretch = new ArrayList<>();
-    private final List<MovingAverage> clientTime = new ArrayList<>();
+    private final List<MovingAverage> queryLatencyRatio = new ArrayList<>();
+    private final List<MovingAverage> clientTimeLeft = new ArrayList<>();
 
-    /** There are so many places from now on; what is known of those before stays. */
-    void ensureClasses(int places) {
-        while (partLatency.size() < places) {
+    /** Extends the statistics to this number of classes; those of existing classes are unchanged. */
+    void ensureClasses(int classCount) {
+        while (partLatency.size() < classCount) {
             partLatency.add(new MovingAverage(TuningParameters.FLEET_SAMPLE_WEIGHT));
-            queryStretch.add(new MovingAverage(TuningParameters.LATENCY_SAMPLE_WEIGHT));
-            clientTime.add(new MovingAverage(TuningParameters.LATENCY_SAMPLE_WEIGHT));
+            queryLatencyRatio.add(new MovingAverage(TuningParameters.LATENCY_SAMPLE_WEIGHT));
+            clientTimeLeft.add(new MovingAverage(TuningParameters.LATENCY_SAMPLE_WEIGHT));
         }
     }
 
-    /** What a part of this class takes, by all workers (microseconds). */
-    MovingAverage partLatency(int place) {
-        return partLatency.get(place);
+    /** Returns the average latency of this class's parts at all workers (microseconds). */
+    MovingAverage partLatency(int classIndex) {
+        return partLatency.get(classIndex);
     }
 
-    /** What a part takes of the class whose parts take longest (microseconds); infinite before any is known. */
+    /**
+     * Returns the average part latency of the class with the slowest parts (microseconds), or infinity before the first
+     * answer.
+     */
     double slowestPartLatency() {
         double slowest = 0;
         for (MovingAverage latency : partLatency) {
@@ -32,26 +38,27 @@
         return slowest > 0 ? slowest : Double.POSITIVE_INFINITY;
     }
 
-    /** What a query of this class takes, over the mean of its parts' expected times. */
-    MovingAverage queryStretch(int place) {
-        return queryStretch.get(place);
+    /** Returns the average ratio of a query's latency to the mean expected latency of its parts. */
+    MovingAverage queryLatencyRatio(int classIndex) {
+        return queryLatencyRatio.get(classIndex);
     }
 
     /**
-     * When the client sent its first attempt: its latency objective runs from there, and a retry that comes too late
-     * takes no work. First attempts all have the same time until their deadline; a marked retry with another one has
-     * what is left of the client's time-out. Where clients don't mark retries, each query counts as a first attempt.
+     * Returns when the client sent its first attempt (microseconds). The latency objective counts from that time, and a
+     * retry that comes too late is rejected before it causes work. All first attempts arrive with the same time left
+     * until their deadline; a marked retry with a different time left has what remains of the client's timeout. If
+     * clients don't mark retries, each query counts as a first attempt.
      */
-    long clientStartTime(long now, QueryArrived query, int place, RoutingSettings settings) {
-        long left = query.deadline() - now;
-        long timeout = settings.classes().get(place).clientTimeout();
-        boolean likeFirst = Math
-                .abs(left - clientTime.get(place).orElse((double) left)) < TuningParameters.EQUAL_CLIENT_TIMES
+    long clientStartTime(long now, QueryArrived query, int classIndex, RoutingSettings settings) {
+        long timeLeft = query.deadline() - now;
+        long timeout = settings.classes().get(classIndex).clientTimeout();
+        boolean isLikeFirstAttempt = Math
+                .abs(timeLeft - clientTimeLeft.get(classIndex).orElse((double) timeLeft)) < TuningParameters.CLIENT_TIME_TOLERANCE
                         * timeout;
         if (!query.retry()) {
-            clientTime.get(place).add((double) left);
+            clientTimeLeft.get(classIndex).add((double) timeLeft);
         }
-        boolean knownRetry = query.retry() && settings.clientsMarkRetries() && !likeFirst;
-        return knownRetry ? Math.min(now, query.deadline() - timeout) : now;
+        boolean isKnownRetry = query.retry() && settings.clientsMarkRetries() && !isLikeFirstAttempt;
+        return isKnownRetry ? Math.min(now, query.deadline() - timeout) : now;
     }
 }
--- a/src/main/java/wallmoor/decision/CostModel.java
+++ b/src/main/java/wallmoor/decision/CostModel.java
@@ -1,14 +1,14 @@
 package wallmoor.decision;
 
 /**
- * Prices that bear on decisions, in shares of the result.
+ * Costs that influence decisions, as shares of the result.
  *
- * @param crossZone        of a part sent to another zone
- * @param waste            of work done for nothing
- * @param lateFailure      of a query that fails late
- * @param healthCheck      of a health check
- * @param gossipMessage    of a message to another gatherer
- * @param worstServedClass what the share of the class served worst counts, over what the share of the whole does
+ * @param crossZone cost of a part sent to another zone
+ * @param waste cost of work whose result is not used
+ * @param lateFailure cost of a query that fails late
+ * @param healthCheck cost of a health check
+ * @param gossipMessage cost of a message to another gatherer
+ * @param worstClassWeight weight of the worst-served class's share, relative to the overall share
  */
 public record CostModel(double crossZone, double waste, double lateFailure, double healthCheck, double gossipMessage,
-        double worstServedClass) {}
+        double worstClassWeight) {}
--- a/src/main/java/wallmoor/decision/DecayingRate.java
+++ b/src/main/java/wallmoor/decision/DecayingRate.java
@@ -1,40 +1,44 @@
 package wallmoor.decision;
 
-/** A smoothed rate of failures, from 0 to 1, that halves in a fixed time while nothing is added. */
+/** A smoothed failure rate from 0 to 1 that decays exponentially between samples. */
 final class DecayingRate {
     private final double halfLife;
     private double rate;
     private long addedAt;
 
-    /** A rate of 0 that will halve in this time (microseconds). */
+    /**
+     * Creates a rate of 0.
+     *
+     * @param halfLife time in which the rate halves (microseconds)
+     */
     DecayingRate(double halfLife) {
         this.halfLife = halfLife;
     }
 
-    /** Adds a sample, from 0 to 1, of this weight. */
+    /** Adds a sample from 0 to 1 with the given weight. */
     void add(long now, double sample, double weight) {
-        double old = rate(now);
-        rate = old + weight * (sample - old);
+        double previous = rate(now);
+        rate = previous + weight * (sample - previous);
         addedAt = now;
     }
 
-    /** The rate at this time. */
+    /** Returns the rate at the given time. */
     double rate(long now) {
         return rate == 0 ? 0 : rate * Math.pow(0.5, (now - addedAt) / halfLife);
     }
 
-    /** With this rate of attempts failing, how many are expected to fail before one does not. */
+    /** Returns the expected number of failed attempts before the first success, at the current rate. */
     double expectedFailures(long now) {
-        double bounded = Math.min(TuningParameters.MAX_FAILURE_RATE, rate(now));
-        return bounded / (1 - bounded);
+        double boundedRate = Math.min(TuningParameters.MAX_FAILURE_RATE, rate(now));
+        return boundedRate / (1 - boundedRate);
     }
 
-    /** When the last sample was added; 0 before the first. */
+    /** Returns when the last sample was added (microseconds), or 0 before the first. */
     long addedAt() {
         return addedAt;
     }
 
-    /** Forgets all samples. */
+    /** Removes all samples. */
     void reset() {
         rate = 0;
     }
--- a/src/main/java/wallmoor/decision/GossipExchange.java
+++ b/src/main/java/wallmoor/decision/GossipExchange.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * What gatherers tell each other of workers: parts in flight, latencies of answers, and ejections. What is heard is a
- * hint that expires, and weighs less than what this gatherer has seen itself.
+ * Exchanges reports on workers with other gatherers: parts in flight, latencies of answers, and ejections. A received
+ * report is a hint that expires, and it weighs less than this gatherer's own observations.
  */
 final class GossipExchange {
     private final PolicyContext context;
@@ -24,7 +24,7 @@
         this.strain = strain;
     }
 
-    /** The gatherer at this position has told of workers. */
+    /** Applies the reports in a message from the gatherer at this position. */
     void receive(int from, byte[] message) {
         for (GossipMessage.WorkerReport report : GossipMessage.readReports(message)) {
             workers.byTag(report.tag()).ifPresent(w -> receive(w, report, from));
@@ -32,7 +32,7 @@
     }
 
     private void receive(TrackedWorker worker, GossipMessage.WorkerReport report, int from) {
-        PeerReport before = worker.peerReports.remove(from);
+        PeerReport previous = worker.peerReports.remove(from);
         long now = context.now();
         if (!report.isLatency()) {
             double lifetime = (report.isEjected() ? TuningParameters.EJECTION_LATENCIES
@@ -43,20 +43,20 @@
         }
         worker.latency.add(context.typicalLatency() * report.latencyRatio(), TuningParameters.GOSSIP_SAMPLE_WEIGHT);
         worker.peerAnsweredAt = now;
-        if (before != null && before.inFlight() > 1) {
+        if (previous != null && previous.inFlight() > 1) {
             worker.peerReports.put(from,
-                    new PeerReport(before.inFlight() - 1, false, before.reportedAt(), before.expiresAt()));
+                    new PeerReport(previous.inFlight() - 1, false, previous.reportedAt(), previous.expiresAt()));
         }
     }
 
-    /** A part has gone out to this worker or ended there. */
+    /** Records that a part was sent to this worker or ended there. */
     void recordChange(TrackedWorker worker) {
         if (isWorthwhile()) {
             changed.add(worker);
         }
     }
 
-    /** A worker has answered an attempt. */
+    /** Records that a worker has answered an attempt. */
     void recordAnswer(TrackedAttempt attempt, long duration) {
         if (isWorthwhile()) {
             double ratio = duration / attempt.part.workScale / context.typicalLatency();
@@ -64,23 +64,24 @@
         }
     }
 
-    /** A worker was ejected or has recovered: that is told whatever it costs. */
+    /** Schedules a report that a worker was ejected or has recovered; this is sent whatever its cost. */
     void announceEjection(TrackedWorker worker) {
         changed.add(worker);
     }
 
-    /** What was told of an attempt's worker is told again before it expires, while the attempt is in flight. */
+    /** Reports an attempt's worker again if its last report is about to expire while the attempt is in flight. */
     void renew(TrackedAttempt attempt) {
-        long toldAt = Math.max(attempt.sentAt, attempt.worker.gossipedAt);
-        if (context.now() - toldAt > TuningParameters.GOSSIP_LIFETIME_LATENCIES * context.typicalLatency()) {
+        long reportedAt = Math.max(attempt.sentAt, attempt.worker.lastGossipedAt);
+        if (context.now() - reportedAt > TuningParameters.GOSSIP_LIFETIME_LATENCIES * context.typicalLatency()) {
             recordChange(attempt.worker);
         }
     }
 
     /**
-     * Sends what has changed, as {@link #receive} takes it.
+     * Sends the reports collected since the last message, in the format that {@link #receive} reads.
      *
-     * @param busy whether queries are open: then not more often than {@link TuningParameters#GOSSIP_INTERVAL_LATENCIES}
+     * @param busy whether queries are open; then messages are at least {@link
+     * TuningParameters#GOSSIP_INTERVAL_LATENCIES} apart
      */
     void send(boolean busy) {
         if (!context.settings().limits().gossip() || (changed.isEmpty() && reports.isEmpty())
@@ -90,7 +91,7 @@
         }
         lastMessageAt = context.now();
         for (TrackedWorker worker : changed) {
-            worker.gossipedAt = context.now();
+            worker.lastGossipedAt = context.now();
             reports.add(worker.ejected ? GossipMessage.WorkerReport.ejected(worker.id)
                     : GossipMessage.WorkerReport.inFlight(worker.id, worker.inFlight.size()));
         }
@@ -99,18 +100,20 @@
         reports.clear();
     }
 
-    /** Tells the other gatherers at once to reject queries of this signature for so long (microseconds). */
+    /** Notifies the other gatherers at once to reject queries of this signature for this duration (microseconds). */
     void sendQuarantine(int signature, long duration) {
         if (context.settings().limits().gossip()) {
             context.actions.broadcast(GossipMessage.write(new GossipMessage.QuarantineNotice(signature, duration)));
         }
     }
 
-    /** Whether queries are so short of time that telling parts in flight pays for its price. */
+    /**
+     * Returns whether queries use so much of their latency objective that reporting parts in flight is worth its cost.
+     */
     private boolean isWorthwhile() {
         RoutingSettings settings = context.settings();
-        double price = settings.costs().gossipMessage() * (settings.gatherers() - 1);
-        return settings.limits().gossip() && strain.value() > Math.min(TuningParameters.GOSSIP_STRAIN,
-                TuningParameters.GOSSIP_STRAIN_PER_COST * price);
+        double cost = settings.costs().gossipMessage() * (settings.gatherers() - 1);
+        return settings.limits().gossip() && strain.value() > Math.min(TuningParameters.GOSSIP_MIN_STRAIN,
+                TuningParameters.GOSSIP_STRAIN_PER_COST * cost);
     }
 }
--- a/src/main/java/wallmoor/decision/IdleConnections.java
+++ b/src/main/java/wallmoor/decision/IdleConnections.java
@@ -1,8 +1,8 @@
 package wallmoor.decision;
 
 /**
- * Learns whether connections die unseen while they are idle, as behind a firewall that forgets them: then they are
- * closed before the next part goes out, which gets a new one.
+ * Detects connections that break undetected while they are idle, as behind a firewall that drops idle flows. If many
+ * do, idle connections are closed before the next part is sent, so that it gets a new connection.
  */
 final class IdleConnections {
     private final PolicyContext context;
@@ -12,26 +12,26 @@
         this.context = context;
     }
 
-    /** Whether a worker's connections have been unused for long, for a part of this class. */
+    /** Returns whether a worker's connections have been unused for long, by the typical latency of this class. */
     boolean areIdle(TrackedWorker worker, int classIndex) {
         return context.now() - worker.lastUsedAt > TuningParameters.IDLE_AFTER_LATENCIES
                 * context.typicalLatency(classIndex);
     }
 
-    /** Whether an attempt that follows idleness should get a new connection. */
+    /** Returns whether an attempt that follows an idle period should get a new connection. */
     boolean shouldClose(TrackedAttempt attempt) {
         return attempt.afterIdle && attempt.worker.lastUsedAt > 0
                 && lossAfterIdle.orElse(0) > TuningParameters.IDLE_LOSS_THRESHOLD;
     }
 
-    /** An attempt was answered. */
+    /** Records that an attempt was answered. */
     void recordAnswer(TrackedAttempt attempt) {
         if (attempt.afterIdle) {
             lossAfterIdle.add(0);
         }
     }
 
-    /** A worker was ejected for its silence, this attempt being its oldest. */
+    /** Records that a worker was ejected for silence; the attempt is its oldest one in flight. */
     void recordSilence(TrackedAttempt attempt) {
         if (attempt.afterIdle) {
             lossAfterIdle.add(1);
--- a/src/main/java/wallmoor/decision/LoadMetric.java
+++ b/src/main/java/wallmoor/decision/LoadMetric.java
@@ -1,19 +1,19 @@
 package wallmoor.decision;
 
-/** Metrics that a worker's load report may hold. */
+/** The metrics that a worker's load report may contain. */
 public enum LoadMetric {
-    /** Parts being worked on. */
+    /** Parts in execution. */
     IN_FLIGHT,
-    /** Parts that wait. */
+    /** Parts in the queue. */
     QUEUE,
-    /** Share of capacity in use. */
+    /** The share of capacity in use. */
     UTILIZATION,
-    /** Recent latency in milliseconds. */
+    /** The recent latency in milliseconds. */
     LATENCY_MS,
-    /** Recent throughput. */
+    /** The recent throughput in queries per second. */
     QUERIES_PER_SECOND,
-    /** Recent errors. */
+    /** The recent number of errors per second. */
     ERRORS_PER_SECOND,
-    /** A column that is not known here. */
+    /** A column that this version does not recognise. */
     OTHER
 }
--- a/src/main/java/wallmoor/decision/MovingAverage.java
+++ b/src/main/java/wallmoor/decision/MovingAverage.java
@@ -1,11 +1,15 @@
 package wallmoor.decision;
 
-/** An exponentially weighted moving average. It has no value until the first sample. */
+/** An exponentially weighted moving average. It has no value before the first sample. */
 final class MovingAverage {
     private final double sampleWeight;
     private double value = Double.NaN;
 
-    /** An average whose samples each have this weight, from 0 to 1. */
+    /**
+     * Creates an average without samples.
+     *
+     * @param sampleWeight the weight of each sample, from 0 to 1
+     */
     MovingAverage(double sampleWeight) {
         this.sampleWeight = sampleWeight;
     }
@@ -15,7 +19,7 @@
         add(sample, sampleWeight);
     }
 
-    /** Adds a sample of a weight of its own. */
+    /** Adds a sample with the given weight instead of the usual one. */
     void add(double sample, double weight) {
         value = hasValue() ? value + weight * (sample - value) : sample;
     }
@@ -24,12 +28,12 @@
         return !Double.isNaN(value);
     }
 
-    /** The average, or {@code otherwise} before the first sample. */
-    double orElse(double otherwise) {
-        return hasValue() ? value : otherwise;
+    /** Returns the average, or {@code fallback} before the first sample. */
+    double orElse(double fallback) {
+        return hasValue() ? value : fallback;
     }
 
-    /** Forgets all samples. */
+    /** Removes all samples. */
     void reset() {
         value = Double.NaN;
     }
--- a/src/main/java/wallmoor/decision/OutlierDetector.java
+++ b/src/main/java/wallmoor/decision/OutlierDetector.java
@@ -1,9 +1,9 @@
 package wallmoor.decision;
 
 /**
- * Outlier detection: ejects workers that are silent, unreachable or reject parts, and lets one part through as a trial
- * after a time that doubles with each trial (a half-open circuit breaker). Marks late parts, and tells a slow worker
- * from times when everything is slow.
+ * Outlier detection: ejects workers that are silent, unreachable or reject parts. After an interval that doubles with
+ * each trial, one part is sent as a trial (a half-open circuit breaker). Also marks late parts, and distinguishes a
+ * slow worker from times when all workers are slow.
  */
 final class OutlierDetector {
     private final PolicyContext context;
@@ -25,26 +25,30 @@
     }
 
     /**
-     * An attempt at this worker has ended.
+     * Records the result of connecting for an attempt at this worker.
      *
-     * @param timedOut whether its connect timed out
-     * @return whether the worker is not to blame for that: connecting is slow in every zone
+     * @param timedOut whether the connect timed out
+     * @return whether the connect timed out and connecting is slow in every zone, so that the worker is not at fault
      */
     boolean recordConnect(TrackedWorker worker, boolean timedOut) {
         connectTimeouts.add(worker.zone, timedOut);
-        return timedOut && connectTimeouts.inEveryZone();
+        return timedOut && connectTimeouts.affectsEveryZone();
     }
 
-    /** A part failed at this worker, or was served: a failure of 1 or 0, or of a share of one. */
+    /**
+     * Adds a sample to a worker's failure rate.
+     *
+     * @param failure 1 for a failed part, 0 for an answered one, a fraction for a late one
+     */
     void recordFailure(TrackedWorker worker, double failure) {
         long gap = context.now() - Math.max(worker.lastAnsweredAt(), worker.failureRate.addedAt());
         worker.failureRate.add(context.now(), failure, estimator.sampleWeight((double) gap));
     }
 
     /**
-     * A worker broke a connection, could not be connected to, or rejected a part: it is ejected.
+     * Ejects a worker that broke a connection, could not be connected to, or rejected a part.
      *
-     * @param processLost whether its process seems to be gone
+     * @param processLost whether the worker's process seems to have ended
      */
     void recordUnreachable(TrackedWorker worker, AttemptEndReason reason, boolean processLost) {
         worker.unreachable = true;
@@ -52,13 +56,13 @@
         eject(worker, reason.name());
     }
 
-    /** A part goes to an ejected worker as a trial. */
+    /** Records that a part is sent to an ejected worker as a trial. */
     void recordTrial(TrackedWorker worker) {
         worker.halfOpenTrials++;
         eject(worker, "trial");
     }
 
-    /** A worker has answered: if it was ejected, it comes back. */
+    /** Reinstates a worker that has answered, if it was ejected. */
     void recover(TrackedWorker worker) {
         if (!worker.ejected) {
             return;
@@ -72,30 +76,34 @@
         worker.markReachable();
     }
 
-    /** Looks for silent workers, then for late parts. */
+    /** Ejects silent workers, then marks late parts. */
     void sweep() {
         workers.workers().forEach(this::checkSilence);
         boolean everythingSlow = isEverythingSlow();
         workers.workers().forEach(w -> markLateParts(w, everythingSlow));
     }
 
-    /** Whether so many parts are late, or so many connects time out, that no worker is to blame. */
+    /** Returns whether so many parts are late, or so many connects time out, that no single worker is at fault. */
     boolean isEverythingSlow() {
-        int healthy = 0;
-        int late = 0;
+        int healthyParts = 0;
+        int lateParts = 0;
         for (TrackedWorker worker : workers.workers()) {
             if (!worker.ejected) {
-                healthy += worker.inFlight.size();
+                healthyParts += worker.inFlight.size();
                 for (TrackedAttempt attempt : worker.inFlight) {
-                    late += attempt.late ? 1 : 0;
+                    lateParts += attempt.late ? 1 : 0;
                 }
             }
         }
-        return (late > TuningParameters.WIDESPREAD_LATE_SHARE * healthy
-                && late > TuningParameters.WIDESPREAD_LATE_MINIMUM) || connectTimeouts.inEveryZone();
+        return (lateParts > TuningParameters.WIDESPREAD_LATE_SHARE * healthyParts
+                && lateParts > TuningParameters.MIN_WIDESPREAD_LATE_PARTS) || connectTimeouts.affectsEveryZone();
     }
 
-    /** How long nothing has come since a worker's oldest part went out, over the time that makes it late. */
+    /**
+     * Returns how long a worker has been silent: the time since its last answer, or since the send of its oldest part
+     * in flight if that was later, divided by the time after which that part is late. Returns 0 if nothing is in
+     * flight.
+     */
     double silence(TrackedWorker worker) {
         if (worker.inFlight.isEmpty()) {
             return 0;
@@ -105,13 +113,13 @@
     }
 
     /**
-     * Ejects a worker that has answered nothing since its oldest part became late. A slow worker goes on answering
-     * other parts, so this seldom acts on plain overload. Where one long part is all that is in flight, the silence has
-     * to last {@link TuningParameters#LONE_PART_SILENCE_FACTOR} times as long. When wrong, the worker misses a few
-     * parts until its next answer or trial.
+     * Ejects a worker whose silence has lasted long enough to make its oldest part late. A slow worker continues to
+     * answer other parts, so this seldom ejects a worker that is merely overloaded. If a single part is in flight,
+     * which may be a long one, the silence must last {@link TuningParameters#SINGLE_PART_SILENCE_FACTOR} times as long.
+     * A worker ejected by mistake misses a few parts until its next answer or trial.
      */
     private void checkSilence(TrackedWorker worker) {
-        double bound = worker.inFlight.size() > 1 ? 1 : TuningParameters.LONE_PART_SILENCE_FACTOR;
+        double bound = worker.inFlight.size() > 1 ? 1 : TuningParameters.SINGLE_PART_SILENCE_FACTOR;
         if (!worker.ejected && silence(worker) >= bound) {
             eject(worker, "silence");
             idleConnections.recordSilence(worker.inFlight.iterator().next());
@@ -119,21 +127,21 @@
     }
 
     /**
-     * Marks late parts, which weigh on the worker's rank, and tells other gatherers of parts long in flight. A part of
-     * a second phase is late at half the time that is left to it.
+     * Marks late parts, which lower the worker's rank, and renews the gossip reports on parts that are in flight for
+     * long. A part of a second phase is late at the latest when half of its remaining time has passed.
      */
     private void markLateParts(TrackedWorker worker, boolean everythingSlow) {
         for (TrackedAttempt attempt : worker.inFlight) {
             TrackedQuery query = attempt.part.query;
             long age = context.now() - attempt.sentAt;
-            double half = query.phase == 2 ? (query.usefulUntil() - attempt.sentAt) / 2.0 : Double.MAX_VALUE;
-            boolean late = age > Math.min(half, estimator.lateAfter(attempt.part))
+            double halfTimeLeft = query.phase == 2 ? (query.usefulUntil() - attempt.sentAt) / 2.0 : Double.MAX_VALUE;
+            boolean isLate = age > Math.min(halfTimeLeft, estimator.lateAfter(attempt.part))
                     || (worker.ejected && context.now() < worker.halfOpenAt
                             && age > context.typicalLatency(query.classIndex));
-            if (late && !attempt.late && !everythingSlow && !attempt.part.finished) {
+            if (isLate && !attempt.late && !everythingSlow && !attempt.part.finished) {
                 recordFailure(worker, TuningParameters.LATE_FAILURE_WEIGHT);
             }
-            attempt.late |= late;
+            attempt.late |= isLate;
             gossip.renew(attempt);
         }
     }
@@ -145,9 +153,9 @@
         }
         double latencies = worker.unreachable ? TuningParameters.UNREACHABLE_EJECTION_LATENCIES
                 : TuningParameters.EJECTION_LATENCIES;
-        double wait = latencies * context.typicalLatency();
+        double trialDelay = latencies * context.typicalLatency();
         int doublings = Math.min(TuningParameters.MAX_EJECTION_DOUBLINGS, worker.halfOpenTrials);
-        worker.halfOpenAt = context.now() + (long) (wait * (1 << doublings));
+        worker.halfOpenAt = context.now() + (long) (trialDelay * (1 << doublings));
         gossip.announceEjection(worker);
     }
 }
--- a/src/main/java/wallmoor/decision/PeerReport.java
+++ b/src/main/java/wallmoor/decision/PeerReport.java
@@ -1,11 +1,11 @@
 package wallmoor.decision;
 
 /**
- * What another gatherer told of a worker by gossip.
+ * Another gatherer's gossip report on a worker.
  *
- * @param inFlight   its parts in flight there
- * @param ejected    whether it has ejected the worker
- * @param reportedAt when it told so
- * @param expiresAt  until when this is held to be true
+ * @param inFlight the gatherer's parts in flight at the worker
+ * @param ejected whether the gatherer has ejected the worker
+ * @param reportedAt when the report was received (microseconds)
+ * @param expiresAt when the report expires (microseconds)
  */
 record PeerReport(int inFlight, boolean ejected, long reportedAt, long expiresAt) {}
--- a/src/main/java/wallmoor/decision/PolicyContext.java
+++ b/src/main/java/wallmoor/decision/PolicyContext.java
@@ -5,25 +5,25 @@
 import java.util.Set;
 
 /**
- * What the modules of one policy share: the settings in force, the time of the event being handled, the random draws,
- * the actions, and the typical latency of each class. Times are microseconds of the caller's clock.
+ * The state shared by the modules of one policy: the settings in force, the time of the current event, the random
+ * draws, the actions, and the typical latency of each class. Times are microseconds of the caller's clock.
  */
 final class PolicyContext {
     final RoutingActions actions;
-    /** All draws of the policy, in the order of its decisions: equal seeds give equal actions. */
+    /** The source of all random draws, in the order of the policy's decisions: equal seeds give equal actions. */
     final Random random;
     final ClassLatencies latencies = new ClassLatencies();
     private RoutingSettings settings;
     private long now;
     private boolean stalled;
     private long stalledUntil;
-    /** The place of the first class in force: the latencies of workers are measured by its typical latency. */
-    private int leadingClass;
+    /** The index of the first class in force. Its typical latency is the unit of times that belong to no class. */
+    private int referenceClass;
 
     /**
-     * Holds the settings of the start.
+     * Creates the context with the settings of the start.
      *
-     * @throws InvalidSettingsException if they contradict themselves
+     * @throws InvalidSettingsException if the settings are out of range or contradict each other
      */
     PolicyContext(RoutingSettings settings, long seed, RoutingActions actions) {
         SettingsValidator.check(settings);
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Time goes on. A gatherer that was not woken when it should have been was itself stalled, and all that it finds
-     * then looks late: for half as long again it learns from no latency and blames no worker, as answers may lie
-     * unread.
+     * Sets the time of the current event, and detects a stall of this gatherer itself. If the sweep timer was due long
+     * ago, this process was not scheduled in time and every part in flight seems late. For half the length of the
+     * stall, no latency is recorded and no worker is ejected as silent, because answers may still be unread.
      *
-     * @param sweepPending whether a sweep's timer is running, by which a stall is told
+     * @param sweepPending whether the sweep timer is running; without it a long gap between events is no stall
      */
     void advance(long at, boolean sweepPending) {
         if (at == now) {
@@ -52,51 +52,55 @@
     }
 
     /**
-     * Puts new settings in force; what is bound to the start stays.
+     * Applies new settings, except for those that can't change after the start.
      *
-     * @param vanished places of classes that are no longer in force
-     * @throws InvalidSettingsException if they contradict themselves; nothing has changed then
+     * @param removedClasses indexes of classes that are no longer in force
+     * @throws InvalidSettingsException if the settings are out of range or contradict each other; then nothing has
+     * changed
      */
-    void reload(RoutingSettings next, Set<Integer> vanished) {
-        RoutingSettings changed = settings.reloadedWith(next);
+    void reload(RoutingSettings newSettings, Set<Integer> removedClasses) {
+        RoutingSettings changed = settings.reloadedWith(newSettings);
         SettingsValidator.check(changed);
         settings = changed;
         latencies.ensureClasses(settings.classes().size());
-        leadingClass = vanished.contains(leadingClass) ? settings.firstClassBut(vanished) : leadingClass;
+        referenceClass = removedClasses.contains(referenceClass) ? settings.firstClassExcept(removedClasses) : referenceClass;
     }
 
-    /** So many gatherers share the workers from now on, of which this is the one at this position, from 0. */
+    /** Sets the number of gatherers that share the workers, and this gatherer's position among them, from 0. */
     void setGatherers(int count, int position) {
-        settings = settings.amongGatherers(count, position);
+        settings = settings.withGatherers(count, position);
     }
 
     RoutingSettings settings() {
         return settings;
     }
 
-    /** The time of the event being handled. */
+    /** Returns the time of the event being handled. */
     long now() {
         return now;
     }
 
-    /** Whether this gatherer was stalled lately, so that what it measures says nothing of others. */
-    boolean stalled() {
+    /** Returns whether this gatherer was stalled recently, so that its measurements don't apply to workers. */
+    boolean isStalled() {
         return stalled;
     }
 
-    /** What a part of this class usually takes, by all workers; a guess before any is known. */
+    /**
+     * Returns the average latency of this class's parts at all workers (microseconds), or an estimate before the first
+     * answer.
+     */
     double typicalLatency(int classIndex) {
-        double guess = TuningParameters.INITIAL_LATENCY_OBJECTIVE_SHARE
+        double estimate = TuningParameters.INITIAL_LATENCY_OBJECTIVE_SHARE
                 * settings.classes().get(classIndex).latencyObjective();
-        return latencies.partLatency(classIndex).orElse(guess);
+        return latencies.partLatency(classIndex).orElse(estimate);
     }
 
-    /** What a part of the first class in force usually takes: the unit of times that belong to no class. */
+    /** Returns the typical part latency of the first class in force, the unit of times that belong to no class. */
     double typicalLatency() {
-        return typicalLatency(leadingClass);
+        return typicalLatency(referenceClass);
     }
 
-    /** A factor around one, drawn at most so much to either side. */
+    /** Returns a random factor between {@code 1 - spread} and {@code 1 + spread}. */
     double jitter(double spread) {
         return 1 - spread + 2 * spread * random.nextDouble();
     }
--- a/src/main/java/wallmoor/decision/QueryCompletion.java
+++ b/src/main/java/wallmoor/decision/QueryCompletion.java
@@ -2,7 +2,10 @@
 
 import java.util.ArrayList;
 
-/** Ends queries: the final answer, the rejection with its Retry-After, or the failure, and what is let go with it. */
+/**
+ * Ends queries with a final answer, a rejection with its Retry-After, or a failure, and cancels their remaining
+ * attempts.
+ */
 final class QueryCompletion {
     private final PolicyContext context;
     private final RequestTable requests;
@@ -16,10 +19,14 @@
         this.sender = sender;
     }
 
-    /** Ends a query whose time or use is over; whether it did. */
+    /**
+     * Ends a query that has reached its deadline or can no longer earn anything.
+     *
+     * @return whether the query was ended
+     */
     boolean endIfTimeIsUp(TrackedQuery query) {
-        long left = query.arrival.deadline() - context.now();
-        if (left > 2L * TuningParameters.SWEEP_ROUNDS * context.settings().roundInterval()
+        long timeLeft = query.arrival.deadline() - context.now();
+        if (timeLeft > 2L * TuningParameters.SWEEP_ROUNDS * context.settings().roundInterval()
                 && context.now() < query.usefulUntil()) {
             return false;
         }
@@ -34,33 +41,38 @@
         return true;
     }
 
-    /** Answers a phase of a query from the parts that are in. A first phase with a follow-up starts the second. */
+    /**
+     * Answers a phase of a query from the parts that have been answered. Starts the second phase if the class has one.
+     */
     void answer(TrackedQuery query, boolean complete) {
         context.actions.answer(query.arrival.id(), complete);
-        int followUp = query.queryClass.followUpParts();
-        if (query.phase == 1 && followUp > 0) {
+        int followUpParts = query.queryClass.followUpParts();
+        if (query.phase == 1 && followUpParts > 0) {
             query.firstPhaseComplete = complete;
-            query.expectedParts = (int) Math.min(followUp, query.parts.stream().filter(p -> p.answered).count());
-            letGo(query);
+            query.expectedParts = (int) Math.min(followUpParts, query.parts.stream().filter(p -> p.answered).count());
+            finishParts(query);
             query.parts = new ArrayList<>();
             query.phase = 2;
             query.started = false;
             return;
         }
-        long took = context.now() - query.arrivedAt;
-        if (query.predictedPartTime > 0 && !context.stalled()) {
-            context.latencies.queryStretch(query.classIndex)
-                    .add(Math.min(TuningParameters.MAX_QUERY_STRETCH, took / query.predictedPartTime));
+        long elapsed = context.now() - query.arrivedAt;
+        if (query.predictedPartTime > 0 && !context.isStalled()) {
+            context.latencies.queryLatencyRatio(query.classIndex)
+                    .add(Math.min(TuningParameters.MAX_QUERY_LATENCY_RATIO, elapsed / query.predictedPartTime));
         }
-        close(query, took <= query.latencyObjective());
+        close(query, elapsed <= query.latencyObjective());
     }
 
-    /** The final answer to a query that is given up, at once: a rejection where the rules let it be one. */
+    /**
+     * Ends a query without an answer: with a rejection if no part may have been executed or a second execution is
+     * harmless, else with a failure.
+     */
     void giveUp(TrackedQuery query) {
-        if (query.started && query.predictedPartTime > 0 && !context.stalled()) {
-            MovingAverage stretch = context.latencies.queryStretch(query.classIndex);
-            double soFar = (context.now() - query.arrivedAt) / query.predictedPartTime;
-            stretch.add(Math.min(TuningParameters.MAX_QUERY_STRETCH, Math.max(soFar, stretch.orElse(0))));
+        if (query.started && query.predictedPartTime > 0 && !context.isStalled()) {
+            MovingAverage latencyRatio = context.latencies.queryLatencyRatio(query.classIndex);
+            double ratioSoFar = (context.now() - query.arrivedAt) / query.predictedPartTime;
+            latencyRatio.add(Math.min(TuningParameters.MAX_QUERY_LATENCY_RATIO, Math.max(ratioSoFar, latencyRatio.orElse(0))));
         }
         if (query.queryClass.idempotency() != Idempotency.IDEMPOTENT && query.mayHaveExecuted()) {
             context.actions.fail(query.arrival.id());
@@ -70,21 +82,21 @@
         close(query, false);
     }
 
-    /** Closes a query that has had its final answer, or needs none as its client has left. */
+    /** Removes a query that has had its final answer, or needs none because its client has disconnected. */
     void close(TrackedQuery query, boolean inTime) {
         admission.recordEnd(query, inTime);
         requests.remove(query);
-        letGo(query);
+        finishParts(query);
     }
 
     private long retryAfter(TrackedQuery query) {
         PlatformLimits limits = context.settings().limits();
-        double longest = limits.retryAfter() ? limits.maxRetryAfter() : 0;
-        return (long) Math.min(longest, TuningParameters.RETRY_AFTER_OBJECTIVE_SHARE
+        double maxRetryAfter = limits.retryAfter() ? limits.maxRetryAfter() : 0;
+        return (long) Math.min(maxRetryAfter, TuningParameters.RETRY_AFTER_OBJECTIVE_SHARE
                 * query.queryClass.latencyObjective() * context.jitter(TuningParameters.RETRY_AFTER_JITTER));
     }
 
-    private void letGo(TrackedQuery query) {
+    private void finishParts(TrackedQuery query) {
         for (TrackedPart part : query.parts) {
             part.finished = true;
             part.inFlight.values().forEach(sender::cancel);
--- a/src/main/java/wallmoor/decision/QueryReplenisher.java
+++ b/src/main/java/wallmoor/decision/QueryReplenisher.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Keeps the timely attempts of a query up to what it needs: parts not sent yet come first, then retries of failed
- * parts, and hedged requests for late ones.
+ * Keeps enough attempts of a query in flight for a complete answer: parts not sent yet come first, then retries of
+ * failed parts and hedged requests for late ones.
  */
 final class QueryReplenisher {
     private final PolicyContext context;
@@ -27,23 +27,23 @@
     }
 
     /**
-     * Sends what a query lacks.
+     * Sends the attempts that a query needs in addition to its timely ones.
      *
      * @return whether the query can still get an answer
      */
     boolean replenish(TrackedQuery query) {
-        List<TrackedPart> untimely = new ArrayList<>();
+        List<TrackedPart> failedOrLate = new ArrayList<>();
         List<TrackedPart> unsent = new ArrayList<>();
         double weight = query.answeredWeight();
         for (TrackedPart part : query.parts) {
             if (part.hasTimelyAttempt()) {
                 weight += part.weight;
             } else if (!part.answered) {
-                (part.attemptCount == 0 ? unsent : untimely).add(part);
+                (part.attemptCount == 0 ? unsent : failedOrLate).add(part);
             }
         }
-        query.scouting &= query.answeredWeight() == 0;
-        double needed = query.scouting ? TuningParameters.WEIGHT_TOLERANCE
+        query.awaitingCanary &= query.answeredWeight() == 0;
+        double needed = query.awaitingCanary ? TuningParameters.WEIGHT_TOLERANCE
                 : query.completeShare() - TuningParameters.WEIGHT_TOLERANCE;
         if (weight >= needed) {
             return true;
@@ -53,19 +53,20 @@
                 weight += part.weight;
             }
         }
-        for (TrackedPart part : untimely) {
+        for (TrackedPart part : failedOrLate) {
             if (weight < needed && retry(part)) {
                 weight += part.weight;
             }
         }
-        boolean hopeless = attainableWeight(query) < query.queryClass.minimumShare()
+        boolean isUnattainable = attainableWeight(query) < query.queryClass.minimumShare()
                 - TuningParameters.WEIGHT_TOLERANCE;
-        return !hopeless;
+        return !isUnattainable;
     }
 
     /**
-     * The weight of the parts that have been answered or still may be. A loop, as the classes of a stream would be made
-     * at the first failure of each start; these statistics sum with the same compensation for rounding.
+     * Returns the weight of the parts that have been answered or still may be. This is a loop because a stream would
+     * load its classes at the first failure after each start; the statistics object sums with the same compensation for
+     * rounding errors as a stream.
      */
     private double attainableWeight(TrackedQuery query) {
         var weights = new DoubleSummaryStatistics();
@@ -79,19 +80,19 @@
     }
 
     /**
-     * A further attempt for a part that failed or is late. If everything is slow, late parts just wait.
+     * Sends a further attempt of a part that failed or is late. While all workers are slow, late parts just wait.
      *
-     * @return whether the part has or will have a timely attempt
+     * @return whether the part has a timely attempt or will get one
      */
     private boolean retry(TrackedPart part) {
         if (part.inFlight.isEmpty()) {
             return sender.send(part, false) != null;
         }
-        if (part.inFlight.values().stream().anyMatch(a -> a.cancelled)) {
+        if (part.inFlight.values().stream().anyMatch(attempt -> attempt.cancelled)) {
             return true;
         }
         boolean workersSilent = part.inFlight.values().stream()
-                .allMatch(a -> a.worker.ejected || outliers.silence(a.worker) >= 1);
+                .allMatch(attempt -> attempt.worker.ejected || outliers.silence(attempt.worker) >= 1);
         TrackedWorker other = selector.choose(part);
         if (!isBetterElsewhere(part, other) || (!workersSilent && outliers.isEverythingSlow())
                 || context.now() >= retryPolicy.retryUntil(part)) {
@@ -105,14 +106,17 @@
 
     private boolean isBetterElsewhere(TrackedPart part, TrackedWorker other) {
         return other != null && !part.triedWorkers.contains(other) && !other.ejected
-                && other.failureRate.rate(context.now()) <= TuningParameters.FAILING_RATE;
+                && other.failureRate.rate(context.now()) <= TuningParameters.MAX_HEDGE_TARGET_FAILURE_RATE;
     }
 
-    /** Where no more attempts may be in flight, cancels the oldest if its end will allow a retry. */
+    /**
+     * Cancels the oldest attempt of a part if no further attempt may run in parallel and a retry is allowed after its
+     * end.
+     */
     private boolean cancelForRetry(TrackedPart part) {
         PlatformLimits limits = context.settings().limits();
-        boolean full = part.inFlight.size() > (limits.parallelAttempts() ? 1 : 0);
-        if (!full || !limits.cancellation() || part.attemptCount >= limits.maxAttempts()
+        boolean isAtParallelLimit = part.inFlight.size() > (limits.parallelAttempts() ? 1 : 0);
+        if (!isAtParallelLimit || !limits.cancellation() || part.attemptCount >= limits.maxAttempts()
                 || !retryBudget.allowsRetry()) {
             return false;
         }
--- a/src/main/java/wallmoor/decision/ReplicaSelector.java
+++ b/src/main/java/wallmoor/decision/ReplicaSelector.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Chooses the replica for a part: the one with the least latency times parts in flight, among those that may be sent
- * to. Avoided workers come late, ejected ones last.
+ * Chooses the replica for a part: the worker with the lowest product of latency and parts in flight, among those that
+ * may get parts. Workers to avoid rank after the others, and ejected ones last.
  */
 final class ReplicaSelector {
     private final PolicyContext context;
@@ -21,24 +21,29 @@
         this.slowStart = slowStart;
     }
 
-    /** The best worker for a part that has not been tried for it, else the best one; null if none may be sent to. */
+    /**
+     * Returns the best worker for a part, preferring those that have not been tried for it; null if none may get parts.
+     */
     TrackedWorker choose(TrackedPart part) {
         return choose(part, part.triedWorkers);
     }
 
-    /** The best worker for a part, those to avoid after all others; null if none may be sent to. Ties are drawn. */
+    /**
+     * Returns the best worker for a part, those to avoid after all others; null if none may get parts. Ties are broken
+     * at random.
+     */
     TrackedWorker choose(TrackedPart part, List<TrackedWorker> avoid) {
         TrackedWorker best = null;
         double bestRank = 0;
-        // what may be executed once only is no trial
-        boolean once = part.query.queryClass.idempotency() == Idempotency.NOT_IDEMPOTENT;
+        // a part that must not be executed twice is not used as a trial of an ejected worker
+        boolean isExecutedOnce = part.query.queryClass.idempotency() == Idempotency.NOT_IDEMPOTENT;
         for (TrackedWorker worker : workers.holders(part.shard)) {
             if (!mayBeSentTo(worker)) {
                 continue;
             }
-            boolean last = worker.ejected && (context.now() < worker.halfOpenAt || once);
+            boolean isLastResort = worker.ejected && (context.now() < worker.halfOpenAt || isExecutedOnce);
             double rank = rank(worker, part) * (avoid.contains(worker) ? TuningParameters.AVOIDED_RANK_FACTOR : 1)
-                    * (last ? TuningParameters.AVOIDED_RANK_FACTOR * TuningParameters.AVOIDED_RANK_FACTOR : 1);
+                    * (isLastResort ? TuningParameters.AVOIDED_RANK_FACTOR * TuningParameters.AVOIDED_RANK_FACTOR : 1);
             if (best == null || rank < bestRank || (rank == bestRank && context.random.nextBoolean())) {
                 best = worker;
                 bestRank = rank;
@@ -47,7 +52,7 @@
         return best;
     }
 
-    /** The parts by the rank of their best workers, best first. */
+    /** Returns the parts by the rank of their best workers, best first. */
     List<TrackedPart> ranked(List<TrackedPart> parts) {
         Map<TrackedPart, Double> ranks = new LinkedHashMap<>();
         for (TrackedPart part : parts) {
@@ -57,15 +62,18 @@
         return parts.stream().sorted((a, b) -> ranks.get(a).compareTo(ranks.get(b))).toList();
     }
 
-    /** The design's rule: least smoothed latency times own parts in flight plus one; lower is better. */
+    /**
+     * Returns a worker's rank for a part, lower is better: smoothed latency times parts in flight plus one, as in the
+     * design, adjusted for slow start, failures, other gatherers' ejections, and the zone.
+     */
     private double rank(TrackedWorker worker, TrackedPart part) {
         QueryClass queryClass = part.query.queryClass;
         double rank = estimator.latency(worker, part.query.classIndex) * (worker.totalInFlight(context.now()) + 1)
-                / slowStart.warmth(worker);
+                / slowStart.capacityShare(worker);
         double failures = worker.failureRate.expectedFailures(context.now());
         rank *= 1 + TuningParameters.FAILURE_RANK_LATENCIES * failures;
         if (queryClass.idempotency() == Idempotency.NOT_IDEMPOTENT) {
-            rank += failures * queryClass.latencyObjective(); // one failure there is its query's end
+            rank += failures * queryClass.latencyObjective(); // a single failure ends the query
         }
         if (!worker.peerReports.isEmpty()) {
             rank *= Math.pow(1 + TuningParameters.FAILURE_RANK_LATENCIES,
@@ -77,8 +85,9 @@
     }
 
     /**
-     * Neither draining nor removed (sooner than the grace asks), reachable unless for a trial, and within the allowance
-     * of slow start. A shard with no reachable replica is rejected at once, not worn out by retries.
+     * Returns whether a worker may get parts: it is neither draining nor removed (which is stricter than the drain
+     * grace), reachable or due for a trial, and within the allowance of slow start. A query for a shard without such a
+     * worker is rejected at once instead of being retried.
      */
     private boolean mayBeSentTo(TrackedWorker worker) {
         if (worker.status != WorkerStatus.UP || (worker.unreachable && context.now() < worker.halfOpenAt)) {
--- a/src/main/java/wallmoor/decision/RequestTable.java
+++ b/src/main/java/wallmoor/decision/RequestTable.java
@@ -4,38 +4,38 @@
 import java.util.List;
 import java.util.Map;
 
-/** The queries that this gatherer still owes an answer, and the parts of which an attempt may still end. */
+/** The open queries of this gatherer, and the parts with attempts that have not ended. */
 final class RequestTable {
     private final Map<String, TrackedQuery> queries = new LinkedHashMap<>();
     private final Map<Long, TrackedQuery> byNumber = new LinkedHashMap<>();
     private final Map<String, TrackedPart> parts = new LinkedHashMap<>();
 
-    /** Takes in a query. */
+    /** Adds a query. */
     void add(TrackedQuery query) {
         queries.put(query.arrival.id(), query);
         byNumber.put(query.arrival.number(), query);
     }
 
-    /** Takes in a part, and gives it to its query. */
+    /** Adds a part to this table and to its query. */
     void add(TrackedPart part) {
         part.query.parts.add(part);
         parts.put(part.id, part);
     }
 
-    /** Drops a query; its parts stay until they are unused. */
+    /** Removes a query; its parts stay until they have no attempt in flight. */
     void remove(TrackedQuery query) {
         queries.remove(query.arrival.id());
         byNumber.remove(query.arrival.number());
     }
 
-    /** Drops a part unless an attempt of it is in flight. */
+    /** Removes a part unless an attempt of it is in flight. */
     void removeIfUnused(TrackedPart part) {
         if (part.inFlight.isEmpty()) {
             parts.remove(part.id);
         }
     }
 
-    /** The open queries of this moment, in the order of their arrival. */
+    /** Returns a copy of the open queries, in the order of their arrival. */
     List<TrackedQuery> queries() {
         return List.copyOf(queries.values());
     }
@@ -44,31 +44,31 @@
         return queries.isEmpty();
     }
 
-    /** Whether more queries and parts are held than the settings allow. */
+    /** Returns whether the number of open queries and their parts exceeds the limit in the settings. */
     boolean isFull(RoutingSettings settings) {
-        int held = queries.size();
+        int count = queries.size();
         for (TrackedQuery query : queries.values()) {
-            held += query.parts.size();
+            count += query.parts.size();
         }
-        return held > settings.limits().maxInFlight();
+        return count > settings.limits().maxInFlight();
     }
 
-    /** Whether this query is still open. */
+    /** Returns whether this query is still open. */
     boolean contains(TrackedQuery query) {
         return queries.get(query.arrival.id()) == query;
     }
 
-    /** The open query of this id, or null. */
+    /** Returns the open query with this id, or null. */
     TrackedQuery query(String id) {
         return queries.get(id);
     }
 
-    /** The open query of this number, or null. */
+    /** Returns the open query with this number, or null. */
     TrackedQuery query(long number) {
         return byNumber.get(number);
     }
 
-    /** The part of this id, or null. */
+    /** Returns the part with this id, or null. */
     TrackedPart part(String id) {
         return parts.get(id);
     }
--- a/src/main/java/wallmoor/decision/RetryBudget.java
+++ b/src/main/java/wallmoor/decision/RetryBudget.java
@@ -1,13 +1,18 @@
 package wallmoor.decision;
 
 /**
- * The retry budget: retries within a window stay below a minimum and a share of what arrived within the same window.
+ * The retry budget: the retries within a window stay below a minimum plus a share of the queries and parts that arrived
+ * within that window.
  */
 final class RetryBudget {
     private final PolicyContext context;
-    /** Queries and parts that arrived. Counted a round short, so that what the platform counts is never less. */
+    /**
+     * Queries and parts that arrived. The window is one round shorter, so that this count never exceeds the platform's.
+     */
     private final SlidingWindowSum arrivals;
-    /** Retries and hedged requests. Counted a round longer, for the same reason. */
+    /**
+     * Retries and hedged requests. The window is one round longer, so that this count is never below the platform's.
+     */
     private final SlidingWindowSum retries;
 
     RetryBudget(PolicyContext context) {
@@ -18,17 +23,17 @@
         retries = new SlidingWindowSum(window + settings.roundInterval());
     }
 
-    /** A query or a part has arrived. */
+    /** Records the arrival of a query or a part. */
     void recordArrival() {
         arrivals.add(context.now(), 1);
     }
 
-    /** A retry or a hedged request goes out. */
+    /** Records that a retry or a hedged request is sent. */
     void recordRetry() {
         retries.add(context.now(), 1);
     }
 
-    /** Whether one more retry is within the budget, or there is none. */
+    /** Returns whether one more retry is within the budget, or there is no budget. */
     boolean allowsRetry() {
         PlatformRules rules = context.settings().rules();
         return rules.retryBudgetWindow() <= 0 || retries.sum(context.now()) + 1 <= rules.retryBudgetMinimum()
--- a/src/main/java/wallmoor/decision/RetryPolicy.java
+++ b/src/main/java/wallmoor/decision/RetryPolicy.java
@@ -1,9 +1,9 @@
 package wallmoor.decision;
 
 /**
- * Whether a part may be sent, and sent again: the limit on attempts, the time that is left, and what a second execution
- * does. A part that is not idempotent goes again only while no attempt may have been executed; one with an idempotency
- * key only within the store's deduplication window.
+ * Decides whether a part may be sent, or sent again, by the limit on attempts, the time left, and the effect of a
+ * second execution. A part that is not idempotent is sent again only while no attempt may have been executed; a part
+ * with an idempotency key only within the store's deduplication window.
  */
 final class RetryPolicy {
     private final PolicyContext context;
@@ -12,13 +12,19 @@
         this.context = context;
     }
 
-    /** Whether an attempt for this part is allowed and in time, were none in flight and the retry budget open. */
+    /**
+     * Returns whether a further attempt of this part is allowed and in time, apart from attempts in flight and the
+     * retry budget.
+     */
     boolean mayAttempt(TrackedPart part) {
         return !part.finished && part.attemptCount < context.settings().limits().maxAttempts()
                 && hasTimeFor(part.query) && (part.attemptCount == 0 || context.now() < retryUntil(part));
     }
 
-    /** Until when a part may be sent again, counted from the send of the first attempt that may have been executed. */
+    /**
+     * Returns until when a part may be sent again (microseconds), counted from the send of the first attempt that may
+     * have been executed.
+     */
     long retryUntil(TrackedPart part) {
         QueryClass queryClass = part.query.queryClass;
         if (queryClass.idempotency() == Idempotency.IDEMPOTENT || !part.mayHaveExecuted()) {
@@ -32,16 +38,17 @@
     }
 
     /**
-     * Within what time an attempt has to begin: with an idempotency key within the deduplication window, the first
-     * attempt too if a second one may overtake it. {@link Long#MAX_VALUE} where nothing bounds it.
+     * Returns the time from now within which an attempt must start: for a part with an idempotency key, within the
+     * deduplication window. This also holds for a first attempt that a parallel attempt may overtake. Returns {@link
+     * Long#MAX_VALUE} if there is no such bound.
      */
-    long beginWithin(TrackedPart part) {
-        boolean bound = part.query.queryClass.idempotency() == Idempotency.WITH_KEY
+    long maxStartDelay(TrackedPart part) {
+        boolean isBounded = part.query.queryClass.idempotency() == Idempotency.WITH_KEY
                 && (part.possiblyExecuted.size() > 1 || context.settings().limits().parallelAttempts());
-        return bound ? retryUntil(part) - context.now() : Long.MAX_VALUE;
+        return isBounded ? retryUntil(part) - context.now() : Long.MAX_VALUE;
     }
 
-    /** Whether there is time for an answer that earns anything. */
+    /** Returns whether there is time for an answer that earns anything. */
     private boolean hasTimeFor(TrackedQuery query) {
         return query.usefulUntil() - context.now() > TuningParameters.MIN_LATENCIES_LEFT
                 * context.typicalLatency(query.classIndex);
--- a/src/main/java/wallmoor/decision/RoutingActions.java
+++ b/src/main/java/wallmoor/decision/RoutingActions.java
@@ -1,41 +1,44 @@
 package wallmoor.decision;
 
-/** What a {@link RoutingPolicy} may do. Each call takes effect at the time of the event being handled. */
+/** The actions of a {@link RoutingPolicy}. Each call takes effect at the time of the event being handled. */
 public interface RoutingActions {
     /**
      * Starts an attempt; attempts of a part are numbered from 0 in the order of these calls.
      *
-     * @param giveUpAfter it ends as a time-out this long from now (microseconds)
-     * @param beginWithin its first byte goes out sooner than this from now (microseconds), or never
-     *                    ({@link AttemptEndReason#NOT_STARTED}); {@link Long#MAX_VALUE} where nothing but
-     *                    {@code giveUpAfter} bounds it
+     * @param timeout time from now after which the attempt ends as a timeout (microseconds)
+     * @param maxStartDelay time from now within which the first byte must be sent (microseconds), else the attempt ends
+     * as {@link AttemptEndReason#NOT_STARTED}; {@link Long#MAX_VALUE} if only {@code timeout} bounds it
      */
-    void startAttempt(String part, String worker, long giveUpAfter, long beginWithin);
+    void startAttempt(String part, String worker, long timeout, long maxStartDelay);
 
-    /** Stops waiting for an attempt. */
+    /** Cancels an attempt. */
     void cancelAttempt(String part, int attempt);
 
     /** Answers a query from the parts that have been answered. */
     void answer(String query, boolean complete);
 
-    /** Final: load is shed, and it is harmless to repeat the query {@code retryAfter} microseconds from now. */
+    /**
+     * Ends a query with a rejection: load is shed, and the client may safely repeat the query.
+     *
+     * @param retryAfter time from now after which the client may repeat it (microseconds)
+     */
     void reject(String query, long retryAfter);
 
-    /** Final: the query failed, and parts of it may have been executed. */
+    /** Ends a query with a failure: parts of it may have been executed. */
     void fail(String query);
 
-    /** Asks for {@link RoutingPolicy#onTimer} with this token, {@code delay} microseconds from now. */
+    /** Schedules a call of {@link RoutingPolicy#onTimer} with this token, {@code delay} microseconds from now. */
     void scheduleTimer(long delay, String token);
 
     /** Closes this gatherer's idle connections to a worker. */
     void closeIdleConnections(String worker);
 
-    /** Sends bytes to all other gatherers (see {@link GossipMessage}). */
+    /** Sends a message to all other gatherers (see {@link GossipMessage}). */
     void broadcast(byte[] message);
 
-    /** Asks discovery for the list of workers and for its changes from then on. */
+    /** Requests the worker list from discovery, and its changes from then on. */
     void watchWorkerList();
 
-    /** Writes a line for the operators. */
+    /** Writes a log line for the operators. */
     void log(String line);
 }
--- a/src/main/java/wallmoor/decision/RoutingPolicy.java
+++ b/src/main/java/wallmoor/decision/RoutingPolicy.java
@@ -6,12 +6,12 @@
 
 /**
  * The routing policy of one gatherer: an event-driven state machine that decides which part of a query goes to which
- * worker, when it is sent again, and how the query ends (docs/design.md). It takes events with their time, in
- * microseconds of the caller's clock, and returns {@link RoutingActions}. Single-threaded, with no clock and no input
- * or output of its own: equal events after an equal start give equal actions.
+ * worker, when it is sent again, and how the query ends (docs/design.md). It receives events with their time, in
+ * microseconds of the caller's clock, and responds with {@link RoutingActions}. It is single-threaded and has no clock
+ * and no I/O: equal events after an equal start give equal actions.
  *
- * <p>This class dispatches the events; each concern has a module of its own, which it puts together. Events of one
- * moment are followed by {@link #onRoundEnd}, which decides the queries that they touched.
+ * <p>This class dispatches events to the modules and connects these with each other. After all events of one moment,
+ * {@link #onRoundEnd} decides on the queries that they affect.
  */
 public final class RoutingPolicy {
     private static final String SWEEP_TIMER = "sweep";
@@ -34,17 +34,20 @@
     private final QueryCompletion completion;
     private final WorkerListPolling polling;
     private final MovingAverage meanWorkHint = new MovingAverage(TuningParameters.FLEET_SAMPLE_WEIGHT);
-    /** Queries that an event of this round touched: a busy gatherer has no time for others before a sweep. */
-    private final Set<TrackedQuery> touched = new LinkedHashSet<>();
-    /** The sweep's timer is running. */
+    /**
+     * The queries affected by events of this round. Other queries wait for the next sweep, because a busy gatherer has
+     * no time to decide on all of them at each event.
+     */
+    private final Set<TrackedQuery> queriesToDecide = new LinkedHashSet<>();
+    /** Whether the sweep timer is running. */
     private boolean sweepPending;
     private boolean sweepDue;
 
     /**
-     * Makes the policy of one gatherer.
+     * Creates the policy of one gatherer.
      *
-     * @param seed of its random draws
-     * @throws InvalidSettingsException if the settings contradict themselves
+     * @param seed the seed of its random draws
+     * @throws InvalidSettingsException if the settings are out of range or contradict each other
      */
     public RoutingPolicy(RoutingSettings settings, long seed, RoutingActions actions) {
         context = new PolicyContext(settings, seed, actions);
@@ -70,48 +73,50 @@
         completion = new QueryCompletion(context, requests, admission, sender);
     }
 
-    // ---- the gatherer ----
+    // ---- lifecycle, settings and workers ----
 
-    /** The gatherer starts; a cached list of workers follows. */
+    /** Starts the policy; a cached worker list follows. */
     public void onStart(long at) {
         advance(at);
         slowStart.start();
         polling.start();
     }
 
-    /** So many gatherers share the workers from now on, and this is this one's position among them, from 0. */
+    /** Sets the number of gatherers that share the workers, and this gatherer's position among them, from 0. */
     public void onGatherersChanged(int count, int position) {
         context.setGatherers(count, position);
     }
 
     /**
-     * Takes new settings; what is bound to the start stays. A class keeps its place; one that vanished takes no query.
+     * Applies new settings, except for those that can't change after the start. A class keeps its index; a removed
+     * class takes no further queries.
      *
-     * @throws InvalidSettingsException if the settings contradict themselves; nothing has changed then
+     * @throws InvalidSettingsException if the settings are out of range or contradict each other; then nothing has
+     * changed
      */
-    public void onSettingsChanged(long at, RoutingSettings next, Set<Integer> vanished) {
+    public void onSettingsChanged(long at, RoutingSettings newSettings, Set<Integer> removedClasses) {
         advance(at);
-        context.reload(next, vanished);
-        admission.reload(next, vanished);
+        context.reload(newSettings, removedClasses);
+        admission.reload(newSettings, removedClasses);
     }
 
-    /** How many workers are ejected though the list has them up. */
+    /** Returns the number of workers that are ejected although the worker list has them as up. */
     public long ejectedWorkers() {
         return workers.workers().stream().filter(w -> w.status == WorkerStatus.UP && w.ejected).count();
     }
 
-    /** A timer of {@link RoutingActions#scheduleTimer} is due. */
+    /** Handles the expiry of a timer set by {@link RoutingActions#scheduleTimer}. */
     public void onTimer(long at, String token) {
         advance(at);
         if (token.equals(SWEEP_TIMER)) {
             sweepPending = false;
             sweepDue = true;
-        } else if (token.equals(WorkerListPolling.TIMER)) {
+        } else if (token.equals(WorkerListPolling.TIMER_TOKEN)) {
             polling.onTimer();
         }
     }
 
-    /** Another gatherer, known by its position, has sent a message. */
+    /** Handles a message from another gatherer, identified by its position. */
     public void onPeerMessage(long at, int from, byte[] message) {
         advance(at);
         if (from < 0 || from >= context.settings().gatherers()) {
@@ -124,7 +129,7 @@
         gossip.receive(from, message);
     }
 
-    /** Discovery tells of the list of workers. */
+    /** Handles an event about the worker list. */
     public void onWorkerList(long at, WorkerListKind kind, List<WorkerListEntry> entries) {
         advance(at);
         switch (kind) {
@@ -139,7 +144,7 @@
             case CHANGES -> polling.recordWatchEvent();
             case CACHED -> workers.retainOnly(entries);
             case ADDITIONAL -> {
-                // tells nothing of the watch
+                // says nothing about the watch
             }
         }
         for (WorkerListEntry entry : entries) {
@@ -149,7 +154,7 @@
 
     // ---- queries ----
 
-    /** A query has arrived; its parts follow at the same time. */
+    /** Handles the arrival of a query; its parts follow at the same time. */
     public void onQueryArrived(long at, QueryArrived arrival) {
         advance(at);
         retryBudget.recordArrival();
@@ -159,18 +164,18 @@
         double weightFactor = quotas.recordQuery(arrival.tenant());
         long now = context.now();
         long clientStartedAt = context.latencies.clientStartTime(now, arrival, classIndex, settings);
-        boolean late = clientStartedAt + queryClass.latencyObjective() - now < context.typicalLatency(classIndex);
-        if (queryClass.lateValueShare() > 0 && late) {
+        boolean isLate = clientStartedAt + queryClass.latencyObjective() - now < context.typicalLatency(classIndex);
+        if (queryClass.lateValueShare() > 0 && isLate) {
             weightFactor *= queryClass.lateValueShare();
             clientStartedAt = now;
         }
         var query = new TrackedQuery(arrival, classIndex, queryClass, now, weightFactor, clientStartedAt);
         requests.add(query);
-        touched.add(query);
+        queriesToDecide.add(query);
         scheduleSweep();
     }
 
-    /** A part of a query has arrived, of its first phase or its second. */
+    /** Handles the arrival of a part of a query, in its first phase or its second. */
     public void onPartArrived(long at, PartArrived arrival) {
         advance(at);
         retryBudget.recordArrival();
@@ -184,10 +189,10 @@
             workScale = arrival.workHint() / meanWorkHint.orElse((double) arrival.workHint());
         }
         requests.add(new TrackedPart(arrival.id(), query, arrival.shard(), arrival.weight(), workScale));
-        touched.add(query);
+        queriesToDecide.add(query);
     }
 
-    /** An attempt has ended. */
+    /** Handles the end of an attempt. */
     public void onAttemptEnded(long at, AttemptEnded end) {
         advance(at);
         TrackedPart part = requests.part(end.part());
@@ -200,18 +205,18 @@
             requests.removeIfUnused(part);
             return;
         }
-        touched.add(part.query);
+        queriesToDecide.add(part.query);
         if (end.reason() == AttemptEndReason.RESET) {
             quarantine.recordReset(part.query, attempt.worker, end.duration());
         }
         part.answered = end.reason() == AttemptEndReason.OK;
-        part.finished = part.answered || end.partOver();
+        part.finished = part.answered || end.partFinished();
         if (part.answered) {
             part.inFlight.values().forEach(sender::cancel);
         }
     }
 
-    /** What the end of an attempt tells of its worker, whether its part is still wanted or not. */
+    /** Updates the worker's state at the end of an attempt, also if its part is already finished. */
     private void recordEnd(TrackedAttempt attempt, AttemptEnded end) {
         TrackedWorker worker = attempt.worker;
         worker.inFlight.remove(attempt);
@@ -230,7 +235,7 @@
         }
     }
 
-    /** The client of a query has left. */
+    /** Handles the disconnection of a query's client. */
     public void onClientDisconnected(long at, String id) {
         advance(at);
         TrackedQuery query = requests.query(id);
@@ -241,21 +246,23 @@
 
     // ---- decisions ----
 
-    /** All events of this moment are in: decides the queries that they touched, or, when a sweep is due, all. */
+    /**
+     * Ends a round: decides on the queries affected by the events of this moment, or on all queries if a sweep is due.
+     */
     public void onRoundEnd(long at) {
         advance(at);
         if (sweepDue) {
             sweepDue = false;
-            if (!context.stalled()) {
+            if (!context.isStalled()) {
                 outliers.sweep();
             }
             slowStart.updateWarmWorkers(workers);
-            touched.clear();
+            queriesToDecide.clear();
             requests.queries().forEach(this::decide);
         } else {
-            List.copyOf(touched).stream().filter(requests::contains).forEach(this::decide);
+            List.copyOf(queriesToDecide).stream().filter(requests::contains).forEach(this::decide);
         }
-        touched.clear();
+        queriesToDecide.clear();
         gossip.send(!requests.isEmpty());
         if (!requests.isEmpty()) {
             scheduleSweep();
@@ -282,12 +289,12 @@
     private void quarantine(TrackedQuery query) {
         long duration = query.queryClass.clientTimeout();
         quarantine.add(query.signature(), duration);
-        context.actions.log("query quarantined, workers reset under it: query=" + query.arrival.id());
+        context.actions.log("query quarantined: query=" + query.arrival.id() + " reason=worker_resets");
         gossip.sendQuarantine(query.signature(), duration);
         completion.giveUp(query);
     }
 
-    /** Starts a phase of a query: its first attempts go out, unless the query is not admitted. */
+    /** Starts a phase of a query by sending its first attempts, or rejects the query if it is not admitted. */
     private void start(TrackedQuery query) {
         if (query.phase == 1 && (quarantine.isQuarantined(query) || !admission.admits(query))) {
             completion.giveUp(query);
@@ -297,11 +304,11 @@
         List<TrackedPart> ranked = selector.ranked(query.parts);
         int needed = query.partsNeeded(ranked);
         int parts = redundancy.partsToSend(ranked, needed);
-        query.scouting = query.phase == 1 && quarantine.isAlarmed();
-        for (int i = 0; i < (query.scouting ? 1 : parts); i++) {
-            TrackedAttempt sent = sender.send(ranked.get(i), false);
-            if (sent != null) {
-                sent.spare = i >= needed;
+        query.awaitingCanary = query.phase == 1 && quarantine.requiresCanary();
+        for (int i = 0; i < (query.awaitingCanary ? 1 : parts); i++) {
+            TrackedAttempt attempt = sender.send(ranked.get(i), false);
+            if (attempt != null) {
+                attempt.spare = i >= needed;
             }
         }
     }
--- a/src/main/java/wallmoor/decision/SlidingWindowSum.java
+++ b/src/main/java/wallmoor/decision/SlidingWindowSum.java
@@ -2,34 +2,35 @@
 
 import java.util.ArrayDeque;
 
-/** Sums amounts over a sliding window of fixed length; what has left the window is not kept, asked for or not. */
+/** The sum of amounts added within a sliding window of fixed length. Expired amounts are removed at each call. */
 final class SlidingWindowSum {
     private record Amount(long at, double amount) {}
 
     private final ArrayDeque<Amount> amounts = new ArrayDeque<>();
-    private final long length;
+    private final long windowLength;
     private double sum;
 
-    /** An empty sum over a window of this length (microseconds). */
-    SlidingWindowSum(long length) {
-        this.length = length;
+    /** Creates an empty sum over a window of this length (microseconds). */
+    SlidingWindowSum(long windowLength) {
+        this.windowLength = windowLength;
     }
 
     /** Adds an amount. */
     void add(long now, double amount) {
-        drop(now); // some are added to all day and never asked: where there is no retry budget, say
+        // some sums are never read, such as the arrivals where there is no retry budget
+        evictExpired(now);
         amounts.addLast(new Amount(now, amount));
         sum += amount;
     }
 
-    /** The sum of what was added later than {@code now - length}. */
+    /** Returns the sum of the amounts added later than {@code now - windowLength}. */
     double sum(long now) {
-        drop(now);
+        evictExpired(now);
         return sum;
     }
 
-    private void drop(long now) {
-        while (!amounts.isEmpty() && amounts.peekFirst().at() <= now - length) {
+    private void evictExpired(long now) {
+        while (!amounts.isEmpty() && amounts.peekFirst().at() <= now - windowLength) {
             sum -= amounts.removeFirst().amount();
         }
         if (amounts.isEmpty()) {
--- a/src/main/java/wallmoor/decision/SlowStart.java
+++ b/src/main/java/wallmoor/decision/SlowStart.java
@@ -1,9 +1,9 @@
 package wallmoor.decision;
 
 /**
- * Slow start (warm-up) of workers: how much a worker carries at its age, and how many parts this gatherer may send it
- * meanwhile, so that all gatherers together don't overload it though they don't talk. Owns the throughput of warm
- * workers, on which the allowance is based.
+ * Slow start (warm-up) of workers: the capacity of a worker at its age, and the number of parts that this gatherer may
+ * send it meanwhile, so that all gatherers together don't overload it without any coordination. Owns the throughput of
+ * warm workers, on which the allowance is based.
  */
 final class SlowStart {
     private final PolicyContext context;
@@ -14,7 +14,7 @@
         this.context = context;
     }
 
-    /** This gatherer has started. */
+    /** Records the start of this gatherer. */
     void start() {
         startedAt = context.now();
     }
@@ -28,8 +28,8 @@
         return worker.status == WorkerStatus.UP && !isInSlowStart(worker);
     }
 
-    /** The least share of its capacity that a worker has at its age. */
-    double warmth(TrackedWorker worker) {
+    /** Returns the share of its capacity that a worker has at least at its age. */
+    double capacityShare(TrackedWorker worker) {
         if (!isInSlowStart(worker)) {
             return 1;
         }
@@ -38,59 +38,61 @@
                 * Math.max(0, context.now() - worker.slowStartFrom) / Math.max(1, rules.slowStartWindow());
     }
 
-    /** Whether one more part may be sent to this worker: always to a warm one, else within the allowance. */
+    /** Returns whether one more part may be sent to this worker: always if it is warm, else within the allowance. */
     boolean allows(TrackedWorker worker) {
         if (!isInSlowStart(worker)) {
             return true;
         }
         int gatherers = context.settings().gatherers();
         double share = allowance(worker);
-        double slack = Math.min(TuningParameters.SLOW_START_SLACK, Math.sqrt(share * gatherers));
+        double slack = Math.min(TuningParameters.SLOW_START_SLACK_PARTS, Math.sqrt(share * gatherers));
         double allowed = share + slack / gatherers;
-        double whole = Math.floor(allowed);
-        return worker.sentWithinWindow(context.now()) + 1 <= whole + (isOwnTurn(worker, allowed - whole) ? 1 : 0);
+        double wholeParts = Math.floor(allowed);
+        return worker.sentWithinWindow(context.now()) + 1 <= wholeParts + (hasTurn(worker, allowed - wholeParts) ? 1 : 0);
     }
 
-    /** A part goes out to this worker. */
+    /** Records that a part is sent to this worker. */
     void recordSent(TrackedWorker worker) {
         worker.recordSent(context.now(), context.settings().slowStartCountWindow());
     }
 
-    /** A worker has answered a part. */
+    /** Records that a worker has answered a part. */
     void recordAnswer(TrackedWorker worker) {
         if (!worker.ejected && isWarm(worker)) {
             throughput.recordAnswer(context.now());
         }
     }
 
-    /** Counts the workers that are warm and in use. */
+    /** Updates the number and sizes of the workers that are warm and in use. */
     void updateWarmWorkers(WorkerTable workers) {
-        throughput.updateWarmWorkers(context.now(), workers.relativeSizes(w -> !w.ejected && isWarm(w)));
+        throughput.updateWarmWorkers(context.now(), workers.sizeStatistics(w -> !w.ejected && isWarm(w)));
     }
 
-    /** The worker's process was lost, and it answers again: it has just started, whatever the list says. */
+    /** Begins slow start at a worker that answers again after its process was lost, whatever the worker list says. */
     void restart(TrackedWorker worker) {
         if (!isInSlowStart(worker)) {
             worker.slowStartFrom = context.now();
         }
     }
 
-    /** Takes in a worker's last start as the list has it. */
+    /** Applies a worker's last start, as reported by the worker list. */
     void recordStart(TrackedWorker worker, long workerStartedAt) {
         if (workerStartedAt == Absent.VALUE || workerStartedAt <= worker.slowStartFrom) {
             return;
         }
         if (context.now() - workerStartedAt < context.settings().rules().slowStartWindow()) {
-            worker.forgetProcess();
+            worker.resetForNewProcess();
         }
         worker.slowStartFrom = workerStartedAt;
     }
 
     /**
-     * Of a fraction of a part, that share of the gatherers sends one in a window, and one gatherer at least. They take
-     * turns, at each worker others, and one changes in a window: any gets one call more than the share.
+     * Returns whether this gatherer may send one part for the fractional rest of its allowance. In each window that
+     * fraction of the gatherers, and at least one, may send one part each. They take turns in an order that differs
+     * between workers, and one turn passes on in each window, so that any window gets at most one part more than the
+     * fraction allows.
      */
-    private boolean isOwnTurn(TrackedWorker worker, double share) {
+    private boolean hasTurn(TrackedWorker worker, double share) {
         RoutingSettings settings = context.settings();
         double turns = (double) context.now() / settings.slowStartCountWindow() + settings.position()
                 + worker.id.hashCode();
@@ -98,9 +100,11 @@
     }
 
     /**
-     * Parts that this gatherer may send within the window: its share of what a warm worker carries, at this worker's
-     * warmth. A worker with a core and no queue serves a part in the typical latency at the latest. What a process
-     * before this one sent is not known: a worker older than this process waits until that has left the window.
+     * Returns the number of parts that this gatherer may send within the window: its share of a warm worker's
+     * throughput, scaled to this worker's current capacity. The lower bound of that throughput assumes that a worker
+     * with one core and no queue serves a part within the typical latency of the slowest class. The parts sent by an
+     * earlier process of this gatherer are unknown, so a worker that started before this process gets none until those
+     * have left the window.
      */
     private double allowance(TrackedWorker worker) {
         RoutingSettings settings = context.settings();
@@ -108,8 +112,8 @@
             return 0;
         }
         long window = settings.rules().overloadWindow();
-        double least = window / context.latencies.slowestPartLatency() / settings.gatherers();
-        double warm = Math.max(throughput.answersWithin(window, worker.size), least);
-        return settings.rules().overloadMultiple() * warmth(worker) * warm;
+        double minThroughput = window / context.latencies.slowestPartLatency() / settings.gatherers();
+        double warmThroughput = Math.max(throughput.answersWithin(window, worker.size), minThroughput);
+        return settings.rules().overloadMultiple() * capacityShare(worker) * warmThroughput;
     }
 }
--- a/src/main/java/wallmoor/decision/TenantQuotas.java
+++ b/src/main/java/wallmoor/decision/TenantQuotas.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Holds the queries of each tenant against its quota: what goes beyond it weighs less, and is rejected first. */
+/** Compares the queries of each tenant with its quota. Queries beyond it have a lower weight and are rejected first. */
 final class TenantQuotas {
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -12,10 +12,13 @@
 
     TenantQuotas(PolicyContext context) {
         this.context = context;
-        context.settings().tenants().forEach(t -> queries.add(new SlidingWindowSum(TuningParameters.QUOTA_WINDOW)));
+        context.settings().tenants().forEach(tenant -> queries.add(new SlidingWindowSum(TuningParameters.QUOTA_WINDOW_MICROS)));
     }
 
-    /** Counts a query of a tenant, and returns the factor on its weight: 1 within the quota or for no known tenant. */
+    /**
+     * Counts a query of a tenant and returns the factor on its weight, which is 1 within the quota and for an unknown
+     * tenant.
+     */
     double recordQuery(int tenant) {
         if (tenant < 0 || tenant >= queries.size()) {
             return 1;
@@ -24,7 +27,7 @@
         SlidingWindowSum sent = queries.get(tenant);
         sent.add(context.now(), 1);
         double allowed = settings.tenants().get(tenant).quotaPerSecond() / settings.gatherers();
-        boolean over = sent.sum(context.now()) > 1 + allowed * TuningParameters.QUOTA_WINDOW / MICROS_PER_SECOND;
-        return over ? settings.overQuotaWeight() : 1;
+        boolean isOverQuota = sent.sum(context.now()) > 1 + allowed * TuningParameters.QUOTA_WINDOW_MICROS / MICROS_PER_SECOND;
+        return isOverQuota ? settings.overQuotaWeight() : 1;
     }
 }
--- a/src/main/java/wallmoor/decision/TrackedAttempt.java
+++ b/src/main/java/wallmoor/decision/TrackedAttempt.java
@@ -1,24 +1,24 @@
 package wallmoor.decision;
 
-/** One attempt of a part at a worker, from its send to its end. */
+/** An attempt of a part at a worker, from its send to its end. */
 final class TrackedAttempt {
     final TrackedPart part;
     final TrackedWorker worker;
-    /** Its number among the attempts of its part, from 0. */
+    /** The attempt's number among the attempts of its part, from 0. */
     final int number;
-    /** When it was sent (microseconds). */
+    /** When the attempt was sent (microseconds). */
     final long sentAt;
-    /** This gatherer's parts in flight at the worker before it. */
+    /** This gatherer's parts in flight at the worker before this attempt. */
     final int inFlightBefore;
-    /** The same with other gatherers' parts, as far as known. */
+    /** The parts of all gatherers in flight at the worker before this attempt, as far as known. */
     final double totalInFlightBefore;
-    /** It has been in flight for longer than a part should take. */
+    /** Whether the attempt has been in flight for longer than a part should take. */
     boolean late;
-    /** The worker had been unused for a while: its connection may have died unseen. */
+    /** Whether the worker had been unused for some time, so that its connection may have broken undetected. */
     boolean afterIdle;
-    /** The transport has been asked to cancel it. */
+    /** Whether the transport has been requested to cancel the attempt. */
     boolean cancelled;
-    /** Its part is beyond those that the query needs. */
+    /** Whether the part is redundant, beyond those that the query needs. */
     boolean spare;
 
     TrackedAttempt(TrackedPart part, TrackedWorker worker, int number, long sentAt, int inFlightBefore,
--- a/src/main/java/wallmoor/decision/TrackedPart.java
+++ b/src/main/java/wallmoor/decision/TrackedPart.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** One part of a query (a piece, in the paper), with its attempts. */
+/** A part of a query (a piece, in the paper), with its attempts. */
 final class TrackedPart {
     final String id;
     final TrackedQuery query;
     final int shard;
-    /** Its share of the query's answer. */
+    /** The part's share of the query's answer. */
     final double weight;
-    /** Its expected work, in mean parts. */
+    /** The part's expected work, relative to a mean part. */
     final double workScale;
-    /** Attempts sent so far. */
+    /** The number of attempts sent so far. */
     int attemptCount;
     boolean answered;
-    /** It takes no further attempt. */
+    /** Whether the part takes no further attempt. */
     boolean finished;
     /** Attempts that may have been executed, by number, with the times of their sends, in order. */
     final Map<Integer, Long> possiblyExecuted = new LinkedHashMap<>();
@@ -34,7 +34,7 @@
         this.workScale = workScale;
     }
 
-    /** Takes down an attempt that goes out. */
+    /** Adds an attempt that is being sent. */
     void recordSent(TrackedAttempt attempt) {
         attemptCount++;
         possiblyExecuted.put(attempt.number, attempt.sentAt);
@@ -47,12 +47,12 @@
         return !possiblyExecuted.isEmpty();
     }
 
-    /** The send of the first attempt that may have been executed; there must be one. */
+    /** Returns when the first attempt that may have been executed was sent (microseconds). There must be one. */
     long firstPossibleExecution() {
         return possiblyExecuted.values().iterator().next();
     }
 
-    /** Whether an attempt is in flight that is neither late nor cancelled. */
+    /** Returns whether an attempt is in flight that is neither late nor cancelled. */
     boolean hasTimelyAttempt() {
         for (TrackedAttempt attempt : inFlight.values()) {
             if (!attempt.late && !attempt.cancelled) {
--- a/src/main/java/wallmoor/decision/TrackedQuery.java
+++ b/src/main/java/wallmoor/decision/TrackedQuery.java
@@ -6,34 +6,40 @@
 import java.util.Objects;
 import java.util.Set;
 
-/** One query (a job, in the paper) from its arrival to its final answer. Times are microseconds. */
+/** A query (a job, in the paper) from its arrival to its final answer. Times are microseconds. */
 final class TrackedQuery {
     final QueryArrived arrival;
-    /** Its class's place in the settings; the nearest one where the index given lies outside. */
+    /**
+     * The index of the query's class in the settings; an invalid index in the arrival is replaced by the nearest valid
+     * one.
+     */
     final int classIndex;
-    /** Its class as it was when the query came. */
+    /** The query's class as it was when the query arrived. */
     final QueryClass queryClass;
     final long arrivedAt;
-    /** When its client sent its first attempt, as far as can be told. */
+    /** When the client sent its first attempt, as far as known. */
     final long clientStartedAt;
-    /** Factor on its class's priority weight: below one over the tenant's quota, or when it comes late. */
+    /** The factor on the class's priority weight: below 1 if the tenant is over its quota or the query arrived late. */
     final double weightFactor;
-    /** The parts of its present phase. */
+    /** The parts of the current phase. */
     List<TrackedPart> parts = new ArrayList<>();
-    /** How many parts its present phase has. */
+    /** The number of parts of the current phase. */
     int expectedParts;
-    /** 1, or 2 once its first phase has been answered and has a follow-up. */
+    /** The current phase: 1, or 2 once the first phase has been answered and the class has a second one. */
     int phase = 1;
-    /** The parts of its present phase have been sent. */
+    /** Whether the parts of the current phase have been sent. */
     boolean started;
     boolean firstPhaseComplete;
-    /** One part goes ahead of the others, which wait for its answer: the query may be a poison query. */
-    boolean scouting;
-    /** Mean of the times that its parts were expected to take at admission. */
+    /**
+     * Whether a single part was sent as a canary and the others wait for its answer, because the query may be a poison
+     * query.
+     */
+    boolean awaitingCanary;
+    /** The mean expected latency of the query's parts at admission. */
     double predictedPartTime;
-    /** Evidence that it crashes its workers. */
+    /** The amount of evidence that the query crashes its workers. */
     double poisonEvidence;
-    /** The workers that broke their connection under it. */
+    /** The workers that broke their connection during the query. */
     final Set<TrackedWorker> resetWorkers = new LinkedHashSet<>();
 
     TrackedQuery(QueryArrived arrival, int classIndex, QueryClass queryClass, long arrivedAt, double weightFactor,
@@ -47,27 +53,27 @@
         this.expectedParts = arrival.partCount();
     }
 
-    /** The share of its present phase's weight that makes it complete. */
+    /** Returns the share of the current phase's weight that makes it complete. */
     double completeShare() {
         return phase == 1 ? queryClass.completeShare() : 1;
     }
 
-    /** The weight of its parts that have been answered. */
+    /** Returns the weight of the parts that have been answered. */
     double answeredWeight() {
-        double answered = 0; // asked at each event of the query: a loop costs a tenth of a stream
+        double answered = 0; // called at each event of the query; a loop costs a tenth of a stream
         for (TrackedPart part : parts) {
             answered += part.answered ? part.weight : 0;
         }
         return answered;
     }
 
-    /** Whether enough of its present phase has been answered. */
+    /** Returns whether enough of the current phase has been answered. */
     boolean isPhaseComplete() {
         return phase == 1 ? answeredWeight() >= completeShare() - TuningParameters.WEIGHT_TOLERANCE
                 : parts.stream().allMatch(p -> p.answered);
     }
 
-    /** How many of its parts, in this order, make a complete answer. */
+    /** Returns how many of the parts, in this order, make a complete answer. */
     int partsNeeded(List<TrackedPart> ranked) {
         int needed = 0;
         double weight = 0;
@@ -79,7 +85,10 @@
         return needed;
     }
 
-    /** Time from its arrival within which its answer earns in full: what its client's earlier attempts left of it. */
+    /**
+     * Returns the time from the query's arrival within which an answer has its full value: the latency objective less
+     * the time that the client's earlier attempts took.
+     */
     long latencyObjective() {
         long workHint = Math.max(0, arrival.workHint());
         long objective = queryClass.latencyObjective() + (long) (queryClass.objectivePerWork() * workHint)
@@ -87,12 +96,12 @@
         return Math.min(objective, arrival.deadline() - arrivedAt);
     }
 
-    /** When an answer ceases to earn anything. */
+    /** Returns when an answer ceases to earn anything. */
     long usefulUntil() {
         return queryClass.lateValueShare() > 0 ? arrival.deadline() : arrivedAt + latencyObjective();
     }
 
-    /** What a client's retry of the same query shares with this one. */
+    /** Returns a hash of the class, tenant, key and shards, which are the same in a client's retry of the query. */
     int signature() {
         return Objects.hash(arrival.queryClass(), arrival.tenant(), arrival.key(),
                 parts.stream().map(p -> p.shard).toList());
--- a/src/main/java/wallmoor/decision/WarmThroughput.java
+++ b/src/main/java/wallmoor/decision/WarmThroughput.java
@@ -3,29 +3,30 @@
 import java.util.DoubleSummaryStatistics;
 
 /**
- * What a warm worker is seen to serve of this gatherer's parts: answers of warm workers, each over how many of them
- * there were then. It is the peak of a mean over many windows, fading. The peak of single windows would not do: many
- * gatherers that see little would each keep their luckiest one, and these add up to more than all workers carry. It
- * stands still while no worker is warm.
+ * The throughput of one warm worker for this gatherer's parts, estimated from the answers of all warm workers, each
+ * divided by the number of those workers at that time. The estimate is a decaying peak of an exponentially weighted
+ * mean. The peak of single windows would be too high: many gatherers with little traffic would each retain their best
+ * window, and these add up to more than the capacity of all workers. The estimate does not change while no worker is
+ * warm.
  */
 final class WarmThroughput {
     private double warmWorkers;
     private double meanSize = 1;
     private double answers;
-    /** The share of the memory that is filled: less than one after the start. */
-    private double seen;
+    /** The share of the memory that is filled, which is below 1 after the start. */
+    private double filledShare;
     private double peak;
     private long updatedAt;
 
-    /** Of these sizes are the workers that are warm and in use from now on. */
+    /** Updates the sizes of the workers that are warm and in use. */
     void updateWarmWorkers(long now, DoubleSummaryStatistics sizes) {
         advance(now);
         warmWorkers = sizes.getCount();
         meanSize = warmWorkers > 0 ? sizes.getAverage() : meanSize;
-        peak = seen < TuningParameters.THROUGHPUT_PEAK_SEEN ? peak : Math.max(peak, mean());
+        peak = filledShare < TuningParameters.THROUGHPUT_PEAK_MIN_FILL ? peak : Math.max(peak, mean());
     }
 
-    /** A warm worker has answered a part. */
+    /** Records that a warm worker has answered a part. */
     void recordAnswer(long now) {
         advance(now);
         if (warmWorkers > 0) {
@@ -34,24 +35,26 @@
     }
 
     /**
-     * Answers of one warm worker of this size within a time of this length (microseconds); a size above the mean
-     * promises nothing.
+     * Returns the number of answers of one warm worker within a time, which does not grow with a size above the mean.
+     *
+     * @param duration the time (microseconds)
+     * @param size the worker's size
      */
-    double answersWithin(long length, double size) {
-        return Math.min(1, size / meanSize) * Math.max(peak, mean()) * length;
+    double answersWithin(long duration, double size) {
+        return Math.min(1, size / meanSize) * Math.max(peak, mean()) * duration;
     }
 
-    /** Answers of a worker in a microsecond. */
+    /** Returns the answers of one worker per microsecond. */
     private double mean() {
-        return answers / TuningParameters.THROUGHPUT_MEMORY / Math.max(TuningParameters.THROUGHPUT_MIN_SEEN, seen);
+        return answers / TuningParameters.THROUGHPUT_MEMORY_MICROS / Math.max(TuningParameters.THROUGHPUT_MIN_FILL, filledShare);
     }
 
     private void advance(long now) {
         if (warmWorkers > 0) {
-            double left = Math.exp((updatedAt - now) / TuningParameters.THROUGHPUT_MEMORY);
-            answers *= left;
-            seen = 1 - (1 - seen) * left;
-            peak *= Math.pow(0.5, (now - updatedAt) / TuningParameters.THROUGHPUT_PEAK_HALF_LIFE);
+            double remaining = Math.exp((updatedAt - now) / TuningParameters.THROUGHPUT_MEMORY_MICROS);
+            answers *= remaining;
+            filledShare = 1 - (1 - filledShare) * remaining;
+            peak *= Math.pow(0.5, (now - updatedAt) / TuningParameters.THROUGHPUT_PEAK_HALF_LIFE_MICROS);
         }
         updatedAt = now;
     }
--- a/src/main/java/wallmoor/decision/WorkerListKind.java
+++ b/src/main/java/wallmoor/decision/WorkerListKind.java
@@ -1,15 +1,15 @@
 package wallmoor.decision;
 
-/** The kinds of events about the list of workers: a delta, the complete state, or a failure of the watch. */
+/** The kinds of events about the worker list: entries, the complete list, or a failure of the watch. */
 public enum WorkerListKind {
     /** Changed entries only. */
     CHANGES,
-    /** The complete list; what is missing from it is gone. */
+    /** The complete list; workers missing from it are removed. */
     COMPLETE,
-    /** The complete list as this gatherer last held it, perhaps old. */
+    /** The last known complete list, which may be outdated. */
     CACHED,
-    /** Entries learnt elsewhere than from the list; the watch of the list is as it was. */
+    /** Entries from another source than the worker list; the watch of the list is unaffected. */
     ADDITIONAL,
-    /** A call failed or the watch broke; the list stands. */
+    /** A request failed or the watch broke; the list is unchanged. */
     WATCH_FAILED
 }
--- a/src/main/java/wallmoor/decision/WorkerListPolling.java
+++ b/src/main/java/wallmoor/decision/WorkerListPolling.java
@@ -1,42 +1,42 @@
 package wallmoor.decision;
 
 /**
- * Asks discovery for the list of workers, and again with exponential backoff and jitter until a watch of it stands.
- * Owns the timer {@link #TIMER}.
+ * Requests the worker list from discovery, and repeats the request with exponential backoff and jitter until the watch
+ * is established. Owns the timer {@link #TIMER_TOKEN}.
  */
 final class WorkerListPolling {
-    /** The token of its timer. */
-    static final String TIMER = "ask";
+    /** The token of the timer. */
+    static final String TIMER_TOKEN = "ask";
 
     private final PolicyContext context;
     private boolean watching;
     private boolean timerRunning;
-    private long backoff = TuningParameters.POLL_BACKOFF;
+    private long backoff = TuningParameters.INITIAL_POLL_BACKOFF_MICROS;
 
     WorkerListPolling(PolicyContext context) {
         this.context = context;
     }
 
-    /** The gatherer has started. */
+    /** Sends the first request when the gatherer starts. */
     void start() {
         if (context.settings().watchOnRequest()) {
             poll();
         }
     }
 
-    /** The list or changes of it have come: the watch stands. */
+    /** Records that the list or changes of it have arrived, so that the watch is established. */
     void recordWatchEvent() {
         watching = true;
-        backoff = TuningParameters.POLL_BACKOFF;
+        backoff = TuningParameters.INITIAL_POLL_BACKOFF_MICROS;
     }
 
-    /** A call failed, or the watch broke. */
+    /** Records that a request failed or the watch broke. */
     void recordFailure() {
         watching = false;
         schedule();
     }
 
-    /** The timer is due. */
+    /** Handles the expiry of the timer. */
     void onTimer() {
         timerRunning = false;
         if (context.settings().watchOnRequest() && !watching) {
@@ -54,7 +54,7 @@
             return;
         }
         timerRunning = true;
-        context.actions.scheduleTimer((long) (backoff * context.jitter(TuningParameters.POLL_JITTER)), TIMER);
-        backoff = Math.min(TuningParameters.MAX_POLL_BACKOFF, 2 * backoff);
+        context.actions.scheduleTimer((long) (backoff * context.jitter(TuningParameters.POLL_JITTER)), TIMER_TOKEN);
+        backoff = Math.min(TuningParameters.MAX_POLL_BACKOFF_MICROS, 2 * backoff);
     }
 }
--- a/src/main/java/wallmoor/decision/WorkerStatus.java
+++ b/src/main/java/wallmoor/decision/WorkerStatus.java
@@ -1,11 +1,11 @@
 package wallmoor.decision;
 
-/** What discovery says of a worker. */
+/** The state of a worker according to discovery. */
 public enum WorkerStatus {
-    /** Takes parts. */
+    /** The worker takes parts. */
     UP,
-    /** Finishes what it has and takes nothing new (graceful shutdown). */
+    /** The worker finishes its parts in flight and takes no new ones (graceful shutdown). */
     DRAINING,
-    /** No longer in the list. */
+    /** The worker is no longer in the list. */
     REMOVED
 }
--- a/src/main/java/wallmoor/decision/WorkerTable.java
+++ b/src/main/java/wallmoor/decision/WorkerTable.java
@@ -13,36 +13,36 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** The workers that lists have named, found by id, by the tag of gossip messages, and by the shards they hold. */
+/** The known workers, indexed by id, by the tag of gossip messages, and by the shards that they hold. */
 final class WorkerTable {
-    /** With more shards in a cell than this, forgetting all answers costs less than finding those of one cell. */
+    /** Number of shards per cell above which clearing all cached holders costs less than removing those of one cell. */
     private static final int MAX_SHARDS_PER_CELL = 64;
 
     private final ShardLayout layout;
     private final Map<String, TrackedWorker> byId = new LinkedHashMap<>();
     private final Map<Integer, TrackedWorker> byTag = new LinkedHashMap<>();
-    /** The workers of each cell, in the order in which they were entered, as {@link #byId} has them. */
+    /** The workers of each cell by sequence number, which is their order in {@link #byId}. */
     private final Map<Integer, TreeMap<Long, TrackedWorker>> byCell = new HashMap<>();
-    private final IdentityHashMap<TrackedWorker, Long> entryNumbers = new IdentityHashMap<>();
-    /** The holders of each shard that was asked for, until a change concerns them. */
+    private final IdentityHashMap<TrackedWorker, Long> sequenceNumbers = new IdentityHashMap<>();
+    /** Cache of the workers that hold each shard, until a change affects them. */
     private final Map<Integer, List<TrackedWorker>> holders = new HashMap<>();
-    private long entered;
+    private long nextSequenceNumber;
 
     WorkerTable(ShardLayout layout) {
         this.layout = layout;
     }
 
-    /** All workers, in the order in which they were first named. */
+    /** Returns all workers, in the order in which they were first listed. */
     Collection<TrackedWorker> workers() {
         return byId.values();
     }
 
-    /** The worker of a tag, if a list has named it. */
+    /** Returns the worker with this tag, if one has been listed. */
     Optional<TrackedWorker> byTag(int tag) {
         return Optional.ofNullable(byTag.get(tag));
     }
 
-    /** Takes in an entry of a list, and returns its worker. */
+    /** Applies an entry of a worker list and returns its worker. */
     TrackedWorker update(WorkerListEntry entry) {
         TrackedWorker worker = byId.computeIfAbsent(entry.worker(), TrackedWorker::new);
         if (entry.status() == WorkerStatus.REMOVED) {
@@ -54,73 +54,79 @@
         worker.zone = entry.zone();
         worker.status = entry.status();
         worker.size = entry.size() > 0 ? entry.size() : 1;
-        if (!entryNumbers.containsKey(worker)) {
-            entryNumbers.put(worker, entered++);
-            putInCell(worker, entry.cell());
+        if (!sequenceNumbers.containsKey(worker)) {
+            sequenceNumbers.put(worker, nextSequenceNumber++);
+            addToCell(worker, entry.cell());
         } else if (worker.cell != entry.cell()) {
-            takeFromCell(worker);
-            putInCell(worker, entry.cell());
+            removeFromCell(worker);
+            addToCell(worker, entry.cell());
         }
         return worker;
     }
 
-    /** What a complete list does not name is gone. */
+    /** Removes the workers that a complete list does not contain. */
     void retainOnly(List<WorkerListEntry> completeList) {
-        Set<String> named = new HashSet<>();
-        completeList.forEach(e -> named.add(e.worker()));
-        List<TrackedWorker> gone = byId.values().stream().filter(w -> !named.contains(w.id)).toList();
-        gone.forEach(w -> w.status = WorkerStatus.REMOVED);
-        gone.forEach(this::removeIfUnused);
+        Set<String> listedIds = new HashSet<>();
+        completeList.forEach(entry -> listedIds.add(entry.worker()));
+        List<TrackedWorker> removed = byId.values().stream().filter(w -> !listedIds.contains(w.id)).toList();
+        removed.forEach(w -> w.status = WorkerStatus.REMOVED);
+        removed.forEach(this::removeIfUnused);
     }
 
-    /** The sizes of those workers of which this holds. A loop: a stream's classes would be made at each start. */
-    DoubleSummaryStatistics relativeSizes(Predicate<TrackedWorker> which) {
+    /**
+     * Returns statistics of the sizes of matching workers. This is a loop because a stream would load its classes at
+     * each start.
+     */
+    DoubleSummaryStatistics sizeStatistics(Predicate<TrackedWorker> filter) {
         var sizes = new DoubleSummaryStatistics();
         for (TrackedWorker worker : workers()) {
-            if (which.test(worker)) {
+            if (filter.test(worker)) {
                 sizes.accept(worker.size);
             }
         }
         return sizes;
     }
 
-    /** Drops a removed worker once nothing is in flight there: new ones come all day, and none comes back as it was. */
+    /**
+     * Removes a worker that left the list once nothing is in flight there. New workers replace old ones continuously,
+     * and a worker that comes back starts with new state.
+     */
     void removeIfUnused(TrackedWorker worker) {
         if (worker.inFlight.isEmpty() && byId.remove(worker.id, worker)) {
             byTag.remove(GossipMessage.workerTag(worker.id), worker);
-            if (entryNumbers.containsKey(worker)) {
-                takeFromCell(worker);
-                entryNumbers.remove(worker);
+            if (sequenceNumbers.containsKey(worker)) {
+                removeFromCell(worker);
+                sequenceNumbers.remove(worker);
             }
         }
     }
 
-    /** The workers that hold a shard. A list may be wrong: one in a cell that does not exist holds nothing. */
+    /** Returns the workers that hold a shard. A worker listed in a cell that does not exist holds none. */
     List<TrackedWorker> holders(int shard) {
         return holders.computeIfAbsent(shard, s -> {
-            var found = new TreeMap<Long, TrackedWorker>();
+            var workersInOrder = new TreeMap<Long, TrackedWorker>();
             for (int j = 0; j < layout.cellsPerShard(); j++) {
                 int cell = Math.floorMod(s + j, layout.cells());
-                found.putAll(byCell.getOrDefault(cell, new TreeMap<>()));
+                workersInOrder.putAll(byCell.getOrDefault(cell, new TreeMap<>()));
             }
-            return List.copyOf(found.values());
+            return List.copyOf(workersInOrder.values());
         });
     }
 
-    private void putInCell(TrackedWorker worker, int cell) {
+    private void addToCell(TrackedWorker worker, int cell) {
         worker.cell = cell;
-        byCell.computeIfAbsent(cell, c -> new TreeMap<>()).put(entryNumbers.get(worker), worker);
-        forgetHolders(cell);
+        byCell.computeIfAbsent(cell, c -> new TreeMap<>()).put(sequenceNumbers.get(worker), worker);
+        invalidateHolders(cell);
     }
 
-    private void takeFromCell(TrackedWorker worker) {
-        byCell.get(worker.cell).remove(entryNumbers.get(worker));
+    private void removeFromCell(TrackedWorker worker) {
+        byCell.get(worker.cell).remove(sequenceNumbers.get(worker));
         byCell.computeIfPresent(worker.cell, (c, workers) -> workers.isEmpty() ? null : workers);
-        forgetHolders(worker.cell);
+        invalidateHolders(worker.cell);
     }
 
-    /** Who holds the shards of a cell is to be found anew. A change of status alone moves no shard. */
-    private void forgetHolders(int cell) {
+    /** Invalidates the cached holders of the shards of a cell. A change of status alone moves no shard. */
+    private void invalidateHolders(int cell) {
         if (exists(cell) && layout.shards() <= layout.cells() * MAX_SHARDS_PER_CELL) {
             for (int j = 0; j < layout.cellsPerShard(); j++) {
                 for (int s = Math.floorMod(cell - j, layout.cells()); s < layout.shards(); s += layout.cells()) {
