--- a/src/test/java/wallmoor/decision/GossipExchangeTest.java
+++ b/src/test/java/wallmoor/decision/GossipExchangeTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 import wallmoor.decision.GossipMessage.WorkerReport;
 
-/** What gatherers tell each other of workers. */
+/** Reports on workers between gatherers. */
 class GossipExchangeTest {
     private static final long MS = PolicyHarness.MS;
 
     @Test
-    void partsThatOtherGatherersHaveInFlightCountUntilTheyExpire() {
+    void countsOtherGatherersPartsInFlightUntilReportsExpire() {
         var harness = new PolicyHarness(PolicyHarness.SiteSettings.withGossip()).workers(12);
         harness.receiveGossip(1, GossipMessage.write(List.of(WorkerReport.inFlight("leaf0", 1))));
         harness.receiveGossip(2, GossipMessage.write(List.of(WorkerReport.inFlight("leaf0", 2))));
@@ -26,17 +26,17 @@
         harness.receiveGossip(1, GossipMessage.write(List.of(WorkerReport.inFlight("leaf0", 0))));
         harness.receiveGossip(2, GossipMessage.write(List.of(WorkerReport.inFlight("leaf0", 0))));
         harness.query(0, 0);
-        assertEquals("leaf0", harness.workerOf(0), "they have ended");
+        assertEquals("leaf0", harness.workerOf(0), "the other gatherers' parts have ended");
         harness.receiveGossip(1, GossipMessage.write(List.of(WorkerReport.inFlight("leaf2", 5))));
         harness.advance(3_000 * MS);
         harness.actions.clear();
         harness.query(0, 2);
         harness.query(0, 2);
-        assertNotEquals(harness.workerOf(0), harness.workerOf(1), "a word that is not renewed fades");
+        assertNotEquals(harness.workerOf(0), harness.workerOf(1), "a report that is not renewed expires");
     }
 
     @Test
-    void anotherGatherersEjectionIsAHintThatAnOwnAnswerOutweighs() {
+    void ignoresOtherGatherersEjectionAfterOwnAnswer() {
         var harness = new PolicyHarness(PolicyHarness.SiteSettings.withGossip()).workers(12);
         harness.receiveGossip(1, GossipMessage.write(List.of(WorkerReport.ejected("leaf0"))));
         harness.query(0, 0);
@@ -46,31 +46,31 @@
             harness.query(0, 0);
         }
         assertTrue(harness.actions("startAttempt").stream().anyMatch(s -> s.endsWith("leaf0")),
-                "a hint only, not a bar");
-        String[] tried = harness.actions("startAttempt").stream().filter(s -> s.endsWith("leaf0")).findFirst().get()
+                "another gatherer's ejection does not exclude the worker");
+        String[] attemptAtEjected = harness.actions("startAttempt").stream().filter(s -> s.endsWith("leaf0")).findFirst().get()
                 .split(" ");
         harness.advance(50 * MS);
-        harness.endAttempt(tried[1], 0, "leaf0", AttemptEndReason.OK, 50 * MS);
+        harness.endAttempt(attemptAtEjected[1], 0, "leaf0", AttemptEndReason.OK, 50 * MS);
         harness.actions.clear();
         harness.query(0, 0);
-        assertEquals("leaf0", harness.workerOf(0), "it has answered this gatherer since");
+        assertEquals("leaf0", harness.workerOf(0), "the worker has answered this gatherer since the report");
     }
 
     @Test
-    void ownPartsAndAnswersAreGossiped() {
+    void reportsOwnPartsInFlightAndAnswers() {
         var harness = new PolicyHarness(PolicyHarness.SiteSettings.withGossip()).workers(12);
-        String q = harness.query(0, 0);
+        String queryId = harness.query(0, 0);
         harness.advance(400 * MS);
-        var sent = GossipMessage.readReports(harness.broadcasts.get(0));
-        assertEquals(List.of(WorkerReport.inFlight(harness.workerOf(0), 1)), sent);
-        harness.endAttempt(q + "/0", 0, harness.workerOf(0), AttemptEndReason.OK, 400 * MS);
-        var last = GossipMessage.readReports(harness.broadcasts.get(harness.broadcasts.size() - 1));
+        var firstReports = GossipMessage.readReports(harness.broadcasts.get(0));
+        assertEquals(List.of(WorkerReport.inFlight(harness.workerOf(0), 1)), firstReports);
+        harness.endAttempt(queryId + "/0", 0, harness.workerOf(0), AttemptEndReason.OK, 400 * MS);
+        var lastReports = GossipMessage.readReports(harness.broadcasts.get(harness.broadcasts.size() - 1));
         assertTrue(
-                last.stream().anyMatch(e -> e.isLatency() && e.tag() == GossipMessage.workerTag(harness.workerOf(0))));
+                lastReports.stream().anyMatch(report -> report.isLatency() && report.tag() == GossipMessage.workerTag(harness.workerOf(0))));
     }
 
     @Test
-    void oddMessagesAndUnknownGatherersChangeNothing() {
+    void ignoresMalformedMessagesAndUnknownGatherers() {
         var harness = new PolicyHarness(PolicyHarness.SiteSettings.withGossip()).workers(12);
         var random = new Random(4);
         for (int length = 0; length < 300; length++) {
@@ -82,7 +82,7 @@
                 GossipMessage.write(List.of(WorkerReport.ejected("leaf0"), WorkerReport.inFlight("nowhere", 3))));
         harness.query(0, 0);
         assertEquals(1, harness.actions("startAttempt").size());
-        assertTrue(GossipMessage.readReports(new byte[] {9, 1, 2}).isEmpty(), "another kind");
-        assertTrue(GossipMessage.readReports(new byte[] {2, 1}).isEmpty(), "half an entry");
+        assertTrue(GossipMessage.readReports(new byte[] {9, 1, 2}).isEmpty(), "unknown message kind");
+        assertTrue(GossipMessage.readReports(new byte[] {2, 1}).isEmpty(), "incomplete report");
     }
 }
--- a/src/test/java/wallmoor/decision/LongRunningServiceTest.java
+++ b/src/test/java/wallmoor/decision/LongRunningServiceTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import org.junit.Test;
 
-/** What the module must not do on the days of service; each was seen on the bench. */
+/** Guards against faults that appear only after a policy has run for a long time. */
 public class LongRunningServiceTest {
     private static final long MS = PolicyHarness.MS;
 
-    /** One worker that answered in 0.9 s when all was slow. */
-    private static PolicyHarness afterAStall() {
+    /** Returns a policy whose only worker answered in 0.9 s while everything was slow. */
+    private static PolicyHarness policyAfterSlowAnswer() {
         var site = new PolicyHarness.SiteSettings();
         site.layout = new ShardLayout(12, 1, 1);
         site.classes = List.of(PolicyHarness.SiteSettings.allParts(Idempotency.IDEMPOTENT));
@@ -23,42 +23,42 @@
     }
 
     @Test
-    public void afterAStallQueriesAreTakenAgain() {
-        // all were rejected on what workers had once taken; with nothing sent, nothing better was ever heard
-        PolicyHarness harness = afterAStall();
+    public void admitsQueriesAgainOnceOldLatenciesDecay() {
+        // Guards against rejecting all queries for good: without any attempt, no better latency is measured.
+        PolicyHarness harness = policyAfterSlowAnswer();
         harness.query(0, 0, 2, 4, 6, 8, 10);
-        assertEquals("not now", 1, harness.actions("reject").size());
+        assertEquals("rejected right after the slow answer", 1, harness.actions("reject").size());
         harness.advance(7_000 * MS);
         harness.query(0, 0, 2, 4, 6, 8, 10);
-        assertEquals("but later", 6, harness.actions("startAttempt").size());
+        assertEquals("admitted once the latency has decayed", 6, harness.actions("startAttempt").size());
     }
 
     @Test
-    public void anUnusedWorkerComesBackWithoutAFailureElsewhere() {
-        // one that had been slow was never asked again while another was at hand
+    public void usesSlowWorkerAgainAfterAWhile() {
+        // Guards against never using a worker again that was slow once, while another worker is available.
         var site = new PolicyHarness.SiteSettings();
         site.layout = new ShardLayout(1, 1, 1);
         var harness = new PolicyHarness(site);
         harness.completeList(new WorkerListEntry("one", 0, 0, 0, WorkerStatus.UP, 1, Absent.VALUE),
                 new WorkerListEntry("two", 0, 0, 0, WorkerStatus.UP, 1, Absent.VALUE));
-        String slow = null;
+        String slowWorker = null;
         for (int i = 0; i < 400; i++) {
             harness.actions.clear();
             harness.query(0, 0);
             String worker = harness.workerOf(0);
             if (i == 10) {
-                slow = worker;
-            } else if (i > 12 && worker.equals(slow)) {
+                slowWorker = worker;
+            } else if (i > 12 && worker.equals(slowWorker)) {
                 return;
             }
             harness.answerAll((i == 10 ? 800 : 100) * MS);
         }
-        throw new AssertionError("left out for good");
+        throw new AssertionError("the slow worker was never used again");
     }
 
     @Test
-    public void aStalledGathererBlamesNoWorkerForIt() {
-        // on part of a core a process stands still at times: answers lay unread, and all workers were ejected
+    public void ejectsNoWorkerAfterItsOwnStall() {
+        // Guards against ejecting all workers after this process was suspended while answers were waiting to be read.
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12).warmUp(12);
         harness.query(0, 0, 3, 6);
         harness.advance(20 * MS);
@@ -69,12 +69,12 @@
         harness.advance(60 * MS);
         assertEquals(List.of(), harness.actions("log"));
         harness.advance(900 * MS);
-        assertTrue("a silent worker is still found", harness.actions("log").size() >= 3);
+        assertTrue("silent workers are still ejected", harness.actions("log").size() >= 3);
     }
 
     @Test
-    public void workersInSlowStartAreNotStarvedByWhatLittleIsSent() {
-        // where most workers were in slow start, little was sent, and the less was sent the less one was allowed
+    public void sendsToWorkerInSlowStartAfterIdlePeriod() {
+        // Guards against allowances that shrink with the traffic while most workers are in slow start.
         var site = new PolicyHarness.SiteSettings();
         site.layout = new ShardLayout(1, 1, 1);
         var harness = new PolicyHarness(site).workers(1).warmUp(1);
@@ -90,19 +90,19 @@
         for (int i = 0; i < 5; i++) {
             harness.query(0, 0);
         }
-        int sent = harness.actions("startAttempt").size();
-        assertTrue("sent " + sent, sent >= 4);
+        int attempts = harness.actions("startAttempt").size();
+        assertTrue("attempts: " + attempts, attempts >= 4);
     }
 
     @Test
-    public void whatTouchesNoQueryIsLeftToTheSweep() {
-        // each event had all open queries decided: the more a busy gatherer held, the further it fell behind
+    public void defersUnaffectedQueriesToTheSweep() {
+        // Guards against deciding on all open queries at each event, which made a busy gatherer fall further behind.
         var site = new PolicyHarness.SiteSettings();
         site.layout = new ShardLayout(1, 1, 1);
         var harness = new PolicyHarness(site).workers(1);
         harness.query(0, 0);
         harness.endAttempt("q0/0", 0, "leaf0", AttemptEndReason.CONNECT_FAILED, 1);
-        assertEquals("out of reach for now", 1, harness.actions("startAttempt").size());
+        assertEquals("the only worker is unreachable", 1, harness.actions("startAttempt").size());
         harness.policy.onWorkerList(harness.now, WorkerListKind.CHANGES, List.of(
                 new WorkerListEntry("other", 0, 0, 0, WorkerStatus.UP, 1, Absent.VALUE)));
         harness.policy.onRoundEnd(harness.now);
@@ -112,27 +112,27 @@
     }
 
     @Test
-    public void whatIsGoneIsForgotten() {
-        // on a day in service new workers replace the old ones all the time
-        var fleet = new WorkerTable(new ShardLayout(12, 12, 2));
+    public void removesGoneWorkersOnceUnused() {
+        // Guards against unbounded growth: new workers replace old ones continuously.
+        var table = new WorkerTable(new ShardLayout(12, 12, 2));
         for (int i = 0; i < 100; i++) {
-            fleet.update(entry(i, WorkerStatus.UP));
-            fleet.update(entry(i, WorkerStatus.REMOVED));
+            table.update(entry(i, WorkerStatus.UP));
+            table.update(entry(i, WorkerStatus.REMOVED));
         }
-        fleet.update(entry(7, WorkerStatus.UP));
-        fleet.retainOnly(List.of(entry(8, WorkerStatus.UP)));
-        assertEquals(0, fleet.workers().size());
-        assertTrue(fleet.byTag(GossipMessage.workerTag("w7")).isEmpty());
-        TrackedWorker busy = fleet.update(entry(9, WorkerStatus.UP));
+        table.update(entry(7, WorkerStatus.UP));
+        table.retainOnly(List.of(entry(8, WorkerStatus.UP)));
+        assertEquals(0, table.workers().size());
+        assertTrue(table.byTag(GossipMessage.workerTag("w7")).isEmpty());
+        TrackedWorker busy = table.update(entry(9, WorkerStatus.UP));
         busy.inFlight.add(new TrackedAttempt(null, busy, 0, 0, 0, 0));
-        fleet.update(entry(9, WorkerStatus.REMOVED));
-        assertEquals("until nothing is out there", 1, fleet.workers().size());
+        table.update(entry(9, WorkerStatus.REMOVED));
+        assertEquals("removed only once nothing is in flight", 1, table.workers().size());
         busy.inFlight.clear();
-        fleet.removeIfUnused(busy);
-        assertEquals(0, fleet.workers().size());
+        table.removeIfUnused(busy);
+        assertEquals(0, table.workers().size());
     }
 
-    private static WorkerListEntry entry(int i, WorkerStatus state) {
-        return new WorkerListEntry("w" + i, 0, 0, i % 12, state, 1, Absent.VALUE);
+    private static WorkerListEntry entry(int i, WorkerStatus status) {
+        return new WorkerListEntry("w" + i, 0, 0, i % 12, status, 1, Absent.VALUE);
     }
 }
--- a/src/test/java/wallmoor/decision/ManyGatherersTest.java
+++ b/src/test/java/wallmoor/decision/ManyGatherersTest.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Many modules side by side on one clock, as gatherers that share nothing but discovery and the workers. */
+/** Several policies on one clock, as gatherers that share only discovery and the workers. */
 class ManyGatherersTest {
     private static final long MS = PolicyHarness.MS;
     private static final int GATHERERS = 14;
@@ -24,26 +24,26 @@
         return harnesses;
     }
 
-    /** Discovery takes four calls a second and rejects the rest, after all gatherers have started at once. */
+    /** Discovery accepts four requests a second and rejects the others, after all gatherers have started at once. */
     @Test
-    void gatherersThatDiscoveryRejectsBackOffAndAllGetThrough() {
+    void backsOffFromDiscoveryUntilAllGatherersHaveTheList() {
         var site = new PolicyHarness.SiteSettings();
         site.watchOnRequest = true;
         List<PolicyHarness> harnesses = gatherers(site);
-        Map<PolicyHarness, Long> askAt = new HashMap<>();
-        harnesses.forEach(r -> askAt.put(r, 0L));
-        int calls = 0;
-        int most = 0;
+        Map<PolicyHarness, Long> nextRequestAt = new HashMap<>();
+        harnesses.forEach(r -> nextRequestAt.put(r, 0L));
+        int requests = 0;
+        int maxSimultaneous = 0;
         int served = 0;
-        for (long at = 0; at < 20_000 * MS && !askAt.isEmpty(); at += 250 * MS) {
-            boolean free = true;
-            int now = 0;
+        for (long at = 0; at < 20_000 * MS && !nextRequestAt.isEmpty(); at += 250 * MS) {
+            boolean isDiscoveryFree = true;
+            int simultaneous = 0;
             for (PolicyHarness harness : harnesses) {
-                if (askAt.getOrDefault(harness, Long.MAX_VALUE) > at) {
+                if (nextRequestAt.getOrDefault(harness, Long.MAX_VALUE) > at) {
                     continue;
                 }
-                calls++;
-                now++;
+                requests++;
+                simultaneous++;
                 harness.now = 1_000_000 + at;
                 if (at > 0) {
                     harness.actions.clear();
@@ -53,21 +53,21 @@
                 String[] timer = harness.actions("scheduleTimer").stream().filter(l -> l.endsWith(" ask")).findFirst()
                         .orElseThrow()
                         .split(" ");
-                if (free) {
-                    free = false;
+                if (isDiscoveryFree) {
+                    isDiscoveryFree = false;
                     served++;
                     harness.policy.onWorkerList(harness.now, WorkerListKind.COMPLETE,
                             List.of(PolicyHarness.worker(0, WorkerStatus.UP, Absent.VALUE)));
-                    askAt.remove(harness);
+                    nextRequestAt.remove(harness);
                 } else {
                     harness.policy.onWorkerList(harness.now, WorkerListKind.WATCH_FAILED, List.of());
-                    askAt.put(harness, at + Long.parseLong(timer[1]));
+                    nextRequestAt.put(harness, at + Long.parseLong(timer[1]));
                 }
             }
-            most = Math.max(most, at >= 2_000 * MS ? now : 0);
+            maxSimultaneous = Math.max(maxSimultaneous, at >= 2_000 * MS ? simultaneous : 0);
         }
-        assertEquals(GATHERERS, served, "all have the list within 20 s");
-        assertTrue(calls <= 5 * GATHERERS, "calls: " + calls);
-        assertTrue(most <= GATHERERS / 3, "after 2 s no longer in step: " + most);
+        assertEquals(GATHERERS, served, "all gatherers have the list within 20 s");
+        assertTrue(requests <= 5 * GATHERERS, "requests: " + requests);
+        assertTrue(maxSimultaneous <= GATHERERS / 3, "simultaneous requests after 2 s: " + maxSimultaneous);
     }
 }
--- a/src/test/java/wallmoor/decision/OutlierDetectorTest.java
+++ b/src/test/java/wallmoor/decision/OutlierDetectorTest.java
@@ -9,95 +9,96 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Which workers are ejected, and how they come back. */
+/** Ejection of workers, and their return. */
 class OutlierDetectorTest {
     private static final long MS = PolicyHarness.MS;
 
     @Test
-    void aHalfOpenTrialGetsANewConnectionInTheOwnZoneOnly() {
+    void opensNewConnectionForTrialInOwnZoneOnly() {
         for (int zone = 0; zone < 2; zone++) {
             var harness = new PolicyHarness(new PolicyHarness.SiteSettings());
             harness.completeList(new WorkerListEntry("leaf0", zone, 0, 0, WorkerStatus.UP, 1, Absent.VALUE));
-            String q = harness.query(0, 0);
-            harness.endAttempt(q + "/0", 0, "leaf0", AttemptEndReason.RESET, 100 * MS);
+            String queryId = harness.query(0, 0);
+            harness.endAttempt(queryId + "/0", 0, "leaf0", AttemptEndReason.RESET, 100 * MS);
             harness.advance(1_000 * MS);
-            assertEquals(2, harness.actions("startAttempt").size(), "a trial has gone out");
+            assertEquals(2, harness.actions("startAttempt").size(), "a trial was sent");
             assertEquals(1 - zone, harness.actions("closeIdleConnections").size());
         }
     }
 
     @Test
-    void aWorkerThatRejectsPartsIsLeftAloneForAWhile() {
+    void avoidsWorkerThatRejectedAPart() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12).warmUp(12);
         harness.query(0, 0);
         harness.endAttempt("q" + (4 * 12) + "/0", 0, harness.workerOf(0), AttemptEndReason.REJECTED, 2 * MS);
-        String full = harness.workerOf(0);
+        String rejectingWorker = harness.workerOf(0);
         for (int i = 0; i < 5; i++) {
             harness.query(0, 0);
         }
-        long there = harness.actions("startAttempt").stream().skip(1).filter(l -> l.endsWith(" " + full)).count();
-        assertEquals(0, there, "attempts are few: none is thrown at a full queue");
+        long attemptsThere = harness.actions("startAttempt").stream().skip(1).filter(l -> l.endsWith(" " + rejectingWorker)).count();
+        assertEquals(0, attemptsThere, "no attempt is wasted on a full queue");
         harness.advance(400 * MS);
         harness.query(0, 0);
-        assertTrue(harness.actions("startAttempt").stream().skip(1).anyMatch(l -> l.endsWith(" " + full)),
-                "tried again then");
+        assertTrue(harness.actions("startAttempt").stream().skip(1).anyMatch(l -> l.endsWith(" " + rejectingWorker)),
+                "used again after the ejection");
     }
 
     @Test
-    void manyConnectTimeoutsBlameNoWorker() {
+    void ejectsFewWorkersWhenConnectsTimeOutEverywhere() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12).warmUp(12);
         for (int i = 0; i < 3; i++) {
-            String q = harness.query(0, 0, 3, 6);
+            String queryId = harness.query(0, 0, 3, 6);
             for (String shard : List.of("/0", "/3", "/6")) {
-                String sent = harness.actions("startAttempt").stream().filter(l -> l.contains(q + shard + " "))
+                String sent = harness.actions("startAttempt").stream().filter(l -> l.contains(queryId + shard + " "))
                         .findFirst()
                         .orElseThrow();
-                harness.endAttempt(q + shard, 0, sent.split(" ")[2], AttemptEndReason.CONNECT_FAILED, 250 * MS);
+                harness.endAttempt(queryId + shard, 0, sent.split(" ")[2], AttemptEndReason.CONNECT_FAILED, 250 * MS);
             }
         }
         long ejected = harness.actions("log").stream().filter(l -> l.contains("CONNECT_FAILED")).count();
         assertTrue(ejected >= 1 && ejected <= 2,
-                "the first looked like single workers out of reach, the rest did not: " + ejected);
-        assertTrue(harness.actions("reject").isEmpty(), "no shard counts as out of reach");
+                "only the first timeouts look like unreachable workers: " + ejected);
+        assertTrue(harness.actions("reject").isEmpty(), "no shard is considered unreachable");
     }
 
     /**
-     * A lost zone made connecting look slow everywhere: its workers were blamed no more, and sent to again and again.
+     * Guards against treating the loss of one zone as slow connecting everywhere: its workers were no longer ejected,
+     * and parts were sent to them again and again.
      */
     @Test
-    void connectTimeoutsToOneZoneBlameItsWorkers() {
+    void ejectsWorkersOfTheZoneWhereConnectsTimeOut() {
         var entries = new WorkerListEntry[12];
         for (int i = 0; i < 12; i++) {
             entries[i] = new WorkerListEntry("leaf" + i, i % 2, 0, i, WorkerStatus.UP, 1, Absent.VALUE);
         }
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).completeList(entries).warmUp(12);
-        var blamed = new TreeSet<String>();
+        var ejectedWorkers = new TreeSet<String>();
         for (int i = 0; i < 48; i++) {
-            String q = harness.query(0, i % 12);
+            String queryId = harness.query(0, i % 12);
             for (int attempt = 0; attempt < 2 && harness.actions("startAttempt").size() > attempt; attempt++) {
                 String worker = harness.workerOf(attempt);
-                boolean lost = Integer.parseInt(worker.substring(4)) % 2 == 1;
-                harness.endAttempt(q + "/" + i % 12, attempt, worker,
-                        lost ? AttemptEndReason.CONNECT_FAILED : AttemptEndReason.OK,
-                        (lost ? 250 : 100) * MS);
+                boolean isLost = Integer.parseInt(worker.substring(4)) % 2 == 1;
+                harness.endAttempt(queryId + "/" + i % 12, attempt, worker,
+                        isLost ? AttemptEndReason.CONNECT_FAILED : AttemptEndReason.OK,
+                        (isLost ? 250 : 100) * MS);
             }
             harness.actions("log").stream().filter(l -> l.contains("reason=CONNECT_FAILED"))
-                    .forEach(l -> blamed.add(l.split("[ =]")[4]));
+                    .forEach(l -> ejectedWorkers.add(l.split("[ =]")[4]));
             harness.actions.clear();
             harness.advance(20 * MS);
         }
-        assertEquals(Set.of("leaf1", "leaf3", "leaf5", "leaf7", "leaf9", "leaf11"), blamed);
+        assertEquals(Set.of("leaf1", "leaf3", "leaf5", "leaf7", "leaf9", "leaf11"), ejectedWorkers);
     }
 
     @Test
-    void latePartsWaitWhileConnectsTimeOut() {
+    void sendsNoHedgedRequestsWhileConnectsTimeOut() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12).warmUp(12);
-        String q = harness.query(0, 0, 3, 6);
+        String queryId = harness.query(0, 0, 3, 6);
         for (int attempt = 0; attempt < 2; attempt++) {
             for (String shard : List.of("/0", "/3", "/6")) {
-                String sent = harness.actions("startAttempt").stream().filter(l -> l.contains(q + shard + " ")).toList()
+                String sent = harness.actions("startAttempt").stream().filter(l -> l.contains(queryId + shard + " ")).toList()
                         .get(attempt).split(" ")[2];
-                harness.endAttempt(q + shard, attempt, sent,
+                harness.endAttempt(queryId + shard, attempt, sent,
                         attempt == 0 ? AttemptEndReason.CONNECT_FAILED : AttemptEndReason.OK, 250 * MS);
             }
         }
@@ -112,11 +113,11 @@
             harness.endAttempt(part.split(" ")[1], 0, worker, AttemptEndReason.OK, 300 * MS);
         }
         harness.advance(200 * MS);
-        assertEquals(4, harness.actions("startAttempt").size(), "another copy would need another connection");
+        assertEquals(4, harness.actions("startAttempt").size(), "a hedged request would need another connection");
     }
 
     @Test
-    void aWorkerThatStopsAnsweringIsEjectedAndComesBack() {
+    void ejectsSilentWorkerUntilItAnswers() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12).warmUp(12);
         harness.query(0, 0);
         String ejected = harness.workerOf(0);
@@ -126,9 +127,9 @@
         assertTrue(harness.actions.contains("log worker recovered: worker=" + ejected));
     }
 
-    /** Where many gatherers share the traffic, a worker often has but one part of ours, and some parts are long. */
+    /** With many gatherers, a worker often has a single part of this gatherer in flight, and some parts are long. */
     @Test
-    void oneLongPartAloneIsNoSilenceYet() {
+    void waitsLongerForSingleLongPart() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12).warmUp(12);
         harness.query(0, 0); // late after 0.4 s, a fifth of its latency objective
         harness.advance(700 * MS);
@@ -138,48 +139,48 @@
                 harness.actions("log"));
     }
 
-    /** A whole zone may be gone, and each trial of each of its workers costs some query of each gatherer its time. */
+    /** A whole zone may be lost, and each trial of each of its workers costs each gatherer's queries time. */
     @Test
-    void anUnreachableWorkerIsTriedLessAndLess() {
+    void triesUnreachableWorkerLessAndLessOften() {
         var site = new PolicyHarness.SiteSettings();
         site.layout = new ShardLayout(12, 1, 1);
         var harness = new PolicyHarness(site).workers(1).warmUp(1);
-        int tried = 0;
+        int trials = 0;
         for (int i = 0; i < 900; i++) {
             harness.actions.clear();
             harness.query(0, 0);
             for (String sent : harness.actions("startAttempt")) {
                 harness.endAttempt(sent.split(" ")[1], 0, "leaf0", AttemptEndReason.CONNECT_FAILED, MS);
-                tried++;
+                trials++;
             }
             harness.advance(20 * MS);
         }
-        assertTrue(tried >= 5 && tried <= 15, "in 18 s, from 0.3 s to eight times as long: " + tried);
+        assertTrue(trials >= 5 && trials <= 15, "trials in 18 s, at intervals from 0.3 s to eight times that: " + trials);
     }
 
     @Test
-    void aNonIdempotentPartIsNoTrialOfASilentWorker() {
+    void usesNoNonIdempotentPartAsTrial() {
         for (Idempotency idempotency : List.of(Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT)) {
             var harness = new PolicyHarness(
                     new PolicyHarness.SiteSettings().onlyClass(PolicyHarness.SiteSettings.allParts(idempotency)))
                     .workers(2)
                     .warmUp(2);
-            String q = harness.query(0, 0);
-            String silent = harness.workerOf(0);
+            String queryId = harness.query(0, 0);
+            String silentWorker = harness.workerOf(0);
             harness.advance(900 * MS);
-            assertTrue(harness.actions.contains("log worker ejected: worker=" + silent + " reason=silence"));
-            harness.endAttempt(q + "/0", 0, silent, AttemptEndReason.CANCELLED, 900 * MS);
+            assertTrue(harness.actions.contains("log worker ejected: worker=" + silentWorker + " reason=silence"));
+            harness.endAttempt(queryId + "/0", 0, silentWorker, AttemptEndReason.CANCELLED, 900 * MS);
             harness.now += 30_000 * MS;
             harness.actions.clear();
             harness.query(0, 0);
             harness.query(0, 0);
-            boolean tried = harness.actions("startAttempt").stream().anyMatch(l -> l.endsWith(silent));
-            assertEquals(idempotency == Idempotency.IDEMPOTENT, tried, idempotency + "");
+            boolean isTried = harness.actions("startAttempt").stream().anyMatch(l -> l.endsWith(silentWorker));
+            assertEquals(idempotency == Idempotency.IDEMPOTENT, isTried, idempotency + "");
         }
     }
 
     @Test
-    void twoPartsUnansweredAreASilence() {
+    void ejectsWorkerWithTwoUnansweredParts() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(2).warmUp(2);
         for (int i = 0; i < 4; i++) {
             harness.query(0, 0);
@@ -189,22 +190,22 @@
     }
 
     @Test
-    void aStalledGathererDoesNotBlameItsWorkers() {
+    void recordsNoLatencyAfterItsOwnStall() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12).warmUp(12);
-        String q = harness.query(0, 0);
-        harness.now += 1_500 * MS; // no round for long: the sweep's timer and the answer are found together
+        String queryId = harness.query(0, 0);
+        harness.now += 1_500 * MS; // no round for 1.5 s: the sweep timer and the answer are handled together
         harness.policy.onTimer(harness.now, "sweep");
-        harness.endAttempt(q + "/0", 0, harness.workerOf(0), AttemptEndReason.OK, 1_500 * MS);
-        assertEquals(List.of("answer " + q + " true"), harness.actions("answer"));
-        assertTrue(harness.actions("log").isEmpty(), "its own gap is not silence of the worker");
+        harness.endAttempt(queryId + "/0", 0, harness.workerOf(0), AttemptEndReason.OK, 1_500 * MS);
+        assertEquals(List.of("answer " + queryId + " true"), harness.actions("answer"));
+        assertTrue(harness.actions("log").isEmpty(), "the gatherer's own stall is no silence of the worker");
         String worker = harness.workerOf(0);
-        int again = 0;
+        int reuses = 0;
         for (int i = 0; i < 8; i++) {
             harness.actions.clear();
             harness.query(0, 0);
-            again += harness.workerOf(0).equals(worker) ? 1 : 0;
+            reuses += harness.workerOf(0).equals(worker) ? 1 : 0;
             harness.answerAll(100 * MS);
         }
-        assertTrue(again > 0, "nor is the answer's time the worker's");
+        assertTrue(reuses > 0, "the answer's duration is not the worker's latency");
     }
 }
--- a/src/test/java/wallmoor/decision/PolicyHarness.java
+++ b/src/test/java/wallmoor/decision/PolicyHarness.java
@@ -5,17 +5,18 @@
 import java.util.Map;
 
 /**
- * One policy with a clock turned by hand; every action is written down as a line of words. Its workers are named "leaf"
- * and their cell: turns and tags go by the hash of a name, so that other names are other inputs.
+ * A policy with a manual clock that records each action as a line of words. Worker names are "leaf" and their cell.
+ * Slow start turns and gossip tags are computed from hashes of names, so other names are different inputs.
  */
 final class PolicyHarness implements RoutingActions {
+    /** A millisecond in microseconds. */
     static final long MS = 1000;
-    static final long ROUND = 5 * MS;
+    static final long ROUND_MICROS = 5 * MS;
 
     final List<String> actions = new ArrayList<>();
     final List<byte[]> broadcasts = new ArrayList<>();
-    /** For each attempt, within what time it has to begin. */
-    final List<Long> beginWithins = new ArrayList<>();
+    /** The maximum start delay of each attempt. */
+    final List<Long> maxStartDelays = new ArrayList<>();
     final RoutingPolicy policy;
     long now = 1_000_000;
     private long queries;
@@ -29,12 +30,12 @@
         policy.onStart(now);
     }
 
-    /** Settings with one change at a time. */
+    /** Settings that tests change one at a time. */
     static final class SiteSettings {
         int gatherers = 1;
         int position;
         boolean watchOnRequest;
-        double worstServedClass;
+        double worstClassWeight;
         boolean parallelAttempts = true;
         int maxAttempts = 4;
         boolean gossip;
@@ -51,16 +52,16 @@
             return new QueryClass(1, 0.3, 2_000_000, 0, 4_000_000, idempotency, 1_000_000, 1, 1, 0.9, 0);
         }
 
-        static QueryClass someParts(double need, double floor) {
-            return new QueryClass(1, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, need, floor, 0.9, 0);
+        static QueryClass someParts(double completeShare, double minimumShare) {
+            return new QueryClass(1, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, completeShare, minimumShare, 0.9, 0);
         }
 
-        /** A class whose late answers earn nothing, with so many parts in its second phase. */
-        static QueryClass worthlessWhenLate(int followUp) {
-            return new QueryClass(1, 0, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, 1, 1, 0.9, followUp);
+        /** Returns a class whose late answers earn nothing, with this number of parts in its second phase. */
+        static QueryClass worthlessWhenLate(int followUpParts) {
+            return new QueryClass(1, 0, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, 1, 1, 0.9, followUpParts);
         }
 
-        /** One of five gatherers that gossip. */
+        /** Returns the settings of one of five gatherers that gossip. */
         static SiteSettings withGossip() {
             var site = new SiteSettings();
             site.gatherers = 5;
@@ -68,13 +69,13 @@
             return site;
         }
 
-        SiteSettings onlyClass(QueryClass c) {
-            classes = List.of(c);
+        SiteSettings withOnlyClass(QueryClass queryClass) {
+            classes = List.of(queryClass);
             return this;
         }
 
         RoutingSettings settings() {
-            return new RoutingSettings(gatherers, position, 0, ROUND, watchOnRequest, classes, tenants, 0.1, false,
+            return new RoutingSettings(gatherers, position, 0, ROUND_MICROS, watchOnRequest, classes, tenants, 0.1, false,
                     clientsMarkRetries,
                     layout,
                     new PlatformLimits(true, parallelAttempts, false, gossip, retryAfter, 500_000, maxAttempts, 1000, 1,
@@ -82,12 +83,12 @@
                     new PlatformRules(20_000, 500_000, 0.2, 10_000_000, 2.5, 1_000_000, 10_000_000, retryBudgetWindow,
                             retryBudgetMinimum,
                             retryBudgetRatio),
-                    new CostModel(0, 0.05, 0.05, 0.01, 0.01, worstServedClass));
+                    new CostModel(0, 0.05, 0.05, 0.01, 0.01, worstClassWeight));
         }
     }
 
-    static WorkerListEntry worker(int cell, WorkerStatus state, long upSince) {
-        return new WorkerListEntry("leaf" + cell, 0, 0, cell, state, 1, upSince);
+    static WorkerListEntry worker(int cell, WorkerStatus status, long startedAt) {
+        return new WorkerListEntry("leaf" + cell, 0, 0, cell, status, 1, startedAt);
     }
 
     PolicyHarness completeList(WorkerListEntry... entries) {
@@ -96,7 +97,7 @@
         return this;
     }
 
-    /** All cells with one worker each. */
+    /** Lists one worker for each cell. */
     PolicyHarness workers(int cells) {
         var entries = new WorkerListEntry[cells];
         for (int i = 0; i < cells; i++) {
@@ -105,20 +106,20 @@
         return completeList(entries);
     }
 
-    /** A query with a part for each shard; returns its id. Parts are named id/shard. */
+    /** Sends a query with a part for each shard and returns its id. The ids of parts are id/shard. */
     String query(int queryClass, int... shards) {
         return query(queryClass, 4_000_000, false, shards);
     }
 
-    /** A marked retry whose client waits for this much longer. */
-    String retry(long left, int... shards) {
-        return query(0, left, true, shards);
+    /** Sends a marked retry whose client waits for this much longer. */
+    String retry(long timeLeft, int... shards) {
+        return query(0, timeLeft, true, shards);
     }
 
-    private String query(int queryClass, long left, boolean repeat, int... shards) {
+    private String query(int queryClass, long timeLeft, boolean isRetry, int... shards) {
         String id = "q" + queries;
-        policy.onQueryArrived(now, new QueryArrived(id, queries, queryClass, 0, null, now + left, Absent.VALUE,
-                shards.length, repeat));
+        policy.onQueryArrived(now, new QueryArrived(id, queries, queryClass, 0, null, now + timeLeft, Absent.VALUE,
+                shards.length, isRetry));
         for (int shard : shards) {
             policy.onPartArrived(now, new PartArrived(id + "/" + shard, queries, shard, 1.0 / shards.length,
                     Absent.VALUE));
@@ -128,34 +129,34 @@
         return id;
     }
 
-    void endAttempt(String part, int attempt, String worker, AttemptEndReason outcome, long took) {
+    void endAttempt(String part, int attempt, String worker, AttemptEndReason reason, long duration) {
         policy.onAttemptEnded(now,
-                new AttemptEnded(part, attempt, worker, outcome, took, outcome == AttemptEndReason.OK, Map.of()));
+                new AttemptEnded(part, attempt, worker, reason, duration, reason == AttemptEndReason.OK, Map.of()));
         policy.onRoundEnd(now);
     }
 
-    /** Lets time pass in sweeps. */
+    /** Advances the clock in sweeps. */
     void advance(long time) {
         long end = now + time;
         while (now < end) {
-            now = Math.min(end, now + 4 * ROUND);
+            now = Math.min(end, now + 4 * ROUND_MICROS);
             policy.onTimer(now, "sweep");
             policy.onRoundEnd(now);
         }
     }
 
-    /** Ends every attempt in flight with OK after the given time. */
-    void answerAll(long took) {
-        advance(took);
+    /** Ends the first attempt of each part with OK after the given time. */
+    void answerAll(long duration) {
+        advance(duration);
         for (String line : List.copyOf(actions)) {
             if (line.startsWith("startAttempt ")) {
                 String[] words = line.split(" ");
-                endAttempt(words[1], 0, words[2], AttemptEndReason.OK, took);
+                endAttempt(words[1], 0, words[2], AttemptEndReason.OK, duration);
             }
         }
     }
 
-    /** Serves plain queries on every shard until latencies are known. */
+    /** Serves queries on every shard until latencies are known. */
     PolicyHarness warmUp(int cells) {
         for (int i = 0; i < 4; i++) {
             for (int shard = 0; shard < cells; shard++) {
@@ -167,24 +168,24 @@
         return this;
     }
 
-    /** Another gatherer's message arrives. */
-    void receiveGossip(int from, byte[] contents) {
-        policy.onPeerMessage(now, from, contents);
+    /** Delivers a message from another gatherer. */
+    void receiveGossip(int from, byte[] message) {
+        policy.onPeerMessage(now, from, message);
         policy.onRoundEnd(now);
     }
 
-    List<String> actions(String verb) {
-        return actions.stream().filter(s -> s.startsWith(verb + " ")).toList();
+    List<String> actions(String name) {
+        return actions.stream().filter(s -> s.startsWith(name + " ")).toList();
     }
 
-    /** The worker of the n-th attempt. */
-    String workerOf(int n) {
-        return actions("startAttempt").get(n).split(" ")[2];
+    /** Returns the worker of the n-th attempt. */
+    String workerOf(int index) {
+        return actions("startAttempt").get(index).split(" ")[2];
     }
 
     @Override
-    public void startAttempt(String part, String worker, long giveUpAfter, long beginWithin) {
-        beginWithins.add(beginWithin);
+    public void startAttempt(String part, String worker, long timeout, long maxStartDelay) {
+        maxStartDelays.add(maxStartDelay);
         actions.add("startAttempt " + part + " " + worker);
     }
 
@@ -194,13 +195,13 @@
     }
 
     @Override
-    public void answer(String query, boolean whole) {
-        actions.add("answer " + query + " " + whole);
+    public void answer(String query, boolean complete) {
+        actions.add("answer " + query + " " + complete);
     }
 
     @Override
-    public void reject(String query, long comeBackAfter) {
-        actions.add("reject " + query + " " + comeBackAfter);
+    public void reject(String query, long retryAfter) {
+        actions.add("reject " + query + " " + retryAfter);
     }
 
     @Override
@@ -209,8 +210,8 @@
     }
 
     @Override
-    public void scheduleTimer(long in, String token) {
-        actions.add("scheduleTimer " + in + " " + token);
+    public void scheduleTimer(long delay, String token) {
+        actions.add("scheduleTimer " + delay + " " + token);
     }
 
     @Override
@@ -219,9 +220,9 @@
     }
 
     @Override
-    public void broadcast(byte[] contents) {
-        actions.add("broadcast " + contents.length);
-        broadcasts.add(contents);
+    public void broadcast(byte[] message) {
+        actions.add("broadcast " + message.length);
+        broadcasts.add(message);
     }
 
     @Override
--- a/src/test/java/wallmoor/decision/QueryCompletionTest.java
+++ b/src/test/java/wallmoor/decision/QueryCompletionTest.java
@@ -7,52 +7,52 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How queries end: with an answer, a rejection and its Retry-After, or a failure. */
+/** The end of queries: an answer, a rejection with its Retry-After, or a failure. */
 class QueryCompletionTest {
     private static final long MS = PolicyHarness.MS;
 
     @Test
-    void everyQueryEndsOnceBeforeItsTime() {
+    void endsQueryExactlyOnceBeforeItsDeadline() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12);
-        String q = harness.query(0, 0, 1);
+        String queryId = harness.query(0, 0, 1);
         harness.advance(3_990 * MS);
-        assertEquals(1, harness.actions.stream().filter(s -> s.matches("(answer|reject|fail) " + q + ".*")).count());
+        assertEquals(1, harness.actions.stream().filter(s -> s.matches("(answer|reject|fail) " + queryId + ".*")).count());
         int sent = harness.actions("startAttempt").size();
         harness.advance(2_000 * MS);
-        harness.endAttempt(q + "/0", 0, "leaf0", AttemptEndReason.OK, 5_000 * MS);
+        harness.endAttempt(queryId + "/0", 0, "leaf0", AttemptEndReason.OK, 5_000 * MS);
         assertEquals(sent, harness.actions("startAttempt").size());
         assertEquals(1, harness.actions.stream().filter(s -> s.matches("(answer|reject|fail) .*")).count());
     }
 
     @Test
-    void noAnswerUnderTheMinimumAndNoneMarkedCompleteThatIsNot() {
+    void answersPartiallyOnlyAboveMinimumShareAndNotAsComplete() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().onlyClass(PolicyHarness.SiteSettings.someParts(1, 0.5))).workers(12);
-        String q = harness.query(0, 0, 2, 4, 6);
-        harness.endAttempt(q + "/0", 0, harness.workerOf(0), AttemptEndReason.OK, 10 * MS);
-        harness.endAttempt(q + "/2", 0, harness.actions("startAttempt").get(1).split(" ")[2], AttemptEndReason.OK,
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(1, 0.5))).workers(12);
+        String queryId = harness.query(0, 0, 2, 4, 6);
+        harness.endAttempt(queryId + "/0", 0, harness.workerOf(0), AttemptEndReason.OK, 10 * MS);
+        harness.endAttempt(queryId + "/2", 0, harness.actions("startAttempt").get(1).split(" ")[2], AttemptEndReason.OK,
                 10 * MS);
         assertTrue(harness.actions("answer").isEmpty());
         harness.advance(3_990 * MS);
         assertEquals(1, harness.actions("answer").size() + harness.actions("reject").size());
-        assertFalse(harness.actions("answer").contains("answer " + q + " true"));
+        assertFalse(harness.actions("answer").contains("answer " + queryId + " true"));
 
         harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().onlyClass(PolicyHarness.SiteSettings.someParts(1, 0.5))).workers(12);
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(1, 0.5))).workers(12);
         harness.query(0, 0, 2, 4, 6);
         harness.advance(3_990 * MS);
         assertTrue(harness.actions("answer").isEmpty());
     }
 
     @Test
-    void aSecondPhaseNeedsAllItsParts() {
+    void answersSecondPhaseOnceAllPartsAreAnswered() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()
-                .onlyClass(new QueryClass(1, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, 1, 1,
+                .withOnlyClass(new QueryClass(1, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, 1, 1,
                         0.9, 2)))
                 .workers(12);
-        String q = harness.query(0, 0, 2);
-        harness.endAttempt(q + "/0", 0, harness.workerOf(0), AttemptEndReason.OK, 10 * MS);
-        harness.endAttempt(q + "/2", 0, harness.actions("startAttempt").get(1).split(" ")[2], AttemptEndReason.OK,
+        String queryId = harness.query(0, 0, 2);
+        harness.endAttempt(queryId + "/0", 0, harness.workerOf(0), AttemptEndReason.OK, 10 * MS);
+        harness.endAttempt(queryId + "/2", 0, harness.actions("startAttempt").get(1).split(" ")[2], AttemptEndReason.OK,
                 10 * MS);
         assertEquals(1, harness.actions("answer").size());
         harness.policy.onPartArrived(harness.now, new PartArrived("x", 0, 0, 0.5, Absent.VALUE));
@@ -66,53 +66,53 @@
     }
 
     @Test
-    void aQueryWithNoAttemptLeftEndsAtOnceWithARetryAfter() {
+    void rejectsQueryWithRetryAfterOnceAttemptsAreUsedUp() {
         var site = new PolicyHarness.SiteSettings();
         site.maxAttempts = 2;
         var harness = new PolicyHarness(site).workers(12).warmUp(12);
-        String q = harness.query(0, 0, 1);
+        String queryId = harness.query(0, 0, 1);
         for (int i = 0; i < 2; i++) {
             String[] sent = harness.actions("startAttempt").stream().filter(l -> l.contains("/0 ")).toList().get(i)
                     .split(" ");
-            harness.endAttempt(q + "/0", i, sent[2], AttemptEndReason.ERROR, 2 * MS);
+            harness.endAttempt(queryId + "/0", i, sent[2], AttemptEndReason.ERROR, 2 * MS);
         }
-        assertEquals(1, harness.actions("reject " + q).size(), "the other part is still out, but can't save it");
+        assertEquals(1, harness.actions("reject " + queryId).size(), "the other part is in flight, but the query can't be answered");
         assertTrue(Long.parseLong(harness.actions("reject").get(0).split(" ")[2]) > 0);
     }
 
     @Test
-    void noRetryAfterWhereClientsAreGivenNone() {
+    void omitsRetryAfterWhereThePlatformForbidsIt() {
         var site = new PolicyHarness.SiteSettings();
         site.retryAfter = false;
         var harness = new PolicyHarness(site).completeList();
-        String q = harness.query(0, 0);
-        assertEquals(List.of("reject " + q + " 0"), harness.actions("reject"));
+        String queryId = harness.query(0, 0);
+        assertEquals(List.of("reject " + queryId + " 0"), harness.actions("reject"));
     }
 
     @Test
-    void aQueryWithAKeyPastItsWindowEndsAtOnce() {
+    void failsQueryWithKeyAfterItsDeduplicationWindow() {
         var site = new PolicyHarness.SiteSettings()
-                .onlyClass(PolicyHarness.SiteSettings.allParts(Idempotency.WITH_KEY));
+                .withOnlyClass(PolicyHarness.SiteSettings.allParts(Idempotency.WITH_KEY));
         var harness = new PolicyHarness(site).workers(12).warmUp(12);
-        String q = harness.query(0, 0);
+        String queryId = harness.query(0, 0);
         harness.advance(1_100 * MS);
         for (String line : List.copyOf(harness.actions("startAttempt"))) {
             String[] sent = line.split(" ");
             int number = harness.actions("startAttempt").indexOf(line);
-            harness.endAttempt(q + "/0", number, sent[2], AttemptEndReason.ERROR, 1_100 * MS);
+            harness.endAttempt(queryId + "/0", number, sent[2], AttemptEndReason.ERROR, 1_100 * MS);
         }
-        assertEquals(List.of("fail " + q), harness.actions("fail"), "no further attempt may be sent");
+        assertEquals(List.of("fail " + queryId), harness.actions("fail"), "no further attempt may be sent");
     }
 
     @Test
-    void givenUpQueriesTeachHowLongQueriesTake() {
-        var site = new PolicyHarness.SiteSettings().onlyClass(PolicyHarness.SiteSettings.worthlessWhenLate(0));
+    void learnsQueryLatencyFromUnansweredQueries() {
+        var site = new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.worthlessWhenLate(0));
         var harness = new PolicyHarness(site).workers(12).warmUp(12);
         for (int i = 0; i < 12; i++) {
-            String q = harness.query(0, 0, 2, 4, 6);
+            String queryId = harness.query(0, 0, 2, 4, 6);
             for (String line : List.copyOf(harness.actions("startAttempt"))) {
                 String[] sent = line.split(" ");
-                if (sent[1].startsWith(q + "/") && !sent[1].endsWith("/6")) {
+                if (sent[1].startsWith(queryId + "/") && !sent[1].endsWith("/6")) {
                     harness.endAttempt(sent[1], 0, sent[2], AttemptEndReason.OK, 500 * MS);
                 }
             }
@@ -120,18 +120,18 @@
         }
         harness.actions.clear();
         harness.query(0, 0, 2, 4, 6);
-        assertEquals(1, harness.actions("reject").size(), "four times the part time was never enough");
+        assertEquals(1, harness.actions("reject").size(), "no query was answered in four times the part latency");
     }
 
     @Test
-    void aRetryWhoseObjectiveHasPassedTakesNoWork() {
-        var site = new PolicyHarness.SiteSettings().onlyClass(PolicyHarness.SiteSettings.worthlessWhenLate(0));
+    void rejectsMarkedRetryWhoseObjectiveHasPassed() {
+        var site = new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.worthlessWhenLate(0));
         site.clientsMarkRetries = true;
         var harness = new PolicyHarness(site).workers(12).warmUp(12);
         harness.retry(1_900 * MS, 0);
-        assertEquals(0, harness.actions("startAttempt").size(), "2.1 s of the client's 4 s have gone");
+        assertEquals(0, harness.actions("startAttempt").size(), "2.1 s of the client's 4 s have passed");
         assertEquals(1, harness.actions("reject").size());
         harness.retry(3_900 * MS, 0);
-        assertEquals(1, harness.actions("startAttempt").size(), "only 0.1 s have");
+        assertEquals(1, harness.actions("startAttempt").size(), "only 0.1 s have passed");
     }
 }
--- a/src/test/java/wallmoor/decision/RoutingPolicyTest.java
+++ b/src/test/java/wallmoor/decision/RoutingPolicyTest.java
@@ -10,14 +10,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The policy as a whole: discovery, odd input, settings that change, and equal actions for equal events. */
+/** The policy in interaction with discovery, invalid input and changing settings, and its determinism. */
 class RoutingPolicyTest {
     private static final long MS = PolicyHarness.MS;
-    /** A start later than the clock. */
-    private static final long LATER = 900_000_000;
+    /** A worker's start time in the future. */
+    private static final long FUTURE_START_MICROS = 900_000_000;
 
     @Test
-    void discoveryIsPolledUntilItAnswers() {
+    void pollsDiscoveryUntilItAnswers() {
         var site = new PolicyHarness.SiteSettings();
         site.watchOnRequest = true;
         var harness = new PolicyHarness(site);
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void oddInputNeitherThrowsNorBreaksARule() {
+    void toleratesUnknownIdsAndIndexes() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12);
         harness.policy.onQueryArrived(harness.now,
                 new QueryArrived("odd", 900, 99, 99, null, harness.now + 2_000_000, 0, 1, false));
@@ -46,24 +46,24 @@
         harness.policy.onPeerMessage(harness.now, 3, new byte[] {1});
         harness.endAttempt("odd/0", 0, harness.workerOf(0), AttemptEndReason.OK, 10 * MS);
         assertEquals(List.of("answer odd true"), harness.actions("answer"));
-        String none = new PolicyHarness(new PolicyHarness.SiteSettings()).completeList().query(0, 0);
-        assertEquals("q0", none);
+        String queryWithoutWorkers = new PolicyHarness(new PolicyHarness.SiteSettings()).completeList().query(0, 0);
+        assertEquals("q0", queryWithoutWorkers);
     }
 
     @Test
-    void wrongListsBreakNothing() {
+    void toleratesInconsistentWorkerLists() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).completeList(
                 PolicyHarness.worker(12, WorkerStatus.UP, Absent.VALUE),
                 PolicyHarness.worker(-1, WorkerStatus.UP, Absent.VALUE),
-                PolicyHarness.worker(1, WorkerStatus.UP, LATER));
+                PolicyHarness.worker(1, WorkerStatus.UP, FUTURE_START_MICROS));
         harness.policy.onWorkerList(harness.now, WorkerListKind.CHANGES,
                 List.of(PolicyHarness.worker(7, WorkerStatus.REMOVED, Absent.VALUE)));
         harness.policy.onWorkerList(harness.now, WorkerListKind.CACHED, List.of());
         harness.query(0, 0);
-        assertTrue(harness.actions("startAttempt").isEmpty(), "the last complete list was empty");
+        assertTrue(harness.actions("startAttempt").isEmpty(), "the cached list was empty");
         harness.completeList(PolicyHarness.worker(12, WorkerStatus.UP, Absent.VALUE),
-                PolicyHarness.worker(1, WorkerStatus.UP, LATER),
-                PolicyHarness.worker(1, WorkerStatus.UP, LATER));
+                PolicyHarness.worker(1, WorkerStatus.UP, FUTURE_START_MICROS),
+                PolicyHarness.worker(1, WorkerStatus.UP, FUTURE_START_MICROS));
         harness.query(0, 0);
         assertEquals(1, harness.actions("startAttempt").size());
         assertEquals("leaf1", harness.workerOf(0),
@@ -73,9 +73,9 @@
     }
 
     @Test
-    void partsAtOneMomentWithOddWeightsEndHonestly() {
+    void rejectsQueryWhoseAnsweredPartsHaveNoWeight() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().onlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6))).workers(12);
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6))).workers(12);
         harness.policy.onQueryArrived(harness.now,
                 new QueryArrived("w", 77, 0, 0, null, harness.now + 4_000_000, -5, 3, false));
         for (int i = 0; i < 3; i++) {
@@ -88,30 +88,30 @@
                 harness.endAttempt(line.split(" ")[1], 0, line.split(" ")[2], AttemptEndReason.OK, 1);
             }
         }
-        assertTrue(harness.actions("answer").isEmpty(), "parts without weight are no answer");
+        assertTrue(harness.actions("answer").isEmpty(), "parts without weight don't make an answer");
         harness.advance(3_990 * MS);
         assertEquals(1, harness.actions("reject").size());
     }
 
     @Test
-    void contradictorySettingsAreRefusedByName() {
+    void rejectsInvalidSettingsWithTheirKey() {
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings());
         var site = new PolicyHarness.SiteSettings();
         site.gatherers = 0;
-        var refused = assertThrows(IllegalArgumentException.class,
+        var error = assertThrows(IllegalArgumentException.class,
                 () -> new RoutingPolicy(site.settings(), 1, harness));
-        assertTrue(refused.getMessage().contains("settings.Instances is 0, but must be at least 1"));
+        assertTrue(error.getMessage().contains("settings.Instances is 0, but must be at least 1"));
         assertThrows(NullPointerException.class, () -> new RoutingPolicy(null, 1, harness));
     }
 
     @Test
-    void equalEventsGiveEqualActions() {
+    void givesEqualActionsForEqualEvents() {
         assertEquals(recordedActions(), recordedActions());
     }
 
     private static List<String> recordedActions() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().onlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6))).workers(12);
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6))).workers(12);
         for (int i = 0; i < 30; i++) {
             harness.query(0, i % 12, (i + 3) % 12, (i + 5) % 12, (i + 7) % 12);
             harness.advance(40 * MS);
@@ -120,53 +120,53 @@
         return harness.actions;
     }
 
-    /** A class that grew stricter holds for what comes, not for what is under way; a vanished one's place stays. */
+    /** A class whose idempotency became stricter applies to new queries only; a removed class keeps its index. */
     @Test
-    void settingsChangeUnderWay() {
+    void appliesNewSettingsToNewQueriesOnly() {
         var site = new PolicyHarness.SiteSettings();
         site.parallelAttempts = false;
         PolicyHarness harness = new PolicyHarness(site).workers(12);
-        String old = harness.query(0, 3);
+        String oldQuery = harness.query(0, 3);
         site.classes = List.of(PolicyHarness.SiteSettings.allParts(Idempotency.NOT_IDEMPOTENT),
                 PolicyHarness.SiteSettings.allParts(Idempotency.IDEMPOTENT));
         site.maxAttempts = 2;
         harness.policy.onSettingsChanged(harness.now, site.settings(), Set.of());
-        harness.endAttempt(old + "/3", 0, harness.workerOf(0), AttemptEndReason.ERROR, 1000);
-        assertEquals(2, harness.actions("startAttempt").size()); // it may be repeated, as when it came
-        harness.endAttempt(old + "/3", 1, harness.workerOf(1), AttemptEndReason.ERROR, 1000);
-        assertEquals(2, harness.actions("startAttempt").size()); // though not so often any more
-        String strict = harness.query(0, 5);
-        harness.endAttempt(strict + "/5", 0, harness.workerOf(2), AttemptEndReason.ERROR, 1000);
+        harness.endAttempt(oldQuery + "/3", 0, harness.workerOf(0), AttemptEndReason.ERROR, 1000);
+        assertEquals(2, harness.actions("startAttempt").size()); // the query's class allows a retry, as when it arrived
+        harness.endAttempt(oldQuery + "/3", 1, harness.workerOf(1), AttemptEndReason.ERROR, 1000);
+        assertEquals(2, harness.actions("startAttempt").size()); // but the new limit on attempts is in force
+        String strictQuery = harness.query(0, 5);
+        harness.endAttempt(strictQuery + "/5", 0, harness.workerOf(2), AttemptEndReason.ERROR, 1000);
         assertEquals(3, harness.actions("startAttempt").size());
-        assertTrue(harness.actions("fail").contains("fail " + strict));
-        // the class whose latency is the unit of the others
+        assertTrue(harness.actions("fail").contains("fail " + strictQuery));
+        // removes the class whose latency is the unit of the others
         harness.policy.onSettingsChanged(harness.now, site.settings(), Set.of(0));
-        String fresh = harness.query(1, 7);
-        harness.endAttempt(fresh + "/7", 0, harness.workerOf(3), AttemptEndReason.OK, 1000);
-        assertTrue(harness.actions("answer").contains("answer " + fresh + " true"));
+        String newQuery = harness.query(1, 7);
+        harness.endAttempt(newQuery + "/7", 0, harness.workerOf(3), AttemptEndReason.OK, 1000);
+        assertTrue(harness.actions("answer").contains("answer " + newQuery + " true"));
     }
 
     @Test
-    void settingsThatContradictThemselvesChangeNothing() {
+    void ignoresReloadOfInvalidSettings() {
         var site = new PolicyHarness.SiteSettings();
         PolicyHarness harness = new PolicyHarness(site).workers(12);
         site.maxAttempts = 0;
         assertThrows(IllegalArgumentException.class,
                 () -> harness.policy.onSettingsChanged(harness.now, site.settings(), Set.of()));
-        String q = harness.query(0, 3);
-        harness.endAttempt(q + "/3", 0, harness.workerOf(0), AttemptEndReason.ERROR, 1000);
+        String queryId = harness.query(0, 3);
+        harness.endAttempt(queryId + "/3", 0, harness.workerOf(0), AttemptEndReason.ERROR, 1000);
         assertEquals(2, harness.actions("startAttempt").size());
     }
 
     @Test
-    void theDeployFileNamesEveryFileOfTheModule() throws Exception {
+    void deployFileListsEveryFileOfThePackage() throws Exception {
         String deploy = Files.readString(Path.of("deploy/balancer.toml"));
         String policy = deploy.lines().filter(l -> l.startsWith("policy = ")).findFirst().orElseThrow();
         try (var files = Files.list(Path.of("src/main/java/wallmoor/decision"))) {
-            List<String> named = files.map(f -> "\"" + f.toString().replace('\\', '/') + "\"")
+            List<String> paths = files.map(f -> "\"" + f.toString().replace('\\', '/') + "\"")
                     .filter(f -> !f.contains("package-info")).toList();
-            assertEquals(List.of(), named.stream().filter(f -> !policy.contains(f)).toList());
-            assertEquals(named.size(), policy.split("\\.java\"", -1).length - 1, "one path for each file");
+            assertEquals(List.of(), paths.stream().filter(f -> !policy.contains(f)).toList());
+            assertEquals(paths.size(), policy.split("\\.java\"", -1).length - 1, "one path for each file");
         }
     }
 }
--- a/src/test/java/wallmoor/decision/SlowStartSimulation.java
+++ b/src/test/java/wallmoor/decision/SlowStartSimulation.java
@@ -9,43 +9,51 @@
 import java.util.Random;
 
 /**
- * Many modules and the workers that they share on one simulated clock. The workers of the first cell die together and
- * come back in slow start, so that all demand for their shards waits for what the modules send them. Each worker keeps
- * the times at which parts reached it, and {@link #worstExcess} holds them against the bound that the settings state.
+ * Several policies and the workers that they share on one simulated clock. The workers of the first cell fail together
+ * and restart in slow start, so that all demand for their shards depends on what the gatherers send them. Each worker
+ * records when parts reach it, and {@link #worstExcess} compares these times with the bound in the settings.
  */
 final class SlowStartSimulation {
+    /** A millisecond in microseconds. */
     static final long MS = 1000;
-    static final long SECOND = 1_000 * MS;
+    static final long SECOND_MICROS = 1_000 * MS;
     private static final int CORES = 2;
-    /** Speed of the slow kind of machines, half of all. */
-    private static final double SLOW = 0.75;
-    /** Sizes in lists are rough: off by at most so much. */
-    private static final double ROUGH = 0.1;
-    private static final long HOP = 1 * MS;
-    /** Calls from which the slack of the bound is 2 x the square root + 2; below it is 3 x the square root + 3. */
-    private static final int FEW_CALLS = 30;
-    /** The rule is broken where more than this share of what reached the worker came from modules told of its start. */
-    private static final double TOLD_SHARE = 2.0 / 3;
+    /** Relative speed of the slow kind of machines, which is half of them. */
+    private static final double SLOW_MACHINE_SPEED = 0.75;
+    /** Maximum relative error of sizes in worker lists. */
+    private static final double MAX_SIZE_ERROR = 0.1;
+    private static final long HOP_MICROS = 1 * MS;
+    /**
+     * Number of calls from which the slack of the bound is 2 x the square root + 2; below it is 3 x the square root +
+     * 3.
+     */
+    private static final int LARGE_BOUND_CALLS = 30;
+    /**
+     * A window violates the bound only if more than this share of its parts came from gatherers notified of the
+     * worker's start.
+     */
+    private static final double MIN_NOTIFIED_SHARE = 2.0 / 3;
 
     /**
-     * One simulated day.
+     * A simulated scenario.
      *
-     * @param gatherers        modules side by side
-     * @param cells        cells of three workers each; those of the first are restarted
-     * @param parts        parts of a query
-     * @param work         mean work of a part on a fast warm core (microseconds)
-     * @param load         demand over capacity before the burst
-     * @param burst        demand during the burst, over that before it
-     * @param restarted    share of the modules that are restarted while workers are in slow start
-     * @param dialLasts    a first connection to a worker takes up to this (microseconds)
-     * @param toldAfter    lists tell of a start so late at the most (microseconds)
+     * @param seed the seed of the random draws
+     * @param gatherers number of gatherers
+     * @param cells cells of three workers each; those of the first are restarted
+     * @param parts parts of a query
+     * @param meanWork mean work of a part on a fast warm core (microseconds)
+     * @param load demand relative to capacity before the burst
+     * @param burst demand during the burst, relative to that before it
+     * @param restartedShare share of the gatherers that are restarted while workers are in slow start
+     * @param maxConnectTime maximum time of a first connection to a worker (microseconds)
+     * @param maxListDelay maximum time until a worker list shows a worker's start (microseconds)
      */
-    record Scenario(long seed, int gatherers, int cells, int parts, long work, double load, double burst,
-            double restarted,
-            long dialLasts,
-            long toldAfter) {}
+    record Scenario(long seed, int gatherers, int cells, int parts, long meanWork, double load, double burst,
+            double restartedShare,
+            long maxConnectTime,
+            long maxListDelay) {}
 
-    private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+    private record Event(long at, long order, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
@@ -56,92 +64,92 @@
 
     private record Call(SimulatedGatherer gatherer, String part, int number, long sentAt, long work) {}
 
-    private final Scenario day;
+    private final Scenario scenario;
     private final Random random;
     private final RoutingSettings settings;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final List<SimulatedGatherer> gatherers = new ArrayList<>();
-    private final Map<String, SimulatedWorker> machines = new HashMap<>();
+    private final Map<String, SimulatedWorker> workers = new HashMap<>();
     private long order;
-    private long now = 1_700_000_000 * SECOND;
-    private final long begun = now;
+    private long now = 1_700_000_000 * SECOND_MICROS;
+    private final long simulationStart = now;
 
-    SlowStartSimulation(Scenario day, RoutingSettings settings) {
-        this.day = day;
+    SlowStartSimulation(Scenario scenario, RoutingSettings settings) {
+        this.scenario = scenario;
         this.settings = settings;
-        random = new Random(day.seed);
-        for (int i = 0; i < 3 * day.cells; i++) {
-            machines.put("w" + i, new SimulatedWorker("w" + i, i % day.cells, random.nextBoolean() ? 1 : SLOW));
+        random = new Random(scenario.seed);
+        for (int i = 0; i < 3 * scenario.cells; i++) {
+            workers.put("w" + i, new SimulatedWorker("w" + i, i % scenario.cells, random.nextBoolean() ? 1 : SLOW_MACHINE_SPEED));
         }
-        for (int i = 0; i < day.gatherers; i++) {
+        for (int i = 0; i < scenario.gatherers; i++) {
             gatherers.add(new SimulatedGatherer(i));
         }
     }
 
     /**
-     * Plays the day to its end: the first cell dies at 10 s, is back at 11 to 12 s, and the burst lasts from 11 to 18
-     * s.
+     * Runs the scenario to its end: the first cell fails at 10 s and restarts at 11 to 12 s, and the burst lasts from
+     * 11 to 18 s.
      */
-    SlowStartSimulation play() {
-        gatherers.forEach(SimulatedGatherer::begin);
-        machines.values().stream().filter(m -> m.cell == 0).forEach(m -> {
-            in(10 * SECOND, m::crash);
-            in(11 * SECOND + random.nextLong(SECOND), m::comeBack);
+    SlowStartSimulation run() {
+        gatherers.forEach(SimulatedGatherer::start);
+        workers.values().stream().filter(worker -> worker.cell == 0).forEach(worker -> {
+            schedule(10 * SECOND_MICROS, worker::crash);
+            schedule(11 * SECOND_MICROS + random.nextLong(SECOND_MICROS), worker::recover);
         });
         for (SimulatedGatherer gatherer : gatherers) {
-            if (random.nextDouble() < day.restarted) {
-                in(12 * SECOND + random.nextLong(8 * SECOND), gatherer::restart);
+            if (random.nextDouble() < scenario.restartedShare) {
+                schedule(12 * SECOND_MICROS + random.nextLong(8 * SECOND_MICROS), gatherer::restart);
             }
         }
-        long end = begun + 24 * SECOND;
+        long end = simulationStart + 24 * SECOND_MICROS;
         while (!events.isEmpty() && events.peek().at < end) {
             Event event = events.poll();
             now = event.at;
-            event.what.run();
+            event.action.run();
         }
         return this;
     }
 
-    private void in(long after, Runnable what) {
-        events.add(new Event(now + after, order++, what));
+    private void schedule(long delay, Runnable action) {
+        events.add(new Event(now + delay, order++, action));
     }
 
     private boolean inBurst() {
-        return now >= begun + 11 * SECOND && now < begun + 18 * SECOND;
+        return now >= simulationStart + 11 * SECOND_MICROS && now < simulationStart + 18 * SECOND_MICROS;
     }
 
-    /**
-     * The most by which any window at a worker in slow start lies above what the bound allows then; 0 or less where
-     * none does.
-     */
+    /** Returns the most by which any window at a worker in slow start exceeds the bound; 0 or less if none does. */
     double worstExcess() {
-        return machines.values().stream().mapToDouble(SimulatedWorker::excess).max().orElse(0);
+        return workers.values().stream().mapToDouble(SimulatedWorker::excess).max().orElse(0);
     }
 
-    /** Parts that reached workers while they were in slow start. */
-    int sentCold() {
-        return machines.values().stream().mapToInt(m -> m.arrivals.size()).sum();
+    /** Returns the number of parts that reached workers while they were in slow start. */
+    int arrivalsInSlowStart() {
+        return workers.values().stream().mapToInt(worker -> worker.arrivals.size()).sum();
     }
 
-    /** What a worker of this warmth may get within the window, with the slack. */
-    private double bound(double warmth, double speed) {
+    /**
+     * Returns the number of parts that a worker with this share of its capacity may get within the window, with the
+     * slack.
+     */
+    private double bound(double capacityShare, double speed) {
         PlatformRules rules = settings.rules();
-        double perSecond = CORES * speed * 1e6 / day.work;
-        double calls = rules.overloadMultiple() * warmth * perSecond * rules.overloadWindow() / 1e6;
-        return calls + (calls < FEW_CALLS ? 3 * Math.sqrt(calls) + 3 : 2 * Math.sqrt(calls) + 2);
+        double partsPerSecond = CORES * speed * 1e6 / scenario.meanWork;
+        double calls = rules.overloadMultiple() * capacityShare * partsPerSecond * rules.overloadWindow() / 1e6;
+        return calls + (calls < LARGE_BOUND_CALLS ? 3 * Math.sqrt(calls) + 3 : 2 * Math.sqrt(calls) + 2);
     }
 
-    /** A worker: cores that work, a queue before them, and a process that may be gone. */
+    /** A worker: cores, a queue before them, and a process that may be down. */
     private final class SimulatedWorker {
         final String id;
         final int cell;
         final double speed;
         private final double size;
         final List<Arrival> arrivals = new ArrayList<>();
-        final Map<Integer, Long> toldAt = new HashMap<>();
+        final Map<Integer, Long> notifiedAt = new HashMap<>();
         private final ArrayDeque<Call> queue = new ArrayDeque<>();
         private int busy;
-        private boolean away;
+        private boolean isDown;
         private int incarnation;
         private long startedAt = Absent.VALUE;
 
@@ -149,10 +157,10 @@
             this.id = id;
             this.cell = cell;
             this.speed = speed;
-            size = speed * (1 - ROUGH + 2 * ROUGH * random.nextDouble());
+            size = speed * (1 - MAX_SIZE_ERROR + 2 * MAX_SIZE_ERROR * random.nextDouble());
         }
 
-        double warmth(long at) {
+        double capacityShare(long at) {
             PlatformRules rules = settings.rules();
             return startedAt == Absent.VALUE || at - startedAt >= rules.slowStartWindow() ? 1
                     : rules.slowStartShare()
@@ -164,7 +172,7 @@
         }
 
         void crash() {
-            away = true;
+            isDown = true;
             incarnation++;
             busy = 0;
             queue.clear();
@@ -173,12 +181,12 @@
             }
         }
 
-        void comeBack() {
-            away = false;
+        void recover() {
+            isDown = false;
             startedAt = now;
             arrivals.clear();
             for (SimulatedGatherer gatherer : gatherers) {
-                in(random.nextLong(Math.max(1, day.toldAfter)), () -> gatherer.told(this));
+                schedule(random.nextLong(Math.max(1, scenario.maxListDelay)), () -> gatherer.onWorkerRestarted(this));
             }
         }
 
@@ -187,209 +195,215 @@
                     startedAt == Absent.VALUE ? Absent.VALUE : startedAt / 1000 * 1000);
         }
 
-        void take(Call call) {
-            if (away) {
-                in(HOP, () -> call.gatherer.ends(call, id, AttemptEndReason.CONNECT_FAILED));
+        void receive(Call call) {
+            if (isDown) {
+                schedule(HOP_MICROS, () -> call.gatherer.onAttemptEnded(call, id, AttemptEndReason.CONNECT_FAILED));
                 return;
             }
             if (isInSlowStart(now)) {
-                arrivals.add(new Arrival(now, call.gatherer.place));
+                arrivals.add(new Arrival(now, call.gatherer.position));
             }
             queue.add(call);
-            work();
+            startWork();
         }
 
-        private void work() {
+        private void startWork() {
             while (busy < CORES && !queue.isEmpty()) {
                 Call call = queue.poll();
                 busy++;
-                int mine = incarnation;
-                in((long) (call.work / speed / warmth(now)), () -> {
-                    if (mine == incarnation) {
+                int currentIncarnation = incarnation;
+                schedule((long) (call.work / speed / capacityShare(now)), () -> {
+                    if (currentIncarnation == incarnation) {
                         busy--;
-                        in(HOP, () -> call.gatherer.ends(call, id, AttemptEndReason.OK));
-                        work();
+                        schedule(HOP_MICROS, () -> call.gatherer.onAttemptEnded(call, id, AttemptEndReason.OK));
+                        startWork();
                     }
                 });
             }
         }
 
-        /** Over all windows that end with an arrival, counted where modules had been told sent most of it. */
+        /**
+         * Returns the largest excess over all windows that end with an arrival; a window counts if notified gatherers
+         * sent most of it.
+         */
         double excess() {
             double worst = Double.NEGATIVE_INFINITY;
             long window = settings.rules().overloadWindow();
-            for (int last = 0, first = 0; last < arrivals.size(); last++) {
-                long end = arrivals.get(last).at;
-                while (arrivals.get(first).at <= end - window) {
-                    first++;
+            for (int lastIndex = 0, firstIndex = 0; lastIndex < arrivals.size(); lastIndex++) {
+                long end = arrivals.get(lastIndex).at;
+                while (arrivals.get(firstIndex).at <= end - window) {
+                    firstIndex++;
                 }
-                int told = 0;
-                for (int i = first; i <= last; i++) {
-                    told += toldAt.getOrDefault(arrivals.get(i).gatherer, Long.MAX_VALUE) <= arrivals.get(i).at ? 1 : 0;
+                int notified = 0;
+                for (int i = firstIndex; i <= lastIndex; i++) {
+                    notified += notifiedAt.getOrDefault(arrivals.get(i).gatherer, Long.MAX_VALUE) <= arrivals.get(i).at ? 1 : 0;
                 }
-                int all = last - first + 1;
-                if (told > TOLD_SHARE * all) {
-                    worst = Math.max(worst, all - bound(warmth(end), speed));
+                int total = lastIndex - firstIndex + 1;
+                if (notified > MIN_NOTIFIED_SHARE * total) {
+                    worst = Math.max(worst, total - bound(capacityShare(end), speed));
                 }
             }
             return worst;
         }
     }
 
-    /** A module with what stands round it: timers, connections, queries of its own clients. */
+    /** A policy with its environment: timers, connections, and queries of its own clients. */
     private final class SimulatedGatherer implements RoutingActions {
-        final int place;
-        private RoutingPolicy brain;
+        final int position;
+        private RoutingPolicy policy;
         private int incarnation;
-        private long numbers;
+        private long queryCount;
         private final Map<String, Integer> attempts = new HashMap<>();
-        private final Map<Call, String> out = new HashMap<>();
-        private final Map<String, Long> connected = new HashMap<>();
+        private final Map<Call, String> inFlight = new HashMap<>();
+        private final Map<String, Long> connectedAt = new HashMap<>();
 
-        SimulatedGatherer(int place) {
-            this.place = place;
+        SimulatedGatherer(int position) {
+            this.position = position;
         }
 
-        void begin() {
-            brain = new RoutingPolicy(settings.amongGatherers(day.gatherers, place),
-                    day.seed * 1_000 + place * 10L + incarnation,
+        void start() {
+            policy = new RoutingPolicy(settings.withGatherers(scenario.gatherers, position),
+                    scenario.seed * 1_000 + position * 10L + incarnation,
                     this);
-            brain.onStart(now);
-            brain.onWorkerList(now, WorkerListKind.CACHED,
-                    machines.values().stream().map(SimulatedWorker::entry).toList());
-            brain.onRoundEnd(now);
-            machines.values().stream().filter(m -> m.startedAt != Absent.VALUE)
-                    .forEach(m -> m.toldAt.putIfAbsent(place, now));
-            next(incarnation);
-        }
-
-        /** Killed; a new process takes its place a moment later, and knows nothing of what was sent. */
+            policy.onStart(now);
+            policy.onWorkerList(now, WorkerListKind.CACHED,
+                    workers.values().stream().map(SimulatedWorker::entry).toList());
+            policy.onRoundEnd(now);
+            workers.values().stream().filter(worker -> worker.startedAt != Absent.VALUE)
+                    .forEach(worker -> worker.notifiedAt.putIfAbsent(position, now));
+            scheduleNextQuery(incarnation);
+        }
+
+        /**
+         * Kills the gatherer. A new process replaces it half a second later, without knowledge of the parts sent
+         * before.
+         */
         void restart() {
             incarnation++;
-            out.clear();
+            inFlight.clear();
             attempts.clear();
-            connected.clear();
-            brain = null;
-            in(SECOND / 2, this::begin);
+            connectedAt.clear();
+            policy = null;
+            schedule(SECOND_MICROS / 2, this::start);
         }
 
-        void told(SimulatedWorker machine) {
-            machine.toldAt.putIfAbsent(place, now);
-            if (brain != null) {
-                brain.onWorkerList(now, WorkerListKind.CHANGES, List.of(machine.entry()));
-                brain.onRoundEnd(now);
+        void onWorkerRestarted(SimulatedWorker worker) {
+            worker.notifiedAt.putIfAbsent(position, now);
+            if (policy != null) {
+                policy.onWorkerList(now, WorkerListKind.CHANGES, List.of(worker.entry()));
+                policy.onRoundEnd(now);
             }
         }
 
-        private void next(int mine) {
-            double each = 3.0 * CORES * 1e6 / day.work * day.load * (inBurst() ? day.burst : 1) * day.cells * (1 + SLOW)
+        private void scheduleNextQuery(int currentIncarnation) {
+            double queriesPerSecond = 3.0 * CORES * 1e6 / scenario.meanWork * scenario.load * (inBurst() ? scenario.burst : 1) * scenario.cells * (1 + SLOW_MACHINE_SPEED)
                     / 2
-                    / day.gatherers / day.parts;
-            in((long) (-Math.log(1 - random.nextDouble()) / each * 1e6), () -> {
-                if (mine == incarnation) {
+                    / scenario.gatherers / scenario.parts;
+            schedule((long) (-Math.log(1 - random.nextDouble()) / queriesPerSecond * 1e6), () -> {
+                if (currentIncarnation == incarnation) {
                     query();
-                    next(mine);
+                    scheduleNextQuery(currentIncarnation);
                 }
             });
         }
 
         private void query() {
-            String id = "q" + place + "-" + incarnation + "-" + numbers;
-            brain.onQueryArrived(now,
-                    new QueryArrived(id, numbers, 0, 0, null, now + 4 * SECOND, Absent.VALUE, day.parts,
+            String id = "q" + position + "-" + incarnation + "-" + queryCount;
+            policy.onQueryArrived(now,
+                    new QueryArrived(id, queryCount, 0, 0, null, now + 4 * SECOND_MICROS, Absent.VALUE, scenario.parts,
                             false));
-            int first = random.nextInt(settings.layout().shards());
-            for (int i = 0; i < day.parts; i++) {
-                int shard = (first + i) % settings.layout().shards();
-                brain.onPartArrived(now,
-                        new PartArrived(id + "/" + i, numbers, shard, 1.0 / day.parts, Absent.VALUE));
+            int firstShard = random.nextInt(settings.layout().shards());
+            for (int i = 0; i < scenario.parts; i++) {
+                int shard = (firstShard + i) % settings.layout().shards();
+                policy.onPartArrived(now,
+                        new PartArrived(id + "/" + i, queryCount, shard, 1.0 / scenario.parts, Absent.VALUE));
             }
-            numbers++;
-            brain.onRoundEnd(now);
+            queryCount++;
+            policy.onRoundEnd(now);
         }
 
         void reset(String worker) {
-            connected.remove(worker);
-            for (Call call : List.copyOf(out.keySet())) {
-                if (worker.equals(out.get(call))) {
-                    in(HOP, () -> ends(call, worker, AttemptEndReason.RESET));
+            connectedAt.remove(worker);
+            for (Call call : List.copyOf(inFlight.keySet())) {
+                if (worker.equals(inFlight.get(call))) {
+                    schedule(HOP_MICROS, () -> onAttemptEnded(call, worker, AttemptEndReason.RESET));
                 }
             }
         }
 
-        void ends(Call call, String worker, AttemptEndReason outcome) {
-            if (out.remove(call) != null && brain != null) {
-                brain.onAttemptEnded(now, new AttemptEnded(call.part, call.number, worker, outcome, now - call.sentAt,
-                        outcome == AttemptEndReason.OK, Map.of()));
-                brain.onRoundEnd(now);
+        void onAttemptEnded(Call call, String worker, AttemptEndReason reason) {
+            if (inFlight.remove(call) != null && policy != null) {
+                policy.onAttemptEnded(now, new AttemptEnded(call.part, call.number, worker, reason, now - call.sentAt,
+                        reason == AttemptEndReason.OK, Map.of()));
+                policy.onRoundEnd(now);
             }
         }
 
         @Override
-        public void startAttempt(String part, String worker, long giveUpAfter, long beginWithin) {
+        public void startAttempt(String part, String worker, long timeout, long maxStartDelay) {
             int number = attempts.merge(part, 1, Integer::sum) - 1;
-            long work = (long) (day.work * Math.exp(0.4 * random.nextGaussian() - 0.08));
+            long work = (long) (scenario.meanWork * Math.exp(0.4 * random.nextGaussian() - 0.08));
             var call = new Call(this, part, number, now, work);
-            out.put(call, worker);
-            long up = connected.computeIfAbsent(worker, l -> now + random.nextLong(day.dialLasts + 1));
-            in(Math.max(HOP, up - now), () -> {
-                if (out.containsKey(call)) {
-                    machines.get(worker).take(call);
+            inFlight.put(call, worker);
+            long connectionReadyAt = connectedAt.computeIfAbsent(worker, key -> now + random.nextLong(scenario.maxConnectTime + 1));
+            schedule(Math.max(HOP_MICROS, connectionReadyAt - now), () -> {
+                if (inFlight.containsKey(call)) {
+                    workers.get(worker).receive(call);
                 }
             });
-            in(giveUpAfter, () -> ends(call, worker, AttemptEndReason.TIMEOUT));
+            schedule(timeout, () -> onAttemptEnded(call, worker, AttemptEndReason.TIMEOUT));
         }
 
         @Override
         public void cancelAttempt(String part, int attempt) {
-            in(0, () -> out.keySet().stream().filter(c -> c.part.equals(part) && c.number == attempt).findFirst()
-                    .ifPresent(c -> ends(c, out.get(c), AttemptEndReason.CANCELLED)));
+            schedule(0, () -> inFlight.keySet().stream().filter(call -> call.part.equals(part) && call.number == attempt).findFirst()
+                    .ifPresent(call -> onAttemptEnded(call, inFlight.get(call), AttemptEndReason.CANCELLED)));
         }
 
         @Override
-        public void scheduleTimer(long in, String token) {
-            int mine = incarnation;
-            in(in, () -> {
-                if (mine == incarnation && brain != null) {
-                    brain.onTimer(now, token);
-                    brain.onRoundEnd(now);
+        public void scheduleTimer(long delay, String token) {
+            int currentIncarnation = incarnation;
+            schedule(delay, () -> {
+                if (currentIncarnation == incarnation && policy != null) {
+                    policy.onTimer(now, token);
+                    policy.onRoundEnd(now);
                 }
             });
         }
 
         @Override
-        public void answer(String query, boolean whole) {
-            // the client is content
+        public void answer(String query, boolean complete) {
+            // has no effect in this simulation
         }
 
         @Override
-        public void reject(String query, long comeBackAfter) {
-            // the client goes away
+        public void reject(String query, long retryAfter) {
+            // has no effect in this simulation
         }
 
         @Override
         public void fail(String query) {
-            // the client goes away
+            // has no effect in this simulation
         }
 
         @Override
         public void closeIdleConnections(String worker) {
-            // connections stay
+            // has no effect in this simulation
         }
 
         @Override
-        public void broadcast(byte[] contents) {
-            // they don't talk
+        public void broadcast(byte[] message) {
+            // gatherers don't communicate in this simulation
         }
 
         @Override
         public void watchWorkerList() {
-            // lists come by themselves
+            // lists are pushed in this simulation
         }
 
         @Override
         public void log(String line) {
-            // nobody reads it
+            // has no effect in this simulation
         }
     }
 }
