--- a/src/main/java/wallmoor/decision/GossipExchange.java
+++ b/src/main/java/wallmoor/decision/GossipExchange.java
@@ -69,7 +69,7 @@
         changed.add(worker);
     }
 
-    /** Reports an attempt's worker again if its last report is about to expire while the attempt is in flight. */
+    /** Reports an attempt's worker again once its last report has expired while the attempt is still in flight. */
     void renew(TrackedAttempt attempt) {
         long reportedAt = Math.max(attempt.sentAt, attempt.worker.lastGossipedAt);
         if (context.now() - reportedAt > TuningParameters.GOSSIP_LIFETIME_LATENCIES * context.typicalLatency()) {
