--- a/src/main/java/wallmoor/decision/AdmissionControl.java
+++ b/src/main/java/wallmoor/decision/AdmissionControl.java
@@ -58,8 +58,8 @@
             meanPartTime += worker == null ? Double.POSITIVE_INFINITY
                     : estimator.expectedLatency(worker, query.classIndex) / needed;
         }
-        double decayedPartTime = meanPartTime * LatencyEstimator.decay(context.now() - Math.max(lastAnswerAt, lastAdmissionAt),
-                query.queryClass.latencyObjective());
+        double decayedPartTime = meanPartTime * LatencyEstimator.decay(
+                context.now() - Math.max(lastAnswerAt, lastAdmissionAt), query.queryClass.latencyObjective());
         double relativeWeight = relativeWeightForWork(query, needed);
         query.predictedPartTime = meanPartTime;
         MovingAverage latencyRatio = context.latencies.queryLatencyRatio(query.classIndex);
--- a/src/main/java/wallmoor/decision/AttemptSender.java
+++ b/src/main/java/wallmoor/decision/AttemptSender.java
@@ -72,7 +72,9 @@
     }
 
     private boolean mayBeSent(TrackedPart part, boolean hedged) {
-        boolean isParallelismAllowed = part.inFlight.isEmpty() || (hedged && context.settings().limits().parallelAttempts());
-        return retryPolicy.mayAttempt(part) && isParallelismAllowed && (part.attemptCount == 0 || retryBudget.allowsRetry());
+        boolean isParallelismAllowed = part.inFlight.isEmpty()
+                || (hedged && context.settings().limits().parallelAttempts());
+        return retryPolicy.mayAttempt(part) && isParallelismAllowed
+                && (part.attemptCount == 0 || retryBudget.allowsRetry());
     }
 }
--- a/src/main/java/wallmoor/decision/ClassFairness.java
+++ b/src/main/java/wallmoor/decision/ClassFairness.java
@@ -57,7 +57,8 @@
             lowestShare = Math.min(lowestShare, servedShare(i));
         }
         boolean isServedBetter = servedShare(classIndex) > lowestShare + TuningParameters.CLASS_SHARE_TOLERANCE;
-        return isServedBetter || requestedWeight[classIndex] <= 0 ? 1 : 1 + worstClassWeight * totalRequested / requestedWeight[classIndex];
+        return isServedBetter || requestedWeight[classIndex] <= 0 ? 1
+                : 1 + worstClassWeight * totalRequested / requestedWeight[classIndex];
     }
 
     private double servedShare(int classIndex) {
--- a/src/main/java/wallmoor/decision/ClassLatencies.java
+++ b/src/main/java/wallmoor/decision/ClassLatencies.java
@@ -52,8 +52,8 @@
     long clientStartTime(long now, QueryArrived query, int classIndex, RoutingSettings settings) {
         long timeLeft = query.deadline() - now;
         long timeout = settings.classes().get(classIndex).clientTimeout();
-        boolean isLikeFirstAttempt = Math
-                .abs(timeLeft - clientTimeLeft.get(classIndex).orElse((double) timeLeft)) < TuningParameters.CLIENT_TIME_TOLERANCE
+        boolean isLikeFirstAttempt = Math.abs(timeLeft
+                - clientTimeLeft.get(classIndex).orElse((double) timeLeft)) < TuningParameters.CLIENT_TIME_TOLERANCE
                         * timeout;
         if (!query.retry()) {
             clientTimeLeft.get(classIndex).add((double) timeLeft);
--- a/src/main/java/wallmoor/decision/ConcurrencyLimit.java
+++ b/src/main/java/wallmoor/decision/ConcurrencyLimit.java
@@ -14,8 +14,8 @@
      * Updates the limit with the smoothed latency after an answer.
      *
      * @param smoothedLatency the worker's smoothed latency (microseconds)
-     * @param inFlightBefore this gatherer's parts in flight at the worker when the answered part was sent
-     * @param gatherers gatherers that share the worker; each is assumed to have as many parts in flight
+     * @param inFlightBefore  this gatherer's parts in flight at the worker when the answered part was sent
+     * @param gatherers       gatherers that share the worker; each is assumed to have as many parts in flight
      */
     void record(double smoothedLatency, int inFlightBefore, int gatherers) {
         if (Double.isNaN(bestLatency) || smoothedLatency < bestLatency) {
--- a/src/main/java/wallmoor/decision/GossipExchange.java
+++ b/src/main/java/wallmoor/decision/GossipExchange.java
@@ -81,7 +81,7 @@
      * Sends the reports collected since the last message, in the format that {@link #receive} reads.
      *
      * @param busy whether queries are open; then messages are at least {@link
-     * TuningParameters#GOSSIP_INTERVAL_LATENCIES} apart
+     *             TuningParameters#GOSSIP_INTERVAL_LATENCIES} apart
      */
     void send(boolean busy) {
         if (!context.settings().limits().gossip() || (changed.isEmpty() && reports.isEmpty())
--- a/src/main/java/wallmoor/decision/GossipMessage.java
+++ b/src/main/java/wallmoor/decision/GossipMessage.java
@@ -27,7 +27,7 @@
      * A notice that queries of a signature crash workers.
      *
      * @param signature see {@link TrackedQuery#signature}
-     * @param duration time for which such queries are rejected (microseconds)
+     * @param duration  time for which such queries are rejected (microseconds)
      */
     record QuarantineNotice(int signature, long duration) {}
 
@@ -37,7 +37,7 @@
      * answer's latency to the typical latency on a logarithmic scale, where two steps double it. {@link #EJECTED_CODE}
      * means that the worker is ejected.
      *
-     * @param tag the worker's tag, see {@link #workerTag}
+     * @param tag  the worker's tag, see {@link #workerTag}
      * @param code the content of the report
      */
     record WorkerReport(int tag, int code) {
--- a/src/main/java/wallmoor/decision/InvalidSettingsException.java
+++ b/src/main/java/wallmoor/decision/InvalidSettingsException.java
@@ -10,8 +10,8 @@
     /**
      * Creates an exception for one key.
      *
-     * @param key the key's path below {@code settings} in the operator's file
-     * @param value the invalid value
+     * @param key     the key's path below {@code settings} in the operator's file
+     * @param value   the invalid value
      * @param allowed the allowed values, such as "at least 1"
      */
     InvalidSettingsException(String key, Object value, String allowed) {
--- a/src/main/java/wallmoor/decision/PolicyContext.java
+++ b/src/main/java/wallmoor/decision/PolicyContext.java
@@ -63,7 +63,8 @@
         SettingsValidator.check(changed);
         settings = changed;
         latencies.ensureClasses(settings.classes().size());
-        referenceClass = removedClasses.contains(referenceClass) ? settings.firstClassExcept(removedClasses) : referenceClass;
+        referenceClass = removedClasses.contains(referenceClass)
+                ? settings.firstClassExcept(removedClasses) : referenceClass;
     }
 
     /** Sets the number of gatherers that share the workers, and this gatherer's position among them, from 0. */
--- a/src/main/java/wallmoor/decision/QueryCompletion.java
+++ b/src/main/java/wallmoor/decision/QueryCompletion.java
@@ -72,7 +72,8 @@
         if (query.started && query.predictedPartTime > 0 && !context.isStalled()) {
             MovingAverage latencyRatio = context.latencies.queryLatencyRatio(query.classIndex);
             double ratioSoFar = (context.now() - query.arrivedAt) / query.predictedPartTime;
-            latencyRatio.add(Math.min(TuningParameters.MAX_QUERY_LATENCY_RATIO, Math.max(ratioSoFar, latencyRatio.orElse(0))));
+            latencyRatio.add(Math.min(TuningParameters.MAX_QUERY_LATENCY_RATIO,
+                    Math.max(ratioSoFar, latencyRatio.orElse(0))));
         }
         if (query.queryClass.idempotency() != Idempotency.IDEMPOTENT && query.mayHaveExecuted()) {
             context.actions.fail(query.arrival.id());
--- a/src/main/java/wallmoor/decision/QueryQuarantine.java
+++ b/src/main/java/wallmoor/decision/QueryQuarantine.java
@@ -55,8 +55,8 @@
         }
         boolean isImmediate = duration < TuningParameters.IMMEDIATE_RESET_LATENCIES
                 * context.typicalLatency(query.classIndex);
-        query.poisonEvidence += isImmediate || (query.awaitingCanary && requiresCanary()) ? TuningParameters.STRONG_POISON_EVIDENCE
-                : TuningParameters.WEAK_POISON_EVIDENCE;
+        query.poisonEvidence += isImmediate || (query.awaitingCanary && requiresCanary())
+                ? TuningParameters.STRONG_POISON_EVIDENCE : TuningParameters.WEAK_POISON_EVIDENCE;
         // a query that crashes workers must not reach the other replicas too
         query.awaitingCanary |= query.answeredWeight() == 0;
     }
--- a/src/main/java/wallmoor/decision/RedundancyPlanner.java
+++ b/src/main/java/wallmoor/decision/RedundancyPlanner.java
@@ -45,7 +45,8 @@
 
     /** Returns r*n, bounded below by n and above by the smaller of k and the cap. */
     static double clamp(double redundancy, int needed, int total) {
-        return Math.max(needed, Math.min(redundancy * needed, Math.min(total, TuningParameters.MAX_REDUNDANCY * needed)));
+        return Math.max(needed,
+                Math.min(redundancy * needed, Math.min(total, TuningParameters.MAX_REDUNDANCY * needed)));
     }
 
     /** Rounds r*n up with probability p and down otherwise, but never below n. */
--- a/src/main/java/wallmoor/decision/RoutingActions.java
+++ b/src/main/java/wallmoor/decision/RoutingActions.java
@@ -5,9 +5,10 @@
     /**
      * Starts an attempt; attempts of a part are numbered from 0 in the order of these calls.
      *
-     * @param timeout time from now after which the attempt ends as a timeout (microseconds)
+     * @param timeout       time from now after which the attempt ends as a timeout (microseconds)
      * @param maxStartDelay time from now within which the first byte must be sent (microseconds), else the attempt ends
-     * as {@link AttemptEndReason#NOT_STARTED}; {@link Long#MAX_VALUE} if only {@code timeout} bounds it
+     *                      as {@link AttemptEndReason#NOT_STARTED}; {@link Long#MAX_VALUE} if only {@code timeout}
+     *                      bounds it
      */
     void startAttempt(String part, String worker, long timeout, long maxStartDelay);
 
--- a/src/main/java/wallmoor/decision/RoutingSettings.java
+++ b/src/main/java/wallmoor/decision/RoutingSettings.java
@@ -6,21 +6,21 @@
 /**
  * The settings of one gatherer's policy. Times are in microseconds.
  *
- * @param gatherers number of gatherers that share the workers, this one included
- * @param position this gatherer's position among them, from 0
- * @param zone this gatherer's availability zone
- * @param roundInterval minimum time between two rounds of events
- * @param watchOnRequest whether changes of the worker list are delivered only after a request
- * @param classes the classes of queries; a class is identified by its index here
- * @param tenants the tenants; a tenant is identified by its index here
- * @param overQuotaWeight factor on the priority weight of queries above their tenant's quota
- * @param weightByWork whether a query's weight is divided by the share of its parts that it needs, instead of by their
- * number
+ * @param gatherers          number of gatherers that share the workers, this one included
+ * @param position           this gatherer's position among them, from 0
+ * @param zone               this gatherer's availability zone
+ * @param roundInterval      minimum time between two rounds of events
+ * @param watchOnRequest     whether changes of the worker list are delivered only after a request
+ * @param classes            the classes of queries; a class is identified by its index here
+ * @param tenants            the tenants; a tenant is identified by its index here
+ * @param overQuotaWeight    factor on the priority weight of queries above their tenant's quota
+ * @param weightByWork       whether a query's weight is divided by the share of its parts that it needs, instead of by
+ *                           their number
  * @param clientsMarkRetries whether clients mark queries that are retries
- * @param layout which cells hold which shards
- * @param limits the limits that the platform imposes
- * @param rules the rules that the platform checks
- * @param costs the costs that influence decisions
+ * @param layout             which cells hold which shards
+ * @param limits             the limits that the platform imposes
+ * @param rules              the rules that the platform checks
+ * @param costs              the costs that influence decisions
  */
 public record RoutingSettings(int gatherers, int position, int zone, long roundInterval, boolean watchOnRequest,
         List<QueryClass> classes, List<Tenant> tenants, double overQuotaWeight, boolean weightByWork,
@@ -49,9 +49,9 @@
         var mergedRules = new PlatformRules(newRules.answerGrace(), newRules.drainGrace(), newRules.slowStartShare(),
                 newRules.slowStartWindow(), newRules.overloadMultiple(), rules.overloadWindow(), newRules.pollWithin(),
                 rules.retryBudgetWindow(), newRules.retryBudgetMinimum(), newRules.retryBudgetRatio());
-        return new RoutingSettings(gatherers, position, zone, roundInterval, watchOnRequest, newSettings.classes, tenants,
-                newSettings.overQuotaWeight, newSettings.weightByWork, newSettings.clientsMarkRetries, layout, newSettings.limits, mergedRules,
-                newSettings.costs);
+        return new RoutingSettings(gatherers, position, zone, roundInterval, watchOnRequest, newSettings.classes,
+                tenants, newSettings.overQuotaWeight, newSettings.weightByWork, newSettings.clientsMarkRetries, layout,
+                newSettings.limits, mergedRules, newSettings.costs);
     }
 
     /** Returns the index of the first class that is not excluded, or 0 if all are. */
@@ -78,9 +78,9 @@
     /** Returns these settings with another number of retries that are always allowed. */
     public RoutingSettings withRetryBudgetMinimum(double minimum) {
         PlatformRules old = rules;
-        var newRules = new PlatformRules(old.answerGrace(), old.drainGrace(), old.slowStartShare(), old.slowStartWindow(),
-                old.overloadMultiple(), old.overloadWindow(), old.pollWithin(), old.retryBudgetWindow(), minimum,
-                old.retryBudgetRatio());
+        var newRules = new PlatformRules(old.answerGrace(), old.drainGrace(), old.slowStartShare(),
+                old.slowStartWindow(), old.overloadMultiple(), old.overloadWindow(), old.pollWithin(),
+                old.retryBudgetWindow(), minimum, old.retryBudgetRatio());
         return new RoutingSettings(gatherers, position, zone, roundInterval, watchOnRequest, classes, tenants,
                 overQuotaWeight, weightByWork, clientsMarkRetries, layout, limits, newRules, costs);
     }
--- a/src/main/java/wallmoor/decision/SlowStart.java
+++ b/src/main/java/wallmoor/decision/SlowStart.java
@@ -48,7 +48,8 @@
         double slack = Math.min(TuningParameters.SLOW_START_SLACK_PARTS, Math.sqrt(share * gatherers));
         double allowed = share + slack / gatherers;
         double wholeParts = Math.floor(allowed);
-        return worker.sentWithinWindow(context.now()) + 1 <= wholeParts + (hasTurn(worker, allowed - wholeParts) ? 1 : 0);
+        return worker.sentWithinWindow(context.now()) + 1 <= wholeParts
+                + (hasTurn(worker, allowed - wholeParts) ? 1 : 0);
     }
 
     /** Records that a part is sent to this worker. */
--- a/src/main/java/wallmoor/decision/TenantQuotas.java
+++ b/src/main/java/wallmoor/decision/TenantQuotas.java
@@ -12,7 +12,8 @@
 
     TenantQuotas(PolicyContext context) {
         this.context = context;
-        context.settings().tenants().forEach(tenant -> queries.add(new SlidingWindowSum(TuningParameters.QUOTA_WINDOW_MICROS)));
+        context.settings().tenants()
+                .forEach(tenant -> queries.add(new SlidingWindowSum(TuningParameters.QUOTA_WINDOW_MICROS)));
     }
 
     /**
@@ -27,7 +28,8 @@
         SlidingWindowSum sent = queries.get(tenant);
         sent.add(context.now(), 1);
         double allowed = settings.tenants().get(tenant).quotaPerSecond() / settings.gatherers();
-        boolean isOverQuota = sent.sum(context.now()) > 1 + allowed * TuningParameters.QUOTA_WINDOW_MICROS / MICROS_PER_SECOND;
+        boolean isOverQuota = sent.sum(context.now()) > 1
+                + allowed * TuningParameters.QUOTA_WINDOW_MICROS / MICROS_PER_SECOND;
         return isOverQuota ? settings.overQuotaWeight() : 1;
     }
 }
--- a/src/main/java/wallmoor/decision/WarmThroughput.java
+++ b/src/main/java/wallmoor/decision/WarmThroughput.java
@@ -38,7 +38,7 @@
      * Returns the number of answers of one warm worker within a time, which does not grow with a size above the mean.
      *
      * @param duration the time (microseconds)
-     * @param size the worker's size
+     * @param size     the worker's size
      */
     double answersWithin(long duration, double size) {
         return Math.min(1, size / meanSize) * Math.max(peak, mean()) * duration;
@@ -46,7 +46,8 @@
 
     /** Returns the answers of one worker per microsecond. */
     private double mean() {
-        return answers / TuningParameters.THROUGHPUT_MEMORY_MICROS / Math.max(TuningParameters.THROUGHPUT_MIN_FILL, filledShare);
+        return answers / TuningParameters.THROUGHPUT_MEMORY_MICROS
+                / Math.max(TuningParameters.THROUGHPUT_MIN_FILL, filledShare);
     }
 
     private void advance(long now) {
--- a/src/test/java/wallmoor/decision/AdmissionControlTest.java
+++ b/src/test/java/wallmoor/decision/AdmissionControlTest.java
@@ -46,7 +46,8 @@
     /** Returns a policy with two workers per shard and two classes, whose priority weights are 100 and 1. */
     private static PolicyHarness policyWithUnequalClasses(int latencyMillis) {
         var site = new PolicyHarness.SiteSettings();
-        var highWeightClass = new QueryClass(100, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, 1, 1, 0.9, 0);
+        var highWeightClass = new QueryClass(100, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT,
+                0, 1, 1, 0.9, 0);
         site.classes = List.of(highWeightClass, PolicyHarness.SiteSettings.allParts(Idempotency.IDEMPOTENT));
         var harness = new PolicyHarness(site).workers(12);
         for (int i = 0; i < 40; i++) {
--- a/src/test/java/wallmoor/decision/ClassFairnessTest.java
+++ b/src/test/java/wallmoor/decision/ClassFairnessTest.java
@@ -21,7 +21,8 @@
             fairness.record(1, 1, i % 2 == 0);
         }
         assertEquals(1, fairness.weightFactor(0), 0);
-        assertEquals("1 + 0.5 x total requested weight / requested weight of the class", 1 + 0.5 * 3, fairness.weightFactor(1), 0.05);
+        assertEquals("1 + 0.5 x total requested weight / requested weight of the class",
+                1 + 0.5 * 3, fairness.weightFactor(1), 0.05);
     }
 
     @Test
--- a/src/test/java/wallmoor/decision/GossipExchangeTest.java
+++ b/src/test/java/wallmoor/decision/GossipExchangeTest.java
@@ -47,8 +47,8 @@
         }
         assertTrue(harness.actions("startAttempt").stream().anyMatch(s -> s.endsWith("leaf0")),
                 "another gatherer's ejection does not exclude the worker");
-        String[] attemptAtEjected = harness.actions("startAttempt").stream().filter(s -> s.endsWith("leaf0")).findFirst().get()
-                .split(" ");
+        String[] attemptAtEjected = harness.actions("startAttempt").stream()
+                .filter(s -> s.endsWith("leaf0")).findFirst().get().split(" ");
         harness.advance(50 * MS);
         harness.endAttempt(attemptAtEjected[1], 0, "leaf0", AttemptEndReason.OK, 50 * MS);
         harness.actions.clear();
@@ -66,7 +66,8 @@
         harness.endAttempt(queryId + "/0", 0, harness.workerOf(0), AttemptEndReason.OK, 400 * MS);
         var lastReports = GossipMessage.readReports(harness.broadcasts.get(harness.broadcasts.size() - 1));
         assertTrue(
-                lastReports.stream().anyMatch(report -> report.isLatency() && report.tag() == GossipMessage.workerTag(harness.workerOf(0))));
+                lastReports.stream().anyMatch(report -> report.isLatency()
+                        && report.tag() == GossipMessage.workerTag(harness.workerOf(0))));
     }
 
     @Test
--- a/src/test/java/wallmoor/decision/GossipMessageGoldenTest.java
+++ b/src/test/java/wallmoor/decision/GossipMessageGoldenTest.java
@@ -35,8 +35,9 @@
 
     @Test
     void readsAndWritesPartsInFlight() throws IOException {
-        assertSameReports("entries-parts", List.of(WorkerReport.inFlight("khi-00", 0), WorkerReport.inFlight("khi-01", 1),
-                WorkerReport.inFlight("khi-02", 5), WorkerReport.inFlight("khi-03", 6),
+        assertSameReports("entries-parts", List.of(WorkerReport.inFlight("khi-00", 0),
+                WorkerReport.inFlight("khi-01", 1), WorkerReport.inFlight("khi-02", 5),
+                WorkerReport.inFlight("khi-03", 6),
                 WorkerReport.inFlight("khi-04", 200)));
         List<Integer> codes = GossipMessage.readReports(golden("entries-parts")).stream().map(WorkerReport::code)
                 .toList();
@@ -45,7 +46,8 @@
 
     @Test
     void readsAndWritesLatencies() throws IOException {
-        assertSameReports("entries-answer", List.of(WorkerReport.latency("khi-00", 0.01), WorkerReport.latency("khi-01", 0.5),
+        assertSameReports("entries-answer", List.of(WorkerReport.latency("khi-00", 0.01),
+                WorkerReport.latency("khi-01", 0.5),
                 WorkerReport.latency("khi-02", 1), WorkerReport.latency("khi-03", 1.5),
                 WorkerReport.latency("khi-04", 4),
                 WorkerReport.latency("khi-05", 100)));
--- a/src/test/java/wallmoor/decision/OutlierDetectorTest.java
+++ b/src/test/java/wallmoor/decision/OutlierDetectorTest.java
@@ -35,7 +35,8 @@
         for (int i = 0; i < 5; i++) {
             harness.query(0, 0);
         }
-        long attemptsThere = harness.actions("startAttempt").stream().skip(1).filter(l -> l.endsWith(" " + rejectingWorker)).count();
+        long attemptsThere = harness.actions("startAttempt").stream().skip(1)
+                .filter(l -> l.endsWith(" " + rejectingWorker)).count();
         assertEquals(0, attemptsThere, "no attempt is wasted on a full queue");
         harness.advance(400 * MS);
         harness.query(0, 0);
@@ -96,8 +97,8 @@
         String queryId = harness.query(0, 0, 3, 6);
         for (int attempt = 0; attempt < 2; attempt++) {
             for (String shard : List.of("/0", "/3", "/6")) {
-                String sent = harness.actions("startAttempt").stream().filter(l -> l.contains(queryId + shard + " ")).toList()
-                        .get(attempt).split(" ")[2];
+                String sent = harness.actions("startAttempt").stream()
+                        .filter(l -> l.contains(queryId + shard + " ")).toList().get(attempt).split(" ")[2];
                 harness.endAttempt(queryId + shard, attempt, sent,
                         attempt == 0 ? AttemptEndReason.CONNECT_FAILED : AttemptEndReason.OK, 250 * MS);
             }
@@ -155,14 +156,15 @@
             }
             harness.advance(20 * MS);
         }
-        assertTrue(trials >= 5 && trials <= 15, "trials in 18 s, at intervals from 0.3 s to eight times that: " + trials);
+        assertTrue(trials >= 5 && trials <= 15,
+                "trials in 18 s, at intervals from 0.3 s to eight times that: " + trials);
     }
 
     @Test
     void usesNoNonIdempotentPartAsTrial() {
         for (Idempotency idempotency : List.of(Idempotency.IDEMPOTENT, Idempotency.NOT_IDEMPOTENT)) {
             var harness = new PolicyHarness(
-                    new PolicyHarness.SiteSettings().onlyClass(PolicyHarness.SiteSettings.allParts(idempotency)))
+                    new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.allParts(idempotency)))
                     .workers(2)
                     .warmUp(2);
             String queryId = harness.query(0, 0);
--- a/src/test/java/wallmoor/decision/PolicyHarness.java
+++ b/src/test/java/wallmoor/decision/PolicyHarness.java
@@ -53,7 +53,8 @@
         }
 
         static QueryClass someParts(double completeShare, double minimumShare) {
-            return new QueryClass(1, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, completeShare, minimumShare, 0.9, 0);
+            return new QueryClass(1, 0.3, 2_000_000, 0, 4_000_000, Idempotency.IDEMPOTENT, 0, completeShare,
+                    minimumShare, 0.9, 0);
         }
 
         /** Returns a class whose late answers earn nothing, with this number of parts in its second phase. */
@@ -75,9 +76,8 @@
         }
 
         RoutingSettings settings() {
-            return new RoutingSettings(gatherers, position, 0, ROUND_MICROS, watchOnRequest, classes, tenants, 0.1, false,
-                    clientsMarkRetries,
-                    layout,
+            return new RoutingSettings(gatherers, position, 0, ROUND_MICROS, watchOnRequest, classes, tenants, 0.1,
+                    false, clientsMarkRetries, layout,
                     new PlatformLimits(true, parallelAttempts, false, gossip, retryAfter, 500_000, maxAttempts, 1000, 1,
                             250_000),
                     new PlatformRules(20_000, 500_000, 0.2, 10_000_000, 2.5, 1_000_000, 10_000_000, retryBudgetWindow,
--- a/src/test/java/wallmoor/decision/QueryCompletionTest.java
+++ b/src/test/java/wallmoor/decision/QueryCompletionTest.java
@@ -16,7 +16,8 @@
         var harness = new PolicyHarness(new PolicyHarness.SiteSettings()).workers(12);
         String queryId = harness.query(0, 0, 1);
         harness.advance(3_990 * MS);
-        assertEquals(1, harness.actions.stream().filter(s -> s.matches("(answer|reject|fail) " + queryId + ".*")).count());
+        assertEquals(1,
+                harness.actions.stream().filter(s -> s.matches("(answer|reject|fail) " + queryId + ".*")).count());
         int sent = harness.actions("startAttempt").size();
         harness.advance(2_000 * MS);
         harness.endAttempt(queryId + "/0", 0, "leaf0", AttemptEndReason.OK, 5_000 * MS);
@@ -27,7 +28,8 @@
     @Test
     void answersPartiallyOnlyAboveMinimumShareAndNotAsComplete() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(1, 0.5))).workers(12);
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(1, 0.5)))
+                .workers(12);
         String queryId = harness.query(0, 0, 2, 4, 6);
         harness.endAttempt(queryId + "/0", 0, harness.workerOf(0), AttemptEndReason.OK, 10 * MS);
         harness.endAttempt(queryId + "/2", 0, harness.actions("startAttempt").get(1).split(" ")[2], AttemptEndReason.OK,
@@ -38,7 +40,8 @@
         assertFalse(harness.actions("answer").contains("answer " + queryId + " true"));
 
         harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(1, 0.5))).workers(12);
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(1, 0.5)))
+                .workers(12);
         harness.query(0, 0, 2, 4, 6);
         harness.advance(3_990 * MS);
         assertTrue(harness.actions("answer").isEmpty());
@@ -76,7 +79,8 @@
                     .split(" ");
             harness.endAttempt(queryId + "/0", i, sent[2], AttemptEndReason.ERROR, 2 * MS);
         }
-        assertEquals(1, harness.actions("reject " + queryId).size(), "the other part is in flight, but the query can't be answered");
+        assertEquals(1, harness.actions("reject " + queryId).size(),
+                "the other part is in flight, but the query can't be answered");
         assertTrue(Long.parseLong(harness.actions("reject").get(0).split(" ")[2]) > 0);
     }
 
--- a/src/test/java/wallmoor/decision/QueryQuarantineTest.java
+++ b/src/test/java/wallmoor/decision/QueryQuarantineTest.java
@@ -27,7 +27,8 @@
         assertTrue(harness.actions("startAttempt").isEmpty());
         assertEquals(1, harness.actions("reject").size());
         harness.query(0, 2, 6, 10);
-        assertEquals(1, harness.actions("startAttempt").size(), "a query other than " + queryId + " starts with one canary part");
+        assertEquals(1, harness.actions("startAttempt").size(),
+                "a query other than " + queryId + " starts with one canary part");
         harness.answerAll(30 * MS);
         assertEquals(3, harness.actions("startAttempt").size(), "the other parts follow the canary's answer");
     }
@@ -54,7 +55,8 @@
         }
         harness.endAttempt(queryId + "/8", 0, harness.workerOf(2), AttemptEndReason.OK, 90 * MS);
         assertTrue(harness.actions("reject").isEmpty());
-        assertEquals(5, harness.actions("startAttempt").size(), "both parts of " + queryId + " go to their other replicas");
+        assertEquals(5, harness.actions("startAttempt").size(),
+                "both parts of " + queryId + " go to their other replicas");
     }
 
     @Test
--- a/src/test/java/wallmoor/decision/RedundancyPlannerTest.java
+++ b/src/test/java/wallmoor/decision/RedundancyPlannerTest.java
@@ -42,7 +42,8 @@
     @Test
     void sendsSparePartToIdleWorkersAndAnswersAfterFirstN() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6))).workers(12);
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6)))
+                .workers(12);
         int maxSent = 0;
         for (int i = 0; i < 20; i++) {
             harness.actions.clear();
@@ -54,14 +55,14 @@
             harness.now += 100 * MS;
             for (int index = 0; index < 6; index++) {
                 assertTrue(harness.actions("answer").isEmpty());
-                harness.endAttempt(attempts.get(index).split(" ")[1], 0, attempts.get(index).split(" ")[2], AttemptEndReason.OK,
-                        100 * MS);
+                harness.endAttempt(attempts.get(index).split(" ")[1], 0, attempts.get(index).split(" ")[2], 
+                        AttemptEndReason.OK, 100 * MS);
             }
             assertEquals(List.of("answer " + queryId + " true"), harness.actions("answer"));
             assertEquals(sentCount - 6, harness.actions("cancelAttempt").size());
             for (int index = 6; index < sentCount; index++) {
-                harness.endAttempt(attempts.get(index).split(" ")[1], 0, attempts.get(index).split(" ")[2], AttemptEndReason.CANCELLED,
-                        100 * MS);
+                harness.endAttempt(attempts.get(index).split(" ")[1], 0, attempts.get(index).split(" ")[2], 
+                        AttemptEndReason.CANCELLED, 100 * MS);
             }
         }
         assertEquals(7, maxSent);
@@ -70,7 +71,8 @@
     @Test
     void sendsNoSparePartsToBusyWorkers() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6))).workers(12);
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6)))
+                .workers(12);
         harness.query(0, 0, 2, 4, 6, 8, 10, 1, 3, 5, 7);
         for (int i = 0; i < 10; i++) {
             harness.actions.clear();
--- a/src/test/java/wallmoor/decision/ReplicaSelectorTest.java
+++ b/src/test/java/wallmoor/decision/ReplicaSelectorTest.java
@@ -18,7 +18,8 @@
             String queryId = harness.query(0, 0); // workers 0 and 1 hold shard 0
             String worker = harness.workerOf(0);
             harness.advance(100 * MS);
-            harness.endAttempt(queryId + "/0", 0, worker, AttemptEndReason.OK, worker.equals("leaf0") ? 90 * MS : 300 * MS);
+            harness.endAttempt(queryId + "/0", 0, worker, AttemptEndReason.OK,
+                    worker.equals("leaf0") ? 90 * MS : 300 * MS);
         }
         harness.actions.clear();
         harness.query(0, 0);
--- a/src/test/java/wallmoor/decision/RetryPolicyTest.java
+++ b/src/test/java/wallmoor/decision/RetryPolicyTest.java
@@ -15,7 +15,8 @@
     @Test
     void replacesFailedPartByUnsentOne() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6))).workers(12);
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6)))
+                .workers(12);
         String queryId = harness.query(0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9);
         int sentBefore = harness.actions("startAttempt").size();
         String[] first = harness.actions("startAttempt").get(0).split(" ");
@@ -58,7 +59,8 @@
     @Test
     void retriesPartWithKeyOnlyWithinDeduplicationWindow() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.allParts(Idempotency.WITH_KEY)))
+                new PolicyHarness.SiteSettings()
+                        .withOnlyClass(PolicyHarness.SiteSettings.allParts(Idempotency.WITH_KEY)))
                 .workers(12);
         String earlyQuery = harness.query(0, 0);
         harness.now += 500 * MS;
@@ -66,7 +68,8 @@
         assertEquals(2, harness.actions("startAttempt").size());
 
         harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.allParts(Idempotency.WITH_KEY)))
+                new PolicyHarness.SiteSettings()
+                        .withOnlyClass(PolicyHarness.SiteSettings.allParts(Idempotency.WITH_KEY)))
                 .workers(12);
         String lateQuery = harness.query(0, 0);
         harness.now += 1_000 * MS;
@@ -120,7 +123,8 @@
     @Test
     void boundsStartDelayOfFirstAttemptThatAHedgeMayOvertake() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.allParts(Idempotency.WITH_KEY)))
+                new PolicyHarness.SiteSettings()
+                        .withOnlyClass(PolicyHarness.SiteSettings.allParts(Idempotency.WITH_KEY)))
                 .workers(12);
         harness.query(0, 0);
         assertEquals(List.of(1_000 * MS - 2 * PolicyHarness.ROUND_MICROS), harness.maxStartDelays);
--- a/src/test/java/wallmoor/decision/RoutingPolicyTest.java
+++ b/src/test/java/wallmoor/decision/RoutingPolicyTest.java
@@ -75,7 +75,8 @@
     @Test
     void rejectsQueryWhoseAnsweredPartsHaveNoWeight() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6))).workers(12);
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6)))
+                .workers(12);
         harness.policy.onQueryArrived(harness.now,
                 new QueryArrived("w", 77, 0, 0, null, harness.now + 4_000_000, -5, 3, false));
         for (int i = 0; i < 3; i++) {
@@ -111,7 +112,8 @@
 
     private static List<String> recordedActions() {
         var harness = new PolicyHarness(
-                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6))).workers(12);
+                new PolicyHarness.SiteSettings().withOnlyClass(PolicyHarness.SiteSettings.someParts(0.6, 0.6)))
+                .workers(12);
         for (int i = 0; i < 30; i++) {
             harness.query(0, i % 12, (i + 3) % 12, (i + 5) % 12, (i + 7) % 12);
             harness.advance(40 * MS);
--- a/src/test/java/wallmoor/decision/SlowStartSimulation.java
+++ b/src/test/java/wallmoor/decision/SlowStartSimulation.java
@@ -37,16 +37,16 @@
     /**
      * A simulated scenario.
      *
-     * @param seed the seed of the random draws
-     * @param gatherers number of gatherers
-     * @param cells cells of three workers each; those of the first are restarted
-     * @param parts parts of a query
-     * @param meanWork mean work of a part on a fast warm core (microseconds)
-     * @param load demand relative to capacity before the burst
-     * @param burst demand during the burst, relative to that before it
+     * @param seed           the seed of the random draws
+     * @param gatherers      number of gatherers
+     * @param cells          cells of three workers each; those of the first are restarted
+     * @param parts          parts of a query
+     * @param meanWork       mean work of a part on a fast warm core (microseconds)
+     * @param load           demand relative to capacity before the burst
+     * @param burst          demand during the burst, relative to that before it
      * @param restartedShare share of the gatherers that are restarted while workers are in slow start
      * @param maxConnectTime maximum time of a first connection to a worker (microseconds)
-     * @param maxListDelay maximum time until a worker list shows a worker's start (microseconds)
+     * @param maxListDelay   maximum time until a worker list shows a worker's start (microseconds)
      */
     record Scenario(long seed, int gatherers, int cells, int parts, long meanWork, double load, double burst,
             double restartedShare,
@@ -79,7 +79,8 @@
         this.settings = settings;
         random = new Random(scenario.seed);
         for (int i = 0; i < 3 * scenario.cells; i++) {
-            workers.put("w" + i, new SimulatedWorker("w" + i, i % scenario.cells, random.nextBoolean() ? 1 : SLOW_MACHINE_SPEED));
+            workers.put("w" + i, new SimulatedWorker("w" + i,
+                    i % scenario.cells, random.nextBoolean() ? 1 : SLOW_MACHINE_SPEED));
         }
         for (int i = 0; i < scenario.gatherers; i++) {
             gatherers.add(new SimulatedGatherer(i));
@@ -236,7 +237,8 @@
                 }
                 int notified = 0;
                 for (int i = firstIndex; i <= lastIndex; i++) {
-                    notified += notifiedAt.getOrDefault(arrivals.get(i).gatherer, Long.MAX_VALUE) <= arrivals.get(i).at ? 1 : 0;
+                    notified += notifiedAt.getOrDefault(arrivals.get(i).gatherer, Long.MAX_VALUE)
+                            <= arrivals.get(i).at ? 1 : 0;
                 }
                 int total = lastIndex - firstIndex + 1;
                 if (notified > MIN_NOTIFIED_SHARE * total) {
@@ -296,8 +298,8 @@
         }
 
         private void scheduleNextQuery(int currentIncarnation) {
-            double queriesPerSecond = 3.0 * CORES * 1e6 / scenario.meanWork * scenario.load * (inBurst() ? scenario.burst : 1) * scenario.cells * (1 + SLOW_MACHINE_SPEED)
-                    / 2
+            double queriesPerSecond = 3.0 * CORES * 1e6 / scenario.meanWork * scenario.load
+                    * (inBurst() ? scenario.burst : 1) * scenario.cells * (1 + SLOW_MACHINE_SPEED) / 2
                     / scenario.gatherers / scenario.parts;
             schedule((long) (-Math.log(1 - random.nextDouble()) / queriesPerSecond * 1e6), () -> {
                 if (currentIncarnation == incarnation) {
@@ -345,7 +347,8 @@
             long work = (long) (scenario.meanWork * Math.exp(0.4 * random.nextGaussian() - 0.08));
             var call = new Call(this, part, number, now, work);
             inFlight.put(call, worker);
-            long connectionReadyAt = connectedAt.computeIfAbsent(worker, key -> now + random.nextLong(scenario.maxConnectTime + 1));
+            long connectionReadyAt = connectedAt.computeIfAbsent(worker,
+                    key -> now + random.nextLong(scenario.maxConnectTime + 1));
             schedule(Math.max(HOP_MICROS, connectionReadyAt - now), () -> {
                 if (inFlight.containsKey(call)) {
                     workers.get(worker).receive(call);
@@ -356,7 +359,8 @@
 
         @Override
         public void cancelAttempt(String part, int attempt) {
-            schedule(0, () -> inFlight.keySet().stream().filter(call -> call.part.equals(part) && call.number == attempt).findFirst()
+            schedule(0, () -> inFlight.keySet().stream()
+                    .filter(call -> call.part.equals(part) && call.number == attempt).findFirst()
                     .ifPresent(call -> onAttemptEnded(call, inFlight.get(call), AttemptEndReason.CANCELLED)));
         }
 
--- a/src/test/java/wallmoor/decision/SlowStartTest.java
+++ b/src/test/java/wallmoor/decision/SlowStartTest.java
@@ -25,7 +25,8 @@
                 (8 + random.nextInt(11)) * 1_000_000L,
                 1.5 + random.nextDouble(), 1_000_000 + random.nextLong(2_000_000), 10_000_000, 0, 0, 0);
         var limits = new PlatformLimits(true, false, false, false, true, 500_000, 4, 1000, 1, CONNECT_TIMEOUT_MICROS);
-        return new RoutingSettings(1, 0, 0, PolicyHarness.ROUND_MICROS, false, defaults.classes(), List.of(), 0.1, false, false,
+        return new RoutingSettings(1, 0, 0, PolicyHarness.ROUND_MICROS, false, defaults.classes(), List.of(), 0.1,
+                false, false,
                 new ShardLayout(3 * cells, cells, 1), limits, rules, defaults.costs());
     }
 
@@ -36,8 +37,8 @@
         long meanWork = 4_000 + random.nextLong(60_000);
         double load = 0.4 + 0.5 * random.nextDouble();
         return new SlowStartSimulation(
-                new SlowStartSimulation.Scenario(seed, gatherers, cells, seed % 3 == 0 ? 3 * cells : 1, meanWork, load, 1.5,
-                        restartedShare, seed % 2 * CONNECT_TIMEOUT_MICROS, seed / 2 % 2 * 1_500_000),
+                new SlowStartSimulation.Scenario(seed, gatherers, cells, seed % 3 == 0 ? 3 * cells : 1, meanWork, load,
+                        1.5, restartedShare, seed % 2 * CONNECT_TIMEOUT_MICROS, seed / 2 % 2 * 1_500_000),
                 settings).run();
     }
 
@@ -46,7 +47,8 @@
     void staysBelowOverloadBoundInEveryWindow(int gatherers) {
         var violations = new ArrayList<String>();
         for (long seed = 0; seed < SCENARIOS; seed++) {
-            SlowStartSimulation simulation = run(seed, gatherers, RESTARTED_SHARES[(int) seed % RESTARTED_SHARES.length]);
+            SlowStartSimulation simulation = run(seed, gatherers,
+                    RESTARTED_SHARES[(int) seed % RESTARTED_SHARES.length]);
             if (simulation.worstExcess() > 0) {
                 violations.add("seed " + seed + ": " + simulation.worstExcess() + " parts too many");
             }
