--- a/src/main/java/wallmoor/edge/EdgeQueries.java
+++ b/src/main/java/wallmoor/edge/EdgeQueries.java
@@ -201,7 +201,7 @@
     private StoredOutcome outcome(Step.FinalStep end) {
         if (end instanceof Step.Answer a) {
             var to = new StringBuilder(64 + 64 * a.values().size()).append("{\"outcome\":\"answered\",");
-            QueryBody.hits(to, a);
+            QueryBody.appendHits(to, a);
             byte[] body = to.append('}').toString().getBytes(StandardCharsets.UTF_8);
             // room was set aside for less: it can't be kept, hence not be told twice
             if (body.length > limits.maxOutcomeBytes()) {
--- a/src/main/java/wallmoor/platform/PlatformFront.java
+++ b/src/main/java/wallmoor/platform/PlatformFront.java
@@ -192,7 +192,7 @@
 
     private List<Query.PartRequest> parts(Json.Obj body) throws HttpProtocolException {
         try {
-            return QueryBody.asks(body, launch.settings().layout().shards());
+            return QueryBody.parseParts(body, launch.settings().layout().shards());
         } catch (QueryBody.InvalidQueryBodyException e) {
             throw new HttpProtocolException(400, e.getMessage());
         }
--- a/src/main/java/wallmoor/platform/QueryResponses.java
+++ b/src/main/java/wallmoor/platform/QueryResponses.java
@@ -31,7 +31,7 @@
 
     private static byte[] hits(Step.Answer answer) {
         var body = new StringBuilder(BYTES_PER_VALUE * (1 + answer.values().size())).append('{');
-        QueryBody.hits(body, answer);
+        QueryBody.appendHits(body, answer);
         return body.append('}').toString().getBytes(StandardCharsets.UTF_8);
     }
 
--- a/src/main/java/wallmoor/queries/QueryBody.java
+++ b/src/main/java/wallmoor/queries/QueryBody.java
@@ -30,7 +30,7 @@
      *
      * @param layout shards that there are
      */
-    public static List<Query.PartRequest> asks(Json.Obj body, int layout) throws InvalidQueryBodyException {
+    public static List<Query.PartRequest> parseParts(Json.Obj body, int layout) throws InvalidQueryBodyException {
         List<?> shards = body.list("shards");
         var asks = new ArrayList<Query.PartRequest>();
         var seen = new HashSet<Integer>();
@@ -54,7 +54,7 @@
     }
 
     /** The members {@code complete} and {@code hits} of an answer. */
-    public static void hits(StringBuilder to, Step.Answer answer) {
+    public static void appendHits(StringBuilder to, Step.Answer answer) {
         to.append("\"complete\":").append(answer.complete()).append(",\"hits\":[");
         for (int i = 0; i < answer.values().size(); i++) {
             Step.PartValue value = answer.values().get(i);
