--- a/src/main/java/wallmoor/core/Attempt.java
+++ b/src/main/java/wallmoor/core/Attempt.java
@@ -91,7 +91,7 @@
     }
 
     /** It waits for a connect that began at this time: if that fails, it took that long for late joiners as well. */
-    public void waitsForConnect(long startedAt) {
+    public void recordConnectStart(long startedAt) {
         connectStartedAt = Math.min(assignedAt, startedAt);
     }
 
--- a/src/main/java/wallmoor/core/MonotonicClock.java
+++ b/src/main/java/wallmoor/core/MonotonicClock.java
@@ -9,11 +9,11 @@
 
     @Override
     public long getAsLong() {
-        return at(System.nanoTime());
+        return fromNanoTime(System.nanoTime());
     }
 
     /** The time of a {@link System#nanoTime} reading. */
-    public long at(long nanos) {
+    public long fromNanoTime(long nanos) {
         return wall + (nanos - steady) / 1000;
     }
 }
--- a/src/main/java/wallmoor/frames/ConnectionState.java
+++ b/src/main/java/wallmoor/frames/ConnectionState.java
@@ -93,7 +93,7 @@
             for (Attempt attempt : send.attempts()) {
                 inFlight.add(attempt);
                 if (!connected) {
-                    attempt.waitsForConnect(connectStartedAt);
+                    attempt.recordConnectStart(connectStartedAt);
                 }
             }
             outbound.add(new OutboundFrame.Call(send));
--- a/src/main/java/wallmoor/ogc/FeatureQueryRunner.java
+++ b/src/main/java/wallmoor/ogc/FeatureQueryRunner.java
@@ -59,7 +59,7 @@
     Step.FinalStep run(HttpExchange exchange, HttpMessage request, String id, List<Integer> shards,
             FeatureQuery query) throws InterruptedException {
         int queryClass = query.collection().queryClass();
-        long deadline = clock.at(request.begunAt()) + settings.classes().get(queryClass).clientTimeout()
+        long deadline = clock.fromNanoTime(request.begunAt()) + settings.classes().get(queryClass).clientTimeout()
                 - RESPONSE_RESERVE_MICROS;
         var parts = new ArrayList<Query.PartRequest>();
         shards.forEach(shard -> parts.add(new Query.PartRequest(shard, 1.0 / shards.size(), -1)));
--- a/src/main/java/wallmoor/platform/PlatformFront.java
+++ b/src/main/java/wallmoor/platform/PlatformFront.java
@@ -171,7 +171,7 @@
         }
         long timeout = Math.min(QueryHeaders.timeoutMicros(request.header("X-Deadline")),
                 inForce.settings().classes().get(queryClass).clientTimeout());
-        long deadline = Math.min(clock.at(request.begunAt()) + timeout, lastAnswerAt) - WIRE_MARGIN_MICROS;
+        long deadline = Math.min(clock.fromNanoTime(request.begunAt()) + timeout, lastAnswerAt) - WIRE_MARGIN_MICROS;
         boolean retry = "1".equals(request.header("X-Retry"));
         Query query = gatherer.open(id, queryClass, deadline, retry, parts(body),
                 asked.getBytes(StandardCharsets.UTF_8));
