--- a/src/main/java/wallmoor/bans/BanRegister.java
+++ b/src/main/java/wallmoor/bans/BanRegister.java
@@ -57,7 +57,7 @@
     }
 
     /** Whether this worker is banned. */
-    public synchronized boolean banned(String id) {
+    public synchronized boolean isBanned(String id) {
         return isBan(marks.get(id));
     }
 
@@ -67,7 +67,7 @@
     }
 
     /** The workers that are banned, in order of their ids; a copy. */
-    public synchronized Set<String> banned() {
+    public synchronized Set<String> bannedIds() {
         return marks.values().stream().filter(BanMark::banned).map(BanMark::id)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
--- a/src/main/java/wallmoor/operator/BanSynchronizer.java
+++ b/src/main/java/wallmoor/operator/BanSynchronizer.java
@@ -48,7 +48,7 @@
         }
         synchronized (changeLock) {
             mergeFile();
-            for (String id : register.banned()) { // also those that were known before the file
+            for (String id : register.bannedIds()) { // also those that were known before the file
                 controls.setBanned(id, true);
             }
         }
@@ -151,7 +151,7 @@
             return;
         }
         for (String id : register.merge(file.content())) {
-            boolean banned = register.banned(id);
+            boolean banned = register.isBanned(id);
             controls.setBanned(id, banned);
             log.info(banned ? "bans: {} left out as the file says" : "bans: {} put back as the file says", id);
         }
--- a/src/test/java/wallmoor/bans/BanRegisterPropertiesTest.java
+++ b/src/test/java/wallmoor/bans/BanRegisterPropertiesTest.java
@@ -58,23 +58,23 @@
             boolean out = call / 6 % 2 == 0;
             if (call >= 24) {
                 BanRegister other = processes.get(1 - call % 2);
-                var before = at.banned();
+                var before = at.bannedIds();
                 List<String> changed = at.merge(other.marks());
                 var differing = new java.util.TreeSet<>(before);
-                differing.addAll(at.banned());
-                differing.removeIf(w -> before.contains(w) && at.banned(w));
+                differing.addAll(at.bannedIds());
+                differing.removeIf(w -> before.contains(w) && at.isBanned(w));
                 assertEquals(differing, new java.util.TreeSet<>(changed));
             } else {
-                boolean was = at.banned(id);
+                boolean was = at.isBanned(id);
                 assertEquals(was != out, out ? at.ban(id, ++now) : at.unban(id, ++now));
-                assertEquals(out, at.banned(id));
+                assertEquals(out, at.isBanned(id));
                 last.put(id, out);
             }
         }
         processes.get(0).merge(processes.get(1).marks());
         processes.get(1).merge(processes.get(0).marks());
         assertEquals(processes.get(0).marks(), processes.get(1).marks());
-        last.forEach((id, out) -> assertEquals(out, processes.get(0).banned(id), id));
+        last.forEach((id, out) -> assertEquals(out, processes.get(0).isBanned(id), id));
     }
 
     @Example
