--- a/src/main/java/wallmoor/core/Attempt.java
+++ b/src/main/java/wallmoor/core/Attempt.java
@@ -1,12 +1,11 @@
 package wallmoor.core;
 
 /**
- * One attempt of one part at one worker. It ends exactly once, by {@link Gatherer#report}. Times are microseconds on
- * the
- * gatherer's clock.
+ * One attempt to run one part of a query on one worker. It ends exactly once, by {@link Gatherer#report}. All times are
+ * microseconds on the gatherer's clock.
  */
 public final class Attempt {
-    /** Workers are told of their time in whole milliseconds: with less left than one there is none to tell. */
+    /** The request to a worker carries its remaining time in whole milliseconds, so less than one cannot be sent. */
     private static final long MICROS_PER_MILLI = 1_000;
 
     final Query query;
@@ -15,13 +14,13 @@
     final Worker worker;
     final long assignedAt;
     final long deadline;
-    /** It begins before this or never: an idempotency key protects a retry for some time only. */
+    /** Time before which the attempt must be sent: an idempotency key protects a retry for a limited time only. */
     private final long startBefore;
-    /** When the connect began that it waits or waited for, if that was before it was assigned. */
+    /** Start of the connect that the attempt waits or waited for; never later than the time of assignment. */
     private volatile long connectStartedAt;
-    /** Set once under the gatherer's lock; read without it by whoever writes. */
+    /** Set once under the gatherer's lock; read without the lock by the threads that write to workers. */
     volatile boolean cancelled;
-    /** Whether its end has been reported. Guarded by the gatherer's lock. */
+    /** True once the end of the attempt has been reported. Guarded by the gatherer's lock. */
     boolean ended;
 
     Attempt(Query query, Query.QueryPart part, int number, Worker worker, long assignedAt, long deadline,
@@ -36,32 +35,32 @@
         this.startBefore = startBefore;
     }
 
-    /** The query that this attempt is for. */
+    /** Returns the query that this attempt belongs to. */
     public Query query() {
         return query;
     }
 
-    /** The id of the part, the same for all its attempts. */
+    /** Returns the id of the part, which is the same for all attempts of the part. */
     public String partId() {
         return part.id;
     }
 
-    /** The shard that is requested. */
+    /** Returns the index of the shard that the part reads. */
     public int shard() {
         return part.shard;
     }
 
-    /** The worker that it goes to. */
+    /** Returns the worker that the attempt is sent to. */
     public Worker worker() {
         return worker;
     }
 
     /**
-     * Whether it may begin now on a connection to this address. Takes no lock: it is called for each attempt at the
-     * moment of writing.
+     * Checks whether the attempt may be sent now on a connection to this address. Takes no lock, because it is called
+     * for each attempt immediately before writing.
      *
-     * @param now     on the gatherer's clock
-     * @param address where the connection goes
+     * @param now     the time on the gatherer's clock (microseconds)
+     * @param address the address that the connection leads to
      */
     public SendPermission checkPermission(long now, String address) {
         if (query.clientDisconnected) {
@@ -85,22 +84,25 @@
         return now < startBefore ? SendPermission.GRANTED : SendPermission.IDEMPOTENCY_WINDOW_EXPIRED;
     }
 
-    /** The milliseconds that its worker is told to have, at this moment: never more than are left to its deadline. */
+    /** Returns the time budget to send to the worker, in milliseconds: the time to the deadline, rounded down. */
     public long remainingMillis(long now) {
         return (deadline - now) / MICROS_PER_MILLI;
     }
 
-    /** It waits for a connect that began at this time: if that fails, it took that long for late joiners as well. */
+    /**
+     * Records that the attempt waits for a connect that began at this time. If the connect fails, the duration of the
+     * attempt is counted from there, also where the attempt was assigned after the connect had begun.
+     */
     public void recordConnectStart(long startedAt) {
         connectStartedAt = Math.min(assignedAt, startedAt);
     }
 
-    /** Since when its duration counts: that of a failed connect from the connect's begin. */
+    /** Returns the time from which the attempt's duration counts: for a failed connect, the start of the connect. */
     long startedAt(AttemptOutcome outcome) {
         return outcome == AttemptOutcome.CONNECT_FAILED ? connectStartedAt : assignedAt;
     }
 
-    /** When it times out. */
+    /** Returns the time at which the attempt times out. */
     public long deadline() {
         return deadline;
     }
--- a/src/main/java/wallmoor/core/AttemptLifecycle.java
+++ b/src/main/java/wallmoor/core/AttemptLifecycle.java
@@ -8,8 +8,8 @@
 import wallmoor.decision.RoutingPolicy;
 
 /**
- * The way of an attempt from the policy's decision to its end: withdrawn before it is handed over, timed out, cancelled
- * behind its query's final step, or reported. Guarded by the gatherer's lock.
+ * Follows attempts from the policy's decision to their end: withdrawn before they are handed to the transport, timed
+ * out, cancelled because their query has its final step, or reported by the transport. Guarded by the gatherer's lock.
  */
 final class AttemptLifecycle {
     private final PolicyDriver driver;
@@ -27,7 +27,10 @@
         this.clock = clock;
     }
 
-    /** The next step of a query that still holds, or null; attempts that may no longer begin end here as not sent. */
+    /**
+     * Returns the next step of a query that is still valid, or null. Attempts that may no longer be sent end here as
+     * {@link AttemptOutcome#NOT_SENT}; cancellations of attempts that have ended are skipped.
+     */
     Step nextStep(Query query) {
         while (true) {
             Step step = query.steps.poll();
@@ -42,7 +45,7 @@
         }
     }
 
-    /** Takes out of a call the attempts that may no longer begin, and ends them. */
+    /** Removes from a call the attempts that may no longer be sent, and ends them. */
     private void withdrawForbidden(Step.Send send) {
         var forbidden = new ArrayList<Attempt>();
         String address = send.worker().address();
@@ -65,9 +68,9 @@
     }
 
     /**
-     * Cancels what a query has in flight, so that nothing is left behind its final step.
+     * Cancels the attempts of a query that are in flight, so that none remains after its final step.
      *
-     * @return whether there are steps to be handed out before that one
+     * @return whether there are steps to hand out before the final one
      */
     boolean cancelInFlight(Query query) {
         for (Attempt attempt : query.inFlight) {
@@ -79,7 +82,7 @@
         return !query.steps.isEmpty();
     }
 
-    /** Runs the timers that are due. Called in a round. */
+    /** Runs the timers that are due. Called within a round. */
     void runDueTimers() {
         while (timers.hasDue(round.now())) {
             TimerQueue.Timer timer = timers.poll();
@@ -98,7 +101,7 @@
         }
     }
 
-    /** Ends an attempt, unless it has ended, and tells the policy. Called in a round. */
+    /** Ends an attempt, unless it has ended, and reports that to the policy. Called within a round. */
     void end(Attempt attempt, AttemptOutcome outcome, byte[] value) {
         if (attempt.ended) {
             return;
@@ -109,12 +112,12 @@
         timers.removeAttemptTimeout(attempt);
         boolean finished = query.finalStep != null;
         query.cancelledUnanswered |= attempt.cancelled && !finished;
-        query.attemptMayHaveRun |= !outcome.code.neverRan;
+        query.attemptMayHaveRun |= !outcome.endReason.neverRan;
         if (outcome == AttemptOutcome.SERVED && !finished) {
             attempt.part.value = value;
         }
         if (finished) {
-            requests.forgetUnlessInFlight(query);
+            requests.removePartsUnlessInFlight(query);
         }
         reportToPolicy(attempt, outcome, finished || outcome == AttemptOutcome.SERVED);
     }
@@ -122,7 +125,7 @@
     private void reportToPolicy(Attempt attempt, AttemptOutcome outcome, boolean partOver) {
         RoutingPolicy policy = driver.policy();
         long now = round.now();
-        policy.onAttemptEnded(now, new AttemptEnded(attempt.part.id, attempt.number, attempt.worker.id(), outcome.code,
-                now - attempt.startedAt(outcome), partOver, Map.of()));
+        policy.onAttemptEnded(now, new AttemptEnded(attempt.part.id, attempt.number, attempt.worker.id(),
+                outcome.endReason, now - attempt.startedAt(outcome), partOver, Map.of()));
     }
 }
--- a/src/main/java/wallmoor/core/AttemptOutcome.java
+++ b/src/main/java/wallmoor/core/AttemptOutcome.java
@@ -2,29 +2,29 @@
 
 import wallmoor.decision.AttemptEndReason;
 
-/** How an attempt ended, as transports report it. */
+/** The way in which an attempt ended, as transports report it. */
 public enum AttemptOutcome {
-    /** Served: the value is in. */
+    /** The worker answered with the value of the part. */
     SERVED(AttemptEndReason.OK),
-    /** The worker answered with an error; it may have run. */
+    /** The worker answered with an error; the part may have run. */
     ERROR(AttemptEndReason.ERROR),
-    /** Rejected before it ran. */
+    /** The worker rejected the attempt before running it. */
     REJECTED(AttemptEndReason.REJECTED),
-    /** No answer in time; it may have run. */
+    /** No answer arrived in time; the part may have run. */
     TIMED_OUT(AttemptEndReason.TIMEOUT),
-    /** The connection never came up, or broke before the last byte was written: never ran. */
+    /** The connection was never established, or broke before the last byte was written: the part never ran. */
     CONNECT_FAILED(AttemptEndReason.CONNECT_FAILED),
-    /** The connection broke after the last byte was written; it may have run. */
+    /** The connection broke after the last byte was written; the part may have run. */
     RESET(AttemptEndReason.RESET),
-    /** Cancelled; it may have run. */
+    /** The attempt was cancelled; the part may have run. */
     CANCELLED(AttemptEndReason.CANCELLED),
-    /** Cancelled or no longer permitted before any byte was written: never ran. */
+    /** The attempt was cancelled or forbidden before any byte was written: the part never ran. */
     NOT_SENT(AttemptEndReason.NOT_STARTED);
 
-    /** The same as the routing policy reads it. */
-    final AttemptEndReason code;
+    /** The same outcome in the terms of the routing policy. */
+    final AttemptEndReason endReason;
 
-    AttemptOutcome(AttemptEndReason code) {
-        this.code = code;
+    AttemptOutcome(AttemptEndReason endReason) {
+        this.endReason = endReason;
     }
 }
--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -15,15 +15,16 @@
 
 /**
  * The blocking facade of the routing policy: threads open queries, wait for their next step, report how attempts ended
- * and run the timers. What changes the endpoint list, bans and settings stands in {@link #control}.
+ * and run the timers. Changes to the endpoint list, bans and settings go through {@link #control}.
  *
- * <p>One lock guards the policy and all tables of this package. It is held for a decision, never for I/O; whoever waits
- * on one of its conditions releases it. Each call is a round of its own: what the policy decides is there when the call
- * returns. Read without the lock are {@link Worker#isServing} and {@link Worker#address}, and what
- * {@link Attempt#checkPermission} reads of a query and an attempt, since it is asked at the moment of writing.
+ * <p>One lock guards the policy and all tables of this package. It is held while the policy decides, never during I/O;
+ * a thread that waits on one of its conditions releases it. Each call is a round of its own: the decisions of the
+ * policy are in effect when the call returns. Some state is read without the lock, because it is checked immediately
+ * before writing to a worker: {@link Worker#isServing}, {@link Worker#address}, and the fields of queries and attempts
+ * that {@link Attempt#checkPermission} reads.
  */
 public final class Gatherer {
-    /** How long past its deadline a query is left to the policy before it is failed here (microseconds). */
+    /** Time after its deadline at which a query that the policy has not ended is failed here (microseconds). */
     private static final long OVERDUE_MICROS = 5_000;
 
     private static final long MAX_TIMER_WAIT_MILLIS = 1_000;
@@ -39,10 +40,11 @@
     private final GathererControl control;
 
     /**
-     * Makes a gatherer with metrics of its own and without names of query classes.
+     * Creates a gatherer with its own metrics and without names of query classes.
      *
-     * @param clock microseconds of Unix time that only go forward
-     * @param log   where lines of the policy go
+     * @param seed  the seed of the policy's random choices
+     * @param clock Unix time in microseconds, which never goes back
+     * @param log   the log for lines of the policy
      * @throws IllegalArgumentException if the settings contradict themselves
      */
     public Gatherer(RoutingSettings settings, long seed, LongSupplier clock, Logger log) {
@@ -50,12 +52,13 @@
     }
 
     /**
-     * Makes a gatherer.
+     * Creates a gatherer.
      *
-     * @param classNames the names that the metrics give the query classes, by their index in the settings
-     * @param clock      microseconds of Unix time that only go forward
-     * @param log        where lines of the policy go
-     * @param metrics    counts what becomes of queries
+     * @param classNames the names of the query classes in the metrics, by their index in the settings
+     * @param seed       the seed of the policy's random choices
+     * @param clock      Unix time in microseconds, which never goes back
+     * @param log        the log for lines of the policy
+     * @param metrics    the counters of started and ended queries and of attempts
      * @throws IllegalArgumentException if the settings contradict themselves
      */
     public Gatherer(RoutingSettings settings, List<String> classNames, long seed, LongSupplier clock, Logger log,
@@ -74,12 +77,12 @@
         control = new GathererControl(lock, clock, driver, actions, requests, workers, watch);
     }
 
-    /** The control side: the endpoint list, bans and settings. */
+    /** Returns the control side, which changes the endpoint list, bans and settings. */
     public GathererControl control() {
         return control;
     }
 
-    /** Microseconds on the clock that deadlines are given on. */
+    /** Returns the current time on the gatherer's clock, to which all deadlines refer (microseconds). */
     public long now() {
         return clock.getAsLong();
     }
@@ -87,13 +90,14 @@
     // ---- queries ------------------------------------------------------------------------------------------
 
     /**
-     * Opens a query; its thread then calls {@link #awaitStep} until a final step comes.
+     * Opens a query; its thread then calls {@link #awaitStep} until it receives a final step.
      *
-     * @param deadline   when its client gives up, on the gatherer's clock
-     * @param retry      whether its client says that it asked before
-     * @param attachment what the front's transport needs of it
-     * @return null if a query of this id is open, or parts of an earlier one are still in flight: a worker would take
-     *         the new ones for hedged requests
+     * @param queryClass the index of the query's class in the settings
+     * @param deadline   the time at which the client gives up, on the gatherer's clock (microseconds)
+     * @param retry      whether the client marked the query as a retry
+     * @param attachment data of the front for its transport, see {@link Query#attachment}
+     * @return the query; null if a query with this id is open, or if parts of an earlier query with this id are still
+     *         in flight, because a worker would treat the new parts as duplicates of those
      */
     public Query open(String id, int queryClass, long deadline, boolean retry, List<Query.PartRequest> parts,
             Object attachment) {
@@ -121,7 +125,7 @@
         }
     }
 
-    /** Waits for the next step of this query. After a {@link Step.FinalStep} none comes. */
+    /** Waits for the next step of this query. A {@link Step.FinalStep} is the last one. */
     public Step awaitStep(Query query) throws InterruptedException {
         lock.lock();
         try {
@@ -141,20 +145,20 @@
         }
     }
 
-    /** Waits until the query may have a step; fails it if the policy has not ended it by its deadline. */
-    @SuppressWarnings("WaitNotInLoop") // the caller's loop looks again
+    /** Waits until the query may have a step; fails the query if the policy has not ended it by its deadline. */
+    @SuppressWarnings("WaitNotInLoop") // the caller checks the condition again in a loop
     private void awaitChange(Query query) throws InterruptedException {
         long left = query.deadline + OVERDUE_MICROS - now();
         if (left > 0) {
             query.stepAvailable.await(left, TimeUnit.MICROSECONDS);
             return;
         }
-        log.info("query {} is overdue", query.id);
+        log.info("query overdue, failing it: query={}", query.id);
         driver.run(() -> driver.policy().onClientDisconnected(driver.now(), query.id));
         requests.finish(query, new Step.Fail(true, query.mayHaveRun()));
     }
 
-    /** The client of this query has disconnected. */
+    /** Records that the client of this query has disconnected, and ends the query. */
     public void clientDisconnected(Query query) {
         query.clientDisconnected = true;
         lock.lock();
@@ -168,7 +172,7 @@
         }
     }
 
-    /** Runs a query to its end: hands its steps to the transport and returns the final one. */
+    /** Runs a query to its end: hands its steps to the transport and returns the final step. */
     public Step.FinalStep run(Query query, WorkerTransport transport) throws InterruptedException {
         boolean finished = false;
         try {
@@ -181,7 +185,7 @@
                 handOver(step, transport);
             }
         } finally {
-            if (!finished) { // an exception ended this thread: what the policy decided is still carried out
+            if (!finished) { // an exception ends this thread: the steps that remain are still handed over
                 clientDisconnected(query);
                 for (Step step = pollStep(query); step != null; step = pollStep(query)) {
                     handOver(step, transport);
@@ -209,15 +213,15 @@
 
     // ---- attempts -----------------------------------------------------------------------------------------
 
-    /** These attempts were written completely to their worker. */
+    /** Counts attempts that were written completely to their worker. */
     public void recordSent(List<Attempt> sent) {
         sent.forEach(attempt -> metrics.addAttempts(attempt.query.className, 1));
     }
 
     /**
-     * An attempt has ended. Only its first report counts.
+     * Reports the end of an attempt. Only the first report of an attempt counts.
      *
-     * @param value what the worker gave; null unless it was served
+     * @param value the value from the worker; null unless the outcome is {@link AttemptOutcome#SERVED}
      */
     public void report(Attempt attempt, AttemptOutcome outcome, byte[] value) {
         lock.lock();
@@ -228,7 +232,7 @@
         }
     }
 
-    /** Several attempts have ended at once without a value, as when their connection broke: one round. */
+    /** Reports in one round that several attempts ended without a value, for example because a connection broke. */
     public void report(Map<Attempt, AttemptOutcome> ended) {
         lock.lock();
         try {
@@ -240,11 +244,11 @@
 
     // ---- time ---------------------------------------------------------------------------------------------
 
-    /** Waits for the next timer, at most so many milliseconds, and runs what is due. */
-    public void tick(long atMostMillis) throws InterruptedException {
+    /** Waits for the next timer, at most this many milliseconds, and runs the timers that are due. */
+    public void tick(long maxWaitMillis) throws InterruptedException {
         lock.lock();
         try {
-            timers.awaitDue(TimeUnit.MILLISECONDS.toMicros(atMostMillis), clock);
+            timers.awaitDue(TimeUnit.MILLISECONDS.toMicros(maxWaitMillis), clock);
             if (timers.hasDue(now())) {
                 driver.run(attempts::runDueTimers);
             }
@@ -266,7 +270,7 @@
 
     // ---- statistics ---------------------------------------------------------------------------------------
 
-    /** The number of queries that have no final step yet. */
+    /** Returns the number of queries that have no final step yet. */
     public int openQueries() {
         lock.lock();
         try {
@@ -276,7 +280,7 @@
         }
     }
 
-    /** The number of queries that have no final step yet, and of their parts: what {@code Limits.MaxOpen} bounds. */
+    /** Returns the number of queries without a final step plus their parts, which {@code Limits.MaxOpen} bounds. */
     public int openQueriesAndParts() {
         lock.lock();
         try {
@@ -286,7 +290,7 @@
         }
     }
 
-    /** Queries, parts and timeouts that are kept: 0 once all queries and attempts have ended. */
+    /** Returns the number of retained queries, parts and timeouts: 0 once all queries and attempts have ended. */
     int retainedEntries() {
         lock.lock();
         try {
--- a/src/main/java/wallmoor/core/GathererControl.java
+++ b/src/main/java/wallmoor/core/GathererControl.java
@@ -9,13 +9,15 @@
 import wallmoor.decision.WorkerListKind;
 
 /**
- * The control side of a {@link Gatherer}: the endpoint list and its watch, bans by operators, settings. Every call
- * takes the gatherer's lock, and is a round of the routing policy where it tells the policy anything.
+ * The control side of a {@link Gatherer}: the endpoint list and its watch, bans by operators, and settings. Every call
+ * takes the gatherer's lock; calls that pass changes to the routing policy run as a round of the policy.
  */
 public final class GathererControl {
     /**
-     * Workers in the endpoint list, and those of them that get no queries: banned by an operator or ejected by the
-     * policy.
+     * The number of workers.
+     *
+     * @param known    workers in the endpoint list
+     * @param excluded those of them that get no queries, because an operator banned them or the policy ejected them
      */
     public record WorkerCounts(int known, int excluded) {}
 
@@ -40,7 +42,7 @@
 
     // ---- the endpoint list --------------------------------------------------------------------------------
 
-    /** Starts the policy on the endpoint list as it was known last. */
+    /** Starts the policy with the last known endpoint list. */
     public void start(List<WorkerEndpoint> lastKnown) {
         lock.lock();
         try {
@@ -53,7 +55,12 @@
         }
     }
 
-    /** The endpoint list has changed: all of it follows, or the changed endpoints alone. */
+    /**
+     * Applies an update of the endpoint list.
+     *
+     * @param complete  whether the update is the complete list, rather than the changed endpoints only
+     * @param endpoints the endpoints of the update
+     */
     public void updateEndpoints(boolean complete, List<WorkerEndpoint> endpoints) {
         lock.lock();
         try {
@@ -63,7 +70,7 @@
         }
     }
 
-    /** Some endpoints have changed, as is known from elsewhere than the list. */
+    /** Applies changes of endpoints that come from another source than the watched list. */
     public void mergeEndpoints(List<WorkerEndpoint> endpoints) {
         lock.lock();
         try {
@@ -74,7 +81,7 @@
     }
 
     private void apply(WorkerListKind kind, List<WorkerEndpoint> update) {
-        Collection<WorkerEndpoint> endpoints = WorkerRegistry.lastOfEach(update);
+        Collection<WorkerEndpoint> endpoints = WorkerRegistry.latestPerWorker(update);
         if (kind == WorkerListKind.COMPLETE || kind == WorkerListKind.CACHED) {
             workers.retainOnly(endpoints);
         }
@@ -84,7 +91,7 @@
 
     // ---- the list's watch ---------------------------------------------------------------------------------
 
-    /** The endpoint list's watch has ended or never came up; the policy says when to ask for one again. */
+    /** Records that the watch of the endpoint list failed or ended; the policy decides when to request the next one. */
     public void watchFailed() {
         lock.lock();
         try {
@@ -95,7 +102,7 @@
         }
     }
 
-    /** A sound watch has broken and its owner reconnects; the policy is told only if that fails. */
+    /** Records that a working watch broke and its owner reconnects; the policy is notified only if that fails. */
     public void watchReconnecting() {
         lock.lock();
         try {
@@ -105,7 +112,7 @@
         }
     }
 
-    /** The endpoint list is served elsewhere: a watch is asked for at once, whatever backoff the policy had in mind. */
+    /** Requests a watch at once, regardless of the policy's backoff; called when the endpoint list has a new server. */
     public void requestWatch() {
         lock.lock();
         try {
@@ -116,9 +123,9 @@
     }
 
     /**
-     * Waits until a watch of the endpoint list is asked for, at most until then. The lock is released meanwhile.
+     * Waits until a watch of the endpoint list is requested. The lock is released meanwhile.
      *
-     * @param until microseconds on the gatherer's clock; {@link Long#MAX_VALUE} for no limit
+     * @param until the end of the wait, microseconds on the gatherer's clock; {@link Long#MAX_VALUE} for no limit
      */
     public void awaitWatchRequest(long until) throws InterruptedException {
         lock.lock();
@@ -131,7 +138,7 @@
 
     // ---- bans ---------------------------------------------------------------------------------------------
 
-    /** Excludes a worker from now on, whatever the list says of it, or takes the list at its word again. */
+    /** Bans a worker, which excludes it whatever state the endpoint list gives, or lifts its ban. */
     public void setBanned(String id, boolean banned) {
         lock.lock();
         try {
@@ -144,7 +151,7 @@
         }
     }
 
-    /** Whether the list names this worker, or named it lately, or an operator banned it. */
+    /** Returns whether the endpoint list contains or recently contained this worker, or an operator banned it. */
     public boolean isKnownWorker(String id) {
         lock.lock();
         try {
@@ -154,7 +161,7 @@
         }
     }
 
-    /** Counts the workers. */
+    /** Returns the number of known and of excluded workers. */
     public WorkerCounts workerCounts() {
         lock.lock();
         try {
@@ -167,16 +174,16 @@
     // ---- settings -----------------------------------------------------------------------------------------
 
     /**
-     * Changes the settings; what is under way goes on with the class that it came with.
+     * Changes the settings; open queries keep the class that they were opened with.
      *
-     * @param classNames the names of the query classes, by index
-     * @param vanished   indexes of classes that are no longer in force
-     * @throws IllegalArgumentException if the settings contradict themselves; nothing has changed then
+     * @param classNames     the names of the query classes, by index
+     * @param removedClasses the indexes of classes that are no longer in force
+     * @throws IllegalArgumentException if the settings contradict themselves; then nothing has changed
      */
-    public void updateSettings(RoutingSettings next, List<String> classNames, Set<Integer> vanished) {
+    public void updateSettings(RoutingSettings next, List<String> classNames, Set<Integer> removedClasses) {
         lock.lock();
         try {
-            driver.policy().onSettingsChanged(driver.advance(), next, vanished);
+            driver.policy().onSettingsChanged(driver.advance(), next, removedClasses);
             requests.setClassNames(classNames);
             actions.setMaxAttemptsPerCall(next.limits().maxBatch());
         } finally {
@@ -184,7 +191,12 @@
         }
     }
 
-    /** So many gatherers share load and quotas from now on, and this is the index of this one among them, from 0. */
+    /**
+     * Sets how many gatherers share load and quotas from now on.
+     *
+     * @param gatherers the number of gatherers
+     * @param index     the index of this gatherer among them, from 0
+     */
     public void setFleetPosition(int gatherers, int index) {
         lock.lock();
         try {
--- a/src/main/java/wallmoor/core/MonotonicClock.java
+++ b/src/main/java/wallmoor/core/MonotonicClock.java
@@ -2,18 +2,21 @@
 
 import java.util.function.LongSupplier;
 
-/** Microseconds of Unix time that only go forward: set by the system's clock once, then by its steady one. */
+/**
+ * A clock of Unix time in microseconds that never goes back: it reads the system clock once, then advances with
+ * {@link System#nanoTime}.
+ */
 public final class MonotonicClock implements LongSupplier {
-    private final long wall = System.currentTimeMillis() * 1000;
-    private final long steady = System.nanoTime();
+    private final long startMicros = System.currentTimeMillis() * 1000;
+    private final long startNanos = System.nanoTime();
 
     @Override
     public long getAsLong() {
         return fromNanoTime(System.nanoTime());
     }
 
-    /** The time of a {@link System#nanoTime} reading. */
+    /** Returns the Unix time in microseconds of a {@link System#nanoTime} reading. */
     public long fromNanoTime(long nanos) {
-        return wall + (nanos - steady) / 1000;
+        return startMicros + (nanos - startNanos) / 1000;
     }
 }
--- a/src/main/java/wallmoor/core/OpenRequests.java
+++ b/src/main/java/wallmoor/core/OpenRequests.java
@@ -6,11 +6,11 @@
 import wallmoor.metrics.GathererMetrics;
 
 /**
- * The queries that still need a final answer, and the parts of which an attempt may still be in flight. It also counts
- * the start and the end of each query. Guarded by the gatherer's lock.
+ * The tables of queries without a final step and of parts that may still have an attempt in flight. Counts the start
+ * and the end of each query in the metrics. Guarded by the gatherer's lock.
  *
- * <p>A query leaves the table of open queries with its final step; its parts stay known until its last attempt has been
- * reported, so that the same id cannot be opened again while a worker may still run one of them.
+ * <p>A query leaves the table of open queries with its final step. Its parts stay in the table of parts until its last
+ * attempt has been reported, so that the same id cannot be opened again while a worker may still run one of them.
  */
 final class OpenRequests {
     private final GathererMetrics metrics;
@@ -25,22 +25,22 @@
         this.classNames = classNames;
     }
 
-    /** Query classes have these names from now on; a query keeps the name that its class had when it was opened. */
+    /** Sets the names of the query classes; an open query keeps the name that its class had when it was opened. */
     void setClassNames(List<String> names) {
         classNames = names;
     }
 
-    /** The name under which queries of a class are counted. */
+    /** Returns the name of a query class in the metrics. */
     String className(int queryClass) {
         return queryClass >= 0 && queryClass < classNames.size() ? classNames.get(queryClass) : "class-" + queryClass;
     }
 
-    /** The id of the part of a query that asks for this shard, the same for all its attempts. */
+    /** Returns the id of the part of a query for this shard, which is the same for all attempts of the part. */
     static String partId(String queryId, int shard) {
         return queryId + "." + shard;
     }
 
-    /** Whether a query of this id is open, or one of these parts may still be in flight for an earlier one. */
+    /** Returns whether a query with this id is open, or one of these parts of an earlier one may be in flight. */
     boolean isInUse(String queryId, List<Query.PartRequest> parts) {
         if (openQueries.containsKey(queryId)) {
             return true;
@@ -53,7 +53,7 @@
         return false;
     }
 
-    /** Adds a query with its parts; returns the number under which the routing policy knows it. */
+    /** Adds a query with its parts; returns the number that identifies it to the routing policy. */
     long add(Query query) {
         openQueries.put(query.id, query);
         metrics.queryStarted(query.className);
@@ -63,33 +63,33 @@
         return ++lastNumber;
     }
 
-    /** The open query of this id, or null. */
+    /** Returns the open query with this id, or null. */
     Query openQuery(String id) {
         return openQueries.get(id);
     }
 
-    /** The query, open or not, that this part belongs to, or null if none of its attempts can be in flight. */
+    /** Returns the query, open or not, that this part belongs to; null if none of its attempts can be in flight. */
     Query queryOfPart(String partId) {
         return queriesByPartId.get(partId);
     }
 
     /**
-     * Gives a query its final step, unless it has one. The steps before it, cancellations among them, are still handed
-     * out first.
+     * Sets the final step of a query, unless it has one. Earlier steps, such as cancellations, are still handed out
+     * before it.
      */
     void finish(Query query, Step.FinalStep finalStep) {
         if (query.finalStep != null) {
             return;
         }
         query.finalStep = finalStep;
-        metrics.queryEnded(query.className, endOf(finalStep));
+        metrics.queryEnded(query.className, toQueryEnd(finalStep));
         openQueries.remove(query.id);
-        forgetUnlessInFlight(query);
+        removePartsUnlessInFlight(query);
         query.stepAvailable.signalAll();
     }
 
-    /** Forgets the parts of a query that has ended, unless an attempt is still in flight. */
-    void forgetUnlessInFlight(Query query) {
+    /** Removes the parts of a query that has ended, unless an attempt is still in flight. */
+    void removePartsUnlessInFlight(Query query) {
         if (query.inFlight.isEmpty()) {
             for (Query.QueryPart part : query.parts) {
                 queriesByPartId.remove(part.id);
@@ -97,7 +97,7 @@
         }
     }
 
-    private static GathererMetrics.QueryEnd endOf(Step.FinalStep finalStep) {
+    private static GathererMetrics.QueryEnd toQueryEnd(Step.FinalStep finalStep) {
         if (finalStep instanceof Step.Answer) {
             return GathererMetrics.QueryEnd.SERVED;
         }
@@ -107,21 +107,21 @@
         return finalStep instanceof Step.Fail ? GathererMetrics.QueryEnd.FAILED : GathererMetrics.QueryEnd.CLIENT_GONE;
     }
 
-    /** The number of queries without a final step. */
+    /** Returns the number of queries without a final step. */
     int openQueries() {
         return openQueries.size();
     }
 
-    /** The number of queries without a final step, and of their parts: what {@code Limits.MaxOpen} bounds. */
+    /** Returns the number of queries without a final step plus their parts, which {@code Limits.MaxOpen} bounds. */
     int openQueriesAndParts() {
-        int sum = openQueries.size();
+        int count = openQueries.size();
         for (Query query : openQueries.values()) {
-            sum += query.parts.size();
+            count += query.parts.size();
         }
-        return sum;
+        return count;
     }
 
-    /** The number of entries in all tables: 0 once all queries and attempts have ended. */
+    /** Returns the number of entries in all tables: 0 once all queries and attempts have ended. */
     int retainedEntries() {
         return openQueries.size() + queriesByPartId.size();
     }
--- a/src/main/java/wallmoor/core/PolicyActions.java
+++ b/src/main/java/wallmoor/core/PolicyActions.java
@@ -7,11 +7,11 @@
 import wallmoor.decision.RoutingActions;
 
 /**
- * Turns the actions of the routing policy into steps of queries, timers and requests for a watch. Called in a round
- * alone, so guarded by the gatherer's lock.
+ * Carries out the actions of the routing policy as steps of queries, timers and requests for a watch. Called only
+ * within a round, and therefore guarded by the gatherer's lock.
  */
 final class PolicyActions implements RoutingActions {
-    /** A query that ends this close to its deadline has run out of time (microseconds). */
+    /** A query that ends within this time before its deadline counts as timed out (microseconds). */
     private static final long NEAR_DEADLINE_MICROS = 100_000;
 
     private final RoundState round;
@@ -32,20 +32,20 @@
         this.log = log;
     }
 
-    /** So many attempts at one worker may go out in one call, by the settings; fewer than one count as one. */
+    /** Sets how many attempts one call to a worker may carry; a value below 1 counts as 1. */
     void setMaxAttemptsPerCall(int max) {
         maxAttemptsPerCall = Math.max(1, max);
     }
 
     @Override
-    public void startAttempt(String partId, String workerId, long giveUpAfter, long beginWithin) {
+    public void startAttempt(String partId, String workerId, long giveUpAfter, long startWithin) {
         Query query = requests.queryOfPart(partId);
         Query.QueryPart part = query.part(partId);
         Worker worker = workers.get(workerId);
         long now = round.now();
         long deadline = Math.min(query.deadline, now + giveUpAfter);
-        long beginBefore = beginWithin < deadline - now ? now + beginWithin : deadline;
-        var attempt = new Attempt(query, part, part.attempts++, worker, now, deadline, beginBefore);
+        long startBefore = startWithin < deadline - now ? now + startWithin : deadline;
+        var attempt = new Attempt(query, part, part.attempts++, worker, now, deadline, startBefore);
         query.inFlight.add(attempt);
         timers.addAttemptTimeout(attempt);
         if (!joinCallOfThisRound(query, attempt)) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Adds an attempt to the call to its worker that waits for the query's thread, if that is of the same moment. */
+    /** Adds an attempt to a pending call to the same worker, if that call was created in the same round. */
     private boolean joinCallOfThisRound(Query query, Attempt attempt) {
         for (Iterator<Step> steps = query.steps.descendingIterator(); steps.hasNext();) {
             if (steps.next() instanceof Step.Send send && send.worker() == attempt.worker
@@ -105,14 +105,14 @@
         }
     }
 
-    /** Whether waiting in vain, rather than answers that failed, brought a query to its end. */
+    /** Returns whether a query ended for lack of an answer in time, rather than because of failed attempts. */
     private boolean timedOut(Query query) {
         return query.cancelledUnanswered || round.now() >= query.deadline - NEAR_DEADLINE_MICROS;
     }
 
     @Override
-    public void scheduleTimer(long in, String token) {
-        timers.addPolicyTimer(round.now() + in, token);
+    public void scheduleTimer(long delay, String token) {
+        timers.addPolicyTimer(round.now() + delay, token);
     }
 
     @Override
@@ -122,7 +122,7 @@
 
     @Override
     public void broadcast(byte[] contents) {
-        // gatherers have no way to talk to each other here
+        // does nothing: this transport has no connection between gatherers
     }
 
     @Override
--- a/src/main/java/wallmoor/core/PolicyDriver.java
+++ b/src/main/java/wallmoor/core/PolicyDriver.java
@@ -5,8 +5,8 @@
 import wallmoor.decision.RoutingPolicy;
 
 /**
- * Runs the routing policy in rounds: events of one moment, then the policy's decisions on them, which
- * {@link PolicyActions} carries out. Guarded by the gatherer's lock.
+ * Runs the routing policy in rounds. A round passes the events of one point in time to the policy and then lets it
+ * decide; {@link PolicyActions} carries out the decisions. Guarded by the gatherer's lock.
  */
 final class PolicyDriver {
     private final RoutingPolicy policy;
@@ -21,23 +21,26 @@
         this.log = log;
     }
 
-    /** The policy, for its events inside a round and for what it can be asked at any time. */
+    /** Returns the policy, which takes events within a round and answers queries about its state at any time. */
     RoutingPolicy policy() {
         return policy;
     }
 
-    /** The time of the round, microseconds on the gatherer's clock. */
+    /** Returns the time of the round, microseconds on the gatherer's clock. */
     long now() {
         return round.now();
     }
 
-    /** Sets the time to that of the clock, never back, and returns it: for an event outside a round. */
+    /** Advances the time to that of the clock, never back, and returns it; for an event outside a round. */
     long advance() {
         round.advanceTo(clock.getAsLong());
         return round.now();
     }
 
-    /** Runs a round. What the policy throws is logged and ends no thread: queries it forgot end at their deadline. */
+    /**
+     * Runs a round. An exception of the policy is logged and does not end the calling thread; queries that the policy
+     * then no longer decides are failed at their deadline.
+     */
     void run(Runnable events) {
         advance();
         try {
--- a/src/main/java/wallmoor/core/Query.java
+++ b/src/main/java/wallmoor/core/Query.java
@@ -7,25 +7,26 @@
 import java.util.concurrent.locks.Condition;
 
 /**
- * A query that the gatherer has opened, and the steps that wait for its thread. Guarded by the gatherer's lock, but for
- * what {@link Attempt#checkPermission} reads, and for what never changes.
+ * A query that the gatherer has opened, with the pending steps for its thread. Guarded by the gatherer's lock, except
+ * for immutable fields and those that {@link Attempt#checkPermission} reads.
  */
 public final class Query {
     /**
-     * A part as it is requested.
+     * The request for one part of a query.
      *
-     * @param weight   its share of the answer; the weights of a query add up to 1
-     * @param workHint how much work it is, by the client's estimate; negative for none
+     * @param shard    the index of the shard to read
+     * @param weight   the part's share of the answer; the weights of a query add up to 1
+     * @param workHint the client's estimate of the work; negative for none
      */
     public record PartRequest(int shard, double weight, long workHint) {}
 
-    /** A part with what came of it. */
+    /** A part of the query and its state. */
     static final class QueryPart {
         final String id;
         final int shard;
-        /** What a worker gave; null until it was served. */
+        /** The value from a worker; null until the part was served. */
         byte[] value;
-        /** The number of attempts so far, which is the number of the next one. */
+        /** The number of attempts so far, which is also the number of the next attempt. */
         int attempts;
 
         QueryPart(String id, int shard) {
@@ -35,24 +36,24 @@
     }
 
     final String id;
-    /** The name of the class that it came with, whatever the settings say since. */
+    /** The name that the query's class had when it was opened; later changes of the settings do not apply. */
     final String className;
-    /** When its client gives up: microseconds on the gatherer's clock. */
+    /** The time at which the client gives up, microseconds on the gatherer's clock. */
     final long deadline;
     final Object attachment;
     final List<QueryPart> parts = new ArrayList<>();
     final List<Attempt> inFlight = new ArrayList<>();
-    /** Bounded by the parts and the most attempts of each. */
+    /** Bounded by the number of parts and the maximum number of attempts for each. */
     final Deque<Step> steps = new ArrayDeque<>();
     /** Signalled when {@link #steps} or {@link #finalStep} has changed. */
     final Condition stepAvailable;
-    /** Set once under the gatherer's lock; read without it. */
+    /** Set once under the gatherer's lock; read without the lock. */
     volatile Step.FinalStep finalStep;
-    /** Set before the gatherer's lock is waited for, so that nothing more is written meanwhile. */
+    /** Set before waiting for the gatherer's lock, so that no further attempt is written meanwhile. */
     volatile boolean clientDisconnected;
-    /** Whether an attempt was cancelled unanswered before the final step. */
+    /** True if an attempt was cancelled before it was answered and before the final step. */
     boolean cancelledUnanswered;
-    /** Whether an attempt has ended otherwise than by proof that it never ran. */
+    /** True if an attempt has ended with an outcome that does not prove that it never ran. */
     boolean attemptMayHaveRun;
 
     Query(String id, String className, long deadline, Object attachment, Condition stepAvailable) {
@@ -63,39 +64,39 @@
         this.stepAvailable = stepAvailable;
     }
 
-    /** Adds the parts that are requested. */
+    /** Adds a part for each request. */
     void addParts(List<PartRequest> requested) {
         for (PartRequest part : requested) {
             parts.add(new QueryPart(OpenRequests.partId(id, part.shard()), part.shard()));
         }
     }
 
-    /** The id that its client gave it. */
+    /** Returns the id that the client assigned to the query. */
     public String id() {
         return id;
     }
 
-    /** When its client gives up: microseconds on the gatherer's clock. */
+    /** Returns the time at which the client gives up, microseconds on the gatherer's clock. */
     public long deadline() {
         return deadline;
     }
 
-    /** What the front gave along for its transport. */
+    /** Returns the data that the front attached for its transport; may be null. */
     public Object attachment() {
         return attachment;
     }
 
-    /** Whether any part has been attempted. */
+    /** Returns whether any part has been attempted. */
     boolean wasAttempted() {
         return parts.stream().anyMatch(part -> part.attempts > 0);
     }
 
-    /** Whether any part may have run, or may yet: an attempt in flight may be with its worker already. */
+    /** Returns whether any part may have run or may still run; an attempt in flight may have reached its worker. */
     boolean mayHaveRun() {
         return attemptMayHaveRun || !inFlight.isEmpty();
     }
 
-    /** The part of this id, or null. */
+    /** Returns the part with this id, or null. */
     QueryPart part(String partId) {
         for (QueryPart part : parts) {
             if (part.id.equals(partId)) {
@@ -105,7 +106,7 @@
         return null;
     }
 
-    /** The values of the parts that were served, in the order in which they were requested. */
+    /** Returns the values of the parts that were served, in the order in which the parts were requested. */
     List<Step.PartValue> receivedValues() {
         var values = new ArrayList<Step.PartValue>();
         for (QueryPart part : parts) {
--- a/src/main/java/wallmoor/core/RoundState.java
+++ b/src/main/java/wallmoor/core/RoundState.java
@@ -4,20 +4,20 @@
 import java.util.Set;
 
 /**
- * What a round of the routing policy has so far: its time, the queries that got steps, and the workers whose idle
- * connections are to be closed. Guarded by the gatherer's lock.
+ * The state of the current round of the routing policy: its time, the queries with new steps, and the workers whose
+ * idle connections are to be closed. Guarded by the gatherer's lock.
  */
 final class RoundState {
     private final Set<Query> queriesWithSteps = new HashSet<>();
     private final Set<String> closeIdleWorkerIds = new HashSet<>();
     private long now;
 
-    /** The time of the round, microseconds on the gatherer's clock. */
+    /** Returns the time of the round, microseconds on the gatherer's clock. */
     long now() {
         return now;
     }
 
-    /** Sets the time of the round, never back. */
+    /** Advances the time of the round; an earlier time has no effect. */
     void advanceTo(long time) {
         now = Math.max(now, time);
     }
@@ -28,17 +28,17 @@
         queriesWithSteps.add(query);
     }
 
-    /** Idle connections to this worker are to be closed before the next call to it in this round. */
+    /** Requests that idle connections to this worker are closed before the next call to it in this round. */
     void closeIdleBeforeNextSend(String workerId) {
         closeIdleWorkerIds.add(workerId);
     }
 
-    /** Whether idle connections are to be closed before the call to this worker that is being made now. */
+    /** Returns whether idle connections to this worker are to be closed before its next call, and resets that. */
     boolean takeCloseIdle(String workerId) {
         return closeIdleWorkerIds.remove(workerId);
     }
 
-    /** Ends the round: wakes the threads of the queries that got steps. */
+    /** Ends the round and wakes the threads of the queries that have new steps. */
     void end() {
         for (Query query : queriesWithSteps) {
             query.stepAvailable.signalAll();
--- a/src/main/java/wallmoor/core/SendPermission.java
+++ b/src/main/java/wallmoor/core/SendPermission.java
@@ -1,29 +1,29 @@
 package wallmoor.core;
 
 /**
- * Whether an attempt may begin at this moment. Whoever writes attempts asks {@link Attempt#checkPermission} just before
- * the first byte, as much may have happened since the attempt was decided. What is forbidden ends as
- * {@link AttemptOutcome#NOT_SENT}.
+ * The result of the check whether an attempt may be sent. Transports call {@link Attempt#checkPermission} immediately
+ * before the first byte, because the query, the attempt or the worker may have changed since the policy decided on the
+ * attempt. An attempt that may not be sent ends as {@link AttemptOutcome#NOT_SENT}.
  */
 public enum SendPermission {
-    /** It may begin. */
+    /** The attempt may be sent. */
     GRANTED,
     /** The client has disconnected. */
     CLIENT_DISCONNECTED,
-    /** The query has its final step. */
+    /** The query already has its final step. */
     QUERY_FINISHED,
     /** The attempt was cancelled. */
     CANCELLED,
-    /** The worker is draining, has left the endpoint list or was banned by an operator. */
+    /** The worker is draining, was removed from the endpoint list or is banned by an operator. */
     NOT_SERVING,
-    /** The list has given the worker another address than the one to be written to. */
+    /** The endpoint list gives the worker another address than that of the connection. */
     ADDRESS_CHANGED,
-    /** The attempt's deadline is over, or less than a millisecond away. */
+    /** The attempt's deadline has passed or is less than a millisecond away. */
     DEADLINE_EXCEEDED,
-    /** It is a retry of what may have run, and its idempotency key no longer protects it. */
+    /** The attempt is a retry of a part that may have run, and the idempotency key no longer protects it. */
     IDEMPOTENCY_WINDOW_EXPIRED;
 
-    /** Whether the attempt may begin. */
+    /** Returns whether the attempt may be sent. */
     public boolean granted() {
         return this == GRANTED;
     }
--- a/src/main/java/wallmoor/core/Step.java
+++ b/src/main/java/wallmoor/core/Step.java
@@ -2,45 +2,45 @@
 
 import java.util.List;
 
-/** What the thread of a query is to do next. */
+/** The next action for the thread of a query. */
 public sealed interface Step {
 
     /**
-     * Send these attempts, all at one worker, in one call.
+     * Sends attempts to one worker in one call.
      *
-     * @param closeIdleFirst whether idle connections to the worker are to be closed before
+     * @param closeIdleFirst whether idle connections to the worker are to be closed first
      */
     record Send(Worker worker, List<Attempt> attempts, boolean closeIdleFirst) implements Step {}
 
-    /** Cancel an attempt, and report it with this outcome once its worker can see that. */
+    /** Cancels an attempt, which is reported with this outcome once the cancellation is visible to its worker. */
     record Cancel(Attempt attempt, AttemptOutcome outcome) implements Step {}
 
-    /** Ends the query; nothing follows it. */
+    /** The last step of a query. */
     sealed interface FinalStep extends Step {}
 
-    /** The parts that were served make the answer, complete or partial. */
+    /** Answers the query, completely or partially, from the parts that were served. */
     record Answer(boolean complete, List<PartValue> values) implements FinalStep {}
 
     /**
-     * Rejected: harmless to ask again later.
+     * Rejects the query, which the client may safely retry later.
      *
-     * @param retryAfter microseconds until then
-     * @param attempted  whether parts had been sent: the workers failed it, rather than that it was not begun
-     * @param timedOut   whether workers had been waited for in vain
+     * @param retryAfter time after which to retry (microseconds)
+     * @param attempted  whether any part was attempted, so that workers failed the query; otherwise it was not begun
+     * @param timedOut   whether workers did not answer in time
      */
     record Reject(long retryAfter, boolean attempted, boolean timedOut) implements FinalStep {}
 
     /**
-     * Failed.
+     * Fails the query.
      *
-     * @param timedOut   whether workers had been waited for in vain
-     * @param mayHaveRun whether any part may have run, or may yet
+     * @param timedOut   whether workers did not answer in time
+     * @param mayHaveRun whether any part may have run or may still run
      */
     record Fail(boolean timedOut, boolean mayHaveRun) implements FinalStep {}
 
-    /** The client has disconnected: nobody waits for an answer. */
+    /** Ends the query without an answer, because the client has disconnected. */
     record ClientGone() implements FinalStep {}
 
-    /** What a worker gave for a shard. */
+    /** The value from a worker for a shard. */
     record PartValue(int shard, byte[] bytes) {}
 }
--- a/src/main/java/wallmoor/core/TimerQueue.java
+++ b/src/main/java/wallmoor/core/TimerQueue.java
@@ -6,21 +6,27 @@
 import java.util.function.LongSupplier;
 
 /**
- * The timers of the routing policy and the timeouts of attempts, by time. Guarded by the gatherer's lock, to which its
- * condition belongs; {@link #awaitDue} releases the lock while it waits. Times are microseconds on the gatherer's
- * clock.
+ * The timers of the routing policy and the timeouts of attempts, ordered by time. Guarded by the gatherer's lock, to
+ * which its condition belongs; {@link #awaitDue} releases the lock while it waits. Times are microseconds on the
+ * gatherer's clock.
  */
 final class TimerQueue {
-    /** A timer of the policy, which has a token, or the timeout of an attempt. */
-    record Timer(long at, String token, Attempt attempt) {
+    /**
+     * A timer of the policy or the timeout of an attempt.
+     *
+     * @param dueAt   the time at which the timer is due
+     * @param token   the token of a policy timer; null for the timeout of an attempt
+     * @param attempt the attempt that times out; null for a policy timer
+     */
+    record Timer(long dueAt, String token, Attempt attempt) {
 
-        /** Whether this is the timeout of an attempt. */
+        /** Returns whether this is the timeout of an attempt. */
         boolean isAttemptTimeout() {
             return attempt != null;
         }
     }
 
-    private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>((a, b) -> Long.compare(a.dueAt, b.dueAt));
     private final Condition earliestChanged;
 
     TimerQueue(Condition earliestChanged) {
@@ -28,8 +34,8 @@
     }
 
     /** Adds a timer of the policy. */
-    void addPolicyTimer(long at, String token) {
-        add(new Timer(at, token, null));
+    void addPolicyTimer(long dueAt, String token) {
+        add(new Timer(dueAt, token, null));
     }
 
     /** Adds the timeout of an attempt, which is due at its deadline. */
@@ -37,7 +43,7 @@
         add(new Timer(attempt.deadline, null, attempt));
     }
 
-    @SuppressWarnings("ReferenceEquality") // whether it is this one that has come first
+    @SuppressWarnings("ReferenceEquality") // checks whether this very timer is now the earliest
     private void add(Timer timer) {
         timers.add(timer);
         if (timers.peek() == timer) {
@@ -50,26 +56,26 @@
         timers.removeIf(timer -> timer.attempt == attempt);
     }
 
-    /** Waits until the earliest timer is due, at most so many microseconds, or until an earlier one is added. */
-    @SuppressWarnings("WaitNotInLoop") // the caller's loop looks again
-    void awaitDue(long atMostMicros, LongSupplier clock) throws InterruptedException {
-        long wait = timers.isEmpty() ? atMostMicros : Math.min(atMostMicros, timers.peek().at - clock.getAsLong());
+    /** Waits until the earliest timer is due or an earlier one is added, at most this many microseconds. */
+    @SuppressWarnings("WaitNotInLoop") // the caller checks the condition again in a loop
+    void awaitDue(long maxWaitMicros, LongSupplier clock) throws InterruptedException {
+        long wait = timers.isEmpty() ? maxWaitMicros : Math.min(maxWaitMicros, timers.peek().dueAt - clock.getAsLong());
         if (wait > 0) {
             earliestChanged.await(wait, TimeUnit.MICROSECONDS);
         }
     }
 
-    /** Whether a timer is due at this time. */
+    /** Returns whether a timer is due at this time. */
     boolean hasDue(long now) {
-        return !timers.isEmpty() && timers.peek().at <= now;
+        return !timers.isEmpty() && timers.peek().dueAt <= now;
     }
 
-    /** Takes out the earliest timer. */
+    /** Removes and returns the earliest timer. */
     Timer poll() {
         return timers.poll();
     }
 
-    /** The number of timeouts of attempts. */
+    /** Returns the number of attempt timeouts in the queue. */
     int attemptTimeouts() {
         int count = 0;
         for (Timer timer : timers) {
--- a/src/main/java/wallmoor/core/WatchDemand.java
+++ b/src/main/java/wallmoor/core/WatchDemand.java
@@ -5,7 +5,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether the endpoint list is to be watched: asked for by the routing policy, or by an operator's reload, until the
+ * The request for a watch of the endpoint list, set by the routing policy or an operator's reload and cleared when the
  * watch breaks. Guarded by the gatherer's lock, to which its condition belongs; {@link #await} releases the lock while
  * it waits.
  */
@@ -17,30 +17,30 @@
         this.requestedChanged = requestedChanged;
     }
 
-    /** Asks for a watch. */
+    /** Requests a watch. */
     void request() {
         requested = true;
         requestedChanged.signalAll();
     }
 
-    /** The watch has broken: none is asked for until the next request. */
+    /** Clears the request after the watch has broken; none is pending until the next call of {@link #request}. */
     void clear() {
         requested = false;
     }
 
     /**
-     * Waits until a watch is asked for, at most until then.
+     * Waits until a watch is requested.
      *
-     * @param until microseconds on the clock; {@link Long#MAX_VALUE} for no limit
+     * @param until the end of the wait, microseconds on the clock; {@link Long#MAX_VALUE} for no limit
      */
     void await(long until, LongSupplier clock) throws InterruptedException {
         while (!requested && until == Long.MAX_VALUE) {
             requestedChanged.await();
         }
-        long left = until - clock.getAsLong();
-        while (!requested && left > 0) {
-            requestedChanged.await(left, TimeUnit.MICROSECONDS);
-            left = until - clock.getAsLong();
+        long remaining = until - clock.getAsLong();
+        while (!requested && remaining > 0) {
+            requestedChanged.await(remaining, TimeUnit.MICROSECONDS);
+            remaining = until - clock.getAsLong();
         }
     }
 }
--- a/src/main/java/wallmoor/core/Worker.java
+++ b/src/main/java/wallmoor/core/Worker.java
@@ -1,8 +1,8 @@
 package wallmoor.core;
 
 /**
- * A worker of the endpoint list. Its state may change while parts wait for a connection to it: it is written under the
- * gatherer's lock, and its address and whether it serves are read without it.
+ * A worker of the endpoint list. Its state may change while parts wait for a connection to it. The state is written
+ * under the gatherer's lock; the address and the serving flag are read without the lock.
  */
 public final class Worker {
     private final String id;
@@ -15,34 +15,34 @@
         this.id = id;
     }
 
-    /** Takes the endpoint as the list has it now; a banned worker does not serve, whatever the list says. */
+    /** Sets the latest endpoint from the list; a banned worker does not serve, whatever its state in the list. */
     void update(WorkerEndpoint latest, boolean banned) {
         endpoint = latest;
         address = latest.address();
         serving = latest.state() == WorkerEndpoint.EndpointState.SERVING && !banned;
     }
 
-    /** The endpoint as the list had it last. */
+    /** Returns the latest endpoint from the list. */
     WorkerEndpoint endpoint() {
         return endpoint;
     }
 
-    /** The list no longer names it. */
+    /** Marks the worker as removed from the endpoint list, so that it no longer serves. */
     void markRemoved() {
         serving = false;
     }
 
-    /** Its id, the same at every gatherer. */
+    /** Returns the worker's id, which is the same at every gatherer. */
     public String id() {
         return id;
     }
 
-    /** Where it listens now. */
+    /** Returns the address at which the worker currently listens. */
     public String address() {
         return address;
     }
 
-    /** Whether new work may be sent to it: read again just before each write, so that a drain also holds there. */
+    /** Returns whether new work may be sent; checked before each write, so that a drain takes effect there too. */
     public boolean isServing() {
         return serving;
     }
--- a/src/main/java/wallmoor/core/WorkerRegistry.java
+++ b/src/main/java/wallmoor/core/WorkerRegistry.java
@@ -16,35 +16,35 @@
 import wallmoor.decision.WorkerStatus;
 
 /**
- * The workers that the endpoint list names, and those that operators banned: a ban overrides the list, and holds for an
- * id whether or not the list names it. Guarded by the gatherer's lock; who writes to workers looks at {@link Worker}
- * without it, so a worker that stays in the list must not seem to be gone even for a moment.
+ * The workers of the endpoint list and the ids that operators banned. A ban overrides the list and applies to an id
+ * whether or not the list contains it. Guarded by the gatherer's lock; transports read {@link Worker} without the lock,
+ * so a worker that stays in the list must not appear as removed during an update.
  */
 final class WorkerRegistry {
-    /** Ids remembered of workers that left, so that an operator may still name one: a release of a large fleet. */
+    /** The number of removed workers that operators may still refer to; enough for a rollout across a large fleet. */
     private static final int MAX_FORMER_IDS = 512;
 
     private final Map<String, Worker> workers = new HashMap<>();
     private final Set<String> bannedIds = new HashSet<>();
-    /** Ids that have left the list, the earliest first. */
+    /** The ids that were removed from the list, the earliest first. */
     private final Set<String> formerIds = new LinkedHashSet<>();
 
-    /** The worker of this id, or null if the list does not name it. */
+    /** Returns the worker with this id, or null if the list does not contain it. */
     Worker get(String id) {
         return workers.get(id);
     }
 
-    /** Whether the list names this worker or named it lately, or an operator banned it. */
+    /** Returns whether the list contains or recently contained this worker, or an operator banned it. */
     boolean isKnown(String id) {
         return workers.containsKey(id) || formerIds.contains(id) || bannedIds.contains(id);
     }
 
-    /** The number of workers in the list. */
+    /** Returns the number of workers in the list. */
     int size() {
         return workers.size();
     }
 
-    /** The number of workers in the list that operators banned. */
+    /** Returns the number of workers in the list that operators banned. */
     int bannedCount() {
         int count = 0;
         for (String id : bannedIds) {
@@ -53,16 +53,16 @@
         return count;
     }
 
-    /** Bans a worker or lifts its ban; returns whether that changes anything. */
+    /** Bans a worker or lifts its ban; returns whether that changed anything. */
     boolean setBanned(String id, boolean banned) {
         return banned ? bannedIds.add(id) : bannedIds.remove(id);
     }
 
     /**
-     * The endpoints of an update in its order. Of one named twice the last alone: a worker that stays removed must not
-     * seem to serve even for a moment.
+     * Returns the endpoints of an update in their order. If an id occurs more than once, only its last entry counts, so
+     * that a worker that stays removed never appears as serving during the update.
      */
-    static Collection<WorkerEndpoint> lastOfEach(List<WorkerEndpoint> endpoints) {
+    static Collection<WorkerEndpoint> latestPerWorker(List<WorkerEndpoint> endpoints) {
         var byId = new LinkedHashMap<String, WorkerEndpoint>();
         for (WorkerEndpoint endpoint : endpoints) {
             byId.put(endpoint.id(), endpoint);
@@ -70,34 +70,36 @@
         return byId.values();
     }
 
-    /** A complete list has come: removes what it does not name. An attempt in flight keeps its worker. */
-    void retainOnly(Collection<WorkerEndpoint> complete) {
+    /** Removes the workers that a complete list does not contain. An attempt in flight keeps its worker. */
+    void retainOnly(Collection<WorkerEndpoint> completeList) {
         var ids = new HashSet<String>();
-        for (WorkerEndpoint endpoint : complete) {
+        for (WorkerEndpoint endpoint : completeList) {
             ids.add(endpoint.id());
         }
-        for (Iterator<Worker> each = workers.values().iterator(); each.hasNext();) {
-            Worker worker = each.next();
+        for (Iterator<Worker> iterator = workers.values().iterator(); iterator.hasNext();) {
+            Worker worker = iterator.next();
             if (!ids.contains(worker.id())) {
                 markRemoved(worker);
-                each.remove();
+                iterator.remove();
             }
         }
     }
 
-    /** Takes in endpoints, removed ones too until {@link #discardRemoved}; returns them as the routing policy reads
-     * them. */
+    /**
+     * Stores endpoints, including removed ones until {@link #discardRemoved}, and returns them in the form that the
+     * routing policy takes.
+     */
     List<WorkerListEntry> update(Collection<WorkerEndpoint> endpoints) {
         var entries = new ArrayList<WorkerListEntry>();
         for (WorkerEndpoint endpoint : endpoints) {
             boolean banned = bannedIds.contains(endpoint.id());
             workers.computeIfAbsent(endpoint.id(), Worker::new).update(endpoint, banned);
-            entries.add(entryOf(endpoint, banned));
+            entries.add(toListEntry(endpoint, banned));
         }
         return entries;
     }
 
-    private static WorkerListEntry entryOf(WorkerEndpoint endpoint, boolean banned) {
+    private static WorkerListEntry toListEntry(WorkerEndpoint endpoint, boolean banned) {
         WorkerStatus state = switch (endpoint.state()) {
             case SERVING -> banned ? WorkerStatus.DRAINING : WorkerStatus.UP;
             case DRAINING -> WorkerStatus.DRAINING;
@@ -105,11 +107,10 @@
         };
         long upSince = endpoint.upSince() <= 0 ? Absent.VALUE : endpoint.upSince();
         return new WorkerListEntry(endpoint.id(), endpoint.zone(), endpoint.kind(), endpoint.cell(), state,
-                endpoint.size(),
-                upSince);
+                endpoint.size(), upSince);
     }
 
-    /** Removes the workers that an update says are gone, once the routing policy has heard of it. */
+    /** Removes the workers that an update marks as gone; called after the routing policy was notified. */
     void discardRemoved(Collection<WorkerEndpoint> endpoints) {
         for (WorkerEndpoint endpoint : endpoints) {
             if (endpoint.state() == EndpointState.GONE) {
--- a/src/main/java/wallmoor/core/WorkerTransport.java
+++ b/src/main/java/wallmoor/core/WorkerTransport.java
@@ -1,10 +1,10 @@
 package wallmoor.core;
 
-/** The transport from the threads of queries to workers. Neither call waits for a worker. */
+/** Sends attempts to workers on behalf of query threads. Neither method waits for a worker. */
 public interface WorkerTransport {
-    /** Starts the attempts of one call; each is reported once, later. */
+    /** Starts the attempts of one call; the end of each is reported later, once. */
     void send(Step.Send send);
 
-    /** Cancels an attempt; it is reported once nothing of it is in flight any more, so that no duplicate ever is. */
+    /** Cancels an attempt, whose end is reported only when it is no longer in flight, so that none runs twice. */
     void cancel(Step.Cancel cancel);
 }
--- a/src/main/java/wallmoor/queries/QueryBody.java
+++ b/src/main/java/wallmoor/queries/QueryBody.java
@@ -8,15 +8,15 @@
 import wallmoor.core.Step;
 import wallmoor.json.Json;
 
-/** The form in which clients ask for parts and get their values, the same on every front that speaks JSON. */
+/** The JSON format of requested parts and of their values, shared by all fronts that use JSON. */
 public final class QueryBody {
-    private static final int MOST_PARTS = 1000;
-    /** Weights add up to 1 but for their rounding. */
-    private static final double WEIGHT_SLACK = 0.01;
+    private static final int MAX_PARTS = 1000;
+    /** The allowed rounding error in the sum of weights, which must be 1. */
+    private static final double WEIGHT_TOLERANCE = 0.01;
 
     private QueryBody() {}
 
-    /** What is wrong with a body, in words for who sent it. */
+    /** Thrown if a body is invalid; the message describes the fault to the client. */
     public static final class InvalidQueryBodyException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -26,34 +26,38 @@
     }
 
     /**
-     * The parts that a body asks for.
+     * Reads the requested parts from a body.
      *
-     * @param layout shards that there are
+     * @param shardCount the number of shards
+     * @throws InvalidQueryBodyException if the member {@code shards} is invalid
      */
-    public static List<Query.PartRequest> parseParts(Json.Obj body, int layout) throws InvalidQueryBodyException {
+    public static List<Query.PartRequest> parseParts(Json.Obj body, int shardCount) throws InvalidQueryBodyException {
         List<?> shards = body.list("shards");
-        var asks = new ArrayList<Query.PartRequest>();
-        var seen = new HashSet<Integer>();
-        double sum = 0;
+        var requests = new ArrayList<Query.PartRequest>();
+        var seenShards = new HashSet<Integer>();
+        double weightSum = 0;
         for (Object entry : shards == null ? List.of() : shards) {
             if (!(entry instanceof Json.Obj part) || !(part.get("shard") instanceof Long shard) || shard < 0
-                    || shard >= layout || !seen.add(shard.intValue())) {
-                throw new InvalidQueryBodyException("shards holds what is no part");
+                    || shard >= shardCount || !seenShards.add(shard.intValue())) {
+                throw new InvalidQueryBodyException("shards[" + requests.size() + "] must be an object with a member"
+                        + " shard from 0 to " + (shardCount - 1) + ", and each shard may occur only once");
             }
             double weight = part.number("weight", -1);
-            if (!(weight > 0 && weight <= 1 + WEIGHT_SLACK) || asks.size() == MOST_PARTS) {
-                throw new InvalidQueryBodyException("shards holds a weight that is none, or too many parts");
+            if (!(weight > 0 && weight <= 1 + WEIGHT_TOLERANCE) || requests.size() == MAX_PARTS) {
+                throw new InvalidQueryBodyException("shards[" + requests.size() + "].weight must be a number above 0"
+                        + " and at most 1, and at most " + MAX_PARTS + " parts are allowed");
             }
-            sum += weight;
-            asks.add(new Query.PartRequest(shard.intValue(), weight, (long) part.number("cost", -1)));
+            weightSum += weight;
+            requests.add(new Query.PartRequest(shard.intValue(), weight, (long) part.number("cost", -1)));
         }
-        if (asks.isEmpty() || Math.abs(sum - 1) > WEIGHT_SLACK) {
-            throw new InvalidQueryBodyException("shards is absent or empty, or its weights don't add up to 1");
+        if (requests.isEmpty() || Math.abs(weightSum - 1) > WEIGHT_TOLERANCE) {
+            throw new InvalidQueryBodyException("shards must be a non-empty list whose weights add up to 1; their sum"
+                    + " is " + weightSum);
         }
-        return asks;
+        return requests;
     }
 
-    /** The members {@code complete} and {@code hits} of an answer. */
+    /** Appends the members {@code complete} and {@code hits} of an answer. */
     public static void appendHits(StringBuilder to, Step.Answer answer) {
         to.append("\"complete\":").append(answer.complete()).append(",\"hits\":[");
         for (int i = 0; i < answer.values().size(); i++) {
--- a/src/main/java/wallmoor/queries/package-info.java
+++ b/src/main/java/wallmoor/queries/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The form of parts and values in JSON, the same for every front that speaks it.
+ * The JSON format of the parts of a query and of the values in its answer, shared by all fronts that use JSON.
  */
 package wallmoor.queries;
