--- a/src/test/java/wallmoor/core/GathererPropertiesTest.java
+++ b/src/test/java/wallmoor/core/GathererPropertiesTest.java
@@ -19,13 +19,14 @@
 import wallmoor.standin.RecordingLogger;
 
 /**
- * After any order of queries, answers, clients that leave, drains and time, each query had one end and nothing is kept.
+ * In any order of queries, answers, disconnects, endpoint changes and time, each query ends exactly once and the
+ * gatherer's tables are empty afterwards.
  */
 public class GathererPropertiesTest {
     private static final int SEEDS = 200;
     private static final int EVENTS = 300;
     private static final int THREADS = 8;
-    private static final int QUERIES_EACH = 60;
+    private static final int QUERIES_PER_THREAD = 60;
     private static final List<WorkerEndpoint.EndpointState> ENDPOINT_STATES = List
             .of(WorkerEndpoint.EndpointState.values());
     private static final AttemptOutcome[] OUTCOMES = AttemptOutcome.values();
@@ -35,30 +36,30 @@
     private final Gatherer gatherer = new Gatherer(GathererTest.settings(GathererTest.SETTINGS.replace("MaxOpen=20",
             "MaxOpen=200")), 7, clock::get, new RecordingLogger(log::add));
 
-    private static WorkerEndpoint member(String id, WorkerEndpoint.EndpointState state) {
+    private static WorkerEndpoint endpoint(String id, WorkerEndpoint.EndpointState state) {
         return new WorkerEndpoint(id, id, 0, 0, 0, state, 1, 0);
     }
 
     private void start() {
-        gatherer.control().start(List.of(member("a", WorkerEndpoint.EndpointState.SERVING),
-                member("b", WorkerEndpoint.EndpointState.SERVING),
-                member("c", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().start(List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING),
+                endpoint("b", WorkerEndpoint.EndpointState.SERVING),
+                endpoint("c", WorkerEndpoint.EndpointState.SERVING)));
     }
 
     private Query open(String id, int queryClass, int parts) {
-        var asks = new ArrayList<Query.PartRequest>();
+        var requests = new ArrayList<Query.PartRequest>();
         for (int shard = 0; shard < parts; shard++) {
-            asks.add(new Query.PartRequest(shard, 1.0 / parts, -1));
+            requests.add(new Query.PartRequest(shard, 1.0 / parts, -1));
         }
-        return gatherer.open(id, queryClass, clock.get() + 2_000_000, false, asks, null);
+        return gatherer.open(id, queryClass, clock.get() + 2_000_000, false, requests, null);
     }
 
-    /** One run's queries and what is out, as a front and its workers would have them. */
+    /** The open queries and in-flight attempts of one random run, as a front and its workers would see them. */
     private final class Run {
         final Random random;
         final List<Query> open = new ArrayList<>();
-        final List<Attempt> out = new ArrayList<>();
-        final Set<String> copies = new HashSet<>();
+        final List<Attempt> inFlight = new ArrayList<>();
+        final Set<String> partsInFlight = new HashSet<>();
         int opened;
         int ended;
 
@@ -66,12 +67,12 @@
             random = new Random(seed);
         }
 
-        void event() throws Exception {
+        void runRandomEvent() throws Exception {
             switch (random.nextInt(8)) {
                 case 0, 1 -> {
-                    Query q = open("q" + random.nextInt(40), random.nextInt(2), 1 + random.nextInt(3));
-                    if (q != null) {
-                        open.add(q);
+                    Query query = open("q" + random.nextInt(40), random.nextInt(2), 1 + random.nextInt(3));
+                    if (query != null) {
+                        open.add(query);
                         opened++;
                     }
                 }
@@ -81,8 +82,8 @@
                     }
                 }
                 case 3, 4 -> {
-                    if (!out.isEmpty()) {
-                        end(out.get(random.nextInt(out.size())), OUTCOMES[random.nextInt(OUTCOMES.length)]);
+                    if (!inFlight.isEmpty()) {
+                        end(inFlight.get(random.nextInt(inFlight.size())), OUTCOMES[random.nextInt(OUTCOMES.length)]);
                     }
                 }
                 case 5 -> {
@@ -90,31 +91,31 @@
                     gatherer.tick(0);
                 }
                 case 6 ->
-                    gatherer.control().updateEndpoints(false, List.of(member("" + (char) ('a' + random.nextInt(3)),
+                    gatherer.control().updateEndpoints(false, List.of(endpoint("" + (char) ('a' + random.nextInt(3)),
                             ENDPOINT_STATES.get(random.nextInt(3)))));
                 default -> {
                     if (!open.isEmpty()) {
-                        pickAll(open.get(random.nextInt(open.size())));
+                        takeAvailableSteps(open.get(random.nextInt(open.size())));
                     }
                 }
             }
         }
 
-        void end(Attempt a, AttemptOutcome how) {
-            out.remove(a);
-            copies.remove(a.partId());
-            gatherer.report(a, how, how == AttemptOutcome.SERVED ? new byte[] {1} : null);
+        void end(Attempt attempt, AttemptOutcome outcome) {
+            inFlight.remove(attempt);
+            partsInFlight.remove(attempt.partId());
+            gatherer.report(attempt, outcome, outcome == AttemptOutcome.SERVED ? new byte[] {1} : null);
             if (random.nextInt(4) == 0) {
-                gatherer.report(a, OUTCOMES[random.nextInt(OUTCOMES.length)], new byte[] {2}); // told twice
+                gatherer.report(attempt, OUTCOMES[random.nextInt(OUTCOMES.length)], new byte[] {2}); // reported twice
             }
         }
 
-        /** Hands out what is there now; where nothing is, {@code pick} would wait. */
-        void pickAll(Query q) throws Exception {
-            while (q.finalStep != null || !q.steps.isEmpty()) {
-                Step step = pickNow(q);
+        /** Takes the steps that are available now, without waiting for further ones. */
+        void takeAvailableSteps(Query query) throws Exception {
+            while (query.finalStep != null || !query.steps.isEmpty()) {
+                Step step = pollStep(query);
                 if (step instanceof Step.FinalStep) {
-                    open.remove(q);
+                    open.remove(query);
                     ended++;
                     return;
                 }
@@ -125,10 +126,10 @@
             }
         }
 
-        private Step pickNow(Query q) throws InterruptedException {
-            Thread.currentThread().interrupt(); // so that a wait ends at once
+        private Step pollStep(Query query) throws InterruptedException {
+            Thread.currentThread().interrupt(); // ends a wait at once
             try {
-                return gatherer.awaitStep(q);
+                return gatherer.awaitStep(query);
             } catch (InterruptedException e) {
                 return null;
             } finally {
@@ -138,24 +139,24 @@
 
         private void take(Step step) {
             if (step instanceof Step.Send send) {
-                for (Attempt a : send.attempts()) {
-                    assertEquals(SendPermission.GRANTED, a.checkPermission(clock.get(), a.worker().address()));
-                    assertTrue("a second copy", copies.add(a.partId()));
-                    out.add(a);
+                for (Attempt attempt : send.attempts()) {
+                    assertEquals(SendPermission.GRANTED, attempt.checkPermission(clock.get(), attempt.worker().address()));
+                    assertTrue("a duplicate attempt of a part", partsInFlight.add(attempt.partId()));
+                    inFlight.add(attempt);
                 }
             } else if (step instanceof Step.Cancel cancel) {
-                assertTrue("an end of what is not out", out.contains(cancel.attempt()));
+                assertTrue("a cancel of an attempt that is not in flight", inFlight.contains(cancel.attempt()));
                 end(cancel.attempt(), cancel.outcome());
             }
         }
 
         void finish() throws Exception {
-            for (Query q : List.copyOf(open)) {
-                gatherer.clientDisconnected(q);
-                pickAll(q);
+            for (Query query : List.copyOf(open)) {
+                gatherer.clientDisconnected(query);
+                takeAvailableSteps(query);
             }
-            List.copyOf(out).forEach(a -> end(a, AttemptOutcome.RESET));
-            assertEquals("one end each", opened, ended);
+            List.copyOf(inFlight).forEach(a -> end(a, AttemptOutcome.RESET));
+            assertEquals("each query ends once", opened, ended);
             assertEquals(0, gatherer.openQueriesAndParts());
             assertEquals(0, gatherer.retainedEntries());
             assertEquals(List.of(), log.stream().filter(l -> l.contains("routing policy failed")).toList());
@@ -163,13 +164,13 @@
     }
 
     @Test
-    public void inAnyOrderEachQueryEndsOnceAndNothingIsKept() throws Exception {
+    public void endsEachQueryOnceAndRetainsNothingInAnyOrderOfEvents() throws Exception {
         start();
         for (int seed = 0; seed < SEEDS; seed++) {
             var run = new Run(seed);
             try {
                 for (int i = 0; i < EVENTS; i++) {
-                    run.event();
+                    run.runRandomEvent();
                 }
                 run.finish();
             } catch (AssertionError e) {
@@ -178,71 +179,73 @@
         }
     }
 
-    /** Workers that queue each attempt for whoever answers, and note a second copy of a part. */
+    /** Queues each attempt for the thread that answers, and records a fault for a duplicate attempt of a part. */
     private final class QueueingWorkers implements WorkerTransport {
-        private final Deque<Attempt> answers;
-        private final Set<String> copies;
+        private final Deque<Attempt> unansweredAttempts;
+        private final Set<String> partsInFlight;
         private final List<String> faults;
 
-        QueueingWorkers(Deque<Attempt> answers, Set<String> copies, List<String> faults) {
-            this.answers = answers;
-            this.copies = copies;
+        QueueingWorkers(Deque<Attempt> unansweredAttempts, Set<String> partsInFlight, List<String> faults) {
+            this.unansweredAttempts = unansweredAttempts;
+            this.partsInFlight = partsInFlight;
             this.faults = faults;
         }
 
         @Override
         public void send(Step.Send send) {
-            synchronized (answers) {
-                for (Attempt a : send.attempts()) {
-                    if (!copies.add(a.partId())) {
-                        faults.add("a second copy of " + a.partId());
+            synchronized (unansweredAttempts) {
+                for (Attempt attempt : send.attempts()) {
+                    if (!partsInFlight.add(attempt.partId())) {
+                        faults.add("a duplicate attempt of " + attempt.partId());
                     }
-                    answers.add(a);
+                    unansweredAttempts.add(attempt);
                 }
-                answers.notifyAll();
+                unansweredAttempts.notifyAll();
             }
         }
 
         @Override
         public void cancel(Step.Cancel cancel) {
-            boolean here;
-            synchronized (answers) {
-                here = answers.remove(cancel.attempt());
+            boolean unanswered;
+            synchronized (unansweredAttempts) {
+                unanswered = unansweredAttempts.remove(cancel.attempt());
             }
-            if (here) { // else its answer is on its way
-                copies.remove(cancel.attempt().partId());
+            if (unanswered) { // otherwise its answer is already on its way
+                partsInFlight.remove(cancel.attempt().partId());
                 gatherer.report(cancel.attempt(), cancel.outcome(), null);
             }
         }
     }
 
-    /** The same with a thread a query, workers that answer from others, and clients that leave from yet others. */
+    /** Queries, answers and disconnects come from separate threads. */
     @Test(timeout = 60_000)
-    public void withThreadsEachQueryEndsOnceAndNothingIsKept() throws Exception {
+    public void endsEachQueryOnceAndRetainsNothingWithConcurrentThreads() throws Exception {
         start();
-        var ends = new AtomicInteger();
+        var endedQueries = new AtomicInteger();
         var faults = Collections.synchronizedList(new ArrayList<String>());
-        var copies = ConcurrentHashMap.<String>newKeySet();
-        var answers = new ArrayDeque<Attempt>();
+        var partsInFlight = ConcurrentHashMap.<String>newKeySet();
+        var unansweredAttempts = new ArrayDeque<Attempt>();
         var threads = new ArrayList<Thread>();
         var timers = new Thread(gatherer::runTimers);
         timers.start();
-        var over = new AtomicInteger();
+        var finishedThreads = new AtomicInteger();
         for (int t = 0; t < THREADS; t++) {
             int number = t;
             threads.add(new Thread(() -> {
                 var random = new Random(number);
                 try {
-                    for (int i = 0; i < QUERIES_EACH; i++) {
-                        Query q = open(number + "-" + i, random.nextInt(2), 1 + random.nextInt(3));
-                        var leaves = random.nextInt(3) == 0 ? new Thread(() -> gatherer.clientDisconnected(q)) : null;
-                        if (leaves != null) {
-                            leaves.start();
+                    for (int i = 0; i < QUERIES_PER_THREAD; i++) {
+                        Query query = open(number + "-" + i, random.nextInt(2), 1 + random.nextInt(3));
+                        var disconnect = random.nextInt(3) == 0
+                                ? new Thread(() -> gatherer.clientDisconnected(query))
+                                : null;
+                        if (disconnect != null) {
+                            disconnect.start();
                         }
-                        gatherer.run(q, new QueueingWorkers(answers, copies, faults));
-                        ends.incrementAndGet();
-                        if (leaves != null) {
-                            leaves.join();
+                        gatherer.run(query, new QueueingWorkers(unansweredAttempts, partsInFlight, faults));
+                        endedQueries.incrementAndGet();
+                        if (disconnect != null) {
+                            disconnect.join();
                         }
                     }
                 } catch (InterruptedException e) {
@@ -250,39 +253,39 @@
                 } catch (RuntimeException e) {
                     faults.add(e.toString());
                 } finally {
-                    over.incrementAndGet();
+                    finishedThreads.incrementAndGet();
                 }
             }));
         }
         threads.forEach(Thread::start);
         var random = new Random(1);
-        while (over.get() < THREADS) {
+        while (finishedThreads.get() < THREADS) {
             Attempt next;
-            synchronized (answers) {
-                next = answers.poll();
+            synchronized (unansweredAttempts) {
+                next = unansweredAttempts.poll();
                 if (next == null) {
-                    answers.wait(5);
+                    unansweredAttempts.wait(5);
                     clock.addAndGet(1_000);
                 }
             }
             if (next != null) {
                 clock.addAndGet(random.nextInt(500));
-                copies.remove(next.partId());
-                AttemptOutcome how = random.nextInt(4) == 0 ? OUTCOMES[random.nextInt(OUTCOMES.length)]
+                partsInFlight.remove(next.partId());
+                AttemptOutcome outcome = random.nextInt(4) == 0 ? OUTCOMES[random.nextInt(OUTCOMES.length)]
                         : AttemptOutcome.SERVED;
-                gatherer.report(next, how, new byte[] {1});
+                gatherer.report(next, outcome, new byte[] {1});
             }
         }
         for (Thread thread : threads) {
             thread.join(TimeUnit.SECONDS.toMillis(10));
         }
-        for (Attempt next = answers.poll(); next != null; next = answers.poll()) {
+        for (Attempt next = unansweredAttempts.poll(); next != null; next = unansweredAttempts.poll()) {
             gatherer.report(next, AttemptOutcome.RESET, null);
         }
         timers.interrupt();
         timers.join();
         assertEquals(List.of(), faults);
-        assertEquals(THREADS * QUERIES_EACH, ends.get());
+        assertEquals(THREADS * QUERIES_PER_THREAD, endedQueries.get());
         assertEquals(0, gatherer.openQueriesAndParts());
         assertEquals(0, gatherer.retainedEntries());
         assertEquals(List.of(), log.stream().filter(l -> l.contains("routing policy failed")).toList());
--- a/src/test/java/wallmoor/core/GathererTest.java
+++ b/src/test/java/wallmoor/core/GathererTest.java
@@ -22,7 +22,7 @@
 import wallmoor.decision.RoutingSettings;
 import wallmoor.standin.RecordingLogger;
 
-/** The facade with a hand-turned clock and no sockets. */
+/** Tests the gatherer with a manual clock and without sockets. */
 public class GathererTest {
     static final String SETTINGS = "Classes.count=2 Classes.0.Aim=1000000 Classes.0.GiveUp=2000000"
             + " Classes.0.Repeat=free Classes.0.Worth=1 Classes.0.LateWorth=0.1 Classes.1.Aim=1000000"
@@ -36,14 +36,14 @@
     private final List<String> log = new ArrayList<>();
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private Gatherer gatherer;
-    /** Lines that begin so make the log throw, in the midst of a decision. */
-    private String failing = "none";
+    /** The log throws on lines with this prefix, which fails the policy in the middle of a decision. */
+    private String throwingPrefix = "none";
 
     @Before
     public void start() {
         gatherer = new Gatherer(settings(SETTINGS), 7, clock::get, new RecordingLogger(this::log));
-        gatherer.control().start(List.of(member("a", WorkerEndpoint.EndpointState.SERVING),
-                member("b", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().start(List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING),
+                endpoint("b", WorkerEndpoint.EndpointState.SERVING)));
     }
 
     static RoutingSettings settings(String text) {
@@ -56,7 +56,7 @@
 
     private void log(String line) {
         log.add(line);
-        if (line.startsWith(failing)) {
+        if (line.startsWith(throwingPrefix)) {
             throw new IllegalStateException("of the test");
         }
     }
@@ -66,7 +66,7 @@
         threads.shutdownNow();
     }
 
-    private static WorkerEndpoint member(String id, WorkerEndpoint.EndpointState state) {
+    private static WorkerEndpoint endpoint(String id, WorkerEndpoint.EndpointState state) {
         return new WorkerEndpoint(id, id, 0, 0, 0, state, 1, 0);
     }
 
@@ -75,13 +75,13 @@
                 List.of(new Query.PartRequest(0, 1, -1)), null);
     }
 
-    private Step pick(Query query) throws Exception {
+    private Step awaitStep(Query query) throws Exception {
         Future<Step> step = threads.submit(() -> gatherer.awaitStep(query));
         return step.get(10, TimeUnit.SECONDS);
     }
 
-    /** Lets time go on in the steps that the sweeps need. */
-    private void pass(long millis) throws Exception {
+    /** Advances the clock in steps of 10 ms and runs the due timers after each, so that periodic timers run. */
+    private void advanceMillis(long millis) throws Exception {
         for (long t = 0; t < millis; t += 10) {
             clock.addAndGet(10_000);
             gatherer.tick(0);
@@ -89,107 +89,108 @@
     }
 
     @Test
-    public void aPartIsNotSentAgainBeforeTheFirstIsSeenToHaveEnded() throws Exception {
-        Query q = open("q", 0);
-        var first = (Step.Send) pick(q);
-        pass(700); // silent for longer than a part may take: it is called off
-        var cancel = (Step.Cancel) pick(q);
+    public void retriesPartOnlyAfterCancelledAttemptHasEnded() throws Exception {
+        Query query = open("q", 0);
+        var first = (Step.Send) awaitStep(query);
+        advanceMillis(700); // no answer for longer than a part may take: the attempt is cancelled
+        var cancel = (Step.Cancel) awaitStep(query);
         assertEquals(first.attempts().get(0), cancel.attempt());
-        Future<Step> next = threads.submit(() -> gatherer.awaitStep(q));
+        Future<Step> next = threads.submit(() -> gatherer.awaitStep(query));
         Thread.sleep(100);
-        assertFalse("a second copy would be out", next.isDone());
+        assertFalse("no retry while the first attempt is in flight", next.isDone());
         gatherer.report(cancel.attempt(), cancel.outcome(), null);
         var second = (Step.Send) next.get(10, TimeUnit.SECONDS);
         assertFalse(first.worker() == second.worker());
         gatherer.report(second.attempts().get(0), AttemptOutcome.SERVED, new byte[] {7});
-        gatherer.report(first.attempts().get(0), AttemptOutcome.SERVED, new byte[] {8}); // its answer crossed its end
-        var answer = (Step.Answer) pick(q);
+        gatherer.report(first.attempts().get(0), AttemptOutcome.SERVED, new byte[] {8}); // its late answer
+        var answer = (Step.Answer) awaitStep(query);
         assertTrue(answer.complete());
         assertEquals("only the first report of an attempt counts", 7, answer.values().get(0).bytes()[0]);
     }
 
     @Test
-    public void aDrainHoldsForWhatWasDecidedButNotYetPicked() throws Exception {
-        Query q = open("q", 1);
-        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.DRAINING)));
-        var send = (Step.Send) pick(q);
+    public void doesNotSendPendingAttemptToDrainedOrRemovedWorker() throws Exception {
+        Query query = open("q", 1);
+        gatherer.control().updateEndpoints(false, List.of(endpoint("a", WorkerEndpoint.EndpointState.DRAINING)));
+        var send = (Step.Send) awaitStep(query);
         assertEquals("b", send.worker().id());
-        Query r = open("r", 1);
-        gatherer.control().updateEndpoints(true, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
-        assertEquals("b is gone from a whole list", "a", ((Step.Send) pick(r)).worker().id());
+        Query nextQuery = open("r", 1);
+        gatherer.control().updateEndpoints(true, List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING)));
+        assertEquals("a complete list without b removes it", "a", ((Step.Send) awaitStep(nextQuery)).worker().id());
     }
 
     @Test
-    public void moreThanMayBeHeldIsRefusedAtOnceWithATime() throws Exception {
-        int refused = 0;
+    public void rejectsQueriesAboveMaxOpenWithRetryAfter() throws Exception {
+        int rejected = 0;
         for (int i = 0; i < 15; i++) {
-            Query q = open("q" + i, 0);
-            if (pick(q) instanceof Step.Reject r) {
-                assertTrue(r.retryAfter() > 0);
-                assertFalse(r.attempted());
-                refused++;
+            Query query = open("q" + i, 0);
+            if (awaitStep(query) instanceof Step.Reject reject) {
+                assertTrue(reject.retryAfter() > 0);
+                assertFalse(reject.attempted());
+                rejected++;
             }
         }
-        assertTrue(refused + " refused", refused >= 5); // a query and its part count as two of the 20
-        assertEquals(15 - refused, gatherer.openQueries());
+        assertTrue(rejected + " rejected", rejected >= 5); // a query and its part count as two of the 20
+        assertEquals(15 - rejected, gatherer.openQueries());
     }
 
     @Test
-    public void aClientThatLeavesAndADeadlineCallOffWhatIsOut() throws Exception {
-        Query q = open("q", 1);
-        var send = (Step.Send) pick(q);
-        gatherer.clientDisconnected(q);
-        assertEquals(send.attempts().get(0), ((Step.Cancel) pick(q)).attempt());
-        assertTrue(pick(q) instanceof Step.ClientGone);
+    public void cancelsInFlightAttemptsOnDisconnectAndAtDeadline() throws Exception {
+        Query query = open("q", 1);
+        var send = (Step.Send) awaitStep(query);
+        gatherer.clientDisconnected(query);
+        assertEquals(send.attempts().get(0), ((Step.Cancel) awaitStep(query)).attempt());
+        assertTrue(awaitStep(query) instanceof Step.ClientGone);
         gatherer.report(Map.of(send.attempts().get(0), AttemptOutcome.CANCELLED));
         Query late = open("late", 1);
-        pick(late);
-        pass(1990);
-        assertTrue(pick(late) instanceof Step.Cancel);
-        assertTrue("it may have run: no refusal", pick(late) instanceof Step.Fail f && f.timedOut());
+        awaitStep(late);
+        advanceMillis(1990);
+        assertTrue(awaitStep(late) instanceof Step.Cancel);
+        assertTrue("the query may have run: it fails instead of being rejected",
+                awaitStep(late) instanceof Step.Fail f && f.timedOut());
         assertEquals(0, gatherer.openQueries());
         assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("routing policy failed")));
     }
 
-    /** The client leaves between the decision and the hand-over. The other order is the test above. */
+    /** The client disconnects between decision and hand-over; the test above covers the other order. */
     @Test
-    public void aClientThatLeavesBeforeTheHandOverLeavesNothingToSend() throws Exception {
-        Query q = open("q", 1);
-        gatherer.clientDisconnected(q);
-        assertTrue("no call, and no end of one", pick(q) instanceof Step.ClientGone);
+    public void sendsNothingIfClientDisconnectsBeforeHandOver() throws Exception {
+        Query query = open("q", 1);
+        gatherer.clientDisconnected(query);
+        assertTrue("neither a send nor a cancel", awaitStep(query) instanceof Step.ClientGone);
         assertEquals(0, gatherer.openQueriesAndParts());
         Query same = open("q", 1);
-        assertTrue("its parts are forgotten too", pick(same) instanceof Step.Send);
+        assertTrue("its parts are removed too", awaitStep(same) instanceof Step.Send);
     }
 
     @Test
-    public void anAnswerThatIsSettledBeforeTheHandOverLeavesNothingToSend() throws Exception {
-        Query q = open("q", 1);
-        pass(1990); // its time is over, and no thread has picked anything
-        assertTrue("no call, and no end of one", pick(q) instanceof Step.FinalStep);
+    public void sendsNothingIfQueryEndsBeforeHandOver() throws Exception {
+        Query query = open("q", 1);
+        advanceMillis(1990); // its deadline is over, and no thread has taken a step
+        assertTrue("neither a send nor a cancel", awaitStep(query) instanceof Step.FinalStep);
         assertEquals(0, gatherer.openQueriesAndParts());
     }
 
     @Test
-    public void anAttemptThatIsCalledOffBeforeTheHandOverIsNotHandedOut() throws Exception {
-        Query q = open("q", 0);
-        pass(700); // silent for longer than a part may take: it is called off, though it never went out
-        var send = (Step.Send) pick(q);
-        assertEquals("the first was never sent, the second is", 1, send.attempts().size());
+    public void dropsAttemptThatTimesOutBeforeHandOver() throws Exception {
+        Query query = open("q", 0);
+        advanceMillis(700); // longer than a part may take: the attempt is cancelled, though it was never sent
+        var send = (Step.Send) awaitStep(query);
+        assertEquals("only the second attempt is sent", 1, send.attempts().size());
         assertFalse(send.attempts().get(0).cancelled);
         gatherer.report(send.attempts().get(0), AttemptOutcome.SERVED, new byte[] {7});
-        assertTrue(pick(q) instanceof Step.Answer);
+        assertTrue(awaitStep(query) instanceof Step.Answer);
     }
 
-    /** An exception ends the query's thread: what it had not handed over stays here. */
+    /** An exception of the transport ends the query's thread; steps that were not handed over are not sent. */
     @Test
-    public void aThreadThatFailsHandsNothingMoreOut() throws Exception {
-        Query q = gatherer.open("q", 0, clock.get() + 2_000_000, false,
+    public void cancelsSentAttemptsAndSendsNoMoreIfTransportThrows() throws Exception {
+        Query query = gatherer.open("q", 0, clock.get() + 2_000_000, false,
                 List.of(new Query.PartRequest(0, 0.5, -1), new Query.PartRequest(1, 0.5, -1)), null);
         var sent = new ArrayList<Step.Send>();
         var cancelled = new ArrayList<Step.Cancel>();
         try {
-            gatherer.run(q, new WorkerTransport() {
+            gatherer.run(query, new WorkerTransport() {
                 @Override
                 public void send(Step.Send send) {
                     sent.add(send);
@@ -201,193 +202,191 @@
                     cancelled.add(cancel);
                 }
             });
-            assertFalse("it failed", true);
+            assertFalse("run must throw", true);
         } catch (IllegalStateException e) {
             assertEquals("no room", e.getMessage());
         }
-        assertEquals("the second part stays here", 1, sent.size());
-        assertEquals("what may be out is called off", sent.get(0).attempts(),
+        assertEquals("the second part is not sent", 1, sent.size());
+        assertEquals("attempts that may have been sent are cancelled", sent.get(0).attempts(),
                 cancelled.stream().map(Step.Cancel::attempt).toList());
         assertEquals(0, gatherer.openQueriesAndParts());
     }
 
-    /** An id that comes again while an attempt under it is still out: a worker would see a second copy. */
+    /** A reused query id would let a worker see a duplicate while an attempt of the earlier query is in flight. */
     @Test
-    public void anIdIsNotTakenAgainWhileItsPartsAreOut() throws Exception {
-        Query q = open("q", 1);
-        var send = (Step.Send) pick(q);
-        gatherer.clientDisconnected(q);
-        var cancel = (Step.Cancel) pick(q);
+    public void refusesQueryIdWhilePartsOfEarlierQueryAreInFlight() throws Exception {
+        Query query = open("q", 1);
+        var send = (Step.Send) awaitStep(query);
+        gatherer.clientDisconnected(query);
+        var cancel = (Step.Cancel) awaitStep(query);
         assertEquals(null, open("q", 1));
         gatherer.report(cancel.attempt(), cancel.outcome(), null);
-        Query again = open("q", 1);
-        var next = (Step.Send) pick(again);
-        gatherer.report(send.attempts().get(0), AttemptOutcome.SERVED, new byte[] {1}); // late: it is that of the first
+        Query secondQuery = open("q", 1);
+        var next = (Step.Send) awaitStep(secondQuery);
+        gatherer.report(send.attempts().get(0), AttemptOutcome.SERVED, new byte[] {1}); // of the first query
         gatherer.report(next.attempts().get(0), AttemptOutcome.SERVED, new byte[] {2});
-        assertEquals(2, ((Step.Answer) pick(again)).values().get(0).bytes()[0]);
+        assertEquals(2, ((Step.Answer) awaitStep(secondQuery)).values().get(0).bytes()[0]);
         assertEquals(0, gatherer.retainedEntries());
     }
 
-    /** What the module throws is logged; a query that it no longer decides gets its answer when its time is over. */
+    /** An exception of the policy is logged; a query that it no longer decides is failed at its deadline. */
     @Test
-    public void anExceptionOfTheModuleLeavesNoQueryWithoutItsAnswer() throws Exception {
-        failing = "worker ejected";
-        Query q = open("q", 0);
-        var send = (Step.Send) pick(q);
-        // the module would log that it is ejected
+    public void failsQueryAtDeadlineIfPolicyThrows() throws Exception {
+        throwingPrefix = "worker ejected";
+        Query query = open("q", 0);
+        var send = (Step.Send) awaitStep(query);
+        // the policy would log that the worker is ejected
         gatherer.report(send.attempts().get(0), AttemptOutcome.CONNECT_FAILED, null);
         assertTrue(log.toString(), log.stream().anyMatch(l -> l.contains("routing policy failed")));
         clock.addAndGet(2_000_000 + 5_000);
-        assertTrue(pick(q) instanceof Step.Fail);
+        assertTrue(awaitStep(query) instanceof Step.Fail);
         assertEquals(0, gatherer.retainedEntries());
-        failing = "none";
-        assertTrue("the next one is decided", pick(open("r", 0)) instanceof Step.Send);
+        throwingPrefix = "none";
+        assertTrue("the policy decides the next query", awaitStep(open("r", 0)) instanceof Step.Send);
     }
 
-    /** What is out when the settings allow fewer attempts ends as ever; no further one is made. */
+    /** Attempts in flight when the settings lower the limit end as usual; no further attempt is made. */
     @Test
-    public void fewerAttemptsAreAllowedWhileSomeAreOut() throws Exception {
-        Query q = open("q", 0);
-        var first = (Step.Send) pick(q);
+    public void appliesLowerMaxAttemptsToOpenQueries() throws Exception {
+        Query query = open("q", 0);
+        var first = (Step.Send) awaitStep(query);
         gatherer.report(first.attempts().get(0), AttemptOutcome.ERROR, null);
-        var second = (Step.Send) pick(q);
+        var second = (Step.Send) awaitStep(query);
         gatherer.control().updateSettings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")),
                 List.of("any", "once"),
                 java.util.Set.of());
         gatherer.report(second.attempts().get(0), AttemptOutcome.ERROR, null);
-        assertTrue(pick(q) instanceof Step.FinalStep);
-        Query r = open("r", 0);
-        var only = (Step.Send) pick(r);
+        assertTrue(awaitStep(query) instanceof Step.FinalStep);
+        Query nextQuery = open("r", 0);
+        var only = (Step.Send) awaitStep(nextQuery);
         gatherer.control().updateSettings(settings(SETTINGS.replace("MaxAttempts=4", "MaxAttempts=1")),
                 List.of("any", "once"),
                 java.util.Set.of());
         gatherer.report(only.attempts().get(0), AttemptOutcome.SERVED, new byte[] {1});
-        assertTrue(pick(r) instanceof Step.Answer);
+        assertTrue(awaitStep(nextQuery) instanceof Step.Answer);
         assertEquals(0, gatherer.retainedEntries());
     }
 
-    /** A ban holds over all that lists say, also for a node that leaves them and comes back; one call lifts it. */
+    /** A ban also applies to a worker that leaves the list and returns; one call lifts it, however often it was set. */
     @Test
-    public void aBanStandsAboveTheList() throws Exception {
+    public void banOverridesEndpointListUntilLifted() throws Exception {
         gatherer.control().setBanned("a", true);
         gatherer.control().setBanned("a", true);
-        gatherer.control().updateEndpoints(true, List.of(member("b", WorkerEndpoint.EndpointState.SERVING)));
-        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(true, List.of(endpoint("b", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(false, List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING)));
         assertEquals(new GathererControl.WorkerCounts(2, 1), gatherer.control().workerCounts());
         for (int i = 0; i < 8; i++) {
             assertEquals("b", ((Step.Send) gatherer.awaitStep(open("q" + i, 0))).worker().id());
         }
         gatherer.control().setBanned("a", false);
-        gatherer.control().updateEndpoints(true, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(true, List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING)));
         assertEquals("a", ((Step.Send) gatherer.awaitStep(open("back", 0))).worker().id());
-        assertTrue(gatherer.control().isKnownWorker("b")); // formerly
+        assertTrue(gatherer.control().isKnownWorker("b")); // was removed from the list
         assertFalse(gatherer.control().isKnownWorker("c"));
     }
 
-    private interface Lists {
-        void tell(int round);
+    private interface EndpointUpdates {
+        void apply(int round);
     }
 
-    /** Who looks on while lists are told, as the writers of connections do, never sees this worker serve. */
-    private void neverServes(Worker worker, Lists lists) throws Exception {
-        var over = new AtomicBoolean();
-        var looking = new CountDownLatch(1);
-        Future<Boolean> seen = threads.submit(() -> {
-            boolean served = worker.isServing();
-            looking.countDown();
-            while (!over.get()) {
-                served |= worker.isServing();
+    /** Asserts that a thread without the lock, as that of a connection, never sees the worker serve during updates. */
+    private void assertNeverServes(Worker worker, EndpointUpdates updates) throws Exception {
+        var stopped = new AtomicBoolean();
+        var observerStarted = new CountDownLatch(1);
+        Future<Boolean> observed = threads.submit(() -> {
+            boolean serving = worker.isServing();
+            observerStarted.countDown();
+            while (!stopped.get()) {
+                serving |= worker.isServing();
             }
-            return served;
+            return serving;
         });
-        looking.await();
+        observerStarted.await();
         for (int i = 0; i < 20_000; i++) {
-            lists.tell(i);
+            updates.apply(i);
         }
-        over.set(true);
-        assertFalse(seen.get());
+        stopped.set(true);
+        assertFalse(observed.get());
     }
 
-    /**
-     * A drain, a removal and a whole list that leaves it out hold at once and for good, also where it is told again.
-     */
+    /** A drain, a removal and a complete list without the worker take effect at once and stay, also if repeated. */
     @Test
-    public void whatWasDrainedOrRemovedIsAtNoMomentSeenToServe() throws Exception {
-        Worker a = workerOf("a");
-        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.DRAINING)));
-        assertFalse(a.isServing());
-        neverServes(a, i -> gatherer.control().updateEndpoints(i % 2 == 0,
-                List.of(member("a", WorkerEndpoint.EndpointState.DRAINING),
-                        member("b", WorkerEndpoint.EndpointState.SERVING))));
-        neverServes(a, i -> { // named twice: the last entry alone
-            gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING),
-                    member("a", WorkerEndpoint.EndpointState.DRAINING)));
+    public void drainedOrRemovedWorkerNeverAppearsServing() throws Exception {
+        Worker worker = workerOf("a");
+        gatherer.control().updateEndpoints(false, List.of(endpoint("a", WorkerEndpoint.EndpointState.DRAINING)));
+        assertFalse(worker.isServing());
+        assertNeverServes(worker, i -> gatherer.control().updateEndpoints(i % 2 == 0,
+                List.of(endpoint("a", WorkerEndpoint.EndpointState.DRAINING),
+                        endpoint("b", WorkerEndpoint.EndpointState.SERVING))));
+        assertNeverServes(worker, i -> { // listed twice: only the last entry counts
+            gatherer.control().updateEndpoints(false, List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING),
+                    endpoint("a", WorkerEndpoint.EndpointState.DRAINING)));
         });
-        gatherer.control().updateEndpoints(true, List.of(member("b", WorkerEndpoint.EndpointState.SERVING)));
-        assertFalse(a.isServing());
-        neverServes(a, i -> { // it comes back under its id: whatever still waits for the old one does not go out
-            gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
+        gatherer.control().updateEndpoints(true, List.of(endpoint("b", WorkerEndpoint.EndpointState.SERVING)));
+        assertFalse(worker.isServing());
+        assertNeverServes(worker, i -> { // returns under the same id: attempts for the old worker object are not sent
+            gatherer.control().updateEndpoints(false, List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING)));
             gatherer.control().updateEndpoints(i % 2 == 0,
-                    i % 2 == 0 ? List.of(member("b", WorkerEndpoint.EndpointState.SERVING))
-                            : List.of(member("a", WorkerEndpoint.EndpointState.GONE)));
+                    i % 2 == 0 ? List.of(endpoint("b", WorkerEndpoint.EndpointState.SERVING))
+                            : List.of(endpoint("a", WorkerEndpoint.EndpointState.GONE)));
         });
         assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("routing policy failed")));
     }
 
-    /** One that stays in a whole list serves at every moment: a call that is being written must not be turned back. */
+    /** A worker that stays in a complete list must serve throughout the update, or calls to it would be withdrawn. */
     @Test
-    public void oneThatStaysInAWholeListIsAtNoMomentSeenToBeGone() throws Exception {
-        Worker a = workerOf("a");
-        var over = new AtomicBoolean();
-        Future<Boolean> always = threads.submit(() -> {
-            boolean served = true;
-            while (!over.get()) {
-                served &= a.isServing();
+    public void workerInCompleteListAlwaysAppearsServing() throws Exception {
+        Worker worker = workerOf("a");
+        var stopped = new AtomicBoolean();
+        Future<Boolean> alwaysServing = threads.submit(() -> {
+            boolean serving = true;
+            while (!stopped.get()) {
+                serving &= worker.isServing();
             }
-            return served;
+            return serving;
         });
         for (int i = 0; i < 20_000; i++) {
             gatherer.control().updateEndpoints(true,
-                    i % 2 == 0 ? List.of(member("a", WorkerEndpoint.EndpointState.SERVING))
-                            : List.of(member("b", WorkerEndpoint.EndpointState.SERVING),
-                                    member("a", WorkerEndpoint.EndpointState.GONE),
-                                    member("a", WorkerEndpoint.EndpointState.SERVING)));
+                    i % 2 == 0 ? List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING))
+                            : List.of(endpoint("b", WorkerEndpoint.EndpointState.SERVING),
+                                    endpoint("a", WorkerEndpoint.EndpointState.GONE),
+                                    endpoint("a", WorkerEndpoint.EndpointState.SERVING)));
         }
-        over.set(true);
-        assertTrue(always.get());
-        gatherer.control().updateEndpoints(true, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
-        assertEquals("a", ((Step.Send) pick(open("still", 0))).worker().id());
+        stopped.set(true);
+        assertTrue(alwaysServing.get());
+        gatherer.control().updateEndpoints(true, List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING)));
+        assertEquals("a", ((Step.Send) awaitStep(open("still", 0))).worker().id());
     }
 
-    /** A drain and a ban in both orders: neither lifts the other. */
+    /** A drain and a ban, in both orders: ending one does not end the other. */
     @Test
-    public void aBanAndADrainStandApart() throws Exception {
-        Worker a = workerOf("a");
+    public void banAndDrainAreIndependent() throws Exception {
+        Worker worker = workerOf("a");
         gatherer.control().setBanned("a", true);
-        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.DRAINING)));
+        gatherer.control().updateEndpoints(false, List.of(endpoint("a", WorkerEndpoint.EndpointState.DRAINING)));
         gatherer.control().setBanned("a", false);
-        assertFalse("the list's drain stands", a.isServing());
+        assertFalse("still draining by the list", worker.isServing());
         gatherer.control().setBanned("a", true);
-        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
-        assertFalse("the ban stands", a.isServing());
-        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.GONE)));
-        gatherer.control().setBanned("a", false); // of one that is gone
-        gatherer.control().updateEndpoints(false, List.of(member("a", WorkerEndpoint.EndpointState.SERVING)));
-        assertFalse(a.isServing());
-        assertTrue("another start of it", workerOf("a").isServing());
+        gatherer.control().updateEndpoints(false, List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING)));
+        assertFalse("still banned", worker.isServing());
+        gatherer.control().updateEndpoints(false, List.of(endpoint("a", WorkerEndpoint.EndpointState.GONE)));
+        gatherer.control().setBanned("a", false); // of a removed worker
+        gatherer.control().updateEndpoints(false, List.of(endpoint("a", WorkerEndpoint.EndpointState.SERVING)));
+        assertFalse(worker.isServing());
+        assertTrue("a new entry with the same id", workerOf("a").isServing());
     }
 
     private Worker workerOf(String id) throws Exception {
         for (int i = 0; i < 50; i++) {
             Query query = open("find-" + i, 0);
-            var send = (Step.Send) pick(query);
+            var send = (Step.Send) awaitStep(query);
             gatherer.clientDisconnected(query);
             gatherer.report(Map.of(send.attempts().get(0), AttemptOutcome.CANCELLED));
             if (send.worker().id().equals(id)) {
                 return send.worker();
             }
-            pass(20);
+            advanceMillis(20);
         }
-        throw new AssertionError("nothing goes to " + id);
+        throw new AssertionError("no query is sent to " + id);
     }
 }
--- a/src/test/java/wallmoor/core/SendPermissionTest.java
+++ b/src/test/java/wallmoor/core/SendPermissionTest.java
@@ -6,10 +6,10 @@
 
 import org.junit.Test;
 
-/** What an attempt is asked at the moment of writing, reason by reason. */
+/** Tests each reason for which an attempt may not be sent. */
 public class SendPermissionTest {
     private static final long NOW = 5_000_000;
-    private static final String HERE = "10.0.0.1:3000";
+    private static final String ADDRESS = "10.0.0.1:3000";
 
     private final Query query = new Query("q", "all", NOW + 500_000, null, null);
     private final Worker worker = new Worker("a");
@@ -17,20 +17,20 @@
             NOW + 300_000);
 
     public SendPermissionTest() {
-        told(HERE, WorkerEndpoint.EndpointState.SERVING, false);
+        updateWorker(ADDRESS, WorkerEndpoint.EndpointState.SERVING, false);
     }
 
-    private void told(String address, WorkerEndpoint.EndpointState state, boolean banned) {
+    private void updateWorker(String address, WorkerEndpoint.EndpointState state, boolean banned) {
         worker.update(new WorkerEndpoint("a", address, 0, 0, 0, state, 1, 0), banned);
     }
 
-    private SendPermission permit() {
-        return attempt.checkPermission(NOW, HERE);
+    private SendPermission checkPermission() {
+        return attempt.checkPermission(NOW, ADDRESS);
     }
 
     @Test
-    public void itIsGrantedWhereNothingForbidsIt() {
-        assertEquals(SendPermission.GRANTED, permit());
+    public void grantsPermissionIfNothingForbidsIt() {
+        assertEquals(SendPermission.GRANTED, checkPermission());
         assertTrue(SendPermission.GRANTED.granted());
         for (SendPermission other : SendPermission.values()) {
             assertEquals(other == SendPermission.GRANTED, other.granted());
@@ -38,65 +38,65 @@
     }
 
     @Test
-    public void aClientThatHasGoneForbidsItBeforeTheGathererHasItsLock() {
+    public void rejectsAttemptOnceClientIsMarkedDisconnected() {
         query.clientDisconnected = true;
-        assertEquals(SendPermission.CLIENT_DISCONNECTED, permit());
+        assertEquals(SendPermission.CLIENT_DISCONNECTED, checkPermission());
     }
 
     @Test
-    public void aFinalAnswerForbidsIt() {
+    public void rejectsAttemptOfFinishedQuery() {
         query.finalStep = new Step.Fail(false, false);
-        assertEquals(SendPermission.QUERY_FINISHED, permit());
+        assertEquals(SendPermission.QUERY_FINISHED, checkPermission());
     }
 
     @Test
-    public void anAttemptThatWasCalledOffMayNotBegin() {
+    public void rejectsCancelledAttempt() {
         attempt.cancelled = true;
-        assertEquals(SendPermission.CANCELLED, permit());
+        assertEquals(SendPermission.CANCELLED, checkPermission());
     }
 
     @Test
-    public void aWorkerThatDrainsOrIsGoneOrBannedForbidsIt() {
-        told(HERE, WorkerEndpoint.EndpointState.DRAINING, false);
-        assertEquals(SendPermission.NOT_SERVING, permit());
-        told(HERE, WorkerEndpoint.EndpointState.SERVING, true);
-        assertEquals(SendPermission.NOT_SERVING, permit());
-        told(HERE, WorkerEndpoint.EndpointState.SERVING, false);
-        assertEquals(SendPermission.GRANTED, permit());
+    public void rejectsAttemptAtDrainingBannedOrRemovedWorker() {
+        updateWorker(ADDRESS, WorkerEndpoint.EndpointState.DRAINING, false);
+        assertEquals(SendPermission.NOT_SERVING, checkPermission());
+        updateWorker(ADDRESS, WorkerEndpoint.EndpointState.SERVING, true);
+        assertEquals(SendPermission.NOT_SERVING, checkPermission());
+        updateWorker(ADDRESS, WorkerEndpoint.EndpointState.SERVING, false);
+        assertEquals(SendPermission.GRANTED, checkPermission());
         worker.markRemoved();
-        assertEquals(SendPermission.NOT_SERVING, permit());
+        assertEquals(SendPermission.NOT_SERVING, checkPermission());
     }
 
     @Test
-    public void aConnectionToAnAddressThatTheWorkerHadBeforeIsNotWrittenTo() {
-        told("10.0.0.2:3000", WorkerEndpoint.EndpointState.SERVING, false);
-        assertEquals(SendPermission.ADDRESS_CHANGED, permit());
+    public void rejectsConnectionToFormerAddressOfWorker() {
+        updateWorker("10.0.0.2:3000", WorkerEndpoint.EndpointState.SERVING, false);
+        assertEquals(SendPermission.ADDRESS_CHANGED, checkPermission());
         assertEquals(SendPermission.GRANTED, attempt.checkPermission(NOW, "10.0.0.2:3000"));
     }
 
     @Test
-    public void noAttemptBeginsWithLessThanAMillisecondLeft() {
-        assertEquals(SendPermission.GRANTED, attempt.checkPermission(NOW + 299_000, HERE));
+    public void rejectsAttemptWithLessThanOneMillisecondLeft() {
+        assertEquals(SendPermission.GRANTED, attempt.checkPermission(NOW + 299_000, ADDRESS));
         assertEquals(1, attempt.remainingMillis(NOW + 299_000));
-        assertEquals(SendPermission.DEADLINE_EXCEEDED, attempt.checkPermission(NOW + 299_001, HERE));
-        assertEquals(SendPermission.DEADLINE_EXCEEDED, attempt.checkPermission(NOW + 900_000, HERE));
+        assertEquals(SendPermission.DEADLINE_EXCEEDED, attempt.checkPermission(NOW + 299_001, ADDRESS));
+        assertEquals(SendPermission.DEADLINE_EXCEEDED, attempt.checkPermission(NOW + 900_000, ADDRESS));
     }
 
     @Test
-    public void aRepeatBeginsStrictlyInsideItsWindow() {
-        var repeat = new Attempt(query, new Query.QueryPart("q.0", 0), 1, worker, NOW, NOW + 300_000, NOW + 200_000);
-        assertEquals(SendPermission.GRANTED, repeat.checkPermission(NOW + 199_999, HERE));
-        assertEquals(SendPermission.IDEMPOTENCY_WINDOW_EXPIRED, repeat.checkPermission(NOW + 200_000, HERE));
-        assertEquals("out of time besides", SendPermission.DEADLINE_EXCEEDED,
-                repeat.checkPermission(NOW + 300_000, HERE));
+    public void rejectsRetryAtEndOfIdempotencyWindow() {
+        var retry = new Attempt(query, new Query.QueryPart("q.0", 0), 1, worker, NOW, NOW + 300_000, NOW + 200_000);
+        assertEquals(SendPermission.GRANTED, retry.checkPermission(NOW + 199_999, ADDRESS));
+        assertEquals(SendPermission.IDEMPOTENCY_WINDOW_EXPIRED, retry.checkPermission(NOW + 200_000, ADDRESS));
+        assertEquals("the deadline is checked first", SendPermission.DEADLINE_EXCEEDED,
+                retry.checkPermission(NOW + 300_000, ADDRESS));
     }
 
     @Test
-    public void theTimeToldIsAtMostWhatIsLeft() {
-        for (long at = NOW; at < NOW + 300_000; at += 777) {
-            long told = 1_000 * attempt.remainingMillis(at);
-            assertTrue(told <= attempt.deadline() - at);
-            assertFalse(told < attempt.deadline() - at - 1_000);
+    public void remainingMillisIsRemainingTimeRoundedDown() {
+        for (long now = NOW; now < NOW + 300_000; now += 777) {
+            long budget = 1_000 * attempt.remainingMillis(now);
+            assertTrue(budget <= attempt.deadline() - now);
+            assertFalse(budget < attempt.deadline() - now - 1_000);
         }
     }
 }
