--- a/src/main/java/wallmoor/bans/BanRegister.java
+++ b/src/main/java/wallmoor/bans/BanRegister.java
@@ -11,38 +11,38 @@
 import java.util.stream.Collectors;
 
 /**
- * Which workers operators have banned: a last-writer-wins register for each worker's id (a state-based CRDT), so that
- * processes that exchange {@link #marks} in any order, any number of times, come to hold the same. Decides; no I/O and
- * no clock. All methods are synchronized and none waits for anything else.
+ * The bans of workers by operators: a last-writer-wins register for each worker's id (a state-based CRDT), so that
+ * processes that exchange {@link #marks} in any order, any number of times, converge to the same state. No I/O and no
+ * clock. All methods are synchronized and none blocks on anything else.
  */
 public final class BanRegister {
     /**
-     * Marks that are stored. A fleet has some hundreds of workers. Lifted bans are bounded by this count and not by
-     * time: a process that stood still for long, or a file restored from a copy, must not bring a lifted ban back, and
-     * a mark costs some 30 bytes.
+     * The maximum number of marks that are stored. A fleet has some hundreds of workers. Lifted bans are bounded by
+     * this count and not by time, because a process that was suspended for long, or a file restored from a backup, must
+     * not bring back a lifted ban. A mark takes some 30 bytes.
      */
     public static final int MAX_MARKS = 1024;
-    /** Bans first, then what was said last; the id makes it one order everywhere. */
+    /** Orders bans before lifted bans, then by time, the latest first; the id makes the order total. */
     private static final Comparator<BanMark> RETAINED_FIRST = BanRegister::compareForRetention;
 
     private final Map<String, BanMark> marks = new HashMap<>();
 
-    /** Makes a register without any ban. */
+    /** Creates a register without any ban. */
     public BanRegister() {}
 
-    /** Bans a worker from this time on; true if it was not banned. */
+    /** Bans a worker; returns true if it was not banned before. */
     public synchronized boolean ban(String id, long nowMicros) {
         return mark(id, true, nowMicros);
     }
 
-    /** Lifts a worker's ban, however often it was banned; true if it was banned. */
+    /** Lifts a worker's ban, however often it was banned; returns true if it was banned before. */
     public synchronized boolean unban(String id, long nowMicros) {
         return mark(id, false, nowMicros);
     }
 
     /**
-     * What is said here supersedes all that is known here, also where the clock went back. Saying it again has a time
-     * of its own: another process may have been told otherwise in between, and the last call decides.
+     * Writes a mark that supersedes the known one, also if the clock went back. Repeating the same change gets a new
+     * time, because another process may have made the opposite change in between and the last call decides.
      */
     private boolean mark(String id, boolean banned, long nowMicros) {
         BanMark known = marks.get(id);
@@ -56,23 +56,23 @@
         return mark != null && mark.banned();
     }
 
-    /** Whether this worker is banned. */
+    /** Returns whether this worker is banned. */
     public synchronized boolean isBanned(String id) {
         return isBan(marks.get(id));
     }
 
-    /** Whether anything was ever said of this worker, as far as that is retained: it was listed then. */
+    /** Returns whether a ban of this worker was ever set or lifted, as far as that is retained; it was listed then. */
     public synchronized boolean hasMark(String id) {
         return marks.containsKey(id);
     }
 
-    /** The workers that are banned, in order of their ids; a copy. */
+    /** Returns a copy of the ids of the banned workers, in their natural order. */
     public synchronized Set<String> bannedIds() {
         return marks.values().stream().filter(BanMark::banned).map(BanMark::id)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    /** Merges what another process holds; returns the ids of the workers that are banned or not by it, and were not. */
+    /** Merges the marks of another process; returns the ids of the workers whose ban was set or lifted thereby. */
     public synchronized List<String> merge(Collection<BanMark> others) {
         var changed = new ArrayList<String>();
         for (BanMark other : others) {
@@ -95,23 +95,24 @@
         return a.atMicros() != b.atMicros() ? Long.compare(b.atMicros(), a.atMicros()) : a.id().compareTo(b.id());
     }
 
-    /** Bans are never dropped here; of the lifted ones those that were lifted first. */
+    /** Drops the lifted bans with the earliest times above the limit; never drops a ban. */
     private void trim() {
         if (marks.size() > MAX_MARKS) {
-            marks.values().stream().sorted(RETAINED_FIRST).skip(MAX_MARKS).filter(m -> !m.banned()).toList()
-                    .forEach(m -> marks.remove(m.id()));
+            marks.values().stream().sorted(RETAINED_FIRST).skip(MAX_MARKS).filter(mark -> !mark.banned()).toList()
+                    .forEach(mark -> marks.remove(mark.id()));
         }
     }
 
-    /** What is to be stored, {@value #MAX_MARKS} at most: bans, the latest first, then lifted bans likewise. */
+    /** Returns the marks to store, at most {@value #MAX_MARKS}: bans, the latest first, then lifted bans likewise. */
     public synchronized List<BanMark> marks() {
         return marks.values().stream().sorted(RETAINED_FIRST).limit(MAX_MARKS).toList();
     }
 
-    /** Whether a mark that is to be stored is missing there, or older there, so that it must be written again. */
+    /** Returns whether a mark to store is missing or superseded in the stored ones, which must then be rewritten. */
     public synchronized boolean isNewerThan(Collection<BanMark> stored) {
-        Map<String, BanMark> there = stored.stream()
+        Map<String, BanMark> storedById = stored.stream()
                 .collect(Collectors.toMap(BanMark::id, m -> m, (a, b) -> b.supersedes(a) ? b : a));
-        return marks().stream().anyMatch(m -> !there.containsKey(m.id()) || m.supersedes(there.get(m.id())));
+        return marks().stream()
+                .anyMatch(mark -> !storedById.containsKey(mark.id()) || mark.supersedes(storedById.get(mark.id())));
     }
 }
--- a/src/main/java/wallmoor/bans/package-info.java
+++ b/src/main/java/wallmoor/bans/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which workers operators have banned, and the form in which that is stored. Decides; no I/O and no clock. It knows
- * nothing of the endpoint list, nor of where the bans are stored.
+ * The register of bans of workers by operators, and its file format. Pure logic without I/O or a clock, independent of
+ * the endpoint list and of the place where bans are stored.
  */
 package wallmoor.bans;
--- a/src/test/java/wallmoor/bans/BanFileCodecGoldenTest.java
+++ b/src/test/java/wallmoor/bans/BanFileCodecGoldenTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Ban files as an earlier version wrote them: read with the same meaning, and written with the same bytes. */
+/** Golden ban files of an earlier version must decode to the same marks and encode to the same bytes. */
 public class BanFileCodecGoldenTest {
     private static final List<BanMark> MARKS = List.of(new BanMark("w3", true, 1_700_000_000_000_002L),
             new BanMark("w!~\"4", true, 1_700_000_000_000_001L), new BanMark("w1", true, 0),
@@ -15,21 +15,21 @@
             new BanMark("w2", false, 1_700_000_000_000_003L));
 
     @Test
-    public void aFileOfBansAndLiftedBansIsReadAndWrittenAlike() throws Exception {
+    public void decodesAndEncodesGoldenFile() throws Exception {
         assertEquals(MARKS, BanFileCodec.decode(golden("bans")));
         assertArrayEquals(golden("bans"), BanFileCodec.encode(MARKS));
     }
 
-    /** Merged into a process that holds nothing, the marks are written in the same order. */
+    /** An empty register that merges the golden marks must encode them in the same order. */
     @Test
-    public void theOrderOfTheLinesIsThatOfTheMarks() throws Exception {
+    public void encodesMergedMarksInOrderOfGoldenFile() throws Exception {
         var bans = new BanRegister();
         bans.merge(BanFileCodec.decode(golden("bans")));
         assertArrayEquals(golden("bans"), BanFileCodec.encode(bans.marks()));
     }
 
     @Test
-    public void anEmptyFileIsReadAndWrittenAlike() throws Exception {
+    public void decodesAndEncodesGoldenFileWithoutMarks() throws Exception {
         assertEquals(List.of(), BanFileCodec.decode(golden("bans-empty")));
         assertArrayEquals(golden("bans-empty"), BanFileCodec.encode(List.of()));
     }
