--- a/src/main/java/wallmoor/edge/EdgeRequest.java
+++ b/src/main/java/wallmoor/edge/EdgeRequest.java
@@ -45,7 +45,8 @@
         if (q == null) {
             throw new InvalidQueryException("q is absent or no text");
         }
-        List<Query.PartRequest> parts = new ArrayList<>(QueryBody.parseParts(body, launch.settings().layout().shards()));
+        List<Query.PartRequest> parts = new ArrayList<>(
+                QueryBody.parseParts(body, launch.settings().layout().shards()));
         parts.sort(Comparator.comparingInt(Query.PartRequest::shard));
         boolean mayRepeat = launch.settings().classes().get(queryClass).idempotency() == Idempotency.IDEMPOTENT;
         return new EdgeRequest(queryClass, mayRepeat, (long) millis, parts, q.getBytes(StandardCharsets.UTF_8),
--- a/src/main/java/wallmoor/idempotency/DeviceAccount.java
+++ b/src/main/java/wallmoor/idempotency/DeviceAccount.java
@@ -3,19 +3,19 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What one device uses of its quotas, and its token bucket for the request rate. */
+/** The use of one device's quotas, and its token bucket for the request rate. */
 final class DeviceAccount {
-    /** Tokens that a rejected request costs, so that a device gains nothing by retrying at once. */
+    /** The tokens that a rejected request costs, so that retrying at once does not pay. */
     private static final double REJECTION_COST = 0.25;
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** Completed requests that may repeat, in the order of completion. */
+    /** Completed requests that may be executed again, in the order of completion. */
     final Set<RequestRecord> repeatable = new LinkedHashSet<>();
-    /** Completed requests that may not repeat, in the order of completion. */
+    /** Completed requests that must not be executed again, in the order of completion. */
     final Set<RequestRecord> executedOnce = new LinkedHashSet<>();
-    /** Requests without an outcome, uploads included. */
+    /** The number of requests without an outcome, including uploads. */
     int open;
-    /** Bytes reserved for all its requests. */
+    /** The bytes reserved for all requests of the device. */
     long reservedBytes;
     private double tokens;
     private long refilledAt;
@@ -25,7 +25,7 @@
         refilledAt = now;
     }
 
-    /** Whether the device may make a request now. */
+    /** Takes a token for a request; returns false if the device exceeds its request rate. */
     boolean tryAcquire(IdempotencyLimits limits, long now) {
         tokens = Math.min(limits.requestBurst(), refilled(limits, now));
         refilledAt = now;
@@ -37,18 +37,18 @@
         return true;
     }
 
-    /** Microseconds until it may make a request again. */
+    /** Returns the time until the device may make a request again (microseconds). */
     long retryAfter(IdempotencyLimits limits) {
         return (long) (Math.max(0, 1 - tokens) / limits.requestRate() * MICROS_PER_SECOND);
     }
 
-    /** Whether forgetting this account loses nothing. */
+    /** Returns whether the account can be dropped because it equals a new one. */
     boolean isIdle(IdempotencyLimits limits, long now) {
         return open == 0 && repeatable.isEmpty() && executedOnce.isEmpty()
                 && refilled(limits, now) >= limits.requestBurst();
     }
 
-    /** Completed requests that are retained. */
+    /** Returns the number of completed requests that are retained. */
     int retained() {
         return repeatable.size() + executedOnce.size();
     }
--- a/src/main/java/wallmoor/idempotency/IdempotentRequests.java
+++ b/src/main/java/wallmoor/idempotency/IdempotentRequests.java
@@ -8,24 +8,25 @@
 import wallmoor.idempotency.RequestRecord.RequestState;
 
 /**
- * The life cycle of devices' requests under idempotency keys: uploading, running, completed, forgotten
- * (docs/exchange.md). Callers give the time in microseconds, never going back, and one caller at a time uses it.
+ * The life cycle of devices' requests under idempotency keys: uploading, running, completed, removed
+ * (docs/exchange.md). Not thread-safe. Callers pass the current time in microseconds, which must not go back.
  *
- * <p>A request that may not repeat is executed once, however often it is submitted. Its outcome is retained until its
- * key's deduplication window is over. The key tells its own age (UUID version 7, RFC 9562): one that is older than what
- * is retained, also because the process started later, is never executed. So nothing has to be retained for ever.
+ * <p>A request that must not be executed again is executed at most once, however often it is submitted. Its outcome is
+ * retained until the deduplication window of its key ends. The key contains its creation time (UUID version 7,
+ * RFC 9562): a request with a key that is older than the window or than this process is never executed. Therefore no
+ * outcome has to be retained forever.
  */
 public final class IdempotentRequests {
-    /** When a request has something to do, in the queue of timers. */
+    /** The time at which a request may expire or be abandoned, in the queue of deadlines. */
     private record Deadline(long at, RequestRecord request) {}
 
     /**
-     * How much is in use.
+     * The current resource usage.
      *
-     * @param open     requests without an outcome, uploads included
-     * @param retained completed requests
-     * @param bytes    reserved for all of these
-     * @param devices  with an account
+     * @param open     the number of requests without an outcome, including uploads
+     * @param retained the number of completed requests
+     * @param bytes    the bytes reserved for all of these
+     * @param devices  the number of devices with an account
      */
     public record Usage(int open, int retained, long bytes, int devices) {}
 
@@ -36,7 +37,12 @@
     private final PriorityQueue<Deadline> deadlines = new PriorityQueue<>((a, b) -> Long.compare(a.at, b.at));
     private long now;
 
-    /** Without any request. Nothing is known of what ran before {@code startedAt}, microseconds of Unix time. */
+    /**
+     * Creates an instance without any request.
+     *
+     * @param startedAt the start of this process, microseconds of Unix time; it is unknown which requests were executed
+     *                  before
+     */
     public IdempotentRequests(IdempotencyLimits limits, long startedAt) {
         this.limits = limits;
         this.startedAt = startedAt;
@@ -48,23 +54,25 @@
     // ---- requests -----------------------------------------------------------------------------------------
 
     /**
-     * A device submits a request for execution.
+     * Handles a request that a device submits for execution.
      *
-     * @param digest of the body, the class included
+     * @param at        the current time (microseconds)
+     * @param digest    the digest of the body, including the query class
+     * @param mayRepeat whether the request may be executed more than once
      */
     public RequestDecision submit(long at, IdempotencyKey key, BodyDigest digest, boolean mayRepeat) {
         now = Math.max(now, at);
         DeviceAccount account = store.account(key, now);
         if (!account.tryAcquire(limits, now)) {
-            return rateLimited(account);
+            return rejectRateLimited(account);
         }
         RequestRecord upload = store.upload(key);
-        if (upload != null) { // its body is complete: this is the request
+        if (upload != null) { // the upload is complete and is replaced by the request
             store.remove(upload);
         }
         RequestRecord known = store.request(key);
         if (known != null) {
-            return resubmitted(known, digest);
+            return resubmit(known, digest);
         }
         if (!mayRepeat) {
             Optional<RequestDecision> rejection = checkAge(key.id());
@@ -75,23 +83,23 @@
         return execute(account, key, digest, mayRepeat);
     }
 
-    private static RequestDecision resubmitted(RequestRecord known, BodyDigest digest) {
+    private static RequestDecision resubmit(RequestRecord known, BodyDigest digest) {
         if (!known.digest.equals(digest)) {
             return new RequestDecision.Conflict();
         }
         if (known.state == RequestState.COMPLETED) {
             return new RequestDecision.Replay(known.outcome);
         }
-        known.waiting++;
+        known.waiters++;
         return new RequestDecision.Attach(known);
     }
 
     private RequestDecision execute(DeviceAccount account, IdempotencyKey key, BodyDigest digest, boolean mayRepeat) {
-        // the outcome of a request that may not repeat needs its memory before anything runs
+        // memory for the outcome of a request that must not be executed again is reserved before it runs
         long bytes = (long) IdempotencyLimits.RECORD_OVERHEAD_BYTES + (mayRepeat ? 0 : limits.maxOutcomeBytes());
         Optional<RejectionReason> rejection = store.admit(account, bytes);
         if (rejection.isPresent()) {
-            return rejected(rejection.get());
+            return reject(rejection.get());
         }
         RequestRecord request = RequestRecord.running(key, digest, mayRepeat);
         if (!mayRepeat) {
@@ -101,12 +109,17 @@
         return new RequestDecision.Execute(request);
     }
 
-    /** A device asks for the outcome of a request; with {@code await} it waits if there is none yet. */
+    /**
+     * Handles a device's request for the outcome of an earlier request.
+     *
+     * @param at    the current time (microseconds)
+     * @param await whether the device waits if there is no outcome yet
+     */
     public RequestDecision outcome(long at, IdempotencyKey key, boolean await) {
         now = Math.max(now, at);
         DeviceAccount account = store.account(key, now);
         if (!account.tryAcquire(limits, now)) {
-            return rateLimited(account);
+            return rejectRateLimited(account);
         }
         RequestRecord known = store.request(key);
         if (known == null) {
@@ -116,29 +129,29 @@
         if (known.state == RequestState.COMPLETED) {
             return new RequestDecision.Replay(known.outcome);
         }
-        known.waiting += await ? 1 : 0;
+        known.waiters += await ? 1 : 0;
         return new RequestDecision.Attach(known);
     }
 
-    /** A key that tells its age also tells whether it would still be retained. */
+    /** Returns {@code Expired} for a key whose creation time shows that its outcome is no longer retained. */
     private RequestDecision notFound(IdempotencyKey key) {
         boolean expired = KeyAge.createdAt(key.id()) != KeyAge.UNKNOWN
                 && checkAge(key.id()).orElse(null) instanceof RequestDecision.Expired;
         return expired ? new RequestDecision.Expired() : new RequestDecision.Unknown();
     }
 
-    /** Why a request that may not repeat can't be executed under a key that is not known; empty if it can. */
+    /** Returns why a request that must not be executed again cannot run under an unknown key; empty if it can. */
     private Optional<RequestDecision> checkAge(String id) {
         long createdAt = KeyAge.createdAt(id);
         if (createdAt == KeyAge.UNKNOWN) {
             return Optional.of(new RequestDecision.InvalidKey(
-                    "the id of a query that may not repeat must be a UUID of version 7 in lower case"));
+                    "the id of a query that must not run twice must be a UUID of version 7 in lower case"));
         }
         if (createdAt > now + limits.clockSkew()) {
             return Optional.of(new RequestDecision.InvalidKey(
-                    "the id was made in the future: see the Date of this answer"));
+                    "the time in the id is in the future: set the clock, see the Date of this answer"));
         }
-        // a clock that is ahead may have created it before the start: a process before this one may have executed it
+        // if the device's clock is ahead, an earlier process may have executed the request
         boolean beforeStart = createdAt < startedAt + limits.clockSkew();
         boolean expired = beforeStart || createdAt < now - limits.deduplicationWindow();
         return expired ? Optional.of(new RequestDecision.Expired()) : Optional.empty();
@@ -147,22 +160,24 @@
     // ---- uploads ------------------------------------------------------------------------------------------
 
     /**
-     * A chunk of a request's body. Chunks may be repeated; what was received before is skipped.
+     * Handles a chunk of a request's body. Chunks may be repeated; bytes that were received before are skipped.
      *
-     * @param offset of its first byte
-     * @param total  the length of the whole body, or -1 where only the last chunk shows it
-     * @param last   whether it is the last chunk
+     * @param at     the current time (microseconds)
+     * @param offset the offset of the chunk's first byte in the body
+     * @param total  the length of the complete body, or -1 if only the last chunk shows it
+     * @param last   whether this is the last chunk
      */
     public RequestDecision uploadChunk(long at, IdempotencyKey key, int offset, byte[] chunk, int total, boolean last) {
         now = Math.max(now, at);
         DeviceAccount account = store.account(key, now);
-        if (offset == 0 && !account.tryAcquire(limits, now)) { // a body counts once, in however many chunks
-            return rateLimited(account);
+        if (offset == 0 && !account.tryAcquire(limits, now)) { // a body costs one token, however many chunks it has
+            return rejectRateLimited(account);
         }
         int capacity = total < 0 ? limits.maxOutcomeBytes() : total;
         if (capacity > limits.maxOutcomeBytes() || (long) offset + chunk.length > capacity) {
             return new RequestDecision.InvalidKey(
-                    "a body has " + limits.maxOutcomeBytes() + " bytes at most, and no more than it says");
+                    "a body may have at most " + limits.maxOutcomeBytes()
+                            + " bytes, and no more than its announced size");
         }
         RequestRecord request = store.upload(key);
         if (request == null || (offset == 0 && request.upload.capacity() != capacity)) {
@@ -171,7 +186,7 @@
             }
             Optional<RejectionReason> rejection = beginUpload(account, key, capacity);
             if (rejection.isPresent()) {
-                return rejected(rejection.get());
+                return reject(rejection.get());
             }
             request = store.upload(key);
         }
@@ -180,7 +195,7 @@
         return append(request.upload, offset, chunk, total, last);
     }
 
-    /** Begins an upload; one of another length under this key is given up. */
+    /** Begins an upload and discards one of another length under the same key. */
     private Optional<RejectionReason> beginUpload(DeviceAccount account, IdempotencyKey key, int capacity) {
         RequestRecord previous = store.upload(key);
         if (previous != null) {
@@ -204,21 +219,21 @@
 
     // ---- rejections ---------------------------------------------------------------------------------------
 
-    private RequestDecision rateLimited(DeviceAccount account) {
+    private RequestDecision rejectRateLimited(DeviceAccount account) {
         long retryAfter = Math.max(account.retryAfter(limits), limits.minRetryAfter());
         return new RequestDecision.Reject(RejectionReason.RATE_LIMITED, retryAfter);
     }
 
-    private RequestDecision rejected(RejectionReason reason) {
+    private RequestDecision reject(RejectionReason reason) {
         return new RequestDecision.Reject(reason, retries.nextRetryAfter(now));
     }
 
     // ---- waiters, completion and time ---------------------------------------------------------------------
 
-    /** One that waited has left, with or without the outcome. */
+    /** Records that a waiting device has left, with or without the outcome. */
     public void waiterLeft(long at, RequestRecord request) {
         now = Math.max(now, at);
-        if (--request.waiting == 0 && request.state == RequestState.RUNNING) {
+        if (--request.waiters == 0 && request.state == RequestState.RUNNING) {
             request.abandonedSince = now;
             if (request.mayRepeat) {
                 deadlines.add(new Deadline(now + limits.abandonedGrace(), request));
@@ -226,7 +241,7 @@
         }
     }
 
-    /** A request has completed. Only the first outcome counts, and is returned. */
+    /** Records the outcome of a request. Only the first outcome counts, and is returned. */
     public StoredOutcome completed(long at, RequestRecord request, StoredOutcome outcome) {
         now = Math.max(now, at);
         if (!isRunning(request)) {
@@ -237,7 +252,7 @@
         return outcome;
     }
 
-    /** Expires what is due. Returns the requests that are to be cancelled, as nobody waits for them. */
+    /** Removes what has expired; returns the abandoned requests, which the caller must cancel. */
     public List<RequestRecord> expire(long at) {
         now = Math.max(now, at);
         var toCancel = new ArrayList<RequestRecord>();
@@ -255,16 +270,16 @@
                 store.remove(request);
             }
         }
-        store.forgetIdleDevices(now);
+        store.removeIdleDevices(now);
         return toCancel;
     }
 
     private boolean isAbandoned(RequestRecord request) {
-        return request.waiting == 0 && !request.cancelling
+        return request.waiters == 0 && !request.cancelling
                 && now - request.abandonedSince >= limits.abandonedGrace();
     }
 
-    /** A request that was cancelled has ended. It is forgotten, so that it may be submitted again. */
+    /** Removes a request whose cancellation is complete, so that it may be submitted again. */
     public void cancelled(long at, RequestRecord request) {
         now = Math.max(now, at);
         if (isRunning(request)) {
@@ -276,12 +291,12 @@
         return request.state == RequestState.RUNNING && store.request(request.key) == request;
     }
 
-    /** When {@link #expire} has something to do, or {@link Long#MAX_VALUE}. */
+    /** Returns the time of the next call of {@link #expire}, or {@link Long#MAX_VALUE} if none is due. */
     public long nextDeadline() {
         return deadlines.isEmpty() ? Long.MAX_VALUE : deadlines.peek().at;
     }
 
-    /** How much is in use, for the log and for tests. */
+    /** Returns the current resource usage, for the log and for tests. */
     public Usage usage() {
         return store.usage();
     }
--- a/src/main/java/wallmoor/idempotency/KeyAge.java
+++ b/src/main/java/wallmoor/idempotency/KeyAge.java
@@ -2,9 +2,9 @@
 
 import java.util.UUID;
 
-/** Reads the creation time of an idempotency key, which is a UUID of version 7 (RFC 9562). */
+/** Extracts the creation time from an idempotency key that is a UUID of version 7 (RFC 9562). */
 final class KeyAge {
-    /** The creation time of a key that tells none. */
+    /** The result for a key without a creation time. */
     static final long UNKNOWN = -1;
 
     private static final int UUID_LENGTH = 36;
@@ -14,7 +14,7 @@
 
     private KeyAge() {}
 
-    /** Microseconds of Unix time at which the key was created, or {@link #UNKNOWN}. */
+    /** Returns the creation time of a key in microseconds of Unix time, or {@link #UNKNOWN}. */
     static long createdAt(String id) {
         if (id.length() != UUID_LENGTH) {
             return UNKNOWN;
--- a/src/main/java/wallmoor/idempotency/RequestDecision.java
+++ b/src/main/java/wallmoor/idempotency/RequestDecision.java
@@ -1,45 +1,49 @@
 package wallmoor.idempotency;
 
-/** What is to be done with a device's request. */
+/** The decision on a device's request. */
 public sealed interface RequestDecision {
 
-    /** The key is new: the request is to be executed. Its device counts as waiting. */
+    /** The key is new and the request is to be executed. Its device counts as waiting. */
     record Execute(RequestRecord request) implements RequestDecision {}
 
-    /** The request is running already: its device waits for the same outcome. */
+    /** The request is already running; its device waits for the same outcome. */
     record Attach(RequestRecord request) implements RequestDecision {}
 
-    /** The request has completed: this is its stored outcome. */
+    /** The request has completed; its stored outcome is to be sent. */
     record Replay(StoredOutcome outcome) implements RequestDecision {}
 
-    /** The chunk was processed; the next one is expected to start at {@code offset}, in bytes. */
+    /** The next chunk of the body is expected to start at {@code offset} (bytes). */
     record AwaitChunk(long offset) implements RequestDecision {}
 
-    /** All chunks of the body are there. */
+    /** The body has been received completely. */
     record UploadComplete(byte[] body) implements RequestDecision {}
 
     /** The key belongs to a request with another body. Nothing is executed. */
     record Conflict() implements RequestDecision {}
 
-    /** Rejected, and never executed; to be retried under the same key after so many microseconds. */
+    /**
+     * The request is rejected and was not executed.
+     *
+     * @param retryAfter the time after which to retry under the same key (microseconds)
+     */
     record Reject(RejectionReason reason, long retryAfter) implements RequestDecision {}
 
-    /** The key of a request that may not repeat does not tell its age, or lies in the future. */
+    /** The key of a request that must not be executed again has no valid creation time, or the body is too long. */
     record InvalidKey(String reason) implements RequestDecision {}
 
-    /** The key is older than what is retained: whether it was executed is unknown, and it never will be again. */
+    /** The key is too old: it is unknown whether the request was executed, and it never will be again. */
     record Expired() implements RequestDecision {}
 
-    /** Nothing is known of this key. */
+    /** The key is unknown. */
     record Unknown() implements RequestDecision {}
 
-    /** Why a request is rejected for now. */
+    /** The reason for a temporary rejection. */
     enum RejectionReason {
         /** The device exceeds its request rate. */
         RATE_LIMITED("held off"),
-        /** The device has too many requests open, or too many bytes retained. */
+        /** The device has too many open or retained requests, or too many bytes reserved. */
         DEVICE_QUOTA_EXCEEDED("device full"),
-        /** All devices together have. */
+        /** All devices together have too many open requests, or too many bytes reserved. */
         CAPACITY_EXCEEDED("full");
 
         private final String text;
@@ -48,7 +52,7 @@
             this.text = text;
         }
 
-        /** The words that devices get; they are part of the wire format. */
+        /** Returns the text that is sent to devices; it is part of the wire format. */
         public String text() {
             return text;
         }
--- a/src/main/java/wallmoor/idempotency/RequestRecord.java
+++ b/src/main/java/wallmoor/idempotency/RequestRecord.java
@@ -1,25 +1,25 @@
 package wallmoor.idempotency;
 
-/** One request of a device, from its first byte until it is forgotten. Changed by this package alone. */
+/** One request of a device, from its first byte until it is removed. Only this package changes it. */
 public final class RequestRecord {
     enum RequestState { UPLOADING, RUNNING, COMPLETED }
 
     final IdempotencyKey key;
     final boolean mayRepeat;
-    /** Of the body; null while it is being uploaded. */
+    /** The digest of the body; null while the body is being uploaded. */
     final BodyDigest digest;
-    /** Null unless the body is being uploaded. */
+    /** The received part of the body; null unless the body is being uploaded. */
     final UploadBuffer upload;
     RequestState state;
-    /** Devices' connections that wait for the outcome. */
-    int waiting;
-    /** Since when nobody waits (microseconds). */
+    /** The number of device connections that wait for the outcome. */
+    int waiters;
+    /** The time since which no device waits for the outcome (microseconds). */
     long abandonedSince;
     boolean cancelling;
     StoredOutcome outcome;
-    /** When an upload or an outcome expires (microseconds). */
+    /** The time at which the upload or the outcome expires (microseconds). */
     long expiresAt;
-    /** Bytes reserved for it, of its device's and of all. */
+    /** The bytes reserved for the request, from the quota of its device and from the total. */
     long reservedBytes;
 
     private RequestRecord(IdempotencyKey key, RequestState state, boolean mayRepeat, BodyDigest digest,
@@ -31,29 +31,29 @@
         this.upload = upload;
     }
 
-    /** A request that is about to run, with one device waiting. */
+    /** Returns a request that is about to run, with one device waiting. */
     static RequestRecord running(IdempotencyKey key, BodyDigest digest, boolean mayRepeat) {
         var request = new RequestRecord(key, RequestState.RUNNING, mayRepeat, digest, null);
-        request.waiting = 1;
+        request.waiters = 1;
         return request;
     }
 
-    /** A body of at most so many bytes that is about to be uploaded. */
+    /** Returns a request whose body of at most {@code capacity} bytes is about to be uploaded. */
     static RequestRecord uploading(IdempotencyKey key, int capacity) {
         return new RequestRecord(key, RequestState.UPLOADING, false, null, new UploadBuffer(capacity));
     }
 
-    /** Whose request it is, and which. */
+    /** Returns the idempotency key of the request. */
     public IdempotencyKey key() {
         return key;
     }
 
-    /** Whether it may be executed again. */
+    /** Returns whether the request may be executed again. */
     public boolean mayRepeat() {
         return mayRepeat;
     }
 
-    /** The outcome, or null while there is none. */
+    /** Returns the outcome, or null while there is none. */
     public StoredOutcome outcome() {
         return outcome;
     }
--- a/src/main/java/wallmoor/idempotency/RequestStore.java
+++ b/src/main/java/wallmoor/idempotency/RequestStore.java
@@ -10,16 +10,16 @@
 import wallmoor.idempotency.RequestRecord.RequestState;
 
 /**
- * All requests and uploads with the memory and quotas they use. To admit a new request it evicts outcomes of requests
- * that may repeat, the one that completed first in front; outcomes of others stay until they expire.
+ * All requests and uploads with the memory and quotas that they use. To admit a new request, the store evicts outcomes
+ * of requests that may be executed again, the earliest first; other outcomes stay until they expire.
  */
 final class RequestStore {
     private final IdempotencyLimits limits;
     private final Map<IdempotencyKey, RequestRecord> requests = new HashMap<>();
-    /** Apart from requests: a body may be uploaded again for a request that is known. */
+    /** Separate from {@link #requests}, because a body may be uploaded again for a known request. */
     private final Map<IdempotencyKey, RequestRecord> uploads = new HashMap<>();
     private final Map<String, DeviceAccount> devices = new LinkedHashMap<>();
-    /** Completed requests of all devices that may repeat, in the order of completion. */
+    /** Completed requests of all devices that may be executed again, in the order of completion. */
     private final Set<RequestRecord> evictable = new LinkedHashSet<>();
     private int open;
     private long reservedBytes;
@@ -28,22 +28,22 @@
         this.limits = limits;
     }
 
-    /** The request of this key, running or completed, or null. */
+    /** Returns the running or completed request with this key, or null. */
     RequestRecord request(IdempotencyKey key) {
         return requests.get(key);
     }
 
-    /** The upload of this key, or null. */
+    /** Returns the upload with this key, or null. */
     RequestRecord upload(IdempotencyKey key) {
         return uploads.get(key);
     }
 
-    /** Whether this very record is still in the store. */
+    /** Returns whether this very record is still in the store. */
     boolean contains(RequestRecord request) {
         return requests.get(request.key) == request || uploads.get(request.key) == request;
     }
 
-    /** The account of a key's device, opened if need be. */
+    /** Returns the account of a key's device, which is created if absent. */
     DeviceAccount account(IdempotencyKey key, long now) {
         DeviceAccount account = devices.get(key.device());
         if (account == null) {
@@ -53,7 +53,7 @@
         return account;
     }
 
-    /** Why a request that needs so many bytes can't be admitted; empty once there is capacity for it. */
+    /** Makes room for a request of this many bytes; returns why it can't be admitted, or empty if it can. */
     Optional<RejectionReason> admit(DeviceAccount account, long bytes) {
         if (account.open >= limits.maxOpenPerDevice()) {
             return Optional.of(RejectionReason.DEVICE_QUOTA_EXCEEDED);
@@ -77,7 +77,7 @@
         return Optional.empty();
     }
 
-    /** Adds a request or upload that was admitted, with the bytes it needs. */
+    /** Adds an admitted request or upload and reserves its bytes. */
     void add(RequestRecord request, long bytes) {
         tableOf(request).put(request.key, request);
         DeviceAccount account = devices.get(request.key.device());
@@ -86,7 +86,7 @@
         reserve(request, account, bytes);
     }
 
-    /** Removes a request or upload and all it uses. */
+    /** Removes a request or upload and releases what it uses. */
     void remove(RequestRecord request) {
         DeviceAccount account = devices.get(request.key.device());
         tableOf(request).remove(request.key);
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Stores the outcome of a running request; it may be evicted at once where it does not fit. */
+    /** Stores the outcome of a running request; an outcome that does not fit may be evicted at once. */
     void complete(RequestRecord request, StoredOutcome outcome, long now) {
         DeviceAccount account = devices.get(request.key.device());
         request.state = RequestState.COMPLETED;
@@ -119,7 +119,10 @@
         }
     }
 
-    /** Evicts until the limits hold again, or the request just completed is evicted: its waiters still get it. */
+    /**
+     * Evicts outcomes until the limits are met or the request that has just completed is evicted; its waiting devices
+     * still get the outcome.
+     */
     private void evictExcess(RequestRecord completed, DeviceAccount account) {
         boolean retained = true;
         while (retained && (reservedBytes > limits.maxRetainedBytes()
@@ -131,12 +134,12 @@
         }
     }
 
-    /** Forgets devices that use nothing. */
-    void forgetIdleDevices(long now) {
+    /** Removes the accounts of idle devices. */
+    void removeIdleDevices(long now) {
         devices.values().removeIf(account -> account.isIdle(limits, now));
     }
 
-    /** How much is in use. */
+    /** Returns the current resource usage. */
     IdempotentRequests.Usage usage() {
         int retained = requests.size() + uploads.size() - open;
         return new IdempotentRequests.Usage(open, retained, reservedBytes, devices.size());
--- a/src/main/java/wallmoor/idempotency/RetryScheduler.java
+++ b/src/main/java/wallmoor/idempotency/RetryScheduler.java
@@ -1,8 +1,8 @@
 package wallmoor.idempotency;
 
 /**
- * Spreads the retries of rejected devices: each gets the next slot of a queue that is served at a steady rate, so that
- * devices rejected within one second, as after an outage, return over many.
+ * Spreads the retries of rejected devices. Each device gets the next slot of a queue that is served at a constant rate,
+ * so that devices that were rejected within one second, as after an outage, retry over many seconds.
  */
 final class RetryScheduler {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -14,12 +14,12 @@
         this.limits = limits;
     }
 
-    /** Microseconds after which the next rejected device should retry. */
+    /** Returns the time after which the next rejected device should retry (microseconds). */
     long nextRetryAfter(long now) {
         long earliest = now + limits.minRetryAfter();
         long latest = now + limits.maxRetryAfter();
         nextSlot = Math.max(earliest, nextSlot + (long) (MICROS_PER_SECOND / limits.retryRate()));
-        if (nextSlot > latest) { // the queue is full: slots are given out again from the start, still spread evenly
+        if (nextSlot > latest) { // the queue is full: slots are assigned again from the start, still evenly spread
             nextSlot = earliest;
         }
         return nextSlot - now;
--- a/src/main/java/wallmoor/idempotency/StoredOutcome.java
+++ b/src/main/java/wallmoor/idempotency/StoredOutcome.java
@@ -1,22 +1,23 @@
 package wallmoor.idempotency;
 
 /**
- * The outcome of a request, stored for replay. Every device that asks gets the same bytes.
+ * The outcome of a request, stored for replay. Every device that requests it gets the same bytes.
  *
- * @param retryAfter microseconds after which to retry under a new key, or 0
+ * @param retryAfter the time after which to retry under a new key (microseconds), or 0
+ * @param bytes      the encoded outcome
  */
 public record StoredOutcome(OutcomeKind kind, long retryAfter, byte[] bytes) {
-    /** What a device may conclude. */
+    /** The kind of an outcome, as reported to devices. */
     public enum OutcomeKind {
-        /** Answered from all the parts that a complete answer needs. */
+        /** The request was answered from all parts that a complete answer requires. */
         COMPLETE,
-        /** Answered, and the answer says what it lacks. */
+        /** The request was answered partially; the answer states what is missing. */
         PARTIAL,
-        /** Rejected; it was never executed. */
+        /** The request was rejected and never executed. */
         REJECTED,
-        /** Failed; it was never executed. */
+        /** The request failed and was never executed. */
         FAILED_NEVER_RAN,
-        /** Failed; it may have been executed. */
+        /** The request failed and may have been executed. */
         FAILED_MAY_HAVE_RUN
     }
 }
--- a/src/main/java/wallmoor/idempotency/UploadBuffer.java
+++ b/src/main/java/wallmoor/idempotency/UploadBuffer.java
@@ -7,7 +7,7 @@
     private final byte[] bytes;
     private int received;
 
-    /** An empty buffer for a body of at most {@code capacity} bytes. */
+    /** Creates an empty buffer for a body of at most {@code capacity} bytes. */
     UploadBuffer(int capacity) {
         bytes = new byte[capacity];
     }
@@ -16,16 +16,16 @@
         return bytes.length;
     }
 
-    /** Bytes received without a gap: the offset at which the next chunk is expected. */
+    /** Returns the number of bytes received without a gap, which is the offset of the next expected chunk. */
     int received() {
         return received;
     }
 
     /**
-     * Takes a chunk that starts at {@code offset}. What was received before is skipped; if it differs, the body is
-     * another one under the same key, and the buffer starts anew so that the two are never mixed.
+     * Appends a chunk that starts at {@code offset}. Bytes that were received before are skipped. If they differ, the
+     * chunk belongs to another body under the same key, and the buffer is reset so that the two are never mixed.
      *
-     * @return whether the chunk was taken; otherwise the sender has to go on from {@link #received}
+     * @return whether the chunk was accepted; otherwise the sender must continue from {@link #received}
      */
     boolean append(int offset, byte[] chunk) {
         if (offset > received || offset + chunk.length > bytes.length) {
@@ -38,15 +38,15 @@
                 return false;
             }
         }
-        int fresh = offset + chunk.length - received;
-        if (fresh > 0) {
-            System.arraycopy(chunk, chunk.length - fresh, bytes, received, fresh);
-            received += fresh;
+        int newBytes = offset + chunk.length - received;
+        if (newBytes > 0) {
+            System.arraycopy(chunk, chunk.length - newBytes, bytes, received, newBytes);
+            received += newBytes;
         }
         return true;
     }
 
-    /** The bytes received so far. */
+    /** Returns a copy of the bytes received so far. */
     byte[] toByteArray() {
         return Arrays.copyOf(bytes, received);
     }
--- a/src/main/java/wallmoor/idempotency/package-info.java
+++ b/src/main/java/wallmoor/idempotency/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Idempotent requests of devices: deduplication by idempotency key, stored outcomes, quotas and retention. Decides
- * only: no I/O, no clock, no threads. The rules stand in docs/exchange.md.
+ * Idempotent requests of devices: deduplication by idempotency key, stored outcomes, quotas and retention. Pure logic
+ * without I/O, a clock or threads. docs/exchange.md describes the rules.
  */
 package wallmoor.idempotency;
--- a/src/test/java/wallmoor/core/GathererPropertiesTest.java
+++ b/src/test/java/wallmoor/core/GathererPropertiesTest.java
@@ -140,7 +140,8 @@
         private void take(Step step) {
             if (step instanceof Step.Send send) {
                 for (Attempt attempt : send.attempts()) {
-                    assertEquals(SendPermission.GRANTED, attempt.checkPermission(clock.get(), attempt.worker().address()));
+                    assertEquals(SendPermission.GRANTED,
+                            attempt.checkPermission(clock.get(), attempt.worker().address()));
                     assertTrue("a duplicate attempt of a part", partsInFlight.add(attempt.partId()));
                     inFlight.add(attempt);
                 }
--- a/src/test/java/wallmoor/idempotency/IdempotentRequestsPropertiesTest.java
+++ b/src/test/java/wallmoor/idempotency/IdempotentRequestsPropertiesTest.java
@@ -15,120 +15,127 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What holds over any interleaving of askings, lost links, ends, time and restarts. */
+/** Invariants in any order of submissions, disconnects, completions, expiry and restarts. */
 class IdempotentRequestsPropertiesTest {
-    private static final long SECOND = IdempotentRequestsTest.SECOND;
-    private static final IdempotencyLimits RULES = new IdempotencyLimits(5 * SECOND, 60 * SECOND, 300 * SECOND, SECOND,
-            20 * SECOND, 3, 6, 5,
-            12 * 1024, 6 * 1024, 1024, 50, 200, 10, SECOND, 30 * SECOND);
+    private static final long SECOND_MICROS = IdempotentRequestsTest.SECOND_MICROS;
+    private static final IdempotencyLimits LIMITS = new IdempotencyLimits(5 * SECOND_MICROS, 60 * SECOND_MICROS,
+            300 * SECOND_MICROS, SECOND_MICROS, 20 * SECOND_MICROS, 3, 6, 5, 12 * 1024, 6 * 1024, 1024, 50, 200, 10,
+            SECOND_MICROS, 30 * SECOND_MICROS);
 
-    private record Happening(int kind, int query, int size, int after) {}
+    /** A random event on one request; {@code delaySeconds} passes after it. */
+    private record Event(int kind, int request, int bytes, int delaySeconds) {}
 
-    /** Ten queries of three devices; the even ones may not repeat. */
-    private static final class World {
-        IdempotentRequests requests = new IdempotentRequests(RULES, IdempotentRequestsTest.START);
-        long now = IdempotentRequestsTest.START + 5 * SECOND;
+    /** Ten requests of three devices; those with an even index may not repeat. */
+    private static final class Model {
+        IdempotentRequests requests = new IdempotentRequests(LIMITS, IdempotentRequestsTest.START_MICROS);
+        long now = IdempotentRequestsTest.START_MICROS + 5 * SECOND_MICROS;
         final IdempotencyKey[] keys = new IdempotencyKey[10];
-        final int[] runs = new int[10];
-        final long[] madeAt = new long[10];
-        final Map<Integer, RequestRecord> out = new HashMap<>();
-        final Map<Integer, Integer> waiting = new HashMap<>();
-        final Map<Integer, StoredOutcome> ended = new HashMap<>();
+        final int[] executions = new int[10];
+        final long[] createdAt = new long[10];
+        final Map<Integer, RequestRecord> running = new HashMap<>();
+        final Map<Integer, Integer> waiters = new HashMap<>();
+        final Map<Integer, StoredOutcome> outcomes = new HashMap<>();
 
-        void happen(Happening h) {
-            int i = h.query;
-            boolean mayRepeat = i % 2 == 1;
-            if (keys[i] == null) {
-                madeAt[i] = now;
-                keys[i] = new IdempotencyKey("d" + i % 3, IdempotentRequestsTest.id(now, i));
+        void apply(Event event) {
+            int index = event.request;
+            boolean mayRepeat = index % 2 == 1;
+            if (keys[index] == null) {
+                createdAt[index] = now;
+                keys[index] = new IdempotencyKey("d" + index % 3, IdempotentRequestsTest.id(now, index));
             }
-            switch (h.kind) {
+            switch (event.kind) {
                 case 0, 1, 2, 3 -> {
-                    RequestDecision d = requests.submit(now, keys[i], new BodyDigest(i, 0, 0), mayRepeat);
-                    if (d instanceof RequestDecision.Execute run) {
-                        runs[i]++;
-                        assertTrue(mayRepeat || runs[i] == 1, "run twice");
-                        assertTrue(!out.containsKey(i), "a second copy out");
-                        out.put(i, run.request());
-                        waiting.put(i, 1);
-                    } else if (d instanceof RequestDecision.Attach a) {
-                        assertSame(out.get(i), a.request());
-                        waiting.merge(i, 1, Integer::sum);
-                    } else if (d instanceof RequestDecision.Replay r) {
-                        assertSame(ended.get(i), r.outcome(), "not the outcome it had");
+                    RequestDecision decision = requests.submit(now, keys[index], new BodyDigest(index, 0, 0),
+                            mayRepeat);
+                    if (decision instanceof RequestDecision.Execute run) {
+                        executions[index]++;
+                        assertTrue(mayRepeat || executions[index] == 1, "executed twice");
+                        assertTrue(!running.containsKey(index), "executed while it is running");
+                        running.put(index, run.request());
+                        waiters.put(index, 1);
+                    } else if (decision instanceof RequestDecision.Attach attach) {
+                        assertSame(running.get(index), attach.request());
+                        waiters.merge(index, 1, Integer::sum);
+                    } else if (decision instanceof RequestDecision.Replay replay) {
+                        assertSame(outcomes.get(index), replay.outcome(), "not the outcome of its completion");
                     }
-                    kept(i, mayRepeat, d);
+                    assertOutcomeRetained(index, mayRepeat, decision);
                 }
                 case 4 -> {
-                    if (out.containsKey(i) && waiting.get(i) > 0) {
-                        waiting.merge(i, -1, Integer::sum);
-                        requests.waiterLeft(now, out.get(i));
+                    if (running.containsKey(index) && waiters.get(index) > 0) {
+                        waiters.merge(index, -1, Integer::sum);
+                        requests.waiterLeft(now, running.get(index));
                     }
                 }
                 case 5, 6 -> {
-                    if (out.containsKey(i)) {
-                        var outcome = new StoredOutcome(StoredOutcome.OutcomeKind.COMPLETE, 0, new byte[h.size]);
-                        ended.put(i, requests.completed(now, out.remove(i), outcome));
+                    if (running.containsKey(index)) {
+                        var outcome = new StoredOutcome(StoredOutcome.OutcomeKind.COMPLETE, 0, new byte[event.bytes]);
+                        outcomes.put(index, requests.completed(now, running.remove(index), outcome));
                     }
                 }
                 case 7 -> {
-                    if (out.containsKey(i)) {
-                        RequestDecision d = requests.submit(now, keys[i], new BodyDigest(i, 1, 0), mayRepeat);
-                        assertTrue(d instanceof RequestDecision.Conflict || d instanceof RequestDecision.Reject,
-                                "another body: " + d);
+                    if (running.containsKey(index)) {
+                        RequestDecision decision = requests.submit(now, keys[index], new BodyDigest(index, 1, 0),
+                                mayRepeat);
+                        assertTrue(
+                                decision instanceof RequestDecision.Conflict
+                                        || decision instanceof RequestDecision.Reject,
+                                "another body: " + decision);
                     }
                 }
-                case 8 -> requests.uploadChunk(now, new IdempotencyKey("d" + i % 3, "up" + i), 0, new byte[h.size],
-                        1024, false);
+                case 8 -> requests.uploadChunk(now, new IdempotencyKey("d" + index % 3, "up" + index), 0,
+                        new byte[event.bytes], 1024, false);
                 default -> {
-                    if (h.size > 1000) { // a restart: all that was known is lost, what was out may have run
-                        requests = new IdempotentRequests(RULES, now);
-                        out.clear();
-                        ended.clear();
+                    if (event.bytes > 1000) { // a restart: all state is lost, running requests may have run
+                        requests = new IdempotentRequests(LIMITS, now);
+                        running.clear();
+                        outcomes.clear();
                     }
                 }
             }
-            now += h.after * SECOND;
-            for (RequestRecord e : requests.expire(now)) {
-                int q = out.entrySet().stream().filter(x -> x.getValue() == e).findFirst().orElseThrow().getKey();
-                assertTrue(q % 2 == 1 && waiting.get(q) == 0, "cancelled though it may not repeat, or is waited for");
-                out.remove(q);
-                requests.cancelled(now, e);
+            now += event.delaySeconds * SECOND_MICROS;
+            for (RequestRecord request : requests.expire(now)) {
+                int expiredIndex = running.entrySet().stream().filter(x -> x.getValue() == request).findFirst()
+                        .orElseThrow().getKey();
+                assertTrue(expiredIndex % 2 == 1 && waiters.get(expiredIndex) == 0,
+                        "cancelled though it may not repeat or a device waits");
+                running.remove(expiredIndex);
+                requests.cancelled(now, request);
             }
-            IdempotentRequests.Usage held = requests.usage();
-            assertTrue(held.bytes() <= RULES.maxRetainedBytes() && held.open() <= RULES.maxOpen(), "" + held);
+            IdempotentRequests.Usage usage = requests.usage();
+            assertTrue(usage.bytes() <= LIMITS.maxRetainedBytes() && usage.open() <= LIMITS.maxOpen(), "" + usage);
         }
 
-        /** What may not repeat keeps its outcome for its window: it is replayed, and refused at most for hammering. */
-        private void kept(int i, boolean mayRepeat, RequestDecision d) {
-            if (!mayRepeat && ended.containsKey(i) && now < madeAt[i] + RULES.deduplicationWindow()) {
-                assertTrue(d instanceof RequestDecision.Replay || (d instanceof RequestDecision.Reject r
+        /** Asserts that the outcome of a non-repeatable request is replayed during its window, if not rate-limited. */
+        private void assertOutcomeRetained(int index, boolean mayRepeat, RequestDecision decision) {
+            if (!mayRepeat && outcomes.containsKey(index) && now < createdAt[index] + LIMITS.deduplicationWindow()) {
+                assertTrue(decision instanceof RequestDecision.Replay || (decision instanceof RequestDecision.Reject r
                         && r.reason() == RequestDecision.RejectionReason.RATE_LIMITED),
-                        "outcome lost before its window: " + d);
+                        "outcome lost before its window ended: " + decision);
             }
         }
     }
 
     @Provide
-    Arbitrary<List<Happening>> happenings() {
+    Arbitrary<List<Event>> events() {
         return Combinators.combine(Arbitraries.integers().between(0, 9), Arbitraries.integers().between(0, 9),
-                Arbitraries.integers().between(0, 1024), Arbitraries.of(0, 0, 0, 0, 1, 2, 6, 70)).as(Happening::new)
+                Arbitraries.integers().between(0, 1024), Arbitraries.of(0, 0, 0, 0, 1, 2, 6, 70)).as(Event::new)
                 .list().ofMinSize(5).ofMaxSize(60);
     }
 
     @Property(tries = 3000)
-    void whatMayNotRepeatRunsOnceAndItsOutcomeIsKept(@ForAll("happenings") List<Happening> all) {
-        var world = new World();
-        all.forEach(world::happen);
+    void executesNonRepeatableRequestOnceAndRetainsItsOutcome(@ForAll("events") List<Event> all) {
+        var model = new Model();
+        all.forEach(model::apply);
     }
 
     @Property(tries = 300)
-    void nothingIsHeldOfWhatIsOver(@ForAll("happenings") List<Happening> all) {
-        var world = new World();
-        all.forEach(world::happen);
-        new ArrayList<>(world.out.values()).forEach(e -> world.requests.completed(world.now, e,
+    void retainsNothingAfterAllRequestsExpired(@ForAll("events") List<Event> all) {
+        var model = new Model();
+        all.forEach(model::apply);
+        new ArrayList<>(model.running.values()).forEach(e -> model.requests.completed(model.now, e,
                 new StoredOutcome(StoredOutcome.OutcomeKind.COMPLETE, 0, new byte[1])));
-        world.requests.expire(world.now + 1000 * SECOND);
-        assertEquals(new IdempotentRequests.Usage(0, 0, 0, 0), world.requests.usage());
+        model.requests.expire(model.now + 1000 * SECOND_MICROS);
+        assertEquals(new IdempotentRequests.Usage(0, 0, 0, 0), model.requests.usage());
     }
 }
