--- a/src/main/java/wallmoor/core/Gatherer.java
+++ b/src/main/java/wallmoor/core/Gatherer.java
@@ -148,9 +148,9 @@
     /** Waits until the query may have a step; fails the query if the policy has not ended it by its deadline. */
     @SuppressWarnings("WaitNotInLoop") // the caller checks the condition again in a loop
     private void awaitChange(Query query) throws InterruptedException {
-        long left = query.deadline + OVERDUE_MICROS - now();
-        if (left > 0) {
-            query.stepAvailable.await(left, TimeUnit.MICROSECONDS);
+        long remaining = query.deadline + OVERDUE_MICROS - now();
+        if (remaining > 0) {
+            query.stepAvailable.await(remaining, TimeUnit.MICROSECONDS);
             return;
         }
         log.info("query overdue, failing it: query={}", query.id);
