--- a/src/main/java/wallmoor/core/WorkerTransport.java
+++ b/src/main/java/wallmoor/core/WorkerTransport.java
@@ -5,6 +5,6 @@
     /** Starts the attempts of one call; the end of each is reported later, once. */
     void send(Step.Send send);
 
-    /** Cancels an attempt, whose end is reported only when it is no longer in flight, so that none runs twice. */
+    /** Cancels an attempt; its end is reported once it is no longer in flight, so that no duplicate ever is. */
     void cancel(Step.Cancel cancel);
 }
