--- a/src/main/java/wallmoor/peers/FailureDetector.java
+++ b/src/main/java/wallmoor/peers/FailureDetector.java
@@ -178,8 +178,8 @@
         // A subject that did not answer the last probe probably does not receive this one either. Queued updates would
         // then count as transmitted without having arrived, so it gets only updates about itself.
         boolean isAnswering = subject.pendingProbe == NO_PROBE;
-        subject.nextProbeAt = now
-                + (long) (parameters.probeInterval() * (MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * random.nextDouble()));
+        subject.nextProbeAt = now + (long) (parameters.probeInterval()
+                * (MIN_INTERVAL_FACTOR + INTERVAL_FACTOR_RANGE * random.nextDouble()));
         subject.probedAt = now;
         subject.isProbedIndirectly = false;
         subject.pendingProbe = self.nextSequence();
--- a/src/main/java/wallmoor/peers/GroupMembership.java
+++ b/src/main/java/wallmoor/peers/GroupMembership.java
@@ -60,7 +60,8 @@
         publisher = new ViewPublisher(parameters, table, quorum, output);
         refutation = new Refutation(parameters, self, table, dissemination, publisher);
         updates = new UpdateProcessor(self, table, refutation, dissemination, publisher);
-        failureDetector = new FailureDetector(parameters, table, self, health, peers, dissemination, updates, sender, random);
+        failureDetector = new FailureDetector(parameters, table, self, health, peers, dissemination, updates, sender,
+                random);
         List<String> otherSeeds = seeds.stream().filter(s -> !s.equals(address)).toList();
         antiEntropy = new AntiEntropy(parameters, table, otherSeeds, peers, dissemination, sender, quorum, random);
         cutDetector = new CutDetector(parameters, table, self, quorum, updates, publisher);
@@ -183,7 +184,7 @@
 
     /** Returns the counts since the start. */
     public MembershipCounts counts() {
-        return new MembershipCounts(failureDetector.probes(), failureDetector.unansweredProbes(), failureDetector.suspicions(),
-                refutation.refutations(), cutDetector.removals(), staleMessages);
+        return new MembershipCounts(failureDetector.probes(), failureDetector.unansweredProbes(),
+                failureDetector.suspicions(), refutation.refutations(), cutDetector.removals(), staleMessages);
     }
 }
--- a/src/main/java/wallmoor/peers/MembershipTable.java
+++ b/src/main/java/wallmoor/peers/MembershipTable.java
@@ -41,7 +41,7 @@
             presentCount--;
             rings.remove(entry.name());
         }
-        reachability.entryChanged(entry, ringsChanged);
+        reachability.onEntryChanged(entry, ringsChanged);
     }
 
     /** Returns the entry of this name, or null. */
--- a/src/main/java/wallmoor/peers/Reachability.java
+++ b/src/main/java/wallmoor/peers/Reachability.java
@@ -39,7 +39,7 @@
      *
      * @param ringsChanged whether the change added the member to the rings or removed it from them
      */
-    void entryChanged(MemberEntry entry, boolean ringsChanged) {
+    void onEntryChanged(MemberEntry entry, boolean ringsChanged) {
         if (ringsChanged) {
             ringVersion++;
         }
--- a/src/test/java/wallmoor/peers/DeafMembersTest.java
+++ b/src/test/java/wallmoor/peers/DeafMembersTest.java
@@ -142,7 +142,8 @@
                 group.run(MICROS_PER_SECOND / 10);
                 boolean isOverlapping = (hasRemovedOtherSide(group, count, firstSide, true)
                         && hasQuorum(group, count, firstSide, false))
-                        || (hasRemovedOtherSide(group, count, firstSide, false) && hasQuorum(group, count, firstSide, true));
+                        || (hasRemovedOtherSide(group, count, firstSide, false)
+                                && hasQuorum(group, count, firstSide, true));
                 assertTrue(!isOverlapping || tick < 100,
                         run + ": " + count + " " + firstSide + " deaf " + deaf + " at " + tick);
                 hasOverlap |= isOverlapping;
--- a/src/test/java/wallmoor/peers/GroupMembershipPropertiesTest.java
+++ b/src/test/java/wallmoor/peers/GroupMembershipPropertiesTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.IntRange;
 import wallmoor.simulation.GroupSimulation;
 
-/** The membership protocol in the simulation: random faults, exhaustive smallerSide partitions and determinism. */
+/** The membership protocol in the simulation: random faults, exhaustive small partitions and determinism. */
 class GroupMembershipPropertiesTest {
     private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -65,8 +65,9 @@
                 down[i] = false;
             }
         }
-        assertTrue(group.runUntilConverged(90 * MICROS_PER_SECOND) >= 0, () -> IntStream.range(0, count).filter(n -> !down[n])
-                .mapToObj(n -> "\n" + n + " " + group.view(n)).toList().toString());
+        assertTrue(group.runUntilConverged(90 * MICROS_PER_SECOND) >= 0,
+                () -> IntStream.range(0, count).filter(n -> !down[n])
+                        .mapToObj(n -> "\n" + n + " " + group.view(n)).toList().toString());
     }
 
     /** All partitions of three to five members into two sides, each without and with one member killed. */
@@ -99,8 +100,8 @@
     }
 
     /**
-     * A cutOffCount members cut off from a large group suspect only their own subjects. The members of which they
-     * receive no reports must not count as reachable, or the cutOffCount would assume a quorum.
+     * A few members cut off from a large group suspect only their own subjects. The members of which they receive no
+     * reports must not count as reachable, or the few would assume a quorum.
      */
     @Example
     void deniesQuorumToFewMembersCutOffFromLargeGroup() {
@@ -109,7 +110,8 @@
             group.setLink((from, to, now, r) -> from < cutOffCount != to < cutOffCount ? -1 : 2_000);
             group.run(20 * MICROS_PER_SECOND);
             for (int i = 0; i < 60; i++) {
-                assertEquals(i >= cutOffCount, group.view(i).hasQuorum(), cutOffCount + ": m" + i + " " + group.view(i).reachable());
+                assertEquals(i >= cutOffCount, group.view(i).hasQuorum(),
+                        cutOffCount + ": m" + i + " " + group.view(i).reachable());
             }
         }
     }
@@ -132,8 +134,8 @@
             double loss = draw == 0 ? 0 : 0.1;
             GroupSimulation group = started(count, draw);
             group.run(random.nextInt(20) * MICROS_PER_SECOND / 2);
-            group.setLink((from, to, now, r) -> smallerSide.contains(from) != smallerSide.contains(to) || r.nextDouble() < loss ? -1
-                    : GroupSimulation.RELIABLE.delay(from, to, now, r));
+            group.setLink((from, to, now, r) -> smallerSide.contains(from) != smallerSide.contains(to)
+                    || r.nextDouble() < loss ? -1 : GroupSimulation.RELIABLE.delay(from, to, now, r));
             group.run(9 * MICROS_PER_SECOND / 2);
             for (int tick = 0; tick < 45; tick++) {
                 String state = draw + ": " + smallerSide + " of " + count + " at " + tick;
--- a/src/test/java/wallmoor/peers/GroupMembershipTest.java
+++ b/src/test/java/wallmoor/peers/GroupMembershipTest.java
@@ -81,12 +81,15 @@
         receive(MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 1, null, new Suspicion("self", BOOT_ID, "other", 9, true));
         assertEquals(BOOT_ID + 1, sent.get(0).message().sender().incarnation());
         assertEquals(1, member.counts().refutations());
-        receive(5 * MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 2, null, new Suspicion("self", BOOT_ID + 1, "other", 10, true));
+        receive(5 * MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 2, null,
+                new Suspicion("self", BOOT_ID + 1, "other", 10, true));
         assertEquals(BOOT_ID + 1, sent.get(0).message().sender().incarnation(),
                 "less than four and a half intervals after the last refutation");
-        receive(6 * MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 3, null, new Suspicion("self", BOOT_ID, "other", 11, true));
+        receive(6 * MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 3, null,
+                new Suspicion("self", BOOT_ID, "other", 11, true));
         assertEquals(BOOT_ID + 1, sent.get(0).message().sender().incarnation(), "suspicion of an earlier incarnation");
-        receive(6 * MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 4, null, new Suspicion("self", BOOT_ID + 1, "other", 12, true));
+        receive(6 * MICROS_PER_SECOND, MessageKind.PROBE, OTHER, 4, null,
+                new Suspicion("self", BOOT_ID + 1, "other", 12, true));
         assertEquals(BOOT_ID + 2, sent.get(0).message().sender().incarnation());
         assertEquals(2, member.counts().refutations());
     }
--- a/src/test/java/wallmoor/peers/LiveMemberCountTest.java
+++ b/src/test/java/wallmoor/peers/LiveMemberCountTest.java
@@ -57,8 +57,8 @@
      */
     @Property(tries = 200, seed = "8")
     void sharesNeverExceedQuota(@ForAll @Size(max = 12) List<@IntRange(min = 1, max = 31) Integer> views) {
-        var counts = IntStream.range(0, 5).mapToObj(i -> new LiveMemberCount("m" + i, new GroupPosition(5, i), STABLE_MICROS))
-                .toList();
+        var counts = IntStream.range(0, 5)
+                .mapToObj(i -> new LiveMemberCount("m" + i, new GroupPosition(5, i), STABLE_MICROS)).toList();
         long now = 0;
         for (int presentMask : views) {
             now += 1 + presentMask % 12;
--- a/src/test/java/wallmoor/peers/LocalHealthTest.java
+++ b/src/test/java/wallmoor/peers/LocalHealthTest.java
@@ -39,7 +39,8 @@
         assertEquals(4 * MICROS_PER_SECOND, health.onTick(4 * MICROS_PER_SECOND), "the gap between two ticks");
         health.onPauseEnded(4 * MICROS_PER_SECOND, 4 * MICROS_PER_SECOND);
         assertTrue(health.isRecovering(11 * MICROS_PER_SECOND - 1));
-        assertFalse(health.isRecovering(11 * MICROS_PER_SECOND), "four seconds of pause, and three of the suspicion timeout");
+        assertFalse(health.isRecovering(11 * MICROS_PER_SECOND),
+                "four seconds of pause, and three of the suspicion timeout");
         health.onPauseEnded(100 * MICROS_PER_SECOND, 90 * MICROS_PER_SECOND);
         assertTrue(health.isRecovering(113 * MICROS_PER_SECOND - 1));
         assertFalse(health.isRecovering(113 * MICROS_PER_SECOND));
--- a/src/test/java/wallmoor/peers/udp/GoldenMessagesTest.java
+++ b/src/test/java/wallmoor/peers/udp/GoldenMessagesTest.java
@@ -47,8 +47,8 @@
             "gatherer-1", BOOT_ID + 40, true);
     private static final MembershipUpdate.Suspicion SECOND_SUSPICION = new MembershipUpdate.Suspicion("gatherer-2",
             BOOT_ID + 9, "gatherer-4", 24, true);
-    private static final MembershipUpdate.Suspicion WITHDRAWN_SUSPICION = new MembershipUpdate.Suspicion("gatherer-5", 255,
-            "gatherer-1", 256, false);
+    private static final MembershipUpdate.Suspicion WITHDRAWN_SUSPICION = new MembershipUpdate.Suspicion("gatherer-5",
+            255, "gatherer-1", 256, false);
 
     /** Returns the recorded messages by file name. */
     private static Map<String, GroupMessage> messages() {
--- a/src/test/java/wallmoor/peers/udp/TableTransferTest.java
+++ b/src/test/java/wallmoor/peers/udp/TableTransferTest.java
@@ -29,8 +29,8 @@
             updates.add(new MembershipUpdate.Suspicion("gatherer-" + i, i, "gatherer-1", i, true));
             updates.add(new MembershipUpdate.Suspicion("gatherer-" + i, i, "gatherer-2", i, false));
         });
-        var table = new GroupMessage(GroupMessage.MessageKind.UPDATES, (MembershipUpdate.Announcement) updates.get(0), 0,
-                null, 5, List.of(1L, -2L), updates);
+        var table = new GroupMessage(GroupMessage.MessageKind.UPDATES, (MembershipUpdate.Announcement) updates.get(0),
+                0, null, 5, List.of(1L, -2L), updates);
         byte[] bytes = new GroupMessageCodec("khi").encode(table);
         BlockingQueue<byte[]> received = new LinkedBlockingQueue<>();
         InetSocketAddress address = Ports.freeAddress();
