--- a/src/test/java/wallmoor/decision/RedundancyPlannerTest.java
+++ b/src/test/java/wallmoor/decision/RedundancyPlannerTest.java
@@ -55,13 +55,13 @@
             harness.now += 100 * MS;
             for (int index = 0; index < 6; index++) {
                 assertTrue(harness.actions("answer").isEmpty());
-                harness.endAttempt(attempts.get(index).split(" ")[1], 0, attempts.get(index).split(" ")[2], 
+                harness.endAttempt(attempts.get(index).split(" ")[1], 0, attempts.get(index).split(" ")[2],
                         AttemptEndReason.OK, 100 * MS);
             }
             assertEquals(List.of("answer " + queryId + " true"), harness.actions("answer"));
             assertEquals(sentCount - 6, harness.actions("cancelAttempt").size());
             for (int index = 6; index < sentCount; index++) {
-                harness.endAttempt(attempts.get(index).split(" ")[1], 0, attempts.get(index).split(" ")[2], 
+                harness.endAttempt(attempts.get(index).split(" ")[1], 0, attempts.get(index).split(" ")[2],
                         AttemptEndReason.CANCELLED, 100 * MS);
             }
         }
--- a/src/test/java/wallmoor/decision/SlowStartSimulation.java
+++ b/src/test/java/wallmoor/decision/SlowStartSimulation.java
@@ -237,8 +237,8 @@
                 }
                 int notified = 0;
                 for (int i = firstIndex; i <= lastIndex; i++) {
-                    notified += notifiedAt.getOrDefault(arrivals.get(i).gatherer, Long.MAX_VALUE)
-                            <= arrivals.get(i).at ? 1 : 0;
+                    notified += notifiedAt.getOrDefault(arrivals.get(i).gatherer, Long.MAX_VALUE) <= arrivals.get(i).at
+                            ? 1 : 0;
                 }
                 int total = lastIndex - firstIndex + 1;
                 if (notified > MIN_NOTIFIED_SHARE * total) {
