--- a/src/bench/java/wallmoor/summaries/FilterWays.java
+++ b/src/bench/java/wallmoor/summaries/FilterWays.java
@@ -29,7 +29,7 @@
                 int wrong = 0;
                 long begun = System.nanoTime();
                 for (int i = 0; i < ABSENT; i++) {
-                    wrong += own.may(KeyNormalizer.hash("no-" + i)) ? 1 : 0;
+                    wrong += own.mightContain(KeyNormalizer.hash("no-" + i)) ? 1 : 0;
                 }
                 long took = System.nanoTime() - begun;
                 int its = 0;
--- a/src/bench/java/wallmoor/summaries/MillionQueries.java
+++ b/src/bench/java/wallmoor/summaries/MillionQueries.java
@@ -29,20 +29,20 @@
     private MillionQueries(int count, long seed) {
         random = new Random(seed);
         deleted = new int[count];
-        known = new SummaryCache(SummaryLimits.usual(), SummaryCache.CacheLimits.usual(), 0, e -> {
+        known = new SummaryCache(SummaryLimits.defaults(), SummaryCache.CacheLimits.defaults(), 0, e -> {
             throw new IllegalStateException(e.text());
         });
         for (int i = 0; i < count; i++) {
             var site = new Site("site-" + i, "b" + i);
             sites.add(site);
             var own = new ArrayList<Row>();
-            var draft = new SummaryBuilder(SummaryLimits.usual(), site.name(), site.block(), 1);
+            var draft = new SummaryBuilder(SummaryLimits.defaults(), site.name(), site.block(), 1);
             for (int r = 0; r < ROWS; r++) {
                 own.add(Rentals.row(random, i));
                 draft.add(own.get(r));
             }
             rows.add(own);
-            keepers.add(new SummaryMaintainer(SummaryLimits.usual(), site, 1, draft, now, LIFETIME, true));
+            keepers.add(new SummaryMaintainer(SummaryLimits.defaults(), site, 1, draft, now, LIFETIME, true));
             ask(i);
         }
     }
@@ -130,7 +130,7 @@
 
     /** By the rows as they are: texts and numbers as they stand, boxes on the plane with the wrap. */
     private static boolean matches(Row row, Conditions c, double w, double e, double s, double n) {
-        if (c.time() != null && !row.time().meets(c.time())) {
+        if (c.time() != null && !row.time().overlaps(c.time())) {
             return false;
         }
         double lon = row.place().lon();
--- a/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
+++ b/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
@@ -39,10 +39,10 @@
     /** Sites with a promise that lasts. */
     @Setup(Level.Trial)
     public void fill() {
-        known = new SummaryCache(SummaryLimits.usual(), SummaryCache.CacheLimits.usual(), 0, e -> {});
+        known = new SummaryCache(SummaryLimits.defaults(), SummaryCache.CacheLimits.defaults(), 0, e -> {});
         long sent = 0;
         for (int i = MADE.size(); i < sites; i++) {
-            MADE.add(Rentals.summary(SummaryLimits.usual(), i, ROWS));
+            MADE.add(Rentals.summary(SummaryLimits.defaults(), i, ROWS));
         }
         all = MADE.subList(0, sites);
         for (int i = 0; i < sites; i++) {
--- a/src/main/java/wallmoor/cli/SummariesCommand.java
+++ b/src/main/java/wallmoor/cli/SummariesCommand.java
@@ -88,13 +88,13 @@
                     description = "The time, a day or an interval A/B (default ${DEFAULT-VALUE}).") String time,
             @Option(names = "--bytes", paramLabel = "N", description = "The summary's bytes at most.") Integer bytes) {
         try {
-            if (bytes != null && (bytes < SummaryLimits.LEAST_BYTES || bytes > SummaryLimits.MOST_BYTES)) {
-                return said("--bytes must be from " + SummaryLimits.LEAST_BYTES + " to " + SummaryLimits.MOST_BYTES);
+            if (bytes != null && (bytes < SummaryLimits.MIN_BYTES || bytes > SummaryLimits.MAX_BYTES)) {
+                return said("--bytes must be from " + SummaryLimits.MIN_BYTES + " to " + SummaryLimits.MAX_BYTES);
             }
-            SummaryLimits usual = SummaryLimits.usual();
+            SummaryLimits usual = SummaryLimits.defaults();
             var draft = new SummaryBuilder(
                     bytes == null ? usual : new SummaryLimits(bytes, usual.properties(), usual.values(),
-                            usual.longest(), usual.filterBits(), usual.boxes(), usual.spans()),
+                            usual.maxValueBytes(), usual.filterBits(), usual.boxes(), usual.spans()),
                     site, block, 1);
             new RowsFile(rows, texts == null ? List.of() : texts, time).read(draft::add);
             Summary s = draft.build(1);
@@ -124,7 +124,7 @@
             for (Path file : files(dir)) {
                 try {
                     Summary s = read(file);
-                    MatchResult v = s.of(conditions);
+                    MatchResult v = s.match(conditions);
                     String why = v.kind() == MatchResult.MatchKind.CANNOT ? v.reason() : null;
                     // a site with several files is skipped only where each of them excludes the query
                     boolean asked = verdicts.containsKey(s.site()) && verdicts.get(s.site()) == null;
@@ -181,16 +181,16 @@
             Conditions all = query.conditions();
             Summary s = read(file);
             if (all.box() != null) {
-                say("--bbox " + query.bbox, s.of(new Conditions(all.box(), null, List.of())));
+                say("--bbox " + query.bbox, s.match(new Conditions(all.box(), null, List.of())));
             }
             if (all.time() != null) {
-                say("--datetime " + query.datetime, s.of(new Conditions(null, all.time(), List.of())));
+                say("--datetime " + query.datetime, s.match(new Conditions(null, all.time(), List.of())));
             }
             for (int i = 0; i < all.properties().size(); i++) {
-                say("--where " + query.where.get(i), s.of(new Conditions(null, null,
+                say("--where " + query.where.get(i), s.match(new Conditions(null, null,
                         List.of(all.properties().get(i)))));
             }
-            MatchResult v = s.of(all);
+            MatchResult v = s.match(all);
             say((v.kind() == MatchResult.MatchKind.CANNOT ? "skip " : "ask ") + s.site(), v);
             return 0;
         } catch (InvalidInputException e) {
@@ -217,7 +217,7 @@
 
     private static Summary read(Path file) throws InvalidInputException {
         try (var in = Files.newInputStream(file)) {
-            return Encoding.decode(in.readNBytes(SummaryLimits.MOST_BYTES + 1));
+            return Encoding.decode(in.readNBytes(SummaryLimits.MAX_BYTES + 1));
         } catch (IOException e) {
             throw new InvalidInputException(file + " can't be read: " + e);
         } catch (UnreadableSummaryException e) {
--- a/src/main/java/wallmoor/ogc/FeatureServerDirectory.java
+++ b/src/main/java/wallmoor/ogc/FeatureServerDirectory.java
@@ -92,7 +92,7 @@
         }
         var servers = new ArrayList<SummaryLeases.SummaryServer>();
         blocks.forEach((e, own) -> servers.add(new SummaryLeases.SummaryServer(e.id(), e.address(), Set.copyOf(own))));
-        promises.servers(servers);
+        promises.updateServers(servers);
         holders = next;
     }
 
@@ -112,7 +112,7 @@
         for (Pruning.PrunedShard cut : cuts.decision().probes()) {
             FeatureQuery.ShardFeatures share = shares.get(cut.shard());
             if (share != null && !share.features().isEmpty()) {
-                promises.probed(cut, new Site(share.serverId(), c.upstream(cut.shard())), share.epoch(),
+                promises.reportProbe(cut, new Site(share.serverId(), c.upstream(cut.shard())), share.epoch(),
                         share.version(),
                         share.features().size());
             }
--- a/src/main/java/wallmoor/ogc/FeaturesFront.java
+++ b/src/main/java/wallmoor/ogc/FeaturesFront.java
@@ -108,7 +108,7 @@
      */
     public void reload(SummariesConfig changed) {
         if (summaryLeases != null) {
-            summaryLeases.sites(changed == null ? Set.of() : changed.sites());
+            summaryLeases.updatePrunableSites(changed == null ? Set.of() : changed.sites());
         }
     }
 }
--- a/src/main/java/wallmoor/ogc/PruningReport.java
+++ b/src/main/java/wallmoor/ogc/PruningReport.java
@@ -25,7 +25,7 @@
         }
         var to = new StringBuilder(",\"pruning\":{\"asked\":").append(cuts.decision().ask().size())
                 .append(",\"pruned\":").append(cuts.decision().pruned().size());
-        EffectiveRule under = cuts.under();
+        EffectiveRule under = cuts.effectiveRule();
         if (under != null) {
             to.append(",\"version\":").append(under.activeVersion());
             if (under.latestVersion() != under.activeVersion()) {
@@ -42,7 +42,7 @@
      * not do: relations of versions (RFC 5829) are about the resource itself.
      */
     static String header(SummaryLeases.PruningDecision cuts) {
-        EffectiveRule under = cuts == null ? null : cuts.under();
+        EffectiveRule under = cuts == null ? null : cuts.effectiveRule();
         return under == null ? "" : "Wallmoor-Rules: summaries=" + under.activeVersion()
                 + (under.latestVersion() == under.activeVersion() ? "" : ";to=" + under.latestVersion()) + ";basis="
                 + basis(under) + "\r\n";
@@ -52,7 +52,7 @@
     static void log(String query, String collection, int status, SummaryLeases.PruningDecision cuts) {
         if (cuts != null && LOG.isDebugEnabled()) {
             LOG.debug("query {} of {}: {}, asked {}, left out {}, by {}", query, collection, status,
-                    cuts.decision().ask().size(), cuts.decision().pruned().size(), by(cuts.under()));
+                    cuts.decision().ask().size(), cuts.decision().pruned().size(), by(cuts.effectiveRule()));
         }
     }
 
--- a/src/main/java/wallmoor/pruning/SummaryLeases.java
+++ b/src/main/java/wallmoor/pruning/SummaryLeases.java
@@ -45,10 +45,10 @@
     /**
      * What is left out of a query, and under which version.
      *
-     * @param under what this gatherer went by of the agreement as the query was opened; null where it agrees with
-     *              nobody, and the operators' own file named the sites
+     * @param effectiveRule what this gatherer went by of the agreement as the query was opened; null where it agrees
+     *                      with nobody, and the operators' own file named the sites
      */
-    public record PruningDecision(Pruning.Decision decision, EffectiveRule under) {}
+    public record PruningDecision(Pruning.Decision decision, EffectiveRule effectiveRule) {}
 
     /** Queued findings of request threads; more are of no use, as any one of a site's distrusts it. */
     private static final int MAX_CONTROL_TASKS = 256;
@@ -98,7 +98,7 @@
         var random = new SecureRandom();
         byte[] drawn = new byte[8];
         random.nextBytes(drawn);
-        cache = new SummaryCache(SummaryLimits.usual(),
+        cache = new SummaryCache(SummaryLimits.defaults(),
                 new SummaryCache.CacheLimits(MAX_SITES, config.memory(), config.margin() * 1000),
                 random.nextLong(1L << 58), this::logEvent);
         pruning = new Pruning(cache, new Pruning.ProbeBudget(config.share(), config.perSecond(), config.burst()),
@@ -127,7 +127,7 @@
      * All servers that there are from now on. It is called before anything is sent to one that is new or has moved:
      * what was told before of a site that went, or came to another address, counts no more when this returns.
      */
-    public void servers(List<SummaryServer> now) {
+    public void updateServers(List<SummaryServer> now) {
         synchronized (control) {
             allServers = List.copyOf(now);
             Set<String> wanted = prunableNames;
@@ -146,11 +146,11 @@
     }
 
     /** Other sites may be left out from now on. One that was not among them and comes again is trusted again. */
-    public void sites(Set<String> changed) {
+    public void updatePrunableSites(Set<String> changed) {
         synchronized (control) {
             prunableNames = changed;
             distrusted.removeIf(site -> !changed.contains(site.name()));
-            servers(allServers);
+            updateServers(allServers);
         }
     }
 
@@ -250,7 +250,7 @@
      * @param epoch   of the site's data by its answer, and {@code version}; {@link Long#MIN_VALUE} where untold
      * @return whether the summary was found wrong, and is taken out
      */
-    public boolean probed(Pruning.PrunedShard cut, Site site, long epoch, long version, long rows) {
+    public boolean reportProbe(Pruning.PrunedShard cut, Site site, long epoch, long version, long rows) {
         Summary by = cut.by(site);
         LeasedSummary held = leases.get(site);
         long now = clock.getAsLong();
@@ -260,7 +260,7 @@
         }
         // where there is no room others have filled it: this one is taken out all the same, and the log says less
         if (!controlTasks.offer(() -> {
-            pruning.probed(clock.getAsLong(), cut, site, epoch, version, rows);
+            pruning.reportProbe(clock.getAsLong(), cut, site, epoch, version, rows);
             publish(site);
         })) {
             log.error(STATE, "the summary of {} block {} excluded rows that it has: it is taken out", site.name(),
--- a/src/main/java/wallmoor/summaries/Box.java
+++ b/src/main/java/wallmoor/summaries/Box.java
@@ -53,7 +53,7 @@
         return Math.floorMod(lon + ROUND / 2, ROUND) - ROUND / 2;
     }
 
-    boolean meets(Box other) {
+    boolean overlaps(Box other) {
         return south <= other.north && other.south <= north
                 && (Math.floorMod(other.west - west, ROUND) <= width
                         || Math.floorMod(west - other.west, ROUND) <= other.width);
--- a/src/main/java/wallmoor/summaries/Encoding.java
+++ b/src/main/java/wallmoor/summaries/Encoding.java
@@ -119,7 +119,7 @@
      * @throws UnreadableSummaryException where they are none
      */
     public static Summary decode(byte[] bytes) throws UnreadableSummaryException {
-        if (bytes.length > SummaryLimits.MOST_BYTES) {
+        if (bytes.length > SummaryLimits.MAX_BYTES) {
             throw new UnreadableSummaryException(Fault.TOO_LARGE, "the summary has " + bytes.length + " bytes");
         }
         ByteBuffer from = ByteBuffer.wrap(bytes);
--- a/src/main/java/wallmoor/summaries/KeyBloomFilter.java
+++ b/src/main/java/wallmoor/summaries/KeyBloomFilter.java
@@ -62,7 +62,7 @@
         places(hash, bits(), p -> words[(int) (p >> 6)] |= 1L << p);
     }
 
-    boolean may(long hash) {
+    boolean mightContain(long hash) {
         int at = (int) hash;
         int step = (int) (hash >>> 32);
         for (int i = 0; i < PLACES; i++) {
--- a/src/main/java/wallmoor/summaries/PropertySummary.java
+++ b/src/main/java/wallmoor/summaries/PropertySummary.java
@@ -114,7 +114,8 @@
             if (values.contains(key)) {
                 return;
             }
-            if (values.size() < s.values() && key.length() <= s.longest() && Encoding.utf8(key) <= s.longest()) {
+            if (values.size() < s.values() && key.length() <= s.maxValueBytes()
+                    && Encoding.utf8(key) <= s.maxValueBytes()) {
                 values.add(key);
                 return;
             }
@@ -171,7 +172,7 @@
     /** Which values another's filter admits can't be enumerated, so such a one is never covered. */
     private boolean coversValues(PropertySummary o) {
         return o.values != null && o.values.stream()
-                .allMatch(v -> values != null ? values.contains(v) : filter.may(KeyNormalizer.hash(v)));
+                .allMatch(v -> values != null ? values.contains(v) : filter.mightContain(KeyNormalizer.hash(v)));
     }
 
     /** Why no row can match, or null where one could. */
@@ -186,7 +187,7 @@
         if (values != null) {
             return values.contains(e.key()) ? null : e.property() + " is none of its " + values.size() + " values";
         }
-        return filter.may(e.hash()) ? null : e.property() + " is not in its filter";
+        return filter.mightContain(e.hash()) ? null : e.property() + " is not in its filter";
     }
 
     private String excludes(Condition.Range r) {
--- a/src/main/java/wallmoor/summaries/Pruning.java
+++ b/src/main/java/wallmoor/summaries/Pruning.java
@@ -27,7 +27,7 @@
         }
 
         /** One in a hundred, and no more than ten a second. */
-        public static ProbeBudget usual() {
+        public static ProbeBudget defaults() {
             return new ProbeBudget(0.01, 10, 20);
         }
     }
@@ -69,7 +69,7 @@
      *
      * @param ask    shards to be asked, those of {@code probes} too
      * @param pruned answered with no rows
-     * @param probes asked all the same, and reported by {@link #probed}
+     * @param probes asked all the same, and reported by {@link #reportProbe}
      */
     public record Decision(List<Integer> ask, List<PrunedShard> pruned, List<PrunedShard> probes) {
         /** For the answer: how many were asked and how many left out. */
@@ -163,7 +163,7 @@
      * @param rows    in the answer
      * @return whether the summary was wrong
      */
-    public boolean probed(long now, PrunedShard cut, Site site, long epoch, long version, long rows) {
+    public boolean reportProbe(long now, PrunedShard cut, Site site, long epoch, long version, long rows) {
         if (!wrong(cut, site, epoch, version, rows)) {
             return false;
         }
@@ -172,7 +172,7 @@
         return true;
     }
 
-    /** Whether what a share came to proves a summary wrong, as {@link #probed} has it; nothing comes of asking. */
+    /** Whether what a share came to proves a summary wrong, as {@link #reportProbe} has it; nothing comes of asking. */
     public static boolean wrong(PrunedShard cut, Site site, long epoch, long version, long rows) {
         Summary s = cut.by(site);
         boolean newer = s != null && epoch != Long.MIN_VALUE
--- a/src/main/java/wallmoor/summaries/Summary.java
+++ b/src/main/java/wallmoor/summaries/Summary.java
@@ -86,7 +86,7 @@
     }
 
     /** Whether it admits a row that meets all conditions. A property that it does not tell of admits anything. */
-    public MatchResult of(Conditions c) {
+    public MatchResult match(Conditions c) {
         String why = excludes(c);
         if (why != null) {
             return new MatchResult(MatchResult.MatchKind.CANNOT, why);
@@ -103,10 +103,10 @@
         if (rows == 0) {
             return "it has no rows";
         }
-        if (c.time() != null && !timeless && spans.stream().noneMatch(s -> s.meets(c.time()))) {
+        if (c.time() != null && !timeless && spans.stream().noneMatch(s -> s.overlaps(c.time()))) {
             return "none of its rows is of that time";
         }
-        if (c.box() != null && !placeless && boxes.stream().noneMatch(b -> b.meets(c.box().box()))) {
+        if (c.box() != null && !placeless && boxes.stream().noneMatch(b -> b.overlaps(c.box().box()))) {
             return "none of its rows lies in that box";
         }
         for (Condition p : c.properties()) {
--- a/src/main/java/wallmoor/summaries/SummaryBuilder.java
+++ b/src/main/java/wallmoor/summaries/SummaryBuilder.java
@@ -67,7 +67,7 @@
         PropertySummary p = properties.get(name);
         // one that comes late may have been left out before: what rows then had of it is not known any more
         if (p == null && complete && properties.size() < settings.properties()
-                && Encoding.utf8(name) <= settings.longest()) {
+                && Encoding.utf8(name) <= settings.maxValueBytes()) {
             p = new PropertySummary();
             p.missing = rows > 0;
             properties.put(name, p);
--- a/src/main/java/wallmoor/summaries/SummaryCache.java
+++ b/src/main/java/wallmoor/summaries/SummaryCache.java
@@ -21,7 +21,7 @@
      */
     public record CacheLimits(int sites, long bytes, long margin) {
         /** 20,000 sites, 256 MiB, and clocks that may drift apart by 50 ms within a lease. */
-        public static CacheLimits usual() {
+        public static CacheLimits defaults() {
             return new CacheLimits(20_000, 256L << 20, 50_000);
         }
     }
--- a/src/main/java/wallmoor/summaries/SummaryLookup.java
+++ b/src/main/java/wallmoor/summaries/SummaryLookup.java
@@ -33,7 +33,7 @@
             return MatchResult.unknown(entry != null && entry.distrusted ? "its summary excluded rows that it had"
                     : "no promise of its counts now");
         }
-        return index.at(entry.slot).of(conditions);
+        return index.at(entry.slot).match(conditions);
     }
 
     /** How many sites with a leased summary can be pruned. */
--- a/src/main/java/wallmoor/summaries/TimeSpan.java
+++ b/src/main/java/wallmoor/summaries/TimeSpan.java
@@ -23,7 +23,7 @@
         }
     }
 
-    boolean meets(TimeSpan other) {
+    boolean overlaps(TimeSpan other) {
         return from <= other.to && other.from <= to;
     }
 
--- a/src/test/java/wallmoor/pruning/SummaryLeasesTest.java
+++ b/src/test/java/wallmoor/pruning/SummaryLeasesTest.java
@@ -43,9 +43,9 @@
     private final SummaryMaintainer keeper;
 
     public SummaryLeasesTest() {
-        var draft = new SummaryBuilder(SummaryLimits.usual(), SITE.name(), SITE.block(), 1);
+        var draft = new SummaryBuilder(SummaryLimits.defaults(), SITE.name(), SITE.block(), 1);
         draft.add(row("Karachi"));
-        keeper = new SummaryMaintainer(SummaryLimits.usual(), SITE, 1, draft, now, 60 * SECOND, true);
+        keeper = new SummaryMaintainer(SummaryLimits.defaults(), SITE, 1, draft, now, 60 * SECOND, true);
         at("a:1", "fs1", "fs2");
     }
 
@@ -54,8 +54,8 @@
     }
 
     private void at(String address, String... names) {
-        promises.servers(List.of(names).stream().map(n -> new SummaryLeases.SummaryServer(n, address, Set.of("rows-0")))
-                .toList());
+        promises.updateServers(List.of(names).stream()
+                .map(n -> new SummaryLeases.SummaryServer(n, address, Set.of("rows-0"))).toList());
     }
 
     private void hold(String address) {
@@ -75,7 +75,7 @@
     public void onlyTheActingVersionNamesWhoMayBeLeftOut() throws Exception {
         hold("a:1");
         assertEquals("without any agreement the file's own list", 1, pruned().size());
-        assertNull(promises.decide(LAHORE, List.of(), true).under());
+        assertNull(promises.decide(LAHORE, List.of(), true).effectiveRule());
         promises = new SummaryLeases(config, "g", () -> now, name -> {
             looks++;
             return name.equals("summaries") ? act : null;
@@ -88,7 +88,7 @@
         assertEquals(1, pruned().size());
         looks = 0;
         var shares = List.of(new Pruning.Share(0, List.of(SITE)), new Pruning.Share(1, List.of(SITE)));
-        assertEquals(7, promises.decide(LAHORE, shares, true).under().activeVersion());
+        assertEquals(7, promises.decide(LAHORE, shares, true).effectiveRule().activeVersion());
         assertEquals("one version for all of a query", 1, looks);
         agreed(EffectiveRule.Basis.CAREFUL, BOTH.replace("}", ",\"ask_again\":[\"fs1\"]}"));
         assertEquals(0, pruned().size());
@@ -155,21 +155,21 @@
     public void rowsProveASummaryWrongOnlyWhileItCounts() {
         hold("a:1");
         Pruning.PrunedShard cut = pruned().get(0);
-        assertFalse("none", promises.probed(cut, SITE, Long.MIN_VALUE, Long.MIN_VALUE, 0));
-        assertFalse("newer data", promises.probed(cut, SITE, 1, 2, 1));
+        assertFalse("none", promises.reportProbe(cut, SITE, Long.MIN_VALUE, Long.MIN_VALUE, 0));
+        assertFalse("newer data", promises.reportProbe(cut, SITE, 1, 2, 1));
         SummaryMaintainer.WriteDecision w = keeper.write(now, List.of(row("Multan")));
         assertEquals(2, promises.applyWidening(w.widening()));
         assertEquals("widened, and still without it", 1, pruned().size());
-        assertFalse("it was widened since", promises.probed(cut, SITE, Long.MIN_VALUE, Long.MIN_VALUE, 1));
-        assertTrue(promises.probed(pruned().get(0), SITE, Long.MIN_VALUE, Long.MIN_VALUE, 1));
+        assertFalse("it was widened since", promises.reportProbe(cut, SITE, Long.MIN_VALUE, Long.MIN_VALUE, 1));
+        assertTrue(promises.reportProbe(pruned().get(0), SITE, Long.MIN_VALUE, Long.MIN_VALUE, 1));
         assertEquals("at once", 0, pruned().size());
         promises.runControlTasks();
         at("a:1", "fs2");
         at("a:1", "fs1", "fs2");
         hold("a:1");
         assertEquals("going and coming in the inventory mends nothing", 0, pruned().size());
-        promises.sites(Set.of());
-        promises.sites(Set.of("fs1"));
+        promises.updatePrunableSites(Set.of());
+        promises.updatePrunableSites(Set.of("fs1"));
         hold("a:1");
         assertEquals("the operators' word does", 1, pruned().size());
         promises.applyWidening(new SiteMessage.Widening(SITE, 1, 2, 9, null));
--- a/src/test/java/wallmoor/standin/RowServer.java
+++ b/src/test/java/wallmoor/standin/RowServer.java
@@ -35,7 +35,7 @@
  * line {@code id,city,price,lon,lat,day}; it is shown, and kept in the folder, from when it is confirmed.
  */
 public final class RowServer {
-    private static final SummaryLimits SETTINGS = SummaryLimits.usual();
+    private static final SummaryLimits SETTINGS = SummaryLimits.defaults();
 
     private final Site site;
     private final Path file;
--- a/src/test/java/wallmoor/summaries/EncodingGoldenTest.java
+++ b/src/test/java/wallmoor/summaries/EncodingGoldenTest.java
@@ -21,13 +21,13 @@
  * {@code golden/summaries} is a summary in hexadecimal, and beside it what it holds, in lines for people.
  */
 class EncodingGoldenTest {
-    private static final SummaryLimits USUAL = SummaryLimits.usual();
+    private static final SummaryLimits USUAL = SummaryLimits.defaults();
     /** So few values are kept that four make a filter. */
     private static final SummaryLimits FEW_VALUES = new SummaryLimits(16 * 1024, 32, 3, 8, 256, 12, 8);
     /** More properties than are told of. */
     private static final SummaryLimits FEW_PROPERTIES = new SummaryLimits(16 * 1024, 2, 64, 64, 1 << 16, 2, 2);
     /** So few bytes that values become filters, and filters shrink. */
-    private static final SummaryLimits FEW_BYTES = new SummaryLimits(SummaryLimits.LEAST_BYTES, 32, 64, 64, 1 << 12, 4,
+    private static final SummaryLimits FEW_BYTES = new SummaryLimits(SummaryLimits.MIN_BYTES, 32, 64, 64, 1 << 12, 4,
             4);
 
     /** Summaries by the name of their file, made of rows. */
--- a/src/test/java/wallmoor/summaries/PruningTest.java
+++ b/src/test/java/wallmoor/summaries/PruningTest.java
@@ -16,7 +16,7 @@
     private static final long SECOND = 1_000_000;
     private static final SummaryLimits SETTINGS = new SummaryLimits(4096, 8, 8, 32, 1024, 1, 1);
     private final List<PruningEvent> events = new ArrayList<>();
-    private final SummaryCache known = new SummaryCache(SETTINGS, SummaryCache.CacheLimits.usual(), 0, events::add);
+    private final SummaryCache known = new SummaryCache(SETTINGS, SummaryCache.CacheLimits.defaults(), 0, events::add);
 
     private static Row row(String city, double lon) {
         return new Row(Map.of("city", city), Row.Coordinates.of(lon, 10), new TimeSpan(0, 1));
@@ -79,10 +79,10 @@
         } while (d.probes().isEmpty() && queries < 1000);
         assertEquals(List.of(0), d.ask());
         Pruning.PrunedShard cut = d.probes().get(0);
-        assertFalse("no rows prove nothing", pruning.probed(2000, cut, liar, 1, 1, 0));
-        assertFalse("they may be newer than the cut", pruning.probed(2000, cut, liar, 1, 2, 3));
+        assertFalse("no rows prove nothing", pruning.reportProbe(2000, cut, liar, 1, 1, 0));
+        assertFalse("they may be newer than the cut", pruning.reportProbe(2000, cut, liar, 1, 2, 3));
         assertTrue(events.isEmpty());
-        assertTrue(pruning.probed(2000, cut, liar, 1, 1, 3));
+        assertTrue(pruning.reportProbe(2000, cut, liar, 1, 1, 3));
         assertTrue(events.get(0) instanceof PruningEvent.FalseCut f && f.site().equals(liar) && f.text()
                 .contains("3 rows came"));
         known.acceptGrant(3000, k.grantLease(3000, "g", known.beginRequest(3000, liar)));
--- a/src/test/java/wallmoor/summaries/Asked.java
+++ b/src/test/java/wallmoor/summaries/RandomInputs.java
@@ -6,7 +6,7 @@
 import java.util.random.RandomGenerator;
 
 /** Rows and conditions by chance: few values of many forms, so that they often meet and nearly meet. */
-final class Asked {
+final class RandomInputs {
     private static final IdentityHashMap<Condition, String> RAW = new IdentityHashMap<>();
     private static final String[] TEXTS = {"1", "1.0", " 1", "01", "1e0", "+1", "١", "１", "10", "15", "9", "100",
         "-0", "0",
@@ -18,7 +18,7 @@
                 + "x".repeat(80)};
     private static final String[] NAMES = {"city", "price", "class", "id", "note", "seats"};
 
-    private Asked() {}
+    private RandomInputs() {}
 
     /** As the condition was written, for readings that do not fold. */
     static String raw(Condition c) {
--- a/src/test/java/wallmoor/summaries/Readings.java
+++ b/src/test/java/wallmoor/summaries/ReferenceMatcher.java
@@ -10,17 +10,17 @@
  * How a site may compare, written apart from what is tested: as they stand, without blanks around, without case, in a
  * Unicode form, or as numbers. A row matches where any of these says so.
  */
-final class Readings {
+final class ReferenceMatcher {
     private static final List<UnaryOperator<String>> TEXTS = List.of(s -> s, String::strip, s -> s.stripTrailing(),
             s -> s.strip().toLowerCase(Locale.ROOT), s -> s.toUpperCase(Locale.ROOT), s -> s.toLowerCase(Locale.ROOT),
             s -> Normalizer.normalize(s, Normalizer.Form.NFC),
             s -> Normalizer.normalize(s.strip(), Normalizer.Form.NFKC).toLowerCase(Locale.ROOT));
 
-    private Readings() {}
+    private ReferenceMatcher() {}
 
     /** By the properties' columns: one whose values are all numbers is compared by number, all else as texts. */
     static boolean matches(Row row, Conditions c, List<Row> all) {
-        if (c.time() != null && row.time() != null && !row.time().meets(c.time())) {
+        if (c.time() != null && row.time() != null && !row.time().overlaps(c.time())) {
             return false;
         }
         if (c.box() != null && row.place() != null && !within(row.place(), c.box().box())) {
@@ -51,7 +51,7 @@
     }
 
     private static boolean equal(Object value, Condition.Equal e) {
-        return equal(value, e.key()) || (Asked.raw(e) != null && equal(value, Asked.raw(e)));
+        return equal(value, e.key()) || (RandomInputs.raw(e) != null && equal(value, RandomInputs.raw(e)));
     }
 
     private static boolean within(Object value, Condition.Range r, List<Row> all) {
--- a/src/test/java/wallmoor/summaries/SummaryLeaseModelTest.java
+++ b/src/test/java/wallmoor/summaries/SummaryLeaseModelTest.java
@@ -145,7 +145,7 @@
                     }
                 }
                 case 4, 5, 6, 7, 8, 9, 10, 11, 12 -> ask(g, site);
-                default -> write(site, Asked.row(random, random.nextInt(8) == 0));
+                default -> write(site, RandomInputs.row(random, random.nextInt(8) == 0));
             }
             check();
         }
@@ -164,15 +164,15 @@
 
         private void check() {
             for (SummaryCache k : known) {
-                Conditions c = Asked.conditions(random);
+                Conditions c = RandomInputs.conditions(random);
                 SummaryLookup lookup = k.lookup(now, c);
                 for (Site site : sites) {
                     Summary s = lookup.excluding(site);
                     cuts += s != null ? 1 : 0;
                     assertEquals(s != null, lookup.match(site).kind() == MatchResult.MatchKind.CANNOT);
                     for (Row row : s == null ? List.<Row>of() : confirmed.get(site)) {
-                        assertFalse(Readings.matches(row, c, applied.get(site)), () -> "a false cut at " + site + ": "
-                                + lookup.match(site) + " but " + row + " meets " + c);
+                        assertFalse(ReferenceMatcher.matches(row, c, applied.get(site)),
+                                () -> "a false cut at " + site + ": " + lookup.match(site) + " but " + row + " meets " + c);
                     }
                 }
             }
--- a/src/test/java/wallmoor/summaries/SummaryPropertiesTest.java
+++ b/src/test/java/wallmoor/summaries/SummaryPropertiesTest.java
@@ -16,7 +16,7 @@
 /** What holds of every summary, over random rows, settings and conditions. */
 class SummaryPropertiesTest {
     private static SummaryLimits settings(Random random) {
-        return new SummaryLimits(random.nextInt(3) == 0 ? SummaryLimits.LEAST_BYTES : 8192, 1 + random.nextInt(7), 1
+        return new SummaryLimits(random.nextInt(3) == 0 ? SummaryLimits.MIN_BYTES : 8192, 1 + random.nextInt(7), 1
                 + random.nextInt(12),
                 8 + random.nextInt(30), 1 << (8 + random.nextInt(6)), 1 + random.nextInt(4), 1 + random.nextInt(4));
     }
@@ -25,17 +25,18 @@
         boolean mixed = random.nextBoolean();
         var rows = new ArrayList<Row>();
         for (int i = random.nextInt(most); i >= 0; i--) {
-            rows.add(Asked.row(random, mixed));
+            rows.add(RandomInputs.row(random, mixed));
         }
         return rows;
     }
 
     private static void holds(Summary s, List<Row> rows, Random random) {
         for (int i = 0; i < 40; i++) {
-            Conditions c = Asked.conditions(random);
+            Conditions c = RandomInputs.conditions(random);
             String why = s.excludes(c);
             for (Row row : rows) {
-                assertTrue(why == null || !Readings.matches(row, c, rows), () -> why + " but " + row + " meets " + c);
+                assertTrue(why == null || !ReferenceMatcher.matches(row, c, rows),
+                        () -> why + " but " + row + " meets " + c);
             }
         }
     }
@@ -88,7 +89,7 @@
                 held[slot] = draft.build(step);
                 index.put(slot, held[slot]);
             }
-            Conditions c = Asked.conditions(random);
+            Conditions c = RandomInputs.conditions(random);
             var could = index.could(c);
             for (int i = 0; i < held.length; i++) {
                 assertEquals(held[i] != null && held[i].excludes(c) == null, could.get(i), "slot " + i + " for " + c);
@@ -133,7 +134,7 @@
 
     @Property(tries = 1)
     void itDoesExclude() {
-        var draft = new SummaryBuilder(SummaryLimits.usual(), "a", "b", 1);
+        var draft = new SummaryBuilder(SummaryLimits.defaults(), "a", "b", 1);
         for (int i = 0; i < 1000; i++) {
             draft.add(new Row(java.util.Map.of("city", "Karachi", "price", (long) i, "plate", "K-" + i),
                     Row.Coordinates.of(i % 2 == 0 ? 179.5 : -179.5, -17), TimeSpan.parse("2026-01-05T10:00:00Z")));
