--- a/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
+++ b/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
@@ -105,7 +105,7 @@
         Conditions c = condition("city=city-" + next() / 2);
         int out = 0;
         for (Summary s : all) {
-            out += s.excludes(c) != null ? 1 : 0;
+            out += s.exclusionReason(c) != null ? 1 : 0;
         }
         return out;
     }
--- a/src/main/java/wallmoor/pruning/LeaseRenewal.java
+++ b/src/main/java/wallmoor/pruning/LeaseRenewal.java
@@ -16,20 +16,20 @@
 import wallmoor.summaries.SiteMessage;
 
 /**
- * Polls the servers, a few threads for all: applies and acknowledges the widenings of each, and renews each lease at
- * half of its lifetime. A server that fails is polled again after an exponential backoff.
+ * Polls the servers in a fixed number of threads: applies and acknowledges the widenings of each, and renews each lease
+ * at half of its lifetime. A server that fails is polled again after an exponential backoff.
  */
 final class LeaseRenewal {
-    /** One server that does not answer holds up those of its thread alone. */
+    /** Number of polling threads. A server that does not answer delays only the servers of the same thread. */
     private static final int THREADS = 4;
-    /** Of a server that always has one more, the rest waits for the next round. */
+    /** Maximum polls of a server per round; further widenings wait for the next round. */
     private static final int MAX_POLLS_PER_ROUND = 8;
     private static final long INITIAL_BACKOFF_MILLIS = 250;
     private static final long MAX_BACKOFF_MILLIS = 4_000;
     private static final long MIN_SLEEP_MILLIS = 2;
-    /** How often a new list of servers, and the findings of request threads, are looked at. */
+    /** Maximum sleep, after which a new list of servers and the tasks queued by request threads are processed. */
     private static final long MAX_SLEEP_MILLIS = 50;
-    private static final int MAX_FAILURES = 16;
+    private static final int MAX_FAILURE_COUNT = 16;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final Logger log = LoggerFactory.getLogger(LeaseRenewal.class);
@@ -37,52 +37,52 @@
     private final SummariesConfig config;
     private final String gatherer;
 
-    LeaseRenewal(SummaryLeases promises, SummariesConfig config, String gatherer) {
-        this.leases = promises;
+    LeaseRenewal(SummaryLeases leases, SummariesConfig config, String gatherer) {
+        this.leases = leases;
         this.config = config;
         this.gatherer = gatherer;
     }
 
     private static final class ServerPollState {
         private final SummaryLeases.SummaryServer server;
-        private final SiteClient call;
+        private final SiteClient client;
         private final Map<String, Long> renewAt = new HashMap<>();
         private long nextAt;
         private int failures;
 
-        private ServerPollState(SummaryLeases.SummaryServer server, SiteClient call, long now) {
+        private ServerPollState(SummaryLeases.SummaryServer server, SiteClient client, long now) {
             this.server = server;
-            this.call = call;
+            this.client = client;
             this.nextAt = now;
         }
     }
 
     void start() {
         for (int i = 0; i < THREADS; i++) {
-            int own = i;
-            Threads.start("summaries-" + i, () -> run(own));
+            int thread = i;
+            Threads.start("summaries-" + i, () -> run(thread));
         }
     }
 
-    private void run(int own) {
-        var visited = new HashMap<SummaryLeases.SummaryServer, ServerPollState>();
-        List<SummaryLeases.SummaryServer> seen = null;
+    private void run(int thread) {
+        var pollStates = new HashMap<SummaryLeases.SummaryServer, ServerPollState>();
+        List<SummaryLeases.SummaryServer> current = null;
         try {
             while (true) {
                 leases.runControlTasks();
                 List<SummaryLeases.SummaryServer> servers = leases.servers();
-                if (servers != seen) {
-                    seen = servers;
-                    updateServers(visited,
-                            servers.stream().filter(s -> Math.floorMod(s.name().hashCode(), THREADS) == own)
+                if (servers != current) {
+                    current = servers;
+                    updateServers(pollStates,
+                            servers.stream().filter(s -> Math.floorMod(s.name().hashCode(), THREADS) == thread)
                                     .toList());
                 }
                 long next = Long.MAX_VALUE;
-                for (ServerPollState v : visited.values()) {
-                    if (v.nextAt <= now()) {
-                        poll(v);
+                for (ServerPollState state : pollStates.values()) {
+                    if (state.nextAt <= now()) {
+                        poll(state);
                     }
-                    next = Math.min(next, v.nextAt);
+                    next = Math.min(next, state.nextAt);
                 }
                 Thread.sleep(Math.max(MIN_SLEEP_MILLIS, Math.min(MAX_SLEEP_MILLIS, next - now())));
             }
@@ -95,76 +95,77 @@
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    private void updateServers(Map<SummaryLeases.SummaryServer, ServerPollState> visited,
+    private void updateServers(Map<SummaryLeases.SummaryServer, ServerPollState> pollStates,
             List<SummaryLeases.SummaryServer> servers) {
-        var gone = new HashSet<>(visited.keySet());
-        servers.forEach(gone::remove);
-        gone.forEach(s -> visited.remove(s).call.close());
+        var removed = new HashSet<>(pollStates.keySet());
+        servers.forEach(removed::remove);
+        removed.forEach(s -> pollStates.remove(s).client.close());
         for (SummaryLeases.SummaryServer s : servers) {
-            visited.computeIfAbsent(s, x -> new ServerPollState(s, new SiteClient(s.name(), s.address(), gatherer,
+            pollStates.computeIfAbsent(s, key -> new ServerPollState(s, new SiteClient(s.name(), s.address(), gatherer,
                     config.mostBytes()), now()));
         }
     }
 
-    private void poll(ServerPollState v) {
-        String name = v.server.name();
+    private void poll(ServerPollState state) {
+        String name = state.server.name();
         try {
-            pollWidenings(v);
-            for (String block : v.server.blocks()) {
-                if (v.renewAt.getOrDefault(block, 0L) <= now()) {
-                    renew(v, block);
+            pollWidenings(state);
+            for (String block : state.server.blocks()) {
+                if (state.renewAt.getOrDefault(block, 0L) <= now()) {
+                    renew(state, block);
                 }
             }
-            if (v.failures > 0) {
-                log.info("summaries of {}: it answers again", name);
+            if (state.failures > 0) {
+                log.info("summary lease renewal recovered: server={}", name);
             }
-            v.failures = 0;
-            v.nextAt = now() + config.poll();
+            state.failures = 0;
+            state.nextAt = now() + config.poll();
         } catch (IOException | HttpProtocolException | Json.Malformed | RuntimeException e) {
-            v.call.close();
-            long backoff = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << v.failures);
-            if (v.failures == 0) {
-                log.warn("summaries of {} can't be had ({}): once its promise has ended it is asked every query", name,
-                        e instanceof RuntimeException ? e.toString() : e.getMessage());
+            state.client.close();
+            long backoff = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << state.failures);
+            if (state.failures == 0) {
+                log.warn("summary lease renewal failed; queries include the server once its lease ends: server={} error={}",
+                        name, e instanceof RuntimeException ? e.toString() : e.getMessage());
             }
-            v.failures = Math.min(MAX_FAILURES, v.failures + 1);
-            v.nextAt = now() + backoff;
+            state.failures = Math.min(MAX_FAILURE_COUNT, state.failures + 1);
+            state.nextAt = now() + backoff;
         }
     }
 
     /** Applies and acknowledges the widenings of the server, until it has none left. */
-    private void pollWidenings(ServerPollState v) throws IOException, HttpProtocolException, Json.Malformed {
-        List<WideningMessages.Acknowledged> counting = List.of();
+    private void pollWidenings(ServerPollState state) throws IOException, HttpProtocolException, Json.Malformed {
+        List<WideningMessages.Acknowledged> acknowledged = List.of();
         for (int i = 0; i < MAX_POLLS_PER_ROUND; i++) {
-            List<SiteMessage.Widening> widenings = v.call.pollWidenings(counting);
+            List<SiteMessage.Widening> widenings = state.client.pollWidenings(acknowledged);
             if (widenings.isEmpty()) {
                 return;
             }
-            counting = new ArrayList<>();
-            for (SiteMessage.Widening w : widenings) {
-                if (!v.server.blocks().contains(w.site().block())) {
-                    continue; // of what it was never asked for nothing is held
+            acknowledged = new ArrayList<>();
+            for (SiteMessage.Widening widening : widenings) {
+                if (!state.server.blocks().contains(widening.site().block())) {
+                    continue; // no lease was requested on this block, so nothing is cached
                 }
-                counting.add(new WideningMessages.Acknowledged(w.site().block(), w.epoch(), leases.applyWidening(w)));
-                if (!leases.hasLease(w.site())) {
-                    v.renewAt.remove(w.site().block());
+                acknowledged.add(new WideningMessages.Acknowledged(widening.site().block(), widening.epoch(),
+                        leases.applyWidening(widening)));
+                if (!leases.hasLease(widening.site())) {
+                    state.renewAt.remove(widening.site().block());
                 }
             }
         }
-        if (!counting.isEmpty()) {
-            v.call.pollWidenings(counting);
+        if (!acknowledged.isEmpty()) {
+            state.client.pollWidenings(acknowledged);
         }
     }
 
-    private void renew(ServerPollState v, String block) throws IOException, HttpProtocolException {
-        var site = new Site(v.server.name(), block);
-        long ticket = leases.beginRequest(site, v.server.address());
+    private void renew(ServerPollState state, String block) throws IOException, HttpProtocolException {
+        var site = new Site(state.server.name(), block);
+        long ticket = leases.beginRequest(site, state.server.address());
         if (ticket < 0) {
             return;
         }
-        SiteMessage.SummaryLeaseGrant grant = v.call.requestLease(block, ticket);
+        SiteMessage.SummaryLeaseGrant grant = state.client.requestLease(block, ticket);
         leases.acceptGrant(site, grant);
         long lifetime = Math.min(grant.lifetime() / 1000, config.lifetime());
-        v.renewAt.put(block, now() + Math.max(config.poll(), lifetime / 2));
+        state.renewAt.put(block, now() + Math.max(config.poll(), lifetime / 2));
     }
 }
--- a/src/main/java/wallmoor/pruning/SummaryLeases.java
+++ b/src/main/java/wallmoor/pruning/SummaryLeases.java
@@ -32,27 +32,27 @@
 import wallmoor.summaries.SummaryLimits;
 
 /**
- * The leases on sites' summaries, and which sites a query can leave out (partition pruning). The cache changes under
- * one lock, in control threads; request threads read each site's {@link LeasedSummary} and the clock, and never wait.
+ * The leases on sites' summaries, by which queries prune sites (partition pruning). The cache changes under one lock,
+ * in control threads; request threads read each site's {@link LeasedSummary} and the clock, and never wait.
  */
 public final class SummaryLeases {
-    /** The document of the gatherers' agreement that names the sites. */
+    /** The name of the agreed document that names the prunable sites. */
     public static final String DOCUMENT = "summaries";
 
-    /** A feature server and the blocks that it answers for. */
+    /** A feature server with the blocks that it serves. */
     public record SummaryServer(String name, String address, Set<String> blocks) {}
 
     /**
-     * What is left out of a query, and under which version.
+     * A pruning decision on a query, with the rule under which it was made.
      *
-     * @param effectiveRule what this gatherer went by of the agreement as the query was opened; null where it agrees
-     *                      with nobody, and the operators' own file named the sites
+     * @param effectiveRule the agreed rule in effect when the query was opened; null if there is no agreement and only
+     *                      the operators' file names the prunable sites
      */
     public record PruningDecision(Pruning.Decision decision, EffectiveRule effectiveRule) {}
 
-    /** Queued findings of request threads; more are of no use, as any one of a site's distrusts it. */
+    /** Maximum queued results of request threads. No more are needed, as one result makes a site distrusted. */
     private static final int MAX_CONTROL_TASKS = 256;
-    /** Blocks of all servers; sites beyond them are queried. */
+    /** Maximum number of sites, over the blocks of all servers; further sites are queried. */
     private static final int MAX_SITES = 100_000;
     private static final Marker STATE = MarkerFactory.getMarker(Logging.STATE);
 
@@ -64,46 +64,45 @@
     /** Guarded by {@link #control}. */
     private final SummaryCache cache;
     private final Pruning pruning;
-    /** What request threads read. Each is immutable, and its lease ends by itself. */
+    /** The snapshots that request threads read. Each is immutable, and a reader checks the end of its lease. */
     private final Map<Site, LeasedSummary> leases = new ConcurrentHashMap<>();
-    /** Sites whose summary was found wrong. An entry outlives the cached summary. */
+    /** Sites whose summary was found wrong. An entry remains after the cached summary is dropped. */
     private final Set<Site> distrusted = ConcurrentHashMap.newKeySet();
-    /** Findings of request threads for the control threads; a full queue drops them. */
+    /** Results of request threads for the control threads; dropped if the queue is full. */
     private final Queue<Runnable> controlTasks = new ArrayBlockingQueue<>(MAX_CONTROL_TASKS);
-    /** Guarded by {@link #control}: the address of each site. */
+    /** The address of each site; guarded by {@link #control}. */
     private final Map<Site, String> addresses = new HashMap<>();
     private volatile Set<String> prunableNames;
     private volatile List<SummaryServer> allServers = List.of();
     private volatile List<SummaryServer> servers = List.of();
     private final LeaseRenewal renewal;
-    private final LongAdder asked = new LongAdder();
-    private final LongAdder pruned = new LongAdder();
-    private final LongAdder probed = new LongAdder();
+    private final LongAdder queriedShards = new LongAdder();
+    private final LongAdder prunedShards = new LongAdder();
+    private final LongAdder probedShards = new LongAdder();
 
     /**
-     * No lease is requested before {@link #start}.
+     * Creates the leases. No lease is requested before {@link #start}.
      *
-     * @param gatherer for people; what sites know this process by is drawn anew at each start, since an
-     *                 acknowledgement of one process does not hold for another
-     * @param clock    microseconds that only go forward, also while this process is paused
-     * @param acting   what gatherers agreed on; {@link RuleReader#NONE} where the own file is all there is. By any
-     *                 other
-     *                 that knows of no version nobody is left out: the file may name what was taken away long ago
+     * @param gatherer   name for operators; a random suffix is added at each start, since an acknowledgement of one
+     *                   process is not valid for another
+     * @param clock      monotonic time in microseconds that goes on while this process is paused
+     * @param ruleReader source of the agreed rule, or {@link RuleReader#NONE} if only the operators' file applies. With
+     *                   any other reader that knows no version, no site is pruned, as the file may be outdated
      */
-    public SummaryLeases(SummariesConfig config, String gatherer, LongSupplier clock, RuleReader acting) {
+    public SummaryLeases(SummariesConfig config, String gatherer, LongSupplier clock, RuleReader ruleReader) {
         this.config = config;
         this.clock = clock;
-        this.ruleReader = acting;
+        this.ruleReader = ruleReader;
         this.prunableNames = config.sites();
         var random = new SecureRandom();
-        byte[] drawn = new byte[8];
-        random.nextBytes(drawn);
+        byte[] suffix = new byte[8];
+        random.nextBytes(suffix);
         cache = new SummaryCache(SummaryLimits.defaults(),
                 new SummaryCache.CacheLimits(MAX_SITES, config.memory(), config.margin() * 1000),
                 random.nextLong(1L << 58), this::logEvent);
         pruning = new Pruning(cache, new Pruning.ProbeBudget(config.share(), config.perSecond(), config.burst()),
                 new Random(random.nextLong()));
-        renewal = new LeaseRenewal(this, config, gatherer + "-" + HexFormat.of().formatHex(drawn));
+        renewal = new LeaseRenewal(this, config, gatherer + "-" + HexFormat.of().formatHex(suffix));
     }
 
     private void logEvent(PruningEvent event) {
@@ -119,19 +118,19 @@
 
     /** Logs the totals, at shutdown. */
     public void logTotals() {
-        log.info("summaries: {} shares asked, {} left out, {} asked all the same", asked.sum(), pruned.sum(),
-                probed.sum());
+        log.info("pruning totals: queried={} pruned={} probed={}", queriedShards.sum(), prunedShards.sum(),
+                probedShards.sum());
     }
 
     /**
-     * All servers that there are from now on. It is called before anything is sent to one that is new or has moved:
-     * what was told before of a site that went, or came to another address, counts no more when this returns.
+     * Replaces the list of servers. It is called before any request is sent to a server that is new or has moved. When
+     * it returns, the earlier summaries of sites that were removed or changed their address are no longer valid.
      */
-    public void updateServers(List<SummaryServer> now) {
+    public void updateServers(List<SummaryServer> newServers) {
         synchronized (control) {
-            allServers = List.copyOf(now);
-            Set<String> wanted = prunableNames;
-            servers = allServers.stream().filter(s -> wanted.contains(s.name())).toList();
+            allServers = List.copyOf(newServers);
+            Set<String> prunable = prunableNames;
+            servers = allServers.stream().filter(s -> prunable.contains(s.name())).toList();
             var next = new HashMap<Site, String>();
             servers.forEach(s -> s.blocks().forEach(b -> next.put(new Site(s.name(), b), s.address())));
             for (Map.Entry<Site, String> old : addresses.entrySet()) {
@@ -145,7 +144,7 @@
         }
     }
 
-    /** Other sites may be left out from now on. One that was not among them and comes again is trusted again. */
+    /** Replaces the names of the prunable sites. A site that is removed and added again later is trusted again. */
     public void updatePrunableSites(Set<String> changed) {
         synchronized (control) {
             prunableNames = changed;
@@ -154,14 +153,14 @@
         }
     }
 
-    /** The servers whose leases are renewed. */
+    /** Returns the servers whose leases are renewed. */
     List<SummaryServer> servers() {
         return servers;
     }
 
     // ---- control ------------------------------------------------------------------------------------------
 
-    /** A lease is about to be requested at this address: the ticket, or -1 where the site is not there any more. */
+    /** Starts a request for a lease. Returns its ticket, or -1 if the site is no longer at this address. */
     long beginRequest(Site site, String address) {
         synchronized (control) {
             return address.equals(addresses.get(site)) ? cache.beginRequest(clock.getAsLong(), site) : -1;
@@ -177,11 +176,11 @@
         }
     }
 
-    /** Applies a widening. The version that it returns counts for request threads by then. */
-    long applyWidening(SiteMessage.Widening w) {
+    /** Applies a widening. Returns the version that is in effect for request threads from then on. */
+    long applyWidening(SiteMessage.Widening widening) {
         synchronized (control) {
-            long version = cache.applyWidening(clock.getAsLong(), w);
-            publish(w.site());
+            long version = cache.applyWidening(clock.getAsLong(), widening);
+            publish(widening.site());
             return version;
         }
     }
@@ -190,7 +189,7 @@
         return leases.containsKey(site);
     }
 
-    /** Runs what request threads queued. */
+    /** Runs the tasks that request threads queued. */
     void runControlTasks() {
         for (Runnable r = controlTasks.poll(); r != null; r = controlTasks.poll()) {
             synchronized (control) {
@@ -200,80 +199,82 @@
     }
 
     private void publish(Site site) {
-        LeasedSummary held = cache.leased(site);
-        if (held == null) {
+        LeasedSummary leased = cache.leased(site);
+        if (leased == null) {
             leases.remove(site);
         } else {
-            leases.put(site, held);
+            leases.put(site, leased);
         }
     }
 
-    // ---- traffic ------------------------------------------------------------------------------------------
+    // ---- request ------------------------------------------------------------------------------------------
 
     /**
-     * Which of a query's shares are asked. The version that acts and the clock are read in this call, after the query
-     * came; both hold for the whole of it.
+     * Decides which shards of a query are queried. The rule in effect and the clock are read once, in this call, and
+     * apply to the entire query.
      */
     public PruningDecision decide(Conditions conditions, List<Pruning.Share> shares, boolean mayRepeat) {
-        EffectiveRule act = ruleReader.effectiveRule(DOCUMENT);
+        EffectiveRule rule = ruleReader.effectiveRule(DOCUMENT);
         long now = clock.getAsLong();
-        Pruning.Decision d = pruning.decide(now, conditions, shares, mayRepeat, site -> excluding(now, act, conditions,
-                site));
-        asked.add(d.ask().size());
-        pruned.add(d.pruned().size());
-        probed.add(d.probes().size());
-        return new PruningDecision(d, hasAgreement() ? act : null);
+        Pruning.Decision decision = pruning.decide(now, conditions, shares, mayRepeat,
+                site -> excluding(now, rule, conditions, site));
+        queriedShards.add(decision.ask().size());
+        prunedShards.add(decision.pruned().size());
+        probedShards.add(decision.probes().size());
+        return new PruningDecision(decision, hasAgreement() ? rule : null);
     }
 
-    private Summary excluding(long now, EffectiveRule act, Conditions conditions, Site site) {
-        LeasedSummary held = leases.get(site);
-        if (held == null || distrusted.contains(site) || !prunable(now, act, site.name(), held)) {
+    private Summary excluding(long now, EffectiveRule rule, Conditions conditions, Site site) {
+        LeasedSummary leased = leases.get(site);
+        if (leased == null || distrusted.contains(site) || !isPrunable(now, rule, site.name(), leased)) {
             return null;
         }
-        return held.excluding(now, conditions);
+        return leased.excluding(now, conditions);
     }
 
     private boolean hasAgreement() {
         return ruleReader != RuleReader.NONE;
     }
 
-    /** Whether the operators' file lets it be left out, and the acting version too where there is an agreement. */
-    private boolean prunable(long now, EffectiveRule act, String site, LeasedSummary held) {
-        return prunableNames.contains(site) && (!hasAgreement() || PrunableSites.allow(act, site, now - held.since()));
+    /** Returns whether the operators' file, and the rule in effect if there is an agreement, allow pruning the site. */
+    private boolean isPrunable(long now, EffectiveRule rule, String site, LeasedSummary leased) {
+        return prunableNames.contains(site)
+                && (!hasAgreement() || PrunableSites.allow(rule, site, now - leased.since()));
     }
 
     /**
-     * What came of a share that was asked all the same. Rows of a site whose summary still counts and is what it was
-     * prove it wrong: had they been confirmed since, this gatherer would have heard before.
+     * Takes the result of a probe. Rows of a site whose leased summary is unchanged since the decision prove the
+     * summary wrong: before the site confirms new rows, this gatherer receives a widening.
      *
-     * @param rows    in the answer
-     * @param epoch   of the site's data by its answer, and {@code version}; {@link Long#MIN_VALUE} where untold
-     * @return whether the summary was found wrong, and is taken out
+     * @param epoch   epoch of the site's data in the answer; {@link Long#MIN_VALUE} if unknown
+     * @param version version of the site's data in the answer; {@link Long#MIN_VALUE} if unknown
+     * @param rows    number of rows in the answer
+     * @return whether the summary was found wrong and is taken out of use
      */
     public boolean reportProbe(Pruning.PrunedShard cut, Site site, long epoch, long version, long rows) {
-        Summary by = cut.by(site);
-        LeasedSummary held = leases.get(site);
+        Summary summary = cut.summaryOf(site);
+        LeasedSummary leased = leases.get(site);
         long now = clock.getAsLong();
-        if (held == null || held.summary() != by || held.until() <= now
-                || !Pruning.wrong(cut, site, epoch, version, rows) || !distrusted.add(site)) {
+        if (leased == null || leased.summary() != summary || leased.until() <= now
+                || !Pruning.disprovesSummary(cut, site, epoch, version, rows) || !distrusted.add(site)) {
             return false;
         }
-        // where there is no room others have filled it: this one is taken out all the same, and the log says less
+        // if the queue is full, the site is distrusted all the same, but the log line has fewer details
         if (!controlTasks.offer(() -> {
             pruning.reportProbe(clock.getAsLong(), cut, site, epoch, version, rows);
             publish(site);
         })) {
-            log.error(STATE, "the summary of {} block {} excluded rows that it has: it is taken out", site.name(),
-                    site.block());
+            log.error(STATE, "the summary of {} block {} excluded rows that it has: the summary is taken out of use",
+                    site.name(), site.block());
         }
         return true;
     }
 
-    /** The leased summaries, a line each, for operators and tests. */
+    /** Returns the leased summaries, a line each, for operators and tests. */
     public List<String> lines() {
         var lines = new ArrayList<String>();
-        leases.forEach((site, held) -> lines.add(site.name() + " " + site.block() + " version "
-                + held.summary().version()));
+        leases.forEach((site, leased) -> lines.add(site.name() + " " + site.block() + " version "
+                + leased.summary().version()));
         return lines;
     }
 }
--- a/src/main/java/wallmoor/pruning/WideningMessages.java
+++ b/src/main/java/wallmoor/pruning/WideningMessages.java
@@ -10,13 +10,13 @@
 import wallmoor.summaries.Site;
 import wallmoor.summaries.SiteMessage;
 
-/** The form in JSON in which a server tells of widenings and is told which ones count. Nothing in it is trusted. */
+/** The JSON messages by which a server sends widenings and a gatherer acknowledges them. All input is validated. */
 final class WideningMessages {
-    /** Widenings in one answer: what a server has beyond them it tells when these are acknowledged. */
-    private static final int MOST = 1000;
-    private static final int LONGEST_BLOCK = 200;
+    /** Maximum widenings in one answer; a server sends further ones after these are acknowledged. */
+    private static final int MAX_WIDENINGS = 1000;
+    private static final int MAX_BLOCK_LENGTH = 200;
 
-    /** What counts now at this gatherer. */
+    /** The version of a block's summary that is in effect at this gatherer. */
     record Acknowledged(String block, long epoch, long version) {}
 
     private WideningMessages() {}
@@ -33,32 +33,34 @@
     }
 
     /**
-     * What a server tells, in its order.
+     * Parses the widenings in an answer, in its order.
      *
-     * @param mostBytes of one widening's rows
+     * @param maxRowsBytes maximum size of the rows of one widening
      */
-    static List<SiteMessage.Widening> read(String site, ByteSlice body, int mostBytes)
+    static List<SiteMessage.Widening> read(String site, ByteSlice body, int maxRowsBytes)
             throws HttpProtocolException, Json.Malformed {
         List<?> list = Json.object(body.buffer(), body.from(), body.length()).list("widenings");
-        if (list == null || list.size() > MOST) {
-            throw new HttpProtocolException(502, "its news has no list of widenings, or one of more than " + MOST);
+        if (list == null || list.size() > MAX_WIDENINGS) {
+            throw new HttpProtocolException(502, "answer has no list of widenings, or one of more than "
+                    + MAX_WIDENINGS);
         }
         var all = new ArrayList<SiteMessage.Widening>();
         for (Object item : list) {
-            if (!(item instanceof Json.Obj w) || w.text("block") == null || w.text("block").length() > LONGEST_BLOCK
+            if (!(item instanceof Json.Obj w) || w.text("block") == null || w.text("block").length() > MAX_BLOCK_LENGTH
                     || !(w.get("epoch") instanceof Long epoch) || !(w.get("from") instanceof Long from)
                     || !(w.get("to") instanceof Long to) || from >= to) {
-                throw new HttpProtocolException(502, "its news holds what is no widening");
+                throw new HttpProtocolException(502, "widening " + all.size()
+                        + " of the answer needs a block of at most " + MAX_BLOCK_LENGTH + " characters and integers epoch, from and to, with from below to");
             }
             all.add(new SiteMessage.Widening(new Site(site, w.text("block")), epoch, from, to,
-                    rows(w.text("rows"), mostBytes)));
+                    rows(w.text("rows"), maxRowsBytes)));
         }
         return all;
     }
 
-    /** Null stands for rows that can't be taken in: what is held then ends, which is safe. */
-    private static byte[] rows(String text, int mostBytes) {
-        if (text == null || text.length() / 4 * 3 > mostBytes + 3) {
+    /** Returns the rows, or null if they can't be decoded: the cached summary is then dropped, which is safe. */
+    private static byte[] rows(String text, int maxRowsBytes) {
+        if (text == null || text.length() / 4 * 3 > maxRowsBytes + 3) {
             return null;
         }
         try {
--- a/src/main/java/wallmoor/pruning/package-info.java
+++ b/src/main/java/wallmoor/pruning/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fetches what sites promise and tells traffic which of them may be left out now. It owns the connections, the threads
- * and the clock; which summary counts, and what one excludes, is decided in {@code summaries}.
+ * Requests leases on the summaries of sites and decides for each query which sites are pruned. This package owns the
+ * connections, the threads and the clock; {@code summaries} decides which summary is valid and what it excludes.
  */
 package wallmoor.pruning;
--- a/src/main/java/wallmoor/summaries/BitSlicedBloomIndex.java
+++ b/src/main/java/wallmoor/summaries/BitSlicedBloomIndex.java
@@ -4,42 +4,43 @@
 import java.util.BitSet;
 
 /**
- * Filters of one size side by side: a row for each place in them, a bit of it for each filter. Whether any of 10,000
- * filters has a key is then twelve rows ANDed, not 10,000 filters tried.
+ * A bit-sliced index of Bloom filters of one size. It has a row for each bit position of the filters, and in each row
+ * one bit (a column) for each filter. Looking up a key in 10,000 filters takes the AND of 12 rows instead of 10,000
+ * look-ups.
  */
 final class BitSlicedBloomIndex {
     private final long[][] rows;
-    private final BitSet used = new BitSet();
+    private final BitSet usedColumns = new BitSet();
     private int[] slots = new int[64];
 
     BitSlicedBloomIndex(int bits) {
         rows = new long[bits][];
     }
 
-    /** Lays a slot's filter beside the others; returns its column. */
+    /** Adds the filter of a slot and returns its column. */
     int add(int slot, KeyBloomFilter filter) {
-        int column = used.nextClearBit(0);
-        used.set(column);
+        int column = usedColumns.nextClearBit(0);
+        usedColumns.set(column);
         if (column >= slots.length) {
             slots = Arrays.copyOf(slots, slots.length * 2);
         }
         slots[column] = slot;
-        set(column, filter);
+        addKeys(column, filter);
         return column;
     }
 
-    /** Adds a filter's keys to a column. */
-    void set(int column, KeyBloomFilter filter) {
+    /** Adds the keys of a filter to a column. */
+    void addKeys(int column, KeyBloomFilter filter) {
         long[] words = filter.words();
         for (int w = 0; w < words.length; w++) {
-            for (long left = words[w]; left != 0; left &= left - 1) {
-                int place = (w << 6) + Long.numberOfTrailingZeros(left);
-                long[] row = rows[place];
+            for (long remaining = words[w]; remaining != 0; remaining &= remaining - 1) {
+                int position = (w << 6) + Long.numberOfTrailingZeros(remaining);
+                long[] row = rows[position];
                 if (row == null || row.length <= column >> 6) {
-                    int wanted = (column >> 6) + 1;
-                    row = row == null ? new long[wanted]
-                            : Arrays.copyOf(row, Math.max(wanted, row.length + row.length / 4));
-                    rows[place] = row;
+                    int requiredWords = (column >> 6) + 1;
+                    row = row == null ? new long[requiredWords]
+                            : Arrays.copyOf(row, Math.max(requiredWords, row.length + row.length / 4));
+                    rows[position] = row;
                 }
                 row[column >> 6] |= 1L << column;
             }
@@ -52,29 +53,30 @@
                 row[column >> 6] &= ~(1L << column);
             }
         }
-        used.clear(column);
+        usedColumns.clear(column);
     }
 
-    /** Sets the slots whose filter may have the key. */
-    void may(long hash, BitSet to) {
-        var places = new int[KeyBloomFilter.PLACES];
-        var at = new int[1];
-        KeyBloomFilter.places(hash, rows.length, p -> places[at[0]++] = (int) p);
+    /** Adds the slots whose filter might contain the key with this hash. */
+    void collectSlots(long hash, BitSet result) {
+        var positions = new int[KeyBloomFilter.HASH_FUNCTIONS];
+        var count = new int[1];
+        KeyBloomFilter.forEachBitPosition(hash, rows.length, p -> positions[count[0]++] = (int) p);
         int words = Integer.MAX_VALUE;
-        for (int p : places) {
+        for (int p : positions) {
             words = Math.min(words, rows[p] == null ? 0 : rows[p].length);
         }
         for (int w = 0; w < words; w++) {
-            long all = -1;
-            for (int i = 0; i < places.length && all != 0; i++) {
-                all &= rows[places[i]][w];
+            long matches = -1;
+            for (int i = 0; i < positions.length && matches != 0; i++) {
+                matches &= rows[positions[i]][w];
             }
-            for (; all != 0; all &= all - 1) {
-                to.set(slots[(w << 6) + Long.numberOfTrailingZeros(all)]);
+            for (; matches != 0; matches &= matches - 1) {
+                result.set(slots[(w << 6) + Long.numberOfTrailingZeros(matches)]);
             }
         }
     }
 
+    /** Returns the approximate memory of the index in bytes. */
     long bytes() {
         long bytes = 8L * rows.length + 4L * slots.length;
         for (long[] row : rows) {
--- a/src/main/java/wallmoor/summaries/BoundedCover.java
+++ b/src/main/java/wallmoor/summaries/BoundedCover.java
@@ -7,102 +7,107 @@
 import java.util.function.ToDoubleBiFunction;
 
 /**
- * A bounded number of pieces, boxes or spans, round all that was added. While rows are taken it keeps more of them than
- * are told in the end: the two that cost least to join are joined only when there are too many.
+ * A bounded number of boxes or time spans (pieces) that together cover everything added. While rows are added, it
+ * holds more pieces than the final cover has; those that cost least to join are joined only when there are too many.
  */
 final class BoundedCover<T> {
-    /** So many times the bound while rows come: joining costs the square of it, and is done once in so many rows. */
-    private static final int WORKING = 8;
+    /**
+     * Pieces held while rows are added, as a multiple of the bound. Joining takes time quadratic in the number of
+     * pieces and runs once in many rows.
+     */
+    private static final int WORKING_SET_FACTOR = 8;
 
-    private final int most;
-    private final BiPredicate<T, T> holds;
+    private final int maxPieces;
+    private final BiPredicate<T, T> contains;
     private final BinaryOperator<T> join;
     private final ToDoubleBiFunction<T, T> cost;
     private List<T> pieces;
 
-    private BoundedCover(int most, List<T> pieces, BiPredicate<T, T> holds, BinaryOperator<T> join,
+    private BoundedCover(int maxPieces, List<T> pieces, BiPredicate<T, T> contains, BinaryOperator<T> join,
             ToDoubleBiFunction<T, T> cost) {
-        this.most = most;
+        this.maxPieces = maxPieces;
         this.pieces = new ArrayList<>(pieces);
-        this.holds = holds;
+        this.contains = contains;
         this.join = join;
         this.cost = cost;
     }
 
-    static BoundedCover<Box> boxes(int most, List<Box> first) {
-        return new BoundedCover<>(most, first, Box::holds, Box::with, (a, b) -> a.with(b).size() - a.size() - b.size());
+    static BoundedCover<Box> boxes(int maxPieces, List<Box> initial) {
+        return new BoundedCover<>(maxPieces, initial, Box::contains, Box::union,
+                (a, b) -> a.union(b).size() - a.size() - b.size());
     }
 
-    static BoundedCover<TimeSpan> spans(int most, List<TimeSpan> first) {
-        return new BoundedCover<>(most, first, (a, b) -> a.from() <= b.from() && b.to() <= a.to(), TimeSpan::with,
-                (a, b) -> Math.max(a.from(), b.from()) - (double) Math.min(a.to(), b.to()));
+    static BoundedCover<TimeSpan> spans(int maxPieces, List<TimeSpan> initial) {
+        return new BoundedCover<>(maxPieces, initial, (a, b) -> a.from() <= b.from() && b.to() <= a.to(),
+                TimeSpan::union, (a, b) -> Math.max(a.from(), b.from()) - (double) Math.min(a.to(), b.to()));
     }
 
     void add(T piece) {
         for (T p : pieces) {
-            if (holds.test(p, piece)) {
+            if (contains.test(p, piece)) {
                 return;
             }
         }
         pieces.add(piece);
-        if (pieces.size() > WORKING * most) {
-            pieces = reduced(WORKING * most / 2);
+        if (pieces.size() > WORKING_SET_FACTOR * maxPieces) {
+            pieces = reduced(WORKING_SET_FACTOR * maxPieces / 2);
         }
     }
 
-    /** At most {@code bound} pieces round all: each time the two that cost least are joined. */
+    /** Returns at most {@code bound} pieces that cover all, by repeatedly joining the two that cost least to join. */
     List<T> reduced(int bound) {
-        var left = new ArrayList<>(pieces);
-        int count = left.size();
+        var remaining = new ArrayList<>(pieces);
+        int count = remaining.size();
         if (count <= Math.max(1, bound)) {
-            return left;
+            return remaining;
         }
-        var near = new int[count]; // of each piece the one it costs least to join with, and that cost
-        var least = new double[count];
+        var nearest = new int[count]; // for each piece, the index of the one that costs least to join with it
+        var joinCost = new double[count]; // the cost of joining a piece with its nearest
         for (int i = 0; i < count; i++) {
-            nearest(left, i, near, least);
+            updateNearest(remaining, i, nearest, joinCost);
         }
         for (int alive = count; alive > Math.max(1, bound); alive--) {
-            int one = -1;
+            int first = -1;
             for (int i = 0; i < count; i++) {
-                one = left.get(i) != null && (one < 0 || least[i] < least[one]) ? i : one;
+                first = remaining.get(i) != null && (first < 0 || joinCost[i] < joinCost[first]) ? i : first;
             }
-            int two = near[one];
-            left.set(one, join.apply(left.get(one), left.get(two)));
-            left.set(two, null);
+            int second = nearest[first];
+            remaining.set(first, join.apply(remaining.get(first), remaining.get(second)));
+            remaining.set(second, null);
             for (int i = 0; i < count; i++) {
-                if (left.get(i) == null) {
+                if (remaining.get(i) == null) {
                     continue;
                 }
-                if (i == one || near[i] == one || near[i] == two) {
-                    nearest(left, i, near, least);
+                if (i == first || nearest[i] == first || nearest[i] == second) {
+                    updateNearest(remaining, i, nearest, joinCost);
                 } else {
-                    double c = cost.applyAsDouble(left.get(i), left.get(one));
-                    if (c < least[i]) {
-                        least[i] = c;
-                        near[i] = one;
+                    double c = cost.applyAsDouble(remaining.get(i), remaining.get(first));
+                    if (c < joinCost[i]) {
+                        joinCost[i] = c;
+                        nearest[i] = first;
                     }
                 }
             }
         }
-        left.removeIf(p -> p == null);
-        return left;
+        remaining.removeIf(p -> p == null);
+        return remaining;
     }
 
-    private void nearest(List<T> left, int i, int[] near, double[] least) {
-        near[i] = -1;
-        for (int j = 0; j < left.size(); j++) {
-            if (j != i && left.get(j) != null) {
-                double c = cost.applyAsDouble(left.get(i), left.get(j));
-                if (near[i] < 0 || c < least[i]) {
-                    least[i] = c;
-                    near[i] = j;
+    private void updateNearest(List<T> remaining, int i, int[] nearest, double[] joinCost) {
+        nearest[i] = -1;
+        for (int j = 0; j < remaining.size(); j++) {
+            if (j != i && remaining.get(j) != null) {
+                double c = cost.applyAsDouble(remaining.get(i), remaining.get(j));
+                if (nearest[i] < 0 || c < joinCost[i]) {
+                    joinCost[i] = c;
+                    nearest[i] = j;
                 }
             }
         }
     }
 
-    List<T> told() {
-        return reduced(most);
+    /** Returns the pieces of the final cover. */
+    List<T> cover() {
+        return reduced(maxPieces);
     }
 }
--- a/src/main/java/wallmoor/summaries/CachedSummary.java
+++ b/src/main/java/wallmoor/summaries/CachedSummary.java
@@ -1,23 +1,23 @@
 package wallmoor.summaries;
 
 /**
- * The state of one site in a {@link SummaryCache}: its slot in the index, the version chain, the request that is
- * outstanding, and the lease. The summary itself is in the index. Changed by its cache alone.
+ * The state of one site in a {@link SummaryCache}: its slot in the index, its version chain, the outstanding request
+ * and the lease. The summary itself is in the index. Only the cache changes it.
  */
 final class CachedSummary {
-    /** The end of a lease where there is none: it has always passed. */
+    /** The lease end of an entry without a lease; it always lies in the past. */
     private static final long NO_LEASE = Long.MIN_VALUE;
 
     final Site site;
     final int slot;
     final VersionChain versions = new VersionChain();
-    /** Of the newest request; answers to earlier ones are ignored. */
+    /** The ticket of the newest request; grants for earlier tickets are ignored. */
     long ticket;
-    /** When the newest request was sent, in microseconds. */
+    /** The time at which the newest request was sent, in microseconds. */
     long requestedAt;
-    /** Encoded size of the summary as it was granted, in bytes; 0 where none is cached. */
+    /** The encoded size of the summary as it was granted, in bytes; 0 if none is cached. */
     int bytes;
-    /** Whether the site had rows that its summary excluded: no grant of its is accepted until it is readmitted. */
+    /** Whether the site had rows that its summary excluded. No grant is accepted until the site is readmitted. */
     boolean distrusted;
     private long leaseRequestedAt;
     private long leaseEnd = NO_LEASE;
@@ -27,8 +27,8 @@
         this.slot = slot;
     }
 
-    /** Begins or renews the lease: it runs from the newest request to this time, in microseconds. */
-    void lease(long end) {
+    /** Starts or renews the lease, which runs from the newest request until {@code end}, in microseconds. */
+    void startLease(long end) {
         leaseRequestedAt = requestedAt;
         leaseEnd = end;
     }
@@ -37,12 +37,12 @@
         leaseEnd = NO_LEASE;
     }
 
-    /** When the lease was requested, in microseconds. */
+    /** Returns the time at which the lease was requested, in microseconds. */
     long leaseRequestedAt() {
         return leaseRequestedAt;
     }
 
-    /** From when on the summary doesn't count, in microseconds. */
+    /** Returns the time in microseconds from which the summary is no longer valid. */
     long leaseEnd() {
         return leaseEnd;
     }
--- a/src/main/java/wallmoor/summaries/Conditions.java
+++ b/src/main/java/wallmoor/summaries/Conditions.java
@@ -3,25 +3,26 @@
 import java.util.List;
 
 /**
- * What a query asks of a row: all of it must hold.
+ * The conditions of a query, all of which a matching row meets.
  *
- * @param box        where, or null for anywhere
- * @param time       when, or null for any time
+ * @param box        the box in which the row lies, or null for any location
+ * @param time       the span that the row's time overlaps, or null for any time
  * @param properties conditions on properties
  */
 public record Conditions(QueryBox box, TimeSpan time, List<Condition> properties) {
-    /** A query's conditions on properties are this many at most: each costs a look-up. */
-    public static final int MOST = 64;
+    /** Maximum number of property conditions of a query; each takes a look-up in the index. */
+    public static final int MAX_PROPERTY_CONDITIONS = 64;
 
-    /** Checks the bound. */
+    /** Validates the number of property conditions. */
     public Conditions {
         properties = List.copyOf(properties);
-        if (properties.size() > MOST) {
-            throw new InvalidConditionException("more than " + MOST + " conditions");
+        if (properties.size() > MAX_PROPERTY_CONDITIONS) {
+            throw new InvalidConditionException(properties.size() + " property conditions in a query; at most "
+                    + MAX_PROPERTY_CONDITIONS);
         }
     }
 
-    /** A query's box, checked. */
+    /** The validated box of a query. */
     public static final class QueryBox {
         private final Box box;
 
@@ -34,31 +35,31 @@
         }
     }
 
-    /** Whether it asks for every row. */
-    public boolean none() {
+    /** Returns whether there is no condition, so that every row matches. */
+    public boolean isEmpty() {
         return box == null && time == null && properties.isEmpty();
     }
 
     /**
-     * A box {@code W,S,E,N} in degrees, where W may lie east of E; or with heights, {@code W,S,LOW,E,N,HIGH}, that are
-     * not looked at.
+     * Parses a box {@code W,S,E,N} in degrees, where W may lie east of E, or {@code W,S,LOW,E,N,HIGH}, whose heights
+     * are ignored.
      *
-     * @throws InvalidConditionException with what is wrong
+     * @throws InvalidConditionException if the text is not such a box
      */
     public static QueryBox box(String text) {
         String[] sides = text.split(",", -1);
         if (sides.length != 4 && sides.length != 6) {
-            throw new InvalidConditionException("it is not W,S,E,N: " + text);
+            throw new InvalidConditionException("box is not W,S,E,N: " + text);
         }
-        var at = new double[sides.length];
+        var values = new double[sides.length];
         try {
-            for (int i = 0; i < at.length; i++) {
-                at[i] = Double.parseDouble(sides[i].strip());
+            for (int i = 0; i < values.length; i++) {
+                values[i] = Double.parseDouble(sides[i].strip());
             }
         } catch (NumberFormatException e) {
-            throw new InvalidConditionException("it is not W,S,E,N in numbers: " + text, e);
+            throw new InvalidConditionException("box is not W,S,E,N in numbers: " + text, e);
         }
-        int half = at.length / 2;
-        return new QueryBox(Box.of(at[0], at[1], at[half], at[half + 1]));
+        int half = values.length / 2;
+        return new QueryBox(Box.of(values[0], values[1], values[half], values[half + 1]));
     }
 }
--- a/src/main/java/wallmoor/summaries/Encoding.java
+++ b/src/main/java/wallmoor/summaries/Encoding.java
@@ -10,86 +10,89 @@
 import wallmoor.summaries.UnreadableSummaryException.Fault;
 
 /**
- * A summary as bytes: sign, version, kind, length, body, CRC-32C of all before it. Every count is held against what is
- * left before room is made for it, so that reading takes a few times the bytes and no more.
+ * The binary encoding of a summary: magic number, version, kind, length, body, and the CRC-32C of all before it. Each
+ * count is compared with the remaining bytes before memory is allocated for it, so that decoding allocates at most a
+ * few times the size of its input.
  */
 public final class Encoding {
-    /** UTF-8 bytes of a site's or a block's name. */
-    static final int LONGEST_NAME = 200;
+    /** Maximum length of the name of a site or block, in UTF-8 bytes. */
+    static final int MAX_NAME_BYTES = 200;
 
-    private static final int SIGN = 0x57534D59; // WSMY
+    private static final int MAGIC = 0x57534D59; // WSMY
     private static final int VERSION = 1;
-    private static final int WHOLE = 1;
-    private static final int HEAD = 10;
-    private static final int MISSING = 1;
-    private static final int ODD = 2;
-    private static final int NUMBERS = 4;
-    private static final int TEXTS = 8;
-    private static final int EXTENT = 16;
-    private static final int TEXT_EXTENT = 32;
-    private static final int FILTER = 64;
-    private static final int PLACELESS = 1;
-    private static final int TIMELESS = 2;
-    private static final int COMPLETE = 4;
+    private static final int KIND_FULL = 1;
+    private static final int HEADER_BYTES = 10;
+    private static final int FLAG_MISSING = 1;
+    private static final int FLAG_UNORDERED = 2;
+    private static final int FLAG_NUMBERS = 4;
+    private static final int FLAG_TEXTS = 8;
+    private static final int FLAG_NUMBER_EXTENT = 16;
+    private static final int FLAG_TEXT_EXTENT = 32;
+    private static final int FLAG_FILTER = 64;
+    private static final int FLAG_UNLOCATED_ROWS = 1;
+    private static final int FLAG_UNTIMED_ROWS = 2;
+    private static final int FLAG_COMPLETE = 4;
 
     private Encoding() {}
 
-    static int utf8(String s) {
+    static int utf8Bytes(String s) {
         return s.getBytes(StandardCharsets.UTF_8).length;
     }
 
-    /** The bytes that a property takes, without its name. */
-    static int bytes(PropertySummary p) {
+    /** Returns the number of bytes that a property takes, without its name. */
+    static int encodedBytes(PropertySummary p) {
         int bytes = 1 + (p.smallestNumber <= p.largestNumber ? 16 : 0);
         if (p.firstText != null) {
-            bytes += 8 + utf8(p.firstText) + utf8(p.lastText) + utf8(p.firstFoldedText) + utf8(p.lastFoldedText);
+            bytes += 8 + utf8Bytes(p.firstText) + utf8Bytes(p.lastText) + utf8Bytes(p.firstFoldedText)
+                    + utf8Bytes(p.lastFoldedText);
         }
         if (p.values == null) {
             return bytes + 1 + p.filter.bits() / 8;
         }
-        return bytes + 2 + p.values.stream().mapToInt(v -> 2 + utf8(v)).sum();
+        return bytes + 2 + p.values.stream().mapToInt(v -> 2 + utf8Bytes(v)).sum();
     }
 
-    /** The bytes of a summary. */
+    /** Returns the encoded summary. */
     public static byte[] encode(Summary s) {
-        int size = HEAD + 4 + 4 + utf8(s.site()) + utf8(s.block()) + 25 + 2 + 16 * s.boxes().size()
+        int size = HEADER_BYTES + 4 + 4 + utf8Bytes(s.site()) + utf8Bytes(s.block()) + 25 + 2 + 16 * s.boxes().size()
                 + 16 * s.spans().size() + 2;
         for (var e : s.properties().entrySet()) {
-            size += 2 + utf8(e.getKey()) + bytes(e.getValue());
+            size += 2 + utf8Bytes(e.getKey()) + encodedBytes(e.getValue());
         }
         ByteBuffer to = ByteBuffer.allocate(size);
-        to.putInt(SIGN).put((byte) VERSION).put((byte) WHOLE).putInt(size);
-        text(to, s.site());
-        text(to, s.block());
+        to.putInt(MAGIC).put((byte) VERSION).put((byte) KIND_FULL).putInt(size);
+        writeText(to, s.site());
+        writeText(to, s.block());
         to.putLong(s.epoch()).putLong(s.version()).putLong(s.rows());
-        to.put((byte) ((s.placeless() ? PLACELESS : 0) | (s.timeless() ? TIMELESS : 0)
-                | (s.complete() ? COMPLETE : 0)));
+        to.put((byte) ((s.hasUnlocatedRows() ? FLAG_UNLOCATED_ROWS : 0) | (s.hasUntimedRows() ? FLAG_UNTIMED_ROWS : 0)
+                | (s.complete() ? FLAG_COMPLETE : 0)));
         to.put((byte) s.boxes().size());
         s.boxes().forEach(b -> to.putInt(b.west()).putInt(b.width()).putInt(b.south()).putInt(b.north()));
         to.put((byte) s.spans().size());
         s.spans().forEach(x -> to.putLong(x.from()).putLong(x.to()));
         to.putShort((short) s.properties().size());
         s.properties().forEach((name, p) -> {
-            text(to, name);
-            property(to, p);
+            writeText(to, name);
+            writeProperty(to, p);
         });
         to.putInt(crc(to.array(), to.position()));
         return to.array();
     }
 
-    private static void property(ByteBuffer to, PropertySummary p) {
-        to.put((byte) ((p.missing ? MISSING : 0) | (p.unordered ? ODD : 0) | (p.numbers ? NUMBERS : 0)
-                | (p.texts ? TEXTS : 0)
-                | (p.smallestNumber <= p.largestNumber ? EXTENT : 0) | (p.firstText != null ? TEXT_EXTENT : 0)
-                | (p.values == null ? FILTER : 0)));
+    private static void writeProperty(ByteBuffer to, PropertySummary p) {
+        to.put((byte) ((p.missing ? FLAG_MISSING : 0) | (p.unordered ? FLAG_UNORDERED : 0)
+                | (p.numbers ? FLAG_NUMBERS : 0) | (p.texts ? FLAG_TEXTS : 0)
+                | (p.smallestNumber <= p.largestNumber ? FLAG_NUMBER_EXTENT : 0)
+                | (p.firstText != null ? FLAG_TEXT_EXTENT : 0)
+                | (p.values == null ? FLAG_FILTER : 0)));
         if (p.smallestNumber <= p.largestNumber) {
             to.putDouble(p.smallestNumber).putDouble(p.largestNumber);
         }
         if (p.firstText != null) {
-            text(to, p.firstText);
-            text(to, p.lastText);
-            text(to, p.firstFoldedText);
-            text(to, p.lastFoldedText);
+            writeText(to, p.firstText);
+            writeText(to, p.lastText);
+            writeText(to, p.firstFoldedText);
+            writeText(to, p.lastFoldedText);
         }
         if (p.values == null) {
             to.put((byte) Integer.numberOfTrailingZeros(p.filter.bits()));
@@ -98,11 +101,11 @@
             }
         } else {
             to.putShort((short) p.values.size());
-            p.values.forEach(v -> text(to, v));
+            p.values.forEach(v -> writeText(to, v));
         }
     }
 
-    private static void text(ByteBuffer to, String s) {
+    private static void writeText(ByteBuffer to, String s) {
         byte[] bytes = s.getBytes(StandardCharsets.UTF_8);
         to.putShort((short) bytes.length).put(bytes);
     }
@@ -114,35 +117,40 @@
     }
 
     /**
-     * The summary that these bytes are.
+     * Decodes a summary.
      *
-     * @throws UnreadableSummaryException where they are none
+     * @throws UnreadableSummaryException if the bytes are not a summary that this version can read
      */
     public static Summary decode(byte[] bytes) throws UnreadableSummaryException {
         if (bytes.length > SummaryLimits.MAX_BYTES) {
-            throw new UnreadableSummaryException(Fault.TOO_LARGE, "the summary has " + bytes.length + " bytes");
+            throw new UnreadableSummaryException(Fault.TOO_LARGE, "the summary has " + bytes.length
+                    + " bytes; at most " + SummaryLimits.MAX_BYTES + " are allowed");
         }
         ByteBuffer from = ByteBuffer.wrap(bytes);
-        if (bytes.length < HEAD + 4 || from.getInt() != SIGN) {
-            throw new UnreadableSummaryException(Fault.TORN, "the summary lacks its sign");
+        if (bytes.length < HEADER_BYTES + 4 || from.getInt() != MAGIC) {
+            throw new UnreadableSummaryException(Fault.TORN, "the " + bytes.length
+                    + " bytes don't start with the magic number and header of a summary");
         }
         int version = from.get();
         int kind = from.get();
         int size = from.getInt();
-        if (version != VERSION) { // a later form may be checked another way
-            throw new UnreadableSummaryException(Fault.UNKNOWN_VERSION, "the summary's form is version " + version);
+        if (version != VERSION) { // a later version may use another checksum
+            throw new UnreadableSummaryException(Fault.UNKNOWN_VERSION, "the summary has format version "
+                    + version + "; this program reads version " + VERSION);
         }
         if (size != bytes.length || ByteBuffer.wrap(bytes, size - 4, 4).getInt() != crc(bytes, size - 4)) {
             throw new UnreadableSummaryException(Fault.TORN,
-                    "the summary is torn: " + bytes.length + " bytes of " + size);
+                    "the summary is torn: " + bytes.length + " bytes, its header states " + size
+                            + ", or the checksum does not match");
         }
-        if (kind != WHOLE) {
-            throw new UnreadableSummaryException(Fault.UNKNOWN_KIND, "the summary is of kind " + kind);
+        if (kind != KIND_FULL) {
+            throw new UnreadableSummaryException(Fault.UNKNOWN_KIND, "the summary is of kind " + kind
+                    + "; this program reads kind " + KIND_FULL);
         }
         try {
-            Summary s = body(from);
+            Summary s = readBody(from);
             if (from.remaining() != 4) {
-                throw malformed("more after its end");
+                throw malformed(from.remaining() - 4 + " bytes after the last property");
             }
             return s;
         } catch (BufferUnderflowException | IllegalArgumentException e) {
@@ -151,65 +159,65 @@
     }
 
     private static UnreadableSummaryException malformed(String what) {
-        return new UnreadableSummaryException(Fault.MALFORMED, "the summary says what none can, " + what);
+        return new UnreadableSummaryException(Fault.MALFORMED, "the summary is malformed: " + what);
     }
 
-    private static Summary body(ByteBuffer from) throws UnreadableSummaryException {
-        String site = text(from);
-        String block = text(from);
+    private static Summary readBody(ByteBuffer from) throws UnreadableSummaryException {
+        String site = readText(from);
+        String block = readText(from);
         long epoch = from.getLong();
         long version = from.getLong();
         long rows = from.getLong();
         int flags = from.get();
         var boxes = new ArrayList<Box>();
-        for (int n = count(from, from.get() & 0xff, 16); n > 0; n--) {
+        for (int n = checkedCount(from, from.get() & 0xff, 16); n > 0; n--) {
             boxes.add(new Box(from.getInt(), from.getInt(), from.getInt(), from.getInt()));
         }
         var spans = new ArrayList<TimeSpan>();
-        for (int n = count(from, from.get() & 0xff, 16); n > 0; n--) {
+        for (int n = checkedCount(from, from.get() & 0xff, 16); n > 0; n--) {
             spans.add(new TimeSpan(from.getLong(), from.getLong()));
         }
         var properties = new TreeMap<String, PropertySummary>();
-        for (int n = count(from, from.getShort() & 0xffff, 6); n > 0; n--) {
-            if (properties.put(text(from), property(from)) != null) {
-                throw malformed("a property twice");
+        for (int n = checkedCount(from, from.getShort() & 0xffff, 6); n > 0; n--) {
+            if (properties.put(readText(from), readProperty(from)) != null) {
+                throw malformed("a property occurs twice");
             }
         }
         if (rows < 0) {
-            throw malformed("less than no rows");
+            throw malformed("number of rows is " + rows + ", below 0");
         }
-        return new Summary(site, block, epoch, version, rows, (flags & COMPLETE) != 0, (flags & PLACELESS) != 0,
-                (flags & TIMELESS) != 0, boxes, spans, properties);
+        return new Summary(site, block, epoch, version, rows, (flags & FLAG_COMPLETE) != 0,
+                (flags & FLAG_UNLOCATED_ROWS) != 0, (flags & FLAG_UNTIMED_ROWS) != 0, boxes, spans, properties);
     }
 
-    private static PropertySummary property(ByteBuffer from) throws UnreadableSummaryException {
+    private static PropertySummary readProperty(ByteBuffer from) throws UnreadableSummaryException {
         var p = new PropertySummary();
         int flags = from.get();
-        p.missing = (flags & MISSING) != 0;
-        p.unordered = (flags & ODD) != 0;
-        p.numbers = (flags & NUMBERS) != 0;
-        p.texts = (flags & TEXTS) != 0;
-        if ((flags & EXTENT) != 0) {
+        p.missing = (flags & FLAG_MISSING) != 0;
+        p.unordered = (flags & FLAG_UNORDERED) != 0;
+        p.numbers = (flags & FLAG_NUMBERS) != 0;
+        p.texts = (flags & FLAG_TEXTS) != 0;
+        if ((flags & FLAG_NUMBER_EXTENT) != 0) {
             p.smallestNumber = from.getDouble();
             p.largestNumber = from.getDouble();
             if (!(p.smallestNumber <= p.largestNumber)) {
-                throw malformed("a least above the most");
+                throw malformed("smallest number " + p.smallestNumber + " is above the largest, " + p.largestNumber);
             }
         }
-        if ((flags & TEXT_EXTENT) != 0) {
-            p.firstText = text(from);
-            p.lastText = text(from);
-            p.firstFoldedText = text(from);
-            p.lastFoldedText = text(from);
+        if ((flags & FLAG_TEXT_EXTENT) != 0) {
+            p.firstText = readText(from);
+            p.lastText = readText(from);
+            p.firstFoldedText = readText(from);
+            p.lastFoldedText = readText(from);
         } else if (p.texts && !p.unordered) {
-            throw malformed("texts without a least");
+            throw malformed("a property with texts has no text extent");
         }
-        if ((flags & FILTER) != 0) {
+        if ((flags & FLAG_FILTER) != 0) {
             int bits = from.get();
             if (bits < 8 || bits > 20) {
-                throw malformed("a filter of 2^" + bits + " bits");
+                throw malformed("a filter has 2^" + bits + " bits; 2^8 to 2^20 are allowed");
             }
-            var words = new long[count(from, 1 << (bits - 6), 8)];
+            var words = new long[checkedCount(from, 1 << (bits - 6), 8)];
             for (int i = 0; i < words.length; i++) {
                 words[i] = from.getLong();
             }
@@ -218,22 +226,23 @@
             return p;
         }
         p.values = new TreeSet<>();
-        for (int n = count(from, from.getShort() & 0xffff, 3); n > 0; n--) {
-            p.values.add(text(from));
+        for (int n = checkedCount(from, from.getShort() & 0xffff, 3); n > 0; n--) {
+            p.values.add(readText(from));
         }
         return p;
     }
 
-    /** So many things of so many bytes each must still be there. */
-    private static int count(ByteBuffer from, int n, int each) throws UnreadableSummaryException {
-        if (n > from.remaining() / each) {
-            throw malformed("more counted than there is");
+    /** Returns {@code n} if that many items of at least {@code itemBytes} bytes each can remain. */
+    private static int checkedCount(ByteBuffer from, int n, int itemBytes) throws UnreadableSummaryException {
+        if (n > from.remaining() / itemBytes) {
+            throw malformed(n + " items of " + itemBytes + " bytes or more are announced, " + from.remaining()
+                    + " bytes remain");
         }
         return n;
     }
 
-    private static String text(ByteBuffer from) throws UnreadableSummaryException {
-        int length = count(from, from.getShort() & 0xffff, 1);
+    private static String readText(ByteBuffer from) throws UnreadableSummaryException {
+        int length = checkedCount(from, from.getShort() & 0xffff, 1);
         var bytes = new byte[length];
         from.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
--- a/src/main/java/wallmoor/summaries/KeyBloomFilter.java
+++ b/src/main/java/wallmoor/summaries/KeyBloomFilter.java
@@ -3,13 +3,16 @@
 import java.util.function.LongConsumer;
 
 /**
- * A Bloom filter over 64-bit hashes whose size is a power of two. It can be added to, which static filters can't;
- * halved where bytes are short; and its places can be told, which the index needs to lay many filters side by side.
+ * A Bloom filter over 64-bit hashes whose size is a power of two. Unlike a static filter, it accepts further keys. It
+ * can be halved to save bytes, and its bit positions are accessible, which {@link BitSlicedBloomIndex} needs.
  */
 final class KeyBloomFilter {
-    /** At half full one absent key in 4,096 is taken for present; a summary asks that of 10,000 sites at once. */
-    static final int PLACES = 12;
-    static final int LEAST_BITS = 256;
+    /**
+     * Number of hash functions. With half of the bits set, one absent key in 4,096 is reported as present; one query
+     * looks a key up in the filters of up to 10,000 sites.
+     */
+    static final int HASH_FUNCTIONS = 12;
+    static final int MIN_BITS = 256;
 
     private final long[] words;
 
@@ -17,10 +20,11 @@
         this.words = words;
     }
 
-    /** Empty, of a power of two of bits, at least {@link #LEAST_BITS}. */
+    /** Returns an empty filter; {@code bits} is a power of two, at least {@link #MIN_BITS}. */
     static KeyBloomFilter ofBits(int bits) {
-        if (Integer.bitCount(bits) != 1 || bits < LEAST_BITS) {
-            throw new IllegalArgumentException("no size of a filter: " + bits);
+        if (Integer.bitCount(bits) != 1 || bits < MIN_BITS) {
+            throw new IllegalArgumentException("filter size in bits is not a power of two of at least "
+                    + MIN_BITS + ": " + bits);
         }
         return new KeyBloomFilter(new long[bits >> 6]);
     }
@@ -30,10 +34,10 @@
         return new KeyBloomFilter(words);
     }
 
-    /** The size in which so many keys stay below half full. */
-    static int bitsFor(int keys, int most) {
-        int bits = LEAST_BITS;
-        while (bits < most && bits < keys * (PLACES / Math.log(2))) {
+    /** Returns the smallest size, at most {@code maxBits}, at which this many keys set less than half of the bits. */
+    static int bitsFor(int keys, int maxBits) {
+        int bits = MIN_BITS;
+        while (bits < maxBits && bits < keys * (HASH_FUNCTIONS / Math.log(2))) {
             bits <<= 1;
         }
         return bits;
@@ -47,70 +51,71 @@
         return words;
     }
 
-    /** The places of a hash in a filter of so many bits, by double hashing with a growing step. */
-    static void places(long hash, int bits, LongConsumer each) {
-        int at = (int) hash;
+    /** Passes on the bit positions of a hash in a filter of this size, by double hashing with a growing step. */
+    static void forEachBitPosition(long hash, int bits, LongConsumer consumer) {
+        int position = (int) hash;
         int step = (int) (hash >>> 32);
-        for (int i = 0; i < PLACES; i++) {
-            each.accept(at & bits - 1);
-            at += step;
+        for (int i = 0; i < HASH_FUNCTIONS; i++) {
+            consumer.accept(position & bits - 1);
+            position += step;
             step += i;
         }
     }
 
     void add(long hash) {
-        places(hash, bits(), p -> words[(int) (p >> 6)] |= 1L << p);
+        forEachBitPosition(hash, bits(), p -> words[(int) (p >> 6)] |= 1L << p);
     }
 
+    /** Returns whether the filter might contain a key with this hash; false is certain. */
     boolean mightContain(long hash) {
-        int at = (int) hash;
+        int position = (int) hash;
         int step = (int) (hash >>> 32);
-        for (int i = 0; i < PLACES; i++) {
-            int p = at & bits() - 1;
+        for (int i = 0; i < HASH_FUNCTIONS; i++) {
+            int p = position & bits() - 1;
             if ((words[p >> 6] & 1L << p) == 0) {
                 return false;
             }
-            at += step;
+            position += step;
             step += i;
         }
         return true;
     }
 
-    /** The same keys in a filter of half the size, or less: places keep their low bits. */
+    /** Returns a filter of the same keys and at most this size. Bit positions are truncated to their low bits. */
     KeyBloomFilter shrunk(int bits) {
-        var less = ofBits(bits);
+        var smaller = ofBits(bits);
         for (int i = 0; i < words.length; i++) {
-            less.words[i & less.words.length - 1] |= words[i];
+            smaller.words[i & smaller.words.length - 1] |= words[i];
         }
-        return less;
+        return smaller;
     }
 
-    /** The keys of both. */
-    KeyBloomFilter with(KeyBloomFilter other) {
+    /** Returns a filter that contains the keys of both. */
+    KeyBloomFilter union(KeyBloomFilter other) {
         int bits = Math.min(bits(), other.bits());
         KeyBloomFilter both = shrunk(bits);
-        KeyBloomFilter its = other.shrunk(bits);
+        KeyBloomFilter otherShrunk = other.shrunk(bits);
         for (int i = 0; i < both.words.length; i++) {
-            both.words[i] |= its.words[i];
+            both.words[i] |= otherShrunk.words[i];
         }
         return both;
     }
 
-    /** Halved as long as it stays at most half full. */
+    /** Returns this filter, halved as often as possible with at most half of the bits set. */
     KeyBloomFilter fitted() {
-        KeyBloomFilter best = this;
-        while (best.bits() > LEAST_BITS) {
-            KeyBloomFilter half = best.shrunk(best.bits() / 2);
-            if (half.full() > 0.5) {
-                return best;
+        KeyBloomFilter fitted = this;
+        while (fitted.bits() > MIN_BITS) {
+            KeyBloomFilter half = fitted.shrunk(fitted.bits() / 2);
+            if (half.fillRatio() > 0.5) {
+                return fitted;
             }
-            best = half;
+            fitted = half;
         }
-        return best;
+        return fitted;
     }
 
-    /** The share of its bits that are set. */
-    double full() {
+    /** Returns the share of the bits that are set, from 0 to 1. */
+    double fillRatio() {
         long set = 0;
         for (long w : words) {
             set += Long.bitCount(w);
--- a/src/main/java/wallmoor/summaries/KeyNormalizer.java
+++ b/src/main/java/wallmoor/summaries/KeyNormalizer.java
@@ -7,81 +7,84 @@
 import java.util.regex.Pattern;
 
 /**
- * Values as keys. How a site compares is not known, so the key is coarser than every way that the rules allow for: what
- * any of them holds for equal has one key. Two values of one key may still differ; that costs a part, never a row.
+ * Normalizes property values to keys. How a site compares values is not known, so values that are equal under any
+ * comparison that the pruning rules allow for have the same key. Different values may share a key; then a part may be
+ * sent in vain, but no row is missed.
  */
 final class KeyNormalizer {
-    /** The key of what is missing, empty or blank. */
-    static final String NOTHING = "";
+    /** The key of a value that is missing, empty or blank. */
+    static final String MISSING = "";
 
     private static final Hasher64 HASHER = Hashing.xxh3_64();
     private static final Pattern NUMBER = Pattern.compile("[+-]?([0-9]+\\.?[0-9]*|\\.[0-9]+)([eE][+-]?[0-9]+)?");
-    /** A longer number is none to any site; it also bounds what reading one costs. */
-    private static final int LONGEST_NUMBER = 400;
+    /** Maximum characters of a number. No site reads a longer text as a number, and the bound limits parsing time. */
+    private static final int MAX_NUMBER_LENGTH = 400;
 
     private KeyNormalizer() {}
 
-    /** The key of a row's value or a condition's: a text, a number, a truth value or null. */
+    /** Returns the key of a value of a row or condition: a text, a number, a boolean or null. */
     static String key(Object value) {
         if (value == null) {
-            return NOTHING;
+            return MISSING;
         }
         if (value instanceof Number n) {
-            return ofNumber(number(n));
+            return numberKey(number(n));
         }
         if (value instanceof Boolean b) {
-            return ofNumber(b ? 1 : 0); // a site may keep it as 1 and 0
+            return numberKey(b ? 1 : 0); // a site may store it as 1 and 0
         }
         String folded = fold(value.toString());
         double number = number(folded);
         if (!Double.isNaN(number)) {
-            return ofNumber(number);
+            return numberKey(number);
         }
         return switch (folded) {
-            case "true" -> ofNumber(1);
-            case "false" -> ofNumber(0);
-            case "infinity", "+infinity", "inf", "+inf" -> ofNumber(Double.POSITIVE_INFINITY);
-            case "-infinity", "-inf" -> ofNumber(Double.NEGATIVE_INFINITY);
+            case "true" -> numberKey(1);
+            case "false" -> numberKey(0);
+            case "infinity", "+infinity", "inf", "+inf" -> numberKey(Double.POSITIVE_INFINITY);
+            case "-infinity", "-inf" -> numberKey(Double.NEGATIVE_INFINITY);
             default -> folded;
         };
     }
 
-    /** 64 bits that are the same in every program and version: filters are made of them and sent. */
+    /** Returns a 64-bit hash. It is the same in every process and version, because encoded filters depend on it. */
     static long hash(String key) {
         return HASHER.hashCharsToLong(key);
     }
 
-    /** The number that a text reads as, by the nearest double, or NaN. Infinite where it is too large for one. */
+    /** Returns the nearest double of a text that is a number (infinite if it is too large), else NaN. */
     static double number(String text) {
-        return text.length() <= LONGEST_NUMBER && NUMBER.matcher(text).matches() ? Double.parseDouble(text) + 0.0
+        return text.length() <= MAX_NUMBER_LENGTH && NUMBER.matcher(text).matches() ? Double.parseDouble(text) + 0.0
                 : Double.NaN;
     }
 
-    /** By its digits: a float of 0.1 is 0.1, as its site would write it. */
+    /** Returns the double with the same decimal digits: a float of 0.1 becomes 0.1, as its site would print it. */
     static double number(Number n) {
-        return Double.parseDouble(n.toString()) + 0.0; // no zero is below zero
+        return Double.parseDouble(n.toString()) + 0.0; // maps -0.0 to 0.0
     }
 
-    private static String ofNumber(double d) {
+    private static String numberKey(double d) {
         return Double.isNaN(d) ? "nan" : Double.toString(d + 0.0);
     }
 
     /**
-     * Without case, accents, invisible signs, blanks around or doubled, or a difference of form (Unicode NFKD); digits
-     * of all scripts as ASCII. Half of a surrogate pair becomes U+FFFD, as it would on any wire.
+     * Returns the text in lower case, in Unicode form NFKD, without accents, invisible characters, and leading,
+     * trailing or repeated blanks. Digits of all scripts become ASCII. An unpaired surrogate becomes U+FFFD, as it does
+     * when the text is sent in UTF-8.
      */
     static String fold(String text) {
-        if (simple(text)) {
+        if (isFolded(text)) {
             return text;
         }
-        String upper = marksOff(text).toUpperCase(Locale.ROOT); // first up: of sharp s and both sigmas one form is left
+        // upper case first: it unifies sharp s with ss, and both sigmas
+        String upper = withoutMarks(text).toUpperCase(Locale.ROOT);
         var lower = new StringBuilder(upper.length());
         upper.codePoints().forEach(c -> lower.appendCodePoint(Character.toLowerCase(c)));
-        String even = marksOff(lower.toString());
-        var out = new StringBuilder(even.length());
+        String normalized = withoutMarks(lower.toString());
+        var out = new StringBuilder(normalized.length());
         boolean blank = false;
-        for (int i = 0; i < even.length();) {
-            int c = even.codePointAt(i);
+        for (int i = 0; i < normalized.length();) {
+            int c = normalized.codePointAt(i);
             i += Character.charCount(c);
             int type = Character.getType(c);
             if (Character.isWhitespace(c) || Character.isSpaceChar(c) || type == Character.CONTROL) {
@@ -108,8 +111,8 @@
         return out.toString();
     }
 
-    /** Most values are such already: nothing of what folding does would change them. */
-    private static boolean simple(String text) {
+    /** Returns whether folding certainly leaves the text unchanged, as it does with most values. */
+    private static boolean isFolded(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c <= ' ' || c > '~' || (c >= 'A' && c <= 'Z')) {
@@ -119,10 +122,10 @@
         return true;
     }
 
-    private static String marksOff(String text) {
-        String apart = Normalizer.normalize(text, Normalizer.Form.NFKD);
-        var out = new StringBuilder(apart.length());
-        apart.codePoints().filter(c -> {
+    private static String withoutMarks(String text) {
+        String decomposed = Normalizer.normalize(text, Normalizer.Form.NFKD);
+        var out = new StringBuilder(decomposed.length());
+        decomposed.codePoints().filter(c -> {
             int type = Character.getType(c);
             return type != Character.NON_SPACING_MARK && type != Character.ENCLOSING_MARK
                     && type != Character.COMBINING_SPACING_MARK;
@@ -131,10 +134,10 @@
     }
 
     /**
-     * Whether all orders that the rules allow for, with case and without, put such texts alike but for case: ASCII, no
-     * blanks around or doubled, and none of the signs that stand between the capitals and the small letters.
+     * Returns whether all orders that the pruning rules allow for agree on the text, apart from case: it is ASCII, has
+     * no leading, trailing or repeated blanks, and no character between the upper-case and the lower-case letters.
      */
-    static boolean plain(String text) {
+    static boolean isPlain(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (c < ' ' || c > '~' || (c >= '[' && c <= '`') || (c == ' ' && i > 0 && text.charAt(i - 1) == ' ')) {
--- a/src/main/java/wallmoor/summaries/MatchResult.java
+++ b/src/main/java/wallmoor/summaries/MatchResult.java
@@ -1,19 +1,19 @@
 package wallmoor.summaries;
 
 /**
- * Whether a site can hold a row that matches a query.
+ * The result of matching a query against the summary of a site.
  *
- * @param kind   the result
- * @param reason for operators
+ * @param kind   whether the site can have a matching row
+ * @param reason explanation for operators
  */
 public record MatchResult(MatchKind kind, String reason) {
-    /** A site is queried unless it is {@link #CANNOT}. */
+    /** Whether a site can have a matching row. It is queried unless the result is {@link #CANNOT}. */
     public enum MatchKind {
-        /** Its summary admits a match. */
+        /** The summary admits a match. */
         COULD_MATCH,
-        /** Its summary excludes every row, and the lease on it runs. */
+        /** The summary excludes every row, and its lease runs. */
         CANNOT,
-        /** No lease on a summary of its runs. */
+        /** No lease on a summary of the site runs, or the summary does not cover a property of the query. */
         UNKNOWN
     }
 
@@ -21,7 +21,7 @@
         return new MatchResult(MatchKind.COULD_MATCH, "its summary admits a match");
     }
 
-    static MatchResult unknown(String because) {
-        return new MatchResult(MatchKind.UNKNOWN, because);
+    static MatchResult unknown(String reason) {
+        return new MatchResult(MatchKind.UNKNOWN, reason);
     }
 }
--- a/src/main/java/wallmoor/summaries/PropertyIndex.java
+++ b/src/main/java/wallmoor/summaries/PropertyIndex.java
@@ -5,14 +5,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What all sites tell of one property, laid out for looking up. It may admit a site too many, never one too few. */
+/**
+ * The index of one property over the summaries of all sites. A look-up may return a site that cannot match, but never
+ * misses one that can.
+ */
 final class PropertyIndex {
-    private final BitSet told = new BitSet();
+    private final BitSet indexedSlots = new BitSet();
     private final Map<Integer, BitSlicedBloomIndex> filters = new HashMap<>();
-    private int[] bits = new int[0];
+    private int[] filterBits = new int[0];
     private int[] columns = new int[0];
-    private double[] least = new double[0];
-    private double[] most = new double[0];
+    private double[] smallestNumbers = new double[0];
+    private double[] largestNumbers = new double[0];
 
     void put(int slot, PropertySummary p) {
         KeyBloomFilter filter = p.filter;
@@ -22,76 +25,81 @@
                 filter.add(KeyNormalizer.hash(v));
             }
         }
-        room(slot);
-        if (told.get(slot) && bits[slot] == filter.bits()) {
-            filters.get(bits[slot]).set(columns[slot], filter); // a widening: keys are only added
+        ensureCapacity(slot);
+        if (indexedSlots.get(slot) && filterBits[slot] == filter.bits()) {
+            filters.get(filterBits[slot]).addKeys(columns[slot], filter); // after a widening, which only adds keys
         } else {
             remove(slot);
-            bits[slot] = filter.bits();
-            columns[slot] = filters.computeIfAbsent(bits[slot], BitSlicedBloomIndex::new).add(slot, filter);
-            told.set(slot);
+            filterBits[slot] = filter.bits();
+            columns[slot] = filters.computeIfAbsent(filterBits[slot], BitSlicedBloomIndex::new).add(slot, filter);
+            indexedSlots.set(slot);
         }
-        boolean all = p.unordered || p.texts || p.missing;
-        least[slot] = all ? Double.NEGATIVE_INFINITY : p.smallestNumber;
-        most[slot] = all ? Double.POSITIVE_INFINITY : p.largestNumber;
-        if (p.missing && p.numbers && !p.texts && !p.unordered) { // missing values meet only what is open below
-            least[slot] = Double.NEGATIVE_INFINITY;
-            most[slot] = p.largestNumber;
+        boolean hasUnboundedRange = p.unordered || p.texts || p.missing;
+        smallestNumbers[slot] = hasUnboundedRange ? Double.NEGATIVE_INFINITY : p.smallestNumber;
+        largestNumbers[slot] = hasUnboundedRange ? Double.POSITIVE_INFINITY : p.largestNumber;
+        if (p.missing && p.numbers && !p.texts && !p.unordered) {
+            // missing values match only ranges with an open lower end
+            smallestNumbers[slot] = Double.NEGATIVE_INFINITY;
+            largestNumbers[slot] = p.largestNumber;
         }
     }
 
-    private void room(int slot) {
-        if (slot >= bits.length) {
-            int was = least.length;
-            int size = Math.max(slot + 1, 64 + was + was / 2);
-            bits = Arrays.copyOf(bits, size);
+    private void ensureCapacity(int slot) {
+        if (slot >= filterBits.length) {
+            int oldSize = smallestNumbers.length;
+            int size = Math.max(slot + 1, 64 + oldSize + oldSize / 2);
+            filterBits = Arrays.copyOf(filterBits, size);
             columns = Arrays.copyOf(columns, size);
-            least = Arrays.copyOf(least, size);
-            most = Arrays.copyOf(most, size);
-            Arrays.fill(least, was, size, Double.NEGATIVE_INFINITY);
-            Arrays.fill(most, was, size, Double.POSITIVE_INFINITY);
+            smallestNumbers = Arrays.copyOf(smallestNumbers, size);
+            largestNumbers = Arrays.copyOf(largestNumbers, size);
+            Arrays.fill(smallestNumbers, oldSize, size, Double.NEGATIVE_INFINITY);
+            Arrays.fill(largestNumbers, oldSize, size, Double.POSITIVE_INFINITY);
         }
     }
 
     void remove(int slot) {
-        if (told.get(slot)) {
-            told.clear(slot);
-            filters.get(bits[slot]).remove(columns[slot]);
-            least[slot] = Double.NEGATIVE_INFINITY;
-            most[slot] = Double.POSITIVE_INFINITY;
+        if (indexedSlots.get(slot)) {
+            indexedSlots.clear(slot);
+            filters.get(filterBits[slot]).remove(columns[slot]);
+            smallestNumbers[slot] = Double.NEGATIVE_INFINITY;
+            largestNumbers[slot] = Double.POSITIVE_INFINITY;
         }
     }
 
-    void keep(Condition.Equal e, BitSet candidates) {
-        var may = new BitSet(candidates.length());
-        filters.values().forEach(f -> f.may(e.hash(), may));
-        BitSet untold = (BitSet) candidates.clone();
-        untold.andNot(told);
-        candidates.and(may);
-        candidates.or(untold);
+    /** Removes the candidates whose summary excludes the condition. */
+    void retainMatches(Condition.Equal e, BitSet candidates) {
+        var matching = new BitSet(candidates.length());
+        filters.values().forEach(f -> f.collectSlots(e.hash(), matching));
+        BitSet unindexed = (BitSet) candidates.clone();
+        unindexed.andNot(indexedSlots);
+        candidates.and(matching);
+        candidates.or(unindexed);
     }
 
-    void keep(Condition.Range r, BitSet candidates) {
-        int n = Math.min(least.length, candidates.length());
+    /** Removes the candidates whose numbers lie outside of the range. */
+    void retainMatches(Condition.Range r, BitSet candidates) {
+        int n = Math.min(smallestNumbers.length, candidates.length());
         long[] words = candidates.toLongArray();
         for (int from = 0; from < n; from += 64) {
-            long within = 0;
+            long inRange = 0;
             int end = Math.min(n, from + 64);
             for (int i = from; i < end; i++) {
-                long begins = least[i] <= r.highest() ? 1L : 0; // by bits: the loop has no branch
-                long ends = most[i] >= r.lowest() ? 1L : 0;
-                within |= (begins & ends) << i;
+                // bitwise, so that the loop has no branch
+                long startsBeforeEnd = smallestNumbers[i] <= r.highest() ? 1L : 0;
+                long endsAfterStart = largestNumbers[i] >= r.lowest() ? 1L : 0;
+                inRange |= (startsBeforeEnd & endsAfterStart) << i;
             }
-            words[from >> 6] &= end - from == 64 ? within : within | -1L << end;
+            words[from >> 6] &= end - from == 64 ? inRange : inRange | -1L << end;
         }
         candidates.and(BitSet.valueOf(words));
     }
 
-    boolean empty() {
-        return told.isEmpty();
+    boolean isEmpty() {
+        return indexedSlots.isEmpty();
     }
 
+    /** Returns the approximate memory of the index in bytes. */
     long bytes() {
-        return 24L * least.length + filters.values().stream().mapToLong(BitSlicedBloomIndex::bytes).sum();
+        return 24L * smallestNumbers.length + filters.values().stream().mapToLong(BitSlicedBloomIndex::bytes).sum();
     }
 }
--- a/src/main/java/wallmoor/summaries/PropertySummary.java
+++ b/src/main/java/wallmoor/summaries/PropertySummary.java
@@ -4,36 +4,37 @@
 import java.util.TreeSet;
 
 /**
- * The summary of one property: its values or a filter of them, and its extents. Not changed once its summary is built.
+ * The summary of one property: its values or a filter of them, and its extents. It is not changed once its summary is
+ * built.
  *
- * <p>A range is excluded only where every order that a site may have excludes it; where values of several kinds are
- * mixed, or can't be put in order, none is (the table in docs/summaries.md).
+ * <p>A range is excluded only if every order that a site may use excludes it. Where values of several kinds are mixed,
+ * or can't be ordered, no range is excluded (see the table in docs/summaries.md).
  */
 final class PropertySummary {
-    /** Characters of a smallest or largest text that are kept: rounded down, and up. */
+    /** Maximum characters of a text extent; a longer text is rounded down for the first, and up for the last. */
     private static final int MAX_EXTENT_LENGTH = 24;
-    /** Above all plain texts that begin with what stands before it. */
-    private static final char ABOVE = '\u007f';
+    /** Appended to a shortened last text, it sorts after all plain texts with that prefix. */
+    private static final char SORTS_LAST = '\u007f';
 
     boolean missing;
-    /** It has values that some order puts elsewhere: not-a-number, truth values, texts that are not plain. */
+    /** Whether it has values that orders disagree on: NaN, booleans, and texts that are not plain. */
     boolean unordered;
     boolean numbers;
     boolean texts;
-    /** Of all that reads as a number, texts too; least above most: there are none. */
+    /** The extent of all values that read as numbers, texts included; smallest above largest means none. */
     double smallestNumber = Double.POSITIVE_INFINITY;
     double largestNumber = Double.NEGATIVE_INFINITY;
-    /** Of texts, with case and without; null where there are none. */
+    /** The extent of the texts, case-sensitive and folded; null if there are none. */
     String firstText;
     String lastText;
     String firstFoldedText;
     String lastFoldedText;
-    /** The keys, or null where they are too many or too long. */
+    /** The keys, or null if they are too many or too long; {@link #filter} then replaces them. */
     TreeSet<String> values = new TreeSet<>();
-    /** The keys' hashes, where the keys are not kept. */
+    /** The filter of the keys' hashes, if the keys themselves are not retained. */
     KeyBloomFilter filter;
-    /** The keys as numbers, where all are. */
-    private double[] sorted;
+    /** The keys as sorted numbers, if all are numbers. */
+    private double[] sortedNumbers;
 
     PropertySummary copy() {
         var p = new PropertySummary();
@@ -52,15 +53,15 @@
         return p;
     }
 
-    void add(Object value, SummaryLimits s) {
+    void add(Object value, SummaryLimits limits) {
         String key = KeyNormalizer.key(value);
         if (key.isEmpty()) {
             missing = true;
-            // a blank that is not ASCII: a site that does not take it for one puts it above all plain texts
+            // a non-ASCII blank: a site that does not treat it as one sorts it after all plain texts
             unordered |= value != null && value.toString().chars().anyMatch(c -> c > '~');
             return;
         }
-        addKey(key, s);
+        addKey(key, limits);
         if (value instanceof Number n) {
             numbers = true;
             addNumber(KeyNormalizer.number(n));
@@ -85,7 +86,7 @@
     }
 
     private void addText(String text) {
-        if (!KeyNormalizer.plain(text)) {
+        if (!KeyNormalizer.isPlain(text)) {
             unordered = true;
             return;
         }
@@ -93,38 +94,38 @@
     }
 
     private void widenTextExtent(String low, String high, String lowFolded, String highFolded) {
-        firstText = lesser(firstText, low);
+        firstText = smaller(firstText, low);
         lastText = larger(lastText, high);
-        firstFoldedText = lesser(firstFoldedText, lowFolded);
+        firstFoldedText = smaller(firstFoldedText, lowFolded);
         lastFoldedText = larger(lastFoldedText, highFolded);
     }
 
-    private static String lesser(String a, String b) {
+    private static String smaller(String a, String b) {
         String cut = b.length() > MAX_EXTENT_LENGTH ? b.substring(0, MAX_EXTENT_LENGTH) : b;
         return a == null || cut.compareTo(a) < 0 ? cut : a;
     }
 
     private static String larger(String a, String b) {
-        String cut = b.length() > MAX_EXTENT_LENGTH + 1 ? b.substring(0, MAX_EXTENT_LENGTH) + ABOVE : b;
+        String cut = b.length() > MAX_EXTENT_LENGTH + 1 ? b.substring(0, MAX_EXTENT_LENGTH) + SORTS_LAST : b;
         return a == null || cut.compareTo(a) > 0 ? cut : a;
     }
 
-    private void addKey(String key, SummaryLimits s) {
+    private void addKey(String key, SummaryLimits limits) {
         if (values != null) {
             if (values.contains(key)) {
                 return;
             }
-            if (values.size() < s.values() && key.length() <= s.maxValueBytes()
-                    && Encoding.utf8(key) <= s.maxValueBytes()) {
+            if (values.size() < limits.values() && key.length() <= limits.maxValueBytes()
+                    && Encoding.utf8Bytes(key) <= limits.maxValueBytes()) {
                 values.add(key);
                 return;
             }
-            replaceValuesByFilter(s.filterBits());
+            replaceValuesByFilter(limits.filterBits());
         }
         filter.add(KeyNormalizer.hash(key));
     }
 
-    /** Keeps the keys as a filter of so many bits from now on. */
+    /** Replaces the keys by a filter of {@code bits} bits. */
     void replaceValuesByFilter(int bits) {
         filter = KeyBloomFilter.ofBits(bits);
         for (String v : values) {
@@ -133,8 +134,8 @@
         values = null;
     }
 
-    /** Widens this one by all that another one covers. */
-    void absorb(PropertySummary other, SummaryLimits s) {
+    /** Widens this summary by everything that another one covers. */
+    void absorb(PropertySummary other, SummaryLimits limits) {
         missing |= other.missing;
         unordered |= other.unordered;
         numbers |= other.numbers;
@@ -145,42 +146,44 @@
             widenTextExtent(other.firstText, other.lastText, other.firstFoldedText, other.lastFoldedText);
         }
         if (other.values != null) {
-            other.values.forEach(v -> addKey(v, s));
+            other.values.forEach(v -> addKey(v, limits));
             return;
         }
         if (values != null) {
             replaceValuesByFilter(other.filter.bits());
         }
-        filter = filter.with(other.filter);
+        filter = filter.union(other.filter);
     }
 
-    /** Whether it admits already all that another one does. */
-    boolean covers(PropertySummary o) {
-        return (missing || !o.missing) && (unordered || !o.unordered) && (numbers || !o.numbers) && (texts || !o.texts)
-                && smallestNumber <= o.smallestNumber && largestNumber >= o.largestNumber && coversTexts(o)
-                && coversValues(o);
+    /** Returns whether this summary already admits everything that another one does. */
+    boolean covers(PropertySummary other) {
+        return (missing || !other.missing) && (unordered || !other.unordered) && (numbers || !other.numbers)
+                && (texts || !other.texts) && smallestNumber <= other.smallestNumber
+                && largestNumber >= other.largestNumber && coversTexts(other) && coversValues(other);
     }
 
-    private boolean coversTexts(PropertySummary o) {
-        if (o.firstText == null) {
+    private boolean coversTexts(PropertySummary other) {
+        if (other.firstText == null) {
             return true;
         }
-        return firstText != null && firstText.compareTo(o.firstText) <= 0 && lastText.compareTo(o.lastText) >= 0
-                && firstFoldedText.compareTo(o.firstFoldedText) <= 0 && lastFoldedText.compareTo(o.lastFoldedText) >= 0;
+        return firstText != null && firstText.compareTo(other.firstText) <= 0 && lastText.compareTo(other.lastText) >= 0
+                && firstFoldedText.compareTo(other.firstFoldedText) <= 0
+                && lastFoldedText.compareTo(other.lastFoldedText) >= 0;
     }
 
-    /** Which values another's filter admits can't be enumerated, so such a one is never covered. */
-    private boolean coversValues(PropertySummary o) {
-        return o.values != null && o.values.stream()
+    /** Returns whether the values cover those of another summary; a filter can't be enumerated and is never covered. */
+    private boolean coversValues(PropertySummary other) {
+        return other.values != null && other.values.stream()
                 .allMatch(v -> values != null ? values.contains(v) : filter.mightContain(KeyNormalizer.hash(v)));
     }
 
-    /** Why no row can match, or null where one could. */
-    String excludes(Condition condition) {
-        return condition instanceof Condition.Equal e ? excludes(e) : excludes((Condition.Range) condition);
+    /** Returns why no row can match, or null if one could. */
+    String exclusionReason(Condition condition) {
+        return condition instanceof Condition.Equal e ? exclusionReason(e)
+                : exclusionReason((Condition.Range) condition);
     }
 
-    private String excludes(Condition.Equal e) {
+    private String exclusionReason(Condition.Equal e) {
         if (e.key().isEmpty()) {
             return missing ? null : "every row has a value of " + e.property();
         }
@@ -190,53 +193,54 @@
         return filter.mightContain(e.hash()) ? null : e.property() + " is not in its filter";
     }
 
-    private String excludes(Condition.Range r) {
+    private String exclusionReason(Condition.Range r) {
         if (unordered || (numbers && texts) || (missing && r.low() == null)) {
             return null;
         }
         if (numbers) {
-            return r.numeric() ? outside(r) : null;
+            return r.isNumeric() ? outsideReason(r) : null;
         }
         if (!texts) {
             return "no row has a value of " + r.property();
         }
-        if (r.numeric() && smallestNumber <= largestNumber && outside(r) == null) {
-            return null; // a site may read its texts as numbers
+        if (r.isNumeric() && smallestNumber <= largestNumber && outsideReason(r) == null) {
+            return null; // a site may compare its texts as numbers
         }
-        return disjoint(r.low(), r.high(), firstText, lastText)
-                && disjoint(folded(r.low()), folded(r.high()), firstFoldedText, lastFoldedText)
+        return isDisjoint(r.low(), r.high(), firstText, lastText)
+                && isDisjoint(folded(r.low()), folded(r.high()), firstFoldedText, lastFoldedText)
                         ? r.property() + " is from " + firstText + " to "
-                                + lastText.replace(String.valueOf(ABOVE), "...")
+                                + lastText.replace(String.valueOf(SORTS_LAST), "...")
                         : null;
     }
 
-    private String outside(Condition.Range r) {
+    private String outsideReason(Condition.Range r) {
         if (largestNumber < r.lowest() || smallestNumber > r.highest()) {
             return r.property() + " is from " + describe(smallestNumber) + " to " + describe(largestNumber);
         }
-        if (sorted == null) {
+        if (sortedNumbers == null) {
             return null;
         }
-        int at = Arrays.binarySearch(sorted, r.lowest());
-        at = at < 0 ? -at - 1 : at;
-        return at < sorted.length && sorted[at] <= r.highest() ? null
+        int index = Arrays.binarySearch(sortedNumbers, r.lowest());
+        index = index < 0 ? -index - 1 : index;
+        return index < sortedNumbers.length && sortedNumbers[index] <= r.highest() ? null
                 : r.property() + " is none of its " + values.size() + " values";
     }
 
-    /** Sorts its numbers for range conditions, once its summary is built. */
+    /** Sorts the numbers for range conditions; called once the summary is built. */
     void sortNumbers() {
-        sorted = numbers && !texts && !unordered && values != null
+        sortedNumbers = numbers && !texts && !unordered && values != null
                 ? values.stream().mapToDouble(Double::parseDouble).sorted().toArray() : null;
     }
 
-    /** Its contents, for operators. */
+    /** Returns a description for operators. */
     String describe() {
-        return (values == null ? "filter of " + filter.bits() + " bits, " + Math.round(100 * filter.full()) + " % full"
+        return (values == null
+                ? "filter of " + filter.bits() + " bits, " + Math.round(100 * filter.fillRatio()) + " % full"
                 : values.size() + " values")
                 + (smallestNumber <= largestNumber ? ", numbers from " + describe(smallestNumber) + " to "
                         + describe(largestNumber) : "")
                 + (firstText == null ? ""
-                        : ", texts from " + firstText + " to " + lastText.replace(String.valueOf(ABOVE), "..."))
+                        : ", texts from " + firstText + " to " + lastText.replace(String.valueOf(SORTS_LAST), "..."))
                 + (missing ? ", missing in some rows" : "") + (numbers && texts ? ", numbers and texts mixed" : "")
                 + (unordered ? ", with values that can't be put in order" : "");
     }
@@ -249,8 +253,8 @@
         return end == null ? null : KeyNormalizer.fold(end);
     }
 
-    private static boolean disjoint(String low, String high, String first, String last) {
-        if ((low != null && !KeyNormalizer.plain(low)) || (high != null && !KeyNormalizer.plain(high))) {
+    private static boolean isDisjoint(String low, String high, String first, String last) {
+        if ((low != null && !KeyNormalizer.isPlain(low)) || (high != null && !KeyNormalizer.isPlain(high))) {
             return false;
         }
         return (low != null && low.compareTo(last) > 0) || (high != null && high.compareTo(first) < 0);
--- a/src/main/java/wallmoor/summaries/PruningEvent.java
+++ b/src/main/java/wallmoor/summaries/PruningEvent.java
@@ -1,19 +1,19 @@
 package wallmoor.summaries;
 
-/** What operators are to know. */
+/** An event that operators are notified of. */
 public sealed interface PruningEvent {
-    /** Which site it is about. */
+    /** Returns the site concerned. */
     Site site();
 
-    /** What happened, and what to do. */
+    /** Returns what happened, and what to do. */
     String text();
 
-    /** A site had rows where its summary excluded them. Nothing it tells counts until it is readmitted. */
+    /** A site had rows that its summary excluded. Its summaries are not used until it is readmitted. */
     record FalseCut(Site site, long epoch, long version, String text) implements PruningEvent {}
 
-    /** What it told can't be read. It is asked. */
+    /** The summary or widening of a site can't be decoded. The site is queried. */
     record Unreadable(Site site, UnreadableSummaryException.Fault fault, String text) implements PruningEvent {}
 
-    /** There is no room for its summary. It is asked. */
+    /** The cache has no room for the summary of a site. The site is queried. */
     record NoRoom(Site site, String text) implements PruningEvent {}
 }
--- a/src/main/java/wallmoor/summaries/Row.java
+++ b/src/main/java/wallmoor/summaries/Row.java
@@ -3,17 +3,17 @@
 import java.util.Map;
 
 /**
- * A row as far as summaries see it.
+ * A row, with the parts that summaries cover.
  *
- * @param values by property: a text, a number, a truth value, or null where it is missing
- * @param place  where it lies, or null where that is not known or can't be read: such a row may match any box
- * @param time   when it is, or null likewise
+ * @param values values by property: a text, number or boolean, or null if missing
+ * @param place  the location, or null if it is unknown or unreadable; such a row may match any box
+ * @param time   the time, or null if it is unknown or unreadable; such a row may match any time
  */
 public record Row(Map<String, ?> values, Coordinates place, TimeSpan time) {
-    /** A place in degrees. */
+    /** A location in degrees. */
     public record Coordinates(double lon, double lat) {
         /**
-         * The place, or null where it is none on Earth.
+         * Returns the location, or null if a coordinate is out of range.
          *
          * @param lon degrees east, -180 to 180
          * @param lat degrees north, -90 to 90
@@ -24,9 +24,10 @@
     }
 
     /**
-     * The number that a cell reads as, or null: columns that hold nothing else are numbers to their site.
+     * Returns the number in a cell, or null if it has none. A site compares a column by number if all its cells are
+     * numbers.
      *
-     * @param cell with or without blanks around
+     * @param cell text of the cell; leading and trailing blanks are ignored
      */
     public static Double number(String cell) {
         double d = KeyNormalizer.number(cell.strip());
--- a/src/main/java/wallmoor/summaries/Site.java
+++ b/src/main/java/wallmoor/summaries/Site.java
@@ -1,4 +1,4 @@
 package wallmoor.summaries;
 
-/** Who holds a region block: a calendar node or feature server, and which block of it. */
+/** A holder of a region block: the name of a calendar node or feature server, and the block. */
 public record Site(String name, String block) {}
--- a/src/main/java/wallmoor/summaries/Summary.java
+++ b/src/main/java/wallmoor/summaries/Summary.java
@@ -5,58 +5,58 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a site tells of the rows of one block at one version. It is never changed: what follows it is another. */
+/** A summary of a site's rows of one block at one version. Immutable. */
 public final class Summary {
     private final String site;
     private final String block;
     private final long epoch;
     private final long version;
     private final long rows;
-    /** Every property of every row is told of: none was left out for want of room. */
+    /** Whether every property of every row is covered, and none was omitted to fit the size limits. */
     private final boolean complete;
-    private final boolean placeless;
-    private final boolean timeless;
+    private final boolean hasUnlocatedRows;
+    private final boolean hasUntimedRows;
     private final List<Box> boxes;
     private final List<TimeSpan> spans;
     private final Map<String, PropertySummary> properties;
 
-    Summary(String site, String block, long epoch, long version, long rows, boolean complete, boolean placeless,
-            boolean timeless, List<Box> boxes, List<TimeSpan> spans, Map<String, PropertySummary> properties) {
+    Summary(String site, String block, long epoch, long version, long rows, boolean complete, boolean hasUnlocatedRows,
+            boolean hasUntimedRows, List<Box> boxes, List<TimeSpan> spans, Map<String, PropertySummary> properties) {
         this.site = site;
         this.block = block;
         this.epoch = epoch;
         this.version = version;
         this.rows = rows;
         this.complete = complete;
-        this.placeless = placeless;
-        this.timeless = timeless;
+        this.hasUnlocatedRows = hasUnlocatedRows;
+        this.hasUntimedRows = hasUntimedRows;
         this.boxes = List.copyOf(boxes);
         this.spans = List.copyOf(spans);
         this.properties = new TreeMap<>(properties);
         this.properties.values().forEach(PropertySummary::sortNumbers);
     }
 
-    /** Who tells. */
+    /** Returns the name of the site. */
     public String site() {
         return site;
     }
 
-    /** Of which region block. */
+    /** Returns the region block. */
     public String block() {
         return block;
     }
 
-    /** The site's life: it grows with each start. */
+    /** Returns the site's incarnation, which grows with each start. */
     public long epoch() {
         return epoch;
     }
 
-    /** The version of the data, which grows with each widening within an epoch. */
+    /** Returns the version of the data, which grows with each widening within an epoch. */
     public long version() {
         return version;
     }
 
-    /** How many rows at most. */
+    /** Returns the maximum number of rows. */
     public long rows() {
         return rows;
     }
@@ -65,12 +65,12 @@
         return complete;
     }
 
-    boolean placeless() {
-        return placeless;
+    boolean hasUnlocatedRows() {
+        return hasUnlocatedRows;
     }
 
-    boolean timeless() {
-        return timeless;
+    boolean hasUntimedRows() {
+        return hasUntimedRows;
     }
 
     List<Box> boxes() {
@@ -85,9 +85,9 @@
         return properties;
     }
 
-    /** Whether it admits a row that meets all conditions. A property that it does not tell of admits anything. */
+    /** Returns whether a row can meet all conditions. A property that the summary does not cover may have any value. */
     public MatchResult match(Conditions c) {
-        String why = excludes(c);
+        String why = exclusionReason(c);
         if (why != null) {
             return new MatchResult(MatchResult.MatchKind.CANNOT, why);
         }
@@ -99,19 +99,20 @@
         return MatchResult.couldMatch();
     }
 
-    String excludes(Conditions c) {
+    /** Returns why no row can meet all conditions, or null if one could. */
+    String exclusionReason(Conditions c) {
         if (rows == 0) {
             return "it has no rows";
         }
-        if (c.time() != null && !timeless && spans.stream().noneMatch(s -> s.overlaps(c.time()))) {
+        if (c.time() != null && !hasUntimedRows && spans.stream().noneMatch(s -> s.overlaps(c.time()))) {
             return "none of its rows is of that time";
         }
-        if (c.box() != null && !placeless && boxes.stream().noneMatch(b -> b.overlaps(c.box().box()))) {
+        if (c.box() != null && !hasUnlocatedRows && boxes.stream().noneMatch(b -> b.overlaps(c.box().box()))) {
             return "none of its rows lies in that box";
         }
         for (Condition p : c.properties()) {
-            PropertySummary told = properties.get(p.property());
-            String why = told == null ? null : told.excludes(p);
+            PropertySummary summary = properties.get(p.property());
+            String why = summary == null ? null : summary.exclusionReason(p);
             if (why != null) {
                 return why;
             }
@@ -119,49 +120,50 @@
         return null;
     }
 
-    /** Whether it already admits all that the other one does, so that it need not be widened. */
+    /** Returns whether this summary already admits everything that the other one does and need not be widened. */
     boolean covers(Summary other) {
         if (other.rows == 0) {
             return true;
         }
         if (rows == 0 || (complete && !other.complete)
                 || (complete && !properties.keySet().containsAll(other.properties.keySet()))) {
-            return false; // a property not told of yet: were it passed over, a later row's would seem to be its first
+            // a new property must be added now, or a later row with it would be taken for the first one that has it
+            return false;
         }
-        return coversPlaces(other) && coversTimes(other) && coversProperties(other);
+        return coversLocations(other) && coversTimes(other) && coversProperties(other);
     }
 
-    private boolean coversPlaces(Summary other) {
-        return placeless || (!other.placeless
-                && other.boxes.stream().allMatch(o -> boxes.stream().anyMatch(b -> b.holds(o))));
+    private boolean coversLocations(Summary other) {
+        return hasUnlocatedRows || (!other.hasUnlocatedRows
+                && other.boxes.stream().allMatch(o -> boxes.stream().anyMatch(b -> b.contains(o))));
     }
 
     private boolean coversTimes(Summary other) {
-        return timeless || (!other.timeless && other.spans.stream()
+        return hasUntimedRows || (!other.hasUntimedRows && other.spans.stream()
                 .allMatch(o -> spans.stream().anyMatch(s -> s.from() <= o.from() && o.to() <= s.to())));
     }
 
     private boolean coversProperties(Summary other) {
         return properties.entrySet().stream().allMatch(p -> {
-            PropertySummary its = other.properties.get(p.getKey());
-            return its == null ? other.complete && p.getValue().missing : p.getValue().covers(its);
+            PropertySummary otherProperty = other.properties.get(p.getKey());
+            return otherProperty == null ? other.complete && p.getValue().missing : p.getValue().covers(otherProperty);
         });
     }
 
-    /** What it holds, a line for each thing, for people. */
+    /** Returns a description of the contents for operators, in lines. */
     public List<String> lines() {
         var lines = new ArrayList<String>();
         lines.add("site " + site + (block.isEmpty() ? "" : " block " + block) + " epoch " + epoch + " version "
                 + version
                 + ": " + rows + " rows, " + Encoding.encode(this).length + " bytes"
                 + (complete ? "" : "; some properties were left out for want of room"));
-        lines.add(placeless ? "places: some rows have none, so every box may match" : "places: " + boxes.size()
+        lines.add(hasUnlocatedRows ? "places: some rows have none, so every box may match" : "places: " + boxes.size()
                 + " boxes");
         boxes.forEach(b -> lines.add("  " + degrees(b.west()) + "," + degrees(b.south()) + ","
-                + degrees(b.west() + b.width() > Box.ROUND / 2 ? b.west() + b.width() - Box.ROUND : b.west()
+                + degrees(b.west() + b.width() > Box.FULL_CIRCLE / 2 ? b.west() + b.width() - Box.FULL_CIRCLE : b.west()
                         + b.width())
                 + "," + degrees(b.north())));
-        lines.add(timeless ? "times: some rows have none, so every time may match" : "times: " + spans.size()
+        lines.add(hasUntimedRows ? "times: some rows have none, so every time may match" : "times: " + spans.size()
                 + " spans");
         spans.forEach(s -> lines.add("  " + time(s.from()) + "/" + time(s.to())));
         properties.forEach((name, p) -> lines.add("property " + name + ": " + p.describe()));
--- a/src/main/java/wallmoor/summaries/SummaryBuilder.java
+++ b/src/main/java/wallmoor/summaries/SummaryBuilder.java
@@ -4,70 +4,71 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Builds a summary from rows and other summaries, within the size that the limits give. */
+/** Builds a summary from rows and other summaries, within the size limits. */
 public final class SummaryBuilder {
-    private final SummaryLimits settings;
+    private final SummaryLimits limits;
     private final String site;
     private final String block;
     private final long epoch;
     private long rows;
     private boolean complete = true;
-    private boolean placeless;
-    private boolean timeless;
+    private boolean hasUnlocatedRows;
+    private boolean hasUntimedRows;
     private final BoundedCover<Box> boxes;
     private final BoundedCover<TimeSpan> spans;
     private final Map<String, PropertySummary> properties = new TreeMap<>();
 
-    /** A builder with no rows. */
-    public SummaryBuilder(SummaryLimits settings, String site, String block, long epoch) {
-        this(settings, new Summary(site, block, epoch, 0, 0, true, false, false, List.of(), List.of(),
+    /** Creates a builder without rows. */
+    public SummaryBuilder(SummaryLimits limits, String site, String block, long epoch) {
+        this(limits, new Summary(site, block, epoch, 0, 0, true, false, false, List.of(), List.of(),
                 Map.of()));
     }
 
-    /** A builder that begins with a summary. */
-    SummaryBuilder(SummaryLimits settings, Summary from) {
-        if (Encoding.utf8(from.site()) > Encoding.LONGEST_NAME || Encoding.utf8(from.block()) > Encoding.LONGEST_NAME) {
-            throw new IllegalArgumentException("names of sites and blocks have " + Encoding.LONGEST_NAME
-                    + " bytes at most");
+    /** Creates a builder that starts from a summary. */
+    SummaryBuilder(SummaryLimits limits, Summary from) {
+        if (Encoding.utf8Bytes(from.site()) > Encoding.MAX_NAME_BYTES
+                || Encoding.utf8Bytes(from.block()) > Encoding.MAX_NAME_BYTES) {
+            throw new IllegalArgumentException("name of a site or block has more than "
+                    + Encoding.MAX_NAME_BYTES + " bytes: site=" + from.site() + " block=" + from.block());
         }
-        this.settings = settings;
+        this.limits = limits;
         this.site = from.site();
         this.block = from.block();
         this.epoch = from.epoch();
         this.rows = from.rows();
         this.complete = from.complete();
-        this.placeless = from.placeless();
-        this.timeless = from.timeless();
-        this.boxes = BoundedCover.boxes(settings.boxes(), from.boxes());
-        this.spans = BoundedCover.spans(settings.spans(), from.spans());
+        this.hasUnlocatedRows = from.hasUnlocatedRows();
+        this.hasUntimedRows = from.hasUntimedRows();
+        this.boxes = BoundedCover.boxes(limits.boxes(), from.boxes());
+        this.spans = BoundedCover.spans(limits.spans(), from.spans());
         from.properties().forEach((name, p) -> properties.put(name, p.copy()));
     }
 
     /** Adds a row. */
     public void add(Row row) {
         if (row.place() == null) {
-            placeless = true;
+            hasUnlocatedRows = true;
         } else {
             boxes.add(Box.of(row.place()));
         }
         if (row.time() == null) {
-            timeless = true;
+            hasUntimedRows = true;
         } else {
-            spans.add(row.time().roomy());
+            spans.add(row.time().widened());
         }
         for (String name : row.values().keySet()) {
-            propertyOrNull(name);
+            findOrAddProperty(name);
         }
-        properties.forEach((name, p) -> p.add(row.values().get(name), settings));
+        properties.forEach((name, p) -> p.add(row.values().get(name), limits));
         rows++;
     }
 
-    /** The property of that name, or null where the limits leave no room for it. */
-    private PropertySummary propertyOrNull(String name) {
+    /** Returns the property of that name, which it adds if it is new; null if the limits leave no room for it. */
+    private PropertySummary findOrAddProperty(String name) {
         PropertySummary p = properties.get(name);
-        // one that comes late may have been left out before: what rows then had of it is not known any more
-        if (p == null && complete && properties.size() < settings.properties()
-                && Encoding.utf8(name) <= settings.maxValueBytes()) {
+        // a new property may have been omitted before; the values of the earlier rows are then unknown
+        if (p == null && complete && properties.size() < limits.properties()
+                && Encoding.utf8Bytes(name) <= limits.maxValueBytes()) {
             p = new PropertySummary();
             p.missing = rows > 0;
             properties.put(name, p);
@@ -76,73 +77,73 @@
         return p;
     }
 
-    /** Adds all that another summary covers. */
+    /** Adds everything that another summary covers. */
     void absorb(Summary other) {
         if (other.rows() == 0) {
             return;
         }
-        placeless |= other.placeless();
-        timeless |= other.timeless();
+        hasUnlocatedRows |= other.hasUnlocatedRows();
+        hasUntimedRows |= other.hasUntimedRows();
         other.boxes().forEach(boxes::add);
         other.spans().forEach(spans::add);
         for (String name : other.properties().keySet()) {
-            propertyOrNull(name);
+            findOrAddProperty(name);
         }
-        // what the other left out can't be told of any longer: its rows may have any value of it
+        // a property that the other summary omitted is dropped: its rows may have any value of it
         properties.keySet().removeIf(name -> !other.properties().containsKey(name) && !other.complete());
         complete &= other.complete();
         properties.forEach((name, p) -> {
-            PropertySummary its = other.properties().get(name);
-            if (its == null) {
+            PropertySummary added = other.properties().get(name);
+            if (added == null) {
                 p.missing = true;
             } else {
-                p.absorb(its, settings);
+                p.absorb(added, limits);
             }
         });
         rows += other.rows();
     }
 
-    /** The summary of all that was added, under this version, encoded in at most the bytes of the limits. */
+    /** Builds the summary of everything added, with this version; its encoding fits the byte limit. */
     public Summary build(long version) {
-        var less = new TreeMap<String, PropertySummary>();
+        var coarsened = new TreeMap<String, PropertySummary>();
         properties.forEach((name, p) -> {
             PropertySummary copy = p.copy();
             copy.filter = copy.filter == null ? null : copy.filter.fitted();
-            less.put(name, copy);
+            coarsened.put(name, copy);
         });
-        boolean all = complete;
-        Summary made = snapshot(version, all, less);
-        while (Encoding.encode(made).length > settings.bytes()) {
-            all &= coarsenLargest(less);
-            made = snapshot(version, all, less);
+        boolean isComplete = complete;
+        Summary summary = snapshot(version, isComplete, coarsened);
+        while (Encoding.encode(summary).length > limits.bytes()) {
+            isComplete &= coarsenLargest(coarsened);
+            summary = snapshot(version, isComplete, coarsened);
         }
-        return made;
+        return summary;
     }
 
-    private Summary snapshot(long version, boolean all, Map<String, PropertySummary> of) {
-        return new Summary(site, block, epoch, version, rows, all, placeless, timeless, placeless ? List.of()
-                : boxes.told(), timeless ? List.of() : spans.told(), of);
+    private Summary snapshot(long version, boolean isComplete, Map<String, PropertySummary> summaries) {
+        return new Summary(site, block, epoch, version, rows, isComplete, hasUnlocatedRows, hasUntimedRows,
+                hasUnlocatedRows ? List.of() : boxes.cover(), hasUntimedRows ? List.of() : spans.cover(), summaries);
     }
 
-    /** Halves the bytes of the largest property, or leaves it out. Returns whether the summary is still complete. */
-    private static boolean coarsenLargest(Map<String, PropertySummary> of) {
+    /** Halves the bytes of the largest property, or omits it. Returns whether the summary is still complete. */
+    private static boolean coarsenLargest(Map<String, PropertySummary> summaries) {
         String largest = null;
-        int most = -1;
-        for (var e : of.entrySet()) {
-            int bytes = Encoding.bytes(e.getValue());
-            if (bytes > most) {
-                most = bytes;
+        int largestBytes = -1;
+        for (var e : summaries.entrySet()) {
+            int bytes = Encoding.encodedBytes(e.getValue());
+            if (bytes > largestBytes) {
+                largestBytes = bytes;
                 largest = e.getKey();
             }
         }
-        PropertySummary p = of.get(largest);
-        int bits = Integer.highestOneBit(Math.max(1, most * 4));
-        if (p.values != null && most > 2 * KeyBloomFilter.LEAST_BITS / 8) {
-            p.replaceValuesByFilter(Math.max(KeyBloomFilter.LEAST_BITS, bits));
-        } else if (p.filter != null && p.filter.bits() > KeyBloomFilter.LEAST_BITS) {
+        PropertySummary p = summaries.get(largest);
+        int bits = Integer.highestOneBit(Math.max(1, largestBytes * 4));
+        if (p.values != null && largestBytes > 2 * KeyBloomFilter.MIN_BITS / 8) {
+            p.replaceValuesByFilter(Math.max(KeyBloomFilter.MIN_BITS, bits));
+        } else if (p.filter != null && p.filter.bits() > KeyBloomFilter.MIN_BITS) {
             p.filter = p.filter.shrunk(p.filter.bits() / 2);
         } else {
-            of.remove(largest);
+            summaries.remove(largest);
             return false;
         }
         return true;
--- a/src/main/java/wallmoor/summaries/SummaryCache.java
+++ b/src/main/java/wallmoor/summaries/SummaryCache.java
@@ -6,21 +6,21 @@
 import java.util.function.Consumer;
 
 /**
- * A gatherer's cache of the sites' summaries, each under a lease (Gray and Cheriton, 1989). A summary counts while its
- * lease runs by this gatherer's own clock, from before the request on, and its version is the newest that was heard
- * of. A site without one that counts is queried. Decides only and does no input or output; not thread-safe. Times are
- * in microseconds and never go back.
+ * A gatherer's cache of the sites' summaries, each under a lease (Gray and Cheriton, 1989). A summary is valid while
+ * its lease runs by this gatherer's own clock, measured from before the request, and no newer version has been
+ * observed. A site without a valid summary is queried. Does no input or output; not thread-safe. Times are in
+ * microseconds and never go back.
  */
 public final class SummaryCache {
     /**
      * Bounds of the cache. A site beyond them is queried.
      *
-     * @param sites  cached at most
-     * @param bytes  of all summaries as they were sent, at most
-     * @param margin microseconds by which clocks may drift apart within a lease; each lease ends earlier by it
+     * @param sites  maximum number of cached sites
+     * @param bytes  maximum size of all summaries as they were sent, in bytes
+     * @param margin microseconds by which clocks may drift apart within a lease; each lease ends earlier by this time
      */
     public record CacheLimits(int sites, long bytes, long margin) {
-        /** 20,000 sites, 256 MiB, and clocks that may drift apart by 50 ms within a lease. */
+        /** Returns limits of 20,000 sites, 256 MiB, and a drift of 50 ms within a lease. */
         public static CacheLimits defaults() {
             return new CacheLimits(20_000, 256L << 20, 50_000);
         }
@@ -39,12 +39,12 @@
     private long now = Long.MIN_VALUE;
 
     /**
-     * Makes an empty cache.
+     * Creates an empty cache.
      *
-     * @param settings    for summaries after widening
-     * @param firstTicket other than any before it in earlier incarnations of this gatherer: a late answer to one of
-     *                    those must not be accepted
-     * @param events      receives what operators are to know
+     * @param settings    limits of summaries after a widening
+     * @param firstTicket a number that differs from all tickets of earlier incarnations of this gatherer, as a late
+     *                    grant to one of those must not be accepted
+     * @param events      receives the events for operators
      */
     public SummaryCache(SummaryLimits settings, CacheLimits limits, long firstTicket, Consumer<PruningEvent> events) {
         this.settings = settings;
@@ -54,17 +54,17 @@
     }
 
     /**
-     * A lease on the site's summary is about to be requested.
+     * Starts a request for a lease on the site's summary.
      *
-     * @return the request's ticket; the one of an earlier request to the site is void
+     * @return the ticket of the request; it voids the ticket of an earlier request to the site
      */
-    public long beginRequest(long at, Site site) {
-        now = Math.max(now, at);
+    public long beginRequest(long time, Site site) {
+        now = Math.max(now, time);
         CachedSummary entry = entries.get(site);
         if (entry == null) {
             if (entries.size() >= limits.sites()) {
-                events.accept(new PruningEvent.NoRoom(site, "the summary of " + site.name() + " is not held: there are "
-                        + entries.size() + " already; raise the bound of sites"));
+                events.accept(new PruningEvent.NoRoom(site, "the summary of " + site.name()
+                        + " is not cached: the cache has its maximum of " + entries.size() + " sites"));
                 return ++lastTicket;
             }
             entry = new CachedSummary(site, usedSlots.nextClearBit(0));
@@ -78,9 +78,9 @@
         return entry.ticket;
     }
 
-    /** A site answered a request. A grant that is late, stale or unreadable has no effect but to drop what is wrong. */
-    public void acceptGrant(long at, SiteMessage.SummaryLeaseGrant grant) {
-        expire(at);
+    /** Takes the grant of a lease. A late or stale grant has no effect; an unreadable one drops the cached summary. */
+    public void acceptGrant(long time, SiteMessage.SummaryLeaseGrant grant) {
+        expire(time);
         CachedSummary entry = entriesByTicket.remove(grant.ticket());
         if (entry == null) {
             return;
@@ -89,7 +89,7 @@
         try {
             summary = decode(grant, entry.site);
         } catch (UnreadableSummaryException fault) {
-            drop(entry); // what was cached before it may be just as wrong
+            drop(entry); // the earlier summary of this site may be just as wrong
             reportUnreadable(entry.site, fault);
             return;
         }
@@ -97,22 +97,22 @@
         if (entry.distrusted || leaseEnd <= now || entry.versions.isStale(summary)) {
             return;
         }
-        if (entry.versions.isRenewal(summary, index.at(entry.slot))) {
-            entry.lease(leaseEnd);
+        if (entry.versions.isRenewal(summary, index.get(entry.slot))) {
+            entry.startLease(leaseEnd);
             expiries.add(entry);
             return;
         }
-        // any other replaces the cached one, also of the same version: the site reckons with what it sent
+        // any other grant replaces the cached summary, even for the same version: the site relies on what it sent
         drop(entry);
         int size = grant.summary().length;
         if (bytes + size > limits.bytes()) {
             events.accept(new PruningEvent.NoRoom(entry.site, "the summary of " + entry.site.name()
-                    + " is not held: all together have "
-                    + bytes + " bytes; raise the bound of bytes, or lower it at the sites"));
+                    + " is not cached: it has " + size + " bytes and the cache holds " + bytes + " of at most "
+                    + limits.bytes() + "; raise summaries.memory_mb, or lower `bytes` at the sites"));
             return;
         }
         store(entry, summary, size);
-        entry.lease(leaseEnd);
+        entry.startLease(leaseEnd);
         entry.versions.grant(summary.version());
         expiries.add(entry);
     }
@@ -121,7 +121,8 @@
         Summary summary = Encoding.decode(grant.summary());
         if (!summary.site().equals(site.name()) || !summary.block().equals(site.block())) {
             throw new UnreadableSummaryException(UnreadableSummaryException.Fault.MALFORMED,
-                    "it is of " + summary.site() + " " + summary.block());
+                    "the summary is of site " + summary.site() + " block " + summary.block() + ", not of site "
+                            + site.name() + " block " + site.block());
         }
         return summary;
     }
@@ -131,15 +132,16 @@
     }
 
     /**
-     * A site is about to confirm rows. Its cached summary is widened by them, or dropped where that can't be done.
+     * Applies a widening, sent by a site before it confirms rows: widens the cached summary, or drops it if that is not
+     * possible.
      *
-     * @return the version to acknowledge, now that it counts
+     * @return the version to acknowledge, which is in effect on return
      */
-    public long applyWidening(long at, SiteMessage.Widening widening) {
-        now = Math.max(now, at);
+    public long applyWidening(long time, SiteMessage.Widening widening) {
+        now = Math.max(now, time);
         CachedSummary entry = entries.get(widening.site());
         if (entry == null || !entry.versions.isNewer(widening.epoch(), widening.to())) {
-            return widening.to(); // nothing is cached, or it is late or repeated
+            return widening.to(); // nothing is cached, or the widening is late or repeated
         }
         Summary wider = widen(entry, widening);
         if (wider == null) {
@@ -151,9 +153,9 @@
         return widening.to();
     }
 
-    /** The cached summary with the widening's rows, or null where it is none that the widening continues. */
+    /** Returns the cached summary with the rows of the widening, or null if the widening does not continue it. */
     private Summary widen(CachedSummary entry, SiteMessage.Widening widening) {
-        Summary cached = index.at(entry.slot);
+        Summary cached = index.get(entry.slot);
         if (!entry.versions.isContinuedBy(widening, cached)) {
             return null;
         }
@@ -167,9 +169,9 @@
         }
     }
 
-    /** A site was heard to serve this version, say in an answer: older ones don't count any more. */
-    public void observeVersion(long at, Site site, long epoch, long version) {
-        now = Math.max(now, at);
+    /** Records that a site serves this version, as an answer may show; older versions are no longer valid. */
+    public void observeVersion(long time, Site site, long epoch, long version) {
+        now = Math.max(now, time);
         CachedSummary entry = entries.get(site);
         if (entry != null && entry.versions.isNewer(epoch, version)) {
             drop(entry);
@@ -177,9 +179,9 @@
         }
     }
 
-    /** A block was or may have been migrated: its leases end, and grants that are on their way are ignored. */
-    public void invalidateBlock(long at, String block) {
-        now = Math.max(now, at);
+    /** Ends the leases on a block that was or may have been migrated; outstanding grants are ignored. */
+    public void invalidateBlock(long time, String block) {
+        now = Math.max(now, time);
         for (CachedSummary entry : entries.values()) {
             if (entry.site.block().equals(block)) {
                 drop(entry);
@@ -188,9 +190,9 @@
         }
     }
 
-    /** A site was removed for good. */
-    public void remove(long at, Site site) {
-        now = Math.max(now, at);
+    /** Removes a site. */
+    public void remove(long time, Site site) {
+        now = Math.max(now, time);
         CachedSummary entry = entries.remove(site);
         if (entry != null) {
             drop(entry);
@@ -199,9 +201,9 @@
         }
     }
 
-    /** A site had rows that its summary excluded: none of its grants is accepted until {@link #readmit}. */
-    public void distrust(long at, Site site, long epoch, long version, String evidence) {
-        now = Math.max(now, at);
+    /** Records that a site had rows that its summary excluded; its grants are rejected until {@link #readmit}. */
+    public void distrust(long time, Site site, long epoch, long version, String evidence) {
+        now = Math.max(now, time);
         CachedSummary entry = entries.get(site);
         if (entry == null || entry.distrusted) {
             return;
@@ -211,10 +213,11 @@
         events.accept(new PruningEvent.FalseCut(site, epoch, version, "the summary of " + site.name() + " block "
                 + site.block()
                 + " epoch " + epoch + " version " + version + " excluded rows that it has (" + evidence
-                + "): it is taken out, and the site is asked; mend how it makes its summary, then readmit it"));
+                + "): the summary is taken out of use and the site is queried; correct how the site builds its summary,"
+                + " then readmit the site"));
     }
 
-    /** An operator says that a site's summaries are sound again. */
+    /** Accepts grants of a distrusted site again, at the request of an operator. */
     public void readmit(Site site) {
         CachedSummary entry = entries.get(site);
         if (entry != null) {
@@ -222,21 +225,21 @@
         }
     }
 
-    /** Looks up which sites can hold a row of this query's. */
-    public SummaryLookup lookup(long at, Conditions conditions) {
-        expire(at);
+    /** Looks up which sites can have a row that matches. */
+    public SummaryLookup lookup(long time, Conditions conditions) {
+        expire(time);
         return new SummaryLookup(conditions, entries, index);
     }
 
-    /** The site's summary with its lease, or null where none counts. Immutable: other threads may go on reading it. */
+    /** Returns the site's summary with its lease as an immutable snapshot, or null if none is cached. */
     public LeasedSummary leased(Site site) {
         CachedSummary entry = entries.get(site);
-        Summary summary = entry == null ? null : index.at(entry.slot);
+        Summary summary = entry == null ? null : index.get(entry.slot);
         return summary == null ? null
                 : new LeasedSummary(summary, entry.leaseRequestedAt(), entry.leaseEnd());
     }
 
-    /** Bytes of the index and of all summaries as they were sent. */
+    /** Returns the size of the index and of all summaries as they were sent, in bytes. */
     public long bytes() {
         return bytes + index.bytes();
     }
@@ -255,8 +258,8 @@
         entry.endLease();
     }
 
-    private void expire(long at) {
-        now = Math.max(now, at);
+    private void expire(long time) {
+        now = Math.max(now, time);
         expiries.expire(now, this::drop);
     }
 }
--- a/src/main/java/wallmoor/summaries/SummaryIndex.java
+++ b/src/main/java/wallmoor/summaries/SummaryIndex.java
@@ -8,107 +8,110 @@
 import java.util.Map;
 
 /**
- * Summaries by slot, laid out so that one look-up tells which of all could match. What the layout leaves is then tried
- * against the summaries themselves, so an answer is never looser or stricter than theirs.
+ * An index of summaries by slot, for looking up at once which of them admit a match. The candidates that the index
+ * finds are then checked against the summaries themselves, so that the result equals theirs.
  */
 final class SummaryIndex {
-    /** Properties laid out; a condition on another one is tried against each summary. */
-    private static final int MOST_PROPERTIES = 256;
+    /** Maximum number of indexed properties; a condition on another one is checked against each summary. */
+    private static final int MAX_PROPERTIES = 256;
 
-    private final List<Summary> held = new ArrayList<>();
-    private final BitSet filled = new BitSet();
+    private final List<Summary> summaries = new ArrayList<>();
+    private final BitSet occupied = new BitSet();
     private final Map<String, PropertyIndex> properties = new HashMap<>();
-    private final SpatialGridIndex places = new SpatialGridIndex();
-    private long[] from = new long[0];
-    private long[] to = new long[0];
+    private final SpatialGridIndex locations = new SpatialGridIndex();
+    private long[] earliest = new long[0];
+    private long[] latest = new long[0];
 
-    /** Puts a summary, new or in the place of one. */
+    /** Adds or replaces the summary of a slot. */
     void put(int slot, Summary s) {
-        while (held.size() <= slot) {
-            held.add(null);
+        while (summaries.size() <= slot) {
+            summaries.add(null);
         }
-        if (slot >= from.length) {
-            from = Arrays.copyOf(from, slot + 64 + slot / 2);
-            to = Arrays.copyOf(to, from.length);
+        if (slot >= earliest.length) {
+            earliest = Arrays.copyOf(earliest, slot + 64 + slot / 2);
+            latest = Arrays.copyOf(latest, earliest.length);
         }
-        Summary was = held.get(slot);
-        if (was != null) {
-            places.remove(slot, was.boxes());
-            was.properties().forEach((name, p) -> {
-                // a filter that only grew stays where it lies
-                if (properties.containsKey(name) && !grew(was, s, name)) {
+        Summary old = summaries.get(slot);
+        if (old != null) {
+            locations.remove(slot, old.boxes());
+            old.properties().forEach((name, p) -> {
+                // a filter that was only widened keeps its column
+                if (properties.containsKey(name) && !isWidened(old, s, name)) {
                     properties.get(name).remove(slot);
                 }
             });
         }
-        held.set(slot, s);
-        filled.set(slot);
-        places.put(slot, s);
-        from[slot] = s.timeless() ? Long.MIN_VALUE : s.spans().stream().mapToLong(TimeSpan::from).min()
+        summaries.set(slot, s);
+        occupied.set(slot);
+        locations.put(slot, s);
+        earliest[slot] = s.hasUntimedRows() ? Long.MIN_VALUE : s.spans().stream().mapToLong(TimeSpan::from).min()
                 .orElse(Long.MAX_VALUE);
-        to[slot] = s.timeless() ? Long.MAX_VALUE
+        latest[slot] = s.hasUntimedRows() ? Long.MAX_VALUE
                 : s.spans().stream().mapToLong(TimeSpan::to).max().orElse(Long.MIN_VALUE);
         s.properties().forEach((name, p) -> {
-            if (!properties.containsKey(name) && properties.size() >= MOST_PROPERTIES) {
-                properties.values().removeIf(PropertyIndex::empty);
+            if (!properties.containsKey(name) && properties.size() >= MAX_PROPERTIES) {
+                properties.values().removeIf(PropertyIndex::isEmpty);
             }
-            if (properties.containsKey(name) || properties.size() < MOST_PROPERTIES) {
+            if (properties.containsKey(name) || properties.size() < MAX_PROPERTIES) {
                 properties.computeIfAbsent(name, n -> new PropertyIndex()).put(slot, p);
             }
         });
     }
 
-    private static boolean grew(Summary was, Summary is, String name) {
-        return was.epoch() == is.epoch() && is.version() > was.version() && is.properties().containsKey(name);
+    private static boolean isWidened(Summary old, Summary widened, String name) {
+        return old.epoch() == widened.epoch() && widened.version() > old.version()
+                && widened.properties().containsKey(name);
     }
 
     void remove(int slot) {
-        Summary was = slot < held.size() ? held.set(slot, null) : null;
-        if (was != null) {
-            filled.clear(slot);
-            places.remove(slot, was.boxes());
-            was.properties().keySet().stream().map(properties::get).filter(p -> p != null).forEach(p -> p.remove(slot));
+        Summary old = slot < summaries.size() ? summaries.set(slot, null) : null;
+        if (old != null) {
+            occupied.clear(slot);
+            locations.remove(slot, old.boxes());
+            old.properties().keySet().stream().map(properties::get).filter(p -> p != null).forEach(p -> p.remove(slot));
         }
     }
 
-    Summary at(int slot) {
-        return slot < held.size() ? held.get(slot) : null;
+    /** Returns the summary of a slot, or null. */
+    Summary get(int slot) {
+        return slot < summaries.size() ? summaries.get(slot) : null;
     }
 
-    /** The slots that have a summary. */
-    BitSet filled() {
-        return filled;
+    /** Returns the slots that have a summary. */
+    BitSet occupiedSlots() {
+        return occupied;
     }
 
-    /** The slots whose summary admits a match. */
-    BitSet could(Conditions c) {
-        var candidates = (BitSet) filled.clone();
+    /** Returns the slots whose summary admits a match. */
+    BitSet matchingSlots(Conditions c) {
+        var candidates = (BitSet) occupied.clone();
         for (Condition p : c.properties()) {
             PropertyIndex index = properties.get(p.property());
             if (index != null && p instanceof Condition.Equal e && !e.key().isEmpty()) {
-                index.keep(e, candidates);
+                index.retainMatches(e, candidates);
             }
         }
         if (c.box() != null) {
-            places.keep(c.box().box(), candidates);
+            locations.retainMatches(c.box().box(), candidates);
         }
         for (Condition p : c.properties()) {
             PropertyIndex index = properties.get(p.property());
-            if (index != null && p instanceof Condition.Range r && r.numeric()) {
-                index.keep(r, candidates);
+            if (index != null && p instanceof Condition.Range r && r.isNumeric()) {
+                index.retainMatches(r, candidates);
             }
         }
         for (int slot = candidates.nextSetBit(0); slot >= 0; slot = candidates.nextSetBit(slot + 1)) {
-            if ((c.time() != null && (from[slot] > c.time().to() || to[slot] < c.time().from()))
-                    || held.get(slot).excludes(c) != null) {
+            if ((c.time() != null && (earliest[slot] > c.time().to() || latest[slot] < c.time().from()))
+                    || summaries.get(slot).exclusionReason(c) != null) {
                 candidates.clear(slot);
             }
         }
         return candidates;
     }
 
-    /** Bytes of the layout, beside the summaries. */
+    /** Returns the approximate memory of the index in bytes, without the summaries. */
     long bytes() {
-        return 24L * from.length + places.bytes() + properties.values().stream().mapToLong(PropertyIndex::bytes).sum();
+        return 24L * earliest.length + locations.bytes()
+                + properties.values().stream().mapToLong(PropertyIndex::bytes).sum();
     }
 }
--- a/src/main/java/wallmoor/summaries/SummaryLimits.java
+++ b/src/main/java/wallmoor/summaries/SummaryLimits.java
@@ -1,42 +1,45 @@
 package wallmoor.summaries;
 
 /**
- * Bounds of one summary.
+ * Limits of one summary.
  *
- * @param bytes      of its encoded form; what does not fit is told more coarsely, then not at all
- * @param properties told of; a condition on another one is asked everywhere
- * @param values     of a property that are kept themselves; beyond that a filter is
- * @param maxValueBytes    bytes of a value that is kept itself, and of a property's name
- * @param filterBits of a property's filter at most, a power of two
- * @param boxes      around all places
- * @param spans      of time
+ * @param bytes         maximum size of the encoded summary; larger content is coarsened, then omitted
+ * @param properties    maximum number of properties; a condition on another property excludes no site
+ * @param values        maximum number of values of a property that are listed; a filter replaces more
+ * @param maxValueBytes maximum size of a listed value and of the name of a property, in bytes
+ * @param filterBits    maximum size of a property's filter in bits, a power of two
+ * @param boxes         maximum number of boxes around the locations
+ * @param spans         maximum number of time spans
  */
 public record SummaryLimits(int bytes, int properties, int values, int maxValueBytes, int filterBits, int boxes,
         int spans) {
-    /** The least bytes: head, boxes and spans alone must fit. */
+    /** Minimum of {@code bytes}; the header, boxes and spans must fit. */
     public static final int MIN_BYTES = 1024;
-    /** The most bytes: a gatherer reads no larger summary, whoever made it. */
+    /** Maximum of {@code bytes}; a gatherer reads no larger summary. */
     public static final int MAX_BYTES = 1 << 20;
 
-    /** Checks the bounds. */
+    /** Validates the bounds. */
     public SummaryLimits {
-        boolean inBounds = within(bytes, MIN_BYTES, MAX_BYTES) && within(properties, 1, 256)
-                && within(values, 1, 4096) && within(maxValueBytes, 8, 256) && within(boxes, 1, 64)
-                && within(spans, 1, 64) && within(filterBits, KeyBloomFilter.LEAST_BITS, 1 << 20)
+        boolean inBounds = isWithin(bytes, MIN_BYTES, MAX_BYTES) && isWithin(properties, 1, 256)
+                && isWithin(values, 1, 4096) && isWithin(maxValueBytes, 8, 256) && isWithin(boxes, 1, 64)
+                && isWithin(spans, 1, 64) && isWithin(filterBits, KeyBloomFilter.MIN_BITS, 1 << 20)
                 && Integer.bitCount(filterBits) == 1;
         if (!inBounds) {
-            throw new IllegalArgumentException("settings of a summary are out of bounds");
+            throw new IllegalArgumentException("summary limits out of bounds: bytes=" + bytes + " properties="
+                    + properties + " values=" + values + " maxValueBytes=" + maxValueBytes + " filterBits=" + filterBits
+                    + " boxes=" + boxes + " spans=" + spans);
         }
         if (32 * (boxes + spans) > bytes - 512) {
-            throw new IllegalArgumentException("boxes and spans alone would take the summary's bytes");
+            throw new IllegalArgumentException(boxes + " boxes and " + spans + " spans do not fit into "
+                    + bytes + " bytes less 512");
         }
     }
 
-    private static boolean within(int value, int least, int most) {
-        return value >= least && value <= most;
+    private static boolean isWithin(int value, int min, int max) {
+        return value >= min && value <= max;
     }
 
-    /** Starting values; docs/operators/summaries.md gives their reasons. */
+    /** Returns the default limits; docs/operators/summaries.md gives the reasons. */
     public static SummaryLimits defaults() {
         return new SummaryLimits(16 * 1024, 32, 64, 64, 1 << 16, 12, 8);
     }
--- a/src/main/java/wallmoor/summaries/SummaryLookup.java
+++ b/src/main/java/wallmoor/summaries/SummaryLookup.java
@@ -3,7 +3,7 @@
 import java.util.BitSet;
 import java.util.Map;
 
-/** One query looked up in a {@link SummaryCache}. Valid until the cache's next change. */
+/** The result of looking up one query in a {@link SummaryCache}. Valid until the next change of the cache. */
 public final class SummaryLookup {
     private final Conditions conditions;
     private final Map<Site, CachedSummary> entries;
@@ -15,33 +15,33 @@
         this.conditions = conditions;
         this.entries = entries;
         this.index = index;
-        this.matching = index.could(conditions);
-        this.excluded = (BitSet) index.filled().clone();
+        this.matching = index.matchingSlots(conditions);
+        this.excluded = (BitSet) index.occupiedSlots().clone();
         this.excluded.andNot(matching);
     }
 
-    /** The site's summary where it is leased and excludes every row of the query; else null. */
+    /** Returns the site's summary if it is leased and excludes every row of the query, else null. */
     Summary excluding(Site site) {
         CachedSummary entry = entries.get(site);
-        return entry == null || !excluded.get(entry.slot) ? null : index.at(entry.slot);
+        return entry == null || !excluded.get(entry.slot) ? null : index.get(entry.slot);
     }
 
-    /** Whether the site can hold a matching row, with the reason. */
+    /** Returns whether the site can have a matching row, with the reason. */
     public MatchResult match(Site site) {
         CachedSummary entry = entries.get(site);
-        if (entry == null || index.at(entry.slot) == null) {
+        if (entry == null || index.get(entry.slot) == null) {
             return MatchResult.unknown(entry != null && entry.distrusted ? "its summary excluded rows that it had"
                     : "no promise of its counts now");
         }
-        return index.at(entry.slot).match(conditions);
+        return index.get(entry.slot).match(conditions);
     }
 
-    /** How many sites with a leased summary can be pruned. */
+    /** Returns the number of sites that can be pruned by a leased summary. */
     public int excluded() {
         return excluded.cardinality();
     }
 
-    /** How many sites have a leased summary that admits a match. */
+    /** Returns the number of sites whose leased summary admits a match. */
     public int admitted() {
         return matching.cardinality();
     }
--- a/src/main/java/wallmoor/summaries/UnreadableSummaryException.java
+++ b/src/main/java/wallmoor/summaries/UnreadableSummaryException.java
@@ -1,21 +1,21 @@
 package wallmoor.summaries;
 
-/** Bytes that are no summary this program can read. The site that sent them is asked; the message says what to do. */
+/** Bytes are not a summary that this program can read. The site that sent them is queried; the message gives advice. */
 public final class UnreadableSummaryException extends Exception {
     private static final long serialVersionUID = 1L;
     private final Fault fault;
 
-    /** What is wrong with them. */
+    /** The kinds of faults. */
     public enum Fault {
-        /** Cut short, changed on the way, or of another thing altogether. */
+        /** The bytes are truncated, corrupted, or not a summary at all. */
         TORN("send or build it again"),
-        /** Of a form that a later program wrote. */
+        /** The format version is unknown; a later program wrote it. */
         UNKNOWN_VERSION("update this program, or have the site write the older form"),
-        /** Of a kind that this program does not know. */
+        /** The kind of summary is unknown to this program. */
         UNKNOWN_KIND("update this program, or have the site write the older kind"),
-        /** Larger than a gatherer takes. */
+        /** The summary is larger than {@link SummaryLimits#MAX_BYTES}. */
         TOO_LARGE("lower `bytes` in the settings of the site that wrote it"),
-        /** It is whole, but says what no summary can. */
+        /** The checksum matches, but the contents are invalid. */
         MALFORMED("the site's program is faulty: take its summaries out, and report it");
 
         private final String advice;
@@ -30,7 +30,7 @@
         this.fault = fault;
     }
 
-    /** What is wrong. */
+    /** Returns the kind of fault. */
     public Fault fault() {
         return fault;
     }
--- a/src/main/java/wallmoor/summaries/VersionChain.java
+++ b/src/main/java/wallmoor/summaries/VersionChain.java
@@ -1,52 +1,52 @@
 package wallmoor.summaries;
 
 /**
- * Which versions of one site's summary still count. A version is ordered by the epoch, that is the site's incarnation,
- * and then by its number; a widening continues the chain only where it begins at the cached version.
+ * The versions of one site's summary that are still valid. Versions are ordered by the epoch (the site's incarnation)
+ * and then by number. A widening continues the chain only if it starts at the cached version.
  */
 final class VersionChain {
     private long epoch = Long.MIN_VALUE;
-    /** Older versions of this epoch never count again, however late their grant arrives. */
+    /** The oldest valid version of this epoch; older ones never become valid again, however late a grant arrives. */
     private long oldestValid = Long.MIN_VALUE;
-    /** The version that was granted in full; the cached summary is this one with the widenings since. */
+    /** The version that was granted in full. The cached summary is this one with all later widenings. */
     private long granted = Long.MIN_VALUE;
 
-    /** Whether this version is newer than all that was heard of. */
+    /** Returns whether this version is newer than all observed ones. */
     boolean isNewer(long otherEpoch, long version) {
         return otherEpoch > epoch || (otherEpoch == epoch && version > oldestValid);
     }
 
-    /** Whether a newer version than this grant's was heard of before it arrived. */
+    /** Returns whether a newer version than that of the grant was observed before it arrived. */
     boolean isStale(Summary grant) {
         return grant.epoch() < epoch || (grant.epoch() == epoch && grant.version() < oldestValid);
     }
 
     /**
-     * Whether a grant is, byte for byte, what is cached: the version granted last, with no widening since.
+     * Returns whether a grant equals the cached summary: it is the last granted version, with no widening since.
      *
-     * @param cached or null
+     * @param cached the cached summary, or null
      */
     boolean isRenewal(Summary grant, Summary cached) {
         return cached != null && grant.epoch() == epoch && grant.version() == granted && cached.version() == granted;
     }
 
     /**
-     * Whether a widening can be applied to what is cached: it has rows and begins at the cached version.
+     * Returns whether a widening can be applied to the cached summary: it has rows and starts at the cached version.
      *
-     * @param cached or null
+     * @param cached the cached summary, or null
      */
     boolean isContinuedBy(SiteMessage.Widening widening, Summary cached) {
         return cached != null && widening.rows() != null && widening.epoch() == epoch
                 && widening.from() == cached.version();
     }
 
-    /** Only this version and newer ones count from now on. */
+    /** Makes this the oldest valid version. */
     void advance(long newEpoch, long version) {
         epoch = newEpoch;
         oldestValid = version;
     }
 
-    /** This version was granted in full, and is cached. */
+    /** Records that this version was granted in full and is cached. */
     void grant(long version) {
         granted = version;
     }
--- a/src/main/java/wallmoor/summaries/package-info.java
+++ b/src/main/java/wallmoor/summaries/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Which sites can hold a row that a query asks for. A site tells a summary of its rows and promises to widen it before
- * it confirms a write that it does not cover; a gatherer leaves out what the summaries exclude (docs/summaries.md).
- * Decides only: no I/O, no clock, no threads; times are handed in, in microseconds.
+ * Decides which sites can have a row that matches a query. A site grants leases on a summary of its rows: while a lease
+ * runs, the site widens the summary before it confirms a write that the summary does not cover. A gatherer prunes the
+ * sites whose summaries exclude the query (docs/summaries.md). This package does no I/O, reads no clock and starts no
+ * threads; callers pass times in microseconds.
  */
 package wallmoor.summaries;
--- a/src/test/java/wallmoor/net/PruneTest.java
+++ b/src/test/java/wallmoor/net/PruneTest.java
@@ -291,6 +291,6 @@
         }
         assertTrue(logged("is torn"));
         assertTrue(logged("of kind"));
-        assertTrue(logged("fs1 can't be had (a summary of 200000 bytes: raise summaries.most_bytes"));
+        assertTrue(logged("server=fs1 error=a summary of 200000 bytes: raise summaries.most_bytes"));
     }
 }
--- a/src/test/java/wallmoor/summaries/ReferenceMatcher.java
+++ b/src/test/java/wallmoor/summaries/ReferenceMatcher.java
@@ -61,7 +61,7 @@
             if (value == null) {
                 return r.low() == null;
             }
-            if (r.numeric()) {
+            if (r.isNumeric()) {
                 double d = Double.parseDouble(value.toString());
                 return d >= r.lowest() && d <= r.highest();
             }
@@ -70,7 +70,7 @@
             return r.low() == null;
         }
         BigDecimal d = number(value.toString());
-        if (r.numeric() && d != null && d.doubleValue() >= r.lowest() && d.doubleValue() <= r.highest()) {
+        if (r.isNumeric() && d != null && d.doubleValue() >= r.lowest() && d.doubleValue() <= r.highest()) {
             return true; // a site that casts
         }
         return TEXTS.stream().anyMatch(t -> (r.low() == null || t.apply(value.toString())
--- a/src/test/java/wallmoor/summaries/SummaryPropertiesTest.java
+++ b/src/test/java/wallmoor/summaries/SummaryPropertiesTest.java
@@ -33,7 +33,7 @@
     private static void holds(Summary s, List<Row> rows, Random random) {
         for (int i = 0; i < 40; i++) {
             Conditions c = RandomInputs.conditions(random);
-            String why = s.excludes(c);
+            String why = s.exclusionReason(c);
             for (Row row : rows) {
                 assertTrue(why == null || !ReferenceMatcher.matches(row, c, rows),
                         () -> why + " but " + row + " meets " + c);
@@ -90,9 +90,9 @@
                 index.put(slot, held[slot]);
             }
             Conditions c = RandomInputs.conditions(random);
-            var could = index.could(c);
+            var could = index.matchingSlots(c);
             for (int i = 0; i < held.length; i++) {
-                assertEquals(held[i] != null && held[i].excludes(c) == null, could.get(i), "slot " + i + " for " + c);
+                assertEquals(held[i] != null && held[i].exclusionReason(c) == null, could.get(i), "slot " + i + " for " + c);
             }
         }
     }
@@ -142,15 +142,15 @@
         Summary s = draft.build(1);
         for (String none : List.of("city=Lahore", "price=1000..", "price=..-1", "plate=K-1000", "city=L..M", "city=",
                 "city=a..b")) {
-            assertTrue(s.excludes(new Conditions(null, null, List.of(Condition.parse(none)))) != null, none);
+            assertTrue(s.exclusionReason(new Conditions(null, null, List.of(Condition.parse(none)))) != null, none);
         }
         for (String some : List.of("city= karachi ", "price=999", "price=999.0", "plate=k-7", "city=K..L",
                 "city=a..l", "other=1")) {
-            assertNull(s.excludes(new Conditions(null, null, List.of(Condition.parse(some)))), some);
+            assertNull(s.exclusionReason(new Conditions(null, null, List.of(Condition.parse(some)))), some);
         }
-        assertNull(s.excludes(new Conditions(Conditions.box("179,-18,-179,-16"), null, List.of())));
-        assertFalse(s.excludes(new Conditions(Conditions.box("-179,-18,179,-16"), null, List.of())) == null);
-        assertNull(s.excludes(new Conditions(null, TimeSpan.parse("2026-01-05"), List.of())));
-        assertFalse(s.excludes(new Conditions(null, TimeSpan.parse("2026-01-07/.."), List.of())) == null);
+        assertNull(s.exclusionReason(new Conditions(Conditions.box("179,-18,-179,-16"), null, List.of())));
+        assertFalse(s.exclusionReason(new Conditions(Conditions.box("-179,-18,179,-16"), null, List.of())) == null);
+        assertNull(s.exclusionReason(new Conditions(null, TimeSpan.parse("2026-01-05"), List.of())));
+        assertFalse(s.exclusionReason(new Conditions(null, TimeSpan.parse("2026-01-07/.."), List.of())) == null);
     }
 }
