--- a/src/main/java/wallmoor/pruning/LeaseRenewal.java
+++ b/src/main/java/wallmoor/pruning/LeaseRenewal.java
@@ -124,7 +124,8 @@
             state.client.close();
             long backoff = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << state.failures);
             if (state.failures == 0) {
-                log.warn("summary lease renewal failed; queries include the server once its lease ends: server={} error={}",
+                log.warn(
+                        "summary lease renewal failed; the server is queried once its lease ends: server={} error={}",
                         name, e instanceof RuntimeException ? e.toString() : e.getMessage());
             }
             state.failures = Math.min(MAX_FAILURE_COUNT, state.failures + 1);
--- a/src/main/java/wallmoor/pruning/WideningMessages.java
+++ b/src/main/java/wallmoor/pruning/WideningMessages.java
@@ -50,7 +50,8 @@
                     || !(w.get("epoch") instanceof Long epoch) || !(w.get("from") instanceof Long from)
                     || !(w.get("to") instanceof Long to) || from >= to) {
                 throw new HttpProtocolException(502, "widening " + all.size()
-                        + " of the answer needs a block of at most " + MAX_BLOCK_LENGTH + " characters and integers epoch, from and to, with from below to");
+                        + " of the answer needs a block of at most " + MAX_BLOCK_LENGTH
+                        + " characters and integers epoch, from and to, with from below to");
             }
             all.add(new SiteMessage.Widening(new Site(site, w.text("block")), epoch, from, to,
                     rows(w.text("rows"), maxRowsBytes)));
--- a/src/test/java/wallmoor/summaries/RandomInputs.java
+++ b/src/test/java/wallmoor/summaries/RandomInputs.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Rows and conditions by chance: few values of many forms, so that they often meet and nearly meet. */
+/** Random rows and conditions over few values in many forms, so that they often match or nearly match. */
 final class RandomInputs {
-    private static final IdentityHashMap<Condition, String> RAW = new IdentityHashMap<>();
+    private static final IdentityHashMap<Condition, String> ORIGINAL_TEXTS = new IdentityHashMap<>();
     private static final String[] TEXTS = {"1", "1.0", " 1", "01", "1e0", "+1", "١", "１", "10", "15", "9", "100",
         "-0", "0",
         "nan", "NaN", "Infinity", "1e999", "", " ", "\u00a0", "a", "A", "a ", "b", "B", "ab", "a b", "a  b", "é",
@@ -16,19 +16,19 @@
         "Karachi",
         "lahore", "karachi ", "\ud800", "?", "zero\u200bwidth", "zerowidth", "2026-01-05", "2026-02-01", "long-"
                 + "x".repeat(80)};
-    private static final String[] NAMES = {"city", "price", "class", "id", "note", "seats"};
+    private static final String[] PROPERTIES = {"city", "price", "class", "id", "note", "seats"};
 
     private RandomInputs() {}
 
-    /** As the condition was written, for readings that do not fold. */
-    static String raw(Condition c) {
-        return RAW.get(c);
+    /** Returns the text from which the condition was made, for comparisons that do not fold. */
+    static String originalText(Condition c) {
+        return ORIGINAL_TEXTS.get(c);
     }
 
-    static Row row(RandomGenerator random, boolean mixed) {
+    static Row row(RandomGenerator random, boolean hasMixedValues) {
         var values = new java.util.HashMap<String, Object>();
-        for (String name : NAMES) {
-            int kind = random.nextInt(mixed ? 10 : 8);
+        for (String name : PROPERTIES) {
+            int kind = random.nextInt(hasMixedValues ? 10 : 8);
             Object value = switch (name) {
                 case "price", "seats" -> kind == 9 ? text(random) : kind == 0 ? null : number(random);
                 case "id" -> "k" + random.nextInt(500);
@@ -38,8 +38,8 @@
                 values.put(name, value);
             }
         }
-        return new Row(values, random.nextInt(40) == 0 && mixed ? null : place(random),
-                random.nextInt(40) == 0 && mixed ? null : time(random));
+        return new Row(values, random.nextInt(40) == 0 && hasMixedValues ? null : location(random),
+                random.nextInt(40) == 0 && hasMixedValues ? null : time(random));
     }
 
     private static String text(RandomGenerator random) {
@@ -56,7 +56,7 @@
         };
     }
 
-    private static Row.Coordinates place(RandomGenerator random) {
+    private static Row.Coordinates location(RandomGenerator random) {
         double lon = switch (random.nextInt(6)) {
             case 0 -> 180 - random.nextDouble() * 3;
             case 1 -> -180 + random.nextDouble() * 3;
@@ -74,7 +74,7 @@
     static Conditions conditions(RandomGenerator random) {
         var all = new ArrayList<Condition>();
         for (int i = random.nextInt(3); i > 0; i--) {
-            String name = NAMES[random.nextInt(NAMES.length)];
+            String name = PROPERTIES[random.nextInt(PROPERTIES.length)];
             String a = random.nextInt(3) == 0 ? "" + random.nextInt(60) : name.equals("id") ? "k"
                     + random.nextInt(700) : text(random);
             String b = random.nextInt(3) == 0 ? "" + random.nextInt(60) : text(random);
@@ -84,8 +84,8 @@
                         b.isEmpty() ? null : b)
                         : Condition.equal(name, a);
                 if (!range) {
-                    synchronized (RAW) {
-                        RAW.put(c, a);
+                    synchronized (ORIGINAL_TEXTS) {
+                        ORIGINAL_TEXTS.put(c, a);
                     }
                 }
                 all.add(c);
--- a/src/test/java/wallmoor/summaries/ReferenceMatcher.java
+++ b/src/test/java/wallmoor/summaries/ReferenceMatcher.java
@@ -7,18 +7,18 @@
 import java.util.function.UnaryOperator;
 
 /**
- * How a site may compare, written apart from what is tested: as they stand, without blanks around, without case, in a
- * Unicode form, or as numbers. A row matches where any of these says so.
+ * A reference for the comparisons that a site may use, independent of the code under test: texts as they are, without
+ * surrounding blanks, without case, in a Unicode form, or as numbers. A row matches if any comparison says so.
  */
 final class ReferenceMatcher {
-    private static final List<UnaryOperator<String>> TEXTS = List.of(s -> s, String::strip, s -> s.stripTrailing(),
+    private static final List<UnaryOperator<String>> TEXT_FORMS = List.of(s -> s, String::strip, s -> s.stripTrailing(),
             s -> s.strip().toLowerCase(Locale.ROOT), s -> s.toUpperCase(Locale.ROOT), s -> s.toLowerCase(Locale.ROOT),
             s -> Normalizer.normalize(s, Normalizer.Form.NFC),
             s -> Normalizer.normalize(s.strip(), Normalizer.Form.NFKC).toLowerCase(Locale.ROOT));
 
     private ReferenceMatcher() {}
 
-    /** By the properties' columns: one whose values are all numbers is compared by number, all else as texts. */
+    /** Returns whether a row matches. A property with only numbers is compared by number, any other as texts. */
     static boolean matches(Row row, Conditions c, List<Row> all) {
         if (c.time() != null && row.time() != null && !row.time().overlaps(c.time())) {
             return false;
@@ -31,7 +31,7 @@
                 : within(row.values().get(p.property()), (Condition.Range) p, all));
     }
 
-    /** On the plane, with the wrap: as a site does that reads boxes as the standard says. */
+    /** Returns whether a location lies in a box, with the wrap at the antimeridian as the standard defines it. */
     private static boolean within(Row.Coordinates p, Box b) {
         double w = b.west() / 1e5;
         double e = (b.west() + (double) b.width()) / 1e5;
@@ -39,19 +39,20 @@
                 && ((p.lon() >= w && p.lon() <= e) || (p.lon() + 360 >= w && p.lon() + 360 <= e));
     }
 
-    static boolean equal(Object value, String asked) {
+    static boolean equal(Object value, String conditionText) {
         if (value == null || value.toString().isBlank()) {
-            return asked.isBlank();
+            return conditionText.isBlank();
         }
         BigDecimal a = number(value.toString());
-        BigDecimal b = number(asked);
+        BigDecimal b = number(conditionText);
         return (a != null && b != null && (a.compareTo(b) == 0 || a.doubleValue() == b.doubleValue()))
-                || value.toString().equalsIgnoreCase(asked)
-                || TEXTS.stream().anyMatch(t -> t.apply(value.toString()).equals(t.apply(asked)));
+                || value.toString().equalsIgnoreCase(conditionText)
+                || TEXT_FORMS.stream().anyMatch(t -> t.apply(value.toString()).equals(t.apply(conditionText)));
     }
 
     private static boolean equal(Object value, Condition.Equal e) {
-        return equal(value, e.key()) || (RandomInputs.raw(e) != null && equal(value, RandomInputs.raw(e)));
+        return equal(value, e.key())
+                || (RandomInputs.originalText(e) != null && equal(value, RandomInputs.originalText(e)));
     }
 
     private static boolean within(Object value, Condition.Range r, List<Row> all) {
@@ -71,9 +72,9 @@
         }
         BigDecimal d = number(value.toString());
         if (r.isNumeric() && d != null && d.doubleValue() >= r.lowest() && d.doubleValue() <= r.highest()) {
-            return true; // a site that casts
+            return true; // for a site that casts texts to numbers
         }
-        return TEXTS.stream().anyMatch(t -> (r.low() == null || t.apply(value.toString())
+        return TEXT_FORMS.stream().anyMatch(t -> (r.low() == null || t.apply(value.toString())
                 .compareTo(t.apply(r.low())) >= 0)
                 && (r.high() == null || t.apply(value.toString()).compareTo(t.apply(r.high())) <= 0));
     }
--- a/src/test/java/wallmoor/summaries/SummaryLeaseModelTest.java
+++ b/src/test/java/wallmoor/summaries/SummaryLeaseModelTest.java
@@ -14,102 +14,105 @@
 import net.jqwik.api.Property;
 
 /**
- * Sites and gatherers on a network that delays, reorders, repeats, loses and tears, with restarts of both, blocks that
- * move and promises that run out. Whatever happens, a gatherer leaves out no site that has confirmed a matching row.
+ * Guards against pruning a site that has confirmed a matching row. Simulates sites and gatherers on a network that
+ * delays, reorders, duplicates, loses and truncates messages, with restarts of both, block migrations and leases that
+ * expire.
  */
 class SummaryLeaseModelTest {
-    private static final long LIFETIME = 1_000_000;
-    private static final SummaryCache.CacheLimits BOUNDS = new SummaryCache.CacheLimits(100, 1 << 20, 20_000);
+    private static final long LIFETIME_MICROS = 1_000_000;
+    private static final SummaryCache.CacheLimits LIMITS = new SummaryCache.CacheLimits(100, 1 << 20, 20_000);
 
-    private record Letter(long due, Runnable arrives) {}
+    private record Message(long due, Runnable delivery) {}
 
     private static final class World {
         private final Random random;
-        private final SummaryLimits settings;
-        private final List<Letter> post = new ArrayList<>();
-        private final Map<Site, SummaryMaintainer> keepers = new HashMap<>();
+        private final SummaryLimits limits;
+        private final List<Message> inFlight = new ArrayList<>();
+        private final Map<Site, SummaryMaintainer> maintainers = new HashMap<>();
         private final Map<Site, List<Row>> applied = new HashMap<>();
         private final Map<Site, List<Row>> confirmed = new HashMap<>();
-        private final Map<Site, Map<Long, Row>> waiting = new HashMap<>();
-        private final SummaryCache[] known = new SummaryCache[2];
+        private final Map<Site, Map<Long, Row>> unconfirmed = new HashMap<>();
+        private final SummaryCache[] caches = new SummaryCache[2];
         private final List<PruningEvent> events = new ArrayList<>();
         private final List<Site> sites = List.of(new Site("a", "x"), new Site("b", "y"), new Site("c", "x"));
         private long now = 1;
         private long epoch;
         private long ticket = 1;
-        private int cuts;
+        private int prunedSites;
 
         private World(long seed) {
             random = new Random(seed);
-            settings = new SummaryLimits(1024, 3 + random.nextInt(5), 1 + random.nextInt(8), 16, 512, 1
+            limits = new SummaryLimits(1024, 3 + random.nextInt(5), 1 + random.nextInt(8), 16, 512, 1
                     + random.nextInt(3), 2);
             for (Site site : sites) {
                 applied.put(site, new ArrayList<>());
                 confirmed.put(site, new ArrayList<>());
                 start(site, true);
             }
-            Arrays.setAll(known, g -> fresh());
+            Arrays.setAll(caches, g -> newCache());
         }
 
-        private SummaryCache fresh() {
+        private SummaryCache newCache() {
             ticket += 1_000_000;
-            return new SummaryCache(settings(), BOUNDS, ticket, events::add);
+            return new SummaryCache(randomLimits(), LIMITS, ticket, events::add);
         }
 
-        /** A gatherer may have other settings than the sites. */
-        private SummaryLimits settings() {
-            return random.nextBoolean() ? settings : new SummaryLimits(2048, 2 + random.nextInt(6), 2, 16, 1024, 2, 1);
+        /** Returns random limits, as a gatherer may have other limits than the sites. */
+        private SummaryLimits randomLimits() {
+            return random.nextBoolean() ? limits : new SummaryLimits(2048, 2 + random.nextInt(6), 2, 16, 1024, 2, 1);
         }
 
         private void start(Site site, boolean first) {
-            var draft = new SummaryBuilder(settings, site.name(), site.block(), ++epoch);
-            applied.get(site).forEach(draft::add);
-            waiting.put(site, new HashMap<>());
-            keepers.put(site, new SummaryMaintainer(settings, site, epoch, draft, now, LIFETIME, first));
+            var builder = new SummaryBuilder(limits, site.name(), site.block(), ++epoch);
+            applied.get(site).forEach(builder::add);
+            unconfirmed.put(site, new HashMap<>());
+            maintainers.put(site, new SummaryMaintainer(limits, site, epoch, builder, now, LIFETIME_MICROS, first));
         }
 
-        /** It may come late, twice or never. */
-        private void send(Runnable arrives) {
+        /** Sends a message, which may arrive late, twice or never. */
+        private void send(Runnable delivery) {
             for (int copies = random.nextInt(6) == 0 ? random.nextInt(3) : 1; copies > 0; copies--) {
-                long slow = random.nextInt(8) == 0 ? 2 * LIFETIME : 30_000;
-                post.add(new Letter(now + random.nextLong(slow), arrives));
+                long maxDelay = random.nextInt(8) == 0 ? 2 * LIFETIME_MICROS : 30_000;
+                inFlight.add(new Message(now + random.nextLong(maxDelay), delivery));
             }
         }
 
-        private void ask(int g, Site site) {
-            long t = known[g].beginRequest(now, site);
+        private void requestLease(int gatherer, Site site) {
+            long requestTicket = caches[gatherer].beginRequest(now, site);
             send(() -> {
-                SiteMessage.SummaryLeaseGrant p = keepers.get(site).grantLease(now, "g" + g, t);
-                boolean torn = random.nextInt(20) == 0;
-                var come = torn
-                        ? new SiteMessage.SummaryLeaseGrant(t,
-                                Arrays.copyOf(p.summary(), random.nextInt(p.summary().length)),
-                                LIFETIME)
-                        : p;
-                send(() -> known[g].acceptGrant(now, come)); // it may have been started since
+                SiteMessage.SummaryLeaseGrant grant = maintainers.get(site).grantLease(now, "g" + gatherer,
+                        requestTicket);
+                boolean truncated = random.nextInt(20) == 0;
+                var received = truncated
+                        ? new SiteMessage.SummaryLeaseGrant(requestTicket,
+                                Arrays.copyOf(grant.summary(), random.nextInt(grant.summary().length)),
+                                LIFETIME_MICROS)
+                        : grant;
+                send(() -> caches[gatherer].acceptGrant(now, received)); // the gatherer may have been restarted since
             });
         }
 
         private void write(Site site, Row row) {
-            SummaryMaintainer k = keepers.get(site);
-            SummaryMaintainer.WriteDecision w = k.write(now, List.of(row));
+            SummaryMaintainer maintainer = maintainers.get(site);
+            SummaryMaintainer.WriteDecision decision = maintainer.write(now, List.of(row));
             applied.get(site).add(row);
-            if (w.confirm()) {
+            if (decision.confirm()) {
                 confirmed.get(site).add(row);
             } else {
-                waiting.get(site).put(w.id(), row);
+                unconfirmed.get(site).put(decision.id(), row);
             }
-            tell(site, k, w);
+            notifyGatherers(site, maintainer, decision);
         }
 
-        private void tell(Site site, SummaryMaintainer k, SummaryMaintainer.WriteDecision w) {
-            for (String name : w.gatherersToNotify()) {
-                int g = name.charAt(1) - '0';
+        private void notifyGatherers(Site site, SummaryMaintainer maintainer,
+                SummaryMaintainer.WriteDecision decision) {
+            for (String name : decision.gatherersToNotify()) {
+                int gatherer = name.charAt(1) - '0';
                 send(() -> {
-                    long version = known[g].applyWidening(now, w.widening());
+                    long version = caches[gatherer].applyWidening(now, decision.widening());
                     send(() -> {
-                        if (keepers.get(site) == k) {
-                            confirm(site, k.acknowledged(now, name, version));
+                        if (maintainers.get(site) == maintainer) {
+                            confirm(site, maintainer.acknowledged(now, name, version));
                         }
                     });
                 });
@@ -117,84 +120,85 @@
         }
 
         private void confirm(Site site, List<Long> ids) {
-            ids.forEach(id -> confirmed.get(site).add(waiting.get(site).remove(id)));
+            ids.forEach(id -> confirmed.get(site).add(unconfirmed.get(site).remove(id)));
         }
 
         private void step() {
             now += random.nextInt(60_000);
-            for (boolean more = true; more;) {
-                var due = post.stream().filter(l -> l.due <= now).findFirst();
+            for (boolean delivered = true; delivered;) {
+                var due = inFlight.stream().filter(l -> l.due <= now).findFirst();
                 due.ifPresent(l -> {
-                    post.remove(l);
-                    l.arrives.run();
+                    inFlight.remove(l);
+                    l.delivery.run();
                 });
-                more = due.isPresent();
+                delivered = due.isPresent();
             }
-            sites.forEach(s -> confirm(s, keepers.get(s).tick(now)));
+            sites.forEach(s -> confirm(s, maintainers.get(s).tick(now)));
             Site site = sites.get(random.nextInt(sites.size()));
-            int g = random.nextInt(2);
+            int gatherer = random.nextInt(2);
             switch (random.nextInt(24)) {
                 case 0 -> start(site, false);
-                case 1 -> known[g] = fresh();
-                case 2 -> move();
+                case 1 -> caches[gatherer] = newCache();
+                case 2 -> migrateBlock();
                 case 3 -> {
                     if (random.nextBoolean()) {
-                        SummaryBuilder next = keepers.get(site).rebuild();
-                        applied.get(site).forEach(next::add);
-                        tell(site, keepers.get(site), keepers.get(site).adopt(now));
+                        SummaryBuilder rebuilt = maintainers.get(site).rebuild();
+                        applied.get(site).forEach(rebuilt::add);
+                        notifyGatherers(site, maintainers.get(site), maintainers.get(site).adopt(now));
                     }
                 }
-                case 4, 5, 6, 7, 8, 9, 10, 11, 12 -> ask(g, site);
+                case 4, 5, 6, 7, 8, 9, 10, 11, 12 -> requestLease(gatherer, site);
                 default -> write(site, RandomInputs.row(random, random.nextInt(8) == 0));
             }
             check();
         }
 
-        /** Rows of block x go from one of its holders to the other, written there as any; then all are told. */
-        private void move() {
+        /** Copies the rows of block x from one holder to the other by writes, then notifies all gatherers. */
+        private void migrateBlock() {
             for (Row row : List.copyOf(confirmed.get(sites.get(0)))) {
                 if (confirmed.get(sites.get(2)).size() < 40) {
                     write(sites.get(2), row);
                 }
             }
-            for (SummaryCache k : known) {
-                k.invalidateBlock(now, "x");
+            for (SummaryCache cache : caches) {
+                cache.invalidateBlock(now, "x");
             }
         }
 
         private void check() {
-            for (SummaryCache k : known) {
+            for (SummaryCache cache : caches) {
                 Conditions c = RandomInputs.conditions(random);
-                SummaryLookup lookup = k.lookup(now, c);
+                SummaryLookup lookup = cache.lookup(now, c);
                 for (Site site : sites) {
                     Summary s = lookup.excluding(site);
-                    cuts += s != null ? 1 : 0;
+                    prunedSites += s != null ? 1 : 0;
                     assertEquals(s != null, lookup.match(site).kind() == MatchResult.MatchKind.CANNOT);
                     for (Row row : s == null ? List.<Row>of() : confirmed.get(site)) {
                         assertFalse(ReferenceMatcher.matches(row, c, applied.get(site)),
-                                () -> "a false cut at " + site + ": " + lookup.match(site) + " but " + row + " meets " + c);
+                                () -> "wrongly pruned " + site + ": " + lookup.match(site) + " but " + row
+                                        + " meets " + c);
                     }
                 }
             }
         }
     }
 
-    private static int total;
+    private static int totalPruned;
 
     @Property(tries = 200)
-    void noConfirmedRowIsLeftOut(@ForAll long seed) {
+    void neverPrunesSiteWithConfirmedMatch(@ForAll long seed) {
         var world = new World(seed);
         for (int i = 0; i < 200; i++) {
             world.step();
         }
-        total += world.cuts;
+        totalPruned += world.prunedSites;
         long last = world.now;
-        for (world.now += 10 * LIFETIME; !world.post.isEmpty();) {
-            world.post.remove(0).arrives.run();
+        for (world.now += 10 * LIFETIME_MICROS; !world.inFlight.isEmpty();) {
+            world.inFlight.remove(0).delivery.run();
         }
-        world.sites.forEach(s -> world.confirm(s, world.keepers.get(s).tick(world.now)));
-        assertTrue(world.now > last && world.waiting.values().stream().allMatch(Map::isEmpty),
-                "a write waits for ever");
-        assertTrue(total > 0, "nothing was ever left out");
+        world.sites.forEach(s -> world.confirm(s, world.maintainers.get(s).tick(world.now)));
+        assertTrue(world.now > last && world.unconfirmed.values().stream().allMatch(Map::isEmpty),
+                "a write was never confirmed");
+        assertTrue(totalPruned > 0, "no site was ever pruned");
     }
 }
--- a/src/test/java/wallmoor/summaries/SummaryPropertiesTest.java
+++ b/src/test/java/wallmoor/summaries/SummaryPropertiesTest.java
@@ -13,24 +13,24 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What holds of every summary, over random rows, settings and conditions. */
+/** Invariants of summaries over random rows, limits and conditions. */
 class SummaryPropertiesTest {
-    private static SummaryLimits settings(Random random) {
+    private static SummaryLimits randomLimits(Random random) {
         return new SummaryLimits(random.nextInt(3) == 0 ? SummaryLimits.MIN_BYTES : 8192, 1 + random.nextInt(7), 1
                 + random.nextInt(12),
                 8 + random.nextInt(30), 1 << (8 + random.nextInt(6)), 1 + random.nextInt(4), 1 + random.nextInt(4));
     }
 
-    private static List<Row> rows(Random random, int most) {
+    private static List<Row> rows(Random random, int maxRows) {
         boolean mixed = random.nextBoolean();
         var rows = new ArrayList<Row>();
-        for (int i = random.nextInt(most); i >= 0; i--) {
+        for (int i = random.nextInt(maxRows); i >= 0; i--) {
             rows.add(RandomInputs.row(random, mixed));
         }
         return rows;
     }
 
-    private static void holds(Summary s, List<Row> rows, Random random) {
+    private static void assertNoMatchExcluded(Summary s, List<Row> rows, Random random) {
         for (int i = 0; i < 40; i++) {
             Conditions c = RandomInputs.conditions(random);
             String why = s.exclusionReason(c);
@@ -42,67 +42,68 @@
     }
 
     @Property(tries = 600)
-    void noRowIsEverExcludedNeitherByWideningNorBySending(@ForAll long seed) throws Exception {
+    void neverExcludesMatchingRowAfterWideningOrEncoding(@ForAll long seed) throws Exception {
         var random = new Random(seed);
-        SummaryLimits s = settings(random);
+        SummaryLimits s = randomLimits(random);
         var all = rows(random, random.nextInt(5) == 0 ? 400 : 20);
-        var draft = new SummaryBuilder(s, "a", "b", 1);
-        all.forEach(draft::add);
-        Summary told = draft.build(1);
+        var builder = new SummaryBuilder(s, "a", "b", 1);
+        all.forEach(builder::add);
+        Summary summary = builder.build(1);
         for (int i = 0; i < 3; i++) {
-            byte[] sent = Encoding.encode(told);
+            byte[] sent = Encoding.encode(summary);
             assertTrue(sent.length <= s.bytes(), "" + sent.length);
-            told = Encoding.decode(sent);
-            assertEquals(told.lines().toString(), Encoding.decode(Encoding.encode(told)).lines().toString());
-            holds(told, all, random);
+            summary = Encoding.decode(sent);
+            assertEquals(summary.lines().toString(), Encoding.decode(Encoding.encode(summary)).lines().toString());
+            assertNoMatchExcluded(summary, all, random);
             List<Row> more = rows(random, 4);
-            var alone = new SummaryBuilder(settings(random), "a", "b", 1);
-            more.forEach(alone::add);
-            Summary delta = alone.build(0);
-            boolean covered = told.covers(delta);
-            var wider = new SummaryBuilder(s, told);
+            var deltaBuilder = new SummaryBuilder(randomLimits(random), "a", "b", 1);
+            more.forEach(deltaBuilder::add);
+            Summary delta = deltaBuilder.build(0);
+            boolean covered = summary.covers(delta);
+            var wider = new SummaryBuilder(s, summary);
             wider.absorb(delta);
             all.addAll(more);
             if (covered) {
-                holds(told, all, random);
+                assertNoMatchExcluded(summary, all, random);
             }
-            told = wider.build(i + 2);
+            summary = wider.build(i + 2);
         }
     }
 
     @Property(tries = 400)
-    void theIndexSaysWhatTheSummariesSay(@ForAll long seed) {
+    void indexEqualsLinearScan(@ForAll long seed) {
         var random = new Random(seed);
         var index = new SummaryIndex();
-        var held = new Summary[20];
+        var summaries = new Summary[20];
         for (int step = 0; step < 60; step++) {
-            int slot = random.nextInt(held.length);
+            int slot = random.nextInt(summaries.length);
             if (random.nextInt(5) == 0) {
                 index.remove(slot);
-                held[slot] = null;
+                summaries[slot] = null;
             } else {
-                var draft = held[slot] == null || random.nextBoolean()
-                        ? new SummaryBuilder(settings(random), "s" + slot, "b",
+                var builder = summaries[slot] == null || random.nextBoolean()
+                        ? new SummaryBuilder(randomLimits(random), "s" + slot, "b",
                                 step)
-                        : new SummaryBuilder(settings(random), held[slot]);
-                rows(random, 5).forEach(draft::add);
-                held[slot] = draft.build(step);
-                index.put(slot, held[slot]);
+                        : new SummaryBuilder(randomLimits(random), summaries[slot]);
+                rows(random, 5).forEach(builder::add);
+                summaries[slot] = builder.build(step);
+                index.put(slot, summaries[slot]);
             }
             Conditions c = RandomInputs.conditions(random);
-            var could = index.matchingSlots(c);
-            for (int i = 0; i < held.length; i++) {
-                assertEquals(held[i] != null && held[i].exclusionReason(c) == null, could.get(i), "slot " + i + " for " + c);
+            var matching = index.matchingSlots(c);
+            for (int i = 0; i < summaries.length; i++) {
+                assertEquals(summaries[i] != null && summaries[i].exclusionReason(c) == null, matching.get(i),
+                        "slot " + i + " for " + c);
             }
         }
     }
 
     @Property(tries = 400)
-    void bytesThatAreTornOrUnknownAreToldSo(@ForAll long seed) {
+    void rejectsTornUnknownAndMalformedBytes(@ForAll long seed) {
         var random = new Random(seed);
-        var draft = new SummaryBuilder(settings(random), "a", "b", 1);
-        rows(random, 10).forEach(draft::add);
-        byte[] good = Encoding.encode(draft.build(1));
+        var builder = new SummaryBuilder(randomLimits(random), "a", "b", 1);
+        rows(random, 10).forEach(builder::add);
+        byte[] good = Encoding.encode(builder.build(1));
         byte[] torn = Arrays.copyOf(good, random.nextInt(good.length));
         assertEquals(UnreadableSummaryException.Fault.TORN,
                 assertThrows(UnreadableSummaryException.class, () -> Encoding.decode(torn))
@@ -116,7 +117,7 @@
         byte[] version = resealed(good, 4, 2);
         assertEquals(UnreadableSummaryException.Fault.UNKNOWN_VERSION,
                 assertThrows(UnreadableSummaryException.class, () -> Encoding.decode(version)).fault());
-        try { // a faulty maker's: its check is right, its body anything
+        try { // a faulty encoder: the checksum matches, the body is arbitrary
             Encoding.decode(resealed(good, 10 + random.nextInt(good.length - 14), random.nextInt(256)));
         } catch (UnreadableSummaryException e) {
             assertEquals(UnreadableSummaryException.Fault.MALFORMED, e.fault(), e.getMessage());
@@ -133,13 +134,13 @@
     }
 
     @Property(tries = 1)
-    void itDoesExclude() {
-        var draft = new SummaryBuilder(SummaryLimits.defaults(), "a", "b", 1);
+    void excludesValuesOutsideSummary() {
+        var builder = new SummaryBuilder(SummaryLimits.defaults(), "a", "b", 1);
         for (int i = 0; i < 1000; i++) {
-            draft.add(new Row(java.util.Map.of("city", "Karachi", "price", (long) i, "plate", "K-" + i),
+            builder.add(new Row(java.util.Map.of("city", "Karachi", "price", (long) i, "plate", "K-" + i),
                     Row.Coordinates.of(i % 2 == 0 ? 179.5 : -179.5, -17), TimeSpan.parse("2026-01-05T10:00:00Z")));
         }
-        Summary s = draft.build(1);
+        Summary s = builder.build(1);
         for (String none : List.of("city=Lahore", "price=1000..", "price=..-1", "plate=K-1000", "city=L..M", "city=",
                 "city=a..b")) {
             assertTrue(s.exclusionReason(new Conditions(null, null, List.of(Condition.parse(none)))) != null, none);
