--- a/src/main/java/wallmoor/summaries/SummaryCache.java
+++ b/src/main/java/wallmoor/summaries/SummaryCache.java
@@ -26,7 +26,7 @@
         }
     }
 
-    private final SummaryLimits settings;
+    private final SummaryLimits summaryLimits;
     private final CacheLimits limits;
     private final Consumer<PruningEvent> events;
     private final SummaryIndex index = new SummaryIndex();
@@ -41,13 +41,14 @@
     /**
      * Creates an empty cache.
      *
-     * @param settings    limits of summaries after a widening
-     * @param firstTicket a number that differs from all tickets of earlier incarnations of this gatherer, as a late
-     *                    grant to one of those must not be accepted
-     * @param events      receives the events for operators
+     * @param summaryLimits limits of summaries after a widening
+     * @param firstTicket   a number that differs from all tickets of earlier incarnations of this gatherer, as a late
+     *                      grant to one of those must not be accepted
+     * @param events        receives the events for operators
      */
-    public SummaryCache(SummaryLimits settings, CacheLimits limits, long firstTicket, Consumer<PruningEvent> events) {
-        this.settings = settings;
+    public SummaryCache(SummaryLimits summaryLimits, CacheLimits limits, long firstTicket,
+            Consumer<PruningEvent> events) {
+        this.summaryLimits = summaryLimits;
         this.limits = limits;
         this.lastTicket = firstTicket;
         this.events = events;
@@ -160,7 +161,7 @@
             return null;
         }
         try {
-            var builder = new SummaryBuilder(settings, cached);
+            var builder = new SummaryBuilder(summaryLimits, cached);
             builder.absorb(Encoding.decode(widening.rows()));
             return builder.build(widening.to());
         } catch (UnreadableSummaryException fault) {
--- a/src/main/java/wallmoor/summaries/SummaryMaintainer.java
+++ b/src/main/java/wallmoor/summaries/SummaryMaintainer.java
@@ -33,7 +33,7 @@
     /** Maximum number of gatherers with a lease; every write that widens the summary waits for each of them. */
     private static final int MAX_LEASE_HOLDERS = 1000;
 
-    private final SummaryLimits settings;
+    private final SummaryLimits limits;
     private final Site site;
     private final long epoch;
     private final long lifetime;
@@ -64,10 +64,10 @@
      * @param first    whether this site never granted a lease on this block before; otherwise all writes wait for one
      *                 lifetime
      */
-    public SummaryMaintainer(SummaryLimits settings, Site site, long epoch, SummaryBuilder draft, long at,
+    public SummaryMaintainer(SummaryLimits limits, Site site, long epoch, SummaryBuilder draft, long at,
             long lifetime,
             boolean first) {
-        this.settings = settings;
+        this.limits = limits;
         this.site = site;
         this.epoch = epoch;
         this.builder = draft;
@@ -95,7 +95,7 @@
 
     /** Adds rows that are to be written, and decides whether they may be confirmed at once. */
     public WriteDecision write(long at, List<Row> rows) {
-        var deltaBuilder = new SummaryBuilder(settings, site.name(), site.block(), epoch);
+        var deltaBuilder = new SummaryBuilder(limits, site.name(), site.block(), epoch);
         for (Row row : rows) {
             deltaBuilder.add(row);
             builder.add(row);
@@ -167,7 +167,7 @@
      * to the builder.
      */
     public SummaryBuilder rebuild() {
-        rebuilding = new SummaryBuilder(settings, site.name(), site.block(), epoch);
+        rebuilding = new SummaryBuilder(limits, site.name(), site.block(), epoch);
         return rebuilding;
     }
 
