--- a/src/main/java/wallmoor/maintenance/AdmissionQueue.java
+++ b/src/main/java/wallmoor/maintenance/AdmissionQueue.java
@@ -6,9 +6,9 @@
 import wallmoor.maintenance.Machine.MachineRole;
 
 /**
- * Admits machines in the order's sequence. A machine that waits for a shared resource blocks those behind it that would
- * use the same (head-of-line blocking, so that it is not starved); one that waits for a block, a predecessor or a
- * window is passed.
+ * Admits machines in the sequence of the order. A machine that waits for a shared resource blocks the machines behind
+ * it that use the same resource (head-of-line blocking prevents its starvation). A machine that waits for a block, a
+ * predecessor or a window is skipped.
  */
 final class AdmissionQueue {
     private final OutageLedger ledger;
@@ -20,17 +20,17 @@
         this.ledger = ledger;
     }
 
-    /** Whether no machine behind is admitted either. */
+    /** Returns whether all remaining machines are blocked. */
     boolean isBlocked() {
         return allBlocked;
     }
 
-    /** Whether a machine ahead blocks this one. */
+    /** Returns whether a machine ahead in the order blocks this machine. */
     boolean isHeldBack(Machine machine) {
         return allBlocked || blockedRoles.contains(machine.role()) || blockedCentres.contains(machine.centre());
     }
 
-    /** Admits a machine if it may go now; it then counts as out. */
+    /** Admits a machine if no constraint prevents it, and marks it as out of service in the ledger. */
     boolean tryAdmit(int machineIndex, Machine machine) {
         if (isHeldBack(machine) || ledger.isOut(machineIndex)) {
             return false;
@@ -49,7 +49,7 @@
             case CENTRE -> blockedCentres.add(machine.centre());
             case CAPACITY, GATHERERS, VOTERS -> blockedRoles.add(machine.role());
             default -> {
-                // no shared resource: it is passed
+                // not a shared resource: the machines behind are not blocked
             }
         }
     }
--- a/src/main/java/wallmoor/maintenance/BlockHolders.java
+++ b/src/main/java/wallmoor/maintenance/BlockHolders.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** A block, and the distinct machines that hold a complete and sound replica of it. */
+/** A block and the distinct machines that hold a complete and valid replica of it. */
 public record BlockHolders(String id, List<String> holders) {
-    /** Takes a copy of the list. */
+    /** Copies the list. */
     public BlockHolders {
         holders = List.copyOf(holders);
     }
--- a/src/main/java/wallmoor/maintenance/Budgets.java
+++ b/src/main/java/wallmoor/maintenance/Budgets.java
@@ -6,43 +6,44 @@
 import java.util.TreeMap;
 
 /**
- * What operators allow. Times are milliseconds, shares are millionths.
+ * The limits that operators set for maintenance. Times are in milliseconds, shares in millionths.
  *
- * @param maxOut             most machines out at once, those out by themselves included
- * @param maxOutByCentre     the same for single data centres
- * @param minCapacity        least share of all nodes' capacity that serves
- * @param minGatherers       fewest gatherers that serve
- * @param windows            when work may be done
- * @param slowStartMillis    length of a node's slow start
- * @param slowStartShare     share of its capacity that a node has at its start; grows linearly to all of it
- * @param observationMillis  for how long a machine is observed after slow start, before the next goes
- * @param partTimeoutMillis  after so long without a report no part that was sent before is in flight: a lease plus the
+ * @param maxOut             maximum number of machines out of service at once, including unplanned outages
+ * @param maxOutByCentre     the same maximum for individual data centres
+ * @param minCapacity        minimum share of the total node capacity that serves
+ * @param minGatherers       minimum number of gatherers that serve
+ * @param windows            when work is allowed
+ * @param slowStartMillis    duration of a node's slow start
+ * @param slowStartShare     share of its capacity that a node has at the beginning of slow start; it grows linearly to
+ *                           the full capacity
+ * @param observationMillis  how long a machine is observed after slow start before the next machine goes
+ * @param partTimeoutMillis  time without a report after which no part sent earlier is in flight: a lease plus the
  *                           longest part
- * @param drainTimeoutMillis after so long a machine that is not idle is given up
- * @param overdueMillis      how much longer than estimated a machine may be out, or in slow start
+ * @param drainTimeoutMillis time after which the request of a machine that does not become idle is given up
+ * @param overdueMillis      how much longer than estimated a machine may be out of service or in slow start
  */
 public record Budgets(int maxOut, Map<String, Integer> maxOutByCentre, int minCapacity, int minGatherers,
         MaintenanceWindows windows, long slowStartMillis, int slowStartShare, long observationMillis,
         long partTimeoutMillis, long drainTimeoutMillis, long overdueMillis) {
-    /** A complete share. */
+    /** A share of 100 %, in millionths. */
     public static final int MILLION = 1_000_000;
 
-    /** Takes a copy of the map. */
+    /** Copies the map. */
     public Budgets {
         maxOutByCentre = Collections.unmodifiableMap(new TreeMap<>(maxOutByCentre));
     }
 
-    /** How long a machine is estimated to be out of service for a request. */
+    /** Returns the estimated time that a request takes its machine out of service. */
     public long outageMillis(MaintenanceRequest request) {
         return partTimeoutMillis + afterDrainMillis(request);
     }
 
-    /** The part of an outage that follows the drain. */
+    /** Returns the estimated time from the end of the drain to the end of the outage. */
     long afterDrainMillis(MaintenanceRequest request) {
         return request.workMillis() + slowStartMillis + observationMillis;
     }
 
-    /** The share of its capacity that a node has now. */
+    /** Returns the share of its capacity that a node has now, in millionths. */
     long capacityShare(Machine node) {
         if (node.phase() != Machine.MachinePhase.SERVING) {
             return 0;
@@ -52,13 +53,13 @@
     }
 
     /**
-     * Daily maintenance windows, without daylight saving time.
+     * Daily maintenance windows. Daylight saving time is not supported.
      *
-     * @param windows empty where work may always be done
-     * @param offset  minutes that the place is ahead of UTC
+     * @param windows the windows; empty if work is always allowed
+     * @param offset  offset of the local time from UTC, in minutes
      */
     public record MaintenanceWindows(List<DailyWindow> windows, int offset) {
-        /** Work may always be done. */
+        /** No windows: work is always allowed. */
         public static final MaintenanceWindows ANY = new MaintenanceWindows(List.of(), 0);
         private static final long MINUTE_MILLIS = 60_000;
         private static final int DAY_MINUTES = 1_440;
@@ -66,7 +67,10 @@
         private static final long NEVER = -1;
 
         /**
-         * Minutes of the day, 0 to 1439; a window whose end is not after its begin ends the next day.
+         * A window that is open every day.
+         *
+         * @param from when it opens, as a minute of the day from 0 to 1439
+         * @param to   when it closes, as a minute of the day; on the next day if not after {@code from}
          */
         public record DailyWindow(int from, int to) {
             long lengthMillis() {
@@ -74,35 +78,40 @@
             }
         }
 
-        /** Takes a copy of the list. */
+        /** Copies the list. */
         public MaintenanceWindows {
             windows = List.copyOf(windows);
         }
 
-        /** The first time, from {@code at} on, that so long an outage begins and ends in one window; -1 for never. */
+        /**
+         * Returns the earliest time from {@code at} on when an outage of this length fits into one window, in
+         * milliseconds since 1970, or -1 if no window is long enough.
+         */
         public long nextStart(long at, long lengthMillis) {
             if (windows.isEmpty()) {
                 return at;
             }
-            long best = NEVER;
+            long earliest = NEVER;
             for (DailyWindow window : windows) {
                 if (lengthMillis <= window.lengthMillis()) {
                     long start = nextStart(window, at, lengthMillis);
-                    best = best == NEVER || start < best ? start : best;
+                    earliest = earliest == NEVER || start < earliest ? start : earliest;
                 }
             }
-            return best;
+            return earliest;
         }
 
-        /** In one window that is long enough: of yesterday, today, or tomorrow. */
+        /**
+         * Returns the earliest start in one window that is long enough, beginning with the window of the day before.
+         */
         private long nextStart(DailyWindow window, long at, long lengthMillis) {
             long midnight = Math.floorDiv(at + offset * MINUTE_MILLIS, DAY_MILLIS) * DAY_MILLIS
                     - offset * MINUTE_MILLIS;
-            long begin = midnight - DAY_MILLIS + window.from() * MINUTE_MILLIS;
-            while (Math.max(at, begin) + lengthMillis > begin + window.lengthMillis()) {
-                begin += DAY_MILLIS;
+            long opensAt = midnight - DAY_MILLIS + window.from() * MINUTE_MILLIS;
+            while (Math.max(at, opensAt) + lengthMillis > opensAt + window.lengthMillis()) {
+                opensAt += DAY_MILLIS;
             }
-            return Math.max(at, begin);
+            return Math.max(at, opensAt);
         }
     }
 }
--- a/src/main/java/wallmoor/maintenance/ExhaustiveScheduler.java
+++ b/src/main/java/wallmoor/maintenance/ExhaustiveScheduler.java
@@ -13,12 +13,12 @@
 import wallmoor.maintenance.SchedulingProblem.Job;
 
 /**
- * Decides whether few jobs can be scheduled at all, also by delaying a machine that might go. It searches every order
- * in which the jobs with a deadline (and their predecessors) are placed at their earliest time beside those placed
- * before: one of these orders is as early as any schedule, for every job.
+ * Decides whether a small set of jobs has a schedule, including schedules that delay a machine that could go earlier.
+ * It searches all orders of the jobs with a deadline and their predecessors, and places each job at its earliest time
+ * beside the jobs placed before. For any schedule, one of these orders ends every job at least as early.
  */
 final class ExhaustiveScheduler {
-    /** Most jobs whose orders (720) are all tried. */
+    /** Maximum number of jobs for which all orders (at most 720) are tried. */
     static final int MAX_JOBS = 6;
     private static final long NEVER = -1;
 
@@ -29,7 +29,7 @@
     private final Map<Job, List<String>> predecessors = new HashMap<>();
     private final boolean windowsEnforced;
     private final OutageLedger ledger;
-    /** Jobs with a deadline, and all that come before them. The others can always be placed behind these. */
+    /** Jobs with a deadline, and their predecessors. All other jobs can be placed after these. */
     private final Set<Job> constrainedJobs = new HashSet<>();
 
     private ExhaustiveScheduler(SchedulingProblem problem, Predicate<MaintenanceConstraint> enforced) {
@@ -41,7 +41,7 @@
         problem.jobs.stream().filter(job -> job.hasDeadline() && deadlineEnforced(job)).forEach(this::addConstrained);
     }
 
-    /** Whether a schedule exists under the enforced constraints. */
+    /** Returns whether a schedule exists under the enforced constraints. */
     static boolean isFeasible(SchedulingProblem problem, Predicate<MaintenanceConstraint> enforced) {
         return new ExhaustiveScheduler(problem, enforced).placeConstrained(new ArrayList<>());
     }
@@ -57,17 +57,17 @@
         }
     }
 
-    /** Depth-first search over the orders of the constrained jobs that are not placed. */
+    /** Searches the orders of the constrained jobs that are not yet placed, depth first. */
     private boolean placeConstrained(List<PlacedJob> placed) {
-        List<Job> open = problem.jobs.stream().filter(job -> !isPlaced(placed, job) && constrainedJobs.contains(job))
-                .toList();
-        if (open.isEmpty()) {
+        List<Job> unplaced = problem.jobs.stream()
+                .filter(job -> !isPlaced(placed, job) && constrainedJobs.contains(job)).toList();
+        if (unplaced.isEmpty()) {
             return placeOthers(new ArrayList<>(placed));
         }
-        List<Job> ready = open.stream().filter(job -> isReady(job, placed)).toList();
+        List<Job> ready = unplaced.stream().filter(job -> isReady(job, placed)).toList();
         for (Job job : ready) {
             if (earliest(job, placed) == NEVER) {
-                return false; // nor with more jobs beside it
+                return false; // placing more jobs cannot make room for it
             }
         }
         for (Job job : ready) {
@@ -81,7 +81,7 @@
         return false;
     }
 
-    /** Places the jobs whose order does not matter. */
+    /** Places the jobs that are not constrained; their order does not matter. */
     private boolean placeOthers(List<PlacedJob> placed) {
         boolean progress = true;
         while (progress) {
@@ -97,18 +97,18 @@
         return placed.size() == problem.jobs.size();
     }
 
-    @SuppressWarnings("ReferenceEquality") // the problem's own objects, each once
+    @SuppressWarnings("ReferenceEquality") // each job is one object of the problem
     private static boolean isPlaced(List<PlacedJob> placed, Job job) {
         return placed.stream().anyMatch(other -> other.job() == job);
     }
 
-    /** Whether all jobs that come before it are placed. */
+    /** Returns whether all predecessors of a job are placed. */
     private boolean isReady(Job job, List<PlacedJob> placed) {
         return problem.jobs.stream().allMatch(
                 other -> !predecessors.get(job).contains(other.request().machine()) || isPlaced(placed, other));
     }
 
-    /** The earliest time beside the jobs that are placed, or {@link #NEVER}. */
+    /** Returns the earliest start of a job beside the placed jobs, or {@link #NEVER}. */
     private long earliest(Job job, List<PlacedJob> placed) {
         if (job.machineIndex() < 0) {
             return NEVER;
@@ -148,7 +148,7 @@
                 .mapToLong(ExistingOutage::until).findFirst().orElse(SchedulingProblem.NEVER);
     }
 
-    /** When an outage ends, and when a window opens after that; null where no window is long enough. */
+    /** Returns the ends of outages and the next window openings after them; null if no window is long enough. */
     private NavigableSet<Long> candidates(Job job, long from, List<PlacedJob> placed) {
         var times = new TreeSet<Long>(List.of(from));
         placed.forEach(other -> times.add(other.to()));
@@ -156,17 +156,17 @@
                 .forEach(outage -> times.add(outage.until()));
         if (windowsEnforced) {
             for (long time : new ArrayList<>(times.tailSet(from))) {
-                long opens = problem.budgets.windows().nextStart(time, job.outageMillis());
-                if (opens < 0) {
+                long windowOpens = problem.budgets.windows().nextStart(time, job.outageMillis());
+                if (windowOpens < 0) {
                     return null;
                 }
-                times.add(opens);
+                times.add(windowOpens);
             }
         }
         return times;
     }
 
-    /** Whether a job can be out from this time on, looked at whenever another outage begins meanwhile. */
+    /** Returns whether a job fits from this time on, checked at its start and whenever another job starts meanwhile. */
     private boolean fits(Job job, long from, List<PlacedJob> placed) {
         long to = from + job.outageMillis();
         var times = new TreeSet<Long>(List.of(from));
--- a/src/main/java/wallmoor/maintenance/FleetSnapshot.java
+++ b/src/main/java/wallmoor/maintenance/FleetSnapshot.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /**
- * The fleet as it is observed now.
+ * The fleet as currently observed.
  *
- * @param machines          with distinct ids
- * @param reports           of gatherers, one each
- * @param expectedGatherers how many gatherers there should be; those without a report cannot be reached
- * @param hasQuorum         whether this side of the gatherers may decide
- * @param leader            the leading gatherer, or empty
+ * @param machines          the machines, with distinct ids
+ * @param reports           the last reports of the gatherers, one for each
+ * @param expectedGatherers the number of gatherers that should exist; those without a report are unreachable
+ * @param hasQuorum         whether this partition of the gatherers has a quorum
+ * @param leader            the id of the leading gatherer, or empty
  */
 public record FleetSnapshot(List<Machine> machines, List<BlockHolders> blocks, List<GathererReport> reports,
         int expectedGatherers, boolean hasQuorum, String leader) {
-    /** Takes copies of the lists. */
+    /** Copies the lists. */
     public FleetSnapshot {
         machines = List.copyOf(machines);
         blocks = List.copyOf(blocks);
@@ -28,7 +28,7 @@
         return all;
     }
 
-    /** Indexes in {@link #machines}, by id. */
+    /** Returns the index of each machine in {@link #machines}, by id. */
     Map<String, Integer> indexById() {
         var indexes = new HashMap<String, Integer>();
         for (Machine machine : machines) {
--- a/src/main/java/wallmoor/maintenance/GathererReport.java
+++ b/src/main/java/wallmoor/maintenance/GathererReport.java
@@ -7,20 +7,20 @@
 import java.util.TreeSet;
 
 /**
- * A gatherer's last report.
+ * The last report of a gatherer.
  *
- * @param silentMillis for how long the gatherer has not answered; 0 where it answers
- * @param avoids       machines that it sends nothing new to; itself where it accepts no clients
- * @param inFlight     parts in flight, by machine; under its own name its clients
+ * @param silentMillis how long the gatherer has not answered; 0 while it answers
+ * @param avoids       machines to which it sends no new work; includes its own id if it accepts no new clients
+ * @param inFlight     number of parts in flight by machine; under its own id, the number of its clients
  */
 public record GathererReport(String gatherer, long silentMillis, Set<String> avoids, Map<String, Integer> inFlight) {
-    /** Takes copies of the collections. */
+    /** Copies the collections. */
     public GathererReport {
         avoids = Collections.unmodifiableSet(new TreeSet<>(avoids));
         inFlight = Collections.unmodifiableMap(new TreeMap<>(inFlight));
     }
 
-    /** Whether the gatherer says that nothing of its own is on the machine, nor will be. */
+    /** Returns whether the gatherer has nothing in flight on the machine and sends no new work to it. */
     boolean confirmsDrained(String machine) {
         return silentMillis == 0 && avoids.contains(machine) && inFlight.getOrDefault(machine, 0) == 0;
     }
--- a/src/main/java/wallmoor/maintenance/InvalidRequestException.java
+++ b/src/main/java/wallmoor/maintenance/InvalidRequestException.java
@@ -1,6 +1,6 @@
 package wallmoor.maintenance;
 
-/** A maintenance request lacks a part without which it means nothing. */
+/** Thrown when a maintenance request lacks an id or a machine, or has no positive work time. */
 public final class InvalidRequestException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wallmoor/maintenance/ListSchedule.java
+++ b/src/main/java/wallmoor/maintenance/ListSchedule.java
@@ -13,11 +13,11 @@
 import wallmoor.maintenance.SchedulingResult.OutageSlot;
 
 /**
- * The schedule that an order comes to (list scheduling): each job starts as soon as it may, by the same {@link
- * AdmissionQueue} that later begins the requests, and everything lasts as long as estimated.
+ * The schedule that results from an order of jobs (list scheduling). Each job starts as soon as the {@link
+ * AdmissionQueue}, which also begins the requests at run time, admits it; all outages last as long as estimated.
  */
 final class ListSchedule {
-    /** The end of an outage. */
+    /** The end of an outage, in milliseconds since 1970. */
     private record OutageEnd(long at, int machineIndex, String machine) {}
 
     private final SchedulingProblem problem;
@@ -28,10 +28,15 @@
     private final Map<String, Long> doneAt = new HashMap<>();
     private final Map<Job, List<String>> predecessors = new HashMap<>();
     private final List<OutageSlot> slots = new ArrayList<>();
-    private final List<Job> missed = new ArrayList<>();
+    private final List<Job> missedJobs = new ArrayList<>();
     private long endsAt;
 
-    /** @param enforced the constraints that count */
+    /**
+     * Computes the schedule.
+     *
+     * @param order    the jobs by priority
+     * @param enforced accepts the constraints to enforce
+     */
     ListSchedule(SchedulingProblem problem, List<Job> order, Predicate<MaintenanceConstraint> enforced) {
         this.problem = problem;
         this.enforced = enforced;
@@ -52,22 +57,22 @@
         return new PriorityQueue<>(Comparator.comparingLong(OutageEnd::at));
     }
 
-    /** Whether every job starts and meets its deadline. */
+    /** Returns whether every job starts and meets its deadline. */
     boolean isComplete() {
-        return missed.isEmpty();
+        return missedJobs.isEmpty();
     }
 
-    /** Jobs that never start, or miss their deadline. */
-    List<Job> missed() {
-        return missed;
+    /** Returns the jobs that never start or miss their deadline. */
+    List<Job> missedJobs() {
+        return missedJobs;
     }
 
-    /** When the last job is done. */
+    /** Returns when the last job is done, in milliseconds since 1970. */
     long endsAt() {
         return endsAt;
     }
 
-    /** From one event to the next: an outage ends, or a window opens. */
+    /** Advances from event to event: the end of an outage or the opening of a window. */
     private void run(List<Job> order) {
         List<Job> waiting = new ArrayList<>(order);
         long time = problem.now;
@@ -78,7 +83,7 @@
             waiting = remaining;
             long nextEvent = Math.min(windowOpens, running.isEmpty() ? SchedulingProblem.NEVER : running.peek().at());
             if (waiting.isEmpty() || nextEvent == SchedulingProblem.NEVER) {
-                missed.addAll(waiting);
+                missedJobs.addAll(waiting);
                 return;
             }
             time = nextEvent;
@@ -93,7 +98,11 @@
         }
     }
 
-    /** Starts the jobs that may start now, and returns when the next window of one of the others opens. */
+    /**
+     * Starts the jobs that may start now, and adds the others to {@code remaining}.
+     *
+     * @return when the next window of a remaining job opens, or {@link SchedulingProblem#NEVER}
+     */
     private long startJobs(long time, List<Job> waiting, List<Job> remaining) {
         var queue = new AdmissionQueue(ledger);
         long windowOpens = SchedulingProblem.NEVER;
@@ -127,13 +136,13 @@
         slots.add(new OutageSlot(request, time, free, free + request.workMillis(), done, ledger.outCount(),
                 ledger.capacityLeft(), List.of()));
         if (done > request.deadline() && enforced.test(MaintenanceConstraint.deadline(request))) {
-            missed.add(job);
+            missedJobs.add(job);
         }
         endsAt = Math.max(endsAt, done);
         running.add(new OutageEnd(done, job.machineIndex(), request.machine()));
     }
 
-    /** The slots with the machines that must stay, for which all blocks of the fleet count. */
+    /** Returns the slots with the machines that must stay in service, computed from all blocks of the fleet. */
     List<OutageSlot> slotsWithSoleHolders() {
         OutageLedger complete = new OutageLedger(problem.completeFleet, problem.budgets, constraint -> true);
         PriorityQueue<OutageEnd> ends = byTime();
--- a/src/main/java/wallmoor/maintenance/Machine.java
+++ b/src/main/java/wallmoor/maintenance/Machine.java
@@ -1,31 +1,31 @@
 package wallmoor.maintenance;
 
 /**
- * A machine as it is observed now.
+ * A machine as currently observed.
  *
- * @param centre        data centre
- * @param capacity      above 0, in any unit; counts for nodes alone
- * @param voter         whether it is a voting gatherer
- * @param incarnation   identifies a start of its process: another one is a machine that was restarted
- * @param phaseMillis   for how long it has been observed in this phase; less where the observer began later
- * @param servingMillis for how long it has served since its start; less where the observer cannot know
+ * @param centre        the data centre
+ * @param capacity      positive, in any unit; relevant for nodes only
+ * @param voter         whether the machine is a voting gatherer
+ * @param incarnation   identifies a start of the process; a different value means that the machine was restarted
+ * @param phaseMillis   how long the machine has been observed in this phase; less if the observer started later
+ * @param servingMillis how long the machine has served since its start; less if the observer cannot know
  */
 public record Machine(String id, MachineRole role, String centre, long capacity, boolean voter, MachinePhase phase,
         String incarnation, long phaseMillis, long servingMillis) {
-    /** What a machine is for. */
+    /** The role of a machine. */
     public enum MachineRole {
-        /** Holds blocks. */
+        /** Stores blocks. */
         NODE,
-        /** Has clients. */
+        /** Serves clients. */
         GATHERER
     }
 
-    /** What is known of a machine. */
+    /** The observed phase of a machine. */
     public enum MachinePhase {
         SERVING,
-        /** Gets nothing new: no parts, or no clients. */
+        /** Receives no new work: no parts, or no clients. */
         DRAINING,
-        /** Not observed: crashed, cut off, taken out, or nobody reports. */
+        /** Not observed: crashed, partitioned, taken out of service, or not reported. */
         AWAY
     }
 
--- a/src/main/java/wallmoor/maintenance/MaintenanceAction.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceAction.java
@@ -6,30 +6,31 @@
 import wallmoor.maintenance.Machine.MachinePhase;
 
 /**
- * An action that is due. Actions follow from the active version and from what is observed, and from nothing that is
- * remembered: they are idempotent, may be performed by any lease holder, and are no longer due once their effect is
- * observed.
+ * An action that is due. Actions are derived from the active version and the observed fleet alone. They are idempotent,
+ * may be performed by any lease holder, and are no longer due once their effect is observed.
+ *
+ * @param machine the id of the machine
  */
 public record MaintenanceAction(ActionType type, String machine) {
-    /** What is to be done. */
+    /** The type of an action. */
     public enum ActionType {
-        /** Set the node DRAINING in the endpoint list. */
+        /** Sets the node to DRAINING in the endpoint list. */
         DRAIN,
-        /** Set the machine SERVING in the endpoint list. */
+        /** Sets the machine to SERVING in the endpoint list. */
         SERVE,
-        /** The leading gatherer hands leadership over. */
+        /** Makes the leading gatherer transfer leadership. */
         TRANSFER_LEADERSHIP,
-        /** The gatherer accepts no clients and lets those it has go. */
+        /** Makes the gatherer reject new clients and hand over its existing ones. */
         HAND_OVER,
-        /** Notify staff that the machine may be worked on. */
+        /** Notifies staff that work on the machine may begin. */
         NOTIFY_FREE,
-        /** Notify staff that the machine has not come back in time. */
+        /** Notifies staff that the machine has not returned in time. */
         NOTIFY_OVERDUE,
-        /** Notify staff that the request is held or was given up, and why. */
+        /** Notifies staff that the request is held or was given up, and why. */
         NOTIFY_WAITING
     }
 
-    /** All actions due under the active version. */
+    /** Returns all actions that are due under the active version. */
     public static List<MaintenanceAction> due(MaintenanceState active, FleetSnapshot fleet, Budgets budgets) {
         var actions = new ArrayList<MaintenanceAction>();
         Map<String, Machine> machines = fleet.byId();
@@ -61,7 +62,7 @@
         boolean overdue = stage == MaintenanceStage.OVERDUE;
         boolean out = stage == MaintenanceStage.OUT || (overdue && !status.returned());
         if (out && machine.incarnation().equals(status.incarnation())
-                && DrainCompletion.busyFor(machine, fleet, budgets).isEmpty()) {
+                && DrainCompletion.drainBlockers(machine, fleet, budgets).isEmpty()) {
             actions.add(new MaintenanceAction(ActionType.NOTIFY_FREE, machine.id()));
         }
         boolean serves = stage == MaintenanceStage.RETURNING || stage == MaintenanceStage.HELD
--- a/src/main/java/wallmoor/maintenance/MaintenanceCodec.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceCodec.java
@@ -12,37 +12,44 @@
 import wallmoor.rules.RuleBody;
 
 /**
- * The stored form of a {@link MaintenanceState}: body and fallback of the document {@code maintenance}, whose fields
- * {@code rules.DocumentSchemas.MAINTENANCE} validates.
+ * Encodes and decodes a {@link MaintenanceState} as the body and the fallback of the document {@code maintenance}. Its
+ * fields are validated by {@code rules.DocumentSchemas.MAINTENANCE}.
  */
 public final class MaintenanceCodec {
-    private static final String REQUEST = "wish.";
+    private static final String REQUEST_PREFIX = "wish.";
 
     private MaintenanceCodec() {}
 
-    /** The document's body. */
+    /** Returns the body of the document. */
     public static String body(MaintenanceState state) {
         StringBuilder json = names(new StringBuilder("{\"away\":"), state.unavailable());
         Json.quote(json.append(",\"order\":"), names(new StringBuilder(), state.order()).toString());
         state.requests().forEach((id, status) -> {
-            Json.quote(json.append(','), REQUEST + id);
+            Json.quote(json.append(','), REQUEST_PREFIX + id);
             Json.quote(json.append(':'), encode(status));
         });
         return json.append(",\"held\":").append(state.held()).append('}').toString();
     }
 
-    /** The document's fallback, for those without a lease: what is unavailable stays so, and nothing begins. */
+    /**
+     * Returns the fallback of the document, for processes without a lease: unavailable machines stay unavailable, and
+     * no request begins.
+     */
     public static String fallback(MaintenanceState state) {
         return names(new StringBuilder("{\"away\":"), state.unavailable()).append(",\"held\":true}").toString();
     }
 
-    /** Reads a body that the document's schema has validated. @throws UnreadableMaintenanceException where it can't */
+    /**
+     * Decodes a body that the schema of the document has validated.
+     *
+     * @throws UnreadableMaintenanceException if a request or the order cannot be decoded
+     */
     public static MaintenanceState decode(RuleBody body) {
         SortedMap<String, RequestStatus> requests = new TreeMap<>();
         for (String field : body.fields().keySet()) {
-            if (field.startsWith(REQUEST)) {
-                String id = field.substring(REQUEST.length());
-                requests.put(id, status(id, parse(body.text(field))));
+            if (field.startsWith(REQUEST_PREFIX)) {
+                String id = field.substring(REQUEST_PREFIX.length());
+                requests.put(id, decodeStatus(id, parse(body.text(field))));
             }
         }
         String order = body.text("order");
@@ -55,7 +62,7 @@
         try {
             return Json.object(bytes, 0, bytes.length);
         } catch (Json.Malformed e) {
-            throw new UnreadableMaintenanceException("no wish and no order: " + text, e);
+            throw new UnreadableMaintenanceException("request or order is not a valid JSON object: " + text, e);
         }
     }
 
@@ -63,28 +70,30 @@
         return json.list(name) == null ? List.of() : json.list(name).stream().map(String::valueOf).toList();
     }
 
-    private static RequestStatus status(String id, Json.Obj json) {
+    private static RequestStatus decodeStatus(String id, Json.Obj json) {
         if (json.text("machine") == null || json.text("reason") == null || json.text("who") == null
                 || json.text("step") == null || json.text("life") == null) {
             throw new UnreadableMaintenanceException(
-                    "the wish " + id + " lacks its machine, reason, who, step or life");
+                    "request \"" + id + "\" lacks one of the fields machine, reason, who, step and life");
         }
         try {
-            return new RequestStatus(request(id, json), stage(json.text("step")), (long) json.number("since", 0),
-                    json.text("life"), flag(json, "ours"), flag(json, "back"), flag(json, "hold"), reasons(json));
-        } catch (IllegalArgumentException | ClassCastException | NullPointerException e) { // no stage, rule or work
-            throw new UnreadableMaintenanceException("the wish " + id + " can't be read: " + e.getMessage(), e);
+            return new RequestStatus(decodeRequest(id, json), decodeStage(json.text("step")),
+                    (long) json.number("since", 0), json.text("life"), flag(json, "ours"), flag(json, "back"),
+                    flag(json, "hold"), decodeReasons(json));
+        } catch (IllegalArgumentException | ClassCastException | NullPointerException e) {
+            // unknown stage or rule, or invalid request
+            throw new UnreadableMaintenanceException("request \"" + id + "\" cannot be decoded: " + e.getMessage(), e);
         }
     }
 
-    private static MaintenanceRequest request(String id, Json.Obj json) {
+    private static MaintenanceRequest decodeRequest(String id, Json.Obj json) {
         long deadline = json.get("by") == null ? MaintenanceRequest.NO_DEADLINE : (long) json.number("by", 0);
         return new MaintenanceRequest(id, json.text("machine"), (long) json.number("lasts", 0), deadline,
                 json.text("reason"), json.text("who"), new TreeSet<>(texts(json, "after")),
                 new TreeSet<>(texts(json, "before")));
     }
 
-    private static MaintenanceStage stage(String word) {
+    private static MaintenanceStage decodeStage(String word) {
         return MaintenanceStage.valueOf(word.toUpperCase(Locale.ROOT).replace(' ', '_'));
     }
 
@@ -92,10 +101,10 @@
         return Boolean.TRUE.equals(json.get(name));
     }
 
-    private static List<MaintenanceConstraint> reasons(Json.Obj json) {
+    private static List<MaintenanceConstraint> decodeReasons(Json.Obj json) {
         var reasons = new ArrayList<MaintenanceConstraint>();
-        for (Object each : json.list("why") == null ? List.of() : json.list("why")) {
-            var reason = (Json.Obj) each;
+        for (Object entry : json.list("why") == null ? List.of() : json.list("why")) {
+            var reason = (Json.Obj) entry;
             reasons.add(new MaintenanceConstraint(
                     MaintenanceRule.valueOf(reason.text("rule").toUpperCase(Locale.ROOT)),
                     texts(reason, "machines"), texts(reason, "blocks"), reason.text("budget")));
@@ -122,7 +131,7 @@
         return reasons(json.append(",\"why\":"), status.reasons()).append('}').toString();
     }
 
-    /** Appends constraints as a list of objects. */
+    /** Appends constraints as a JSON array of objects. */
     public static StringBuilder reasons(StringBuilder json, List<MaintenanceConstraint> reasons) {
         json.append('[');
         for (MaintenanceConstraint reason : reasons) {
@@ -135,7 +144,7 @@
         return json.append(']');
     }
 
-    /** Appends names as a list. */
+    /** Appends names as a JSON array of strings. */
     public static StringBuilder names(StringBuilder json, Collection<String> names) {
         json.append('[');
         names.forEach(name -> Json.quote(json.append(separator(json)), name));
--- a/src/main/java/wallmoor/maintenance/MaintenanceConstraint.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceConstraint.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * One instance of a rule: why a request does not proceed, or a constraint that cannot be satisfied together with
- * others.
+ * One instance of a rule. It states why a request does not proceed, or is part of a set that cannot be satisfied
+ * together.
  *
- * @param machines that it concerns: those that are out (eight at most), that come before, or that have parts in flight
- * @param blocks   that would lose their last holder
- * @param budget   key in the operators' file, or empty
+ * @param machines the machines concerned: those that are out of service (at most eight), that must be done first, or
+ *                 that have parts in flight
+ * @param blocks   the blocks that would lose their last holder
+ * @param budget   the key of the budget in the operators' file, or empty
  */
 public record MaintenanceConstraint(MaintenanceRule rule, List<String> machines, List<String> blocks, String budget) {
-    /** Takes copies of the lists. */
+    /** Copies the lists. */
     public MaintenanceConstraint {
         machines = List.copyOf(machines);
         blocks = List.copyOf(blocks);
@@ -25,22 +26,22 @@
         return new MaintenanceConstraint(rule, List.of(), List.of(), budget);
     }
 
-    /** The maintenance windows. */
+    /** Returns the constraint that outages stay within the maintenance windows. */
     static MaintenanceConstraint windows() {
         return budget(MaintenanceRule.HOURS, "hours");
     }
 
-    /** The deadline of a request. */
+    /** Returns the constraint that a request meets its deadline. */
     static MaintenanceConstraint deadline(MaintenanceRequest request) {
         return of(MaintenanceRule.BY, request.machine());
     }
 
-    /** That one machine's request is done before another's begins. */
+    /** Returns the constraint that the first machine's request is done before the second machine's request begins. */
     static MaintenanceConstraint precedence(String first, String second) {
         return of(MaintenanceRule.PIN, first, second);
     }
 
-    /** A line for people. */
+    /** Returns a line of text for people. */
     public String text() {
         var line = new StringBuilder(rule.word());
         if (!budget.isEmpty()) {
--- a/src/main/java/wallmoor/maintenance/MaintenancePlanner.java
+++ b/src/main/java/wallmoor/maintenance/MaintenancePlanner.java
@@ -10,23 +10,32 @@
 import wallmoor.maintenance.SchedulingProblem.Job;
 
 /**
- * Schedules all requests that have not begun, beside what is out: list scheduling by priority rules, for few jobs by
- * all orders. Deterministic.
+ * Schedules the requests that have not begun, beside the machines that are out of service. It uses list scheduling with
+ * several priority rules, and for a small number of jobs all orders if the rules find no complete schedule. The result
+ * is deterministic.
  */
 public final class MaintenancePlanner {
-    /** With more jobs, the first priority rule that gives a complete schedule is taken. */
-    private static final int MANY_JOBS = 2_000;
+    /** Number of jobs above which the first priority rule that gives a complete schedule is used. */
+    private static final int MAX_JOBS_FOR_ALL_RULES = 2_000;
 
     private MaintenancePlanner() {}
 
-    /** Schedules requests of which none has begun. */
+    /**
+     * Schedules requests of which none has begun.
+     *
+     * @param now milliseconds since 1970
+     */
     public static SchedulingResult plan(long now, List<MaintenanceRequest> requests, FleetSnapshot fleet,
             Budgets budgets) {
-        return among(now, requests.stream().map(r -> RequestStatus.asked(r, now)).toList(), fleet, budgets);
+        return planRemaining(now, requests.stream().map(r -> RequestStatus.submitted(r, now)).toList(), fleet, budgets);
     }
 
-    /** Schedules those of the requests that have not begun, beside the others. */
-    static SchedulingResult among(long now, List<RequestStatus> all, FleetSnapshot fleet, Budgets budgets) {
+    /**
+     * Schedules the requests that have not begun, beside those that have.
+     *
+     * @param all the requests in their order
+     */
+    static SchedulingResult planRemaining(long now, List<RequestStatus> all, FleetSnapshot fleet, Budgets budgets) {
         var problem = new SchedulingProblem(now, all, fleet, budgets, false);
         ListSchedule schedule = bestSchedule(problem);
         if (schedule.isComplete()) {
@@ -36,10 +45,10 @@
         var recovered = new SchedulingProblem(now, all, fleet, budgets, true);
         ListSchedule afterRecovery = bestSchedule(recovered);
         if (afterRecovery.isComplete()) {
-            ScheduleConflictFinder.Conflict conflict = ScheduleConflictFinder.find(problem, schedule.missed());
+            ScheduleConflictFinder.Conflict conflict = ScheduleConflictFinder.find(problem, schedule.missedJobs());
             return new SchedulingResult.WaitsForRecovery(conflict.constraints(), conflict.minimal());
         }
-        ScheduleConflictFinder.Conflict conflict = ScheduleConflictFinder.find(recovered, afterRecovery.missed());
+        ScheduleConflictFinder.Conflict conflict = ScheduleConflictFinder.find(recovered, afterRecovery.missedJobs());
         return new SchedulingResult.Infeasible(conflict.constraints(), conflict.minimal(), conflict.proven());
     }
 
@@ -50,24 +59,24 @@
             if (best == null || isBetter(schedule, best)) {
                 best = schedule;
             }
-            if (best.isComplete() && problem.jobs.size() > MANY_JOBS) {
+            if (best.isComplete() && problem.jobs.size() > MAX_JOBS_FOR_ALL_RULES) {
                 break;
             }
         }
         if (!best.isComplete() && problem.jobs.size() <= ExhaustiveScheduler.MAX_JOBS
                 && problem.jobs.stream().anyMatch(Job::hasDeadline)) {
-            ListSchedule found = anyComplete(problem, new ArrayList<>(), new ArrayList<>(problem.jobs));
-            best = found == null ? best : found;
+            ListSchedule exhaustive = anyComplete(problem, new ArrayList<>(), new ArrayList<>(problem.jobs));
+            best = exhaustive == null ? best : exhaustive;
         }
         return best;
     }
 
     private static boolean isBetter(ListSchedule schedule, ListSchedule best) {
-        return schedule.missed().size() < best.missed().size()
+        return schedule.missedJobs().size() < best.missedJobs().size()
                 || (schedule.isComplete() && best.isComplete() && schedule.endsAt() < best.endsAt());
     }
 
-    /** The first complete schedule of all orders of the remaining jobs; null where there is none. */
+    /** Returns the first complete schedule among all orders of the remaining jobs, or null if there is none. */
     private static ListSchedule anyComplete(SchedulingProblem problem, List<Job> order, List<Job> remaining) {
         if (remaining.isEmpty()) {
             var schedule = new ListSchedule(problem, order, constraint -> true);
@@ -86,25 +95,34 @@
         return null;
     }
 
-    /** By latest start, then by shared blocks or by length; and by length first. Ties are broken by name. */
+    /**
+     * Returns the jobs in the orders of three priority rules: by latest start, then neighbours; by latest start, then
+     * length; and by length, then latest start. Ties are broken by name.
+     */
     private static List<List<Job>> priorityOrders(SchedulingProblem problem) {
         Map<String, Long> latestStarts = latestStarts(problem);
         Map<String, Integer> neighbours = neighbourCounts(problem);
         Comparator<Job> latestStart = Comparator.comparing(job -> latestStarts.get(job.request().machine()));
         Comparator<Job> name = Comparator.comparing(job -> job.request().machine());
-        Comparator<Job> longest = Comparator.comparing(job -> -job.outageMillis());
-        Comparator<Job> crowded = Comparator.comparing(job -> -neighbours.getOrDefault(job.request().machine(), 0));
+        Comparator<Job> longestFirst = Comparator.comparing(job -> -job.outageMillis());
+        Comparator<Job> mostNeighbours = Comparator
+                .comparing(job -> -neighbours.getOrDefault(job.request().machine(), 0));
         return List.of(
-                sorted(problem, latestStart.thenComparing(crowded).thenComparing(longest).thenComparing(name)),
-                sorted(problem, latestStart.thenComparing(longest).thenComparing(crowded).thenComparing(name)),
-                sorted(problem, longest.thenComparing(latestStart).thenComparing(name)));
+                sorted(problem, latestStart.thenComparing(mostNeighbours).thenComparing(longestFirst)
+                        .thenComparing(name)),
+                sorted(problem, latestStart.thenComparing(longestFirst).thenComparing(mostNeighbours)
+                        .thenComparing(name)),
+                sorted(problem, longestFirst.thenComparing(latestStart).thenComparing(name)));
     }
 
     private static List<Job> sorted(SchedulingProblem problem, Comparator<Job> priority) {
         return problem.jobs.stream().sorted(priority).toList();
     }
 
-    /** By machine, when its job must start at the latest: for its own deadline, and for those of its successors. */
+    /**
+     * Returns the latest start of each job by machine, such that the job meets its own deadline and its successors can
+     * meet theirs.
+     */
     private static Map<String, Long> latestStarts(SchedulingProblem problem) {
         Map<String, Long> latestStarts = new HashMap<>();
         Map<String, Job> jobByMachine = new HashMap<>();
@@ -115,7 +133,8 @@
                     : MaintenanceRequest.NO_DEADLINE);
         });
         boolean changed = true;
-        for (int i = 0; changed && i <= problem.jobs.size(); i++) { // a cycle would go on; it is reported elsewhere
+        // bounded: a cycle never settles, and is reported elsewhere
+        for (int i = 0; changed && i <= problem.jobs.size(); i++) {
             changed = false;
             for (Job job : problem.jobs) {
                 changed |= propagate(problem, job, latestStarts, jobByMachine);
@@ -124,25 +143,32 @@
         return latestStarts;
     }
 
-    /** Makes a job's predecessors start in time for it; whether that changed one. */
+    /**
+     * Lowers the latest starts of a job's predecessors so that they are done before the job must start.
+     *
+     * @return whether a latest start changed
+     */
     private static boolean propagate(SchedulingProblem problem, Job job, Map<String, Long> latestStarts,
             Map<String, Job> jobByMachine) {
-        long own = latestStarts.get(job.request().machine());
-        if (own == MaintenanceRequest.NO_DEADLINE) {
+        long latestStart = latestStarts.get(job.request().machine());
+        if (latestStart == MaintenanceRequest.NO_DEADLINE) {
             return false;
         }
         boolean changed = false;
         for (String predecessor : problem.precedence.predecessors(job.request().machine())) {
-            Job before = jobByMachine.get(predecessor);
-            if (before != null && latestStarts.get(predecessor) > own - before.outageMillis()) {
-                latestStarts.put(predecessor, own - before.outageMillis());
+            Job predecessorJob = jobByMachine.get(predecessor);
+            if (predecessorJob != null && latestStarts.get(predecessor) > latestStart - predecessorJob.outageMillis()) {
+                latestStarts.put(predecessor, latestStart - predecessorJob.outageMillis());
                 changed = true;
             }
         }
         return changed;
     }
 
-    /** By machine, how many machines share a block with it of which not all may go at once. */
+    /**
+     * Returns for each machine the number of holders, itself included, of its blocks. Counts only blocks that could
+     * lose all holders at once.
+     */
     private static Map<String, Integer> neighbourCounts(SchedulingProblem problem) {
         Map<String, Set<String>> neighbours = new HashMap<>();
         for (BlockHolders block : problem.fleet.blocks()) {
--- a/src/main/java/wallmoor/maintenance/MaintenanceRule.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceRule.java
@@ -2,17 +2,19 @@
 
 import java.util.Locale;
 
-/** A rule that can keep a machine in service. The names are stored and shown, as {@link #word} writes them. */
+/**
+ * A rule that can keep a machine in service. The names are stored and displayed in the form that {@link #word} returns.
+ */
 public enum MaintenanceRule {
-    /** Each block has a holder that is sound and past slow start. */
+    /** Each block has a holder that serves and is past slow start. */
     COVER,
-    /** Most machines out at once. */
+    /** Maximum number of machines out of service at once. */
     AT_ONCE,
-    /** Most machines out at once in a data centre. */
+    /** Maximum number of machines out of service at once in a data centre. */
     CENTRE,
-    /** Least share of the nodes' capacity that serves. */
+    /** Minimum share of the total node capacity that serves. */
     CAPACITY,
-    /** Fewest gatherers that serve. */
+    /** Minimum number of gatherers that serve. */
     GATHERERS,
     /** A majority of the voters serves. */
     VOTERS,
@@ -20,24 +22,24 @@
     HOURS,
     /** The request's deadline. */
     BY,
-    /** A machine that must be done before. */
+    /** The request of another machine must be done first. */
     PIN,
-    /** This side of the gatherers has no quorum. */
+    /** This partition of the gatherers has no quorum. */
     QUORUM,
-    /** Staff hold the request. */
+    /** The request or the complete order is held by staff. */
     STAFF,
-    /** The machine is out by itself, or unknown. */
+    /** The machine has an unplanned outage, or is unknown. */
     ITSELF,
-    /** Parts are in flight on the machine, or a gatherer that cannot be reached may have some. */
+    /** Parts are in flight on the machine, or an unreachable gatherer may have some in flight. */
     BUSY,
-    /** Staff withdrew the request. */
+    /** The request was withdrawn by staff. */
     WITHDRAWN,
-    /** The machine has not come back. */
+    /** The machine has not returned. */
     ABSENT,
-    /** The machine is back, and in slow start. */
+    /** The machine has returned and is in slow start. */
     COLD;
 
-    /** The name as it is stored and shown. */
+    /** Returns the name as it is stored and displayed. */
     public String word() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/wallmoor/maintenance/MaintenanceStage.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceStage.java
@@ -2,47 +2,47 @@
 
 import java.util.Locale;
 
-/** How far a maintenance request has come. The names are stored, as {@link #word} writes them. */
+/** The stage of a maintenance request. The names are stored in the form that {@link #word} returns. */
 public enum MaintenanceStage {
-    /** Submitted; nothing is decided yet. */
+    /** Submitted, and not yet admitted or refused. */
     ASKED,
-    /** Admitted: it has its place in the order. */
+    /** Admitted to the order. */
     PLANNED,
-    /** The machine gets no new work; what it has in flight completes. */
+    /** The machine receives no new work; its work in flight completes. */
     DRAINING,
-    /** The machine is idle and may be worked on. */
+    /** The machine is idle, and work on it may begin. */
     OUT,
-    /** The machine was seen back, and is in slow start. */
+    /** The machine has returned and is in slow start. */
     RETURNING,
-    /** The machine is past slow start, and observed for a while. */
+    /** The machine is past slow start and in its observation period. */
     WARM,
-    /** The machine serves as before. */
+    /** The machine serves again; the request is complete. */
     DONE,
-    /** The machine cannot go, even if all that the order has out were back; it goes once it can. */
+    /** The machine could not go even if all machines taken out by the order were back. It goes once that changes. */
     HELD,
-    /** The request cannot be met, whatever comes back. */
+    /** The request cannot be met, even if all machines return. */
     REFUSED,
-    /** The machine did not come back, or not past slow start, in time. */
+    /** The machine did not return in time, or did not complete slow start in time. */
     OVERDUE,
-    /** Withdrawn, or never idle; the machine serves. */
+    /** Withdrawn, or the machine did not become idle in time; the machine serves. */
     GIVEN_UP;
 
-    /** Whether the order has the machine out of service, so that it counts against the budgets. */
+    /** Returns whether the order has the machine out of service, so that it counts against the budgets. */
     public boolean isOut() {
         return this == DRAINING || this == OUT || this == RETURNING || this == WARM || this == OVERDUE;
     }
 
-    /** Whether no stage follows. */
+    /** Returns whether no other stage follows. */
     public boolean isFinal() {
         return this == DONE || this == REFUSED || this == GIVEN_UP;
     }
 
-    /** Whether the request is admitted and has not begun. */
+    /** Returns whether the request is admitted and has not begun. */
     public boolean isQueued() {
         return this == PLANNED || this == HELD;
     }
 
-    /** The name as it is stored and shown. */
+    /** Returns the name as it is stored and displayed. */
     public String word() {
         return name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
--- a/src/main/java/wallmoor/maintenance/MaintenanceState.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceState.java
@@ -9,29 +9,29 @@
 import java.util.TreeSet;
 
 /**
- * One version of the replicated document {@code maintenance}. Immutable; each change is a new version, and nothing else
- * is remembered. {@link MaintenanceCodec} has its stored form.
+ * One version of the replicated document {@code maintenance}. Immutable: each change makes a new version, and there is
+ * no other state. {@link MaintenanceCodec} defines its stored form.
  *
- * @param requests by id
- * @param order    ids of admitted requests in the order of their execution, begun and ended ones included
+ * @param requests the requests by id
+ * @param order    the ids of admitted requests in the order of their execution, including those begun and ended
  * @param held     whether staff hold the complete order
  */
 public record MaintenanceState(SortedMap<String, RequestStatus> requests, List<String> order, boolean held) {
-    /** No requests. */
+    /** The state without requests. */
     public static final MaintenanceState EMPTY = new MaintenanceState(Collections.emptySortedMap(), List.of(), false);
 
-    /** Takes copies of the collections. */
+    /** Copies the collections. */
     public MaintenanceState {
         requests = Collections.unmodifiableSortedMap(new TreeMap<>(requests));
         order = List.copyOf(order);
     }
 
-    /** The state to begin with where the last one is lost: nothing begins until a person resumes. */
+    /** Returns the initial state after the last state was lost: no request begins until staff resume the order. */
     public static MaintenanceState unknown() {
         return new MaintenanceState(Collections.emptySortedMap(), List.of(), true);
     }
 
-    /** Machines that must get no new work. */
+    /** Returns the machines that must not receive new work. */
     public SortedSet<String> unavailable() {
         var machines = new TreeSet<String>();
         requests.values().forEach(status -> {
@@ -44,7 +44,7 @@
         return machines;
     }
 
-    /** The status of a machine's request that has not ended, or null. */
+    /** Returns the status of the machine's request that has not ended, or null. */
     RequestStatus openRequest(String machine) {
         for (RequestStatus status : requests.values()) {
             if (!status.stage().isFinal() && status.request().machine().equals(machine)) {
@@ -54,11 +54,11 @@
         return null;
     }
 
-    MaintenanceState with(SortedMap<String, RequestStatus> newRequests) {
+    MaintenanceState withRequests(SortedMap<String, RequestStatus> newRequests) {
         return new MaintenanceState(newRequests, order, held);
     }
 
-    /** Requests in the order of their execution, then those that have no place in it. */
+    /** Returns the requests in the order of their execution, followed by those that are not in the order. */
     List<RequestStatus> inOrder() {
         var all = new ArrayList<RequestStatus>();
         order.forEach(id -> {
--- a/src/main/java/wallmoor/maintenance/MaintenanceStateMachine.java
+++ b/src/main/java/wallmoor/maintenance/MaintenanceStateMachine.java
@@ -10,9 +10,9 @@
 import wallmoor.maintenance.Machine.MachinePhase;
 
 /**
- * Computes the next version of the state: a pure function of the active version, of the observed fleet, of the budgets
- * and of the time. It comes into force only as an agreed version; {@link MaintenanceAction}s follow from that. Nothing
- * here relies on what was not observed or reported.
+ * Computes the next version of the state, as a pure function of the active version, the observed fleet, the budgets and
+ * the time. The result takes effect only once it is agreed as a version; {@link MaintenanceAction}s are derived from
+ * the agreed version. No decision relies on anything that was not observed or reported.
  */
 public final class MaintenanceStateMachine {
     private final long now;
@@ -34,9 +34,9 @@
     }
 
     /**
-     * The next version; equal to the active one where nothing changes.
+     * Returns the next version, which equals the active version if nothing changes.
      *
-     * @param now milliseconds since 1970; may go back when another process decides
+     * @param now milliseconds since 1970; may go backwards when another process takes over
      */
     public static MaintenanceState next(long now, MaintenanceState active, FleetSnapshot fleet, Budgets budgets) {
         return new MaintenanceStateMachine(now, active, fleet, budgets).next();
@@ -52,28 +52,28 @@
             }
         }
         continueDrains(ledger, outByOrder);
-        MaintenanceState decided = active.with(next);
+        MaintenanceState decided = active.withRequests(next);
         MaintenanceState admitted = fleet.hasQuorum() ? RequestAdmission.admit(now, decided, fleet, budgets) : decided;
         next.putAll(admitted.requests());
         beginQueued(ledger, admitted);
-        return admitted.with(next);
+        return admitted.withRequests(next);
     }
 
     /**
-     * Machines that the order has out. One that comes back just now still counts: two versions may be acted on side by
-     * side.
+     * Returns the machines that the order has out of service. A machine that returns with this version still counts,
+     * because actions of two versions may be performed concurrently.
      */
     private Set<String> outByOrder() {
-        Set<String> out = new HashSet<>();
+        Set<String> machinesOut = new HashSet<>();
         for (RequestStatus status : active.inOrder()) {
             if (status.stage().isOut() || next.get(status.request().id()).stage().isOut()) {
-                out.add(status.request().machine());
+                machinesOut.add(status.request().machine());
             }
         }
-        return out;
+        return machinesOut;
     }
 
-    /** Whether a machine serves, past slow start. */
+    /** Returns whether a machine serves and is past slow start. */
     private boolean isSound(Machine machine) {
         return machine.phase() == MachinePhase.SERVING
                 && (!machine.isNode() || machine.servingMillis() >= budgets.slowStartMillis());
@@ -91,7 +91,7 @@
         return Math.max(0, now - status.since());
     }
 
-    /** What follows from observing the machine alone. */
+    /** Returns the status that follows from the observation of the machine alone. */
     private RequestStatus observe(RequestStatus status) {
         Machine machine = machines.get(status.request().machine());
         MaintenanceStage stage = status.stage();
@@ -107,42 +107,45 @@
 
     private RequestStatus observeWarm(RequestStatus status, Machine machine) {
         if (phase(machine) == MachinePhase.AWAY || !isSound(machine)) {
-            return status.at(MaintenanceStage.RETURNING, now, notSound(machine));
+            return status.withStage(MaintenanceStage.RETURNING, now, unsoundReasons(machine));
         }
-        return age(status) >= budgets.observationMillis() ? status.at(MaintenanceStage.DONE, now) : status;
+        return age(status) >= budgets.observationMillis() ? status.withStage(MaintenanceStage.DONE, now) : status;
     }
 
     private RequestStatus observeReturn(RequestStatus status, Machine machine) {
         MachinePhase phase = phase(machine);
-        boolean out = status.stage() == MaintenanceStage.OUT;
+        boolean wasOut = status.stage() == MaintenanceStage.OUT;
         boolean restarted = phase != MachinePhase.AWAY && !machine.incarnation().equals(status.incarnation());
         boolean returned = status.returned() || restarted;
-        if (!returned && phase == MachinePhase.SERVING) { // somebody else let it serve: it is not idle any more
-            return status.at(MaintenanceStage.DRAINING, now);
+        if (!returned && phase == MachinePhase.SERVING) { // set to serving by someone else: no longer idle
+            return status.withStage(MaintenanceStage.DRAINING, now);
         }
-        if (!returned || (out && phase == MachinePhase.AWAY)) {
-            boolean inTime = out && age(status) <= status.request().workMillis() + budgets.overdueMillis();
-            return inTime ? status.at(MaintenanceStage.OUT, now)
-                    : status.at(MaintenanceStage.OVERDUE, now,
+        if (!returned || (wasOut && phase == MachinePhase.AWAY)) {
+            boolean inTime = wasOut && age(status) <= status.request().workMillis() + budgets.overdueMillis();
+            return inTime ? status.withStage(MaintenanceStage.OUT, now)
+                    : status.withStage(MaintenanceStage.OVERDUE, now,
                             List.of(MaintenanceConstraint.of(MaintenanceRule.ABSENT, status.request().machine())));
         }
         if (phase == MachinePhase.SERVING && isSound(machine)) {
-            return status.withReturned(true).at(MaintenanceStage.WARM, now);
+            return status.withReturned(true).withStage(MaintenanceStage.WARM, now);
         }
-        boolean returning = out || (status.stage() == MaintenanceStage.RETURNING
+        boolean returning = wasOut || (status.stage() == MaintenanceStage.RETURNING
                 && age(status) <= budgets.slowStartMillis() + budgets.overdueMillis());
-        return status.withReturned(true).at(
-                returning ? MaintenanceStage.RETURNING : MaintenanceStage.OVERDUE, now, notSound(machine));
+        return status.withReturned(true).withStage(
+                returning ? MaintenanceStage.RETURNING : MaintenanceStage.OVERDUE, now, unsoundReasons(machine));
     }
 
-    private static List<MaintenanceConstraint> notSound(Machine machine) {
+    private static List<MaintenanceConstraint> unsoundReasons(Machine machine) {
         if (phase(machine) == MachinePhase.AWAY) {
             return List.of(MaintenanceConstraint.of(MaintenanceRule.ABSENT, machine == null ? "" : machine.id()));
         }
         return List.of(MaintenanceConstraint.of(MaintenanceRule.COLD, machine.id()));
     }
 
-    /** Draining machines go on, go out, or are put back where they may not go any more. */
+    /**
+     * Decides for each draining machine: it keeps draining, goes out of service, or serves again if it may no longer
+     * go.
+     */
     private void continueDrains(OutageLedger ledger, Set<String> outByOrder) {
         List<RequestStatus> draining = active.inOrder().stream().map(s -> next.get(s.request().id()))
                 .filter(s -> s.stage() == MaintenanceStage.DRAINING).toList();
@@ -160,15 +163,16 @@
             if (obstacles.isEmpty()) {
                 continued.add(status);
             } else {
-                put(status.at(MaintenanceStage.HELD, now, obstacles));
+                put(status.withStage(MaintenanceStage.HELD, now, obstacles));
             }
         }
         for (RequestStatus status : continued) {
             int index = indexById.get(status.request().machine());
             ledger.putBack(index);
-            List<MaintenanceConstraint> violated = ledger.violations(index); // those put back just now still count
+            // machines held by this version still count as out
+            List<MaintenanceConstraint> violated = ledger.violations(index);
             ledger.takeOut(index);
-            put(drained(status, machines.get(status.request().machine()), violated));
+            put(afterDrainCheck(status, machines.get(status.request().machine()), violated));
         }
     }
 
@@ -183,29 +187,30 @@
         return ledger.violations(indexById.get(id));
     }
 
-    /** The next status of a draining machine: out, if it is idle and all constraints allow it. */
-    private RequestStatus drained(RequestStatus status, Machine machine, List<MaintenanceConstraint> violated) {
-        List<String> busy = DrainCompletion.busyFor(machine, fleet, budgets);
+    /** Returns the next status of a draining machine: out of service if it is idle and no constraint is violated. */
+    private RequestStatus afterDrainCheck(RequestStatus status, Machine machine, List<MaintenanceConstraint> violated) {
+        List<String> busy = DrainCompletion.drainBlockers(machine, fleet, budgets);
         if (!busy.isEmpty()) {
             boolean timedOut = age(status) >= budgets.drainTimeoutMillis();
             var reason = new MaintenanceConstraint(MaintenanceRule.BUSY, busy, List.of(), timedOut ? "drain" : "");
-            return status.at(timedOut ? MaintenanceStage.GIVEN_UP : MaintenanceStage.DRAINING, now, List.of(reason));
+            return status.withStage(timedOut ? MaintenanceStage.GIVEN_UP : MaintenanceStage.DRAINING, now,
+                    List.of(reason));
         }
         if (!fleet.hasQuorum()) {
-            return status.at(MaintenanceStage.DRAINING, now,
+            return status.withStage(MaintenanceStage.DRAINING, now,
                     List.of(MaintenanceConstraint.of(MaintenanceRule.QUORUM)));
         }
         long remainingMillis = budgets.afterDrainMillis(status.request());
         if (missesDeadline(status, remainingMillis)) {
-            return status.at(MaintenanceStage.HELD, now,
+            return status.withStage(MaintenanceStage.HELD, now,
                     List.of(MaintenanceConstraint.deadline(status.request())));
         }
         if (budgets.windows().nextStart(now, remainingMillis) != now) {
-            return status.at(MaintenanceStage.HELD, now, List.of(MaintenanceConstraint.windows()));
+            return status.withStage(MaintenanceStage.HELD, now, List.of(MaintenanceConstraint.windows()));
         }
         return violated.isEmpty()
-                ? status.withIncarnation(machine.incarnation()).at(MaintenanceStage.OUT, now)
-                : status.at(MaintenanceStage.DRAINING, now, violated);
+                ? status.withIncarnation(machine.incarnation()).withStage(MaintenanceStage.OUT, now)
+                : status.withStage(MaintenanceStage.DRAINING, now, violated);
     }
 
     private boolean isHeldByStaff(RequestStatus status) {
@@ -216,30 +221,33 @@
         return status.request().deadline() - remainingMillis < now;
     }
 
-    /** Begins queued requests that may go now. Others wait, or are held where even the order's own return won't do. */
+    /**
+     * Begins the queued requests that may begin now. The others wait; those that could not begin even if all machines
+     * taken out by the order were back are held.
+     */
     private void beginQueued(OutageLedger ledger, MaintenanceState admitted) {
         OutageLedger withoutOrder = withoutOrder(admitted);
         var queue = new AdmissionQueue(ledger);
         var precedence = PrecedenceGraph.of(admitted.inOrder());
         for (RequestStatus status : admitted.inOrder()) {
             if (!status.stage().isQueued() || wasDraining(status)) {
-                continue; // one that was put back just now is considered again with the next version
+                continue; // a request held by this version is considered again in the next one
             }
-            List<MaintenanceConstraint> holding = holding(status, withoutOrder, precedence);
-            List<MaintenanceConstraint> waitingFor = holding.isEmpty()
-                    ? waitingFor(status, ledger, queue, precedence) : List.of();
-            if (!holding.isEmpty()) {
-                put(status.at(MaintenanceStage.HELD, now, holding));
-            } else if (!waitingFor.isEmpty()) {
-                put(status.at(MaintenanceStage.PLANNED, now, waitingFor));
+            List<MaintenanceConstraint> holdReasons = holdReasons(status, withoutOrder, precedence);
+            List<MaintenanceConstraint> waitReasons = holdReasons.isEmpty()
+                    ? waitReasons(status, ledger, queue, precedence) : List.of();
+            if (!holdReasons.isEmpty()) {
+                put(status.withStage(MaintenanceStage.HELD, now, holdReasons));
+            } else if (!waitReasons.isEmpty()) {
+                put(status.withStage(MaintenanceStage.PLANNED, now, waitReasons));
             } else {
                 put(status.withDrainedByOrder(true).withIncarnation("").withReturned(false)
-                        .at(MaintenanceStage.DRAINING, now));
+                        .withStage(MaintenanceStage.DRAINING, now));
             }
         }
     }
 
-    /** A ledger as if all were back that the order has out. */
+    /** Returns a ledger in which all machines taken out by the order are back. */
     private OutageLedger withoutOrder(MaintenanceState admitted) {
         var ledger = new OutageLedger(fleet, budgets, constraint -> true);
         for (Machine machine : fleet.machines()) {
@@ -252,12 +260,15 @@
     }
 
     private boolean wasDraining(RequestStatus status) {
-        RequestStatus before = active.requests().get(status.request().id());
-        return before != null && before.stage() == MaintenanceStage.DRAINING;
+        RequestStatus previous = active.requests().get(status.request().id());
+        return previous != null && previous.stage() == MaintenanceStage.DRAINING;
     }
 
-    /** Why a queued request cannot go, even if all were back that the order has out; empty where it can. */
-    private List<MaintenanceConstraint> holding(RequestStatus status, OutageLedger withoutOrder,
+    /**
+     * Returns why a queued request could not begin even if all machines taken out by the order were back; empty if it
+     * could.
+     */
+    private List<MaintenanceConstraint> holdReasons(RequestStatus status, OutageLedger withoutOrder,
             PrecedenceGraph precedence) {
         MaintenanceRequest request = status.request();
         Machine machine = machines.get(request.machine());
@@ -277,22 +288,25 @@
         if (budgets.windows().nextStart(now, outageMillis) < 0) {
             return List.of(MaintenanceConstraint.windows());
         }
-        List<String> blocked = precedence.blocked(request);
-        if (!blocked.isEmpty()) {
-            return List.of(MaintenanceConstraint.of(MaintenanceRule.PIN, blocked.toArray(String[]::new)));
+        List<String> blockedPredecessors = precedence.blocked(request);
+        if (!blockedPredecessors.isEmpty()) {
+            return List.of(MaintenanceConstraint.of(MaintenanceRule.PIN, blockedPredecessors.toArray(String[]::new)));
         }
         return withoutOrder.violations(indexById.get(machine.id()));
     }
 
-    /** What a request that is not held waits for; empty where it goes now, and then it counts as out. */
-    private List<MaintenanceConstraint> waitingFor(RequestStatus status, OutageLedger ledger, AdmissionQueue queue,
+    /**
+     * Returns what a request that is not held waits for. If empty, the request begins now, and its machine is marked as
+     * out in the ledger.
+     */
+    private List<MaintenanceConstraint> waitReasons(RequestStatus status, OutageLedger ledger, AdmissionQueue queue,
             PrecedenceGraph precedence) {
         MaintenanceRequest request = status.request();
         Machine machine = machines.get(request.machine());
         var reasons = new ArrayList<MaintenanceConstraint>();
-        List<String> unfinished = precedence.unfinished(request);
-        if (!unfinished.isEmpty()) {
-            reasons.add(MaintenanceConstraint.of(MaintenanceRule.PIN, unfinished.toArray(String[]::new)));
+        List<String> unfinishedPredecessors = precedence.unfinished(request);
+        if (!unfinishedPredecessors.isEmpty()) {
+            reasons.add(MaintenanceConstraint.of(MaintenanceRule.PIN, unfinishedPredecessors.toArray(String[]::new)));
         }
         if (budgets.windows().nextStart(now, budgets.outageMillis(request)) != now) {
             reasons.add(MaintenanceConstraint.windows());
@@ -302,9 +316,10 @@
         }
         int index = indexById.get(machine.id());
         if (queue.isHeldBack(machine)) {
-            List<MaintenanceConstraint> own = ledger.violations(index);
-            return own.isEmpty()
-                    ? List.of(MaintenanceConstraint.budget(MaintenanceRule.AT_ONCE, "those ahead in the order")) : own;
+            List<MaintenanceConstraint> ownViolations = ledger.violations(index);
+            return ownViolations.isEmpty()
+                    ? List.of(MaintenanceConstraint.budget(MaintenanceRule.AT_ONCE, "those ahead in the order"))
+                    : ownViolations;
         }
         return queue.tryAdmit(index, machine) ? List.of() : ledger.violations(index);
     }
--- a/src/main/java/wallmoor/maintenance/OutageLedger.java
+++ b/src/main/java/wallmoor/maintenance/OutageLedger.java
@@ -9,38 +9,38 @@
 import java.util.function.Predicate;
 
 /**
- * Resource ledger: which machines are out of service, counted against the budgets and the blocks. Machines are
- * referred to by their index in the fleet. Not thread-safe.
+ * Resource ledger: records which machines are out of service and counts them against the budgets and the blocks.
+ * Machines are referred to by their index in the fleet. Not thread-safe.
  */
 final class OutageLedger {
-    /** Machines named by one constraint, as the document has to hold it. */
-    private static final int MAX_NAMED = 8;
+    /** Maximum number of machines named by one constraint; limits the size of the stored document. */
+    private static final int MAX_NAMED_MACHINES = 8;
 
     private final FleetSnapshot fleet;
     private final Budgets budgets;
     private final Predicate<MaintenanceConstraint> enforced;
     private final Map<String, Integer> indexById;
-    /** By machine, the indexes of its blocks whose cover is enforced. */
+    /** For each machine, the indexes of its blocks whose cover constraint is enforced. */
     private final int[][] blocksOf;
-    /** By block, how many machines in service hold it. */
-    private final int[] holders;
+    /** For each block, the number of its holders in service. */
+    private final int[] holdersInService;
     private final boolean[] out;
-    /** By machine, the capacity that its outage takes, in millionths of a unit. */
+    /** For each machine, the capacity lost by its outage, in millionths of a unit. */
     private final long[] lostCapacity;
     private final Map<String, Integer> outByCentre = new HashMap<>();
     private int outCount;
-    /** Of all nodes, in units. */
+    /** Capacity of all nodes, in units. */
     private long totalCapacity;
-    /** Of nodes in service, in millionths of a unit. */
+    /** Capacity of the nodes in service, in millionths of a unit. */
     private long servingCapacity;
     private int servingGatherers;
     private int voters;
     private int servingVoters;
 
     /**
-     * A ledger with all machines in service.
+     * Creates a ledger with all machines in service.
      *
-     * @param enforced the constraints that count
+     * @param enforced accepts the constraints to enforce
      */
     OutageLedger(FleetSnapshot fleet, Budgets budgets, Predicate<MaintenanceConstraint> enforced) {
         this.fleet = fleet;
@@ -50,7 +50,7 @@
         int machines = fleet.machines().size();
         out = new boolean[machines];
         lostCapacity = new long[machines];
-        holders = new int[fleet.blocks().size()];
+        holdersInService = new int[fleet.blocks().size()];
         blocksOf = new int[machines][];
         countMachines();
         countHolders();
@@ -74,14 +74,14 @@
         for (int i = 0; i < out.length; i++) {
             blocks.add(new ArrayList<>());
         }
-        for (int b = 0; b < holders.length; b++) {
-            BlockHolders block = fleet.blocks().get(b);
+        for (int blockIndex = 0; blockIndex < holdersInService.length; blockIndex++) {
+            BlockHolders block = fleet.blocks().get(blockIndex);
             if (enforced.test(cover(block))) {
                 for (String id : block.holders()) {
                     Integer index = indexById.get(id);
-                    if (index != null) { // a holder that nobody observes is none
-                        holders[b]++;
-                        blocks.get(index).add(b);
+                    if (index != null) { // a holder that is not observed does not count
+                        holdersInService[blockIndex]++;
+                        blocks.get(index).add(blockIndex);
                     }
                 }
             }
@@ -91,12 +91,12 @@
         }
     }
 
-    /** The constraint that a block keeps a holder. */
+    /** Returns the constraint that a block keeps a holder in service. */
     static MaintenanceConstraint cover(BlockHolders block) {
         return new MaintenanceConstraint(MaintenanceRule.COVER, block.holders(), List.of(block.id()), "");
     }
 
-    /** The index of a machine, or null where nobody observes it. */
+    /** Returns the index of a machine, or null if it is not observed. */
     Integer indexOf(String machine) {
         return indexById.get(machine);
     }
@@ -105,41 +105,45 @@
         return out[machine];
     }
 
-    /** Takes a machine out of service completely. */
+    /** Takes a machine out of service with all its capacity. */
     void takeOut(int machine) {
         takeOut(machine, 0);
     }
 
     /**
-     * Takes a machine out of service, or into slow start: it holds no block.
+     * Takes a machine out of service or into slow start. It no longer counts as a holder of its blocks.
      *
-     * @param capacityShare what it still gives, in millionths of its capacity
+     * @param capacityShare share of its capacity that it still provides, in millionths
      */
     void takeOut(int machine, long capacityShare) {
         if (!out[machine]) {
             out[machine] = true;
             lostCapacity[machine] = (Budgets.MILLION - capacityShare) * fleet.machines().get(machine).capacity();
-            count(machine, -1);
+            updateCounts(machine, -1);
         }
     }
 
-    /** Puts a machine back in service, past slow start. */
+    /** Puts a machine back in service, past slow start. Does nothing if it is in service. */
     void putBack(int machine) {
         if (out[machine]) {
             out[machine] = false;
-            count(machine, 1);
+            updateCounts(machine, 1);
         }
     }
 
-    /** @param sign 1 where the machine comes back, -1 where it goes */
-    private void count(int index, int sign) {
+    /**
+     * Updates the counts for a machine.
+     *
+     * @param sign 1 if the machine returns to service, -1 if it leaves
+     */
+    private void updateCounts(int index, int sign) {
         Machine machine = fleet.machines().get(index);
         outCount -= sign;
         outByCentre.merge(machine.centre(), -sign, Integer::sum);
         if (machine.isNode()) {
             servingCapacity += sign * lostCapacity[index];
             for (int block : blocksOf[index]) {
-                holders[block] += sign;
+                holdersInService[block] += sign;
             }
         } else {
             servingGatherers += sign;
@@ -151,16 +155,16 @@
         return outCount;
     }
 
-    /** The share of the nodes' capacity that serves, in millionths. */
+    /** Returns the share of the total node capacity that serves, in millionths. */
     int capacityLeft() {
         return totalCapacity == 0 ? Budgets.MILLION : (int) (servingCapacity / totalCapacity);
     }
 
-    /** Machines in service that are the only holder left of one of this machine's blocks. */
+    /** Returns the machines in service that are the only remaining holder of one of this machine's blocks. */
     Set<String> soleHolders(int machine) {
         var sole = new HashSet<String>();
         for (int block : blocksOf[machine]) {
-            if (holders[block] == 1) {
+            if (holdersInService[block] == 1) {
                 fleet.blocks().get(block).holders().stream()
                         .filter(id -> indexById.containsKey(id) && !out[indexById.get(id)]).forEach(sole::add);
             }
@@ -168,17 +172,20 @@
         return sole;
     }
 
-    /** Whether a machine in service may go. */
+    /** Returns whether a machine in service may go out of service. */
     boolean fits(int machine) {
         return firstViolations(machine).isEmpty();
     }
 
-    /** All constraints that a machine would violate by going, with the machines that are the reason. */
+    /** Returns all constraints that the outage of a machine would violate, with the machines that cause it. */
     List<MaintenanceConstraint> violations(int machine) {
         return violations(machine, false);
     }
 
-    /** One constraint that a machine would violate by going, if any; quick, and names no machine. */
+    /**
+     * Returns one constraint that the outage of a machine would violate, or an empty list. Faster than {@link
+     * #violations}, and names no machines.
+     */
     List<MaintenanceConstraint> firstViolations(int machine) {
         return violations(machine, true);
     }
@@ -188,29 +195,29 @@
         Machine machine = fleet.machines().get(index);
         String centre = machine.centre();
         if (outCount + 1 > budgets.maxOut()) {
-            add(found, MaintenanceConstraint.budget(MaintenanceRule.AT_ONCE, "at_once"), m -> true, firstOnly);
+            addViolation(found, MaintenanceConstraint.budget(MaintenanceRule.AT_ONCE, "at_once"), m -> true, firstOnly);
         }
         if (outByCentre.getOrDefault(centre, 0) + 1 > budgets.maxOutByCentre().getOrDefault(centre,
                 Integer.MAX_VALUE)) {
-            add(found, MaintenanceConstraint.budget(MaintenanceRule.CENTRE, "centres." + centre),
+            addViolation(found, MaintenanceConstraint.budget(MaintenanceRule.CENTRE, "centres." + centre),
                     m -> m.centre().equals(centre), firstOnly);
         }
         if (machine.isNode()) {
-            addOfNode(found, index, machine, firstOnly);
+            addNodeViolations(found, index, machine, firstOnly);
         } else {
-            addOfGatherer(found, machine, firstOnly);
+            addGathererViolations(found, machine, firstOnly);
         }
         return found;
     }
 
-    private void addOfNode(List<MaintenanceConstraint> found, int index, Machine node, boolean firstOnly) {
+    private void addNodeViolations(List<MaintenanceConstraint> found, int index, Machine node, boolean firstOnly) {
         if (servingCapacity - node.capacity() * Budgets.MILLION < totalCapacity * budgets.minCapacity()) {
-            add(found, MaintenanceConstraint.budget(MaintenanceRule.CAPACITY, "capacity_kept"), Machine::isNode,
-                    firstOnly);
+            addViolation(found, MaintenanceConstraint.budget(MaintenanceRule.CAPACITY, "capacity_kept"),
+                    Machine::isNode, firstOnly);
         }
-        for (int b : blocksOf[index]) {
-            if (holders[b] <= 1 && !(firstOnly && !found.isEmpty())) {
-                BlockHolders block = fleet.blocks().get(b);
+        for (int blockIndex : blocksOf[index]) {
+            if (holdersInService[blockIndex] <= 1 && !(firstOnly && !found.isEmpty())) {
+                BlockHolders block = fleet.blocks().get(blockIndex);
                 List<String> missing = firstOnly ? List.of() : block.holders().stream()
                         .filter(id -> !indexById.containsKey(id) || out[indexById.get(id)]).sorted().toList();
                 found.add(new MaintenanceConstraint(MaintenanceRule.COVER, missing, List.of(block.id()), ""));
@@ -218,25 +225,25 @@
         }
     }
 
-    private void addOfGatherer(List<MaintenanceConstraint> found, Machine gatherer, boolean firstOnly) {
+    private void addGathererViolations(List<MaintenanceConstraint> found, Machine gatherer, boolean firstOnly) {
         if (servingGatherers - 1 < budgets.minGatherers()) {
-            add(found, MaintenanceConstraint.budget(MaintenanceRule.GATHERERS, "gatherers_kept"), m -> !m.isNode(),
-                    firstOnly);
+            addViolation(found, MaintenanceConstraint.budget(MaintenanceRule.GATHERERS, "gatherers_kept"),
+                    m -> !m.isNode(), firstOnly);
         }
         if (gatherer.voter() && (servingVoters - 1) * 2 <= voters) {
-            add(found, MaintenanceConstraint.of(MaintenanceRule.VOTERS), Machine::voter, firstOnly);
+            addViolation(found, MaintenanceConstraint.of(MaintenanceRule.VOTERS), Machine::voter, firstOnly);
         }
     }
 
-    /** Adds a violated constraint, with the machines that are out and count for it. */
-    private void add(List<MaintenanceConstraint> found, MaintenanceConstraint violated, Predicate<Machine> counts,
-            boolean firstOnly) {
+    /** Adds a violated constraint with the machines that are out of service and count against it. */
+    private void addViolation(List<MaintenanceConstraint> found, MaintenanceConstraint violated,
+            Predicate<Machine> counts, boolean firstOnly) {
         if (!enforced.test(violated) || (firstOnly && !found.isEmpty())) {
             return;
         }
-        List<String> culprits = firstOnly ? List.of() : fleet.machines().stream()
+        List<String> machinesOut = firstOnly ? List.of() : fleet.machines().stream()
                 .filter(m -> out[indexById.get(m.id())] && counts.test(m)).map(Machine::id).sorted()
-                .limit(MAX_NAMED).toList();
-        found.add(new MaintenanceConstraint(violated.rule(), culprits, List.of(), violated.budget()));
+                .limit(MAX_NAMED_MACHINES).toList();
+        found.add(new MaintenanceConstraint(violated.rule(), machinesOut, List.of(), violated.budget()));
     }
 }
--- a/src/main/java/wallmoor/maintenance/PrecedenceGraph.java
+++ b/src/main/java/wallmoor/maintenance/PrecedenceGraph.java
@@ -7,12 +7,12 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** Which machines come before which. A constraint that names a machine without a request means nothing. */
+/** The precedences between machines. A precedence that names a machine without a request is ignored. */
 final class PrecedenceGraph {
-    private static final Set<MaintenanceStage> FAILED = Set.of(MaintenanceStage.REFUSED, MaintenanceStage.GIVEN_UP,
-            MaintenanceStage.OVERDUE);
-    private static final Set<MaintenanceStage> BLOCKED = Set.of(MaintenanceStage.REFUSED, MaintenanceStage.GIVEN_UP,
-            MaintenanceStage.OVERDUE, MaintenanceStage.HELD);
+    private static final Set<MaintenanceStage> FAILED_STAGES = Set.of(MaintenanceStage.REFUSED,
+            MaintenanceStage.GIVEN_UP, MaintenanceStage.OVERDUE);
+    private static final Set<MaintenanceStage> BLOCKED_STAGES = Set.of(MaintenanceStage.REFUSED,
+            MaintenanceStage.GIVEN_UP, MaintenanceStage.OVERDUE, MaintenanceStage.HELD);
 
     private final Map<String, RequestStatus> statusByMachine = new HashMap<>();
     private final Map<String, TreeSet<String>> predecessors = new TreeMap<>();
@@ -20,18 +20,18 @@
     private PrecedenceGraph() {}
 
     /**
-     * The graph of all requests. Of several requests of one machine the open one counts, else the first that is not
-     * done.
+     * Returns the graph of all requests. If a machine has several requests, the open one counts, or else the first that
+     * is not done.
      */
     static PrecedenceGraph of(List<RequestStatus> statuses) {
         var graph = new PrecedenceGraph();
         for (RequestStatus status : statuses) {
             graph.statusByMachine.merge(status.request().machine(), status,
-                    (known, other) -> rank(other) < rank(known) ? other : known);
+                    (existing, other) -> rank(other) < rank(existing) ? other : existing);
         }
         graph.statusByMachine.forEach((machine, status) -> {
             status.request().after().forEach(first -> graph.add(first, machine));
-            // a request that will not be done has no say over others
+            // a request that will not be done does not constrain others
             if (status.stage() != MaintenanceStage.GIVEN_UP && status.stage() != MaintenanceStage.REFUSED) {
                 status.request().before().forEach(second -> graph.add(machine, second));
             }
@@ -52,25 +52,25 @@
         }
     }
 
-    /** Machines that must be done before this one, whatever has become of them. */
+    /** Returns the machines whose requests must be done first, at whatever stage they are. */
     List<String> predecessors(String machine) {
         return predecessors.containsKey(machine) ? List.copyOf(predecessors.get(machine)) : List.of();
     }
 
-    /** Predecessors that are not done yet. */
+    /** Returns the predecessors that are not done yet. */
     List<String> unfinished(MaintenanceRequest request) {
         return predecessors(request.machine()).stream()
                 .filter(m -> statusByMachine.get(m).stage() != MaintenanceStage.DONE).toList();
     }
 
-    /** Predecessors that will not be done by themselves. */
+    /** Returns the predecessors that will not be done without intervention: refused, given up, or overdue ones. */
     List<String> failed(MaintenanceRequest request) {
-        return predecessorsAt(request, FAILED);
+        return predecessorsAt(request, FAILED_STAGES);
     }
 
-    /** Predecessors that cannot proceed now. */
+    /** Returns the predecessors that cannot proceed now: those that failed, and those held. */
     List<String> blocked(MaintenanceRequest request) {
-        return predecessorsAt(request, BLOCKED);
+        return predecessorsAt(request, BLOCKED_STAGES);
     }
 
     private List<String> predecessorsAt(MaintenanceRequest request, Set<MaintenanceStage> stages) {
--- a/src/main/java/wallmoor/maintenance/RequestAdmission.java
+++ b/src/main/java/wallmoor/maintenance/RequestAdmission.java
@@ -7,7 +7,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Admits submitted requests to the order, or refuses them. An admitted request is never refused later. */
+/** Admits submitted requests to the order or refuses them. An admitted request is never refused later. */
 final class RequestAdmission {
     private final long now;
     private final FleetSnapshot fleet;
@@ -19,7 +19,7 @@
         this.budgets = budgets;
     }
 
-    /** The state in which every submitted request is admitted or refused. */
+    /** Returns the state in which every submitted request is admitted or refused. */
     static MaintenanceState admit(long now, MaintenanceState state, FleetSnapshot fleet, Budgets budgets) {
         return new RequestAdmission(now, fleet, budgets).admit(state);
     }
@@ -30,9 +30,10 @@
         if (submitted.isEmpty()) {
             return state;
         }
-        MaintenanceState together = admitTogether(state, submitted); // mostly all can go, and one plan does
-        if (together != null) {
-            return together;
+        // one plan suffices in the common case that all can be met
+        MaintenanceState allAdmitted = admitTogether(state, submitted);
+        if (allAdmitted != null) {
+            return allAdmitted;
         }
         MaintenanceState next = state;
         for (RequestStatus request : submitted) {
@@ -42,56 +43,56 @@
         return next;
     }
 
-    private static List<RequestStatus> decided(MaintenanceState state) {
+    private static List<RequestStatus> decidedRequests(MaintenanceState state) {
         return state.inOrder().stream().filter(s -> s.stage() != MaintenanceStage.ASKED).toList();
     }
 
-    /** Admits requests beside those admitted before; null where they cannot be met together. */
+    /** Returns the state with the requests admitted beside those admitted before, or null if none was found. */
     private MaintenanceState admitTogether(MaintenanceState state, List<RequestStatus> submitted) {
-        List<RequestStatus> all = new ArrayList<>(decided(state));
+        List<RequestStatus> all = new ArrayList<>(decidedRequests(state));
         all.addAll(submitted);
-        SchedulingResult result = MaintenancePlanner.among(now, all, fleet, budgets);
-        return result instanceof SchedulingResult.Infeasible ? null : admitted(state, submitted, result);
+        SchedulingResult result = MaintenancePlanner.planRemaining(now, all, fleet, budgets);
+        return result instanceof SchedulingResult.Infeasible ? null : withAdmitted(state, submitted, result);
     }
 
     /**
-     * Decides on a request that cannot be met beside those admitted before. Where those cannot be met themselves, that
-     * is not held against it.
+     * Decides on a request that cannot be met beside those admitted before. If those cannot be met without it either,
+     * the queued ones are left out of the decision.
      */
     private MaintenanceState admitOrRefuse(MaintenanceState state, RequestStatus submitted) {
-        List<RequestStatus> all = new ArrayList<>(decided(state));
-        if (MaintenancePlanner.among(now, all, fleet, budgets) instanceof SchedulingResult.Infeasible) {
+        List<RequestStatus> all = new ArrayList<>(decidedRequests(state));
+        if (MaintenancePlanner.planRemaining(now, all, fleet, budgets) instanceof SchedulingResult.Infeasible) {
             all.removeIf(s -> s.stage().isQueued());
         }
         all.add(submitted);
-        SchedulingResult result = MaintenancePlanner.among(now, all, fleet, budgets);
+        SchedulingResult result = MaintenancePlanner.planRemaining(now, all, fleet, budgets);
         if (result instanceof SchedulingResult.Infeasible infeasible) {
             SortedMap<String, RequestStatus> next = new TreeMap<>(state.requests());
             next.put(submitted.request().id(),
-                    submitted.at(MaintenanceStage.REFUSED, now, infeasible.conflict()));
-            return state.with(next);
+                    submitted.withStage(MaintenanceStage.REFUSED, now, infeasible.conflict()));
+            return state.withRequests(next);
         }
-        return admitted(state, List.of(submitted), result);
+        return withAdmitted(state, List.of(submitted), result);
     }
 
-    private MaintenanceState admitted(MaintenanceState state, List<RequestStatus> submitted,
+    private MaintenanceState withAdmitted(MaintenanceState state, List<RequestStatus> submitted,
             SchedulingResult result) {
         SortedMap<String, RequestStatus> next = new TreeMap<>(state.requests());
         List<String> order = new ArrayList<>(state.order());
         for (RequestStatus request : submitted) {
-            next.put(request.request().id(), request.at(MaintenanceStage.PLANNED, now));
+            next.put(request.request().id(), request.withStage(MaintenanceStage.PLANNED, now));
             order.add(request.request().id());
         }
         return new MaintenanceState(next,
                 result instanceof SchedulingResult.Schedule schedule ? sorted(order, schedule) : order, state.held());
     }
 
-    /** Requests that have begun or ended, then those of the schedule in its order, after those it leaves out. */
+    /** Returns the order with the scheduled requests moved to its end, in the order of the schedule. */
     private static List<String> sorted(List<String> order, SchedulingResult.Schedule schedule) {
         List<String> scheduled = schedule.slots().stream().map(slot -> slot.request().id()).toList();
-        Set<String> members = new HashSet<>(scheduled);
+        Set<String> scheduledIds = new HashSet<>(scheduled);
         List<String> sorted = new ArrayList<>(order);
-        sorted.removeAll(members);
+        sorted.removeAll(scheduledIds);
         sorted.addAll(scheduled);
         return sorted;
     }
--- a/src/main/java/wallmoor/maintenance/RequestOperations.java
+++ b/src/main/java/wallmoor/maintenance/RequestOperations.java
@@ -5,19 +5,19 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** Staff's operations on requests, each as the next version of the state. All are idempotent. */
+/** The operations of staff on requests. Each returns the next version of the state; all are idempotent. */
 public final class RequestOperations {
-    /** So many requests, each with its reasons in some 400 characters, fit the document (524,288 characters). */
+    /** Maximum number of requests. With 400 characters each, reasons included, they fit the document (524,288). */
     public static final int MAX_REQUESTS = 1_000;
-    /** Characters of a request's id, machine, reason and requester together. */
-    public static final int MAX_TEXT = 300;
+    /** Maximum total length of a request's id, machine, reason and requester, in characters. */
+    public static final int MAX_TEXT_CHARS = 300;
 
     private RequestOperations() {}
 
     /**
      * Submits a request.
      *
-     * @throws RequestRejectedException where the id is another request's, the machine has an open request, the texts
+     * @throws RequestRejectedException if the id belongs to another request, the machine has an open request, the texts
      *                                  are too long, or there are too many requests
      */
     public static MaintenanceState submit(MaintenanceState state, MaintenanceRequest request, long now)
@@ -27,23 +27,23 @@
             if (known.request().equals(request)) {
                 return state;
             }
-            throw new RequestRejectedException(request.id() + " is another wish, of " + known.request().machine()
-                    + "; ask under another id");
+            throw new RequestRejectedException("request id \"" + request.id()
+                    + "\" is in use by a different request, for machine \"" + known.request().machine() + "\"; choose another id");
         }
-        if (textLength(request) > MAX_TEXT) {
-            throw new RequestRejectedException("id, machine, reason and who have more than " + MAX_TEXT
-                    + " characters together; say less");
+        if (textLength(request) > MAX_TEXT_CHARS) {
+            throw new RequestRejectedException("id, machine, reason and who of the request have " + textLength(request)
+                    + " characters together; at most " + MAX_TEXT_CHARS + " are allowed");
         }
         RequestStatus open = state.openRequest(request.machine());
         if (open != null) {
-            throw new RequestRejectedException(request.machine() + " has the wish " + open.request().id()
-                    + ", which is " + open.stage().word() + "; withdraw it first");
+            throw new RequestRejectedException("machine \"" + request.machine() + "\" already has request \""
+                    + open.request().id() + "\", which is " + open.stage().word() + "; withdraw it first");
         }
         NavigableMap<String, RequestStatus> next = new TreeMap<>(state.requests());
         if (next.size() >= MAX_REQUESTS) {
-            next.remove(oldestEnded(next));
+            next.remove(oldestEndedId(next));
         }
-        next.put(request.id(), RequestStatus.asked(request, now));
+        next.put(request.id(), RequestStatus.submitted(request, now));
         return new MaintenanceState(next, state.order().stream().filter(next::containsKey).toList(), state.held());
     }
 
@@ -52,18 +52,20 @@
                 + request.requester().length();
     }
 
-    /** The request to forget in favour of a new one; its id is free again then. */
-    private static String oldestEnded(NavigableMap<String, RequestStatus> requests) throws RequestRejectedException {
+    /** Returns the id of the request to remove in favour of a new one; the id becomes available again. */
+    private static String oldestEndedId(NavigableMap<String, RequestStatus> requests) throws RequestRejectedException {
         return requests.values().stream().filter(status -> status.stage().isFinal() && !status.drainedByOrder())
                 .min(Comparator.comparingLong(RequestStatus::since)).map(status -> status.request().id())
                 .orElseThrow(() -> new RequestRejectedException(
-                        MAX_REQUESTS + " wishes are not over; ask again when some are, or withdraw some"));
+                        "all " + MAX_REQUESTS + " requests are still open; submit again when some have ended, "
+                                + "or withdraw some"));
     }
 
     /**
-     * Withdraws a request. A draining machine serves again.
+     * Withdraws a request. A machine that drains for it serves again.
      *
-     * @throws RequestRejectedException where there is none, or its machine is out: then it ends when that is back
+     * @throws RequestRejectedException if there is no such request, or its machine is out of service; the request then
+     *                                  ends when the machine is back
      */
     public static MaintenanceState withdraw(MaintenanceState state, String id, long now)
             throws RequestRejectedException {
@@ -72,50 +74,59 @@
             return state;
         }
         if (status.stage().isOut() && status.stage() != MaintenanceStage.DRAINING) {
-            throw new RequestRejectedException(status.request().machine() + " is " + status.stage().word()
-                    + "; its wish ends when it is back and warm");
+            throw new RequestRejectedException("machine \"" + status.request().machine() + "\" is "
+                    + status.stage().word()
+                    + "; its request ends when the machine is back and past slow start");
         }
-        return with(state, status.at(MaintenanceStage.GIVEN_UP, now,
+        return withStatus(state, status.withStage(MaintenanceStage.GIVEN_UP, now,
                 List.of(MaintenanceConstraint.of(MaintenanceRule.WITHDRAWN))));
     }
 
-    /** Holds one request, or resumes it. @throws RequestRejectedException where there is none */
+    /**
+     * Holds one request, or resumes it.
+     *
+     * @throws RequestRejectedException if there is no such request
+     */
     public static MaintenanceState hold(MaintenanceState state, String id, boolean hold)
             throws RequestRejectedException {
-        return with(state, existing(state, id).withHeldByStaff(hold));
+        return withStatus(state, existing(state, id).withHeldByStaff(hold));
     }
 
-    /** Holds the complete order, or resumes it: nothing begins, what drains serves again, what is out may come back. */
+    /**
+     * Holds the complete order, or resumes it. While it is held, no request begins, draining machines serve again, and
+     * machines that are out of service may return.
+     */
     public static MaintenanceState hold(MaintenanceState state, boolean hold) {
         return new MaintenanceState(state.requests(), state.order(), hold);
     }
 
     /**
-     * Says that the work on a machine is done, where no restart would show it.
+     * Records that the work on a machine is done, for work that needs no restart.
      *
-     * @throws RequestRejectedException where there is no such request, or its machine is not out
+     * @throws RequestRejectedException if there is no such request, or its machine is not out of service
      */
     public static MaintenanceState markReturned(MaintenanceState state, String id) throws RequestRejectedException {
         RequestStatus status = existing(state, id);
         MaintenanceStage stage = status.stage();
         if (stage != MaintenanceStage.OUT && stage != MaintenanceStage.OVERDUE
                 && stage != MaintenanceStage.RETURNING) {
-            throw new RequestRejectedException(status.request().machine() + " is not out: it is " + stage.word());
+            throw new RequestRejectedException("machine \"" + status.request().machine()
+                    + "\" is not out of service: its request is " + stage.word());
         }
-        return with(state, status.withReturned(true));
+        return withStatus(state, status.withReturned(true));
     }
 
     private static RequestStatus existing(MaintenanceState state, String id) throws RequestRejectedException {
         RequestStatus status = state.requests().get(id);
         if (status == null) {
-            throw new RequestRejectedException("there is no wish " + id);
+            throw new RequestRejectedException("request \"" + id + "\" does not exist");
         }
         return status;
     }
 
-    private static MaintenanceState with(MaintenanceState state, RequestStatus status) {
+    private static MaintenanceState withStatus(MaintenanceState state, RequestStatus status) {
         NavigableMap<String, RequestStatus> next = new TreeMap<>(state.requests());
         next.put(status.request().id(), status);
-        return state.with(next);
+        return state.withRequests(next);
     }
 }
--- a/src/main/java/wallmoor/maintenance/RequestStatus.java
+++ b/src/main/java/wallmoor/maintenance/RequestStatus.java
@@ -3,36 +3,36 @@
 import java.util.List;
 
 /**
- * Status of a maintenance request. Immutable.
+ * The status of a maintenance request. Immutable.
  *
- * @param since          when its stage began, in milliseconds since 1970
- * @param incarnation    of the machine when it went out of service; empty before
- * @param drainedByOrder whether the order drained the machine and has not seen it serving since
- * @param returned       whether the machine was seen back, or staff said that the work is done (some work needs no
- *                       restart)
+ * @param since          when the current stage began, in milliseconds since 1970
+ * @param incarnation    the incarnation of the machine when it went out of service; empty before
+ * @param drainedByOrder whether the order drained the machine and has not observed it serving since
+ * @param returned       whether the machine was observed to be back, or staff reported the work as done (some work
+ *                       needs no restart)
  * @param heldByStaff    whether staff hold this request
- * @param reasons        why it is at this stage, or does not proceed
+ * @param reasons        why the request is at this stage or does not proceed
  */
 public record RequestStatus(MaintenanceRequest request, MaintenanceStage stage, long since, String incarnation,
         boolean drainedByOrder, boolean returned, boolean heldByStaff, List<MaintenanceConstraint> reasons) {
-    /** Takes a copy of the list. */
+    /** Copies the list. */
     public RequestStatus {
         reasons = List.copyOf(reasons);
     }
 
-    static RequestStatus asked(MaintenanceRequest request, long now) {
+    static RequestStatus submitted(MaintenanceRequest request, long now) {
         return new RequestStatus(request, MaintenanceStage.ASKED, now, "", false, false, false, List.of());
     }
 
-    /** At this stage without reasons. */
-    RequestStatus at(MaintenanceStage next, long now) {
-        return at(next, now, List.of());
+    /** Returns this status at a stage, without reasons. */
+    RequestStatus withStage(MaintenanceStage newStage, long now) {
+        return withStage(newStage, now, List.of());
     }
 
-    /** At this stage for these reasons; the time is kept where the stage is the same. */
-    RequestStatus at(MaintenanceStage next, long now, List<MaintenanceConstraint> newReasons) {
-        return new RequestStatus(request, next, next == stage ? since : now, incarnation, drainedByOrder, returned,
-                heldByStaff, newReasons);
+    /** Returns this status at a stage with reasons. Keeps {@link #since} if the stage does not change. */
+    RequestStatus withStage(MaintenanceStage newStage, long now, List<MaintenanceConstraint> newReasons) {
+        return new RequestStatus(request, newStage, newStage == stage ? since : now, incarnation, drainedByOrder,
+                returned, heldByStaff, newReasons);
     }
 
     RequestStatus withIncarnation(String newIncarnation) {
--- a/src/main/java/wallmoor/maintenance/ScheduleConflictFinder.java
+++ b/src/main/java/wallmoor/maintenance/ScheduleConflictFinder.java
@@ -9,20 +9,20 @@
 import wallmoor.maintenance.SchedulingProblem.Job;
 
 /**
- * Explains why there is no schedule: a minimal unsatisfiable subset of the constraints, by hitting sets (the smallest
- * one) or, where that takes too long, deletion-based.
+ * Explains why there is no schedule by an unsatisfiable subset of the constraints: the smallest one, found by hitting
+ * sets, or, if that takes too many steps, a minimal one found by deletion.
  */
 final class ScheduleConflictFinder {
-    /** Most hitting sets that are tried; each costs up to 720 orders for each constraint. */
+    /** Maximum number of hitting sets that are tried. Each can cost a search of 720 orders for each constraint. */
     private static final int MAX_HITTING_SETS = 100;
-    /** Most jobs of a large problem that are looked at one by one. */
+    /** Maximum number of jobs that are examined individually. */
     private static final int MAX_SINGLE_JOBS = 200;
 
     /**
-     * A conflict.
+     * A set of constraints that cannot be satisfied together.
      *
-     * @param minimal proven: no smaller set of constraints conflicts
-     * @param proven  that no schedule exists; else none was found
+     * @param minimal whether it is proven that no smaller set of constraints conflicts
+     * @param proven  whether it is proven that no schedule exists; otherwise none was found
      */
     record Conflict(List<MaintenanceConstraint> constraints, boolean minimal, boolean proven) {
         static Conflict smaller(Conflict a, Conflict b) {
@@ -40,43 +40,43 @@
     }
 
     /**
-     * The conflict of a problem without a schedule.
+     * Returns the conflict of a problem without a schedule.
      *
-     * @param missed the jobs that failed in the best attempt
+     * @param missedJobs the jobs that failed in the best attempt
      */
-    static Conflict find(SchedulingProblem problem, List<Job> missed) {
-        return new ScheduleConflictFinder(problem).find(missed);
+    static Conflict find(SchedulingProblem problem, List<Job> missedJobs) {
+        return new ScheduleConflictFinder(problem).find(missedJobs);
     }
 
-    private Conflict find(List<Job> missed) {
+    private Conflict find(List<Job> missedJobs) {
         Conflict best = null;
-        for (Job job : missed.subList(0, Math.min(MAX_SINGLE_JOBS, missed.size()))) {
+        for (Job job : missedJobs.subList(0, Math.min(MAX_SINGLE_JOBS, missedJobs.size()))) {
             best = Conflict.smaller(best, conflictOf(job));
             if (best != null && best.constraints().size() == 1) {
                 return best;
             }
         }
-        boolean few = problem.jobs.size() <= ExhaustiveScheduler.MAX_JOBS;
-        if (best == null || few) {
+        boolean isSmallProblem = problem.jobs.size() <= ExhaustiveScheduler.MAX_JOBS;
+        if (best == null || isSmallProblem) {
             Conflict joint = shortestCycle();
-            if (joint == null && few && !isFeasible(constraint -> true)) {
-                joint = smallest();
+            if (joint == null && isSmallProblem && !isFeasible(constraint -> true)) {
+                joint = findSmallest();
             }
             best = Conflict.smaller(best, joint);
         }
-        return best != null ? best : new Conflict(likelyConstraints(missed), false, false);
+        return best != null ? best : new Conflict(likelyConstraints(missedJobs), false, false);
     }
 
-    /** The conflict of a job alone; null where it has none. */
+    /** Returns the conflict of a single job, or null if it can be scheduled alone. */
     private Conflict conflictOf(Job job) {
-        boolean gone = job.machineIndex() < 0 || problem.outages.stream()
+        boolean isLost = job.machineIndex() < 0 || problem.outages.stream()
                 .anyMatch(o -> o.machineIndex() == job.machineIndex() && o.until() == SchedulingProblem.NEVER);
-        if (gone) {
+        if (isLost) {
             return new Conflict(
                     List.of(MaintenanceConstraint.of(MaintenanceRule.ITSELF, job.request().machine())), true, true);
         }
-        var alone = new ScheduleConflictFinder(problem.of(List.of(job)));
-        return alone.isFeasible(constraint -> true) ? null : alone.smallest();
+        var alone = new ScheduleConflictFinder(problem.restrictedTo(List.of(job)));
+        return alone.isFeasible(constraint -> true) ? null : alone.findSmallest();
     }
 
     private boolean isFeasible(Predicate<MaintenanceConstraint> enforced) {
@@ -88,10 +88,11 @@
     }
 
     /**
-     * The smallest unsatisfiable subset, by hitting sets: of each satisfiable set, the conflict has one constraint that
-     * the set leaves out. The smallest set that hits all these complements is tried until it is unsatisfiable.
+     * Returns the smallest unsatisfiable subset, by hitting sets. Any conflict contains at least one constraint of the
+     * complement of each satisfiable set. Each step tries a smallest set that hits all complements found so far, until
+     * such a set is unsatisfiable.
      */
-    private Conflict smallest() {
+    private Conflict findSmallest() {
         List<MaintenanceConstraint> constraints = constraints();
         List<Set<MaintenanceConstraint>> complements = new ArrayList<>();
         for (int tried = 0; tried < MAX_HITTING_SETS; tried++) {
@@ -107,7 +108,7 @@
         return new Conflict(withoutSuperfluous(constraints), false, true);
     }
 
-    /** Extends a satisfiable set to a maximal one, and returns the constraints that do not fit in. */
+    /** Extends a satisfiable set to a maximal one, and returns the constraints that cannot be added. */
     private Set<MaintenanceConstraint> complementOfMaximal(Set<MaintenanceConstraint> satisfiable,
             List<MaintenanceConstraint> constraints) {
         Set<MaintenanceConstraint> complement = new LinkedHashSet<>();
@@ -120,7 +121,11 @@
         return complement;
     }
 
-    /** Adds at most {@code more} elements to a set so that it hits each of the sets; false where that is impossible. */
+    /**
+     * Adds at most {@code more} elements to {@code hitting} so that it intersects each of the sets.
+     *
+     * @return false if that is impossible
+     */
     private static boolean extendToHit(List<Set<MaintenanceConstraint>> sets, Set<MaintenanceConstraint> hitting,
             int more) {
         for (Set<MaintenanceConstraint> set : sets) {
@@ -143,19 +148,19 @@
         return false;
     }
 
-    /** Deletion-based: drops each constraint without which the others are still unsatisfiable. */
+    /** Removes each constraint without which the others are still unsatisfiable. */
     private List<MaintenanceConstraint> withoutSuperfluous(List<MaintenanceConstraint> constraints) {
-        Set<MaintenanceConstraint> kept = new LinkedHashSet<>(constraints);
+        Set<MaintenanceConstraint> remaining = new LinkedHashSet<>(constraints);
         for (MaintenanceConstraint constraint : constraints) {
-            kept.remove(constraint);
-            if (isFeasible(kept)) {
-                kept.add(constraint);
+            remaining.remove(constraint);
+            if (isFeasible(remaining)) {
+                remaining.add(constraint);
             }
         }
-        return List.copyOf(kept);
+        return List.copyOf(remaining);
     }
 
-    /** All constraints that can bear on the jobs. */
+    /** Returns all constraints that can affect the jobs. */
     private List<MaintenanceConstraint> constraints() {
         Set<MaintenanceConstraint> all = new LinkedHashSet<>();
         Set<List<String>> seenHolders = new HashSet<>();
@@ -183,7 +188,7 @@
         return List.copyOf(all);
     }
 
-    /** The shortest cycle of precedences, or null. */
+    /** Returns the conflict of the shortest cycle of precedences, or null if there is none. */
     private Conflict shortestCycle() {
         List<String> best = null;
         for (Job job : problem.jobs) {
@@ -205,7 +210,9 @@
         return new Conflict(constraints, true, true);
     }
 
-    /** The shortest cycle through a machine, from it back along its predecessors, by breadth-first search; or null. */
+    /**
+     * Returns the shortest cycle from a machine along its predecessors, by breadth-first search; null if there is none.
+     */
     private List<String> cycleThrough(String machine) {
         List<List<String>> paths = new ArrayList<>(List.of(List.of(machine)));
         Set<String> seen = new HashSet<>();
@@ -225,13 +232,14 @@
         return null;
     }
 
-    /** Where nothing is proven: the deadlines that are missed, and the budgets that were kept meanwhile. */
-    private List<MaintenanceConstraint> likelyConstraints(List<Job> missed) {
+    /** Returns the missed deadlines and the budgets, as the likely conflict where nothing is proven. */
+    private List<MaintenanceConstraint> likelyConstraints(List<Job> missedJobs) {
         var likely = new ArrayList<MaintenanceConstraint>();
-        missed.stream().filter(Job::hasDeadline).forEach(j -> likely.add(MaintenanceConstraint.deadline(j.request())));
-        Set<MaintenanceRule> budgets = Set.of(MaintenanceRule.AT_ONCE, MaintenanceRule.CENTRE,
+        missedJobs.stream().filter(Job::hasDeadline)
+                .forEach(j -> likely.add(MaintenanceConstraint.deadline(j.request())));
+        Set<MaintenanceRule> budgetRules = Set.of(MaintenanceRule.AT_ONCE, MaintenanceRule.CENTRE,
                 MaintenanceRule.CAPACITY, MaintenanceRule.HOURS);
-        constraints().stream().filter(c -> budgets.contains(c.rule())).forEach(likely::add);
+        constraints().stream().filter(c -> budgetRules.contains(c.rule())).forEach(likely::add);
         return likely;
     }
 }
--- a/src/main/java/wallmoor/maintenance/SchedulingProblem.java
+++ b/src/main/java/wallmoor/maintenance/SchedulingProblem.java
@@ -9,9 +9,9 @@
 import java.util.function.Predicate;
 import wallmoor.maintenance.Machine.MachinePhase;
 
-/** What is to be scheduled: jobs, and the machines that are out meanwhile, and until when. */
+/** A scheduling problem: the jobs to schedule, and the existing outages with their expected ends. */
 final class SchedulingProblem {
-    /** The time of what never happens. */
+    /** The time of an event that never happens. */
     static final long NEVER = Long.MAX_VALUE;
     /** Index of a machine that is not in the fleet. */
     static final int UNKNOWN_MACHINE = -1;
@@ -19,7 +19,7 @@
     /**
      * A request that has not begun.
      *
-     * @param machineIndex in the fleet, or -1
+     * @param machineIndex index of the machine in the fleet, or {@link #UNKNOWN_MACHINE}
      */
     record Job(MaintenanceRequest request, int machineIndex, long outageMillis) {
         boolean hasDeadline() {
@@ -28,15 +28,15 @@
     }
 
     /**
-     * A machine that is out of service for another reason, or in slow start.
+     * A machine that is out of service, or in slow start, apart from the jobs to schedule.
      *
-     * @param capacityShare that it gives, in millionths
-     * @param until         when it is back, or {@link #NEVER}
+     * @param capacityShare share of its capacity that it provides, in millionths
+     * @param until         when it is back in service, in milliseconds since 1970, or {@link #NEVER}
      */
     record ExistingOutage(String machine, int machineIndex, long capacityShare, long until) {}
 
     final long now;
-    /** With the blocks alone that can constrain a job. */
+    /** The fleet with only the blocks that can constrain a job. */
     final FleetSnapshot fleet;
     final FleetSnapshot completeFleet;
     final Budgets budgets;
@@ -47,9 +47,10 @@
     private final Set<String> doneMachines = new HashSet<>();
 
     /**
-     * The problem of scheduling those of the requests, in this order, that have not begun.
+     * Creates the problem of scheduling the requests that have not begun.
      *
-     * @param recovered whether machines out by themselves, or overdue, are taken to be back
+     * @param statuses  all requests, in their order
+     * @param recovered whether machines with an unplanned outage, or overdue, are assumed to be back
      */
     SchedulingProblem(long now, List<RequestStatus> statuses, FleetSnapshot fleet, Budgets budgets,
             boolean recovered) {
@@ -77,32 +78,32 @@
         }
         for (Machine machine : fleet.machines()) {
             if (!begun.contains(machine.id())) {
-                addOwnOutage(machine, indexById.get(machine.id()), recovered);
+                addUnplannedOutage(machine, indexById.get(machine.id()), recovered);
             }
         }
         this.completeFleet = fleet;
         this.fleet = withConstrainingBlocks(fleet);
     }
 
-    private SchedulingProblem(SchedulingProblem of, List<Job> some) {
-        now = of.now;
-        budgets = of.budgets;
-        precedence = of.precedence;
-        outages.addAll(of.outages);
-        jobs.addAll(some);
-        some.forEach(job -> jobByMachine.put(job.request().machine(), job));
-        doneMachines.addAll(of.doneMachines);
-        completeFleet = of.completeFleet;
-        fleet = withConstrainingBlocks(of.fleet);
+    private SchedulingProblem(SchedulingProblem original, List<Job> selectedJobs) {
+        now = original.now;
+        budgets = original.budgets;
+        precedence = original.precedence;
+        outages.addAll(original.outages);
+        jobs.addAll(selectedJobs);
+        selectedJobs.forEach(job -> jobByMachine.put(job.request().machine(), job));
+        doneMachines.addAll(original.doneMachines);
+        completeFleet = original.completeFleet;
+        fleet = withConstrainingBlocks(original.fleet);
     }
 
-    /** The same problem for some of its jobs. Precedences of others mean nothing. */
-    SchedulingProblem of(List<Job> some) {
-        return new SchedulingProblem(this, some);
+    /** Returns this problem restricted to some of its jobs. Precedences of the other jobs are ignored. */
+    SchedulingProblem restrictedTo(List<Job> selectedJobs) {
+        return new SchedulingProblem(this, selectedJobs);
     }
 
-    /** A machine in slow start, or out by itself. */
-    private void addOwnOutage(Machine machine, int index, boolean recovered) {
+    /** Adds the outage of a machine that is in slow start, or has an unplanned outage. */
+    private void addUnplannedOutage(Machine machine, int index, boolean recovered) {
         boolean serving = machine.phase() == MachinePhase.SERVING;
         boolean slowStart = serving && machine.isNode() && machine.servingMillis() < budgets.slowStartMillis();
         if (slowStart || (!serving && !recovered)) {
@@ -111,7 +112,7 @@
         }
     }
 
-    /** Machines that must be done before a job starts. */
+    /** Returns the machines whose requests must be done before a job starts. */
     List<String> predecessors(Job job) {
         List<String> failed = precedence.failed(job.request());
         return precedence.predecessors(job.request().machine()).stream()
@@ -119,7 +120,7 @@
                 .filter(m -> !doneMachines.contains(m) || jobByMachine.containsKey(m)).toList();
     }
 
-    /** Those of the predecessors whose precedence counts. */
+    /** Returns the predecessors of a job whose precedence is enforced. */
     List<String> predecessors(Job job, Predicate<MaintenanceConstraint> enforced) {
         return predecessors(job).stream()
                 .filter(m -> enforced.test(MaintenanceConstraint.precedence(m, job.request().machine()))).toList();
@@ -143,15 +144,15 @@
         };
     }
 
-    /** Without the blocks that always keep a holder: those with one that is in no job and not out. */
-    private FleetSnapshot withConstrainingBlocks(FleetSnapshot of) {
-        Set<String> mayGo = new HashSet<>(jobByMachine.keySet());
-        outages.forEach(outage -> mayGo.add(outage.machine()));
-        List<BlockHolders> constraining = of.blocks().stream()
+    /** Returns the fleet without the blocks that always keep a holder: one that is in service and in no job. */
+    private FleetSnapshot withConstrainingBlocks(FleetSnapshot original) {
+        Set<String> machinesThatMayGo = new HashSet<>(jobByMachine.keySet());
+        outages.forEach(outage -> machinesThatMayGo.add(outage.machine()));
+        List<BlockHolders> constraining = original.blocks().stream()
                 .filter(b -> b.holders().stream().anyMatch(jobByMachine::containsKey)
-                        && mayGo.containsAll(b.holders()))
+                        && machinesThatMayGo.containsAll(b.holders()))
                 .toList();
-        return new FleetSnapshot(of.machines(), constraining, of.reports(), of.expectedGatherers(), of.hasQuorum(),
-                of.leader());
+        return new FleetSnapshot(original.machines(), constraining, original.reports(), original.expectedGatherers(),
+                original.hasQuorum(), original.leader());
     }
 }
--- a/src/main/java/wallmoor/maintenance/SchedulingResult.java
+++ b/src/main/java/wallmoor/maintenance/SchedulingResult.java
@@ -2,65 +2,66 @@
 
 import java.util.List;
 
-/** Result of scheduling maintenance requests. */
+/** The result of scheduling maintenance requests. */
 public sealed interface SchedulingResult {
     /**
-     * An order in which all requests can be met.
+     * A schedule that meets all requests.
      *
-     * @param slots      by their start; those that start together in the order of admission
-     * @param endsAt     when the last one is done, in milliseconds since 1970; the present time without requests
-     * @param lowerBound no order ends sooner, by the budgets, blocks and precedences; windows are left out
+     * @param slots      the outages by their start; those that start together are in the order of admission
+     * @param endsAt     when the last request is done, in milliseconds since 1970; the current time without requests
+     * @param lowerBound time before which no schedule can end, by the budgets, blocks and precedences; windows are
+     *                   ignored
      */
     record Schedule(List<OutageSlot> slots, long endsAt, long lowerBound) implements SchedulingResult {
-        /** Takes a copy of the list. */
+        /** Copies the list. */
         public Schedule {
             slots = List.copyOf(slots);
         }
     }
 
     /**
-     * No order exists as the fleet is; there would be one if the machines out by themselves were back.
+     * No schedule was found for the fleet as it is; there is one if the machines with unplanned outages return.
      *
-     * @param conflict constraints that cannot be satisfied together as the fleet is
-     * @param minimal  proven: no smaller set of constraints conflicts
+     * @param conflict constraints that cannot be satisfied together by the fleet as it is
+     * @param minimal  whether it is proven that no smaller set of constraints conflicts
      */
     record WaitsForRecovery(List<MaintenanceConstraint> conflict, boolean minimal) implements SchedulingResult {
-        /** Takes a copy of the list. */
+        /** Copies the list. */
         public WaitsForRecovery {
             conflict = List.copyOf(conflict);
         }
     }
 
     /**
-     * No order exists, even if all machines out by themselves were back.
+     * No schedule was found, even if all machines with unplanned outages return.
      *
-     * @param conflict constraints that cannot be satisfied together, whatever the others are
-     * @param minimal  proven: no smaller set of constraints conflicts
-     * @param proven   that no order exists; else none was found
+     * @param conflict constraints that cannot be satisfied together, regardless of the other constraints
+     * @param minimal  whether it is proven that no smaller set of constraints conflicts
+     * @param proven   whether it is proven that no schedule exists; otherwise none was found
      */
     record Infeasible(List<MaintenanceConstraint> conflict, boolean minimal, boolean proven)
             implements
                 SchedulingResult {
-        /** Takes a copy of the list. */
+        /** Copies the list. */
         public Infeasible {
             conflict = List.copyOf(conflict);
         }
     }
 
     /**
-     * A machine's time out of service, in milliseconds since 1970.
+     * The planned outage of a machine. Times are in milliseconds since 1970.
      *
-     * @param starts   when it begins to drain
-     * @param free     when it is estimated to be idle: all parts have ended by then
-     * @param back     when its work is estimated to be done
-     * @param done     when it is past slow start and observed
-     * @param out      machines out when it starts, itself included
-     * @param capacity share of all nodes' capacity that serves then, in millionths
-     * @param mustStay machines that are a block's only holder meanwhile
+     * @param starts   when the machine begins to drain
+     * @param free     when the machine is estimated to be idle, as all its parts have ended
+     * @param back     when the work is estimated to be done
+     * @param done     when the machine is past slow start and its observation period
+     * @param out      number of machines out of service when it starts, this one included
+     * @param capacity share of the total node capacity that serves then, in millionths
+     * @param mustStay machines that are the only holder of a block during the outage
      */
     record OutageSlot(MaintenanceRequest request, long starts, long free, long back, long done, int out, int capacity,
             List<String> mustStay) {
-        /** Takes a copy of the list. */
+        /** Copies the list. */
         public OutageSlot {
             mustStay = List.copyOf(mustStay);
         }
--- a/src/main/java/wallmoor/maintenance/UnreadableMaintenanceException.java
+++ b/src/main/java/wallmoor/maintenance/UnreadableMaintenanceException.java
@@ -1,6 +1,6 @@
 package wallmoor.maintenance;
 
-/** A version of the document {@code maintenance} cannot be decoded. */
+/** Thrown when a version of the document {@code maintenance} cannot be decoded. */
 public final class UnreadableMaintenanceException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
