--- a/src/main/java/wallmoor/maintenance/RequestOperations.java
+++ b/src/main/java/wallmoor/maintenance/RequestOperations.java
@@ -28,7 +28,8 @@
                 return state;
             }
             throw new RequestRejectedException("request id \"" + request.id()
-                    + "\" is in use by a different request, for machine \"" + known.request().machine() + "\"; choose another id");
+                    + "\" is in use by a different request, for machine \"" + known.request().machine()
+                    + "\"; choose another id");
         }
         if (textLength(request) > MAX_TEXT_CHARS) {
             throw new RequestRejectedException("id, machine, reason and who of the request have " + textLength(request)
@@ -75,8 +76,7 @@
         }
         if (status.stage().isOut() && status.stage() != MaintenanceStage.DRAINING) {
             throw new RequestRejectedException("machine \"" + status.request().machine() + "\" is "
-                    + status.stage().word()
-                    + "; its request ends when the machine is back and past slow start");
+                    + status.stage().word() + "; its request ends when the machine is back and past slow start");
         }
         return withStatus(state, status.withStage(MaintenanceStage.GIVEN_UP, now,
                 List.of(MaintenanceConstraint.of(MaintenanceRule.WITHDRAWN))));
--- a/src/test/java/wallmoor/maintenance/FleetFixtures.java
+++ b/src/test/java/wallmoor/maintenance/FleetFixtures.java
@@ -9,100 +9,101 @@
 import wallmoor.maintenance.Machine.MachinePhase;
 import wallmoor.maintenance.Machine.MachineRole;
 
-/** Small fleets for tests: serving and warm unless a line says otherwise. */
+/** Builds small fleets for tests. Machines serve and are past slow start unless set otherwise. */
 final class FleetFixtures {
-    static final long COLD = 18_000;
-    static final long WARM_UP = 5_000;
-    static final long PARTS = 5_000;
+    static final long SLOW_START_MILLIS = 18_000;
+    static final long OBSERVATION_MILLIS = 5_000;
+    static final long PART_TIMEOUT_MILLIS = 5_000;
 
     private FleetFixtures() {}
 
-    static Budgets budgets(int atOnce) {
-        return new Budgets(atOnce, Map.of(), 0, 0, Budgets.MaintenanceWindows.ANY, COLD, 160_000, WARM_UP, PARTS,
-                60_000, 30_000);
+    static Budgets budgets(int maxOut) {
+        return new Budgets(maxOut, Map.of(), 0, 0, Budgets.MaintenanceWindows.ANY, SLOW_START_MILLIS, 160_000,
+                OBSERVATION_MILLIS, PART_TIMEOUT_MILLIS, 60_000, 30_000);
     }
 
-    static Budgets kept(Budgets b, int capacity, int gatherers) {
-        return new Budgets(b.maxOut(), b.maxOutByCentre(), capacity, gatherers, b.windows(), b.slowStartMillis(),
-                b.slowStartShare(), b.observationMillis(),
-                b.partTimeoutMillis(),
-                b.drainTimeoutMillis(), b.overdueMillis());
+    static Budgets withMinimums(Budgets budgets, int minCapacity, int minGatherers) {
+        return new Budgets(budgets.maxOut(), budgets.maxOutByCentre(), minCapacity, minGatherers, budgets.windows(),
+                budgets.slowStartMillis(), budgets.slowStartShare(), budgets.observationMillis(),
+                budgets.partTimeoutMillis(), budgets.drainTimeoutMillis(), budgets.overdueMillis());
     }
 
-    static Budgets centres(Budgets b, Map<String, Integer> centres) {
-        return new Budgets(b.maxOut(), centres, b.minCapacity(), b.minGatherers(), b.windows(), b.slowStartMillis(),
-                b.slowStartShare(),
-                b.observationMillis(),
-                b.partTimeoutMillis(), b.drainTimeoutMillis(), b.overdueMillis());
+    static Budgets withCentreLimits(Budgets budgets, Map<String, Integer> maxOutByCentre) {
+        return new Budgets(budgets.maxOut(), maxOutByCentre, budgets.minCapacity(), budgets.minGatherers(),
+                budgets.windows(), budgets.slowStartMillis(), budgets.slowStartShare(), budgets.observationMillis(),
+                budgets.partTimeoutMillis(), budgets.drainTimeoutMillis(), budgets.overdueMillis());
     }
 
-    static Budgets hours(Budgets b, Budgets.MaintenanceWindows hours) {
-        return new Budgets(b.maxOut(), b.maxOutByCentre(), b.minCapacity(), b.minGatherers(), hours,
-                b.slowStartMillis(), b.slowStartShare(),
-                b.observationMillis(),
-                b.partTimeoutMillis(), b.drainTimeoutMillis(), b.overdueMillis());
+    static Budgets withWindows(Budgets budgets, Budgets.MaintenanceWindows windows) {
+        return new Budgets(budgets.maxOut(), budgets.maxOutByCentre(), budgets.minCapacity(), budgets.minGatherers(),
+                windows, budgets.slowStartMillis(), budgets.slowStartShare(), budgets.observationMillis(),
+                budgets.partTimeoutMillis(), budgets.drainTimeoutMillis(), budgets.overdueMillis());
     }
 
     static Machine node(String id) {
-        return machine(id, MachineRole.NODE, MachinePhase.SERVING, "1", COLD);
+        return machine(id, MachineRole.NODE, MachinePhase.SERVING, "1", SLOW_START_MILLIS);
     }
 
     static Machine gatherer(String id) {
-        return machine(id, MachineRole.GATHERER, MachinePhase.SERVING, "1", COLD);
+        return machine(id, MachineRole.GATHERER, MachinePhase.SERVING, "1", SLOW_START_MILLIS);
     }
 
-    /** Its data centre is its id's first letter. */
-    static Machine machine(String id, MachineRole kind, MachinePhase phase, String life, long served) {
-        return new Machine(id, kind, id.substring(0, 1), 1, kind == MachineRole.GATHERER, phase, life, PARTS, served);
+    /** Creates a machine whose data centre is the first letter of its id. */
+    static Machine machine(String id, MachineRole role, MachinePhase phase, String incarnation, long servingMillis) {
+        return new Machine(id, role, id.substring(0, 1), 1, role == MachineRole.GATHERER, phase, incarnation,
+                PART_TIMEOUT_MILLIS, servingMillis);
     }
 
-    static BlockHolders block(String id, String... on) {
-        return new BlockHolders(id, List.of(on));
+    static BlockHolders block(String id, String... holders) {
+        return new BlockHolders(id, List.of(holders));
     }
 
     static FleetSnapshot fleet(List<Machine> machines, BlockHolders... blocks) {
         return new FleetSnapshot(machines, List.of(blocks), List.of(), 0, true, "");
     }
 
-    /** The same with one machine as this one. */
-    static FleetSnapshot with(FleetSnapshot f, Machine m) {
-        var all = new ArrayList<>(f.machines());
-        all.replaceAll(x -> x.id().equals(m.id()) ? m : x);
-        return new FleetSnapshot(all, f.blocks(), f.reports(), f.expectedGatherers(), f.hasQuorum(), f.leader());
+    /** Returns the fleet with the machine of the same id replaced. */
+    static FleetSnapshot withMachine(FleetSnapshot fleet, Machine machine) {
+        var machines = new ArrayList<>(fleet.machines());
+        machines.replaceAll(x -> x.id().equals(machine.id()) ? machine : x);
+        return new FleetSnapshot(machines, fleet.blocks(), fleet.reports(), fleet.expectedGatherers(),
+                fleet.hasQuorum(), fleet.leader());
     }
 
-    static FleetSnapshot phase(FleetSnapshot f, String id, MachinePhase phase) {
-        Machine m = f.byId().get(id);
-        return with(f, machine(id, m.role(), phase, m.incarnation(), m.servingMillis()));
+    static FleetSnapshot withPhase(FleetSnapshot fleet, String id, MachinePhase phase) {
+        Machine machine = fleet.byId().get(id);
+        return withMachine(fleet, machine(id, machine.role(), phase, machine.incarnation(), machine.servingMillis()));
     }
 
-    static FleetSnapshot words(FleetSnapshot f, int gatherers, GathererReport... words) {
-        return new FleetSnapshot(f.machines(), f.blocks(), List.of(words), gatherers, f.hasQuorum(), f.leader());
+    static FleetSnapshot withReports(FleetSnapshot fleet, int expectedGatherers, GathererReport... reports) {
+        return new FleetSnapshot(fleet.machines(), fleet.blocks(), List.of(reports), expectedGatherers,
+                fleet.hasQuorum(), fleet.leader());
     }
 
-    static FleetSnapshot quorum(FleetSnapshot f, boolean quorum, String leader) {
-        return new FleetSnapshot(f.machines(), f.blocks(), f.reports(), f.expectedGatherers(), quorum, leader);
+    static FleetSnapshot withQuorum(FleetSnapshot fleet, boolean hasQuorum, String leader) {
+        return new FleetSnapshot(fleet.machines(), fleet.blocks(), fleet.reports(), fleet.expectedGatherers(),
+                hasQuorum, leader);
     }
 
-    static GathererReport free(String gatherer, String... machines) {
+    static GathererReport drainedReport(String gatherer, String... machines) {
         return new GathererReport(gatherer, 0, Set.of(machines), Map.of());
     }
 
-    static MaintenanceRequest wish(String machine, String... after) {
-        return wish(machine, 20_000, MaintenanceRequest.NO_DEADLINE, after);
+    static MaintenanceRequest request(String machine, String... after) {
+        return request(machine, 20_000, MaintenanceRequest.NO_DEADLINE, after);
     }
 
-    static MaintenanceRequest wish(String machine, long lasts, long by, String... after) {
-        return new MaintenanceRequest("w-" + machine, machine, lasts, by, "patch", "kim",
+    static MaintenanceRequest request(String machine, long workMillis, long deadline, String... after) {
+        return new MaintenanceRequest("w-" + machine, machine, workMillis, deadline, "patch", "kim",
                 new TreeSet<>(Arrays.asList(after)),
                 new TreeSet<>());
     }
 
-    static MaintenanceState ask(MaintenanceState state, long now, MaintenanceRequest... wishes) {
+    static MaintenanceState submit(MaintenanceState state, long now, MaintenanceRequest... requests) {
         MaintenanceState next = state;
-        for (MaintenanceRequest w : wishes) {
+        for (MaintenanceRequest request : requests) {
             try {
-                next = RequestOperations.submit(next, w, now);
+                next = RequestOperations.submit(next, request, now);
             } catch (RequestRejectedException e) {
                 throw new AssertionError(e);
             }
@@ -110,11 +111,11 @@
         return next;
     }
 
-    static MaintenanceStage step(MaintenanceState s, String machine) {
-        return s.requests().get("w-" + machine).stage();
+    static MaintenanceStage stageOf(MaintenanceState state, String machine) {
+        return state.requests().get("w-" + machine).stage();
     }
 
-    static List<MaintenanceConstraint> why(MaintenanceState s, String machine) {
-        return s.requests().get("w-" + machine).reasons();
+    static List<MaintenanceConstraint> reasonsOf(MaintenanceState state, String machine) {
+        return state.requests().get("w-" + machine).reasons();
     }
 }
--- a/src/test/java/wallmoor/maintenance/MaintenanceGoldenFilesTest.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceGoldenFilesTest.java
@@ -11,7 +11,10 @@
 import org.junit.Test;
 import wallmoor.rules.DocumentSchemas;
 
-/** What the program before 3 December 2026 had gatherers agree on is read, and written again with the same bytes. */
+/**
+ * Guards against changes of the stored form: documents written by versions before 3 December 2026 are decoded, and
+ * encoded again with the same bytes.
+ */
 public class MaintenanceGoldenFilesTest {
     private static List<String> lines(String name) throws IOException {
         try (InputStream in = MaintenanceGoldenFilesTest.class.getResourceAsStream("/golden/maintenance/" + name)) {
@@ -20,9 +23,9 @@
     }
 
     @Test
-    public void theDocumentsBodyAndFallbackAreReadAndWrittenAlike() throws Exception {
+    public void readsAndWritesStoredDocumentsByteForByte() throws Exception {
         List<String> lines = lines("documents.jsonl");
-        var steps = new TreeSet<MaintenanceStage>();
+        var stages = new TreeSet<MaintenanceStage>();
         var rules = new TreeSet<MaintenanceRule>();
         for (int i = 0; i < lines.size(); i += 2) {
             MaintenanceState state = MaintenanceCodec.decode(DocumentSchemas.MAINTENANCE.parse(lines.get(i)));
@@ -30,11 +33,11 @@
             assertEquals(lines.get(i + 1), MaintenanceCodec.fallback(state));
             DocumentSchemas.MAINTENANCE.parse(lines.get(i + 1));
             state.requests().values().forEach(s -> {
-                steps.add(s.stage());
+                stages.add(s.stage());
                 s.reasons().forEach(r -> rules.add(r.rule()));
             });
         }
-        assertEquals("every step has a wish", Set.of(MaintenanceStage.values()), steps);
-        assertEquals("every rule has a reason", Set.of(MaintenanceRule.values()), rules);
+        assertEquals("the golden file covers every stage", Set.of(MaintenanceStage.values()), stages);
+        assertEquals("the golden file covers every rule", Set.of(MaintenanceRule.values()), rules);
     }
 }
--- a/src/test/java/wallmoor/maintenance/MaintenanceInvariants.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceInvariants.java
@@ -13,9 +13,9 @@
 import wallmoor.rules.RuleDocument;
 import wallmoor.rules.RuleProposal;
 
-/** Judges each version by the fleet that was seen; shares nothing with the decider but its records. */
+/** Checks each version against the observed fleet. Shares no code with the state machine except the data records. */
 final class MaintenanceInvariants {
-    private static final Map<MaintenanceStage, Set<MaintenanceStage>> MAY = Map.ofEntries(
+    private static final Map<MaintenanceStage, Set<MaintenanceStage>> ALLOWED_TRANSITIONS = Map.ofEntries(
             Map.entry(MaintenanceStage.ASKED,
                     Set.of(MaintenanceStage.PLANNED, MaintenanceStage.HELD, MaintenanceStage.REFUSED,
                             MaintenanceStage.DRAINING)),
@@ -33,142 +33,148 @@
             Map.entry(MaintenanceStage.WARM, Set.of(MaintenanceStage.DONE, MaintenanceStage.RETURNING)),
             Map.entry(MaintenanceStage.DONE, Set.of()),
             Map.entry(MaintenanceStage.REFUSED, Set.of()), Map.entry(MaintenanceStage.GIVEN_UP, Set.of()));
-    private static final Set<MaintenanceStage> HAS = Set.of(MaintenanceStage.DRAINING, MaintenanceStage.OUT,
+    private static final Set<MaintenanceStage> OUT_STAGES = Set.of(MaintenanceStage.DRAINING, MaintenanceStage.OUT,
             MaintenanceStage.RETURNING, MaintenanceStage.WARM, MaintenanceStage.OVERDUE);
 
-    private static final Set<MaintenanceStage> NEEDS_REASON = Set.of(MaintenanceStage.HELD, MaintenanceStage.REFUSED,
-            MaintenanceStage.OVERDUE, MaintenanceStage.GIVEN_UP);
-    private static final Set<MaintenanceStage> ENDED = Set.of(MaintenanceStage.DONE, MaintenanceStage.GIVEN_UP,
+    private static final Set<MaintenanceStage> STAGES_WITH_REASON = Set.of(MaintenanceStage.HELD,
+            MaintenanceStage.REFUSED, MaintenanceStage.OVERDUE, MaintenanceStage.GIVEN_UP);
+    private static final Set<MaintenanceStage> FINAL_STAGES = Set.of(MaintenanceStage.DONE, MaintenanceStage.GIVEN_UP,
             MaintenanceStage.REFUSED);
 
     private MaintenanceInvariants() {}
 
-    /** A version that follows another one. */
-    static void version(MaintenanceState before, MaintenanceState after, FleetSnapshot fleet, Budgets budgets) {
-        Set<String> ours = new TreeSet<>();
+    /** Checks a version against its predecessor. */
+    static void checkVersion(MaintenanceState before, MaintenanceState after, FleetSnapshot fleet, Budgets budgets) {
+        Set<String> outByOrder = new TreeSet<>();
         Set<String> began = new TreeSet<>();
-        Set<String> drains = new TreeSet<>();
+        Set<String> draining = new TreeSet<>();
         after.requests().forEach((id, status) -> {
-            MaintenanceStage was = before.requests().get(id).stage();
+            MaintenanceStage previous = before.requests().get(id).stage();
             String machine = status.request().machine();
-            transition(id, was, status);
-            if (HAS.contains(was) || HAS.contains(status.stage())) {
-                assertTrue(ours.add(machine), machine + " has two wishes out");
+            checkTransition(id, previous, status);
+            if (OUT_STAGES.contains(previous) || OUT_STAGES.contains(status.stage())) {
+                assertTrue(outByOrder.add(machine), machine + " is out for two requests");
             }
-            if ((status.stage() == MaintenanceStage.DRAINING && !HAS.contains(was))
-                    || (status.stage() == MaintenanceStage.OUT && was != MaintenanceStage.OUT)) {
+            if ((status.stage() == MaintenanceStage.DRAINING && !OUT_STAGES.contains(previous))
+                    || (status.stage() == MaintenanceStage.OUT && previous != MaintenanceStage.OUT)) {
                 began.add(machine);
             }
             if (status.stage() == MaintenanceStage.DRAINING) {
-                drains.add(machine);
-                precedence(after, status, was);
+                draining.add(machine);
+                checkPrecedence(after, status, previous);
             }
         });
         Map<String, Machine> machines = new TreeMap<>();
         fleet.machines().forEach(m -> machines.put(m.id(), m));
-        cover(fleet, began, drains, id -> machines.containsKey(id)
+        checkCover(fleet, began, draining, id -> machines.containsKey(id)
                 && machines.get(id).phase() == MachinePhase.SERVING
-                && machines.get(id).servingMillis() >= budgets.slowStartMillis() && !ours.contains(id));
+                && machines.get(id).servingMillis() >= budgets.slowStartMillis() && !outByOrder.contains(id));
         if (!began.isEmpty()) {
-            assertTrue(fleet.hasQuorum(), "began without a quorum");
-            assertFalse(before.held(), "began though held");
-            budgets(began, ours, machines, budgets);
+            assertTrue(fleet.hasQuorum(), "a request began without a quorum");
+            assertFalse(before.held(), "a request began although the order is held");
+            checkBudgets(began, outByOrder, machines, budgets);
         }
     }
 
-    private static void transition(String id, MaintenanceStage was, RequestStatus status) {
-        assertTrue(was == status.stage() || MAY.get(was).contains(status.stage()),
-                id + " from " + was + " to " + status.stage());
-        assertFalse(NEEDS_REASON.contains(status.stage()) && status.reasons().isEmpty(), id + " has no reason");
+    private static void checkTransition(String id, MaintenanceStage previous, RequestStatus status) {
+        assertTrue(previous == status.stage() || ALLOWED_TRANSITIONS.get(previous).contains(status.stage()),
+                id + " from " + previous + " to " + status.stage());
+        assertFalse(STAGES_WITH_REASON.contains(status.stage()) && status.reasons().isEmpty(), id + " lacks a reason");
     }
 
-    private static void precedence(MaintenanceState after, RequestStatus draining, MaintenanceStage was) {
+    private static void checkPrecedence(MaintenanceState after, RequestStatus draining, MaintenanceStage previous) {
         draining.request().after().forEach(first -> assertTrue(
                 after.requests().values().stream().noneMatch(other -> other.request().machine().equals(first)
-                        && !ENDED.contains(other.stage()) && !HAS.contains(was)),
-                draining.request().machine() + " began before " + first));
+                        && !FINAL_STAGES.contains(other.stage()) && !OUT_STAGES.contains(previous)),
+                draining.request().machine() + " began before its predecessor " + first));
     }
 
-    private static void cover(FleetSnapshot fleet, Set<String> began, Set<String> drains, Predicate<String> serves) {
+    private static void checkCover(FleetSnapshot fleet, Set<String> began, Set<String> draining,
+            Predicate<String> serves) {
         for (BlockHolders block : fleet.blocks()) {
             for (String m : block.holders()) {
-                if (began.contains(m) || drains.contains(m)) {
+                if (began.contains(m) || draining.contains(m)) {
                     assertTrue(block.holders().stream().anyMatch(serves), block + " loses its last holder with " + m);
                 }
             }
         }
     }
 
-    private static void budgets(Set<String> began, Set<String> ours, Map<String, Machine> machines, Budgets b) {
+    private static void checkBudgets(Set<String> began, Set<String> outByOrder, Map<String, Machine> machines,
+            Budgets budgets) {
         int out = 0;
-        Map<String, Integer> outIn = new TreeMap<>();
+        Map<String, Integer> outByCentre = new TreeMap<>();
         for (Machine m : machines.values()) {
-            boolean counts = serves(m, ours) && (isGatherer(m) || m.servingMillis() >= b.slowStartMillis());
-            out += counts ? 0 : 1;
-            outIn.merge(m.centre(), counts ? 0 : 1, Integer::sum);
+            boolean inService = serves(m, outByOrder)
+                    && (isGatherer(m) || m.servingMillis() >= budgets.slowStartMillis());
+            out += inService ? 0 : 1;
+            outByCentre.merge(m.centre(), inService ? 0 : 1, Integer::sum);
         }
-        assertTrue(out <= b.maxOut(), out + " out of " + b.maxOut() + " with " + began);
+        assertTrue(out <= budgets.maxOut(), out + " machines out, at most " + budgets.maxOut() + " allowed; began: "
+                + began);
         for (String id : began) {
             Machine m = machines.get(id);
-            assertTrue(outIn.get(m.centre()) <= b.maxOutByCentre().getOrDefault(m.centre(), 1_000),
-                    "too many out in " + m.centre());
+            assertTrue(outByCentre.get(m.centre()) <= budgets.maxOutByCentre().getOrDefault(m.centre(), 1_000),
+                    "too many machines out in centre " + m.centre());
             if (isGatherer(m)) {
-                gatherers(m, ours, machines, b);
+                checkGatherers(m, outByOrder, machines, budgets);
             } else {
-                capacity(ours, machines, b);
+                checkCapacity(outByOrder, machines, budgets);
             }
         }
     }
 
-    private static boolean serves(Machine m, Set<String> ours) {
-        return m.phase() == MachinePhase.SERVING && !ours.contains(m.id());
+    private static boolean serves(Machine m, Set<String> outByOrder) {
+        return m.phase() == MachinePhase.SERVING && !outByOrder.contains(m.id());
     }
 
     private static boolean isGatherer(Machine m) {
         return m.role() == Machine.MachineRole.GATHERER;
     }
 
-    private static void gatherers(Machine began, Set<String> ours, Map<String, Machine> machines, Budgets b) {
+    private static void checkGatherers(Machine began, Set<String> outByOrder, Map<String, Machine> machines,
+            Budgets budgets) {
         int serving = 0;
         int voters = 0;
         int servingVoters = 0;
         for (Machine m : machines.values()) {
             if (isGatherer(m)) {
-                serving += serves(m, ours) ? 1 : 0;
+                serving += serves(m, outByOrder) ? 1 : 0;
                 voters += m.voter() ? 1 : 0;
-                servingVoters += serves(m, ours) && m.voter() ? 1 : 0;
+                servingVoters += serves(m, outByOrder) && m.voter() ? 1 : 0;
             }
         }
-        assertTrue(serving >= b.minGatherers(), "gatherers");
-        assertTrue(!began.voter() || 2 * servingVoters > voters, "voters");
+        assertTrue(serving >= budgets.minGatherers(), "too few gatherers serve");
+        assertTrue(!began.voter() || 2 * servingVoters > voters, "no majority of voters serves");
     }
 
-    private static void capacity(Set<String> ours, Map<String, Machine> machines, Budgets b) {
-        long all = 0;
+    private static void checkCapacity(Set<String> outByOrder, Map<String, Machine> machines, Budgets budgets) {
+        long totalCapacity = 0;
         long serving = 0;
         for (Machine m : machines.values()) {
             if (!isGatherer(m)) {
-                all += 1_000_000 * m.capacity();
-                serving += serves(m, ours) ? m.capacity() * share(m, b) : 0;
+                totalCapacity += 1_000_000 * m.capacity();
+                serving += serves(m, outByOrder) ? m.capacity() * share(m, budgets) : 0;
             }
         }
-        assertTrue(serving >= all / 1_000_000 * b.minCapacity(), "capacity");
+        assertTrue(serving >= totalCapacity / 1_000_000 * budgets.minCapacity(), "too little capacity serves");
     }
 
-    /** Of its capacity, in millionths. */
-    private static long share(Machine m, Budgets b) {
-        return m.servingMillis() >= b.slowStartMillis() ? 1_000_000
-                : b.slowStartShare() + (1_000_000 - b.slowStartShare()) * m.servingMillis() / b.slowStartMillis();
+    /** Returns the share of its capacity that a node has, in millionths. */
+    private static long share(Machine m, Budgets budgets) {
+        return m.servingMillis() >= budgets.slowStartMillis() ? 1_000_000
+                : budgets.slowStartShare()
+                        + (1_000_000 - budgets.slowStartShare()) * m.servingMillis() / budgets.slowStartMillis();
     }
 
-    /** As the document has it. */
-    static MaintenanceState read(MaintenanceState state) {
+    /** Returns the state after encoding, validation and decoding. */
+    static MaintenanceState roundTrip(MaintenanceState state) {
         try {
-            var doc = RuleDocument.of(
+            var document = RuleDocument.of(
                     new RuleProposal("maintenance", 0, "", "me", MaintenanceCodec.body(state),
                             MaintenanceCodec.fallback(state)),
                     1);
-            return MaintenanceCodec.decode(DocumentSchemas.MAINTENANCE.validate(doc));
+            return MaintenanceCodec.decode(DocumentSchemas.MAINTENANCE.validate(document));
         } catch (wallmoor.rules.InvalidRuleException e) {
             throw new AssertionError(e);
         }
--- a/src/test/java/wallmoor/maintenance/MaintenanceSimulation.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceSimulation.java
@@ -15,260 +15,266 @@
 import wallmoor.maintenance.Machine.MachineRole;
 
 /**
- * A fleet that the decider's versions are carried out on, with what is true apart from what is seen. After each version
- * the judge looks; when staff take a machine down no part may be out on it; when one is done it must be warm in truth.
+ * Simulates a fleet on which the versions of the state machine are executed. The actual state of the fleet is kept
+ * apart from its observed state. {@link MaintenanceInvariants} checks each version. When staff take a machine down, no
+ * part may be in flight on it; when a request is done, its machine must actually serve past slow start.
  */
 final class MaintenanceSimulation {
-    /**
-     * A gatherer that can't be asked goes on sending for so long, and a part lasts up to so long: together the parts'
-     * time.
-     */
-    static final long LEASE = 2_000;
-    static final long PART = 3_000;
+    /** How long an unreachable gatherer continues to send parts. With the longest part, it makes the part timeout. */
+    static final long LEASE_MILLIS = 2_000;
+    /** The duration of the longest part. */
+    static final long MAX_PART_MILLIS = 3_000;
 
-    static final class Box {
-        final Machine as;
-        boolean up = true;
-        boolean listed = true;
-        int life = 1;
-        long served = FleetFixtures.COLD;
+    static final class SimulatedMachine {
+        final Machine description;
+        boolean isUp = true;
+        boolean isListed = true;
+        int incarnation = 1;
+        long servingMillis = FleetFixtures.SLOW_START_MILLIS;
         long phaseSince;
-        /** Staff work on it until then; 0 for not. */
-        long backAt;
+        /** When the work of staff on the machine ends; 0 if there is none. */
+        long returnsAt;
 
-        Box(Machine as) {
-            this.as = as;
+        SimulatedMachine(Machine description) {
+            this.description = description;
         }
     }
 
-    static final class Gate {
-        boolean cut;
+    static final class SimulatedGatherer {
+        boolean isPartitioned;
         long silentSince;
-        Set<String> heeds = new TreeSet<>();
+        Set<String> avoids = new TreeSet<>();
         final List<Map.Entry<String, Long>> parts = new ArrayList<>();
-        GathererReport last;
+        GathererReport lastReport;
     }
 
     final Random random;
-    final Map<String, Box> boxes = new TreeMap<>();
-    final Map<String, Gate> gates = new TreeMap<>();
+    final Map<String, SimulatedMachine> machinesById = new TreeMap<>();
+    final Map<String, SimulatedGatherer> gatherersById = new TreeMap<>();
     final List<BlockHolders> blocks;
     Budgets budgets;
     long now = 1_000_000_000_000L;
     long skew;
-    MaintenanceState acting = MaintenanceState.EMPTY;
-    boolean quorum = true;
+    MaintenanceState active = MaintenanceState.EMPTY;
+    boolean hasQuorum = true;
     String leader;
-    /** Shares of what goes well: acts done, versions agreed, gatherers that hear the list, staff that come back. */
-    double smooth = 1;
-    boolean returns = true;
-    int steps;
+    /** Probability that an action is performed, a version is agreed, or a gatherer receives the endpoint list. */
+    double successProbability = 1;
+    /** Whether staff return machines when their work ends. */
+    boolean staffReturnMachines = true;
+    int tickCount;
 
     MaintenanceSimulation(long seed, List<Machine> machines, List<BlockHolders> blocks, Budgets budgets) {
         this.random = new Random(seed);
         this.blocks = blocks;
         this.budgets = budgets;
         machines.forEach(m -> {
-            boxes.put(m.id(), new Box(m));
-            boxes.get(m.id()).phaseSince = now;
+            machinesById.put(m.id(), new SimulatedMachine(m));
+            machinesById.get(m.id()).phaseSince = now;
             if (m.role() == MachineRole.GATHERER) {
-                gates.put(m.id(), new Gate());
+                gatherersById.put(m.id(), new SimulatedGatherer());
             }
         });
-        leader = gates.isEmpty() ? "" : gates.keySet().iterator().next();
+        leader = gatherersById.isEmpty() ? "" : gatherersById.keySet().iterator().next();
     }
 
-    private boolean well() {
-        return random.nextDouble() < smooth;
+    private boolean succeeds() {
+        return random.nextDouble() < successProbability;
     }
 
     void crash(String id) {
-        Box b = boxes.get(id);
-        b.up = false;
-        b.phaseSince = now;
-        gates.values().forEach(g -> g.parts.removeIf(p -> p.getKey().equals(id)));
-        if (gates.containsKey(id)) {
-            gates.get(id).parts.clear();
-            gates.get(id).silentSince = now - LEASE; // it has no lease when it starts
+        SimulatedMachine machine = machinesById.get(id);
+        machine.isUp = false;
+        machine.phaseSince = now;
+        gatherersById.values().forEach(gatherer -> gatherer.parts.removeIf(p -> p.getKey().equals(id)));
+        if (gatherersById.containsKey(id)) {
+            gatherersById.get(id).parts.clear();
+            gatherersById.get(id).silentSince = now - LEASE_MILLIS; // it starts without a lease
         }
     }
 
     void start(String id) {
-        Box b = boxes.get(id);
-        if (!b.up && b.backAt == 0) {
-            b.up = true;
-            b.life++;
-            b.served = 0;
-            b.phaseSince = now;
+        SimulatedMachine machine = machinesById.get(id);
+        if (!machine.isUp && machine.returnsAt == 0) {
+            machine.isUp = true;
+            machine.incarnation++;
+            machine.servingMillis = 0;
+            machine.phaseSince = now;
         }
     }
 
-    void cut(String id, boolean cut) {
-        gates.get(id).cut = cut;
-        silent(id);
+    void setPartitioned(String id, boolean isPartitioned) {
+        gatherersById.get(id).isPartitioned = isPartitioned;
+        markSilent(id);
     }
 
-    private void silent(String id) {
-        gates.get(id).silentSince = Math.max(gates.get(id).silentSince, 0) == 0 ? now : gates.get(id).silentSince;
+    private void markSilent(String id) {
+        gatherersById.get(id).silentSince = Math.max(gatherersById.get(id).silentSince, 0) == 0 ? now
+                : gatherersById.get(id).silentSince;
     }
 
-    private boolean answers(String id) {
-        return boxes.get(id).up && !gates.get(id).cut;
+    private boolean isReachable(String id) {
+        return machinesById.get(id).isUp && !gatherersById.get(id).isPartitioned;
     }
 
-    /** Time goes on, and then all do what is theirs. */
-    void tick(long by) {
-        now += by;
-        boxes.forEach((id, b) -> {
-            b.served += b.up && b.listed ? by : 0;
-            if (b.backAt != 0 && b.backAt <= now && returns) {
-                b.backAt = 0;
+    /** Advances the time, then lets traffic, state machine and actions take one step. */
+    void tick(long elapsedMillis) {
+        now += elapsedMillis;
+        machinesById.forEach((id, machine) -> {
+            machine.servingMillis += machine.isUp && machine.isListed ? elapsedMillis : 0;
+            if (machine.returnsAt != 0 && machine.returnsAt <= now && staffReturnMachines) {
+                machine.returnsAt = 0;
                 start(id);
             }
         });
-        gates.forEach(this::traffic);
-        FleetSnapshot seen = seen();
-        MaintenanceState before = acting;
-        MaintenanceState next = MaintenanceStateMachine.next(now + skew, before, seen, budgets);
-        if (steps % 8 == 0) { // a function, and a document can carry it
-            assertEquals(next,
-                    MaintenanceStateMachine.next(now + skew, MaintenanceInvariants.read(before), seen, budgets));
+        gatherersById.forEach(this::exchangeTraffic);
+        FleetSnapshot observed = observedFleet();
+        MaintenanceState before = active;
+        MaintenanceState next = MaintenanceStateMachine.next(now + skew, before, observed, budgets);
+        if (tickCount % 8 == 0) { // the state machine is deterministic, and the stored form is lossless
+            assertEquals(next, MaintenanceStateMachine.next(now + skew, MaintenanceInvariants.roundTrip(before),
+                    observed, budgets));
         }
-        MaintenanceInvariants.version(before, next, seen, budgets);
-        if (well()) { // else it was not agreed on
-            acting = next;
+        MaintenanceInvariants.checkVersion(before, next, observed, budgets);
+        if (succeeds()) { // otherwise the version was not agreed
+            active = next;
             next.requests().forEach((id, s) -> {
                 if (s.stage() == MaintenanceStage.DONE && before.requests().get(id).stage() != MaintenanceStage.DONE) {
-                    assertTrue(isDoneInTruth(boxes.get(s.request().machine())), id + " is not done");
+                    assertTrue(isActuallyDone(machinesById.get(s.request().machine())),
+                            id + " is done, but its machine does not actually serve");
                 }
             });
         }
-        steps++;
-        MaintenanceAction.due(acting, seen, budgets).forEach(a -> {
-            if (well()) {
-                act(a);
+        tickCount++;
+        MaintenanceAction.due(active, observed, budgets).forEach(action -> {
+            if (succeeds()) {
+                perform(action);
             }
         });
     }
 
-    private boolean isDoneInTruth(Box b) {
-        long observed = skew == 0 && steps > 0 ? budgets.observationMillis() : 0;
-        return b.up && b.listed
-                && (b.as.role() == MachineRole.GATHERER || b.served >= budgets.slowStartMillis() + observed);
+    private boolean isActuallyDone(SimulatedMachine machine) {
+        long observed = skew == 0 && tickCount > 0 ? budgets.observationMillis() : 0;
+        return machine.isUp && machine.isListed
+                && (machine.description.role() == MachineRole.GATHERER
+                        || machine.servingMillis >= budgets.slowStartMillis() + observed);
     }
 
-    /** A gatherer may send a part to a node that it does not avoid. */
-    private void send(String gatherer, Gate g, String machine, Box b) {
-        if (b.as.role() == MachineRole.NODE && !g.heeds.contains(machine)) {
-            assertTrue(b.backAt == 0 || b.listed, gatherer + " sends to " + machine + ", which is worked on");
-            if (b.up && random.nextBoolean()) {
-                g.parts.add(Map.entry(machine, now + 1 + random.nextInt((int) PART)));
+    /** Lets a gatherer send a part, at random, to a node that it does not avoid. */
+    private void send(String gathererId, SimulatedGatherer gatherer, String machineId, SimulatedMachine machine) {
+        if (machine.description.role() == MachineRole.NODE && !gatherer.avoids.contains(machineId)) {
+            assertTrue(machine.returnsAt == 0 || machine.isListed,
+                    gathererId + " sends to " + machineId + " during the work of staff");
+            if (machine.isUp && random.nextBoolean()) {
+                gatherer.parts.add(Map.entry(machineId, now + 1 + random.nextInt((int) MAX_PART_MILLIS)));
             }
         }
     }
 
-    private void traffic(String id, Gate g) {
-        Box own = boxes.get(id);
-        g.parts.removeIf(p -> p.getValue() <= now);
-        if (answers(id)) {
-            if (g.silentSince != 0 || well()) { // with a lease again it has the list of it
-                var heeds = new TreeSet<String>();
-                boxes.forEach((m, b) -> {
-                    if (!b.listed) {
-                        heeds.add(m);
+    private void exchangeTraffic(String id, SimulatedGatherer gatherer) {
+        SimulatedMachine ownMachine = machinesById.get(id);
+        gatherer.parts.removeIf(p -> p.getValue() <= now);
+        if (isReachable(id)) {
+            // a gatherer that regains its lease receives the current list
+            if (gatherer.silentSince != 0 || succeeds()) {
+                var avoids = new TreeSet<String>();
+                machinesById.forEach((m, machine) -> {
+                    if (!machine.isListed) {
+                        avoids.add(m);
                     }
                 });
-                g.heeds = heeds;
+                gatherer.avoids = avoids;
             }
-            g.silentSince = 0;
+            gatherer.silentSince = 0;
         }
-        if (own.up && (g.silentSince == 0 || now < g.silentSince + LEASE)) {
-            boxes.forEach((m, b) -> send(id, g, m, b));
+        if (ownMachine.isUp && (gatherer.silentSince == 0 || now < gatherer.silentSince + LEASE_MILLIS)) {
+            machinesById.forEach((m, machine) -> send(id, gatherer, m, machine));
         }
-        if (g.silentSince == 0) {
-            Map<String, Integer> out = new HashMap<>();
-            g.parts.forEach(p -> out.merge(p.getKey(), 1, Integer::sum));
-            g.last = new GathererReport(id, 0, g.heeds, out);
+        if (gatherer.silentSince == 0) {
+            Map<String, Integer> inFlight = new HashMap<>();
+            gatherer.parts.forEach(p -> inFlight.merge(p.getKey(), 1, Integer::sum));
+            gatherer.lastReport = new GathererReport(id, 0, gatherer.avoids, inFlight);
         }
     }
 
-    private void act(MaintenanceAction a) {
-        Box b = boxes.get(a.machine());
-        switch (a.type()) {
-            case DRAIN, HAND_OVER -> list(b, false);
-            case SERVE -> list(b, true);
+    private void perform(MaintenanceAction action) {
+        SimulatedMachine machine = machinesById.get(action.machine());
+        switch (action.type()) {
+            case DRAIN, HAND_OVER -> setListed(machine, false);
+            case SERVE -> setListed(machine, true);
             case TRANSFER_LEADERSHIP ->
-                leader = gates.keySet().stream().filter(g -> !g.equals(a.machine()) && answers(g)).findFirst()
+                leader = gatherersById.keySet().stream()
+                        .filter(gatherer -> !gatherer.equals(action.machine()) && isReachable(gatherer)).findFirst()
                         .orElse(leader);
             case NOTIFY_FREE -> {
-                if (b.up) {
-                    gates.forEach((id, g) -> assertTrue(!boxes.get(id).up || g.parts.stream().noneMatch(
-                            p -> p.getKey().equals(a.machine()) && p.getValue() > now),
-                            "parts are out on " + a.machine()));
-                    crash(a.machine());
-                    b.backAt = now + 1 + random.nextInt(25_000);
+                if (machine.isUp) {
+                    gatherersById.forEach((id, gatherer) -> assertTrue(
+                            !machinesById.get(id).isUp || gatherer.parts.stream()
+                                    .noneMatch(p -> p.getKey().equals(action.machine()) && p.getValue() > now),
+                            "parts are in flight on " + action.machine()));
+                    crash(action.machine());
+                    machine.returnsAt = now + 1 + random.nextInt(25_000);
                 }
             }
             default -> {}
         }
     }
 
-    void list(Box b, boolean serving) {
-        if (b.listed != serving) {
-            b.listed = serving;
-            b.phaseSince = now;
+    void setListed(SimulatedMachine machine, boolean serving) {
+        if (machine.isListed != serving) {
+            machine.isListed = serving;
+            machine.phaseSince = now;
         }
     }
 
-    FleetSnapshot seen() {
+    FleetSnapshot observedFleet() {
         var machines = new ArrayList<Machine>();
-        boxes.forEach((id, b) -> machines.add(new Machine(id, b.as.role(), b.as.centre(), b.as.capacity(), b.as.voter(),
-                !b.up ? MachinePhase.AWAY : b.listed ? MachinePhase.SERVING : MachinePhase.DRAINING, "" + b.life,
-                now - b.phaseSince,
-                b.served)));
-        var words = new ArrayList<GathererReport>();
-        gates.forEach((id, g) -> {
-            if (g.last != null) {
-                words.add(new GathererReport(id, g.silentSince == 0 ? 0 : now - g.silentSince + 1, g.last.avoids(),
-                        g.last.inFlight()));
+        machinesById.forEach((id, machine) -> machines.add(new Machine(id, machine.description.role(),
+                machine.description.centre(), machine.description.capacity(), machine.description.voter(),
+                !machine.isUp ? MachinePhase.AWAY : machine.isListed ? MachinePhase.SERVING : MachinePhase.DRAINING,
+                "" + machine.incarnation, now - machine.phaseSince, machine.servingMillis)));
+        var reports = new ArrayList<GathererReport>();
+        gatherersById.forEach((id, gatherer) -> {
+            if (gatherer.lastReport != null) {
+                reports.add(new GathererReport(id,
+                        gatherer.silentSince == 0 ? 0 : now - gatherer.silentSince + 1, gatherer.lastReport.avoids(), gatherer.lastReport.inFlight()));
             }
         });
-        return new FleetSnapshot(machines, blocks, words, gates.size(), quorum, leader);
+        return new FleetSnapshot(machines, blocks, reports, gatherersById.size(), hasQuorum, leader);
     }
 
-    /** All faults end, and staff let it go on. */
-    void heal(Budgets sane) {
-        budgets = sane;
+    /** Ends all faults and resumes all that staff hold. */
+    void heal(Budgets normalBudgets) {
+        budgets = normalBudgets;
         skew = 0;
-        smooth = 1;
-        returns = true;
-        quorum = true;
-        gates.keySet().forEach(g -> cut(g, false));
-        boxes.keySet().forEach(this::start);
-        acting = RequestOperations.hold(acting, false);
-        for (String id : acting.requests().keySet()) {
+        successProbability = 1;
+        staffReturnMachines = true;
+        hasQuorum = true;
+        gatherersById.keySet().forEach(gatherer -> setPartitioned(gatherer, false));
+        machinesById.keySet().forEach(this::start);
+        active = RequestOperations.hold(active, false);
+        for (String id : active.requests().keySet()) {
             try {
-                acting = RequestOperations.hold(acting, id, false);
+                active = RequestOperations.hold(active, id, false);
             } catch (RequestRejectedException e) {
                 throw new AssertionError(e);
             }
         }
     }
 
-    /** Runs until nothing is left to come; then each wish is over, or held for what only a person mends. */
-    void settle(long by) {
+    /** Runs until every request has ended or is held for a reason that only staff can resolve, and checks this. */
+    void settle(long tickMillis) {
         for (int i = 0; i < 400
-                && acting.requests().values().stream().anyMatch(s -> !s.stage().isFinal() && !forPeople(s)); i++) {
-            tick(by);
+                && active.requests().values().stream().anyMatch(s -> !s.stage().isFinal() && !needsStaff(s)); i++) {
+            tick(tickMillis);
         }
-        acting.requests()
-                .forEach(
-                        (id, s) -> assertTrue(s.stage().isFinal() || forPeople(s), () -> s + " in " + acting + seen()));
-        boxes.forEach((id, b) -> assertTrue(b.up && b.listed, id + " does not serve"));
+        active.requests().forEach((id, s) -> assertTrue(s.stage().isFinal() || needsStaff(s),
+                () -> s + " in " + active + observedFleet()));
+        machinesById.forEach((id, machine) -> assertTrue(machine.isUp && machine.isListed, id + " does not serve"));
     }
 
-    private static boolean forPeople(RequestStatus s) {
-        return s.stage() == MaintenanceStage.HELD && s.reasons().stream()
+    private static boolean needsStaff(RequestStatus status) {
+        return status.stage() == MaintenanceStage.HELD && status.reasons().stream()
                 .allMatch(r -> r.rule() == MaintenanceRule.BY || r.rule() == MaintenanceRule.PIN);
     }
 }
