--- a/src/test/java/wallmoor/maintenance/MaintenanceSimulation.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceSimulation.java
@@ -237,7 +237,8 @@
         gatherersById.forEach((id, gatherer) -> {
             if (gatherer.lastReport != null) {
                 reports.add(new GathererReport(id,
-                        gatherer.silentSince == 0 ? 0 : now - gatherer.silentSince + 1, gatherer.lastReport.avoids(), gatherer.lastReport.inFlight()));
+                        gatherer.silentSince == 0 ? 0 : now - gatherer.silentSince + 1,
+                        gatherer.lastReport.avoids(), gatherer.lastReport.inFlight()));
             }
         });
         return new FleetSnapshot(machines, blocks, reports, gatherersById.size(), hasQuorum, leader);
--- a/src/test/java/wallmoor/maintenance/MaintenanceStateMachineTest.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceStateMachineTest.java
@@ -124,7 +124,8 @@
         }
         assertEquals(MaintenanceStage.OUT,
                 stageOf(next(1_000, state, drainingA(confirmed,
-                        new GathererReport("h", FleetFixtures.PART_TIMEOUT_MILLIS, Set.of(), Map.of("a", 3))), oneOut), "a"));
+                        new GathererReport("h", FleetFixtures.PART_TIMEOUT_MILLIS, Set.of(), Map.of("a", 3))),
+                        oneOut), "a"));
         FleetSnapshot recentlyDraining = withMachine(drainingA(confirmed),
                 new Machine("a", MachineRole.NODE, "a", 1, false, MachinePhase.DRAINING, "1",
                         FleetFixtures.PART_TIMEOUT_MILLIS - 1, 0));
