--- a/src/bench/java/wallmoor/maintenance/LargeSchedulesBenchmark.java
+++ b/src/bench/java/wallmoor/maintenance/LargeSchedulesBenchmark.java
@@ -15,7 +15,7 @@
 
     public static void main(String[] args) {
         if (args.length > 0) {
-            MaintenanceSimulationTest.everyOrder(4);
+            MaintenanceSimulationTest.runEverySequence(4);
             System.out.println("all orders of four events: no fault");
             return;
         }
--- a/src/test/java/wallmoor/maintenance/MaintenanceSimulationTest.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceSimulationTest.java
@@ -118,11 +118,11 @@
      */
     @Example
     void settlesAfterEverySequenceOfThreeEvents() {
-        everyOrder(3);
+        runEverySequence(3);
     }
 
     /** Runs every sequence of {@code length} events. A length of four takes some minutes. */
-    static void everyOrder(int length) {
+    static void runEverySequence(int length) {
         int eventKinds = 11;
         for (int choice = 0; choice < Math.pow(eventKinds, length); choice++) {
             var simulation = new MaintenanceSimulation(choice,
