--- a/src/main/java/wallmoor/idempotency/IdempotencyLimits.java
+++ b/src/main/java/wallmoor/idempotency/IdempotencyLimits.java
@@ -40,7 +40,8 @@
      */
     public IdempotencyLimits {
         require(abandonedGrace >= 0 && retention > 0 && deduplicationWindow > 0 && clockSkew >= 0
-                && uploadIdleTimeout > 0, "retention, deduplicationWindow and uploadIdleTimeout must be positive,"
+                && uploadIdleTimeout > 0,
+                "retention, deduplicationWindow and uploadIdleTimeout must be positive,"
                         + " abandonedGrace and clockSkew not negative");
         require(maxOpenPerDevice >= 1 && maxOpen >= maxOpenPerDevice && maxRetainedPerDevice >= 1,
                 "maxOpenPerDevice and maxRetainedPerDevice must be at least 1, maxOpen at least maxOpenPerDevice");
