--- a/src/main/java/wallmoor/endpoints/EligibilityReview.java
+++ b/src/main/java/wallmoor/endpoints/EligibilityReview.java
@@ -3,8 +3,9 @@
 import wallmoor.core.WorkerEndpoint;
 
 /**
- * Decides whether an endpoint may serve, apart from whether its tier does. An endpoint of a trusted source may as soon
- * as the source says so; of the others one that flaps, can't be connected to, or whose address is another's may not.
+ * Decides whether an endpoint is eligible to serve, regardless of its tier. An endpoint of a trusted source is eligible
+ * as soon as the source claims that it serves. An endpoint of any other source is not eligible while it flaps, can't be
+ * connected to, or claims an address that another endpoint owns.
  */
 final class EligibilityReview {
     private final ClaimResolver claims;
@@ -20,54 +21,58 @@
         this.schedule = schedule;
     }
 
-    /** Decides anew, and enters the endpoint in its tier or takes it out. */
+    /** Updates the endpoint's eligibility, and adds the endpoint to its tier or removes it from there. */
     void review(RegisteredEndpoint endpoint, long now) {
-        boolean claimedServing = endpoint.isClaimed(WorkerEndpoint.EndpointState.SERVING);
-        boolean judged = !endpoint.isTrusted();
-        if (judged && claimedServing != endpoint.namedServing) {
-            recordFlap(endpoint, claimedServing, now);
+        boolean isClaimedServing = endpoint.isClaimed(WorkerEndpoint.EndpointState.SERVING);
+        boolean isUntrusted = !endpoint.isTrusted();
+        if (isUntrusted && isClaimedServing != endpoint.wasClaimedServing) {
+            recordFlap(endpoint, isClaimedServing, now);
         }
-        endpoint.ineligibility = judged && claimedServing ? obstacle(endpoint, now) : null;
-        reachability.setUnreachable(endpoint, judged && claimedServing && endpoint.damping.isUnreachable(now));
-        boolean eligible = claimedServing && endpoint.ineligibility == null;
+        endpoint.ineligibility = isUntrusted && isClaimedServing ? ineligibilityCause(endpoint, now) : null;
+        reachability.setUnreachable(endpoint,
+                isUntrusted && isClaimedServing && endpoint.damping.isUnreachable(now));
+        boolean isEligible = isClaimedServing && endpoint.ineligibility == null;
         int cell = endpoint.claim == null ? endpoint.cell : endpoint.claim.endpoint().cell();
-        int tier = endpoint.claim == null || !judged ? 0 : endpoint.claim.endpoint().tier();
-        enterTier(endpoint, eligible, cell, tier);
-        if (!eligible) {
+        int tier = endpoint.claim == null || !isUntrusted ? 0 : endpoint.claim.endpoint().tier();
+        updateTier(endpoint, isEligible, cell, tier);
+        if (!isEligible) {
             reachability.clearSuspicion(endpoint);
         }
     }
 
-    private static void recordFlap(RegisteredEndpoint endpoint, boolean returned, long now) {
-        if (returned) {
+    private static void recordFlap(RegisteredEndpoint endpoint, boolean hasReturned, long now) {
+        if (hasReturned) {
             endpoint.damping.onReturned(now);
         } else {
             endpoint.damping.onRemoved(now);
         }
-        endpoint.namedServing = returned;
+        endpoint.wasClaimedServing = hasReturned;
     }
 
-    /** Why the endpoint may not serve though its source claims that it does, or null. */
-    private String obstacle(RegisteredEndpoint endpoint, long now) {
+    /**
+     * Returns why the endpoint may not serve although its source claims that it does, or null if it may. Schedules the
+     * next review where the endpoint is suppressed.
+     */
+    private String ineligibilityCause(RegisteredEndpoint endpoint, long now) {
         String conflict = claims.addressConflict(endpoint);
         if (conflict != null || !endpoint.damping.isSuppressed(now)) {
             return conflict;
         }
         schedule.schedule(endpoint, now, endpoint.damping.suppressedUntil());
-        return "held out: " + endpoint.damping.suppressionReason();
+        return "suppressed: " + endpoint.damping.suppressionReason();
     }
 
-    private void enterTier(RegisteredEndpoint endpoint, boolean eligible, int cell, int tier) {
-        boolean moved = cell != endpoint.cell || tier != endpoint.tier;
-        if (eligible != endpoint.eligible || (eligible && moved)) {
+    private void updateTier(RegisteredEndpoint endpoint, boolean isEligible, int cell, int tier) {
+        boolean hasMoved = cell != endpoint.cell || tier != endpoint.tier;
+        if (isEligible != endpoint.eligible || (isEligible && hasMoved)) {
             if (endpoint.eligible) {
                 tiers.remove(endpoint.id, endpoint.cell, endpoint.tier);
             }
-            if (eligible) {
+            if (isEligible) {
                 tiers.add(endpoint.id, cell, tier);
             }
         }
-        endpoint.eligible = eligible;
+        endpoint.eligible = isEligible;
         endpoint.cell = cell;
         endpoint.tier = tier;
     }
--- a/src/main/java/wallmoor/endpoints/EndpointClaim.java
+++ b/src/main/java/wallmoor/endpoints/EndpointClaim.java
@@ -1,8 +1,9 @@
 package wallmoor.endpoints;
 
 /**
- * What one source claims of one endpoint, and since when it gives the endpoint this address. A source that withdrew an
- * endpoint leaves a claim that it is gone, a tombstone. Mutable: {@link SourceView} counts the snapshots that lack it.
+ * One source's claim on one endpoint, and the time since which the source gives the endpoint this address. A source
+ * that withdraws an endpoint leaves a tombstone: a claim that the endpoint is gone. Mutable, as {@link SourceView}
+ * counts the snapshots that lack the endpoint. Times are in microseconds.
  */
 final class EndpointClaim {
     private final SourceEndpoint endpoint;
@@ -12,12 +13,12 @@
     private int missedSnapshots;
 
     /**
-     * Makes a claim.
+     * Creates a claim.
      *
-     * @param cause           in words for the operators
-     * @param since           microseconds, when the source first gave the endpoint this address
-     * @param fromFirstReport whether the source named it when it was first heard, so that nothing says that it was
-     *                        started lately
+     * @param cause           the cause as text for operators
+     * @param since           when the source first gave the endpoint this address
+     * @param fromFirstReport whether the endpoint was in the source's first report, in which case it may have been
+     *                        running for any time before
      */
     EndpointClaim(SourceEndpoint endpoint, String cause, long since, boolean fromFirstReport) {
         this.endpoint = endpoint;
@@ -42,7 +43,7 @@
         return fromFirstReport;
     }
 
-    /** Consecutive good snapshots that lack the endpoint. */
+    /** Returns how many snapshots in a row lack the endpoint. */
     int missedSnapshots() {
         return missedSnapshots;
     }
@@ -55,7 +56,7 @@
         missedSnapshots = 0;
     }
 
-    /** Whether this is a tombstone. */
+    /** Returns whether this claim is a tombstone. */
     boolean isGone() {
         return endpoint.isGone();
     }
--- a/src/main/java/wallmoor/endpoints/EndpointPublisher.java
+++ b/src/main/java/wallmoor/endpoints/EndpointPublisher.java
@@ -4,8 +4,8 @@
 import wallmoor.core.WorkerEndpoint;
 
 /**
- * Decides what is published of an endpoint once its eligibility is known: it serves, drains, or is gone. One that loses
- * its claim is removed gracefully: it drains for longer than any deadline before it is gone.
+ * Decides the published state of an endpoint whose eligibility is known: serving, draining, or gone. An endpoint that
+ * loses its claim is removed gracefully: it drains for longer than any query's deadline before it is gone.
  */
 final class EndpointPublisher {
     private final RegistryPolicy policy;
@@ -20,21 +20,23 @@
         this.schedule = schedule;
     }
 
-    /** Publishes the endpoint's state; adds the change to {@code changes} where there is one. */
+    /** Publishes the endpoint's state, and adds the change, if there is one, to {@code changes}. */
     void publish(RegisteredEndpoint endpoint, long now, List<EndpointChange> changes) {
-        boolean trusted = endpoint.isTrusted();
-        if (endpoint.eligible && (trusted || endpoint.tier == tiers.servingTier(endpoint.cell))) {
-            become(endpoint, serving(endpoint, now), endpoint.claim.cause(), changes);
+        boolean isTrusted = endpoint.isTrusted();
+        if (endpoint.eligible && (isTrusted || endpoint.tier == tiers.servingTier(endpoint.cell))) {
+            setPublished(endpoint, serving(endpoint, now), endpoint.claim.cause(), changes);
             return;
         }
-        if (trusted && endpoint.isClaimed(WorkerEndpoint.EndpointState.GONE)) {
+        if (isTrusted && endpoint.isClaimed(WorkerEndpoint.EndpointState.GONE)) {
             if (endpoint.published != null) {
-                become(endpoint, endpoint.inState(WorkerEndpoint.EndpointState.GONE), endpoint.claim.cause(), changes);
+                setPublished(endpoint, endpoint.inState(WorkerEndpoint.EndpointState.GONE), endpoint.claim.cause(),
+                        changes);
             }
             return;
         }
-        if (endpoint.isClaimed(WorkerEndpoint.EndpointState.DRAINING) && (trusted || endpoint.published != null)) {
-            become(endpoint, endpoint.inState(WorkerEndpoint.EndpointState.DRAINING), endpoint.claim.cause(), changes);
+        if (endpoint.isClaimed(WorkerEndpoint.EndpointState.DRAINING) && (isTrusted || endpoint.published != null)) {
+            setPublished(endpoint, endpoint.inState(WorkerEndpoint.EndpointState.DRAINING), endpoint.claim.cause(),
+                    changes);
             return;
         }
         endpoint.ineligibility = removalCause(endpoint);
@@ -43,7 +45,7 @@
         }
     }
 
-    /** Why an endpoint does not serve that no source drains or removes. */
+    /** Returns why an endpoint is to be removed, or remains unpublished. */
     private String removalCause(RegisteredEndpoint endpoint) {
         if (endpoint.ineligibility != null) {
             return endpoint.ineligibility;
@@ -72,28 +74,29 @@
         schedule.schedule(endpoint, now, endpoint.goneAt);
         WorkerEndpoint.EndpointState state = now >= endpoint.goneAt ? WorkerEndpoint.EndpointState.GONE
                 : WorkerEndpoint.EndpointState.DRAINING;
-        become(endpoint, endpoint.publishedInState(state), endpoint.ineligibility, changes);
+        setPublished(endpoint, endpoint.publishedInState(state), endpoint.ineligibility, changes);
     }
 
     /**
-     * The endpoint as it serves. Where its source does not tell when it started, one that appears or comes back, or
-     * that listens at a new address, counts as started now; one that was there when the source was first heard does
-     * not.
+     * Returns the endpoint in the state SERVING, and updates the endpoint's start time. Where the source does not
+     * report the start time, an endpoint that appears, comes back or gets a new address counts as started now; an
+     * endpoint of the source's first report counts as started long ago.
      */
     private static WorkerEndpoint serving(RegisteredEndpoint endpoint, long now) {
         SourceEndpoint claimed = endpoint.claim.endpoint();
-        boolean stays = endpoint.isPublishedServing()
+        boolean isUninterrupted = endpoint.isPublishedServing()
                 && (endpoint.published.address().equals(claimed.address()) || endpoint.isTrusted());
         if (claimed.upSince() != SourceEndpoint.UNKNOWN_START) {
             endpoint.startedAt = claimed.upSince();
-        } else if (!stays) {
-            boolean wasThere = endpoint.claim.fromFirstReport() && endpoint.published == null && endpoint.cause == null;
-            endpoint.startedAt = wasThere ? 0 : now;
+        } else if (!isUninterrupted) {
+            boolean isFirstPublication = endpoint.claim.fromFirstReport() && endpoint.published == null
+                    && endpoint.cause == null;
+            endpoint.startedAt = isFirstPublication ? 0 : now;
         }
         return endpoint.inState(WorkerEndpoint.EndpointState.SERVING);
     }
 
-    private static void become(RegisteredEndpoint endpoint, WorkerEndpoint next, String cause,
+    private static void setPublished(RegisteredEndpoint endpoint, WorkerEndpoint next, String cause,
             List<EndpointChange> changes) {
         if (next.equals(endpoint.published)) {
             return;
--- a/src/main/java/wallmoor/endpoints/EndpointRegistry.java
+++ b/src/main/java/wallmoor/endpoints/EndpointRegistry.java
@@ -12,13 +12,14 @@
 import wallmoor.core.WorkerEndpoint;
 
 /**
- * The one list of endpoints that several ranked sources add up to, with a stated rule for their disagreement
- * (docs/membership.md). It decides only: it takes watch events with their time and returns changes with their causes;
- * it knows no socket, file, clock or thread, and one caller at a time uses it. A change costs by its size, not by the
- * fleet's.
+ * Merges the endpoints that several ranked sources report into one list; docs/membership.md has the rules for sources
+ * that disagree. The registry takes watch events with their time and returns changes with their causes. It uses no
+ * socket, file, clock or thread, and is not safe for concurrent use. The cost of a change depends on the size of the
+ * change, not of the fleet.
  *
- * <p>Each event leads to a review of the endpoints that it bears on: {@link ClaimResolver} finds whose claim counts,
- * {@link EligibilityReview} whether the endpoint may serve, {@link EndpointPublisher} what is published of it.
+ * <p>Each event leads to a review of the endpoints that it affects: {@link ClaimResolver} decides which claim is in
+ * effect, {@link EligibilityReview} whether the endpoint may serve, and {@link EndpointPublisher} which state is
+ * published.
  */
 public final class EndpointRegistry {
     private final RegistryPolicy policy;
@@ -33,7 +34,7 @@
     private final EndpointPublisher publisher;
     private long now;
 
-    /** Makes an empty registry. */
+    /** Creates an empty registry. */
     public EndpointRegistry(RegistryPolicy policy) {
         this.policy = policy;
         for (SourcePolicy source : policy.sources()) {
@@ -49,16 +50,17 @@
     /**
      * Applies a watch event.
      *
-     * @param at microseconds that never go back
-     * @return the changes; each names its endpoint once
-     * @throws RejectedWatchEventException if the source is unknown, names more endpoints than it may or one of them
-     *                                     twice: then nothing of the event is applied
+     * @param at the current time in microseconds, which must not decrease between calls
+     * @return the changes, at most one for each endpoint
+     * @throws RejectedWatchEventException if the source is unknown, or names too many endpoints or one of them twice;
+     *                                     no part of the event is applied then
      */
     public List<EndpointChange> apply(long at, WatchEvent event) {
         now = Math.max(now, at);
         SourceView view = viewsByName.get(event.source());
         if (view == null) {
-            throw new RejectedWatchEventException("no source " + event.source());
+            throw new RejectedWatchEventException(
+                    "unknown source " + event.source() + "; known sources: " + viewsByName.keySet());
         }
         return review(applyTo(view, event));
     }
@@ -80,35 +82,40 @@
         return Set.of();
     }
 
-    /** Checks an event's endpoints; {@code added} are those that come on top of what the source names already. */
-    private static void checkBounds(SourceView view, List<SourceEndpoint> named, boolean added) {
+    /**
+     * Rejects an event that names too many endpoints, or, from a source that is not trusted, one of them twice.
+     *
+     * @param isDelta whether the named endpoints are added to those that the source names already
+     */
+    private static void checkBounds(SourceView view, List<SourceEndpoint> named, boolean isDelta) {
         SourcePolicy source = view.source();
         var ids = new HashSet<String>();
-        int count = added ? view.size() : 0;
+        int count = isDelta ? view.size() : 0;
         for (SourceEndpoint endpoint : named) {
             if (ids.add(endpoint.id())) {
-                count += added && view.names(endpoint.id()) ? 0 : 1;
+                count += isDelta && view.names(endpoint.id()) ? 0 : 1;
             } else if (!source.trusted()) {
-                throw new RejectedWatchEventException(source.name() + " names " + endpoint.id() + " twice");
+                throw new RejectedWatchEventException(source.name() + " names endpoint " + endpoint.id() + " twice");
             }
         }
         if (count > source.maxEndpoints()) {
             throw new RejectedWatchEventException(
-                    source.name() + " names more than " + source.maxEndpoints() + " nodes");
+                    source.name() + " names " + count + " endpoints; at most " + source.maxEndpoints()
+                            + " are allowed");
         }
     }
 
-    /** Applies what time alone has brought about. */
+    /** Applies the changes that are due at this time without an event. */
     public List<EndpointChange> tick(long at) {
         now = Math.max(now, at);
-        var touched = new LinkedHashSet<String>();
+        var changedIds = new LinkedHashSet<String>();
         for (SourceView view : viewsByRank) {
-            touched.addAll(view.tick(now));
+            changedIds.addAll(view.tick(now));
         }
-        return review(touched);
+        return review(changedIds);
     }
 
-    /** When {@link #tick} has something to do, in microseconds, or {@link Long#MAX_VALUE}. */
+    /** Returns when {@link #tick} is next due, in microseconds, or {@link Long#MAX_VALUE} for never. */
     public long nextTickAt() {
         long next = schedule.nextAt();
         for (SourceView view : viewsByRank) {
@@ -117,7 +124,11 @@
         return next;
     }
 
-    /** A connection to the endpoint came up, or did not: evidence beside the sources, for those not trusted. */
+    /**
+     * Records the result of a connection attempt to an endpoint. It is ignored if the endpoint's source is trusted.
+     *
+     * @param up whether the connection was established
+     */
     public List<EndpointChange> reportConnection(long at, String id, boolean up) {
         now = Math.max(now, at);
         RegisteredEndpoint endpoint = endpoints.get(id);
@@ -128,22 +139,22 @@
             reachability.onConnectSucceeded(endpoint);
             return List.of();
         }
-        boolean suppressed = reachability.onConnectFailed(endpoint, now, endpoints.size());
-        return suppressed ? review(Set.of(id)) : List.of();
+        boolean isSuppressed = reachability.onConnectFailed(endpoint, now, endpoints.size());
+        return isSuppressed ? review(Set.of(id)) : List.of();
     }
 
-    // ---- answers ------------------------------------------------------------------------------------------
+    // ---- queries ------------------------------------------------------------------------------------------
 
     /**
-     * Endpoints to which a connection has failed, and none come up since, with their addresses by id. The decision
-     * module leaves such an endpoint alone, so that no further evidence comes of itself: who has sockets should probe
-     * them, and report.
+     * Returns the addresses, by id, of endpoints to which a connection failed and none has been established since. The
+     * decision module sends such an endpoint no parts, so that no more connection results come from queries: the caller
+     * should probe these addresses and report the results.
      */
     public Map<String, String> suspectedAddresses() {
         return reachability.suspectedAddresses();
     }
 
-    /** All endpoints that are known, in the order of their ids, with the cause of their state. */
+    /** Returns all known endpoints, in the order of their ids, with the causes of their states. */
     public List<EndpointStatus> endpointStatuses() {
         var statuses = new ArrayList<EndpointStatus>();
         for (RegisteredEndpoint endpoint : endpoints.values()) {
@@ -158,7 +169,7 @@
         return List.copyOf(statuses);
     }
 
-    /** The sources in the order of their rank. */
+    /** Returns the sources' statuses in the order of their ranks. */
     public List<SourceStatus> sourceStatuses() {
         var statuses = new ArrayList<SourceStatus>();
         for (SourceView view : viewsByRank) {
@@ -168,22 +179,22 @@
         return List.copyOf(statuses);
     }
 
-    /** How many endpoints anything is remembered of. */
+    /** Returns how many endpoints the registry has state of. */
     int retainedEndpoints() {
         return endpoints.size();
     }
 
     // ---- review -------------------------------------------------------------------------------------------
 
-    /** Reviews these endpoints, those whose time has come, and those that depend on them. */
-    private List<EndpointChange> review(Collection<String> touched) {
-        var ids = new LinkedHashSet<>(touched);
+    /** Reviews these endpoints, those whose scheduled review is due, and those that depend on them. */
+    private List<EndpointChange> review(Collection<String> changedIds) {
+        var ids = new LinkedHashSet<>(changedIds);
         schedule.takeDue(now, ids);
         if (ids.isEmpty()) {
             return List.of();
         }
-        for (String id : List.copyOf(ids)) { // who claims an address bears on all that claim it
-            ids.addAll(claims.resolve(registered(id)));
+        for (String id : List.copyOf(ids)) { // a claim on an address affects all endpoints that claim it
+            ids.addAll(claims.resolve(findOrRegister(id)));
         }
         for (String id : ids) {
             eligibility.review(endpoints.get(id), now);
@@ -199,7 +210,7 @@
         return changes;
     }
 
-    private RegisteredEndpoint registered(String id) {
+    private RegisteredEndpoint findOrRegister(String id) {
         RegisteredEndpoint endpoint = endpoints.get(id);
         if (endpoint == null) {
             endpoint = new RegisteredEndpoint(id, new FlapDamping(policy.damping()));
@@ -208,7 +219,7 @@
         return endpoint;
     }
 
-    /** Forgets an endpoint that no longer bears on anything. */
+    /** Removes an endpoint whose state can no longer affect any decision. */
     private void forgetIfUnused(RegisteredEndpoint endpoint) {
         if (endpoint.published != null || !expireTombstones(endpoint)) {
             return;
@@ -216,24 +227,24 @@
         if (endpoint.claim != null || endpoint.damping.isSuppressed(now)) {
             return;
         }
-        if (endpoint.damping.hasHistory(now)) { // else one that flaps would be new each time
+        if (endpoint.damping.hasHistory(now)) { // without its history a flapping endpoint would not be recognized
             schedule.schedule(endpoint, now, endpoint.damping.historyExpiresAt());
         } else {
             endpoints.remove(endpoint.id);
         }
     }
 
-    /** Drops tombstones that have served their time; false where one is still to be kept. */
+    /** Drops the endpoint's expired tombstones. Returns false if one that has not expired is in effect. */
     private boolean expireTombstones(RegisteredEndpoint endpoint) {
         while (endpoint.claim != null && endpoint.claim.isGone()) {
-            boolean named = isNamedBelow(endpoint);
-            if (named || endpoint.namedByLowerSource) {
+            boolean isNamed = isNamedByLowerSource(endpoint);
+            if (isNamed || endpoint.namedByLowerSource) {
                 endpoint.namedByLowerSourceAt = now;
             }
-            endpoint.namedByLowerSource = named;
-            boolean lowest = endpoint.claimant.rank() == viewsByRank.size() - 1;
+            endpoint.namedByLowerSource = isNamed;
+            boolean isLowestRank = endpoint.claimant.rank() == viewsByRank.size() - 1;
             long until = Math.max(endpoint.claim.since(), endpoint.namedByLowerSourceAt) + policy.tombstoneMicros();
-            if (named || (!lowest && now < until)) {
+            if (isNamed || (!isLowestRank && now < until)) {
                 schedule.schedule(endpoint, now, until);
                 return false;
             }
@@ -243,7 +254,7 @@
         return true;
     }
 
-    private boolean isNamedBelow(RegisteredEndpoint endpoint) {
+    private boolean isNamedByLowerSource(RegisteredEndpoint endpoint) {
         for (int rank = endpoint.claimant.rank() + 1; rank < viewsByRank.size(); rank++) {
             if (viewsByRank.get(rank).names(endpoint.id)) {
                 return true;
--- a/src/main/java/wallmoor/endpoints/EndpointStatus.java
+++ b/src/main/java/wallmoor/endpoints/EndpointStatus.java
@@ -3,9 +3,9 @@
 import wallmoor.core.WorkerEndpoint;
 
 /**
- * An endpoint of the registry as operators see it.
+ * An endpoint of the registry as shown to operators.
  *
- * @param endpoint the endpoint as last published, or in the state GONE where it was not published
- * @param cause    in words, why it is in this state
+ * @param endpoint the endpoint as last published, or in the state GONE if it is not published
+ * @param cause    the cause of this state, as text for operators
  */
 public record EndpointStatus(WorkerEndpoint endpoint, String cause) {}
--- a/src/main/java/wallmoor/endpoints/FlapDamping.java
+++ b/src/main/java/wallmoor/endpoints/FlapDamping.java
@@ -1,12 +1,13 @@
 package wallmoor.endpoints;
 
 /**
- * How long an endpoint is suppressed that comes and goes, or that can't be connected to, though its sources say that it
- * serves. Both times double up to a bound, and are forgotten after a quiet while: the flap damping of RFC 2439 without
- * its decay curve, which a bounded exponential backoff does not need. Times are microseconds.
+ * Suppresses an endpoint that repeatedly comes and goes (flaps), or that can't be connected to although its sources
+ * claim that it serves. Both suppression times double up to a bound and are reset after a quiet period. This is the
+ * flap damping of RFC 2439 without its decay curve, which a bounded exponential backoff does not need. Times are in
+ * microseconds.
  */
 final class FlapDamping {
-    /** Doublings beyond this many change nothing, as every bound is lower. */
+    /** Further doublings have no effect, as every bound is lower. */
     private static final int MAX_DOUBLINGS = 20;
     private static final long NEVER = Long.MIN_VALUE;
 
@@ -24,7 +25,7 @@
         this.parameters = parameters;
     }
 
-    /** The sources have ceased to name the endpoint as serving. */
+    /** Records that the sources no longer claim that the endpoint serves. */
     void onRemoved(long now) {
         if (removedAt != NEVER && now - removedAt > parameters.quietMicros()) {
             returns = 0;
@@ -32,23 +33,26 @@
         removedAt = now;
     }
 
-    /** They name it again. The first return is free: an endpoint may be restarted once without being suppressed. */
+    /**
+     * Records that the sources claim again that the endpoint serves. The first return does not suppress it, so that an
+     * endpoint can be restarted once.
+     */
     void onReturned(long now) {
-        boolean removedLately = removedAt != NEVER && now - removedAt <= parameters.quietMicros();
-        returns = removedLately ? returns + 1 : 0;
+        boolean wasRemovedRecently = removedAt != NEVER && now - removedAt <= parameters.quietMicros();
+        returns = wasRemovedRecently ? returns + 1 : 0;
         if (returns > 1) {
             suppress(now, backoff(returns - 2, parameters.maxMicros()), "returned " + returns + " times");
         }
     }
 
-    /** A connection came up. */
+    /** Records that a connection was established. */
     void onConnectSucceeded() {
         connectFailures = 0;
         unreachablePeriods = 0;
     }
 
     /**
-     * A connection did not come up.
+     * Records that a connection attempt failed.
      *
      * @return whether the address counts as unreachable from now on
      */
@@ -59,20 +63,20 @@
         if (isSuppressed(now) || !hasFailedEnough(now)) {
             return false;
         }
-        suppress(now, backoff(unreachablePeriods++, parameters.maxUnreachableMicros()), "can't be connected to");
+        suppress(now, backoff(unreachablePeriods++, parameters.maxUnreachableMicros()), "connections failed");
         connectFailures = 0;
         unreachableUntil = suppressedUntil;
         return true;
     }
 
-    /** One that was suppressed before has a single attempt to show that it is back. */
+    /** Returns whether the address is unreachable. After a first suppression a single failure is enough. */
     private boolean hasFailedEnough(long now) {
-        boolean onProbation = unreachablePeriods > 0;
-        return onProbation
+        boolean isOnProbation = unreachablePeriods > 0;
+        return isOnProbation
                 || (connectFailures >= parameters.minFailures() && now - failingSince >= parameters.minFailingMicros());
     }
 
-    /** Whether it is suppressed because it can't be connected to. */
+    /** Returns whether the endpoint is suppressed because it can't be connected to. */
     boolean isUnreachable(long now) {
         return now < unreachableUntil;
     }
@@ -81,7 +85,7 @@
         return now < suppressedUntil;
     }
 
-    /** Whether a recent removal still bears on what a return means. */
+    /** Returns whether a removal is recent enough that the next return counts as a flap. */
     boolean hasHistory(long now) {
         return removedAt != NEVER && now < historyExpiresAt();
     }
@@ -98,14 +102,14 @@
         return suppressionReason;
     }
 
-    private void suppress(long now, long time, String reason) {
-        if (now + time > suppressedUntil) {
-            suppressedUntil = now + time;
+    private void suppress(long now, long durationMicros, String reason) {
+        if (now + durationMicros > suppressedUntil) {
+            suppressedUntil = now + durationMicros;
             suppressionReason = reason;
         }
     }
 
-    private long backoff(int doublings, long most) {
-        return Math.min(most, parameters.firstMicros() << Math.min(doublings, MAX_DOUBLINGS));
+    private long backoff(int doublings, long maxMicros) {
+        return Math.min(maxMicros, parameters.firstMicros() << Math.min(doublings, MAX_DOUBLINGS));
     }
 }
--- a/src/main/java/wallmoor/endpoints/ReachabilityTracker.java
+++ b/src/main/java/wallmoor/endpoints/ReachabilityTracker.java
@@ -4,32 +4,32 @@
 import java.util.Map;
 
 /**
- * Which endpoints are suspected of being unreachable, as a connection to them has failed and none come up since, and
- * how many are suppressed for it. It never lets more than half of all be suppressed: where most can't be reached, the
- * fault is nearer than they are, and all stay for the decision module to try.
+ * Tracks which endpoints are suspected of being unreachable (a connection failed, and none has been established since),
+ * and how many are suppressed as unreachable. At most half of all endpoints are suppressed: if most can't be reached,
+ * the fault is likely on this side, and all of them stay available to the decision module.
  */
 final class ReachabilityTracker {
-    /** Suspects at most: each is probed every second. */
+    /** Each suspect is probed every second, so that their number is limited. */
     private static final int MAX_SUSPECTS = 64;
 
     private final Map<String, String> suspectedAddresses = new LinkedHashMap<>();
-    private int unreachable;
+    private int unreachableCount;
 
-    /** A connection to the endpoint came up. */
+    /** Records that a connection to the endpoint was established. */
     void onConnectSucceeded(RegisteredEndpoint endpoint) {
         suspectedAddresses.remove(endpoint.id);
         endpoint.damping.onConnectSucceeded();
     }
 
     /**
-     * A connection to the endpoint did not come up.
+     * Records that a connection attempt to the endpoint failed.
      *
-     * @param registered how many endpoints there are
-     * @return whether it is to be suppressed from now on
+     * @param registered the number of endpoints in the registry
+     * @return whether the endpoint is to be suppressed from now on
      */
     boolean onConnectFailed(RegisteredEndpoint endpoint, long now, int registered) {
-        boolean mostUnreachable = 2 * (unreachable + 1) > Math.max(2, registered);
-        if (!mostUnreachable && endpoint.damping.onConnectFailed(now)) {
+        boolean wouldExceedHalf = 2 * (unreachableCount + 1) > Math.max(2, registered);
+        if (!wouldExceedHalf && endpoint.damping.onConnectFailed(now)) {
             return true;
         }
         if (endpoint.published != null && suspectedAddresses.size() < MAX_SUSPECTS) {
@@ -38,20 +38,20 @@
         return false;
     }
 
-    /** Enters whether the endpoint is suppressed because it can't be connected to. */
-    void setUnreachable(RegisteredEndpoint endpoint, boolean now) {
-        if (now != endpoint.unreachable) {
-            unreachable += now ? 1 : -1;
-            endpoint.unreachable = now;
+    /** Sets whether the endpoint is suppressed because it can't be connected to. */
+    void setUnreachable(RegisteredEndpoint endpoint, boolean isUnreachable) {
+        if (isUnreachable != endpoint.unreachable) {
+            unreachableCount += isUnreachable ? 1 : -1;
+            endpoint.unreachable = isUnreachable;
         }
     }
 
-    /** The endpoint can't serve anyway: nobody need find out. */
+    /** Stops suspecting an endpoint that can't serve anyway, so that it is not probed. */
     void clearSuspicion(RegisteredEndpoint endpoint) {
         suspectedAddresses.remove(endpoint.id);
     }
 
-    /** The suspects with their addresses; a copy. */
+    /** Returns a copy of the suspects' addresses by endpoint id. */
     Map<String, String> suspectedAddresses() {
         return Map.copyOf(suspectedAddresses);
     }
--- a/src/main/java/wallmoor/endpoints/RegisteredEndpoint.java
+++ b/src/main/java/wallmoor/endpoints/RegisteredEndpoint.java
@@ -3,48 +3,52 @@
 import wallmoor.core.WorkerEndpoint;
 
 /**
- * All that the registry remembers of one endpoint id. Owned by {@link EndpointRegistry} and written by the steps of its
- * review, each of which fills in its own fields. Times are microseconds.
+ * The registry's state of one endpoint id. Owned by {@link EndpointRegistry} and written by the steps of its review,
+ * each of which sets its own fields. Times are in microseconds.
  */
 final class RegisteredEndpoint {
     final String id;
     final FlapDamping damping;
 
     // set by ClaimResolver
-    /** The claim that counts, or null where no source says anything. */
+    /** The claim in effect, or null if no source claims anything. */
     EndpointClaim claim;
-    /** The source that makes it, or null. */
+    /** The source of the claim in effect, or null. */
     SourceView claimant;
-    /** The address claimed, or null. */
+    /** The claimed address, or null. */
     String address;
 
     // set by EligibilityReview
-    /** Whether a source that is not trusted claimed that it serves, when last reviewed. */
-    boolean namedServing;
+    /** Whether, at the last review, a source that is not trusted claimed that the endpoint serves. */
+    boolean wasClaimedServing;
     boolean eligible;
-    /** The cell and tier in which it is or would be eligible. */
+    /** The cell in which the endpoint is eligible, or would be. */
     int cell;
+    /** The tier in which the endpoint is eligible, or would be. */
     int tier;
-    /** Why it does not serve though a source claims so, or null; for operators, why it is not published. */
+    /**
+     * Why the endpoint does not serve although a source claims that it does, or null; {@link EndpointPublisher}
+     * replaces it by the cause of removal, which operators see of an endpoint that is not published.
+     */
     String ineligibility;
-    /** Whether it is suppressed because it can't be connected to. */
+    /** Whether the endpoint is suppressed because it can't be connected to. */
     boolean unreachable;
 
     // set by EndpointPublisher
-    /** The endpoint as last published, or null where it is not published or gone. */
+    /** The endpoint as last published, or null if it was never published or is gone. */
     WorkerEndpoint published;
-    /** Why it was published so; null where it never was. */
+    /** The cause of the last published state, or null if the endpoint was never published. */
     String cause;
-    /** When an endpoint that drains is gone; 0 where it does not drain. */
+    /** When a draining endpoint is gone; 0 if it does not drain. */
     long goneAt;
-    /** Since when it counts as started, where its source does not tell. */
+    /** The start time that is assumed where the source does not report one. */
     long startedAt;
 
-    // set by the registry's expiry
+    // set by the registry's expiry of tombstones
     boolean namedByLowerSource;
     long namedByLowerSourceAt;
 
-    /** Set by {@link ReviewSchedule}: when it is next reviewed for time's sake. */
+    /** When {@link ReviewSchedule} next has the endpoint reviewed. */
     long reviewAt;
 
     RegisteredEndpoint(String id, FlapDamping damping) {
@@ -52,12 +56,12 @@
         this.damping = damping;
     }
 
-    /** Whether the claim that counts is a trusted source's. */
+    /** Returns whether the claim in effect is a trusted source's. */
     boolean isTrusted() {
         return claimant != null && claimant.source().trusted();
     }
 
-    /** Whether the claim that counts gives it this state. */
+    /** Returns whether the claim in effect gives the endpoint this state. */
     boolean isClaimed(WorkerEndpoint.EndpointState state) {
         return claim != null && claim.endpoint().state() == state;
     }
@@ -66,7 +70,7 @@
         return published != null && published.state() == WorkerEndpoint.EndpointState.SERVING;
     }
 
-    /** The endpoint as the claim that counts describes it, in this state. */
+    /** Returns the endpoint as the claim in effect describes it, in the given state. */
     WorkerEndpoint inState(WorkerEndpoint.EndpointState state) {
         SourceEndpoint claimed = claim.endpoint();
         long upSince = claimed.upSince() != SourceEndpoint.UNKNOWN_START ? claimed.upSince() : startedAt;
@@ -75,7 +79,7 @@
                 upSince);
     }
 
-    /** The endpoint as last published, in this state. */
+    /** Returns the endpoint as last published, in the given state. */
     WorkerEndpoint publishedInState(WorkerEndpoint.EndpointState state) {
         return new WorkerEndpoint(id, published.address(), published.zone(), published.kind(), published.cell(), state,
                 published.size(), published.upSince());
--- a/src/main/java/wallmoor/endpoints/RejectedWatchEventException.java
+++ b/src/main/java/wallmoor/endpoints/RejectedWatchEventException.java
@@ -1,8 +1,8 @@
 package wallmoor.endpoints;
 
 /**
- * A watch event that the registry rejects: its source is unknown, names more endpoints than it may, or one of them
- * twice. Nothing of the event was applied.
+ * Thrown when the registry rejects a watch event: its source is unknown, or names too many endpoints or one of them
+ * twice. No part of the event was applied.
  */
 public final class RejectedWatchEventException extends RuntimeException {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/wallmoor/endpoints/RemovalRateLimit.java
+++ b/src/main/java/wallmoor/endpoints/RemovalRateLimit.java
@@ -1,27 +1,31 @@
 package wallmoor.endpoints;
 
 /**
- * Bounds how many endpoints are removed on one source's claim: at most a share of them, and one at least, within each
- * window. A window starts with the first use after the one before has ended. Times are microseconds.
+ * Limits how many endpoints are removed on one source's claim: within each window at most a share of its endpoints, but
+ * at least one. A window starts at the first refill after the previous one has ended. Times are in microseconds.
  */
 final class RemovalRateLimit {
     private final double share;
     private final long windowMicros;
-    /** Long enough ago that the first use starts a window. */
+    /** Initially so long ago that the first refill starts a window. */
     private long windowStartedAt = Long.MIN_VALUE / 2;
     private int remaining;
 
     /**
-     * Makes a limit.
+     * Creates a limit.
      *
-     * @param share above 0 and up to 1
+     * @param share the share of the endpoints that may be removed within a window, above 0 and up to 1
      */
     RemovalRateLimit(double share, long windowMicros) {
         this.share = share;
         this.windowMicros = windowMicros;
     }
 
-    /** Starts a new window where the one before has ended; {@code endpoints} is how many there are now. */
+    /**
+     * Starts a new window if the previous one has ended.
+     *
+     * @param endpoints the number of endpoints that the source names now
+     */
     void refill(long now, int endpoints) {
         if (now - windowStartedAt >= windowMicros) {
             windowStartedAt = now;
@@ -29,7 +33,7 @@
         }
     }
 
-    /** Whether one more may be removed within this window. */
+    /** Returns whether another endpoint may be removed within the current window. */
     boolean hasRemaining() {
         return remaining > 0;
     }
@@ -39,7 +43,7 @@
         remaining--;
     }
 
-    /** When the next window may start. */
+    /** Returns when the next window can start. */
     long nextWindowAt() {
         return windowStartedAt + windowMicros;
     }
--- a/src/main/java/wallmoor/endpoints/ReviewSchedule.java
+++ b/src/main/java/wallmoor/endpoints/ReviewSchedule.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.PriorityQueue;
 
-/** When which endpoints are to be reviewed for time's sake alone. Times are microseconds. */
+/** A queue of the endpoints that are to be reviewed at a given time without an event. Times are in microseconds. */
 final class ReviewSchedule {
     private record ScheduledReview(long at, String id) implements Comparable<ScheduledReview> {
         @Override
@@ -15,8 +15,8 @@
     private final PriorityQueue<ScheduledReview> queue = new PriorityQueue<>();
 
     /**
-     * Has the endpoint reviewed at this time, if that is still to come. Where an earlier review is scheduled already,
-     * that one finds out by itself what is left to wait.
+     * Schedules a review of the endpoint, unless its time has passed or an earlier review is scheduled already; that
+     * review will schedule a later one if it is still needed.
      */
     void schedule(RegisteredEndpoint endpoint, long now, long at) {
         if (at > now && (endpoint.reviewAt <= now || at < endpoint.reviewAt)) {
@@ -25,14 +25,14 @@
         }
     }
 
-    /** Moves the ids whose review is due to {@code ids}. */
+    /** Removes the ids whose review is due from the queue, and adds them to {@code ids}. */
     void takeDue(long now, Collection<String> ids) {
         while (!queue.isEmpty() && queue.peek().at <= now) {
             ids.add(queue.poll().id);
         }
     }
 
-    /** When the next review is due, or {@link Long#MAX_VALUE}. */
+    /** Returns when the next review is due, or {@link Long#MAX_VALUE} for never. */
     long nextAt() {
         return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().at;
     }
--- a/src/main/java/wallmoor/endpoints/SourceView.java
+++ b/src/main/java/wallmoor/endpoints/SourceView.java
@@ -10,32 +10,33 @@
 import java.util.Set;
 
 /**
- * What one source claims, as far as it is believed. It decides how fast endpoints may be removed on the source's claim
- * alone; what the claim means beside other sources is the {@link EndpointRegistry}'s to decide. Work is by the size of
- * an event, not of the fleet, except that a snapshot is compared with what is held. Times are microseconds.
+ * The claims of one source that the registry accepts. The view decides how fast endpoints are removed when the source
+ * no longer names them; {@link EndpointRegistry} weighs its claims against those of other sources. The cost of an event
+ * depends on the size of the event, not of the fleet, except that a snapshot is compared with all current claims. Times
+ * are in microseconds.
  */
 final class SourceView {
-    private static final long SECOND_MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private final SourcePolicy source;
     private final int confirmations;
     private final int rank;
     private final RemovalRateLimit removals;
     private final Map<String, EndpointClaim> claims = new LinkedHashMap<>();
-    /** Claims that an endpoint is gone, which outrank lower sources. Forgotten once no source names the endpoint. */
+    /** Claims that an endpoint is gone, which override lower-ranked sources until the registry forgets them. */
     private final Map<String, EndpointClaim> tombstones = new LinkedHashMap<>();
-    /** Ids that good snapshots lack, and whose claims are kept for now. */
+    /** Ids that the last snapshots lack, and whose claims stay until their removal is confirmed. */
     private final Set<String> pendingRemoval = new LinkedHashSet<>();
-    private boolean heard;
-    private boolean lastSnapshotEmpty;
-    private long lastHeardAt;
+    private boolean hasReported;
+    private boolean isLastSnapshotEmpty;
+    private long lastReportAt;
     private String failure;
-    private boolean expired;
+    private boolean isExpired;
 
     /**
-     * Makes the view of a source that was not heard yet.
+     * Creates the view of a source that has not reported yet.
      *
-     * @param rank the source's place in the policy, from 0
+     * @param rank the source's index in the policy, from 0 for the highest rank
      */
     SourceView(SourcePolicy source, RegistryPolicy policy, int rank) {
         this.source = source;
@@ -52,12 +53,13 @@
         return rank;
     }
 
-    /** What the source claims of an endpoint, or null for nothing. */
+    /** Returns the source's claim on an endpoint, which may be a tombstone, or null for none. */
     EndpointClaim claim(String id) {
         EndpointClaim claim = claims.get(id);
         return claim != null ? claim : tombstones.get(id);
     }
 
+    /** Returns whether the source claims that the endpoint exists. */
     boolean names(String id) {
         return claims.containsKey(id);
     }
@@ -66,164 +68,167 @@
         tombstones.remove(id);
     }
 
-    /** How many endpoints it names. */
+    /** Returns how many endpoints the source names. */
     int size() {
         return claims.size();
     }
 
-    /** For the operators: since when it can't be heard and why, or that it can. */
+    /** Returns the time of the source's last report, and its failure if it has failed since, as text for operators. */
     String describe(long now) {
-        String age = (now - lastHeardAt) / SECOND_MICROS + " s ago";
-        if (!heard) {
-            return failure == null ? "not heard yet" : "never heard: " + failure;
+        String age = (now - lastReportAt) / MICROS_PER_SECOND + " s ago";
+        if (!hasReported) {
+            return failure == null ? "no report yet" : "no report yet: " + failure;
         }
-        return failure != null ? "can't be heard (" + failure + "), last good news " + age : "heard " + age;
+        return failure != null ? "failing (" + failure + "), last report " + age : "last report " + age;
     }
 
-    /** How many endpoints good snapshots lack that are kept for now. */
+    /** Returns how many endpoints the last snapshots lack whose removal is not confirmed yet. */
     int pendingRemovals() {
         return pendingRemoval.size();
     }
 
     // ---- events -------------------------------------------------------------------------------------------
 
-    /** Applies a snapshot; returns the ids of endpoints of which the source now claims something else. */
+    /** Applies a snapshot. Returns the ids of the endpoints on which the source's claim has changed. */
     Set<String> apply(long now, WatchEvent.EndpointSnapshot snapshot) {
-        boolean first = !heard;
-        var touched = new LinkedHashSet<String>();
-        markHeard(now);
+        boolean isFirstReport = !hasReported;
+        var changedIds = new LinkedHashSet<String>();
+        recordReport(now);
         for (SourceEndpoint endpoint : snapshot.endpoints()) {
-            put(now, endpoint, cause(endpoint, snapshot.version()), first, touched);
+            updateClaim(now, endpoint, cause(endpoint, snapshot.version()), isFirstReport, changedIds);
         }
-        lastSnapshotEmpty = snapshot.endpoints().isEmpty();
-        boolean believed = source.trusted() || snapshot.authoritative();
+        isLastSnapshotEmpty = snapshot.endpoints().isEmpty();
+        boolean isAuthoritative = source.trusted() || snapshot.authoritative();
         for (String id : missingFrom(snapshot)) {
-            if (believed) {
-                remove(now, id, "not in " + source.name() + " at " + snapshot.version(), touched);
+            if (isAuthoritative) {
+                remove(now, id, "missing from " + source.name() + " at " + snapshot.version(), changedIds);
             } else {
                 claims.get(id).countMissedSnapshot();
                 pendingRemoval.add(id);
             }
         }
-        removePending(now, true, touched);
-        return touched;
+        removePending(now, true, changedIds);
+        return changedIds;
     }
 
+    /** Returns the ids that the source names and the snapshot lacks. */
     private List<String> missingFrom(WatchEvent.EndpointSnapshot snapshot) {
-        var named = new HashSet<String>();
+        var snapshotIds = new HashSet<String>();
         for (SourceEndpoint endpoint : snapshot.endpoints()) {
-            named.add(endpoint.id());
+            snapshotIds.add(endpoint.id());
         }
-        var missing = new ArrayList<String>();
+        var missingIds = new ArrayList<String>();
         for (String id : claims.keySet()) {
-            if (!named.contains(id)) {
-                missing.add(id);
+            if (!snapshotIds.contains(id)) {
+                missingIds.add(id);
             }
         }
-        return missing;
+        return missingIds;
     }
 
-    /** Applies a delta; returns the ids of endpoints of which the source now claims something else. */
+    /** Applies a delta. Returns the ids of the endpoints on which the source's claim has changed. */
     Set<String> apply(long now, WatchEvent.EndpointDelta delta) {
-        boolean first = !heard;
-        var touched = new LinkedHashSet<String>();
-        markHeard(now);
+        boolean isFirstReport = !hasReported;
+        var changedIds = new LinkedHashSet<String>();
+        recordReport(now);
         for (SourceEndpoint endpoint : delta.endpoints()) {
-            put(now, endpoint, cause(endpoint, delta.version()), first, touched);
+            updateClaim(now, endpoint, cause(endpoint, delta.version()), isFirstReport, changedIds);
         }
-        return touched;
+        return changedIds;
     }
 
-    /** What the source last reported still holds. */
+    /** Records that the source's last report is still valid; ignored before its first report. */
     void applyUnchanged(long now) {
-        if (heard) {
-            markHeard(now);
+        if (hasReported) {
+            recordReport(now);
         }
     }
 
-    /** It can't be heard: what it last reported holds, up to its greatest staleness. */
+    /** Records that the source failed; its last report stays valid until its maximum staleness. */
     void applyFailure(String reason) {
         failure = reason;
     }
 
-    private void markHeard(long now) {
-        heard = true;
-        lastHeardAt = now;
+    private void recordReport(long now) {
+        hasReported = true;
+        lastReportAt = now;
         failure = null;
-        expired = false;
+        isExpired = false;
     }
 
     private String cause(SourceEndpoint endpoint, String version) {
-        String what = switch (endpoint.state()) {
+        String action = switch (endpoint.state()) {
             case SERVING -> "named by ";
             case DRAINING -> "drained by ";
             case GONE -> "removed by ";
         };
-        return what + source.name() + " at " + version;
+        return action + source.name() + " at " + version;
     }
 
-    private void put(long now, SourceEndpoint endpoint, String cause, boolean first, Set<String> touched) {
+    private void updateClaim(long now, SourceEndpoint endpoint, String cause, boolean isFirstReport,
+            Set<String> changedIds) {
         String id = endpoint.id();
         if (endpoint.isGone()) {
-            bury(now, endpoint, cause, touched);
+            replaceByTombstone(now, endpoint, cause, changedIds);
             return;
         }
-        EndpointClaim before = claims.get(id);
+        EndpointClaim previous = claims.get(id);
         pendingRemoval.remove(id);
-        if (before != null && before.endpoint().equals(endpoint)) {
-            before.resetMissedSnapshots();
+        if (previous != null && previous.endpoint().equals(endpoint)) {
+            previous.resetMissedSnapshots();
             return;
         }
         tombstones.remove(id);
-        boolean sameAddress = before != null && before.endpoint().address().equals(endpoint.address());
-        long since = sameAddress ? before.since() : now;
-        boolean fromFirstReport = before == null ? first : before.fromFirstReport() && sameAddress;
+        boolean isSameAddress = previous != null && previous.endpoint().address().equals(endpoint.address());
+        long since = isSameAddress ? previous.since() : now;
+        boolean fromFirstReport = previous == null ? isFirstReport : previous.fromFirstReport() && isSameAddress;
         claims.put(id, new EndpointClaim(endpoint, cause, since, fromFirstReport));
-        touched.add(id);
+        changedIds.add(id);
     }
 
-    /** Replaces the claim by a tombstone, which keeps what was last claimed. */
-    private void bury(long now, SourceEndpoint endpoint, String cause, Set<String> touched) {
+    /** Replaces the claim on an endpoint by a tombstone with the endpoint's last claimed properties. */
+    private void replaceByTombstone(long now, SourceEndpoint endpoint, String cause, Set<String> changedIds) {
         String id = endpoint.id();
-        EndpointClaim before = claims.remove(id);
+        EndpointClaim previous = claims.remove(id);
         pendingRemoval.remove(id);
-        if (before == null && tombstones.containsKey(id)) {
+        if (previous == null && tombstones.containsKey(id)) {
             return;
         }
-        SourceEndpoint last = before == null ? endpoint : before.endpoint();
-        tombstones.put(id, new EndpointClaim(last.asGone(), cause, now, false));
-        if (tombstones.size() > source.maxEndpoints()) { // endpoints come and go all day; the oldest matters least
-            String oldest = tombstones.keySet().iterator().next();
-            tombstones.remove(oldest);
-            touched.add(oldest);
+        SourceEndpoint lastClaimed = previous == null ? endpoint : previous.endpoint();
+        tombstones.put(id, new EndpointClaim(lastClaimed.asGone(), cause, now, false));
+        // bounds memory, as endpoints come and go all day; the oldest tombstone is the least likely to be needed
+        if (tombstones.size() > source.maxEndpoints()) {
+            String oldestId = tombstones.keySet().iterator().next();
+            tombstones.remove(oldestId);
+            changedIds.add(oldestId);
         }
-        touched.add(id);
+        changedIds.add(id);
     }
 
-    private void remove(long now, String id, String cause, Set<String> touched) {
-        bury(now, claims.get(id).endpoint(), cause, touched);
+    private void remove(long now, String id, String cause, Set<String> changedIds) {
+        replaceByTombstone(now, claims.get(id).endpoint(), cause, changedIds);
     }
 
-    // ---- removal by time ----------------------------------------------------------------------------------
+    // ---- delayed removal ----------------------------------------------------------------------------------
 
-    /** Applies what time alone brings about; returns the ids of endpoints of which the source now claims less. */
+    /** Applies the removals that are due at this time. Returns the ids of the endpoints that lost their claim. */
     Set<String> tick(long now) {
-        var touched = new LinkedHashSet<String>();
-        if (source.maxStalenessMicros() > 0 && heard && now - lastHeardAt >= source.maxStalenessMicros()) {
-            expired = true;
+        var changedIds = new LinkedHashSet<String>();
+        if (source.maxStalenessMicros() > 0 && hasReported && now - lastReportAt >= source.maxStalenessMicros()) {
+            isExpired = true;
         }
-        removePending(now, false, touched);
-        return touched;
+        removePending(now, false, changedIds);
+        return changedIds;
     }
 
-    /** When {@link #tick} has something to do, or {@link Long#MAX_VALUE}. */
+    /** Returns when {@link #tick} is next due, or {@link Long#MAX_VALUE} for never. */
     long nextTickAt() {
-        if (expired && !claims.isEmpty()) {
+        if (isExpired && !claims.isEmpty()) {
             return removals.nextWindowAt();
         }
         long next = hasConfirmedRemoval() ? removals.nextWindowAt() : Long.MAX_VALUE;
-        boolean mayExpire = source.maxStalenessMicros() > 0 && heard && !expired;
-        return mayExpire ? Math.min(next, lastHeardAt + source.maxStalenessMicros()) : next;
+        boolean canExpire = source.maxStalenessMicros() > 0 && hasReported && !isExpired;
+        return canExpire ? Math.min(next, lastReportAt + source.maxStalenessMicros()) : next;
     }
 
     private boolean hasConfirmedRemoval() {
@@ -240,42 +245,45 @@
     }
 
     /**
-     * Removes what may be removed within this window. Right after a snapshot a few may go unconfirmed, as endpoints do
-     * every day; an empty snapshot is a fault more often than it is true, and must be confirmed completely.
+     * Removes as many endpoints as the rate limit allows. Directly after a snapshot that is not empty, this includes
+     * endpoints whose removal is not confirmed, as a few endpoints leave every day. An empty snapshot is more often a
+     * fault than the truth, so that its removals must all be confirmed.
      */
-    private void removePending(long now, boolean bySnapshot, Set<String> touched) {
-        if (pendingRemoval.isEmpty() && !expired) {
+    private void removePending(long now, boolean isAfterSnapshot, Set<String> changedIds) {
+        if (pendingRemoval.isEmpty() && !isExpired) {
             return;
         }
         removals.refill(now, claims.size());
         for (Iterator<String> i = List.copyOf(pendingRemoval).iterator(); i.hasNext() && removals.hasRemaining();) {
             String id = i.next();
-            if (isConfirmed(id) || (bySnapshot && !lastSnapshotEmpty)) {
+            if (isConfirmed(id) || (isAfterSnapshot && !isLastSnapshotEmpty)) {
                 removals.use();
-                int missed = claims.get(id).missedSnapshots();
-                remove(now, id, "no longer in " + source.name() + " for " + missed + " replies", touched);
+                int missedSnapshots = claims.get(id).missedSnapshots();
+                remove(now, id, "missing from " + missedSnapshots + " snapshots in a row of " + source.name(),
+                        changedIds);
             }
         }
-        if (expired) {
-            dropExpired(touched);
+        if (isExpired) {
+            dropExpired(changedIds);
         }
     }
 
-    /** Drops the oldest claims, without a tombstone: the source only no longer vouches for the endpoints. */
-    private void dropExpired(Set<String> touched) {
+    /** Drops the oldest claims of an expired source, without tombstones, as the source did not report them as gone. */
+    private void dropExpired(Set<String> changedIds) {
         for (Iterator<EndpointClaim> i = claims.values().iterator(); i.hasNext() && removals.hasRemaining();) {
             String id = i.next().endpoint().id();
             removals.use();
             i.remove();
             pendingRemoval.remove(id);
-            touched.add(id);
+            changedIds.add(id);
         }
     }
 
-    /** Why an endpoint for which no source vouches any longer has lost this one's claim, or null. */
+    /** Returns why endpoints lose the claims of this source if it has expired, or null if it has not. */
     String expiryCause() {
-        return expired
-                ? source.name() + " not heard for longer than " + source.maxStalenessMicros() / SECOND_MICROS + " s"
+        return isExpired
+                ? "no report from " + source.name() + " for more than "
+                        + source.maxStalenessMicros() / MICROS_PER_SECOND + " s"
                 : null;
     }
 }
--- a/src/main/java/wallmoor/endpoints/TierIndex.java
+++ b/src/main/java/wallmoor/endpoints/TierIndex.java
@@ -10,30 +10,31 @@
 
 /**
  * The eligible endpoints of each cell by tier (an SRV priority, RFC 2782). The lowest tier that has any serves the
- * cell; the others are on standby. It notes which cells a review touched, to find those that another tier now serves.
+ * cell; the others are on standby. The index also records which cells a review changed, to find those that another
+ * tier serves afterwards.
  */
 final class TierIndex {
-    /** The tier that serves a cell without any eligible endpoint. */
+    /** The serving tier of a cell that has no eligible endpoint. */
     private static final int NO_TIER = Integer.MAX_VALUE;
 
     private final Map<Integer, TreeMap<Integer, Set<String>>> idsByCellAndTier = new HashMap<>();
-    /** Of the cells touched since the last call of {@link #takeSwitchedCells}, the tier that served them before. */
-    private final Map<Integer, Integer> tierBefore = new LinkedHashMap<>();
+    /** The previous serving tier of each cell that changed since the last {@link #takeSwitchedCells}. */
+    private final Map<Integer, Integer> previousTierByCell = new LinkedHashMap<>();
 
-    /** The tier that serves a cell now. */
+    /** Returns the tier that serves the cell now. */
     int servingTier(int cell) {
         TreeMap<Integer, Set<String>> tiers = idsByCellAndTier.get(cell);
         return tiers == null ? NO_TIER : tiers.firstKey();
     }
 
     void add(String id, int cell, int tier) {
-        tierBefore.putIfAbsent(cell, servingTier(cell));
+        previousTierByCell.putIfAbsent(cell, servingTier(cell));
         idsByCellAndTier.computeIfAbsent(cell, c -> new TreeMap<>())
                 .computeIfAbsent(tier, t -> new LinkedHashSet<>()).add(id);
     }
 
     void remove(String id, int cell, int tier) {
-        tierBefore.putIfAbsent(cell, servingTier(cell));
+        previousTierByCell.putIfAbsent(cell, servingTier(cell));
         TreeMap<Integer, Set<String>> tiers = idsByCellAndTier.get(cell);
         Set<String> ids = tiers.get(tier);
         ids.remove(id);
@@ -45,15 +46,15 @@
         }
     }
 
-    /** Adds all eligible endpoints of the cells that another tier serves since the last call: it bears on them. */
+    /** Adds to {@code ids} all eligible endpoints of the cells whose serving tier has changed since the last call. */
     void takeSwitchedCells(Collection<String> ids) {
-        for (Map.Entry<Integer, Integer> cell : tierBefore.entrySet()) {
+        for (Map.Entry<Integer, Integer> cell : previousTierByCell.entrySet()) {
             if (servingTier(cell.getKey()) != cell.getValue()) {
                 for (Set<String> tier : idsByCellAndTier.getOrDefault(cell.getKey(), new TreeMap<>()).values()) {
                     ids.addAll(tier);
                 }
             }
         }
-        tierBefore.clear();
+        previousTierByCell.clear();
     }
 }
--- a/src/main/java/wallmoor/endpoints/package-info.java
+++ b/src/main/java/wallmoor/endpoints/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The registry of worker endpoints: which endpoints there are, by what several ranked sources claim. Decides only: no
- * I/O, no clock, no threads. The rules for disagreement stand in docs/membership.md.
+ * The registry of worker endpoints, which merges the claims of several ranked sources. It uses no I/O, clock or
+ * threads. docs/membership.md has the rules for sources that disagree.
  */
 package wallmoor.endpoints;
--- a/src/main/java/wallmoor/sources/ChangePublisher.java
+++ b/src/main/java/wallmoor/sources/ChangePublisher.java
@@ -11,16 +11,16 @@
 import wallmoor.endpoints.EndpointChange;
 
 /**
- * Logs the registry's changes and hands them to a gatherer. The gatherer's lock is asked for a few endpoints at a time,
- * so that queries go on while thousands are refreshed. One caller at a time.
+ * Logs the registry's changes and passes them to a gatherer, in batches: the gatherer's lock is held for only a few
+ * endpoints at a time, so that queries continue while thousands are refreshed. Not safe for concurrent use.
  */
 final class ChangePublisher {
-    /** Changes handed on under one hold of the gatherer's lock: some tens of microseconds. */
-    private static final int BATCH = 32;
-    /** Between two batches: the lock is not a fair one, and whoever waits for it would not get it otherwise. */
+    /** Endpoints passed on each time the gatherer's lock is held, which takes some tens of microseconds. */
+    private static final int BATCH_ENDPOINTS = 32;
+    /** Pause between two batches; without it, other threads would not get the lock, which is not fair. */
     private static final long BATCH_PAUSE_NANOS = TimeUnit.MICROSECONDS.toNanos(100);
-    /** Of a larger change each cause would drown the log: their number is logged, and each at the level DEBUG. */
-    private static final int MAX_LOGGED_EACH = 10;
+    /** Beyond this many changes only their number is logged at INFO, and each change at DEBUG, to limit the log. */
+    private static final int MAX_CHANGES_LOGGED_EACH = 10;
 
     private final Logger log = LoggerFactory.getLogger(ChangePublisher.class);
     private final Gatherer gatherer;
@@ -30,46 +30,50 @@
     }
 
     /**
-     * Logs the changes and hands them on.
+     * Logs the changes and passes them on.
      *
-     * @param fromList whether the endpoint list reported them: the decision module counts on hearing from it, be it
-     *                 that nothing has changed
+     * @param isFromEndpointList whether the endpoint list reported them; the decision module must then be called even
+     *                           if nothing has changed
      */
-    void publish(List<EndpointChange> changes, boolean fromList) {
+    void publish(List<EndpointChange> changes, boolean isFromEndpointList) {
         logChanges(changes);
-        List<WorkerEndpoint> endpoints = drainsFirst(changes);
-        if (fromList) {
-            gatherer.control().updateEndpoints(false, endpoints.subList(0, Math.min(BATCH, endpoints.size())));
+        List<WorkerEndpoint> endpoints = notServingFirst(changes);
+        if (isFromEndpointList) {
+            gatherer.control().updateEndpoints(false,
+                    endpoints.subList(0, Math.min(BATCH_ENDPOINTS, endpoints.size())));
         }
-        for (int from = fromList ? BATCH : 0; from < endpoints.size(); from += BATCH) {
+        for (int from = isFromEndpointList ? BATCH_ENDPOINTS : 0; from < endpoints.size(); from += BATCH_ENDPOINTS) {
             if (from > 0) {
                 LockSupport.parkNanos(BATCH_PAUSE_NANOS);
             }
-            gatherer.control().mergeEndpoints(endpoints.subList(from, Math.min(endpoints.size(), from + BATCH)));
+            gatherer.control().mergeEndpoints(
+                    endpoints.subList(from, Math.min(endpoints.size(), from + BATCH_ENDPOINTS)));
         }
     }
 
     private void logChanges(List<EndpointChange> changes) {
-        boolean each = changes.size() <= MAX_LOGGED_EACH;
-        int notServing = 0;
+        boolean isEachLogged = changes.size() <= MAX_CHANGES_LOGGED_EACH;
+        int notServingCount = 0;
         for (EndpointChange change : changes) {
             WorkerEndpoint endpoint = change.endpoint();
-            if (each) {
+            if (isEachLogged) {
                 log.atInfo().addKeyValue("node", endpoint.id()).addKeyValue("state", endpoint.state())
-                        .log("{} is {}: {}", endpoint.id(), endpoint.state(), change.cause());
+                        .log("endpoint state changed: node={} state={} cause={}", endpoint.id(), endpoint.state(),
+                                change.cause());
             } else {
-                log.debug("{} is {}: {}", endpoint.id(), endpoint.state(), change.cause());
+                log.debug("endpoint state changed: node={} state={} cause={}", endpoint.id(), endpoint.state(),
+                        change.cause());
             }
-            notServing += endpoint.state() == WorkerEndpoint.EndpointState.SERVING ? 0 : 1;
+            notServingCount += endpoint.state() == WorkerEndpoint.EndpointState.SERVING ? 0 : 1;
         }
-        if (!each) {
-            log.info("{} nodes changed, {} of them no longer serve; the first: {}", changes.size(), notServing,
+        if (!isEachLogged) {
+            log.info("endpoint states changed: count={} not_serving={} first_cause={}", changes.size(), notServingCount,
                     changes.get(0).cause());
         }
     }
 
-    /** The changed endpoints, those that cease to serve before all else: nothing that comes may make them wait. */
-    private static List<WorkerEndpoint> drainsFirst(List<EndpointChange> changes) {
+    /** Returns the changed endpoints, first those that no longer serve, so that new endpoints don't delay them. */
+    private static List<WorkerEndpoint> notServingFirst(List<EndpointChange> changes) {
         var endpoints = new ArrayList<WorkerEndpoint>(changes.size());
         for (EndpointChange change : changes) {
             if (change.endpoint().state() != WorkerEndpoint.EndpointState.SERVING) {
--- a/src/main/java/wallmoor/sources/EndpointSource.java
+++ b/src/main/java/wallmoor/sources/EndpointSource.java
@@ -6,21 +6,22 @@
 import wallmoor.endpoints.WatchEvent;
 
 /**
- * Where endpoints are learnt of. A source does the I/O and reports what it found; what that means is the registry's to
- * decide. It reports nothing while it is being made, and retries by itself, whatever fails.
+ * A source of endpoints, such as DNS or discovery's endpoint list. It does the I/O and reports the endpoints that it
+ * finds; the registry decides which of them are used. A source reports nothing before it is started, and retries after
+ * any failure.
  */
 public interface EndpointSource {
-    /** The name of the source that is discovery's endpoint list. */
+    /** The name of the source for discovery's endpoint list. */
     String ENDPOINT_LIST = "list";
 
-    /** Its name in the registry's policy. */
+    /** Returns the source's name in the registry's policy. */
     String name();
 
-    /** What it holds before it is started, applied before all else and asked for once; empty where it holds nothing. */
+    /** Returns the endpoints that it knows before it is started. Called once, before any event is applied. */
     default List<SourceEndpoint> initialEndpoints() {
         return List.of();
     }
 
-    /** Begins to report, on threads of its own. */
+    /** Starts reporting to the listener, on threads of the source. */
     void start(Consumer<WatchEvent> listener);
 }
--- a/src/main/java/wallmoor/sources/EndpointUpdater.java
+++ b/src/main/java/wallmoor/sources/EndpointUpdater.java
@@ -22,9 +22,9 @@
 import wallmoor.http.Threads;
 
 /**
- * Carries watch events from the sources to the registry, and the registry's changes to the gatherer that serves these
- * endpoints. Events are applied one after another, under this object's lock, which nobody asks for who holds the
- * gatherer's.
+ * Applies the sources' watch events to the registry, and publishes the registry's changes to the gatherer that uses
+ * these endpoints. Events are applied one after another under this object's lock. No thread may acquire this lock while
+ * it holds the gatherer's.
  */
 public final class EndpointUpdater {
     private static final long SYNC_POLL_MILLIS = 10;
@@ -38,13 +38,16 @@
     private final List<EndpointSource> sources;
     private final EndpointRegistry registry;
     private final ChangePublisher publisher;
-    /** The sources that reported something themselves; what a program is started with may be old. */
-    private final Set<String> synced = new HashSet<>();
+    /**
+     * The sources that have reported. Initial endpoints of the endpoint list don't count, as they come from the
+     * configuration and may be old.
+     */
+    private final Set<String> syncedSources = new HashSet<>();
 
     /**
-     * Makes it; nothing is reported before {@link #start}.
+     * Creates an updater, which publishes nothing before {@link #start}.
      *
-     * @param clock the gatherer's, in microseconds
+     * @param clock the gatherer's clock, in microseconds
      */
     public EndpointUpdater(RegistryPolicy policy, LongSupplier clock, Gatherer gatherer,
             List<EndpointSource> sources) {
@@ -55,7 +58,7 @@
         publisher = new ChangePublisher(gatherer);
     }
 
-    /** Starts the gatherer on what the sources know already, and then the sources. */
+    /** Starts the gatherer with the sources' initial endpoints, and then the sources. */
     public void start() {
         var initial = new ArrayList<WorkerEndpoint>();
         for (EndpointSource source : sources) {
@@ -63,9 +66,9 @@
         }
         gatherer.control().start(initial);
         if (!hasEndpointList()) {
-            gatherer.control().updateEndpoints(false, List.of()); // there is no list to ask for
+            gatherer.control().updateEndpoints(false, List.of()); // the decision module need not wait for a list
         }
-        if (sources.size() > 1 || !hasEndpointList()) { // a list alone has no timed rules
+        if (sources.size() > 1 || !hasEndpointList()) { // the endpoint list alone needs no timers
             Threads.start("endpoint-timers", this::runTimers);
             new SuspectProber(this::suspectedAddresses, this::reportConnection).start();
         }
@@ -75,14 +78,14 @@
     }
 
     private synchronized void applyInitial(EndpointSource source, List<WorkerEndpoint> initial) {
-        List<SourceEndpoint> held = source.initialEndpoints();
-        if (held.isEmpty()) {
+        List<SourceEndpoint> initialEndpoints = source.initialEndpoints();
+        if (initialEndpoints.isEmpty()) {
             return;
         }
         if (!isEndpointList(source.name())) {
-            synced.add(source.name());
+            syncedSources.add(source.name());
         }
-        var snapshot = new WatchEvent.EndpointSnapshot(source.name(), "the start", held, true);
+        var snapshot = new WatchEvent.EndpointSnapshot(source.name(), "startup", initialEndpoints, true);
         for (EndpointChange change : registry.apply(clock.getAsLong(), snapshot)) {
             initial.add(change.endpoint());
         }
@@ -101,26 +104,30 @@
         return source.equals(EndpointSource.ENDPOINT_LIST);
     }
 
-    /** Applies a watch event. One that the registry rejects is logged, and counts as a failure of its source. */
+    /** Applies a watch event. An event that the registry rejects is logged, and counts as a failure of its source. */
     public synchronized void apply(WatchEvent event) {
         List<EndpointChange> changes;
         try {
             changes = registry.apply(clock.getAsLong(), event);
         } catch (RejectedWatchEventException e) {
-            log.warn("watch event rejected: {}", e.getMessage());
+            log.warn("watch event rejected: source={} error={}", event.source(), e.getMessage());
             var failure = new WatchEvent.SourceFailure(event.source(), e.getMessage());
             publisher.publish(registry.apply(clock.getAsLong(), failure), false);
             return;
         }
         if (!(event instanceof WatchEvent.SourceFailure)) {
-            synced.add(event.source());
+            syncedSources.add(event.source());
         }
         boolean reportsEndpoints = event instanceof WatchEvent.EndpointSnapshot
                 || event instanceof WatchEvent.EndpointDelta;
         publisher.publish(changes, reportsEndpoints && isEndpointList(event.source()));
     }
 
-    /** A connection to the endpoint came up, or did not. */
+    /**
+     * Records the result of a connection attempt to an endpoint.
+     *
+     * @param up whether the connection was established
+     */
     public synchronized void reportConnection(String id, boolean up) {
         publisher.publish(registry.reportConnection(clock.getAsLong(), id, up), false);
     }
@@ -129,26 +136,31 @@
         return registry.suspectedAddresses();
     }
 
-    /** All endpoints known, with causes. */
+    /** Returns all known endpoints with the causes of their states. */
     public synchronized List<EndpointStatus> endpointStatuses() {
         return registry.endpointStatuses();
     }
 
-    /** The state of each source. */
+    /** Returns the status of each source. */
     public synchronized List<SourceStatus> sourceStatuses() {
         return registry.sourceStatuses();
     }
 
-    /** Whether every source has reported what it knows. */
+    /** Returns whether every source has reported. */
     public synchronized boolean allSourcesSynced() {
-        return synced.size() == sources.size();
+        return syncedSources.size() == sources.size();
     }
 
-    /** Waits for at most so long until every source has reported what it knows; whether all have. */
+    /**
+     * Waits until every source has reported.
+     *
+     * @param millis the longest wait in milliseconds
+     * @return whether every source has reported
+     */
     public boolean awaitSync(long millis) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        while (!allSourcesSynced() && System.nanoTime() < until) {
-            Thread.sleep(SYNC_POLL_MILLIS); // not by the lock: it is held while changes are published
+        long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        while (!allSourcesSynced() && System.nanoTime() < deadlineNanos) {
+            Thread.sleep(SYNC_POLL_MILLIS); // polls, as a wait on the lock would be delayed while changes are published
         }
         return allSourcesSynced();
     }
--- a/src/main/java/wallmoor/sources/SuspectProber.java
+++ b/src/main/java/wallmoor/sources/SuspectProber.java
@@ -9,23 +9,23 @@
 import java.util.function.Supplier;
 import wallmoor.http.Threads;
 
-/** Probes suspected endpoints by bare connections, so that no query is spent on finding out. Owns one thread. */
+/** Probes suspected endpoints by connecting to them, so that no query is risked on them. Owns one thread. */
 final class SuspectProber {
-    private static final long INTERVAL_MILLIS = 1_000;
+    private static final long PROBE_INTERVAL_MILLIS = 1_000;
     private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
     private final Supplier<Map<String, String>> suspects;
-    private final BiConsumer<String, Boolean> report;
+    private final BiConsumer<String, Boolean> resultListener;
 
     /**
-     * Makes it.
+     * Creates a prober.
      *
-     * @param suspects the addresses to probe by the endpoints' ids, asked for before each round
-     * @param report   given each id, and whether a connection came up
+     * @param suspects       returns the addresses to probe by endpoint id; called before each round
+     * @param resultListener receives each id, and whether a connection was established
      */
-    SuspectProber(Supplier<Map<String, String>> suspects, BiConsumer<String, Boolean> report) {
+    SuspectProber(Supplier<Map<String, String>> suspects, BiConsumer<String, Boolean> resultListener) {
         this.suspects = suspects;
-        this.report = report;
+        this.resultListener = resultListener;
     }
 
     void start() {
@@ -35,9 +35,9 @@
     private void run() {
         try {
             while (true) {
-                Thread.sleep(INTERVAL_MILLIS);
+                Thread.sleep(PROBE_INTERVAL_MILLIS);
                 for (Map.Entry<String, String> suspect : suspects.get().entrySet()) {
-                    report.accept(suspect.getKey(), isReachable(suspect.getValue()));
+                    resultListener.accept(suspect.getKey(), isReachable(suspect.getValue()));
                 }
             }
         } catch (InterruptedException e) {
@@ -51,7 +51,7 @@
             socket.connect(new InetSocketAddress(address.substring(0, colon),
                     Integer.parseInt(address.substring(colon + 1))), CONNECT_TIMEOUT_MILLIS);
             return true;
-        } catch (IOException | IllegalArgumentException e) { // also an address that is none
+        } catch (IOException | IllegalArgumentException e) { // IllegalArgumentException: the address is malformed
             return false;
         }
     }
--- a/src/main/java/wallmoor/sources/package-info.java
+++ b/src/main/java/wallmoor/sources/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What sources of worker endpoints have in common, and what carries their watch events to the registry and the
+ * The interface of endpoint sources, and the classes that apply their watch events to the registry and publish the
  * registry's changes to a gatherer.
  */
 package wallmoor.sources;
--- a/src/test/java/wallmoor/cli/ResolveCommandTest.java
+++ b/src/test/java/wallmoor/cli/ResolveCommandTest.java
@@ -160,7 +160,7 @@
         dns.fail(Fault.SILENT);
         ask[6] = "1";
         assertEquals("a source that could not be heard", 4, run(ask));
-        assertTrue(err, err.contains("dns " + SERVICE + ": 0 nodes, never heard: "));
+        assertTrue(err, err.contains("dns " + SERVICE + ": 0 nodes, no report yet: "));
     }
 
     @Test
--- a/src/test/java/wallmoor/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/wallmoor/endpoints/EndpointRegistryTest.java
@@ -138,7 +138,7 @@
         pass(2);
         assertEquals("a fifth in a step", 8, serve().size());
         assertEquals("draining, not cut off", EndpointState.DRAINING, state("w0"));
-        assertTrue(causes.get("w0"), causes.get("w0").contains("not heard for longer than 60 s"));
+        assertTrue(causes.get("w0"), causes.get("w0").contains("no report from dns for more than 60 s"));
         pass(10);
         assertEquals(7, serve().size());
         dns(ten);
--- a/src/test/java/wallmoor/net/SourcesTest.java
+++ b/src/test/java/wallmoor/net/SourcesTest.java
@@ -79,7 +79,7 @@
 
     private void awaitServing(String... ids) throws InterruptedException {
         for (String id : ids) {
-            Program.await(id + " serving", () -> logged(id + " is SERVING"));
+            Program.await(id + " serving", () -> logged("node=" + id + " state=SERVING"));
         }
     }
 
@@ -155,7 +155,8 @@
             assertEquals("no query lost", 0, load.failed.get());
         }
         assertTrue(logged(
-                "w1 is DRAINING: its address 127.0.0.1:" + a.port() + " is s-5be2's, drained by list at revision 43"));
+                "node=w1 state=DRAINING cause=its address 127.0.0.1:" + a.port()
+                        + " is s-5be2's, drained by list at revision 43"));
     }
 
     @Test
@@ -188,12 +189,12 @@
         start("1h", "0.2");
         awaitServing("w1", "w2", "w3", "w4");
         try (var load = new Load(0, 1)) {
-            Program.await("held out", () -> logged("w4 is DRAINING: held out: can't be connected to"));
+            Program.await("held out", () -> logged("node=w4 state=DRAINING cause=suppressed: connections failed"));
             // the name n2 is given to a node of the other cell, at another address
             var moved = worker();
             dns.service(SERVICE, 0, target("n1", a, 0, "w1"), target("n2", moved, 1, "w9"), target("n3", c, 1, "w3"));
             awaitServing("w9");
-            Program.await("the old one gone", () -> logged("w2 is DRAINING"));
+            Program.await("the old one gone", () -> logged("node=w2 state=DRAINING"));
             Program.await("the new one used", () -> moved.count("Q") > 3);
             Thread.sleep(300);
             long before = b.count("Q");
@@ -217,7 +218,8 @@
             dns.fail(DnsServer.Fault.SERVFAIL);
             Program.await("told why", () -> logged("SERVFAIL"));
             assertEquals("the last good news stands", 0, load.failed.get());
-            Program.await("left", () -> logged("w1 is DRAINING: dns " + SERVICE + " not heard for longer than 2 s"));
+            Program.await("left", () -> logged(
+                    "node=w1 state=DRAINING cause=no report from dns " + SERVICE + " for more than 2 s"));
         }
         long begun = System.nanoTime();
         assertEquals("refused at once, not kept waiting", 503, Client.post(program.port, "r", "all", 1900, 0).status);
