--- a/src/main/java/wallmoor/discovery/DiscoveryCall.java
+++ b/src/main/java/wallmoor/discovery/DiscoveryCall.java
@@ -8,20 +8,20 @@
 import wallmoor.http.HttpReader;
 import wallmoor.http.HttpWriter;
 
-/** One call to discovery: connects, polls for the full list where that is needed, and watches until the watch ends. */
+/** One call to discovery: connects, requests the full list if needed, and watches the list until the watch ends. */
 final class DiscoveryCall {
-    /** The most bytes of an object of a watch, and of a full list: some 4,000 endpoints, indented. */
+    /** The size limit of a full list and of an object of a watch; enough for some 4,000 endpoints in indented JSON. */
     static final int MAX_OBJECT_BYTES = 1 << 20;
     private static final String LIST_PATH = "/api/targets";
     private static final String WATCH_PATH = "/api/targets?stream=1&index=";
-    private static final int OK = 200;
+    private static final int HTTP_OK = 200;
 
     private final Socket socket;
     private final DiscoveryTarget target;
     private final WatchTracker tracker;
     private final EndpointListReceiver receiver;
 
-    /** Makes a call on a socket that is not connected yet; who makes it closes the socket. */
+    /** Creates a call on a socket that is not connected yet; the caller closes the socket. */
     DiscoveryCall(Socket socket, DiscoveryTarget target, WatchTracker tracker, EndpointListReceiver receiver) {
         this.socket = socket;
         this.target = target;
@@ -53,11 +53,12 @@
         tracker.onRequestSent(target);
         HttpWriter.get(socket.getOutputStream(), target.authority(), path, "");
         if (!in.await(tracker.remainingMillis())) {
-            throw new IOException("closed before an answer");
+            throw new IOException("discovery closed the connection before it answered GET " + path);
         }
         HttpMessage response = in.answer(tracker.remainingMillis(), withBody);
-        if (response.status() != OK) {
-            throw new IOException("status " + response.status());
+        if (response.status() != HTTP_OK) {
+            throw new IOException("discovery answered GET " + path + " with status " + response.status() + "; expected "
+                    + HTTP_OK);
         }
         return response;
     }
--- a/src/main/java/wallmoor/discovery/DiscoveryTarget.java
+++ b/src/main/java/wallmoor/discovery/DiscoveryTarget.java
@@ -2,10 +2,10 @@
 
 import java.net.InetSocketAddress;
 
-/** Where the endpoint list is, and the revision held of it, from which a watch resumes. */
+/** The address of a discovery, and the revision of its endpoint list that was last applied and a watch resumes from. */
 final class DiscoveryTarget {
     private final InetSocketAddress address;
-    /** The watching thread's own. */
+    /** Accessed by the watching thread only. */
     private long revision;
 
     DiscoveryTarget(InetSocketAddress address, long revision) {
@@ -17,7 +17,7 @@
         return address;
     }
 
-    /** The address as it stands in a request's Host header. */
+    /** Returns the address as written in a request's Host header. */
     String authority() {
         return address.getHostString() + ":" + address.getPort();
     }
@@ -26,22 +26,22 @@
         return revision;
     }
 
-    /** Whether a watch must begin with a poll of the full list, as no revision of this discovery's is held. */
+    /** Returns whether the full list must be requested before a watch, as no revision to resume from is known. */
     boolean needsFullList() {
         return revision < 0;
     }
 
-    /** The revision to resume a watch from. */
+    /** Returns the revision to resume a watch from. */
     long resumeRevision() {
         return Math.max(0, revision);
     }
 
-    void hold(long applied) {
-        revision = applied;
+    void setRevision(long appliedRevision) {
+        revision = appliedRevision;
     }
 
-    /** What could not be read may have reported anything: the full list is polled next. */
-    void dropRevision() {
+    /** Has the next call request the full list, as a message that could not be read may have contained any change. */
+    void clearRevision() {
         revision = EndpointListMessage.UNKNOWN_REVISION;
     }
 }
--- a/src/main/java/wallmoor/discovery/DiscoveryWatch.java
+++ b/src/main/java/wallmoor/discovery/DiscoveryWatch.java
@@ -18,13 +18,12 @@
 import wallmoor.sources.EndpointSource;
 
 /**
- * Watches discovery's endpoint list: from the revision held last, whenever the decision module wants it watched. How
- * long to back off after a failure is the module's to say; all else on time, and the state of the call, is {@link
- * WatchStateMachine}'s, which may want it sooner. When the configuration names another discovery, the watch moves at
- * once.
+ * Watches discovery's endpoint list, from the last applied revision, when the decision module requests it. The decision
+ * module decides how long to back off after a failure. {@link WatchStateMachine} has the state of the call and all
+ * other timing, and may call sooner. When the configuration names another discovery, the watch moves there at once.
  *
- * <p>One thread calls, reads and waits, so that calls follow on each other and what an old watch reported last is
- * applied before what a new one reports. Only {@link #reload} comes from elsewhere.
+ * <p>A single thread calls, reads and waits, so that calls don't overlap and the last reports of an old watch are
+ * applied before those of a new one. Only {@link #reload} runs on other threads.
  */
 public final class DiscoveryWatch implements EndpointSource {
     private final Logger log = LoggerFactory.getLogger(DiscoveryWatch.class);
@@ -36,15 +35,15 @@
     private volatile Socket openSocket;
 
     /**
-     * Makes the watch.
+     * Creates the watch.
      *
-     * @param gatherer says when the list is to be polled, and is told when the watch has ended
-     * @throws Json.Malformed if the list that the program was started with is none
+     * @param gatherer requests calls, and is notified when the watch has ended
+     * @throws Json.Malformed if the initial list of the launch configuration is malformed
      */
     public DiscoveryWatch(LaunchConfig launch, Gatherer gatherer) throws Json.Malformed {
         this.launch = launch;
         this.gatherer = gatherer;
-        initial = launch.known() == null ? EndpointListMessage.NONE : EndpointListMessage.of(launch.known(), launch);
+        initial = launch.known() == null ? EndpointListMessage.EMPTY : EndpointListMessage.of(launch.known(), launch);
         var machine = new WatchStateMachine(settings(launch), launch.seed());
         var target = new DiscoveryTarget(launch.discovery(), Math.max(0, initial.revision()));
         tracker = new WatchTracker(machine, gatherer::now, target);
@@ -66,22 +65,22 @@
     }
 
     @Override
-    public void start(Consumer<WatchEvent> reader) {
-        listener = reader;
+    public void start(Consumer<WatchEvent> eventListener) {
+        listener = eventListener;
         tracker.onProcessStarted();
         Threads.start("discovery", this::run);
     }
 
     /**
-     * Applies a configuration that was read again: its terms hold, and the list is watched where it says; the one held
-     * stays until that discovery has reported its own.
+     * Applies a reloaded configuration: its settings, and the address of discovery. After a move, the current endpoints
+     * stay in use until the new discovery has reported its own.
      */
     public void reload(LaunchConfig changed) {
-        boolean moves = !changed.discovery().equals(tracker.target().address());
-        var moved = moves ? new DiscoveryTarget(changed.discovery(), EndpointListMessage.UNKNOWN_REVISION) : null;
-        tracker.reload(settings(changed), moved);
-        if (moves) {
-            close(openSocket); // its reader finds that another discovery is watched
+        boolean isMoved = !changed.discovery().equals(tracker.target().address());
+        var newTarget = isMoved ? new DiscoveryTarget(changed.discovery(), EndpointListMessage.UNKNOWN_REVISION) : null;
+        tracker.reload(settings(changed), newTarget);
+        if (isMoved) {
+            close(openSocket); // unblocks its reader, which then finds that its target is no longer current
             gatherer.control().requestWatch();
         }
     }
@@ -98,7 +97,7 @@
             try {
                 call(target);
             } catch (MalformedEndpointListException e) {
-                target.dropRevision();
+                target.clearRevision();
                 onFailure(target, e);
             } catch (IOException | HttpProtocolException | RuntimeException | OutOfMemoryError e) {
                 onFailure(target, e);
@@ -110,7 +109,7 @@
     private void call(DiscoveryTarget target) throws IOException, HttpProtocolException {
         try (var socket = new Socket(Proxy.NO_PROXY)) {
             openSocket = socket;
-            if (!tracker.isCurrent(target)) { // else a move from now on finds the socket and closes it
+            if (!tracker.isCurrent(target)) { // moved before openSocket was set; a later move closes the socket
                 return;
             }
             var receiver = new EndpointListReceiver(target, tracker, launch, gatherer, listener);
@@ -122,11 +121,11 @@
         if (!tracker.isCurrent(target)) {
             return;
         }
-        log.warn("endpoint list watch failed: {}", e.toString());
+        log.warn("endpoint list watch failed: error={}", e.toString());
         try {
             listener.accept(new WatchEvent.SourceFailure(name(), e.toString()));
-        } catch (RuntimeException again) { // the watching thread must outlive it
-            log.warn("endpoint list watch failed: {}", again.toString());
+        } catch (RuntimeException listenerFailure) { // must not end the watching thread
+            log.warn("endpoint list watch failed: error={}", listenerFailure.toString());
         }
     }
 
@@ -135,8 +134,9 @@
         if (loss.outcome() == WatchTracker.LossOutcome.SUPERSEDED) {
             return;
         }
-        log.debug("endpoint list stale for {} ms, a change missed now counts as notified in {} ms",
-                TimeUnit.MICROSECONDS.toMillis(loss.staleFor()), TimeUnit.MICROSECONDS.toMillis(loss.notifiedIn()));
+        log.debug("endpoint list is stale: stale_ms={} missed_change_notified_in_ms={}",
+                TimeUnit.MICROSECONDS.toMillis(loss.staleForMicros()),
+                TimeUnit.MICROSECONDS.toMillis(loss.notifiedInMicros()));
         if (loss.outcome() == WatchTracker.LossOutcome.FAILED) {
             gatherer.control().watchFailed();
         } else {
@@ -150,7 +150,7 @@
                 socket.close();
             }
         } catch (IOException e) {
-            // it is closed as far as it can be
+            // closing is best effort
         }
     }
 }
--- a/src/main/java/wallmoor/discovery/EndpointListMessage.java
+++ b/src/main/java/wallmoor/discovery/EndpointListMessage.java
@@ -9,31 +9,33 @@
 import wallmoor.json.Json;
 
 /**
- * One message of discovery: the full list, or a delta, at a revision.
+ * A message from discovery: the full list, or a delta, at a revision.
  *
- * @param revision   to resume a watch from; {@link #UNKNOWN_REVISION} where none is given
- * @param complete   whether this is the full list
- * @param unreadable how many members could not be read: they have no id
+ * @param revision          the revision to resume a watch from, or {@link #UNKNOWN_REVISION} if the message has none
+ * @param complete          whether this is the full list
+ * @param unreadableMembers how many members were skipped as they have no id
  */
-record EndpointListMessage(long revision, boolean complete, List<SourceEndpoint> endpoints, int unreadable) {
-    /** No revision: a watch can't be resumed from it. */
+record EndpointListMessage(long revision, boolean complete, List<SourceEndpoint> endpoints, int unreadableMembers) {
+    /** The revision of a message without one; a watch can't be resumed from it. */
     static final long UNKNOWN_REVISION = -1;
-    /** The empty list of a program that is started without one. */
-    static final EndpointListMessage NONE = new EndpointListMessage(0, true, List.of(), 0);
-    private static final double LATEST_START_MILLIS = Long.MAX_VALUE / 2000.0;
+    /** The empty list, used if the launch configuration has no initial list. */
+    static final EndpointListMessage EMPTY = new EndpointListMessage(0, true, List.of(), 0);
+    /** Start times from here on count as long ago; half of the largest that fits into a long in microseconds. */
+    private static final double MAX_START_MILLIS = Long.MAX_VALUE / 2000.0;
     private static final long MICROS_PER_MILLI = 1_000;
     private static final int UNKNOWN_CELL = -1;
 
     /**
-     * Reads an object of a watch, or a full list.
+     * Parses an object of a watch, or a full list.
      *
-     * @throws MalformedEndpointListException if it is no JSON object, or a full list without members
+     * @throws MalformedEndpointListException if the text is not a JSON object, or is a full list without members
      */
     static EndpointListMessage parse(ByteSlice text, LaunchConfig launch) throws MalformedEndpointListException {
         try {
             Json.Obj json = Json.object(text.buffer(), text.from(), text.length());
-            if (isComplete(json) && json.list("members") == null) { // an empty one would say that all are gone
-                throw new MalformedEndpointListException("a whole list without members");
+            // must not be taken for an empty list, which would remove all endpoints
+            if (isComplete(json) && json.list("members") == null) {
+                throw new MalformedEndpointListException("full list has no array \"members\"");
             }
             return of(json, launch);
         } catch (Json.Malformed e) {
@@ -41,19 +43,20 @@
         }
     }
 
+    /** Reads a parsed message; members without an id are skipped and counted. */
     static EndpointListMessage of(Json.Obj json, LaunchConfig launch) {
         var endpoints = new ArrayList<SourceEndpoint>();
-        int unreadable = 0;
+        int unreadableMembers = 0;
         List<?> members = json.list("members");
         for (Object member : members == null ? List.of() : members) {
             if (member instanceof Json.Obj m && m.text("id") != null) {
                 endpoints.add(endpoint(m, launch));
             } else {
-                unreadable++;
+                unreadableMembers++;
             }
         }
         return new EndpointListMessage((long) json.number("revision", UNKNOWN_REVISION), isComplete(json), endpoints,
-                unreadable);
+                unreadableMembers);
     }
 
     private static boolean isComplete(Json.Obj json) {
@@ -64,12 +67,12 @@
         return revision != UNKNOWN_REVISION;
     }
 
-    /** The revision in words, for the log and the operators. */
+    /** Returns the revision as text for the log and for operators. */
     String version() {
         return hasRevision() ? "revision " + revision : "no revision";
     }
 
-    /** The endpoints that are to get nothing new. */
+    /** Returns the endpoints that are to get no new parts. */
     List<SourceEndpoint> notServing() {
         var notServing = new ArrayList<SourceEndpoint>();
         for (SourceEndpoint endpoint : endpoints) {
@@ -87,7 +90,7 @@
                 upSince(m.number("up_since_ms", 0)), 0);
     }
 
-    /** A phase that is not known is taken for one that wants nothing new. */
+    /** Returns the state for a phase. An unknown phase counts as draining, so that the endpoint gets no new parts. */
     private static WorkerEndpoint.EndpointState state(String phase) {
         return switch (phase) {
             case "SERVING" -> WorkerEndpoint.EndpointState.SERVING;
@@ -96,13 +99,13 @@
         };
     }
 
-    /** The first, where none is given or it is not known. */
+    /** Returns the index of a name, or 0 if the name is missing or unknown. */
     private static int indexOf(List<String> names, String name) {
-        return name == null ? 0 : Math.max(0, names.indexOf(name)); // lists that can't be changed throw at null
+        return name == null ? 0 : Math.max(0, names.indexOf(name)); // indexOf(null) throws on immutable lists
     }
 
-    /** In microseconds; a time that can't be is taken for long ago. */
+    /** Returns a start time in microseconds, or 0 for long ago if it is out of range. */
     private static long upSince(double millis) {
-        return millis > 0 && millis < LATEST_START_MILLIS ? MICROS_PER_MILLI * (long) millis : 0;
+        return millis > 0 && millis < MAX_START_MILLIS ? MICROS_PER_MILLI * (long) millis : 0;
     }
 }
--- a/src/main/java/wallmoor/discovery/EndpointListReceiver.java
+++ b/src/main/java/wallmoor/discovery/EndpointListReceiver.java
@@ -11,8 +11,8 @@
 import wallmoor.sources.EndpointSource;
 
 /**
- * Applies what one call to discovery reports: the full list, and then a watch's objects and heartbeats, in order. What
- * a discovery that was left behind still reports is stale, and dropped.
+ * Applies the messages of one call to discovery in order: the full list, if it was requested, and then the objects and
+ * heartbeats of the watch. Messages of a discovery that is no longer the current one are dropped.
  */
 final class EndpointListReceiver implements WatchStreamParser.WatchStreamListener {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListReceiver.class);
@@ -22,7 +22,7 @@
     private final LaunchConfig launch;
     private final Gatherer gatherer;
     private final Consumer<WatchEvent> listener;
-    private boolean firstOfWatch = true;
+    private boolean isFirstWatchEvent = true;
 
     EndpointListReceiver(DiscoveryTarget target, WatchTracker tracker, LaunchConfig launch, Gatherer gatherer,
             Consumer<WatchEvent> listener) {
@@ -33,27 +33,27 @@
         this.listener = listener;
     }
 
-    /** Applies the response to a poll of the full list. */
+    /** Applies the response to a request for the full list. */
     void onFullList(ByteSlice json) throws MalformedEndpointListException {
         apply(EndpointListMessage.parse(json, launch));
     }
 
     @Override
-    public void object(ByteSlice json) throws MalformedEndpointListException {
+    public void onObject(ByteSlice json) throws MalformedEndpointListException {
         apply(EndpointListMessage.parse(json, launch));
-        firstOfWatch = false;
+        isFirstWatchEvent = false;
         tracker.onEventReceived(target);
     }
 
     @Override
-    public void heartbeat() {
+    public void onHeartbeat() {
         if (tracker.isCurrent(target)) {
             listener.accept(new WatchEvent.EndpointsUnchanged(EndpointSource.ENDPOINT_LIST));
-            if (firstOfWatch) { // the module waits to hear from the list, be it that nothing has changed
+            if (isFirstWatchEvent) { // the decision module waits for a first update, even if nothing has changed
                 gatherer.control().updateEndpoints(false, List.of());
             }
         }
-        firstOfWatch = false;
+        isFirstWatchEvent = false;
         tracker.onEventReceived(target);
     }
 
@@ -61,28 +61,30 @@
         if (!tracker.isCurrent(target)) {
             return;
         }
-        if (message.unreadable() > 0) {
-            LOG.warn("endpoint list: {} members at {} have no id", message.unreadable(), message.version());
+        if (message.unreadableMembers() > 0) {
+            LOG.warn("endpoint list members without an id skipped: count={} version={}", message.unreadableMembers(),
+                    message.version());
         }
         if (message.complete()) {
             listener.accept(new WatchEvent.EndpointSnapshot(EndpointSource.ENDPOINT_LIST, message.version(),
                     message.endpoints(), true));
-        } else if (isOfAnotherHistory(message)) {
+        } else if (precedesCurrentRevision(message)) {
             listener.accept(new WatchEvent.EndpointDelta(EndpointSource.ENDPOINT_LIST, message.version(),
                     message.notServing()));
             throw new MalformedEndpointListException(
-                    "changes at revision " + message.revision() + " after " + target.revision());
+                    "delta at revision " + message.revision() + " is older than the applied revision "
+                            + target.revision());
         } else {
             listener.accept(new WatchEvent.EndpointDelta(EndpointSource.ENDPOINT_LIST, message.version(),
                     message.endpoints()));
         }
-        if (message.hasRevision()) { // only now: what could not be applied is requested again
-            target.hold(message.revision());
+        if (message.hasRevision()) { // after applying, so that a message that could not be applied is requested again
+            target.setRevision(message.revision());
         }
     }
 
-    /** Whether its changes precede what is held: whom they let serve may have been drained since. */
-    private boolean isOfAnotherHistory(EndpointListMessage message) {
+    /** Returns whether a message is older than the applied revision: an endpoint that it adds may be draining since. */
+    private boolean precedesCurrentRevision(EndpointListMessage message) {
         return message.hasRevision() && message.revision() < target.revision();
     }
 }
--- a/src/main/java/wallmoor/discovery/LastCall.java
+++ b/src/main/java/wallmoor/discovery/LastCall.java
@@ -1,16 +1,16 @@
 package wallmoor.discovery;
 
-/** What became of the last call to discovery. Written by {@link WatchStateMachine} alone; times are microseconds. */
+/** The progress and outcome of the last call to discovery. Times are in microseconds. */
 final class LastCall {
-    /** When it began. */
+    /** When the call started. */
     long startedAt;
-    /** Whether its connection came up. */
+    /** Whether the connection was established. */
     boolean reachedDiscovery;
-    /** Whether it ended without a watch that reported something. */
+    /** Whether the call ended before its watch reported anything. */
     boolean failed;
-    /** When its watch was opened; {@link WatchTimings#NEVER} where it was not. */
+    /** When the watch was opened, or {@link WatchTimings#NEVER}. */
     long openedAt = WatchTimings.NEVER;
-    /** When its watch last reported something, or was opened. */
+    /** When the watch last reported something, or was opened. */
     long lastEventAt;
 
     void start(long at) {
@@ -24,8 +24,8 @@
         lastEventAt = at;
     }
 
-    /** How long its watch has been open. */
-    long age(long at) {
+    /** Returns how long the watch has been open. */
+    long watchAge(long at) {
         return at - openedAt;
     }
 }
--- a/src/main/java/wallmoor/discovery/MalformedEndpointListException.java
+++ b/src/main/java/wallmoor/discovery/MalformedEndpointListException.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 
-/** Discovery sent something that is no endpoint list: nothing of it was applied, and the full list is to be polled. */
+/**
+ * Thrown for a message of discovery that is not a valid endpoint list or delta. The full list must be requested next.
+ */
 final class MalformedEndpointListException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wallmoor/discovery/ReadDeadline.java
+++ b/src/main/java/wallmoor/discovery/ReadDeadline.java
@@ -1,15 +1,16 @@
 package wallmoor.discovery;
 
 /**
- * By when the next thing must have come, and how long it may still be waited for. A gatherer that was late itself
- * blames nobody: it first reads what has come meanwhile. Times are microseconds.
+ * The deadline for the next event of a call, and the time that reads may still take. After the deadline, data that has
+ * arrived already is still read for a short time, so that a call does not fail because this process was late itself.
+ * Times are in microseconds.
  */
 final class ReadDeadline {
-    private long at = WatchTimings.NEVER;
+    private long deadline = WatchTimings.NEVER;
     private long overdueSince = WatchTimings.NEVER;
 
-    void set(long deadline) {
-        at = deadline;
+    void set(long newDeadline) {
+        deadline = newDeadline;
         overdueSince = WatchTimings.NEVER;
     }
 
@@ -17,17 +18,17 @@
         set(WatchTimings.NEVER);
     }
 
-    long at() {
-        return at;
+    long deadline() {
+        return deadline;
     }
 
-    /** How long the next read may take; 0 where the deadline has passed and what lay unread had its time. */
-    long remaining(long now) {
-        if (now < at) {
-            return at - now;
+    /** Returns how long the next read may take; 0 if the deadline has passed and so has the time for late reads. */
+    long remainingMicros(long now) {
+        if (now < deadline) {
+            return deadline - now;
         }
         overdueSince = Math.min(overdueSince, now);
-        return Math.max(0, Math.min(WatchTimings.LATE_READ_MICROS,
-                overdueSince + WatchTimings.LATE_READS_MICROS - now));
+        return Math.max(0, Math.min(WatchTimings.LATE_READ_TIMEOUT_MICROS,
+                overdueSince + WatchTimings.LATE_READ_WINDOW_MICROS - now));
     }
 }
--- a/src/main/java/wallmoor/discovery/RetrySchedule.java
+++ b/src/main/java/wallmoor/discovery/RetrySchedule.java
@@ -3,96 +3,106 @@
 import java.util.Random;
 
 /**
- * When discovery is called again at the latest after a call has failed or a watch was lost, should the decision module
- * wait for longer. All times are jittered: gatherers that fail together don't return together. Times are microseconds.
+ * Computes the latest time of the next call to discovery after a call failed or a watch was lost; the decision module
+ * may call sooner. All times are jittered, so that gatherers that fail together don't reconnect together. Times are in
+ * microseconds.
  */
 final class RetrySchedule {
-    /** Seeds that follow on each other would begin with all but the same numbers. */
+    /** Spreads consecutive seeds, for which {@link Random} would start with nearly the same numbers. */
     private static final long SEED_MULTIPLIER = 0x9e3779b97f4a7c15L;
-    /** From this share of a time up to all of it: after a failure, after a silence, where pushed, where polled. */
-    private static final double PERIOD_SPREAD = 0.8;
-    private static final double SILENT_SPREAD = 0.75;
-    private static final double ENDED_SPREAD = 0.75;
-    private static final double PUSHED_SPREAD = 0.65;
-    private static final double POLLED_SPREAD = 0.6;
+    // the lower limits of jittered waits, as fractions of their upper limits
+    private static final double MIN_PERIOD_FRACTION = 0.8;
+    private static final double MIN_SILENT_FRACTION = 0.75;
+    private static final double MIN_ENDED_FRACTION = 0.75;
+    private static final double MIN_PUSHED_FRACTION = 0.65;
+    private static final double MIN_POLLED_FRACTION = 0.6;
 
     private final Random random;
-    private int failures;
+    private int consecutiveFailures;
+    /** When the last watch ended, unless it fell silent. */
     private long endedAt = WatchTimings.NEVER;
+    /** How many watches in a row ended soon after they were opened. */
     private int earlyEnds;
 
     RetrySchedule(long seed) {
         random = new Random(seed * SEED_MULTIPLIER);
     }
 
-    /** A watch has reported something. */
+    /** Records that a watch reported something. */
     void onSynced() {
-        failures = 0;
+        consecutiveFailures = 0;
     }
 
-    /** Discovery is elsewhere from now on: what the one before did is forgotten. */
+    /** Records that another discovery is watched from now on, and forgets failures of the previous one. */
     void onDiscoveryMoved() {
-        failures = 0;
+        consecutiveFailures = 0;
         endedAt = WatchTimings.NEVER;
     }
 
-    /** An open watch is over. */
-    void onWatchEnded(long at, LastCall call, boolean silent) {
-        boolean young = call.age(at) < WatchTimings.SETTLED_AGE_MICROS;
-        earlyEnds = young ? earlyEnds + 1 : 0;
-        endedAt = silent ? WatchTimings.NEVER : at;
+    /**
+     * Records the end of an open watch.
+     *
+     * @param isSilent whether the watch fell silent before it ended
+     */
+    void onWatchEnded(long at, LastCall call, boolean isSilent) {
+        boolean isEarly = call.watchAge(at) < WatchTimings.SETTLED_AGE_MICROS;
+        earlyEnds = isEarly ? earlyEnds + 1 : 0;
+        endedAt = isSilent ? WatchTimings.NEVER : at;
     }
 
-    /** Calls again at once, but for a jitter. */
-    long reconnectAt(long at) {
-        failures = 0;
+    /** Resets the failures, and returns the time of an immediate call, which is only delayed by jitter. */
+    long scheduleReconnect(long at) {
+        consecutiveFailures = 0;
         return at + jitter(0, WatchTimings.RECONNECT_JITTER_MICROS);
     }
 
-    /** Counts a failure, and says when to call again at the latest. */
-    long retryBy(long at, LastCall call, Staleness staleness, WatchSettings settings) {
-        failures++;
+    /** Counts a failure, and returns the latest time of the next call. */
+    long scheduleRetry(long at, LastCall call, Staleness staleness, WatchSettings settings) {
+        consecutiveFailures++;
         long earliest = at + WatchTimings.MIN_RETRY_MICROS;
-        long from = call.failed ? call.startedAt : at;
-        long by = Math.max(earliest, from + jitter(PERIOD_SPREAD, WatchTimings.RETRY_PERIOD_MICROS));
-        if (hurriesAfterSilence(at, call, staleness, settings)) {
-            long most = failures == 1 ? WatchTimings.SILENT_FIRST_RETRY_MICROS : WatchTimings.SILENT_RETRY_MICROS;
-            by = Math.min(by, at + jitter(SILENT_SPREAD, most));
+        long periodStart = call.failed ? call.startedAt : at;
+        long latest = Math.max(earliest, periodStart + jitter(MIN_PERIOD_FRACTION, WatchTimings.RETRY_PERIOD_MICROS));
+        if (isUrgentAfterSilence(at, call, staleness, settings)) {
+            long maxWait = consecutiveFailures == 1 ? WatchTimings.SILENT_FIRST_RETRY_MICROS
+                    : WatchTimings.SILENT_RETRY_MICROS;
+            latest = Math.min(latest, at + jitter(MIN_SILENT_FRACTION, maxWait));
         }
-        if (hurriesAfterEnd(at, call, settings)) {
-            by = Math.min(by, at == endedAt ? at + jitter(0, WatchTimings.ENDED_JITTER_MICROS)
+        if (isUrgentAfterEnd(at, call, settings)) {
+            latest = Math.min(latest, at == endedAt ? at + jitter(0, WatchTimings.ENDED_JITTER_MICROS)
                     : Math.max(earliest,
-                            call.startedAt + jitter(ENDED_SPREAD, WatchTimings.ENDED_RETRY_MICROS)));
+                            call.startedAt + jitter(MIN_ENDED_FRACTION, WatchTimings.ENDED_RETRY_MICROS)));
         }
         if (settings.pushed()) {
-            long next = call.startedAt + jitter(PUSHED_SPREAD, settings.pushedRetryMicros());
-            by = Math.min(by, Math.max(earliest, next));
-        } else if (settings.pollWithin() > 0) { // the other half of the time is for the call
-            long next = from + jitter(POLLED_SPREAD, settings.pollHoldMicros(call.failed) / 2);
-            by = Math.min(by, Math.max(earliest, next));
+            long next = call.startedAt + jitter(MIN_PUSHED_FRACTION, settings.pushedRetryMicros());
+            latest = Math.min(latest, Math.max(earliest, next));
+        } else if (settings.pollIntervalMicros() > 0) { // leaves half of the interval for the call
+            long next = periodStart + jitter(MIN_POLLED_FRACTION, settings.pollValidityMicros(call.failed) / 2);
+            latest = Math.min(latest, Math.max(earliest, next));
         }
-        return by;
+        return latest;
     }
 
     /**
-     * While a silent watch's staleness bound runs; later only where discovery is not reached, which costs it nothing.
+     * Returns whether to hurry because the watch fell silent: until missed changes count as notified and their grace is
+     * over. Later only if the last call did not reach discovery, as such calls cost discovery nothing.
      */
-    private static boolean hurriesAfterSilence(long at, LastCall call, Staleness staleness, WatchSettings settings) {
+    private static boolean isUrgentAfterSilence(long at, LastCall call, Staleness staleness, WatchSettings settings) {
         return staleness.isSilent() && (!call.reachedDiscovery
-                || at < staleness.since() + WatchTimings.STALENESS_BOUND_MICROS + settings.drainGrace());
+                || at < staleness.staleSince() + WatchTimings.STALENESS_BOUND_MICROS + settings.drainGraceMicros());
     }
 
     /**
-     * Whether what an ended watch did not report may still come within its bound: not where discovery is unreachable.
+     * Returns whether to hurry because the watch ended, so that changes that it did not report are received before they
+     * count as notified and their grace is over. Not if discovery is unreachable or repeatedly ends watches early.
      */
-    private boolean hurriesAfterEnd(long at, LastCall call, WatchSettings settings) {
+    private boolean isUrgentAfterEnd(long at, LastCall call, WatchSettings settings) {
         return endedAt != WatchTimings.NEVER && earlyEnds <= WatchTimings.MAX_EARLY_ENDS
                 && (at == endedAt || call.reachedDiscovery)
-                && at < endedAt + WatchTimings.ENDED_STALENESS_BOUND_MICROS + settings.drainGrace();
+                && at < endedAt + WatchTimings.ENDED_STALENESS_BOUND_MICROS + settings.drainGraceMicros();
     }
 
-    /** At random from this share of a time up to all of it. */
-    private long jitter(double least, long most) {
-        return (long) (most * (least + (1 - least) * random.nextDouble()));
+    /** Returns a random time from {@code minFraction} of {@code maxMicros} up to all of it. */
+    private long jitter(double minFraction, long maxMicros) {
+        return (long) (maxMicros * (minFraction + (1 - minFraction) * random.nextDouble()));
     }
 }
--- a/src/main/java/wallmoor/discovery/Staleness.java
+++ b/src/main/java/wallmoor/discovery/Staleness.java
@@ -1,66 +1,71 @@
 package wallmoor.discovery;
 
 /**
- * Since when the list held may be stale, and when a change that was missed counts as notified. Times are microseconds.
+ * Tracks since when the endpoint list may be stale, and computes when a missed change counts as notified: from then on,
+ * the platform's rules treat the gatherer as if it had received the change. Times are in microseconds.
  */
 final class Staleness {
-    private long since = WatchTimings.NEVER;
-    private boolean silent;
+    private long staleSince = WatchTimings.NEVER;
+    private boolean isSilent;
     private long movedAt = WatchTimings.NEVER;
 
-    /** The process starts, with a list that may be old. */
+    /** Records that the process started, with a list that may be old. */
     void onProcessStarted(long at) {
-        since = at;
+        staleSince = at;
     }
 
-    /** Discovery is elsewhere from now on. */
+    /** Records that another discovery is watched from now on. */
     void onDiscoveryMoved(long at) {
         movedAt = at;
     }
 
-    /** A watch reports: the list is current. */
+    /** Records that a watch reported: the list is current. */
     void onSynced() {
-        since = WatchTimings.NEVER;
-        silent = false;
+        staleSince = WatchTimings.NEVER;
+        isSilent = false;
         movedAt = WatchTimings.NEVER;
     }
 
     /**
-     * The call or watch is over, or left behind. A watch that missed a heartbeat was silent, however it ended then.
+     * Records that the call or watch ended or was abandoned. A watch that missed a heartbeat counts as silent,
+     * regardless of how it ended.
      *
      * @param lastEventAt when the watch last reported something
      */
-    void onLeft(long at, long lastEventAt) {
-        if (since == WatchTimings.NEVER) {
-            silent = at - lastEventAt > WatchTimings.HEARTBEAT_INTERVAL_MICROS;
-            since = silent ? lastEventAt : at;
+    void onDisconnected(long at, long lastEventAt) {
+        if (staleSince == WatchTimings.NEVER) {
+            isSilent = at - lastEventAt > WatchTimings.HEARTBEAT_INTERVAL_MICROS;
+            staleSince = isSilent ? lastEventAt : at;
         }
     }
 
-    /** Since when the list may be stale; {@link WatchTimings#NEVER} while a watch reports. */
-    long since() {
-        return since;
+    /** Returns since when the list may be stale, or {@link WatchTimings#NEVER} while a watch reports. */
+    long staleSince() {
+        return staleSince;
     }
 
-    /** Whether it is stale because a watch fell silent. */
+    /** Returns whether the list may be stale because a watch fell silent. */
     boolean isSilent() {
-        return silent;
+        return isSilent;
     }
 
-    /** When a change made at this time, and not come, counts as notified; where a watch reports, it would have come. */
-    long notifiedAt(long changed, WatchSettings settings, LastCall call) {
+    /**
+     * Returns when a change that was made at {@code changedAt}, and not received, counts as notified. While a watch
+     * reports, that is the time of the change, as it would have been received.
+     */
+    long notifiedAt(long changedAt, WatchSettings settings, LastCall call) {
         if (settings.pushed() && movedAt != WatchTimings.NEVER) {
-            return Math.max(changed, movedAt + WatchTimings.MOVED_STALENESS_BOUND_MICROS);
+            return Math.max(changedAt, movedAt + WatchTimings.MOVED_STALENESS_BOUND_MICROS);
         }
-        boolean stale = since != WatchTimings.NEVER;
-        if (silent || (stale && !settings.pushed() && settings.pollWithin() <= 0)) {
-            return Math.max(changed, since + WatchTimings.STALENESS_BOUND_MICROS);
+        boolean isStale = staleSince != WatchTimings.NEVER;
+        if (isSilent || (isStale && !settings.pushed() && settings.pollIntervalMicros() <= 0)) {
+            return Math.max(changedAt, staleSince + WatchTimings.STALENESS_BOUND_MICROS);
         }
-        if (!stale || settings.pushed()) {
-            return changed;
+        if (!isStale || settings.pushed()) {
+            return changedAt;
         }
-        long heldUntil = call.startedAt + settings.pollHoldMicros(call.failed);
-        return Math.min(changed + WatchTimings.STALENESS_BOUND_MICROS,
-                Math.max(heldUntil, changed + settings.pollWithin()));
+        long validUntil = call.startedAt + settings.pollValidityMicros(call.failed);
+        return Math.min(changedAt + WatchTimings.STALENESS_BOUND_MICROS,
+                Math.max(validUntil, changedAt + settings.pollIntervalMicros()));
     }
 }
--- a/src/main/java/wallmoor/discovery/WatchSettings.java
+++ b/src/main/java/wallmoor/discovery/WatchSettings.java
@@ -1,26 +1,27 @@
 package wallmoor.discovery;
 
 /**
- * What the configuration says of the endpoint list.
+ * The configuration of the watch on the endpoint list.
  *
- * @param pushed     whether the list counts as notified when it changes, whether or not a watch is open
- * @param pollWithin microseconds for which a gatherer without a watch is held to the list it has; 0 for none
- * @param drainGrace microseconds after its drain counts as notified in which an endpoint may still get something new
+ * @param pushed             whether a change counts as notified when it is made, whether or not a watch is open
+ * @param pollIntervalMicros the time for which a gatherer without a watch may rely on its last list, or 0 for no such
+ *                           rule
+ * @param drainGraceMicros   the time after an endpoint's drain counts as notified in which it may still get new parts
  */
-record WatchSettings(boolean pushed, long pollWithin, long drainGrace) {
-    /** Where lists are pushed, the longest time from call to call. */
+record WatchSettings(boolean pushed, long pollIntervalMicros, long drainGraceMicros) {
+    /** Returns the longest time from the start of one call to the next where lists are pushed. */
     long pushedRetryMicros() {
         return Math.max(WatchTimings.MIN_PUSHED_RETRY_MICROS, Math.min(WatchTimings.MAX_PUSHED_RETRY_MICROS,
-                (long) (WatchTimings.PUSHED_RETRY_SHARE * drainGrace)));
+                (long) (WatchTimings.PUSHED_RETRY_SHARE * drainGraceMicros)));
     }
 
-    /** Whether a change that is missed counts so soon that a reset watch must be called again at once. */
-    boolean countsSoon() {
-        return pushed || (pollWithin > 0 && pollWithin < WatchTimings.SHORT_POLL_MICROS);
+    /** Returns whether missed changes count as notified so soon that a broken watch must reconnect at once. */
+    boolean requiresPromptReconnect() {
+        return pushed || (pollIntervalMicros > 0 && pollIntervalMicros < WatchTimings.SHORT_POLL_MICROS);
     }
 
-    /** How long the last call holds the gatherer to the list it has, where lists are polled. */
-    long pollHoldMicros(boolean callFailed) {
-        return callFailed ? WatchTimings.FAILED_POLL_FACTOR * pollWithin : pollWithin;
+    /** Returns how long after the last call's start the list counts as current where lists are polled. */
+    long pollValidityMicros(boolean callFailed) {
+        return callFailed ? WatchTimings.FAILED_POLL_FACTOR * pollIntervalMicros : pollIntervalMicros;
     }
 }
--- a/src/main/java/wallmoor/discovery/WatchState.java
+++ b/src/main/java/wallmoor/discovery/WatchState.java
@@ -1,15 +1,15 @@
 package wallmoor.discovery;
 
-/** The states of the watch on the endpoint list. Only in {@link #SYNCED} the list is known to be current. */
+/** The states of the watch on the endpoint list. The list is known to be current only in {@link #SYNCED}. */
 enum WatchState {
-    /** No call is out: the next one is due by the machine's time, or sooner where the decision module wants it. */
+    /** No call is in progress. The next one starts when the state machine or the decision module requests it. */
     IDLE,
     /** A connection is being opened. */
     CONNECTING,
-    /** A request is out, for the full list or for a watch; its response must come. */
+    /** A request for the full list or for a watch was sent, and its response is awaited. */
     REQUESTED,
-    /** A watch's response head is in; its first object or heartbeat must come. */
+    /** The response head of a watch was received, and its first object or heartbeat is awaited. */
     OPENED,
-    /** A watch that has reported something; its next object or heartbeat must come. */
+    /** The watch has reported something, and its next object or heartbeat is awaited. */
     SYNCED
 }
--- a/src/main/java/wallmoor/discovery/WatchStateMachine.java
+++ b/src/main/java/wallmoor/discovery/WatchStateMachine.java
@@ -1,23 +1,30 @@
 package wallmoor.discovery;
 
+import java.util.List;
+
 /**
- * The state machine of the watch on the endpoint list: by when discovery must have sent its next message, when it is to
- * be called again at the latest, and since when the list held may be stale. It decides only; who drives it reports each
- * event with its time. All times are microseconds on one clock that never goes back. Not safe for threads.
- * docs/list-clock.md has the table of states and events.
+ * The state machine of the watch on the endpoint list. It computes the deadline for discovery's next message, the
+ * latest time of the next call, and since when the list may be stale. It does no I/O; the caller reports each event
+ * with its time. All times are microseconds of one monotonic clock. Not safe for concurrent use. docs/list-clock.md has
+ * the table of states and events.
  *
- * <p>How long to back off after failures is the decision module's to say. This machine calls sooner in six cases only:
- * once, within {@link WatchTimings#RECONNECT_JITTER_MICROS}, after a synced watch fell silent, or was reset where what
- * it misses counts soon; at once after a move; where a watch fell silent and its staleness bound runs; where a watch
- * ended, until what it missed counts; where the settings let what is missed count sooner than the module would have
- * called; and at the latest {@link WatchTimings#RETRY_PERIOD_MICROS} after the call before, whatever became of it.
+ * <p>The decision module decides how long to back off after failures. This machine calls sooner in six cases only:
+ * <ul>
+ * <li>once, within {@link WatchTimings#RECONNECT_JITTER_MICROS}, after a synced watch fell silent, or after it was
+ * reset and the settings require a prompt reconnect;</li>
+ * <li>at once after discovery has moved;</li>
+ * <li>after a watch fell silent, while its staleness bound has not passed;</li>
+ * <li>after a watch ended, until the changes that it missed count as notified;</li>
+ * <li>if, by the settings, missed changes count as notified before the decision module would call;</li>
+ * <li>{@link WatchTimings#RETRY_PERIOD_MICROS} after the previous call, whatever its outcome.</li>
+ * </ul>
  *
- * <p>What no gatherer can know, this one neither: a change made while discovery can't be reached from here, if it
- * counts as notified and its grace is over before discovery could be reached for long enough to be polled: where lists
- * are pushed {@link WatchTimings#PUSHED_RETRY_SHARE} of the grace and a call, else {@link
- * WatchTimings#RETRY_PERIOD_MICROS} and a call, and a call may take {@link WatchTimings#CONNECT_TIMEOUT_MICROS} and
- * {@link WatchTimings#RESPONSE_TIMEOUT_MICROS}. Where lists are polled, what comes counts only when it is written, or
- * {@link WatchTimings#STALENESS_BOUND_MICROS} after discovery had it and could be reached.
+ * <p>A change that is made while discovery is unreachable is missed if it counts as notified, and its grace is over,
+ * before discovery was reachable for long enough to be polled. That takes a wait and a call. The wait is up to {@link
+ * WatchTimings#PUSHED_RETRY_SHARE} of the grace where lists are pushed, else up to {@link
+ * WatchTimings#RETRY_PERIOD_MICROS}; the call is up to {@link WatchTimings#CONNECT_TIMEOUT_MICROS} and {@link
+ * WatchTimings#RESPONSE_TIMEOUT_MICROS}. Where lists are polled, a change counts as notified only when discovery sends
+ * it, or {@link WatchTimings#STALENESS_BOUND_MICROS} after discovery had it and was reachable.
  */
 final class WatchStateMachine {
     private final LastCall call = new LastCall();
@@ -29,67 +36,67 @@
     private long nextCallBy = WatchTimings.NEVER;
 
     /**
-     * Makes the machine of a process that was not started yet.
+     * Creates the state machine for a process that has not started yet.
      *
-     * @param seed of the jitter
+     * @param seed the seed of the jitter
      */
     WatchStateMachine(WatchSettings settings, long seed) {
         this.settings = settings;
         retries = new RetrySchedule(seed);
     }
 
-    /** Other settings hold from now on; what is waited for already stays. */
-    void updateSettings(WatchSettings changed) {
-        settings = changed;
+    /** Replaces the settings; deadlines and retry times that are set already stay. */
+    void updateSettings(WatchSettings newSettings) {
+        settings = newSettings;
     }
 
     // ---- events -------------------------------------------------------------------------------------------
 
-    /** The process starts, with a list that may be old. The module polls at once. */
+    /** Records that the process started, with a list that may be old. The decision module requests a call at once. */
     void onProcessStarted(long at) {
-        require(WatchState.IDLE);
+        requireState(WatchState.IDLE);
         staleness.onProcessStarted(at);
         call.startedAt = at;
     }
 
-    /** Discovery is elsewhere from now on: it is to be called at once, whatever was waited for. */
+    /** Records that another discovery is watched from now on, which is to be called at once. */
     void onDiscoveryMoved(long at) {
         staleness.onDiscoveryMoved(at);
-        staleness.onLeft(at, call.lastEventAt);
+        staleness.onDisconnected(at, call.lastEventAt);
         state = WatchState.IDLE;
         retries.onDiscoveryMoved();
-        deadline.set(at); // what the call that is out still reads must not hold up the next one
+        deadline.set(at); // the abandoned call must not delay the next one
         nextCallBy = at;
     }
 
-    /** A call begins. */
+    /** Records that a call started. */
     void onCallStarted(long at) {
-        require(WatchState.IDLE);
+        requireState(WatchState.IDLE);
         state = WatchState.CONNECTING;
         call.start(at);
         deadline.set(at + WatchTimings.CONNECT_TIMEOUT_MICROS);
         nextCallBy = WatchTimings.NEVER;
     }
 
-    /** A request goes out on a connection that is up. */
+    /** Records that a request is sent on an established connection. */
     void onRequestSent(long at) {
-        require(WatchState.CONNECTING, WatchState.REQUESTED);
+        requireState(WatchState.CONNECTING, WatchState.REQUESTED);
         state = WatchState.REQUESTED;
         call.reachedDiscovery = true;
         deadline.set(at + WatchTimings.RESPONSE_TIMEOUT_MICROS);
     }
 
-    /** The head of a watch's response is in: its first object or heartbeat must follow. */
+    /** Records that the head of a watch's response was received; its first object or heartbeat must follow. */
     void onStreamOpened(long at) {
-        require(WatchState.REQUESTED);
+        requireState(WatchState.REQUESTED);
         state = WatchState.OPENED;
         call.open(at);
         deadline.set(at + WatchTimings.SILENCE_TIMEOUT_MICROS);
     }
 
-    /** An object or a heartbeat of the watch is in and applied: the list is current. */
+    /** Records that an object or a heartbeat of the watch was received and applied, so that the list is current. */
     void onEventReceived(long at) {
-        require(WatchState.OPENED, WatchState.SYNCED);
+        requireState(WatchState.OPENED, WatchState.SYNCED);
         state = WatchState.SYNCED;
         call.lastEventAt = at;
         deadline.set(at + WatchTimings.SILENCE_TIMEOUT_MICROS);
@@ -98,64 +105,67 @@
     }
 
     /**
-     * The call failed, or the watch fell silent or ended.
+     * Records that the call failed, or that the watch fell silent or ended, and schedules the next call.
      *
-     * @return whether the module is to be told, and to say when to call again; else a synced watch was lost whose
-     *         misses count soon, and {@link #nextCallBy} says when
+     * @return true if the decision module must be notified, and decides when to call again; false if the machine
+     *         reconnects by itself at {@link #nextCallBy}, as missed changes would count as notified too soon
      */
     boolean onWatchLost(long at) {
         boolean wasSynced = state == WatchState.SYNCED;
         boolean wasOpen = wasSynced || state == WatchState.OPENED;
         state = WatchState.IDLE;
-        staleness.onLeft(at, call.lastEventAt);
+        staleness.onDisconnected(at, call.lastEventAt);
         if (wasOpen) {
             retries.onWatchEnded(at, call, staleness.isSilent());
         }
-        boolean hurries = staleness.isSilent() || settings.countsSoon();
-        boolean atOnce = wasSynced && hurries && call.age(at) >= WatchTimings.SETTLED_AGE_MICROS;
+        boolean isUrgent = staleness.isSilent() || settings.requiresPromptReconnect();
+        boolean reconnects = wasSynced && isUrgent && call.watchAge(at) >= WatchTimings.SETTLED_AGE_MICROS;
         call.failed = !wasSynced;
         deadline.clear();
-        nextCallBy = atOnce ? retries.reconnectAt(at) : retries.retryBy(at, call, staleness, settings);
-        return !atOnce;
+        nextCallBy = reconnects ? retries.scheduleReconnect(at) : retries.scheduleRetry(at, call, staleness, settings);
+        return !reconnects;
     }
 
-    private void require(WatchState... allowed) {
-        for (WatchState s : allowed) {
-            if (s == state) {
+    private void requireState(WatchState... allowed) {
+        for (WatchState allowedState : allowed) {
+            if (allowedState == state) {
                 return;
             }
         }
-        throw new IllegalStateException("a watch that is " + state);
+        throw new IllegalStateException("watch is in state " + state + "; allowed here: " + List.of(allowed));
     }
 
-    // ---- answers ------------------------------------------------------------------------------------------
+    // ---- queries ------------------------------------------------------------------------------------------
 
     WatchState state() {
         return state;
     }
 
-    /** By when the next thing must have come (connection, response, object); after it the call or watch is broken. */
+    /** Returns when the next connection, response or object is due; if it is later, the call or watch is broken. */
     long deadline() {
-        return deadline.at();
+        return deadline.deadline();
     }
 
-    /** How long the next read may take; 0 where the call or watch is broken. */
+    /** Returns how long the next read may take, or 0 if the call or watch is broken. */
     long remainingMicros(long at) {
-        return deadline.remaining(at);
+        return deadline.remainingMicros(at);
     }
 
-    /** When to call at the latest; {@link WatchTimings#NEVER} where that is left to the module. */
+    /** Returns the latest time of the next call, or {@link WatchTimings#NEVER} if the decision module alone decides. */
     long nextCallBy() {
         return nextCallBy;
     }
 
-    /** Since when the list may be stale; {@link WatchTimings#NEVER} while a watch reports. */
+    /** Returns since when the list may be stale, or {@link WatchTimings#NEVER} while a watch reports. */
     long staleSince() {
-        return staleness.since();
+        return staleness.staleSince();
     }
 
-    /** When a change made at this time, and not come, counts as notified; where a watch reports, it would have come. */
-    long notifiedAt(long changed) {
-        return staleness.notifiedAt(changed, settings, call);
+    /**
+     * Returns when a change that was made at {@code changedAt}, and not received, counts as notified. While a watch
+     * reports, that is the time of the change, as it would have been received.
+     */
+    long notifiedAt(long changedAt) {
+        return staleness.notifiedAt(changedAt, settings, call);
     }
 }
--- a/src/main/java/wallmoor/discovery/WatchStreamParser.java
+++ b/src/main/java/wallmoor/discovery/WatchStreamParser.java
@@ -4,122 +4,125 @@
 import wallmoor.http.ByteSlice;
 
 /**
- * Splits the body of a watch into JSON objects and heartbeats. The body may be cut anywhere between two calls. An
- * object ends at the bracket that closes it, wherever its line ends; a blank line between objects is a heartbeat, and
- * one within an object is white space like any other. Does no I/O.
+ * Splits the body of a watch into JSON objects and heartbeats. The body may be split between two reads at any byte. An
+ * object ends at its closing bracket, regardless of line ends. A blank line between objects is a heartbeat; a blank
+ * line inside an object is white space. Does no I/O.
  */
 final class WatchStreamParser {
-    /** Told of what was found, in the order of the body. */
+    /** Receives the objects and heartbeats in the order of the body. */
     interface WatchStreamListener {
-        /** An object is whole. The bytes are good until the call returns. */
-        void object(ByteSlice json) throws MalformedEndpointListException;
+        /** Called for each complete object. The bytes are valid until this method returns. */
+        void onObject(ByteSlice json) throws MalformedEndpointListException;
 
-        /** A blank line. */
-        void heartbeat();
+        /** Called for each blank line between objects. */
+        void onHeartbeat();
     }
 
-    private static final int FIRST_SIZE = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
-    private final int mostBytes;
+    private final int maxObjectBytes;
     private final WatchStreamListener listener;
-    private byte[] object = new byte[FIRST_SIZE];
+    private byte[] object = new byte[INITIAL_BUFFER_BYTES];
     private int length;
     private int depth;
-    private boolean inString;
-    private boolean escaped;
-    /** Nothing but white space has come since the last line end. */
-    private boolean blank = true;
+    private boolean isInString;
+    private boolean isEscaped;
+    /** Whether the current line has had white space only. */
+    private boolean isLineBlank = true;
 
     /**
-     * Makes a reader.
+     * Creates a parser.
      *
-     * @param mostBytes the longest object that is taken
+     * @param maxObjectBytes the length of the longest object that is accepted
      */
-    WatchStreamParser(int mostBytes, WatchStreamListener listener) {
-        this.mostBytes = mostBytes;
+    WatchStreamParser(int maxObjectBytes, WatchStreamListener listener) {
+        this.maxObjectBytes = maxObjectBytes;
         this.listener = listener;
     }
 
-    /** Takes the next bytes of the body. */
+    /** Parses the next bytes of the body. */
     void read(ByteSlice part) throws MalformedEndpointListException {
         for (int i = part.from(); i < part.from() + part.length(); i++) {
             byte b = part.buffer()[i];
             if (depth == 0) {
-                between(b);
+                readBetweenObjects(b);
             } else {
-                within(b);
+                readInsideObject(b);
             }
         }
     }
 
-    private void between(byte b) throws MalformedEndpointListException {
+    private void readBetweenObjects(byte b) throws MalformedEndpointListException {
         switch (b) {
             case ' ', '\t', '\r' -> {}
-            case '\n' -> lineEnd();
-            case '{' -> begin();
-            default -> throw new MalformedEndpointListException("something between two objects that is none");
+            case '\n' -> endLine();
+            case '{' -> beginObject();
+            default -> throw new MalformedEndpointListException(
+                    String.format("unexpected byte 0x%02x between two objects; expected {", b));
         }
     }
 
-    private void lineEnd() {
-        boolean heartbeat = blank;
-        blank = true;
-        if (heartbeat) {
-            listener.heartbeat();
+    private void endLine() {
+        boolean isHeartbeat = isLineBlank;
+        isLineBlank = true;
+        if (isHeartbeat) {
+            listener.onHeartbeat();
         }
     }
 
-    private void begin() throws MalformedEndpointListException {
-        blank = false;
+    private void beginObject() throws MalformedEndpointListException {
+        isLineBlank = false;
         length = 0;
         depth = 1;
         append((byte) '{');
     }
 
-    private void within(byte b) throws MalformedEndpointListException {
+    private void readInsideObject(byte b) throws MalformedEndpointListException {
         append(b);
-        if (inString) {
-            string(b);
+        if (isInString) {
+            readInsideString(b);
             return;
         }
         switch (b) {
-            case '"' -> inString = true;
+            case '"' -> isInString = true;
             case '{', '[' -> depth++;
             case '}', ']' -> depth--;
             default -> {}
         }
         if (depth == 0) {
-            end();
+            endObject();
         }
     }
 
-    private void string(byte b) throws MalformedEndpointListException {
-        if (b == '\n') { // no text holds one: the rest of its object is lost, and what follows must not be taken for it
-            throw new MalformedEndpointListException("a line end within a text");
+    private void readInsideString(byte b) throws MalformedEndpointListException {
+        // JSON strings have no line breaks: the object was cut off, and the text that follows must not be added to it
+        if (b == '\n') {
+            throw new MalformedEndpointListException("line break inside a JSON string");
         }
-        if (escaped) {
-            escaped = false;
+        if (isEscaped) {
+            isEscaped = false;
         } else if (b == '\\') {
-            escaped = true;
+            isEscaped = true;
         } else if (b == '"') {
-            inString = false;
+            isInString = false;
         }
     }
 
-    private void end() throws MalformedEndpointListException {
-        var whole = new ByteSlice(object, 0, length);
-        if (object.length > FIRST_SIZE) { // a whole list comes seldom, and a watch stays open for hours
-            object = new byte[FIRST_SIZE];
+    private void endObject() throws MalformedEndpointListException {
+        var complete = new ByteSlice(object, 0, length);
+        // full lists are rare and a watch stays open for hours, so that a large buffer is not retained
+        if (object.length > INITIAL_BUFFER_BYTES) {
+            object = new byte[INITIAL_BUFFER_BYTES];
         }
-        listener.object(whole);
+        listener.onObject(complete);
     }
 
     private void append(byte b) throws MalformedEndpointListException {
-        if (length == mostBytes) {
-            throw new MalformedEndpointListException("an object of over " + mostBytes + " bytes");
+        if (length == maxObjectBytes) {
+            throw new MalformedEndpointListException("JSON object is longer than " + maxObjectBytes + " bytes");
         }
         if (length == object.length) {
-            object = Arrays.copyOf(object, Math.min(mostBytes, 2 * length));
+            object = Arrays.copyOf(object, Math.min(maxObjectBytes, 2 * length));
         }
         object[length++] = b;
     }
--- a/src/main/java/wallmoor/discovery/WatchTracker.java
+++ b/src/main/java/wallmoor/discovery/WatchTracker.java
@@ -4,22 +4,27 @@
 import java.util.function.LongSupplier;
 
 /**
- * The watch's state machine with the discovery that it watches, both guarded by one lock: an event of a call that was
- * left behind for another discovery never reaches the machine. Safe for threads.
+ * The watch's state machine and the discovery that it watches, guarded by one lock: events of a call to a discovery
+ * that is no longer the current one don't reach the machine. Safe for concurrent use.
  */
 final class WatchTracker {
-    /** What follows from the end of a call. */
+    /** The consequence of the end of a call. */
     enum LossOutcome {
-        /** Nothing: the call was left behind for another discovery, and not lost. */
+        /** None, as the call was to a discovery that is no longer the current one. */
         SUPERSEDED,
-        /** The module hears of a failure, and says when to call again. */
+        /** The decision module is notified of a failure, and decides when to call again. */
         FAILED,
-        /** The machine calls again soon by itself. */
+        /** The state machine reconnects soon by itself. */
         RECONNECTING
     }
 
-    /** How the list stood when a call was lost, for the log; microseconds. */
-    record Loss(LossOutcome outcome, long staleFor, long notifiedIn) {}
+    /**
+     * The consequence of the end of a call, with times for the log.
+     *
+     * @param staleForMicros   how long the list may have been stale already
+     * @param notifiedInMicros how long until a change that is missed now counts as notified
+     */
+    record Loss(LossOutcome outcome, long staleForMicros, long notifiedInMicros) {}
 
     private static final long MICROS_PER_MILLI = 1_000;
     private static final Loss SUPERSEDED = new Loss(LossOutcome.SUPERSEDED, 0, 0);
@@ -29,9 +34,9 @@
     private volatile DiscoveryTarget target;
 
     /**
-     * Makes it.
+     * Creates a tracker.
      *
-     * @param clock microseconds that never go back; read under the lock, so that events are in order
+     * @param clock a monotonic clock in microseconds, read under the lock, so that events are in order
      */
     WatchTracker(WatchStateMachine machine, LongSupplier clock, DiscoveryTarget target) {
         this.machine = machine;
@@ -39,9 +44,9 @@
         this.target = target;
     }
 
-    /** Whether this is the discovery that is watched now. */
-    boolean isCurrent(DiscoveryTarget called) {
-        return called == target;
+    /** Returns whether this is the discovery that is watched now. */
+    boolean isCurrent(DiscoveryTarget calledTarget) {
+        return calledTarget == target;
     }
 
     synchronized void onProcessStarted() {
@@ -49,14 +54,14 @@
     }
 
     /**
-     * Other settings hold from now on.
+     * Replaces the settings, and the discovery if it has moved.
      *
-     * @param moved the discovery to watch from now on, or null where it stays
+     * @param newTarget the discovery to watch from now on, or null if it is unchanged
      */
-    synchronized void reload(WatchSettings settings, DiscoveryTarget moved) {
+    synchronized void reload(WatchSettings settings, DiscoveryTarget newTarget) {
         machine.updateSettings(settings);
-        if (moved != null) {
-            target = moved;
+        if (newTarget != null) {
+            target = newTarget;
             machine.onDiscoveryMoved(clock.getAsLong());
         }
     }
@@ -69,33 +74,36 @@
         return target;
     }
 
-    /** A call begins; returns whom to call. */
+    /** Records that a call started, and returns the discovery to call. */
     synchronized DiscoveryTarget onCallStarted() {
         machine.onCallStarted(clock.getAsLong());
         return target;
     }
 
-    synchronized void onRequestSent(DiscoveryTarget called) {
-        if (isCurrent(called)) {
+    synchronized void onRequestSent(DiscoveryTarget calledTarget) {
+        if (isCurrent(calledTarget)) {
             machine.onRequestSent(clock.getAsLong());
         }
     }
 
-    synchronized void onStreamOpened(DiscoveryTarget called) {
-        if (isCurrent(called)) {
+    synchronized void onStreamOpened(DiscoveryTarget calledTarget) {
+        if (isCurrent(calledTarget)) {
             machine.onStreamOpened(clock.getAsLong());
         }
     }
 
-    /** Counted from when the event has been applied: a gatherer that is late itself blames nobody. */
-    synchronized void onEventReceived(DiscoveryTarget called) {
-        if (isCurrent(called)) {
+    /**
+     * Records that an event was received. Called after the event was applied, so that the time for applying it does not
+     * shorten the time that discovery has for its next event.
+     */
+    synchronized void onEventReceived(DiscoveryTarget calledTarget) {
+        if (isCurrent(calledTarget)) {
             machine.onEventReceived(clock.getAsLong());
         }
     }
 
-    synchronized Loss onWatchLost(DiscoveryTarget called) {
-        if (!isCurrent(called)) {
+    synchronized Loss onWatchLost(DiscoveryTarget calledTarget) {
+        if (!isCurrent(calledTarget)) {
             return SUPERSEDED;
         }
         long now = clock.getAsLong();
@@ -104,7 +112,8 @@
     }
 
     /**
-     * How long the next thing may take, in milliseconds, rounded up: what lies unread already is always read.
+     * Returns how long the next connection or read may take, in milliseconds, rounded up so that data that has arrived
+     * already is always read.
      *
      * @throws SocketTimeoutException if the deadline has passed
      */
@@ -114,7 +123,7 @@
             remaining = machine.remainingMicros(clock.getAsLong());
         }
         if (remaining <= 0) {
-            throw new SocketTimeoutException("silent, or too slow");
+            throw new SocketTimeoutException("no response or event from discovery before the deadline");
         }
         return (int) Math.min(Integer.MAX_VALUE, (remaining + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
     }
--- a/src/main/java/wallmoor/discovery/package-info.java
+++ b/src/main/java/wallmoor/discovery/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Discovery's endpoint list as a source: polls for the list, watches it, and reconnects where the watch is broken.
- * {@code WatchStateMachine} and the classes it uses decide; {@code DiscoveryWatch} and {@code DiscoveryCall} do the
- * I/O.
+ * Discovery's endpoint list as a source of endpoints: requests the list, watches it, and reconnects if the watch
+ * breaks. {@code WatchStateMachine} and the classes that it uses have the state and the timing; {@code DiscoveryWatch}
+ * and {@code DiscoveryCall} do the I/O.
  */
 package wallmoor.discovery;
--- a/src/main/java/wallmoor/endpoints/RegistryPolicy.java
+++ b/src/main/java/wallmoor/endpoints/RegistryPolicy.java
@@ -35,8 +35,8 @@
         if (removalWindowMicros <= 0 || confirmations < 1 || drainMicros < 0 || tombstoneMicros < 0
                 || sources.isEmpty() || hasDuplicateNames(sources)) {
             throw new IllegalArgumentException("registry policy out of bounds: removalWindowMicros="
-                    + removalWindowMicros + " (above 0), confirmations=" + confirmations + " (at least 1), drainMicros=" + drainMicros
-                    + " (at least 0), tombstoneMicros=" + tombstoneMicros + " (at least 0), sources=" + sources
+                    + removalWindowMicros + " (above 0), confirmations=" + confirmations + " (at least 1), drainMicros="
+                    + drainMicros + " (at least 0), tombstoneMicros=" + tombstoneMicros + " (at least 0), sources=" + sources
                     + " (at least one, each name once)");
         }
     }
--- a/src/test/java/wallmoor/discovery/WatchModel.java
+++ b/src/test/java/wallmoor/discovery/WatchModel.java
@@ -7,24 +7,25 @@
 import java.util.Random;
 
 /**
- * A discovery, a gatherer that holds its list, driven by the real {@link WatchStateMachine}, the module's backoff, and
- * a check that knows what truly happened and holds the gatherer to the terms. A holder sends to each node that it has
- * not seen drain in every step. Time goes in steps of 10 ms.
+ * A simulation of discovery and of a gatherer that watches its endpoint list with the real {@link WatchStateMachine}
+ * and a model of the decision module's backoff. The gatherer uses each worker until it receives the worker's drain. The
+ * simulation fails if it still does so when the drain counts as notified and its grace is over. Time advances in steps
+ * of 10 ms.
  *
- * <p>A change counts as notified by the older terms (a silent watch, the poll interval, a pushed list), and in any case
- * 6 s after discovery had it and could be reached. That is checked by itself: calls that discovery refuses, keeps
- * waiting or loses excuse a gatherer only for the time that they took and for the wait that the machine allows after
- * each.
+ * <p>Two rules say when a change counts as notified, and each is checked on its own. The first depends on the watch: it
+ * fell silent, the poll interval passed, or the list is pushed. The second is 6 s after discovery had the change and
+ * was reachable; calls that discovery refuses, delays or loses extend that only by their own duration and by the wait
+ * that the machine may make after each.
  */
 final class WatchModel {
-    static final long STEP = 10_000;
-    static final long SECOND = 1_000_000;
-    static final long DRAIN_GRACE = 2 * SECOND;
-    private static final long USUAL_LATENCY = 300_000;
-    static final long BOUND = 6 * SECOND;
+    static final long STEP_MICROS = 10_000;
+    static final long SECOND_MICROS = 1_000_000;
+    static final long DRAIN_GRACE_MICROS = 2 * SECOND_MICROS;
+    private static final long DEFAULT_LATENCY_MICROS = 300_000;
+    static final long STALENESS_BOUND_MICROS = 6 * SECOND_MICROS;
     private static final long NEVER = Long.MAX_VALUE;
 
-    private enum ModelState { IDLE, CONNECTING, AWAITING_RESPONSE, WATCHING }
+    private enum CallState { IDLE, CONNECTING, AWAITING_RESPONSE, WATCHING }
 
     private static final class Drain {
         final long madeAt;
@@ -35,320 +36,339 @@
         }
     }
 
-    /** A call that reached discovery, or was under way when it returned, and told nothing. */
-    private record Failure(long at, long took) {}
+    /** A call that reached discovery, or was in progress when discovery moved, and delivered nothing. */
+    private record FailedCall(long endedAt, long durationMicros) {}
 
     final Random random;
     final boolean pushed;
-    final long pollWithin;
-    /** Whether the machine may poll sooner than the module: else the program is as it was before. */
+    final long pollIntervalMicros;
+    /** Whether the state machine may call sooner than the decision module; if not, only the module calls. */
     boolean machineSchedulesCalls = true;
-    long latency = USUAL_LATENCY;
+    long latencyMicros = DEFAULT_LATENCY_MICROS;
     int calls;
-    /** Calls that came as far as discovery. */
-    int reached;
-    /** Calls from now on that discovery answers with 503, and how long it takes for that. */
-    int refusals;
-    long refusalTakes = 300_000;
-    /** Watches from now on that end in place of telling anything. */
-    int endingWatches;
-    long now = SECOND;
-    long lastKnownAfter;
+    /** How many calls reached discovery. */
+    int callsReachingDiscovery;
+    /** How many of the next calls discovery answers with 503. */
+    int remainingRefusals;
+    /** How long discovery takes to refuse a call. */
+    long refusalMicros = 300_000;
+    /** How many of the next watches end before they report anything. */
+    int remainingEarlyEnds;
+    long now = SECOND_MICROS;
+    /** The longest time for which a drain was still not received after it counted as notified. */
+    long maxDelayAfterNotified;
     private WatchStateMachine machine;
-    private ModelState state = ModelState.IDLE;
+    private CallState state = CallState.IDLE;
     private long stateSince;
     private final List<Drain> missedDrains = new ArrayList<>();
     private long downUntil;
-    private long cutUntil;
-    // the watch as it truly is, and what the check holds against the gatherer
-    private boolean silentNow;
+    private long partitionedUntil;
+    // the true state of the watch, and the state of the check
+    private boolean isSilent;
     private long silentSince = NEVER;
     private long lostAt;
-    private long movedAt = -100 * SECOND;
-    private long backAt;
+    private long movedAt = -100 * SECOND_MICROS;
+    private long reachableAgainAt;
     private long calledAt;
-    private boolean callFailed;
+    private boolean hasCallFailed;
     private long excusedUntil;
     private long reachableSince;
-    private long nextLine;
-    private final List<Failure> failures = new ArrayList<>();
+    private long nextHeartbeatAt;
+    private final List<FailedCall> failedCalls = new ArrayList<>();
     private long startedAt;
-    // the module: RoutingPolicy, section "discovery"
-    private boolean wanted;
-    private boolean subscribed;
-    private long pollAt = NEVER;
-    private long pollBackoff = SECOND / 2;
+    // the decision module's backoff, as in RoutingPolicy, section "discovery"
+    private boolean isCallRequested;
+    private boolean isSubscribed;
+    private long nextPollAt = NEVER;
+    private long pollBackoffMicros = SECOND_MICROS / 2;
 
-    WatchModel(boolean pushed, long pollWithin, long seed) {
+    WatchModel(boolean pushed, long pollIntervalMicros, long seed) {
         this.pushed = pushed;
-        this.pollWithin = pollWithin;
+        this.pollIntervalMicros = pollIntervalMicros;
         random = new Random(seed);
         restart();
     }
 
     // ---- faults -------------------------------------------------------------------------------------------
 
-    /** A new process on the list it held last; the old one's connections are gone with it. */
+    /** Restarts the gatherer with the last list of the old process, whose connections are closed. */
     void restart() {
-        machine = new WatchStateMachine(new WatchSettings(pushed, pollWithin, DRAIN_GRACE), random.nextLong());
+        machine = new WatchStateMachine(new WatchSettings(pushed, pollIntervalMicros, DRAIN_GRACE_MICROS),
+                random.nextLong());
         machine.onProcessStarted(now);
-        state = ModelState.IDLE;
-        subscribed = false;
-        pollBackoff = SECOND / 2;
-        pollAt = NEVER;
+        state = CallState.IDLE;
+        isSubscribed = false;
+        pollBackoffMicros = SECOND_MICROS / 2;
+        nextPollAt = NEVER;
         silentSince = NEVER;
-        silentNow = false;
+        isSilent = false;
         calledAt = now;
         startedAt = now;
-        callFailed = false;
+        hasCallFailed = false;
         lostAt = now;
-        // the new process has its own time for what counts as notified to it
-        missedDrains.forEach(d -> d.notifiedAt = NEVER);
-        poll();
+        // no drain counts as notified to the new process yet
+        missedDrains.forEach(drain -> drain.notifiedAt = NEVER);
+        requestCall();
     }
 
+    /** Has a worker drain. */
     void drain() {
         missedDrains.add(new Drain(now));
     }
 
-    void silence() {
-        if (state == ModelState.WATCHING) {
-            silentNow = true;
+    /** Has the watch fall silent without being closed. */
+    void fallSilent() {
+        if (state == CallState.WATCHING) {
+            isSilent = true;
             silentSince = Math.min(silentSince, now);
-            lostAt = silentSince + 3 * SECOND; // nobody can tell sooner
+            lostAt = silentSince + 3 * SECOND_MICROS; // the silence can't be detected sooner
         }
     }
 
+    /** Resets the connection to discovery. */
     void reset() {
-        if (state == ModelState.WATCHING || state == ModelState.AWAITING_RESPONSE) {
-            // a call that was lost in the middle
-            excusedUntil = state == ModelState.AWAITING_RESPONSE ? now + 7 * SECOND : excusedUntil;
-            failures.add(new Failure(now, state == ModelState.AWAITING_RESPONSE ? now - calledAt : 0));
-            leave();
-            lost();
+        if (state == CallState.WATCHING || state == CallState.AWAITING_RESPONSE) {
+            // a call that was lost while its response was awaited
+            excusedUntil = state == CallState.AWAITING_RESPONSE ? now + 7 * SECOND_MICROS : excusedUntil;
+            failedCalls.add(new FailedCall(now, state == CallState.AWAITING_RESPONSE ? now - calledAt : 0));
+            recordWatchEnd();
+            onCallLost();
         }
     }
 
-    void down(long lasts) {
-        downUntil = Math.max(downUntil, now + lasts);
+    /** Takes discovery down, so that connections are refused. */
+    void takeDown(long micros) {
+        downUntil = Math.max(downUntil, now + micros);
         reset();
     }
 
-    void cut(long lasts) {
-        cutUntil = Math.max(cutUntil, now + lasts);
-        silence();
+    /** Drops all packets between the gatherer and discovery. */
+    void partition(long micros) {
+        partitionedUntil = Math.max(partitionedUntil, now + micros);
+        fallSilent();
     }
 
-    /** One that goes before it missed a line was not silent: it is lost now. */
-    private void leave() {
-        if (silentNow && now <= nextLine) {
+    /** Records the end of a watch. A watch that ends before it missed a heartbeat was not silent, and is lost now. */
+    private void recordWatchEnd() {
+        if (isSilent && now <= nextHeartbeatAt) {
             silentSince = NEVER;
         }
         lostAt = silentSince == NEVER ? now : lostAt;
     }
 
-    /** The next calls are refused: discovery has too many callers. */
-    void refuse(int calls, long takes) {
-        refusals = calls;
-        refusalTakes = takes;
+    /** Has discovery refuse the next calls, as if it had too many callers. */
+    void refuse(int refusedCalls, long micros) {
+        remainingRefusals = refusedCalls;
+        refusalMicros = micros;
     }
 
-    /** SIGHUP: the whole list is asked for elsewhere, and has the same to tell. */
-    void move() {
-        // it is left, and may have been about to report
-        if (state == ModelState.CONNECTING || state == ModelState.AWAITING_RESPONSE) {
-            failures.add(new Failure(now, now - calledAt));
+    /** Reloads a configuration that names another discovery, whose full list has the same endpoints. */
+    void moveDiscovery() {
+        // the abandoned call may have been about to report
+        if (state == CallState.CONNECTING || state == CallState.AWAITING_RESPONSE) {
+            failedCalls.add(new FailedCall(now, now - calledAt));
         }
-        leave();
+        recordWatchEnd();
         machine.onDiscoveryMoved(now);
-        state = ModelState.IDLE;
-        silentNow = false;
+        state = CallState.IDLE;
+        isSilent = false;
         movedAt = now;
         lostAt = now;
     }
 
     // ---- time ---------------------------------------------------------------------------------------------
 
-    void run(long lasts) {
-        for (long end = now + lasts; now < end; now += STEP) {
+    /** Runs the simulation for this time. */
+    void run(long micros) {
+        for (long end = now + micros; now < end; now += STEP_MICROS) {
             step();
         }
     }
 
-    private boolean reachable() {
-        return now >= downUntil && now >= cutUntil;
+    private boolean isReachable() {
+        return now >= downUntil && now >= partitionedUntil;
     }
 
     private void step() {
-        if (!reachable()) {
+        if (!isReachable()) {
             reachableSince = NEVER;
         } else if (reachableSince == NEVER) {
             reachableSince = now;
-            backAt = now;
+            reachableAgainAt = now;
         }
-        if (pollAt <= now) {
-            pollAt = NEVER;
-            if (!subscribed) {
-                poll();
+        if (nextPollAt <= now) {
+            nextPollAt = NEVER;
+            if (!isSubscribed) {
+                requestCall();
             }
         }
-        call();
-        if (state != ModelState.IDLE && now >= machine.deadline()) {
-            if (state == ModelState.AWAITING_RESPONSE) {
+        advanceCall();
+        if (state != CallState.IDLE && now >= machine.deadline()) {
+            if (state == CallState.AWAITING_RESPONSE) {
                 failAtDiscovery();
             } else {
-                lost();
+                onCallLost();
             }
         }
-        check();
+        checkRules();
     }
 
-    /** The call goes on, as far as it can in this step. */
-    private void call() {
-        if (state == ModelState.IDLE && (wanted || (machineSchedulesCalls && machine.nextCallBy() <= now))) {
+    /** Advances the call as far as possible in this step. */
+    private void advanceCall() {
+        if (state == CallState.IDLE && (isCallRequested || (machineSchedulesCalls && machine.nextCallBy() <= now))) {
             calls++;
             calledAt = now;
-            callFailed = false;
+            hasCallFailed = false;
             machine.onCallStarted(now);
-            enter(ModelState.CONNECTING);
-        } else if (state == ModelState.CONNECTING && now >= cutUntil && now - stateSince >= 2 * STEP) {
+            enter(CallState.CONNECTING);
+        } else if (state == CallState.CONNECTING && now >= partitionedUntil && now - stateSince >= 2 * STEP_MICROS) {
             if (now < downUntil) {
-                lost();
+                onCallLost();
             } else {
-                reached++;
+                callsReachingDiscovery++;
                 machine.onRequestSent(now);
-                enter(ModelState.AWAITING_RESPONSE);
+                enter(CallState.AWAITING_RESPONSE);
             }
-        } else if (state == ModelState.AWAITING_RESPONSE && refusals > 0 && now >= cutUntil
-                && now - stateSince >= refusalTakes) {
-            refusals--;
+        } else if (state == CallState.AWAITING_RESPONSE && remainingRefusals > 0 && now >= partitionedUntil
+                && now - stateSince >= refusalMicros) {
+            remainingRefusals--;
             failAtDiscovery();
-        } else if (state == ModelState.AWAITING_RESPONSE && refusals == 0 && now >= cutUntil
-                && now - stateSince >= latency) {
+        } else if (state == CallState.AWAITING_RESPONSE && remainingRefusals == 0 && now >= partitionedUntil
+                && now - stateSince >= latencyMicros) {
             machine.onStreamOpened(now);
-            if (endingWatches > 0) {
-                endingWatches--;
+            if (remainingEarlyEnds > 0) {
+                remainingEarlyEnds--;
                 failAtDiscovery();
             } else {
-                enter(ModelState.WATCHING);
-                silentNow = false;
-                line();
+                enter(CallState.WATCHING);
+                isSilent = false;
+                deliver();
             }
-        } else if (state == ModelState.WATCHING && !silentNow && now >= cutUntil
-                && (!missedDrains.isEmpty() || now >= nextLine)) {
-            line();
+        } else if (state == CallState.WATCHING && !isSilent && now >= partitionedUntil
+                && (!missedDrains.isEmpty() || now >= nextHeartbeatAt)) {
+            deliver();
         }
     }
 
-    /** The call has failed at discovery, through no fault of the gatherer's. */
+    /** Ends a call that failed at discovery, which is no fault of the gatherer. */
     private void failAtDiscovery() {
-        failures.add(new Failure(now, now - calledAt));
-        excusedUntil = Math.max(excusedUntil, now + 7 * SECOND); // as for a call that was lost in the middle
-        lost();
+        failedCalls.add(new FailedCall(now, now - calledAt));
+        // as for a call that was lost while its response was awaited
+        excusedUntil = Math.max(excusedUntil, now + 7 * SECOND_MICROS);
+        onCallLost();
     }
 
-    private void enter(ModelState to) {
-        state = to;
+    private void enter(CallState next) {
+        state = next;
         stateSince = now;
     }
 
-    private void line() {
+    /** Delivers all missed drains, or a heartbeat. */
+    private void deliver() {
         missedDrains.clear();
-        nextLine = now + 2 * SECOND;
+        nextHeartbeatAt = now + 2 * SECOND_MICROS;
         silentSince = NEVER;
         machine.onEventReceived(now);
-        subscribed = true;
-        pollBackoff = SECOND / 2;
+        isSubscribed = true;
+        pollBackoffMicros = SECOND_MICROS / 2;
     }
 
-    private void lost() {
-        callFailed = state != ModelState.WATCHING;
-        wanted = false;
-        silentNow = false;
+    private void onCallLost() {
+        hasCallFailed = state != CallState.WATCHING;
+        isCallRequested = false;
+        isSilent = false;
         if (machine.onWatchLost(now) || !machineSchedulesCalls) {
-            subscribed = false;
+            isSubscribed = false;
             schedulePoll();
         }
-        enter(ModelState.IDLE);
+        enter(CallState.IDLE);
     }
 
-    private void poll() {
-        wanted = true;
+    private void requestCall() {
+        isCallRequested = true;
         schedulePoll();
     }
 
     private void schedulePoll() {
-        if (pollAt == NEVER) {
-            pollAt = now + (long) (pollBackoff * (0.5 + random.nextDouble()));
-            pollBackoff = Math.min(4 * SECOND, 2 * pollBackoff);
+        if (nextPollAt == NEVER) {
+            nextPollAt = now + (long) (pollBackoffMicros * (0.5 + random.nextDouble()));
+            pollBackoffMicros = Math.min(4 * SECOND_MICROS, 2 * pollBackoffMicros);
         }
     }
 
-    // ---- the terms ----------------------------------------------------------------------------------------
+    // ---- the rules ----------------------------------------------------------------------------------------
 
-    private void check() {
-        for (Drain d : missedDrains) {
-            if (d.notifiedAt == NEVER && isNotified(d)) {
-                d.notifiedAt = now;
-                assertTrue(state != ModelState.IDLE || machine.notifiedAt(d.madeAt) <= now,
-                        "the machine knows of no later term");
+    private void checkRules() {
+        for (Drain drain : missedDrains) {
+            if (drain.notifiedAt == NEVER && isNotified(drain)) {
+                drain.notifiedAt = now;
+                assertTrue(state != CallState.IDLE || machine.notifiedAt(drain.madeAt) <= now,
+                        "the machine's notification time is not later than the check's");
             }
-            if (d.notifiedAt != NEVER && now > d.notifiedAt + DRAIN_GRACE && !isExcused(d)) {
-                throw new AssertionError("at " + now + " sent to what drained at " + d.madeAt + ", told " + d.notifiedAt
-                        + ", lost " + lostAt + ", reachable since " + reachableSince + ", " + state);
+            if (drain.notifiedAt != NEVER && now > drain.notifiedAt + DRAIN_GRACE_MICROS && !isExcused(drain)) {
+                throw new AssertionError("at " + now + " sent to a worker that drained at " + drain.madeAt
+                        + ", notified " + drain.notifiedAt + ", watch lost " + lostAt + ", reachable since "
+                        + reachableSince + ", " + state);
             }
-            if (reachable() && now > hadAt(d) + BOUND + DRAIN_GRACE && !isExcusedOfBound(d)) {
-                throw new AssertionError("at " + now + " sent to what drained at " + d.madeAt + ", reachable since "
-                        + reachableSince + ", lost " + lostAt + ", called " + calledAt + ", " + state + ", "
-                        + failures);
+            if (isReachable() && now > availableSince(drain) + STALENESS_BOUND_MICROS + DRAIN_GRACE_MICROS
+                    && !isExcusedFromBound(drain)) {
+                throw new AssertionError("at " + now + " sent to a worker that drained at " + drain.madeAt
+                        + ", reachable since " + reachableSince + ", watch lost " + lostAt + ", called "
+                        + calledAt + ", " + state + ", " + failedCalls);
             }
-            lastKnownAfter = Math.max(lastKnownAfter, d.notifiedAt == NEVER ? 0 : now - d.notifiedAt);
+            maxDelayAfterNotified = Math.max(maxDelayAfterNotified,
+                    drain.notifiedAt == NEVER ? 0 : now - drain.notifiedAt);
         }
     }
 
-    private boolean isNotified(Drain d) {
+    private boolean isNotified(Drain drain) {
         if (silentSince != NEVER) {
-            return now >= silentSince + 6 * SECOND && (!pushed || now >= movedAt + 4 * SECOND);
+            return now >= silentSince + 6 * SECOND_MICROS && (!pushed || now >= movedAt + 4 * SECOND_MICROS);
         }
         if (pushed) {
-            return reachable() && now >= movedAt + 4 * SECOND;
+            return isReachable() && now >= movedAt + 4 * SECOND_MICROS;
         }
-        return pollWithin > 0 && state != ModelState.WATCHING && now >= d.madeAt + pollWithin
-                && now >= Math.max(calledAt, backAt) + (callFailed ? 4 : 1) * pollWithin;
+        return pollIntervalMicros > 0 && state != CallState.WATCHING && now >= drain.madeAt + pollIntervalMicros
+                && now >= Math.max(calledAt, reachableAgainAt) + (hasCallFailed ? 4 : 1) * pollIntervalMicros;
     }
 
-    /** Since when discovery has had it and could be reached without a break. */
-    private long hadAt(Drain d) {
-        return Math.max(Math.max(d.madeAt, reachableSince), startedAt);
+    /** Returns since when discovery has had the drain and was reachable without interruption. */
+    private long availableSince(Drain drain) {
+        return Math.max(Math.max(drain.madeAt, reachableSince), startedAt);
     }
 
     /**
-     * Whether calls that failed since took so long that no gatherer could know in time. The first call comes within a
-     * period of the machine's, or of a silence that is still to be found out; each that fails costs its time and the
-     * rest of a period; the last is answered at discovery's pace.
+     * Returns whether calls that failed since then took so long that no gatherer could receive the drain in time. The
+     * first call comes within the machine's retry period, or after a silence that must be detected first. Each failed
+     * call takes its duration and the rest of a retry period. The last call takes discovery's latency.
      */
-    private boolean isExcusedOfBound(Drain d) {
-        long from = hadAt(d);
-        long needs = Math.max(WatchTimings.RETRY_PERIOD_MICROS,
-                WatchTimings.SILENCE_TIMEOUT_MICROS + WatchTimings.RECONNECT_JITTER_MICROS) + 4 * STEP;
-        for (Failure f : failures) {
-            if (f.at >= from) {
-                needs += Math.max(WatchTimings.RETRY_PERIOD_MICROS, f.took + SECOND / 4) + 4 * STEP;
+    private boolean isExcusedFromBound(Drain drain) {
+        long from = availableSince(drain);
+        long neededMicros = Math.max(WatchTimings.RETRY_PERIOD_MICROS,
+                WatchTimings.SILENCE_TIMEOUT_MICROS + WatchTimings.RECONNECT_JITTER_MICROS) + 4 * STEP_MICROS;
+        for (FailedCall failed : failedCalls) {
+            if (failed.endedAt >= from) {
+                neededMicros += Math.max(WatchTimings.RETRY_PERIOD_MICROS, failed.durationMicros + SECOND_MICROS / 4)
+                        + 4 * STEP_MICROS;
             }
         }
-        if (state == ModelState.AWAITING_RESPONSE && refusals > 0) { // the call that is out will fail, too
-            needs += Math.max(WatchTimings.RETRY_PERIOD_MICROS,
-                    Math.min(refusalTakes, WatchTimings.RESPONSE_TIMEOUT_MICROS) + SECOND / 4) + 4 * STEP;
+        if (state == CallState.AWAITING_RESPONSE && remainingRefusals > 0) { // the call in progress will fail, too
+            neededMicros += Math.max(WatchTimings.RETRY_PERIOD_MICROS,
+                    Math.min(refusalMicros, WatchTimings.RESPONSE_TIMEOUT_MICROS) + SECOND_MICROS / 4)
+                    + 4 * STEP_MICROS;
         }
-        return needs + latency + 4 * STEP > BOUND + DRAIN_GRACE;
+        return neededMicros + latencyMicros + 4 * STEP_MICROS > STALENESS_BOUND_MICROS + DRAIN_GRACE_MICROS;
     }
 
-    /** Whether discovery could not be reached for long enough before the grace was over. */
-    private boolean isExcused(Drain d) {
-        long stretch = d.notifiedAt + DRAIN_GRACE - Math.max(lostAt, reachableSince == NEVER ? now : reachableSince);
-        long needs = silentSince != NEVER ? 5 * SECOND / 2
-                : pushed ? DRAIN_GRACE : Math.min(6 * SECOND, 2 * pollWithin) + 6 * SECOND / 10;
-        long slow = Math.max(latency, refusals > 0 ? refusalTakes : 0) - USUAL_LATENCY;
-        return now < excusedUntil || stretch < needs + Math.max(0, slow);
+    /** Returns whether discovery was not reachable for long enough before the grace was over. */
+    private boolean isExcused(Drain drain) {
+        long availableMicros = drain.notifiedAt + DRAIN_GRACE_MICROS
+                - Math.max(lostAt, reachableSince == NEVER ? now : reachableSince);
+        long neededMicros = silentSince != NEVER ? 5 * SECOND_MICROS / 2
+                : pushed ? DRAIN_GRACE_MICROS
+                        : Math.min(6 * SECOND_MICROS, 2 * pollIntervalMicros) + 6 * SECOND_MICROS / 10;
+        long extraLatencyMicros = Math.max(latencyMicros, remainingRefusals > 0 ? refusalMicros : 0)
+                - DEFAULT_LATENCY_MICROS;
+        return now < excusedUntil || availableMicros < neededMicros + Math.max(0, extraLatencyMicros);
     }
 }
--- a/src/test/java/wallmoor/discovery/WatchStreamParserTest.java
+++ b/src/test/java/wallmoor/discovery/WatchStreamParserTest.java
@@ -16,41 +16,41 @@
 import wallmoor.http.ByteSlice;
 import wallmoor.http.HttpReader;
 
-/** A watch's body is read alike wherever the network, the chunks or the lines cut it. */
+/** Tests that a watch's body is parsed alike wherever packets, chunks or lines split it. */
 public class WatchStreamParserTest {
     @SuppressWarnings("StringConcatToTextBlock") // a text block would lose the carriage returns
     private static final String INDENTED = "{\n  \"revision\": 43,\r\n\r\n \t\n  \"members\": [\n"
             + "    {\"id\": \"s-\u00e9\u20ac\ud83d\ude00\"},\n\n"
             + "    {\"id\": \"}{[\\\"\\\\\"}\n  ]\n}";
     private static final String PLAIN = "{\"revision\":44,\"members\":[]}";
-    /** Objects over lines, on one line, two on a line, and the heartbeats between them. */
+    /** Objects on several lines, on one line, and two on a line, with heartbeats between them. */
     private static final String BODY = "\n" + PLAIN + "\n" + INDENTED + "\r\n\r\n \t\n" + PLAIN + PLAIN + " \n" + PLAIN
             + "\n\n"
             + INDENTED;
     private static final List<String> EVENTS = List.of("", PLAIN, INDENTED, "", "", PLAIN, PLAIN, PLAIN, "", INDENTED);
 
-    /** Writes down objects, and heartbeats as empty texts. */
-    private static final class Events implements WatchStreamParser.WatchStreamListener {
-        final List<String> seen = new ArrayList<>();
+    /** Records objects as text, and heartbeats as empty strings. */
+    private static final class RecordingListener implements WatchStreamParser.WatchStreamListener {
+        final List<String> events = new ArrayList<>();
 
         @Override
-        public void object(ByteSlice json) {
-            seen.add(new String(json.buffer(), json.from(), json.length(), StandardCharsets.UTF_8));
+        public void onObject(ByteSlice json) {
+            events.add(new String(json.buffer(), json.from(), json.length(), StandardCharsets.UTF_8));
         }
 
         @Override
-        public void heartbeat() {
-            seen.add("");
+        public void onHeartbeat() {
+            events.add("");
         }
     }
 
-    /** A connection whose bytes come in two pieces, or one by one where the cut is below 0. */
-    private static final class CutSocket extends Socket {
+    /** A connection whose bytes arrive in two pieces split at {@code cut}, or one by one if {@code cut} is negative. */
+    private static final class SplitSocket extends Socket {
         private final InputStream bytes;
         private final int cut;
-        private int read;
+        private int bytesRead;
 
-        CutSocket(byte[] bytes, int cut) {
+        SplitSocket(byte[] bytes, int cut) {
             this.bytes = new ByteArrayInputStream(bytes);
             this.cut = cut;
         }
@@ -65,14 +65,15 @@
             return new InputStream() {
                 @Override
                 public int read() throws IOException {
-                    throw new IOException("read in pieces");
+                    throw new IOException("expected reads into an array only");
                 }
 
                 @Override
                 public int read(byte[] to, int from, int length) throws IOException {
-                    int n = bytes.read(to, from, cut < 0 ? 1 : read < cut ? Math.min(length, cut - read) : length);
-                    read += Math.max(0, n);
-                    return n;
+                    int count = bytes.read(to, from,
+                            cut < 0 ? 1 : bytesRead < cut ? Math.min(length, cut - bytesRead) : length);
+                    bytesRead += Math.max(0, count);
+                    return count;
                 }
             };
         }
@@ -82,7 +83,7 @@
         return text.getBytes(StandardCharsets.UTF_8);
     }
 
-    /** An answer whose body goes in chunks of so many bytes. */
+    /** Returns a response with a chunked body, in chunks of {@code size} bytes. */
     private static byte[] chunked(byte[] body, int size) {
         var out = new ByteArrayOutputStream();
         out.writeBytes(utf8("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"));
@@ -97,72 +98,74 @@
         return out.toByteArray();
     }
 
-    private static List<String> events(byte[] answer, int cut) throws Exception {
-        var events = new Events();
-        var reader = new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, events);
-        try (var socket = new CutSocket(answer, cut)) {
+    private static List<String> events(byte[] response, int cut) throws Exception {
+        var listener = new RecordingListener();
+        var parser = new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, listener);
+        try (var socket = new SplitSocket(response, cut)) {
             var in = new HttpReader(socket);
             assertTrue(in.await(1_000));
             in.answer(1_000, false);
             for (ByteSlice part = in.bodyPart(1_000); part != null; part = in.bodyPart(1_000)) {
-                reader.read(part);
+                parser.read(part);
             }
         }
-        return events.seen;
+        return listener.events;
     }
 
     @Test
-    public void aStreamCutAtAnyByteTellsTheSame() throws Exception {
+    public void parsesChunkedBodySplitAtAnyByte() throws Exception {
         for (int size : new int[] {1, 2, 7, 64, 100_000}) {
-            byte[] answer = chunked(utf8(BODY), size);
-            for (int cut = -1; cut < answer.length; cut++) {
-                assertEquals("chunks of " + size + ", cut at " + cut, EVENTS, events(answer, cut));
+            byte[] response = chunked(utf8(BODY), size);
+            for (int cut = -1; cut < response.length; cut++) {
+                assertEquals("chunks of " + size + ", cut at " + cut, EVENTS, events(response, cut));
             }
         }
     }
 
     @Test
-    public void aBodyWithALengthEndsByItself() throws Exception {
+    public void parsesBodyWithContentLength() throws Exception {
         byte[] body = utf8(BODY);
-        byte[] answer = utf8(
+        byte[] response = utf8(
                 "HTTP/1.1 200 OK\r\nContent-Length: " + body.length + "\r\n\r\n" + BODY + "HTTP/1.1 200 OK\r\n");
-        for (int cut = -1; cut < answer.length; cut++) {
-            assertEquals("cut at " + cut, EVENTS, events(answer, cut));
+        for (int cut = -1; cut < response.length; cut++) {
+            assertEquals("cut at " + cut, EVENTS, events(response, cut));
         }
     }
 
     @Test
-    public void anObjectCountsFromItsLastBracketAndItsLineEndIsNoHeartbeat() throws Exception {
-        var events = new Events();
-        var reader = new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, events);
+    public void reportsObjectAtClosingBracketAndItsLineEndIsNoHeartbeat() throws Exception {
+        var listener = new RecordingListener();
+        var parser = new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, listener);
         byte[] object = utf8(INDENTED);
-        reader.read(new ByteSlice(object, 0, object.length - 1));
-        assertEquals(List.of(), events.seen);
-        reader.read(new ByteSlice(object, object.length - 1, 1));
-        assertEquals(List.of(INDENTED), events.seen);
-        reader.read(new ByteSlice(utf8(" \r\n"), 0, 3));
-        assertEquals(List.of(INDENTED), events.seen);
-        reader.read(new ByteSlice(utf8(" \r\n"), 0, 3));
-        assertEquals(List.of(INDENTED, ""), events.seen);
+        parser.read(new ByteSlice(object, 0, object.length - 1));
+        assertEquals(List.of(), listener.events);
+        parser.read(new ByteSlice(object, object.length - 1, 1));
+        assertEquals(List.of(INDENTED), listener.events);
+        parser.read(new ByteSlice(utf8(" \r\n"), 0, 3));
+        assertEquals(List.of(INDENTED), listener.events);
+        parser.read(new ByteSlice(utf8(" \r\n"), 0, 3));
+        assertEquals(List.of(INDENTED, ""), listener.events);
     }
 
     @Test
-    public void anObjectOfTheMostBytesIsTakenAndNoLongerOne() throws Exception {
-        var events = new Events();
-        String most = "{" + " ".repeat(DiscoveryCall.MAX_OBJECT_BYTES - 2) + "}";
-        new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, events).read(new ByteSlice(utf8(most), 0, most.length()));
-        assertEquals(1, events.seen.size());
-        byte[] more = utf8("{" + " ".repeat(DiscoveryCall.MAX_OBJECT_BYTES));
+    public void acceptsObjectOfMaximumSizeAndRejectsLongerOne() throws Exception {
+        var listener = new RecordingListener();
+        String longest = "{" + " ".repeat(DiscoveryCall.MAX_OBJECT_BYTES - 2) + "}";
+        new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, listener)
+                .read(new ByteSlice(utf8(longest), 0, longest.length()));
+        assertEquals(1, listener.events.size());
+        byte[] tooLong = utf8("{" + " ".repeat(DiscoveryCall.MAX_OBJECT_BYTES));
         assertThrows(MalformedEndpointListException.class,
-                () -> new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, events)
-                        .read(new ByteSlice(more, 0, more.length)));
+                () -> new WatchStreamParser(DiscoveryCall.MAX_OBJECT_BYTES, listener)
+                        .read(new ByteSlice(tooLong, 0, tooLong.length)));
     }
 
     @Test
-    public void whatIsNoObjectIsRefusedWhereItStands() {
-        for (String bad : List.of("x", "]", "{}x", "[{}]", "{\"a\":\"b\n", "\"{}\"")) {
-            assertThrows(bad, MalformedEndpointListException.class, () -> new WatchStreamParser(100, new Events())
-                    .read(new ByteSlice(utf8(bad), 0, utf8(bad).length)));
+    public void rejectsBytesThatAreNoObject() {
+        for (String malformed : List.of("x", "]", "{}x", "[{}]", "{\"a\":\"b\n", "\"{}\"")) {
+            assertThrows(malformed, MalformedEndpointListException.class,
+                    () -> new WatchStreamParser(100, new RecordingListener())
+                            .read(new ByteSlice(utf8(malformed), 0, utf8(malformed).length)));
         }
     }
 }
--- a/src/test/java/wallmoor/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/wallmoor/endpoints/EndpointRegistryTest.java
@@ -14,17 +14,17 @@
 import wallmoor.core.WorkerEndpoint;
 import wallmoor.core.WorkerEndpoint.EndpointState;
 
-/** The rules for sources that disagree, one by one, on a hand-turned clock. */
+/** Tests each rule for sources that disagree, with a clock that the test advances. */
 public class EndpointRegistryTest {
-    static final long SECOND = 1_000_000;
+    static final long SECOND_MICROS = 1_000_000;
     static final RegistryPolicy POLICY = RegistryPolicy
             .of(List.of(new SourcePolicy("list", true, 0, 1, 1000),
-                    new SourcePolicy("dns", false, 60 * SECOND, 0.2, 1000)));
+                    new SourcePolicy("dns", false, 60 * SECOND_MICROS, 0.2, 1000)));
 
     private final EndpointRegistry registry = new EndpointRegistry(POLICY);
-    private final Map<String, WorkerEndpoint> members = new TreeMap<>();
+    private final Map<String, WorkerEndpoint> published = new TreeMap<>();
     private final Map<String, String> causes = new LinkedHashMap<>();
-    private long now = 1_000 * SECOND;
+    private long now = 1_000 * SECOND_MICROS;
 
     static SourceEndpoint entry(String id, EndpointState state, int tier) {
         return new SourceEndpoint(id, "127.0.0.1:" + (9000 + Integer.parseInt(id.replaceAll("\\D", ""))), 0, 0, 0,
@@ -36,20 +36,20 @@
         return java.util.Arrays.stream(ids).map(id -> entry(id, EndpointState.SERVING, 0)).toList();
     }
 
-    private void take(WatchEvent news) {
-        applyChanges(registry.apply(now, news));
+    private void applyEvent(WatchEvent event) {
+        applyChanges(registry.apply(now, event));
     }
 
-    private void dns(String... ids) {
-        take(new WatchEvent.EndpointSnapshot("dns", "look-up", serving(ids), false));
+    private void reportFromDns(String... ids) {
+        applyEvent(new WatchEvent.EndpointSnapshot("dns", "look-up", serving(ids), false));
     }
 
-    private void list(int revision, SourceEndpoint... entries) {
-        take(new WatchEvent.EndpointDelta("list", "revision " + revision, List.of(entries)));
+    private void reportFromList(int revision, SourceEndpoint... entries) {
+        applyEvent(new WatchEvent.EndpointDelta("list", "revision " + revision, List.of(entries)));
     }
 
-    private void pass(long seconds) {
-        long end = now + seconds * SECOND;
+    private void advanceSeconds(long seconds) {
+        long end = now + seconds * SECOND_MICROS;
         while (registry.nextTickAt() <= end) {
             now = Math.max(now + 1, registry.nextTickAt());
             applyChanges(registry.tick(now));
@@ -59,227 +59,227 @@
     }
 
     private void applyChanges(List<EndpointChange> changes) {
-        for (EndpointChange c : changes) {
-            causes.put(c.endpoint().id(), c.cause());
-            if (c.endpoint().state() == EndpointState.GONE) {
-                members.remove(c.endpoint().id());
+        for (EndpointChange change : changes) {
+            causes.put(change.endpoint().id(), change.cause());
+            if (change.endpoint().state() == EndpointState.GONE) {
+                published.remove(change.endpoint().id());
             } else {
-                members.put(c.endpoint().id(), c.endpoint());
+                published.put(change.endpoint().id(), change.endpoint());
             }
         }
     }
 
-    private List<String> serve() {
-        return members.values().stream().filter(m -> m.state() == EndpointState.SERVING).map(WorkerEndpoint::id)
-                .toList();
+    private List<String> servingIds() {
+        return published.values().stream().filter(endpoint -> endpoint.state() == EndpointState.SERVING)
+                .map(WorkerEndpoint::id).toList();
     }
 
     private EndpointState state(String id) {
-        return members.containsKey(id) ? members.get(id).state() : EndpointState.GONE;
+        return published.containsKey(id) ? published.get(id).state() : EndpointState.GONE;
     }
 
     @Test
-    public void theListOutranksDnsOnLeavingUnderWhateverName() {
-        dns("w1", "w2");
-        list(43, entry("w1", EndpointState.DRAINING, 0));
+    public void listDrainAndRemovalOverrideDnsUnderAnyId() {
+        reportFromDns("w1", "w2");
+        reportFromList(43, entry("w1", EndpointState.DRAINING, 0));
         assertEquals(EndpointState.DRAINING, state("w1"));
         assertEquals("drained by list at revision 43", causes.get("w1"));
-        dns("w1", "w2");
-        pass(30);
-        dns("w1", "w2");
-        assertEquals("a living record does not bring it back", List.of("w2"), serve());
-        // the same machine under a name that only DNS has: who claims its address is not believed either
+        reportFromDns("w1", "w2");
+        advanceSeconds(30);
+        reportFromDns("w1", "w2");
+        assertEquals("a DNS record does not bring it back", List.of("w2"), servingIds());
+        // the same machine under an id that only DNS has: its address is drained, too
         var alias = new SourceEndpoint("alias", entry("w1", EndpointState.SERVING, 0).address(), 0, 0, 0,
                 EndpointState.SERVING, 1,
                 SourceEndpoint.UNKNOWN_START, 0);
-        take(new WatchEvent.EndpointSnapshot("dns", "look-up", List.of(alias, entry("w2", EndpointState.SERVING, 0)),
-                false));
-        assertEquals(List.of("w2"), serve());
-        list(44, entry("w1", EndpointState.GONE, 0));
+        applyEvent(new WatchEvent.EndpointSnapshot("dns", "look-up",
+                List.of(alias, entry("w2", EndpointState.SERVING, 0)), false));
+        assertEquals(List.of("w2"), servingIds());
+        reportFromList(44, entry("w1", EndpointState.GONE, 0));
         for (int i = 0; i < 50; i++) {
-            pass(20);
-            dns("w1", "w2");
+            advanceSeconds(20);
+            reportFromDns("w1", "w2");
         }
-        assertEquals("gone at revision 44, and named all the while", List.of("w2"), serve());
-        list(45, entry("w1", EndpointState.SERVING, 0));
-        assertEquals(List.of("w1", "w2"), serve());
-        assertEquals("back by the list's word, cold from then", now, members.get("w1").upSince());
+        assertEquals("gone at revision 44, although DNS still names it", List.of("w2"), servingIds());
+        reportFromList(45, entry("w1", EndpointState.SERVING, 0));
+        assertEquals(List.of("w1", "w2"), servingIds());
+        assertEquals("started now, as the list names it again", now, published.get("w1").upSince());
     }
 
     @Test
-    public void aTombEndsOnlyAWhileAfterTheLastRecord() {
-        dns("w1", "w2");
-        list(1, entry("w1", EndpointState.SERVING, 0), entry("w2", EndpointState.SERVING, 0));
-        list(2, entry("w1", EndpointState.GONE, 0));
-        for (int i = 0; i < 5; i++) { // one server is stale, the other is not: it comes and goes
-            dns("w2");
-            pass(20);
-            dns("w1", "w2");
-            pass(20);
+    public void tombstoneExpiresAWhileAfterLastDnsRecord() {
+        reportFromDns("w1", "w2");
+        reportFromList(1, entry("w1", EndpointState.SERVING, 0), entry("w2", EndpointState.SERVING, 0));
+        reportFromList(2, entry("w1", EndpointState.GONE, 0));
+        for (int i = 0; i < 5; i++) { // one of two DNS servers is stale, so that the record comes and goes
+            reportFromDns("w2");
+            advanceSeconds(20);
+            reportFromDns("w1", "w2");
+            advanceSeconds(20);
         }
-        assertEquals(List.of("w2"), serve());
+        assertEquals(List.of("w2"), servingIds());
         for (int i = 0; i < 60; i++) {
-            dns("w2");
-            pass(20);
+            reportFromDns("w2");
+            advanceSeconds(20);
         }
-        dns("w1", "w2");
-        pass(400);
-        dns("w1", "w2");
-        assertEquals("another life, long after", List.of("w1", "w2"), serve());
+        reportFromDns("w1", "w2");
+        advanceSeconds(400);
+        reportFromDns("w1", "w2");
+        assertEquals("accepted again after the tombstone expired", List.of("w1", "w2"), servingIds());
     }
 
     @Test
-    public void aSourceThatFailsSaysNothingUpToAnAgeThenItsNodesLeaveGently() {
-        String[] ten = IntStream.range(0, 10).mapToObj(i -> "w" + i).toArray(String[]::new);
-        dns(ten);
-        take(new WatchEvent.SourceFailure("dns", "SERVFAIL"));
-        pass(59);
-        assertEquals(10, serve().size());
-        pass(2);
-        assertEquals("a fifth in a step", 8, serve().size());
-        assertEquals("draining, not cut off", EndpointState.DRAINING, state("w0"));
+    public void endpointsDrainGraduallyAfterSourceFailsForMaxStaleness() {
+        String[] tenIds = IntStream.range(0, 10).mapToObj(i -> "w" + i).toArray(String[]::new);
+        reportFromDns(tenIds);
+        applyEvent(new WatchEvent.SourceFailure("dns", "SERVFAIL"));
+        advanceSeconds(59);
+        assertEquals(10, servingIds().size());
+        advanceSeconds(2);
+        assertEquals("a fifth at a time", 8, servingIds().size());
+        assertEquals("draining, not gone", EndpointState.DRAINING, state("w0"));
         assertTrue(causes.get("w0"), causes.get("w0").contains("no report from dns for more than 60 s"));
-        pass(10);
-        assertEquals(7, serve().size());
-        dns(ten);
-        assertEquals("all back with the source", 10, serve().size());
-        assertEquals("cold from then", now, members.get("w0").upSince());
-        assertEquals("the others never left", 0, members.get("w9").upSince());
-        pass(200);
-        assertEquals(0, members.size());
+        advanceSeconds(10);
+        assertEquals(7, servingIds().size());
+        reportFromDns(tenIds);
+        assertEquals("all serve again with the source", 10, servingIds().size());
+        assertEquals("started now", now, published.get("w0").upSince());
+        assertEquals("the others never stopped serving", 0, published.get("w9").upSince());
+        advanceSeconds(200);
+        assertEquals(0, published.size());
     }
 
     @Test
-    public void anEmptyOrMuchSmallerReplyIsConfirmedFirst() {
-        String[] ten = IntStream.range(0, 10).mapToObj(i -> "w" + i).toArray(String[]::new);
-        dns(ten);
-        dns();
-        pass(20);
-        assertEquals("nothing leaves on one empty reply", 10, serve().size());
-        dns(ten);
-        dns("w0", "w1", "w2");
-        assertEquals("two may leave at once", 8, serve().size());
-        pass(30);
-        assertEquals("the rest waits for confirmation", 8, serve().size());
-        dns("w0", "w1", "w2");
-        dns("w0", "w1", "w2");
-        pass(45);
-        assertEquals("confirmed: they leave in steps", 3, serve().size());
-        dns(ten);
-        take(new WatchEvent.EndpointSnapshot("dns", "not offered", List.of(), true));
-        assertEquals("an explicit word needs no confirmation", 0, serve().size());
+    public void emptyOrMuchSmallerSnapshotNeedsConfirmation() {
+        String[] tenIds = IntStream.range(0, 10).mapToObj(i -> "w" + i).toArray(String[]::new);
+        reportFromDns(tenIds);
+        reportFromDns();
+        advanceSeconds(20);
+        assertEquals("one empty snapshot removes nothing", 10, servingIds().size());
+        reportFromDns(tenIds);
+        reportFromDns("w0", "w1", "w2");
+        assertEquals("two may be removed at once", 8, servingIds().size());
+        advanceSeconds(30);
+        assertEquals("the others wait for confirmation", 8, servingIds().size());
+        reportFromDns("w0", "w1", "w2");
+        reportFromDns("w0", "w1", "w2");
+        advanceSeconds(45);
+        assertEquals("confirmed, and removed in steps", 3, servingIds().size());
+        reportFromDns(tenIds);
+        applyEvent(new WatchEvent.EndpointSnapshot("dns", "not offered", List.of(), true));
+        assertEquals("an authoritative snapshot needs no confirmation", 0, servingIds().size());
     }
 
     @Test
-    public void theListConfirmsAtOnceWhatDnsDropped() {
-        dns("w0", "w1", "w2", "w3", "w4");
-        take(new WatchEvent.EndpointSnapshot("list", "revision 1", serve0(), true));
-        dns();
-        take(new WatchEvent.EndpointSnapshot("list", "revision 2", List.of(), true));
-        assertEquals(0, serve().size());
+    public void listRemovalConfirmsMissingDnsRecordsAtOnce() {
+        reportFromDns("w0", "w1", "w2", "w3", "w4");
+        applyEvent(new WatchEvent.EndpointSnapshot("list", "revision 1", fiveServing(), true));
+        reportFromDns();
+        applyEvent(new WatchEvent.EndpointSnapshot("list", "revision 2", List.of(), true));
+        assertEquals(0, servingIds().size());
     }
 
-    private static List<SourceEndpoint> serve0() {
+    private static List<SourceEndpoint> fiveServing() {
         return serving("w0", "w1", "w2", "w3", "w4");
     }
 
     @Test
-    public void anAddressBelongsToWhoeverClaimedItLast() {
-        dns("w1", "w2");
-        var taken = new SourceEndpoint("w7", entry("w1", EndpointState.SERVING, 0).address(), 0, 0, 1,
+    public void addressBelongsToLastClaimant() {
+        reportFromDns("w1", "w2");
+        var successor = new SourceEndpoint("w7", entry("w1", EndpointState.SERVING, 0).address(), 0, 0, 1,
                 EndpointState.SERVING, 1, SourceEndpoint.UNKNOWN_START,
                 0);
-        pass(5);
-        take(new WatchEvent.EndpointSnapshot("dns", "look-up",
+        advanceSeconds(5);
+        applyEvent(new WatchEvent.EndpointSnapshot("dns", "look-up",
                 List.of(entry("w1", EndpointState.SERVING, 0), entry("w2", EndpointState.SERVING, 0),
-                        taken),
+                        successor),
                 false));
-        assertEquals("the record that outlives its node holds nothing", List.of("w2", "w7"), serve());
+        assertEquals("the outdated record does not serve", List.of("w2", "w7"), servingIds());
         assertTrue(causes.get("w1"), causes.get("w1").contains("w7's"));
-        // two that come together contradict each other: neither is believed
-        SourceEndpoint one = new SourceEndpoint("a8", "127.0.0.1:8", 0, 0, 0, EndpointState.SERVING, 1,
+        // two claims in one snapshot contradict each other: neither serves
+        SourceEndpoint first = new SourceEndpoint("a8", "127.0.0.1:8", 0, 0, 0, EndpointState.SERVING, 1,
                 SourceEndpoint.UNKNOWN_START, 0);
-        SourceEndpoint two = new SourceEndpoint("b8", "127.0.0.1:8", 0, 0, 1, EndpointState.SERVING, 1,
+        SourceEndpoint second = new SourceEndpoint("b8", "127.0.0.1:8", 0, 0, 1, EndpointState.SERVING, 1,
                 SourceEndpoint.UNKNOWN_START, 0);
-        take(new WatchEvent.EndpointSnapshot("dns", "look-up",
-                List.of(entry("w2", EndpointState.SERVING, 0), taken, one, two), false));
-        assertEquals(List.of("w2", "w7"), serve());
+        applyEvent(new WatchEvent.EndpointSnapshot("dns", "look-up",
+                List.of(entry("w2", EndpointState.SERVING, 0), successor, first, second), false));
+        assertEquals(List.of("w2", "w7"), servingIds());
     }
 
     @Test
-    public void aDeadAddressIsHeldOutForAGrowingBoundedTime() {
-        dns("w1", "w2", "w3", "w4");
-        list(1, entry("w2", EndpointState.SERVING, 0));
+    public void unreachableAddressIsSuppressedForGrowingBoundedTime() {
+        reportFromDns("w1", "w2", "w3", "w4");
+        reportFromList(1, entry("w2", EndpointState.SERVING, 0));
         for (int i = 0; i < 4; i++) {
-            pass(1);
+            advanceSeconds(1);
             applyChanges(registry.reportConnection(now, "w1", false));
             applyChanges(registry.reportConnection(now, "w2", false));
         }
-        assertEquals("the list's nodes are the module's to judge", List.of("w2", "w3", "w4"), serve());
-        pass(6);
-        assertEquals(List.of("w1", "w2", "w3", "w4"), serve());
-        assertEquals("tried again as a cold one", (float) now - SECOND, (float) members.get("w1").upSince(),
-                (float) SECOND);
+        assertEquals("endpoints of the list are left to the decision module", List.of("w2", "w3", "w4"), servingIds());
+        advanceSeconds(6);
+        assertEquals(List.of("w1", "w2", "w3", "w4"), servingIds());
+        assertEquals("started at its return", (float) now - SECOND_MICROS, (float) published.get("w1").upSince(),
+                (float) SECOND_MICROS);
         applyChanges(registry.reportConnection(now, "w1", false));
-        pass(8);
-        assertEquals("twice as long", 3, serve().size());
-        pass(3);
+        advanceSeconds(8);
+        assertEquals("suppressed for twice as long", 3, servingIds().size());
+        advanceSeconds(3);
         applyChanges(registry.reportConnection(now, "w1", true));
-        assertEquals(4, serve().size());
-        for (String id : List.of("w1", "w3", "w4")) { // all at once: the fault is nearer than they are
+        assertEquals(4, servingIds().size());
+        for (String id : List.of("w1", "w3", "w4")) { // all at once: the fault is likely on this side
             for (int i = 0; i < 4; i++) {
-                pass(1);
+                advanceSeconds(1);
                 applyChanges(registry.reportConnection(now, id, false));
             }
         }
-        assertTrue(serve().toString(), serve().size() >= 2);
+        assertTrue(servingIds().toString(), servingIds().size() >= 2);
     }
 
     @Test
-    public void aFlappingNodeIsHeldDownForAGrowingTime() {
-        String[] others = {"w2", "w3", "w4", "w5", "w6", "w7"};
-        dns("w1", "w2", "w3", "w4", "w5", "w6", "w7");
-        var held = new ArrayList<Long>();
+    public void flappingEndpointIsSuppressedForGrowingTime() {
+        String[] otherIds = {"w2", "w3", "w4", "w5", "w6", "w7"};
+        reportFromDns("w1", "w2", "w3", "w4", "w5", "w6", "w7");
+        var suppressedSeconds = new ArrayList<Long>();
         for (int i = 0; i < 8; i++) {
-            pass(11);
-            dns(others);
-            pass(1);
-            dns("w1", "w2", "w3", "w4", "w5", "w6", "w7");
-            long from = now;
+            advanceSeconds(11);
+            reportFromDns(otherIds);
+            advanceSeconds(1);
+            reportFromDns("w1", "w2", "w3", "w4", "w5", "w6", "w7");
+            long returnedAt = now;
             while (state("w1") != EndpointState.SERVING) {
-                pass(1);
-                dns("w1", "w2", "w3", "w4", "w5", "w6", "w7"); // the source is heard all the while
+                advanceSeconds(1);
+                reportFromDns("w1", "w2", "w3", "w4", "w5", "w6", "w7"); // the source keeps reporting
             }
-            held.add((now - from) / SECOND);
+            suppressedSeconds.add((now - returnedAt) / SECOND_MICROS);
         }
-        assertEquals(List.of(0L, 5L, 10L, 20L, 40L, 80L, 160L, 300L), held);
+        assertEquals(List.of(0L, 5L, 10L, 20L, 40L, 80L, 160L, 300L), suppressedSeconds);
     }
 
     @Test
-    public void tiersStandByForTheirCell() {
-        take(new WatchEvent.EndpointSnapshot("dns", "look-up",
+    public void higherTierServesOnlyWithoutLowerTier() {
+        applyEvent(new WatchEvent.EndpointSnapshot("dns", "look-up",
                 List.of(entry("w1", EndpointState.SERVING, 10), entry("w2", EndpointState.SERVING, 10),
                         entry("w3", EndpointState.SERVING, 20)),
                 false));
-        assertEquals(List.of("w1", "w2"), serve());
-        list(1, entry("w1", EndpointState.DRAINING, 0));
-        assertEquals(List.of("w2"), serve());
-        list(2, entry("w2", EndpointState.DRAINING, 0));
-        assertEquals(List.of("w3"), serve());
-        list(3, entry("w2", EndpointState.SERVING, 0));
-        assertEquals(List.of("w2"), serve());
+        assertEquals(List.of("w1", "w2"), servingIds());
+        reportFromList(1, entry("w1", EndpointState.DRAINING, 0));
+        assertEquals(List.of("w2"), servingIds());
+        reportFromList(2, entry("w2", EndpointState.DRAINING, 0));
+        assertEquals(List.of("w3"), servingIds());
+        reportFromList(3, entry("w2", EndpointState.SERVING, 0));
+        assertEquals(List.of("w2"), servingIds());
         assertEquals(EndpointState.DRAINING, state("w3"));
     }
 
     @Test
-    public void newsThatCannotBeTakenChangesNothing() {
-        dns("w1");
+    public void rejectedEventChangesNothing() {
+        reportFromDns("w1");
         assertThrows(RejectedWatchEventException.class,
-                () -> take(new WatchEvent.EndpointSnapshot("dns", "x", serving("w2", "w2"), false)));
-        assertThrows(RejectedWatchEventException.class, () -> take(new WatchEvent.EndpointsUnchanged("nobody")));
-        String[] many = IntStream.range(0, 1001).mapToObj(i -> "w" + i).toArray(String[]::new);
-        assertThrows(RejectedWatchEventException.class, () -> dns(many));
-        assertEquals(List.of("w1"), serve());
-        assertEquals("not cold at first load", 0, members.get("w1").upSince());
+                () -> applyEvent(new WatchEvent.EndpointSnapshot("dns", "x", serving("w2", "w2"), false)));
+        assertThrows(RejectedWatchEventException.class, () -> applyEvent(new WatchEvent.EndpointsUnchanged("nobody")));
+        String[] tooManyIds = IntStream.range(0, 1001).mapToObj(i -> "w" + i).toArray(String[]::new);
+        assertThrows(RejectedWatchEventException.class, () -> reportFromDns(tooManyIds));
+        assertEquals(List.of("w1"), servingIds());
+        assertEquals("not counted as started at the first report", 0, published.get("w1").upSince());
     }
 }
