--- a/src/main/java/wallmoor/discovery/RetrySchedule.java
+++ b/src/main/java/wallmoor/discovery/RetrySchedule.java
@@ -10,7 +10,8 @@
 final class RetrySchedule {
     /** Spreads consecutive seeds, for which {@link Random} would start with nearly the same numbers. */
     private static final long SEED_MULTIPLIER = 0x9e3779b97f4a7c15L;
-    // the lower limits of jittered waits, as fractions of their upper limits
+    // the lower limits of jittered waits, as fractions of their upper limits: after a failed call, after a watch fell
+    // silent, after a watch ended, where lists are pushed, and where lists are polled
     private static final double MIN_PERIOD_FRACTION = 0.8;
     private static final double MIN_SILENT_FRACTION = 0.75;
     private static final double MIN_ENDED_FRACTION = 0.75;
--- a/src/main/java/wallmoor/discovery/WatchStateMachine.java
+++ b/src/main/java/wallmoor/discovery/WatchStateMachine.java
@@ -107,8 +107,8 @@
     /**
      * Records that the call failed, or that the watch fell silent or ended, and schedules the next call.
      *
-     * @return true if the decision module must be notified, and decides when to call again; false if the machine
-     *         reconnects by itself at {@link #nextCallBy}, as missed changes would count as notified too soon
+     * @return true if the decision module must be notified, which may call before {@link #nextCallBy}; false if the
+     *         machine reconnects by itself at {@link #nextCallBy}, as missed changes count as notified soon
      */
     boolean onWatchLost(long at) {
         boolean wasSynced = state == WatchState.SYNCED;
--- a/src/main/java/wallmoor/endpoints/EndpointRegistry.java
+++ b/src/main/java/wallmoor/endpoints/EndpointRegistry.java
@@ -85,15 +85,15 @@
     /**
      * Rejects an event that names too many endpoints, or, from a source that is not trusted, one of them twice.
      *
-     * @param isDelta whether the named endpoints are added to those that the source names already
+     * @param addsToCurrent whether the named endpoints come on top of those that the source names already
      */
-    private static void checkBounds(SourceView view, List<SourceEndpoint> named, boolean isDelta) {
+    private static void checkBounds(SourceView view, List<SourceEndpoint> named, boolean addsToCurrent) {
         SourcePolicy source = view.source();
         var ids = new HashSet<String>();
-        int count = isDelta ? view.size() : 0;
+        int count = addsToCurrent ? view.size() : 0;
         for (SourceEndpoint endpoint : named) {
             if (ids.add(endpoint.id())) {
-                count += isDelta && view.names(endpoint.id()) ? 0 : 1;
+                count += addsToCurrent && view.names(endpoint.id()) ? 0 : 1;
             } else if (!source.trusted()) {
                 throw new RejectedWatchEventException(source.name() + " names endpoint " + endpoint.id() + " twice");
             }
--- a/src/main/java/wallmoor/endpoints/RegistryPolicy.java
+++ b/src/main/java/wallmoor/endpoints/RegistryPolicy.java
@@ -36,7 +36,8 @@
                 || sources.isEmpty() || hasDuplicateNames(sources)) {
             throw new IllegalArgumentException("registry policy out of bounds: removalWindowMicros="
                     + removalWindowMicros + " (above 0), confirmations=" + confirmations + " (at least 1), drainMicros="
-                    + drainMicros + " (at least 0), tombstoneMicros=" + tombstoneMicros + " (at least 0), sources=" + sources
+                    + drainMicros + " (at least 0), tombstoneMicros=" + tombstoneMicros
+                    + " (at least 0), sources=" + sources
                     + " (at least one, each name once)");
         }
     }
