--- a/src/main/java/wallmoor/peers/udp/GroupTransport.java
+++ b/src/main/java/wallmoor/peers/udp/GroupTransport.java
@@ -66,7 +66,7 @@
     private final Counter sent = counters.counter("sent");
     private final Counter sentBytes = counters.counter("bytes");
     private final Map<DropReason, Counter> dropped = new EnumMap<>(DropReason.class);
-    private volatile boolean closed;
+    private volatile boolean isClosed;
 
     /**
      * Binds the sockets; {@link #start} starts the protocol.
@@ -114,7 +114,7 @@
     /** Announces that this member leaves and closes the sockets. */
     public void leave() {
         handle(() -> membership.leave(nowMicros()));
-        closed = true;
+        isClosed = true;
         socket.close();
         try {
             tables.close();
@@ -157,7 +157,7 @@
 
     private void tick() {
         try {
-            while (!closed) {
+            while (!isClosed) {
                 Thread.sleep(tickMillis);
                 handle(() -> membership.onTick(nowMicros()));
             }
@@ -168,14 +168,14 @@
 
     private void readDatagrams() {
         byte[] buffer = new byte[2 * GroupMessageCodec.MAX_DATAGRAM_BYTES];
-        while (!closed) {
+        while (!isClosed) {
             try {
                 var packet = new DatagramPacket(buffer, buffer.length);
                 socket.receive(packet);
                 received.inc();
                 receive(buffer, packet.getLength(), GroupMessageCodec.MAX_DATAGRAM_BYTES);
             } catch (IOException e) {
-                if (!closed) {
+                if (!isClosed) {
                     LOG.warn("group datagram receive failed: error=\"{}\"", e.toString());
                 }
             }
