--- a/src/test/java/wallmoor/maintenance/FleetFixtures.java
+++ b/src/test/java/wallmoor/maintenance/FleetFixtures.java
@@ -9,7 +9,7 @@
 import wallmoor.maintenance.Machine.MachinePhase;
 import wallmoor.maintenance.Machine.MachineRole;
 
-/** Builds small fleets for tests. Machines serve and are past slow start unless set otherwise. */
+/** Builds small fleets for tests. Machines serve and are past slow start unless a call sets otherwise. */
 final class FleetFixtures {
     static final long SLOW_START_MILLIS = 18_000;
     static final long OBSERVATION_MILLIS = 5_000;
--- a/src/test/java/wallmoor/maintenance/MaintenanceSimulation.java
+++ b/src/test/java/wallmoor/maintenance/MaintenanceSimulation.java
@@ -220,9 +220,9 @@
         }
     }
 
-    void setListed(SimulatedMachine machine, boolean serving) {
-        if (machine.isListed != serving) {
-            machine.isListed = serving;
+    void setListed(SimulatedMachine machine, boolean isListed) {
+        if (machine.isListed != isListed) {
+            machine.isListed = isListed;
             machine.phaseSince = now;
         }
     }
