--- a/src/main/java/wallmoor/migration/CopyRateLimiter.java
+++ b/src/main/java/wallmoor/migration/CopyRateLimiter.java
@@ -1,20 +1,20 @@
 package wallmoor.migration;
 
 /**
- * Token bucket for the bytes copied by all migrations together, refilled by the times that events come with. It yields
- * to queries: when a node reports that they suffer, the rate is halved; otherwise it grows by a constant step
- * (additive increase, multiplicative decrease).
+ * Token bucket for the bytes copied by all migrations together, refilled according to the timestamps of events. It
+ * yields to queries: when a node reports that copying slows them down, the rate is halved; otherwise it grows by a
+ * constant step (additive increase, multiplicative decrease).
  */
 final class CopyRateLimiter {
-    /** The bucket holds what accrues in this time: a late tick loses nothing, and a burst stays short. */
+    /** Time of refill that the bucket holds: a late tick loses no tokens, and bursts stay short. */
     private static final long BURST_MICROS = 250_000;
-    /** Least time between two changes of the rate, so that responses show the effect of the last one. */
+    /** Minimum time between two changes of the rate, so that responses show the effect of the last one. */
     private static final long ADJUST_MICROS = 200_000;
-    /** Steps from zero to the full rate: 6.4 s. */
+    /** Number of steps from zero to the full rate, which take 6.4 s. */
     private static final int INCREASE_STEPS = 32;
-    /** The rate stays above this fraction of its maximum, as a migration must end. */
+    /** Divisor of the maximum rate that gives the minimum rate, so that every migration ends. */
     private static final int MAX_REDUCTION = 64;
-    /** From this reported load on queries take precedence. */
+    /** Reported load from which the rate is reduced in favor of queries. */
     private static final double LOAD_THRESHOLD = 0.5;
     private static final double MICROS_PER_SECOND = 1e6;
     private static final long NEVER = Long.MIN_VALUE;
@@ -31,9 +31,10 @@
     }
 
     /**
-     * Takes tokens for a copy of so many bytes, if they are available. A full bucket also grants more than it holds.
+     * Takes tokens for a copy of this size, if they are available. A full bucket also grants a copy larger than its
+     * capacity.
      *
-     * @param now microseconds
+     * @param now microseconds of a monotonic clock
      */
     boolean tryAcquire(long now, long bytes) {
         if (refilledAt == NEVER) {
@@ -50,7 +51,7 @@
         return true;
     }
 
-    /** Adjusts the rate to the load that a node reports, 0 to 1. */
+    /** Adjusts the rate to the load that a node reported, 0 to 1. */
     void onLoad(long now, double load) {
         if (adjustedAt != NEVER && now - adjustedAt < ADJUST_MICROS) {
             return;
@@ -61,7 +62,7 @@
                 : Math.min((double) maxBytesPerSecond, bytesPerSecond + (double) maxBytesPerSecond / INCREASE_STEPS);
     }
 
-    /** The present rate, bytes a second. */
+    /** Returns the present rate, in bytes per second. */
     long bytesPerSecond() {
         return (long) bytesPerSecond;
     }
--- a/src/main/java/wallmoor/migration/MigrationAction.java
+++ b/src/main/java/wallmoor/migration/MigrationAction.java
@@ -1,21 +1,21 @@
 package wallmoor.migration;
 
-/** What the coordinator's caller has to do. */
+/** An action that the coordinator's caller has to perform. */
 public sealed interface MigrationAction {
     /**
-     * Propose a plan as the successor of a version. Issued again until the outcome is reported, so proposing must be
-     * idempotent.
+     * Proposes a plan as the successor of a version. The action is issued again until the outcome is reported, so
+     * proposing must be idempotent.
      *
-     * @param parentVersion version that the proposal was made from
+     * @param parentVersion version that the proposal succeeds
      */
     record ProposePlan(long parentVersion, MigrationPlan plan) implements MigrationAction {}
 
     /**
-     * Send a request to a node, and report its response or that there was none.
+     * Sends a request to a node; the caller reports the response, or that there was none.
      *
      * @param requestId    unique among this coordinator's requests
-     * @param block        empty for {@link ReplicaRequest.ListReplicas}
-     * @param fencingToken number of the active version: a node rejects requests with a lower token than it has seen
+     * @param block        block that the request is about; empty for {@link ReplicaRequest.ListReplicas}
+     * @param fencingToken number of the active version; a node rejects a token lower than the highest it has received
      */
     record SendRequest(long requestId, String node, String block, long fencingToken, ReplicaRequest request)
             implements
--- a/src/main/java/wallmoor/migration/MigrationCoordinator.java
+++ b/src/main/java/wallmoor/migration/MigrationCoordinator.java
@@ -15,18 +15,18 @@
 import wallmoor.migration.MigrationStatus.MigrationProgress;
 
 /**
- * Carries out the plan, one version after another: has requests sent to nodes, and proposes the successor that their
- * responses allow. It acts on the active version alone, so that two coordinators beside each other do no harm, and one
- * that was killed at any point is continued from the plan and from the nodes' records. Not thread-safe.
+ * Carries out the plan, one version after another: it issues requests to nodes, and proposes the next version when
+ * their responses allow it. It acts on the active version only, so two coordinators at the same time do no harm. After
+ * a crash at any point another one continues from the plan and the nodes' records. Not thread-safe.
  */
 public final class MigrationCoordinator {
-    /** What an operator wants of all migrations. The names are stored, in lower case. */
+    /** An operator's command for all migrations. The names are stored in lower case. */
     public enum OperatorCommand {
         PAUSE, RESUME, STOP
     }
 
     private static final long NO_VERSION = -1;
-    /** The "block" of requests to list all replicas. */
+    /** The block id of requests that list all replicas. */
     private static final String NO_BLOCK = "";
 
     private final MigrationSettings settings;
@@ -43,14 +43,14 @@
     private OperatorCommand pendingCommand;
     private String lastFailure = "";
 
-    /** A coordinator that knows no plan yet. */
+    /** Creates a coordinator without a plan; {@link #onVersionActive} sets the first one. */
     public MigrationCoordinator(MigrationSettings settings) {
         this.settings = settings;
         this.limiter = new CopyRateLimiter(settings.bytesPerSecond());
         this.survey = new ReplicaSurvey(settings);
     }
 
-    /** A version became active everywhere: nobody acts on its parent alone any more. */
+    /** Handles a version that is active everywhere: no gatherer acts on its parent version alone any more. */
     public List<MigrationAction> onVersionActive(long now, long newVersion, MigrationPlan newPlan) {
         if (newVersion > version) {
             version = newVersion;
@@ -66,16 +66,18 @@
         return proceed(now);
     }
 
-    /** The proposal after this version did not become the next one: another did, or the outcome is unknown. */
+    /**
+     * Handles a proposal that did not become the successor of this version: another one did, or the outcome is unknown.
+     */
     public List<MigrationAction> onProposalRejected(long now, long parentVersion) {
         if (proposal != null && proposal.parentVersion() == parentVersion) {
             proposal = null;
-            proposeNotBefore = now + settings.retryMicros(); // the version that won is on its way
+            proposeNotBefore = now + settings.retryMicros(); // time for the accepted version to arrive
         }
         return proceed(now);
     }
 
-    /** A node responded. */
+    /** Handles a node's response. */
     public List<MigrationAction> onResponse(long now, long requestId, ReplicaResponse response) {
         limiter.onLoad(now, response.load());
         String block = blockByRequest.remove(requestId);
@@ -94,7 +96,7 @@
         return proceed(now);
     }
 
-    /** A node did not respond in time, or could not be reached. */
+    /** Handles a request to a node that did not respond in time, or could not be reached. */
     public List<MigrationAction> onRequestFailed(long now, long requestId, String reason) {
         String block = blockByRequest.remove(requestId);
         if (NO_BLOCK.equals(block)) {
@@ -108,24 +110,24 @@
         return proceed(now);
     }
 
-    /** The task that waits for this request; null where none does any more. */
+    /** Returns the task that waits for the response to this request; null where none does any more. */
     private MigrationTask outstandingTask(String block, long requestId) {
         MigrationTask task = block == null ? null : tasksByBlock.get(block);
         return task != null && task.isOutstanding(requestId) ? task : null;
     }
 
-    /** Time passed. */
+    /** Handles the passage of time: issues requests and proposals that have become due. */
     public List<MigrationAction> onTick(long now) {
         return proceed(now);
     }
 
-    /** An operator gave a command; the last one holds until a version of the plan reflects it. */
+    /** Handles an operator's command; the last one stays pending until a version of the plan reflects it. */
     public List<MigrationAction> onCommand(long now, OperatorCommand command) {
         pendingCommand = command;
         return proceed(now);
     }
 
-    /** The present state, for operators. */
+    /** Returns the present state, for operators. */
     public MigrationStatus status() {
         var progress = new ArrayList<MigrationProgress>();
         if (plan != null) {
@@ -194,14 +196,17 @@
         return lastRequestId;
     }
 
-    /** What the plan should become: by an operator's command, else by what the tasks did, else by a new survey. */
+    /**
+     * Returns the next version to propose: after an operator's command, else after results of tasks, else after a
+     * survey. It equals the plan where nothing changes.
+     */
     private MigrationPlan successor(long now, List<MigrationAction> actions) {
         MigrationPlan successor = applyCommand();
         if (successor.equals(plan)) {
             successor = applyTasks();
         }
         if (successor.equals(plan) && plan.migrations().isEmpty() && !plan.stopped() && !plan.paused()) {
-            for (String node : survey.nodesToAsk(now, plan.target())) {
+            for (String node : survey.nodesToRequest(now, plan.target())) {
                 survey.onSent(send(actions, node, NO_BLOCK, new ReplicaRequest.ListReplicas()), node);
             }
             successor = Objects.requireNonNullElse(survey.planMigrations(now, plan), plan);
@@ -212,12 +217,12 @@
     private MigrationPlan applyCommand() {
         MigrationPlan successor = pendingCommand == null ? plan : plan.withCommand(pendingCommand);
         if (successor.equals(plan)) {
-            pendingCommand = null; // the plan reflects it
+            pendingCommand = null; // the plan reflects the command, or there is none
         }
         return successor;
     }
 
-    /** The plan with the tasks' results, and with the migrations that may begin. */
+    /** Returns the plan with the results of the tasks applied, and with the migrations begun that may begin. */
     private MigrationPlan applyTasks() {
         SortedMap<String, Migration> migrations = new TreeMap<>(plan.migrations());
         SortedMap<String, SortedSet<String>> owners = new TreeMap<>(plan.owners());
@@ -230,14 +235,14 @@
                 rolledBack |= task.successor().stage() == MigrationStage.BACK;
             }
         }
-        if (rolledBack) { // the rest was planned together with it: it is planned anew
+        if (rolledBack) { // planned migrations may depend on the one rolled back: they are planned again
             migrations.values().removeIf(m -> m.stage() == MigrationStage.PLANNED);
         }
         beginPlanned(migrations);
         return plan.withMigrations(migrations, owners);
     }
 
-    /** Updates the owners for a task's next stage; false where too few replicas would remain. */
+    /** Updates the owners for a task's next stage; returns false where too few replicas would remain. */
     private boolean updateOwners(MigrationTask task, SortedMap<String, SortedSet<String>> owners) {
         String block = task.migration.block();
         var nodes = new TreeSet<>(owners.get(block));
--- a/src/main/java/wallmoor/migration/MigrationPlan.java
+++ b/src/main/java/wallmoor/migration/MigrationPlan.java
@@ -19,13 +19,15 @@
  * One version of the replicated document {@code plan}: who owns which block, and the migrations in progress. Immutable;
  * each change is a new version. {@link MigrationPlanCodec} has its stored form.
  *
- * @param owners        by block, the nodes with a complete replica that queries may be sent to
- * @param sizesMb       by block
- * @param minCopies     by block, the replicas that must remain when one is dropped
- * @param migrations    by block: a block has one migration at a time
+ * @param owners        nodes with a complete replica that queries may be sent to, by block
+ * @param sizesMb       size in megabytes, by block
+ * @param minCopies     replicas that must remain when one is dropped, by block
+ * @param migrations    migration in progress, by block; a block has one at a time
  * @param frozenBlocks  blocks of which no migration is begun
- * @param maxConcurrent migrations that copy at one time
- * @param target        what is planned for; null before the first
+ * @param maxConcurrent maximum of migrations that copy at the same time
+ * @param paused        whether no migration is begun, and only fenced ones copy
+ * @param stopped       whether no migration is begun, and revocable ones are rolled back
+ * @param target        placement that migrations are planned for; null before the first one is set
  */
 public record MigrationPlan(SortedMap<String, SortedSet<String>> owners, SortedMap<String, Long> sizesMb,
         SortedMap<String, Integer> minCopies, SortedMap<String, Migration> migrations, SortedSet<String> frozenBlocks,
@@ -42,7 +44,7 @@
         frozenBlocks = Collections.unmodifiableSortedSet(new TreeSet<>(frozenBlocks));
     }
 
-    /** The first version: no migration yet. */
+    /** Returns the first version of the plan, without migrations. */
     public static MigrationPlan initial(PlacementProblem problem, int maxConcurrent) {
         var owners = new TreeMap<String, SortedSet<String>>();
         var sizesMb = new TreeMap<String, Long>();
@@ -57,8 +59,8 @@
     }
 
     /**
-     * The plan for another target, neither paused nor stopped. Migrations that have not begun are planned anew. Nodes
-     * that the target lacks are taken for lost, with their replicas.
+     * Returns the plan for another target, neither paused nor stopped. Migrations that have not begun are dropped and
+     * planned again. Nodes that the target lacks count as lost, with their replicas.
      *
      * @throws IncompatibleTargetException where a block would lose its last replica, or a migration past its point of
      *                                     no return would lose a node
@@ -72,8 +74,8 @@
             var remaining = new TreeSet<>(entry.getValue());
             remaining.removeIf(node -> !newTarget.hasNode(node));
             if (remaining.isEmpty()) {
-                throw new IncompatibleTargetException("block " + block + " has copies on " + entry.getValue()
-                        + " alone, which the file does not have");
+                throw new IncompatibleTargetException("block " + block + " has replicas only on " + entry.getValue()
+                        + ", and the file has none of these nodes");
             }
             remainingOwners.put(block, remaining);
             remainingCopies.merge(block, remaining.size(), Math::min);
@@ -81,7 +83,7 @@
         for (Migration m : migrations.values()) {
             if (isIrrevocable(m) && !(newTarget.hasNode(m.from()) && newTarget.hasNode(m.to()))) {
                 throw new IncompatibleTargetException("the move of " + m.block() + " from " + m.from() + " to "
-                        + m.to() + " is handed over and not ended; it needs both nodes in the file");
+                        + m.to() + " can no longer be rolled back and has not finished: the file must have both nodes");
             }
         }
         return new MigrationPlan(remainingOwners, sizesMb, remainingCopies, begunMigrations(), frozenBlocks,
@@ -92,12 +94,15 @@
         return !m.stage().isRevocable() && m.stage() != MigrationStage.BACK && m.stage() != MigrationStage.PLANNED;
     }
 
-    /** The plan after an operator's command. */
+    /** Returns the plan after an operator's command. */
     public MigrationPlan withCommand(OperatorCommand command) {
         return command == OperatorCommand.STOP ? withStopped() : withPaused(command == OperatorCommand.PAUSE);
     }
 
-    /** Whether the target is reached as far as the plan knows; no node was asked for its actual disk space. */
+    /**
+     * Returns whether no migration is left to plan, computed from the disk sizes in the target; the space that nodes
+     * report is not considered.
+     */
     public boolean isTargetReached() {
         if (target == null || !migrations.isEmpty()) {
             return false;
@@ -112,7 +117,7 @@
                 stopped, target);
     }
 
-    /** Nothing more is begun, and what can be rolled back is. */
+    /** Returns the stopped plan: no migration is begun any more, and each revocable one is rolled back. */
     MigrationPlan withStopped() {
         SortedMap<String, Migration> remaining = begunMigrations();
         remaining.replaceAll((block, m) -> m.stage().isRevocable() ? m.withStage(MigrationStage.BACK) : m);
@@ -132,27 +137,33 @@
         return begun;
     }
 
-    /** The document's body. */
+    /** Returns the document's body. */
     public String body() {
         return MigrationPlanCodec.body(this);
     }
 
-    /** The document's fallback, for gatherers without a lease: owners are known, and nothing is migrated by it. */
+    /** Returns the document's fallback, for gatherers without a lease: it has the owners, but no migrations. */
     public String fallback() {
         return MigrationPlanCodec.fallback(this);
     }
 
-    /** Upper bound of body and fallback together, in characters, while the present migrations are carried out. */
+    /**
+     * Returns an upper bound of the length of body and fallback together, in characters, while the present migrations
+     * are carried out.
+     */
     public int maxEncodedLength() {
         return MigrationPlanCodec.maxEncodedLength(this);
     }
 
-    /** Reads a body that the document's kind has validated. */
+    /** Decodes a body that {@code rules.DocumentSchemas.PLAN} has validated. */
     public static MigrationPlan decode(RuleBody body) throws UnreadablePlanException {
         return MigrationPlanCodec.decode(body);
     }
 
-    /** The placement problem that is left: blocks as they are placed now, on disks with the space reported. */
+    /**
+     * Returns the placement problem that remains: the blocks on their present owners, and the nodes with the disk space
+     * that they reported.
+     */
     PlacementProblem toProblem(Map<String, DiskSpace> spaceByNode) {
         List<StorageNode> nodes = target.nodes().stream().map(n -> new StorageNode(n.id(), n.cell(),
                 plannableDiskMb(n.id(), spaceByNode.get(n.id())), n.draining())).toList();
@@ -161,13 +172,13 @@
         return new PlacementProblem(target.headroom(), target.spread(), target.level(), nodes, blocks);
     }
 
-    /** The size of a disk on which blocks alone have as much usable space as they have on the node's. */
+    /** Returns the size of a disk without other data that has as much usable space as the node's disk. */
     private long plannableDiskMb(String node, DiskSpace space) {
         long unreserved = (long) PlacementProblem.MILLION - target.headroom();
         long usableMb = target.usableMb(node, space.diskMb()) - space.otherMb();
         long diskMb = Math.max(0, usableMb) * PlacementProblem.MILLION / unreserved;
         while (diskMb * unreserved / PlacementProblem.MILLION < Math.max(1, usableMb)) {
-            diskMb++; // shares are rounded down twice
+            diskMb++; // this division and the one above round down
         }
         return diskMb;
     }
--- a/src/main/java/wallmoor/migration/MigrationPlanCodec.java
+++ b/src/main/java/wallmoor/migration/MigrationPlanCodec.java
@@ -12,7 +12,7 @@
 
 /**
  * The stored form of a {@link MigrationPlan}: body and fallback of the document {@code plan}, whose fields {@code
- * rules.Kinds.PLAN} validates.
+ * rules.DocumentSchemas.PLAN} validates.
  */
 final class MigrationPlanCodec {
     private static final String OWNERS = "owners.";
@@ -36,8 +36,8 @@
     }
 
     /**
-     * Upper bound of body and fallback together, in characters: each migration may be fenced, be at the stage with the
-     * longest name, and have its target beside its source as an owner.
+     * Returns an upper bound of the length of body and fallback together, in characters. It assumes that each migration
+     * is fenced, is at the stage with the longest name, and has both its source and its target as owners.
      */
     static int maxEncodedLength(MigrationPlan plan) {
         int growth = (plan.paused() ? 1 : 0) + (plan.stopped() ? 2 : 0); // "false" is longer than "true"
--- a/src/main/java/wallmoor/migration/MigrationStage.java
+++ b/src/main/java/wallmoor/migration/MigrationStage.java
@@ -1,8 +1,8 @@
 package wallmoor.migration;
 
 /**
- * A migration's step. Each transition is a version of the document {@code plan}, in which the names are stored in lower
- * case.
+ * A stage of a migration. Each transition is a version of the document {@code plan}, in which the names are stored in
+ * lower case.
  */
 public enum MigrationStage {
     /** Not begun. */
@@ -15,16 +15,16 @@
     CONFIRM,
     /** The source is fenced: it rejects non-idempotent parts. Its final content is compared once more. */
     HAND,
-    /** Source and target are both owners; the target is told to take ownership. From here on there is no rollback. */
+    /** Source and target are owners; the target is requested to take ownership. From here on there is no rollback. */
     JOIN,
-    /** The target is the owner, the source is not; queries that were opened before may still read the source. */
+    /** The target is an owner, the source is not; queries that were opened before may still read the source. */
     SETTLE,
     /** The source drops its replica. */
     FORGET,
     /** Rolled back before {@link #JOIN}: the target discards its copy, the source is unfenced. */
     BACK;
 
-    /** Whether the migration can still be rolled back: nothing ran on the target, and no query was routed there. */
+    /** Returns whether a rollback is still possible: no query was routed to the target, and no part ran there. */
     public boolean isRevocable() {
         return this == PREPARE || this == COPY || this == CONFIRM || this == HAND;
     }
--- a/src/main/java/wallmoor/migration/MigrationStages.java
+++ b/src/main/java/wallmoor/migration/MigrationStages.java
@@ -8,7 +8,7 @@
 final class MigrationStages {
     private MigrationStages() {}
 
-    /** Nothing is requested before the coordinator begins the migration. */
+    /** Sends no requests: the coordinator has not begun the migration. */
     static final class Planned extends StageProtocol {
         Planned(MigrationTask task) {
             super(task);
@@ -51,7 +51,10 @@
         }
     }
 
-    /** Has the target fetch its missing chunks one by one, within the rate limit; {@code step} is the chunk plus 1. */
+    /**
+     * Has the target fetch its missing chunks one by one, within the rate limit; {@code step} is the chunk's index plus
+     * 1.
+     */
     static final class Copy extends StageProtocol {
         Copy(MigrationTask task) {
             super(task);
@@ -170,7 +173,7 @@
         }
     }
 
-    /** Makes sure that the target still owns a complete replica, then has the source drop its own. */
+    /** Checks that the target still owns a complete replica, then has the source drop its own. */
     static final class Forget extends StageProtocol {
         Forget(MigrationTask task) {
             super(task);
@@ -195,7 +198,7 @@
         }
     }
 
-    /** Unfences the source and discards the target's copy, in turn; neither waits for the other. */
+    /** Unfences the source and discards the target's copy, alternately: a failure of one does not block the other. */
     static final class RollBack extends StageProtocol {
         private boolean unfenced;
         private boolean discarded;
@@ -207,7 +210,7 @@
 
         @Override
         NextRequest nextRequest(long now, MigrationPlan plan, CopyRateLimiter limiter, long targetLimitMb) {
-            // nodes that the target lacks are gone for good, says the operator
+            // an operator removes only lost nodes from the placement target: they need no request
             unfenced |= !plan.target().hasNode(migration.from());
             discarded |= !plan.target().hasNode(migration.to());
             if (unfenced && discarded) {
@@ -220,7 +223,7 @@
 
         @Override
         void onResponse(long now, ReplicaResponse response) {
-            if (task.requested().request() instanceof ReplicaRequest.Unfence) {
+            if (task.lastRequest().request() instanceof ReplicaRequest.Unfence) {
                 unfenced = true;
             } else {
                 discarded = true;
--- a/src/main/java/wallmoor/migration/MigrationTask.java
+++ b/src/main/java/wallmoor/migration/MigrationTask.java
@@ -4,11 +4,14 @@
 import wallmoor.migration.ReplicaResponse.ResponseCode;
 
 /**
- * Carries out one stage of one migration: at most one outstanding request, retries, and rollback after a fault. It
- * remembers nothing that the plan or a node would not say again, so after a crash the next leader makes it anew.
+ * Carries out one stage of one migration: at most one outstanding request, retries, and rollback after a fault. Its
+ * state can be derived from the plan and the nodes' records, so the next leader recreates it after a crash.
  */
 final class MigrationTask {
-    /** Copies that may differ from the source before the target, or the way to it, is taken to corrupt data. */
+    /**
+     * Number of copies found to differ from the source after which the migration is rolled back: the target, or the
+     * network path to it, then counts as corrupting data.
+     */
     static final int MAX_COPY_ROUNDS = 8;
     /** Value of {@link #outstandingRequest} where none is outstanding: ids begin at 1. */
     private static final long NO_REQUEST = 0;
@@ -19,14 +22,14 @@
 
     final Migration migration;
     final MigrationSettings settings;
-    /** What the migration waits for, as operators see it; empty where for nothing. */
+    /** What the migration waits for, as shown to operators; empty where it waits for nothing. */
     String waitingFor = "";
 
     private final StageProtocol protocol;
     private long outstandingRequest = NO_REQUEST;
     private long notBefore = Long.MIN_VALUE;
     private long silentSince = NOT_SILENT;
-    private NextRequest requested;
+    private NextRequest lastRequest;
     private Migration successor;
     private boolean complete;
 
@@ -36,36 +39,36 @@
         this.protocol = StageProtocol.of(this, now);
     }
 
-    /** What the migration is to become in the next version of the plan; null while that is open. */
+    /** Returns the migration as proposed for the next version of the plan; null while the stage is in progress. */
     Migration successor() {
         return successor;
     }
 
-    /** Whether the migration is to leave the plan: it is completed, or rolled back. */
+    /** Returns whether the migration is to be removed from the plan: it is completed, or rolled back. */
     boolean isComplete() {
         return complete;
     }
 
-    /** The request that was sent last. */
-    NextRequest requested() {
-        return requested;
+    /** Returns the latest request. */
+    NextRequest lastRequest() {
+        return lastRequest;
     }
 
-    /** Share of the block that is at the target, as far as it is known. */
+    /** Returns the fraction of the block that the target has, 0 to 1; 0 while unknown. */
     double copiedFraction() {
         return protocol.copiedFraction();
     }
 
-    /** The request to send now; null where there is none. */
+    /** Returns the request to send now; null where there is none. */
     NextRequest nextRequest(long now, MigrationPlan plan, CopyRateLimiter limiter, long targetLimitMb) {
         if (outstandingRequest != NO_REQUEST || now < notBefore || successor != null || complete) {
             return null;
         }
-        requested = protocol.nextRequest(now, plan, limiter, targetLimitMb);
-        return requested;
+        lastRequest = protocol.nextRequest(now, plan, limiter, targetLimitMb);
+        return lastRequest;
     }
 
-    /** The request was sent under this id. */
+    /** Records the id under which the latest request was sent. */
     void onSent(long requestId) {
         outstandingRequest = requestId;
     }
@@ -74,11 +77,11 @@
         return outstandingRequest == requestId;
     }
 
-    /** The node did not respond, or could not do what was requested. */
+    /** Handles a request whose node did not respond, or could not carry it out. */
     void onFailure(long now, String reason) {
         outstandingRequest = NO_REQUEST;
         notBefore = now + settings.retryMicros();
-        waitingFor = requested.node() + ": " + reason;
+        waitingFor = lastRequest.node() + ": " + reason;
         silentSince = Math.min(silentSince, now);
         protocol.onFailure();
         if (migration.stage().isRevocable() && now - silentSince >= settings.silenceTimeoutMicros()) {
@@ -86,7 +89,11 @@
         }
     }
 
-    /** @param targetLimitMb megabytes that the target node may hold in total */
+    /**
+     * Handles the response to the outstanding request.
+     *
+     * @param targetLimitMb megabytes that the target node may store in total
+     */
     void onResponse(long now, ReplicaResponse response, long targetLimitMb) {
         outstandingRequest = NO_REQUEST;
         waitingFor = "";
@@ -97,17 +104,17 @@
             onFailure(now, "does not get it from " + migration.from());
         } else {
             silentSince = NOT_SILENT;
-            onAnswer(now, response, targetLimitMb);
+            onCurrentResponse(now, response, targetLimitMb);
         }
     }
 
-    private void onAnswer(long now, ReplicaResponse response, long targetLimitMb) {
+    private void onCurrentResponse(long now, ReplicaResponse response, long targetLimitMb) {
         boolean revocable = migration.stage().isRevocable();
-        if (revocable && requested.node().equals(migration.to()) && lacksSpace(response, targetLimitMb)) {
+        if (revocable && lastRequest.node().equals(migration.to()) && lacksSpace(response, targetLimitMb)) {
             rollBack(migration.to() + " has no room any more");
         } else if (revocable && response.code() == ResponseCode.WRONG) {
-            rollBack(requested.node() + " holds " + response.replica().state() + " where "
-                    + requested.request().operation() + " was asked");
+            rollBack(lastRequest.node() + " holds " + response.replica().state() + " where "
+                    + lastRequest.request().operation() + " was asked");
         } else {
             protocol.onResponse(now, response);
         }
@@ -118,12 +125,15 @@
                 || (response.replica().state() != ReplicaState.ABSENT && !response.space().fits(0, limitMb));
     }
 
-    /** This stage is done. */
+    /** Ends this stage; the migration proceeds to the next one in the next version of the plan. */
     void advanceTo(MigrationStage next) {
         successor = migration.withStage(next);
     }
 
-    /** The copy differs from the source: its differing chunks are copied again, unless that happened too often. */
+    /**
+     * Has the chunks that differ from the source copied again; rolls back at the {@link #MAX_COPY_ROUNDS}th copy that
+     * differs.
+     */
     void copyAgain() {
         if (migration.copyRounds() + 1 >= MAX_COPY_ROUNDS) {
             rollBack("what " + migration.to() + " has was another one " + MAX_COPY_ROUNDS + " times");
@@ -137,12 +147,12 @@
         successor = migration.withStage(MigrationStage.BACK);
     }
 
-    /** Nothing is left to do. */
+    /** Marks the migration as ended, to be removed from the plan. */
     void complete() {
         complete = true;
     }
 
-    /** The stage cannot proceed: its requests are sent once more after a delay, from the first. */
+    /** Restarts the stage from its first request after a delay, because it cannot proceed. */
     void startOver(long now, String reason) {
         protocol.step = 0;
         waitingFor = reason;
--- a/src/main/java/wallmoor/migration/PlacementTarget.java
+++ b/src/main/java/wallmoor/migration/PlacementTarget.java
@@ -9,11 +9,12 @@
 import wallmoor.placement.StorageNode;
 
 /**
- * What migrations are planned for: the placement rules, and the nodes with their disks.
+ * The placement that migrations are planned for: the placement rules, and the nodes with their disks.
  *
  * @param headroom millionths of each disk that stay free
  * @param spread   failure domain that no two replicas of a block share
- * @param level    millionths that the fullest node may be above the emptiest, or {@link PlacementProblem#NO_LEVEL}
+ * @param level    millionths of disk usage by which the fullest node may exceed the emptiest, or {@link
+ *                 PlacementProblem#NO_LEVEL}
  */
 public record PlacementTarget(int headroom, FailureDomain spread, int level, List<StorageNode> nodes) {
     /** Takes a copy of the list. */
@@ -21,12 +22,12 @@
         nodes = List.copyOf(nodes);
     }
 
-    /** The target of a placement problem: everything but its blocks. */
+    /** Returns the target of a placement problem: everything but its blocks. */
     public static PlacementTarget of(PlacementProblem problem) {
         return new PlacementTarget(problem.headroom(), problem.spread(), problem.level(), problem.nodes());
     }
 
-    /** Megabytes that a node may hold in total: its disk less its headroom; 0 for an unknown node. */
+    /** Returns the megabytes that a node may store in total: its disk less its headroom; 0 for an unknown node. */
     long usableMb(String node, long diskMb) {
         for (StorageNode n : nodes) {
             if (n.id().equals(node)) {
@@ -36,12 +37,12 @@
         return 0;
     }
 
-    /** Whether the node is one of the target's. */
+    /** Returns whether the target has this node. */
     public boolean hasNode(String node) {
         return nodes.stream().anyMatch(n -> n.id().equals(node));
     }
 
-    /** The form stored in the document {@code plan}: a JSON object. */
+    /** Returns the form stored in the document {@code plan}: a JSON object. */
     String encode() {
         var json = new StringBuilder("{\"headroom\":").append(headroom).append(",\"spread\":\"").append(spread)
                 .append("\",\"level\":").append(level).append(",\"nodes\":[");
@@ -69,7 +70,7 @@
                     (int) json.number("level", PlacementProblem.NO_LEVEL), nodes);
         } catch (Json.Malformed | ClassCastException | NullPointerException | IndexOutOfBoundsException
                 | IllegalArgumentException e) {
-            throw new UnreadablePlanException("no goal: " + text, e);
+            throw new UnreadablePlanException("malformed placement target: " + text, e);
         }
     }
 }
--- a/src/main/java/wallmoor/migration/ReplicaRequest.java
+++ b/src/main/java/wallmoor/migration/ReplicaRequest.java
@@ -4,10 +4,10 @@
 
 /**
  * A request to a node about its replica of one block. Every request is idempotent, and harmless when it arrives late:
- * it carries a fencing token, and a node rejects tokens lower than the highest it has seen for the block.
+ * it carries a fencing token, and a node rejects tokens lower than the highest it has received for the block.
  */
 public sealed interface ReplicaRequest {
-    /** The operation's name, on the wire and in messages for operators. */
+    /** Returns the operation's name, on the wire and in messages for operators. */
     String operation();
 
     /** Reads the replica's record and the node's disk space. */
@@ -24,7 +24,7 @@
      * @param sizeBytes  of the complete block
      * @param chunkBytes size of a chunk
      * @param reserveMb  megabytes to reserve
-     * @param limitMb    megabytes that the node may hold in total, other data included: its disk less its headroom
+     * @param limitMb    megabytes that the node may store in total, other data included: its disk less its headroom
      */
     record ReserveSpace(long sizeBytes, int chunkBytes, long reserveMb, long limitMb) implements ReplicaRequest {
         @Override
@@ -38,7 +38,7 @@
      *
      * @param source     node to fetch from
      * @param chunkIndex from 0
-     * @param limitMb    as in {@link ReserveSpace}: other data may have filled the disk since
+     * @param limitMb    as in {@link ReserveSpace}; checked again, as other data may have filled the disk since
      */
     record FetchChunk(String source, int chunkIndex, long limitMb) implements ReplicaRequest {
         @Override
--- a/src/main/java/wallmoor/migration/ReplicaResponse.java
+++ b/src/main/java/wallmoor/migration/ReplicaResponse.java
@@ -7,10 +7,10 @@
  * A node's response to a {@link ReplicaRequest}.
  *
  * @param replica   record of the requested block, after the request
- * @param space     the node's disk
- * @param checksums of the replica's chunks, where the request asks for them; else empty
- * @param load      0 where queries do not suffer from copying; towards 1 the more they do
- * @param replicas  by block, in response to {@link ReplicaRequest.ListReplicas}; else empty
+ * @param space     disk space of the node
+ * @param checksums checksums of the replica's chunks, where the request computes them; else empty
+ * @param load      slowdown of queries by copying, from 0 (none) to 1
+ * @param replicas  records by block, in response to {@link ReplicaRequest.ListReplicas}; else empty
  */
 public record ReplicaResponse(ResponseCode code, ReplicaRecord replica, DiskSpace space, List<String> checksums,
         double load, Map<String, ReplicaRecord> replicas) {
@@ -18,7 +18,7 @@
     public enum ResponseCode {
         /** Done, by this request or an earlier one. */
         OK,
-        /** Rejected: a request with a higher fencing token came before. */
+        /** Rejected: a request with a higher fencing token was received before. */
         OLD,
         /** Rejected: not enough disk space within the limit. */
         NO_ROOM,
--- a/src/main/java/wallmoor/migration/ReplicaStateMachine.java
+++ b/src/main/java/wallmoor/migration/ReplicaStateMachine.java
@@ -8,12 +8,12 @@
 import wallmoor.migration.ReplicaResponse.ResponseCode;
 
 /**
- * A node's side of the protocol: the replica's next record for each request. The node holds the block's lock while it
- * decides, acts and stores the record, and runs the block's parts under the same lock. A fetched chunk is decided on
- * once more when it has arrived.
+ * The node's side of the protocol: computes the replica's next record for each request. The node holds the block's lock
+ * while it calls this class, acts and stores the record, and runs the block's parts under the same lock. A request to
+ * fetch a chunk is checked again when the chunk has arrived.
  */
 public final class ReplicaStateMachine {
-    /** Most chunks of a block, so that their checksums of 64 characters fit one response. */
+    /** Maximum number of chunks of a block, so that their checksums of 64 characters each fit into one response. */
     public static final int MAX_CHUNKS = 4_096;
 
     private ReplicaStateMachine() {}
@@ -26,10 +26,10 @@
     public record Transition(ResponseCode code, ReplicaRecord replica) {}
 
     /**
-     * Decides on a request. For {@link ReplicaRequest.FetchChunk} it says whether to fetch; the fetched chunk then
-     * goes to {@link #handleFetchedChunk}.
+     * Handles a request. For {@link ReplicaRequest.FetchChunk} the outcome says whether to fetch; the fetched chunk is
+     * then passed to {@link #handleFetchedChunk}.
      *
-     * @param ownChecksums of the chunks on disk, computed if they are needed
+     * @param ownChecksums checksums of the chunks on disk, computed only if they are needed
      */
     public static Transition handle(ReplicaRecord replica, long token, ReplicaRequest request, DiskSpace space,
             Supplier<List<String>> ownChecksums) {
@@ -48,7 +48,7 @@
         return changeState(replica, token, request);
     }
 
-    /** Requests that change the state, or read it, and need nothing but the record. */
+    /** Handles requests that change or read the state, and need only the record. */
     private static Transition changeState(ReplicaRecord replica, long token, ReplicaRequest request) {
         ReplicaState state = replica.state();
         boolean owned = state == ReplicaState.OWNER || state == ReplicaState.FENCED;
@@ -74,7 +74,7 @@
         return requireState(replica.state() == ReplicaState.OWNER, replica, token);
     }
 
-    /** Decides on a chunk that was fetched. Unless the outcome is OK it must not be written. */
+    /** Handles a chunk that was fetched. Unless the outcome is OK, the chunk must not be written. */
     public static Transition handleFetchedChunk(ReplicaRecord replica, long token, int chunkIndex, DiskSpace space,
             long limitMb) {
         if (token < replica.fencingToken()) {
@@ -83,7 +83,7 @@
         if (!isFetchable(replica, chunkIndex)) {
             return new Transition(ResponseCode.WRONG, replica);
         }
-        if (!space.fits(0, limitMb)) { // its own space is reserved: other data has grown
+        if (!space.fits(0, limitMb)) { // the copy's own space is reserved: other data has grown
             return new Transition(ResponseCode.NO_ROOM, replica);
         }
         var missing = new TreeSet<>(replica.missingChunks());
@@ -95,7 +95,7 @@
         return replica.state() == ReplicaState.FILLING && chunkIndex >= 0 && chunkIndex < chunkCount(replica);
     }
 
-    /** The number of chunks of a copy; 0 for a replica that was not migrated here. */
+    /** Returns the number of chunks of a copy; 0 for a replica that was not migrated here. */
     public static int chunkCount(ReplicaRecord replica) {
         return replica.chunkBytes() == 0 ? 0 : (int) chunkCount(replica.sizeBytes(), replica.chunkBytes());
     }
@@ -113,7 +113,7 @@
         }
         if (state == ReplicaState.FILLING && replica.fencingToken() == token
                 && replica.sizeBytes() == request.sizeBytes()) {
-            return ok(replica); // the same request once more
+            return ok(replica); // a repeated request
         }
         if (!space.fits(request.reserveMb() - replica.reservedMb(), request.limitMb())) {
             return new Transition(ResponseCode.NO_ROOM, replica.withState(state, token));
@@ -144,15 +144,15 @@
         return ok(replica.withMissingChunks(next, token, missing));
     }
 
-    private static Transition requireState(boolean holds, ReplicaRecord replica, long token) {
-        return holds ? ok(replica.withState(replica.state(), token)) : wrong(replica, token);
+    private static Transition requireState(boolean isAllowed, ReplicaRecord replica, long token) {
+        return isAllowed ? ok(replica.withState(replica.state(), token)) : wrong(replica, token);
     }
 
     private static Transition ok(ReplicaRecord next) {
         return new Transition(ResponseCode.OK, next);
     }
 
-    /** Rejected; the token counts as seen, so that an older request that arrives late does nothing. */
+    /** Rejects a request; its token is still recorded, so that an older request that arrives late has no effect. */
     private static Transition wrong(ReplicaRecord replica, long token) {
         return new Transition(ResponseCode.WRONG, replica.withState(replica.state(), token));
     }
--- a/src/main/java/wallmoor/migration/ReplicaSurvey.java
+++ b/src/main/java/wallmoor/migration/ReplicaSurvey.java
@@ -16,11 +16,11 @@
 import wallmoor.placement.StorageNode;
 
 /**
- * Asks all nodes for their replicas and disk space while no migration is in progress, and plans migrations from the
+ * Requests all nodes' replicas and disk space while no migration is in progress, and plans migrations from the
  * responses. A plan needs the response of every node, all from about the same time.
  */
 final class ReplicaSurvey {
-    /** Discrepancies named in one message. */
+    /** Maximum number of discrepancies listed in one message. */
     private static final int MAX_NAMED = 5;
 
     private final MigrationSettings settings;
@@ -35,7 +35,7 @@
         this.settings = settings;
     }
 
-    /** A new version is active: responses so far may be outdated. */
+    /** Discards all responses and results, which may be outdated because a new version is active. */
     void reset() {
         nodeByRequest.clear();
         responses.clear();
@@ -45,18 +45,18 @@
         notBefore = Long.MIN_VALUE;
     }
 
-    /** Whether all responded and nothing has to migrate. */
+    /** Returns whether all nodes responded and no migration is needed. */
     boolean isTargetReached() {
         return targetReached;
     }
 
-    /** Why nothing can be planned, for operators; empty where nothing is in the way. */
+    /** Returns why nothing can be planned, for operators; empty where there is no obstacle. */
     String blockedReason() {
         return blockedReason;
     }
 
-    /** The nodes to send {@link ReplicaRequest.ListReplicas} to now. */
-    List<String> nodesToAsk(long now, PlacementTarget target) {
+    /** Returns the nodes to send {@link ReplicaRequest.ListReplicas} to now. */
+    List<String> nodesToRequest(long now, PlacementTarget target) {
         var nodes = new ArrayList<String>();
         if (!targetReached && now >= notBefore) {
             for (StorageNode node : target.nodes()) {
@@ -85,13 +85,13 @@
         if (node != null) {
             failures.put(node, reason);
             notBefore = now + settings.retryMicros();
-            responses.clear(); // a plan needs responses of about the same time
+            responses.clear(); // a plan needs responses from about the same time
             blockedReason = "no answer from " + failures
                     + "; start it, or start again with a file without it and its copies";
         }
     }
 
-    /** The plan with new migrations; null where there are none, or none can be planned yet. */
+    /** Returns the plan with new migrations; null where there are none, or none can be planned yet. */
     MigrationPlan planMigrations(long now, MigrationPlan plan) {
         boolean allResponded = plan.target().nodes().stream().allMatch(n -> responses.containsKey(n.id()));
         if (targetReached || now < notBefore || !allResponded) {
@@ -115,21 +115,24 @@
         return null;
     }
 
-    /** A block has one migration at a time, so a plan is cut before the first wave that needs a second one. */
+    /**
+     * Adds the planner's moves as migrations, up to the wave before a block moves for the second time: a block has one
+     * migration at a time.
+     */
     private static MigrationPlan withMigrations(MigrationPlan plan, PlacementResult.Plan found) {
         var migrations = new TreeMap<String, Migration>();
         for (Move move : found.moves()) {
             migrations.putIfAbsent(move.block(),
                     Migration.planned(move.block(), move.from(), move.to(), move.sizeMb(), move.wave()));
         }
-        int firstSecondWave = found.moves().stream()
+        int firstRepeatWave = found.moves().stream()
                 .filter(move -> migrations.get(move.block()).wave() != move.wave())
                 .mapToInt(Move::wave).min().orElse(Integer.MAX_VALUE);
-        migrations.values().removeIf(m -> m.wave() >= firstSecondWave); // later waves rely on the second migration
+        migrations.values().removeIf(m -> m.wave() >= firstRepeatWave); // later waves rely on the second migration
         return plan.withMigrations(migrations, plan.owners());
     }
 
-    /** How the nodes' replicas differ from the plan's owners; empty where they do not. */
+    /** Describes how the nodes' replicas differ from the plan's owners; empty where they do not. */
     private String discrepancies(MigrationPlan plan) {
         var found = new TreeSet<String>();
         plan.owners().forEach((block, nodes) -> nodes.forEach(node -> {
--- a/src/main/java/wallmoor/migration/StageProtocol.java
+++ b/src/main/java/wallmoor/migration/StageProtocol.java
@@ -4,7 +4,7 @@
 import wallmoor.migration.ReplicaRecord.ReplicaState;
 
 /**
- * The requests of one stage of a migration, in order, and what their responses lead to. It reports results to its
+ * The sequence of requests of one stage of a migration, and the handling of their responses. It reports results to its
  * {@link MigrationTask}, which owns retries, timeouts and rollback.
  */
 abstract class StageProtocol {
@@ -12,11 +12,11 @@
     final Migration migration;
     /** Index of the next request; each stage has its own sequence. */
     int step;
-    /** Of the complete block; 0 while unknown. */
+    /** Size of the complete block; 0 while unknown. */
     long sizeBytes;
     /** Chunk size of the target's copy; 0 while unknown. */
     long chunkBytes;
-    /** Chunks that the target lacks; -1 while unknown. */
+    /** Number of chunks that the target lacks; -1 while unknown. */
     int missingChunks = -1;
 
     StageProtocol(MigrationTask task) {
@@ -24,7 +24,7 @@
         this.migration = task.migration;
     }
 
-    /** The protocol of the stage that the task's migration is at. */
+    /** Creates the protocol of the stage that the task's migration is at. */
     static StageProtocol of(MigrationTask task, long now) {
         return switch (task.migration.stage()) {
             case PLANNED -> new MigrationStages.Planned(task);
@@ -39,16 +39,16 @@
     }
 
     /**
-     * The next request; null where there is none to send now.
+     * Returns the next request; null where there is none to send now.
      *
-     * @param targetLimitMb megabytes that the target node may hold in total
+     * @param targetLimitMb megabytes that the target node may store in total
      */
     abstract NextRequest nextRequest(long now, MigrationPlan plan, CopyRateLimiter limiter, long targetLimitMb);
 
-    /** Takes a response that is neither stale nor a failure. */
+    /** Handles a response that is neither stale nor a failure. */
     abstract void onResponse(long now, ReplicaResponse response);
 
-    /** A node did not respond, or could not do what was requested. */
+    /** Handles a request whose node did not respond, or could not carry it out. */
     void onFailure() {}
 
     NextRequest toSource(ReplicaRequest request) {
@@ -59,14 +59,17 @@
         return new NextRequest(migration.to(), request);
     }
 
-    /** The chunk size to request: the copy's own, or the configured one, larger for a very large block. */
+    /** Returns the chunk size to request: the copy's own, or the configured one, larger for a very large block. */
     int requestedChunkBytes() {
         long preferred = chunkBytes > 0 ? chunkBytes : task.settings.chunkBytes();
         return (int) Math.max(preferred,
                 (sizeBytes + ReplicaStateMachine.MAX_CHUNKS - 1) / ReplicaStateMachine.MAX_CHUNKS);
     }
 
-    /** Takes what the target says of its copy; false, and the migration is rolled back, where there is none. */
+    /**
+     * Records the size and the missing chunks of the target's copy. Where the target has no copy, rolls back and
+     * returns false.
+     */
     boolean readCopy(ReplicaRecord copy) {
         sizeBytes = copy.sizeBytes();
         chunkBytes = copy.chunkBytes();
@@ -78,7 +81,7 @@
         return true;
     }
 
-    /** Share of the block that is at the target, as far as it is known. */
+    /** Returns the fraction of the block that the target has, 0 to 1; 0 while unknown. */
     double copiedFraction() {
         return sizeBytes == 0 ? 0 : 1 - Math.min(1, (double) missingChunks * chunkBytes / sizeBytes);
     }
--- a/src/main/java/wallmoor/migration/UnreadablePlanException.java
+++ b/src/main/java/wallmoor/migration/UnreadablePlanException.java
@@ -1,6 +1,6 @@
 package wallmoor.migration;
 
-/** A stored or received version of the plan cannot be decoded. */
+/** Thrown when a stored or received version of the plan cannot be decoded. */
 public final class UnreadablePlanException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wallmoor/migration/http/ConsensusPlanStore.java
+++ b/src/main/java/wallmoor/migration/http/ConsensusPlanStore.java
@@ -11,13 +11,13 @@
 import wallmoor.migration.MigrationCoordinator.OperatorCommand;
 
 /**
- * The plan that gatherers agree on by consensus, with any number of proposers. One thread polls which version is
- * active, another repeats a proposal until its outcome is known. It keeps no state of its own: after a crash the agreed
- * plan is read again.
+ * Stores the plan as a document that gatherers agree on by consensus, with any number of proposers. One thread polls
+ * for the active version, another repeats a proposal until its outcome is known. It stores nothing itself: after a
+ * crash the agreed plan is read again.
  */
 public final class ConsensusPlanStore implements PlanStore {
     private static final Logger LOG = LoggerFactory.getLogger(ConsensusPlanStore.class);
-    /** How soon another proposer's version is seen; the outcome of the own proposal is known at once. */
+    /** Interval of polls for other proposers' versions; the outcome of an own proposal is known without a poll. */
     private static final long POLL_MILLIS = 100;
 
     private final PlanControlClient client;
@@ -30,7 +30,7 @@
     private volatile long leaseExpiryNanos = System.nanoTime();
     private volatile PlanStoreException failure;
 
-    /** Begins to poll. */
+    /** Creates a store and begins to poll. */
     public ConsensusPlanStore(PlanControlClient client) {
         this.client = client;
         poller = Threads.start("plan-poll", this::pollActiveVersions);
@@ -64,7 +64,7 @@
 
     @Override
     public OperatorCommand pendingCommand() {
-        return null; // a command is itself proposed as a version
+        return null; // a command is proposed as a version instead
     }
 
     @Override
@@ -74,24 +74,26 @@
 
     @Override
     public void publishProgress(String json) {
-        // any gatherer shows the agreed plan with its stages
+        // nothing to publish: any gatherer shows the agreed plan with its stages
     }
 
     private void pollActiveVersions() {
-        long known = 0;
+        long knownVersion = 0;
         boolean suspended = false;
         try {
             while (!isClosed()) {
                 try {
-                    known = pollOnce(known);
+                    knownVersion = pollOnce(knownVersion);
                     if (suspended) {
                         suspended = false;
-                        LOG.info("a gatherer with a lease is reachable again; requests to nodes resume");
+                        LOG.info("migration requests resumed: reason=\"a gatherer with a lease is reachable again\"");
                     }
                 } catch (IOException e) {
-                    if (!suspended && !isCurrent()) { // the other gatherers were asked meanwhile
+                    if (!suspended && !isCurrent()) { // until the lease expired, the other gatherers were tried
                         suspended = true;
-                        LOG.warn("no gatherer with a lease is reachable; requests to nodes are suspended: {}",
+                        LOG.warn(
+                                "migration requests suspended: reason=\"no gatherer with a lease is reachable\""
+                                        + " error=\"{}\"",
                                 e.getMessage());
                     }
                 }
@@ -104,20 +106,20 @@
         }
     }
 
-    /** Reads the active version under a lease, and returns the highest version known then. */
-    private long pollOnce(long known) throws IOException, PlanStoreException {
-        long askedAt = System.nanoTime();
-        PlanControlClient.LeasedPlan read = client.readLeased(known);
-        leaseExpiryNanos = askedAt + TimeUnit.MILLISECONDS.toNanos(read.leaseMillis());
-        if (read.version() <= known || read.plan() == null) {
-            return known;
+    /** Reads the active version under a lease; returns the highest version known after that. */
+    private long pollOnce(long knownVersion) throws IOException, PlanStoreException {
+        long requestedAtNanos = System.nanoTime();
+        PlanControlClient.LeasedPlan read = client.readLeased(knownVersion);
+        leaseExpiryNanos = requestedAtNanos + TimeUnit.MILLISECONDS.toNanos(read.leaseMillis());
+        if (read.version() <= knownVersion || read.plan() == null) {
+            return knownVersion;
         }
         dropSuperseded(read.version());
         updates.add(new PlanUpdate(read.version(), read.plan()));
         return read.version();
     }
 
-    /** A proposal on an older version has become a version, or never will. */
+    /** Drops a pending proposal on an older version: it became a version already, or never will. */
     private void dropSuperseded(long activeVersion) {
         synchronized (lock) {
             if (pendingProposal != null && pendingProposal.parentVersion() < activeVersion) {
@@ -138,9 +140,9 @@
                 MigrationAction.ProposePlan proposal = awaitProposal();
                 PlanControlClient.ProposalOutcome outcome = client.propose(proposal.parentVersion(), proposal.plan());
                 if (outcome == null) {
-                    Thread.sleep(POLL_MILLIS); // unknown: the same again, to the next gatherer
+                    Thread.sleep(POLL_MILLIS); // the outcome is unknown: repeat the proposal to the next gatherer
                 } else {
-                    settle(proposal, outcome);
+                    applyOutcome(proposal, outcome);
                 }
             }
         } catch (PlanStoreException e) {
@@ -159,14 +161,14 @@
         }
     }
 
-    private void settle(MigrationAction.ProposePlan proposal, PlanControlClient.ProposalOutcome outcome) {
+    private void applyOutcome(MigrationAction.ProposePlan proposal, PlanControlClient.ProposalOutcome outcome) {
         synchronized (lock) {
             pendingProposal = proposal.equals(pendingProposal) ? null : pendingProposal;
         }
         if (outcome.isActive()) {
             updates.add(new PlanUpdate(outcome.version(), proposal.plan()));
         } else {
-            LOG.info("plan proposal rejected: {}", outcome.rejection());
+            LOG.info("plan proposal rejected: reason=\"{}\"", outcome.rejection());
             updates.add(new PlanUpdate(proposal.parentVersion(), null));
         }
     }
--- a/src/main/java/wallmoor/migration/http/DirectoryPlanStore.java
+++ b/src/main/java/wallmoor/migration/http/DirectoryPlanStore.java
@@ -25,8 +25,8 @@
 import wallmoor.rules.RuleProposal;
 
 /**
- * Keeps the document {@code plan} in a directory with a single writer, the holder of its lock file. A version is active
- * once it is on disk. An operator's pending command and the last progress report are files beside it. Files are
+ * Stores the document {@code plan} in a directory with a single writer, the holder of its lock file. A version is
+ * active once it is on disk. An operator's pending command and the last progress report are files beside it. Files are
  * replaced atomically.
  */
 public final class DirectoryPlanStore implements PlanStore {
@@ -41,15 +41,15 @@
     private final Path directory;
     private final Queue<PlanUpdate> updates = new ArrayDeque<>();
     private FileChannel lock;
-    private RuleDocument last;
-    private boolean polled;
+    private RuleDocument lastVersion;
+    private boolean hasPolled;
 
-    /** A store in this directory; nothing is read yet. */
+    /** Creates a store in this directory; reads nothing yet. */
     public DirectoryPlanStore(Path directory) {
         this.directory = directory;
     }
 
-    /** Becomes the single writer, and creates the directory if it is absent. */
+    /** Acquires the lock of the single writer; creates the directory if it is absent. */
     public void acquireLock() throws PlanStoreException {
         try {
             Files.createDirectories(directory);
@@ -59,27 +59,28 @@
                         directory + ": another process carries this plan out; watch it by rebalance status");
             }
         } catch (IOException | OverlappingFileLockException e) {
-            throw new PlanStoreException(directory + " can't be written: " + e + "; let this user write there", e);
+            throw new PlanStoreException(directory + " cannot be written: " + e + "; give this user write permission",
+                    e);
         }
     }
 
-    /** The active version; null where there is none. */
+    /** Reads the active version; null where there is none. */
     public RuleDocument read() throws PlanStoreException {
         Path file = directory.resolve(PLAN);
         try {
             RuleDocument document = decode(Files.readAllBytes(file));
             if (!document.hasValidHash()) {
-                throw new PlanStoreException(file + " is not what was written; put back a copy of it, or look with"
-                        + " rebalance plan at what the nodes hold and start in another directory");
+                throw new PlanStoreException(file + " does not match its hash; put back a copy of it, or list the"
+                        + " nodes' replicas with rebalance plan and start in another directory");
             }
-            last = document;
+            lastVersion = document;
             return document;
         } catch (NoSuchFileException e) {
             return null;
         } catch (CorruptDataException | IndexOutOfBoundsException | NumberFormatException e) {
-            throw new PlanStoreException(file + " is torn or damaged; put back a copy of it", e);
+            throw new PlanStoreException(file + " is incomplete or damaged; put back a copy of it", e);
         } catch (IOException e) {
-            throw new PlanStoreException(file + " can't be read: " + e + "; make it readable for this user", e);
+            throw new PlanStoreException(file + " cannot be read: " + e + "; give this user read permission", e);
         }
     }
 
@@ -97,16 +98,16 @@
                 field.get(4), field.get(5), field.get(6), field.get(7));
     }
 
-    /** Writes the next version, which is then active. Null where the parent is not the last version. */
+    /** Writes the next version, which is then active. Returns null where the parent is not the last version. */
     public RuleDocument propose(long parentVersion, String body, String fallback) throws PlanStoreException {
-        if (parentVersion != (last == null ? 0 : last.version())) {
+        if (parentVersion != (lastVersion == null ? 0 : lastVersion.version())) {
             return null;
         }
-        String parentHash = last == null ? "" : last.hash();
+        String parentHash = lastVersion == null ? "" : lastVersion.hash();
         RuleDocument next = RuleDocument.of(new RuleProposal(PLAN, parentVersion, parentHash, AUTHOR, body, fallback),
                 parentVersion + 1);
         replace(PLAN, encode(next), true);
-        last = next;
+        lastVersion = next;
         return next;
     }
 
@@ -119,8 +120,8 @@
 
     @Override
     public PlanUpdate poll() throws PlanStoreException {
-        if (!polled) {
-            polled = true;
+        if (!hasPolled) {
+            hasPolled = true;
             RuleDocument active = read();
             updates.add(new PlanUpdate(active.version(), PlanDocuments.decode(active)));
         }
@@ -134,19 +135,20 @@
 
     @Override
     public OperatorCommand pendingCommand() throws PlanStoreException {
-        String word;
+        String commandName;
         try {
-            word = Files.readString(directory.resolve(COMMAND)).strip();
+            commandName = Files.readString(directory.resolve(COMMAND)).strip();
         } catch (IOException e) {
             return null;
         }
-        if (word.equals(NO_COMMAND)) {
+        if (commandName.equals(NO_COMMAND)) {
             return null;
         }
         try {
-            return OperatorCommand.valueOf(word.toUpperCase(Locale.ROOT));
+            return OperatorCommand.valueOf(commandName.toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            LOG.warn("unknown operator command discarded: command=\"{}\" file={}", word, directory.resolve(COMMAND));
+            LOG.warn("unknown operator command discarded: command=\"{}\" file={}", commandName,
+                    directory.resolve(COMMAND));
             clearCommand();
             return null;
         }
@@ -157,16 +159,16 @@
         writeCommand(NO_COMMAND);
     }
 
-    /** Leaves a command, for the present writer or the next one. */
+    /** Stores a command for the present writer, or for the next one. */
     public void setCommand(OperatorCommand command) throws PlanStoreException {
         writeCommand(command.name().toLowerCase(Locale.ROOT));
     }
 
-    private void writeCommand(String word) throws PlanStoreException {
-        replace(COMMAND, word.getBytes(StandardCharsets.UTF_8), true);
+    private void writeCommand(String commandName) throws PlanStoreException {
+        replace(COMMAND, commandName.getBytes(StandardCharsets.UTF_8), true);
     }
 
-    /** The progress that was published last, a JSON object; null where there is none. */
+    /** Reads the last published progress, a JSON object; null where there is none. */
     public String readProgress() {
         try {
             return Files.readString(directory.resolve(PROGRESS));
@@ -180,31 +182,31 @@
         replace(PROGRESS, json.getBytes(StandardCharsets.UTF_8), false);
     }
 
-    private void replace(String name, byte[] bytes, boolean durably) throws PlanStoreException {
+    private void replace(String name, byte[] bytes, boolean isDurable) throws PlanStoreException {
         Path file = directory.resolve(name);
         try {
             Path temporary = directory.resolve(name + ".tmp");
-            write(temporary, bytes, durably);
+            write(temporary, bytes, isDurable);
             Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE);
-            if (durably) {
+            if (isDurable) {
                 try (FileChannel entries = FileChannel.open(directory)) {
-                    entries.force(true); // else the old file may come back after a loss of power
+                    entries.force(true); // otherwise the old file may reappear after a power failure
                 }
             }
         } catch (IOException e) {
             throw new PlanStoreException(
-                    file + " can't be written: " + e + "; make room, or let this user write there", e);
+                    file + " cannot be written: " + e + "; free disk space, or give this user write permission", e);
         }
     }
 
-    private static void write(Path file, byte[] bytes, boolean durably) throws IOException {
+    private static void write(Path file, byte[] bytes, boolean isDurable) throws IOException {
         try (FileChannel out = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
                 StandardOpenOption.TRUNCATE_EXISTING)) {
             var remaining = ByteBuffer.wrap(bytes);
             while (remaining.hasRemaining()) {
                 out.write(remaining);
             }
-            if (durably) {
+            if (isDurable) {
                 out.force(true);
             }
         }
@@ -217,7 +219,7 @@
                 lock.close();
             }
         } catch (IOException e) {
-            lock = null; // the lock ends with the process
+            lock = null; // the lock is released when the process exits
         }
     }
 }
--- a/src/main/java/wallmoor/migration/http/MalformedMessageException.java
+++ b/src/main/java/wallmoor/migration/http/MalformedMessageException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A request, a response or a replica record is not in the form that {@link MigrationCodec} writes. */
+/** Thrown when a request, response or replica record is not in the form that {@link MigrationCodec} writes. */
 public final class MalformedMessageException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wallmoor/migration/http/MigrationCodec.java
+++ b/src/main/java/wallmoor/migration/http/MigrationCodec.java
@@ -18,10 +18,10 @@
 
 /** JSON form of requests to nodes, of their responses, and of the replica records that nodes store. */
 public final class MigrationCodec {
-    /** Bound of a response: all blocks of a node, 50,000 at most, in some 120 bytes each. */
+    /** Maximum size of a response: all blocks of a node, at most 50,000, with some 120 bytes each. */
     public static final int MAX_RESPONSE_BYTES = 8 << 20;
-    /** Characters of a malformed message that its exception shows. */
-    private static final int MAX_SHOWN = 200;
+    /** Maximum number of bytes of a malformed message that its exception shows. */
+    private static final int MAX_SHOWN_BYTES = 200;
 
     private MigrationCodec() {}
 
@@ -104,7 +104,7 @@
         });
     }
 
-    /** Encodes a replica record, also as a node may store it. */
+    /** Encodes a replica record, for a response or for storage on the node. */
     public static String encode(ReplicaRecord replica) {
         return "{\"status\":\"" + replica.state() + "\",\"number\":" + replica.fencingToken() + ",\"bytes\":"
                 + replica.sizeBytes() + ",\"chunk\":" + replica.chunkBytes() + ",\"mb\":" + replica.reservedMb()
@@ -141,9 +141,9 @@
         try {
             return decoder.apply(Json.object(bytes, 0, bytes.length));
         } catch (Json.Malformed | NullPointerException | ClassCastException | IndexOutOfBoundsException
-                | IllegalArgumentException e) { // a member is absent, of another type, or no known name
+                | IllegalArgumentException e) { // a member is absent, has another type or an unknown value
             throw new MalformedMessageException("malformed migration message: " + new String(bytes, 0,
-                    Math.min(MAX_SHOWN, bytes.length), StandardCharsets.UTF_8), e);
+                    Math.min(MAX_SHOWN_BYTES, bytes.length), StandardCharsets.UTF_8), e);
         }
     }
 
--- a/src/main/java/wallmoor/migration/http/MigrationRunner.java
+++ b/src/main/java/wallmoor/migration/http/MigrationRunner.java
@@ -27,21 +27,21 @@
 import wallmoor.migration.ReplicaResponse;
 
 /**
- * Runs a {@link MigrationCoordinator}: the calling thread owns it and the plan, a pool of threads waits for the nodes'
- * responses and hands them over through a bounded queue.
+ * Runs a {@link MigrationCoordinator}: the calling thread owns it and the plan; a pool of threads waits for the nodes'
+ * responses and passes them on through a bounded queue.
  */
 public final class MigrationRunner {
     private static final Logger LOG = LoggerFactory.getLogger(MigrationRunner.class);
-    /** Concurrent requests: one for a migration, one for each node of a survey; more fail and are retried. */
+    /** Maximum of concurrent requests (one per migration, one per node of a survey); more fail and are retried. */
     private static final int MAX_REQUESTS = 32;
-    /** Responses waiting for the owning thread; each thread of the pool has one at most. */
+    /** Maximum of responses that wait for the owning thread; each thread of the pool has one at most. */
     private static final int QUEUE_CAPACITY = 2 * MAX_REQUESTS;
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
     /** Covers the fetch of a chunk, and reading a whole block for its checksums. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(20);
     private static final long TICK_MILLIS = 10;
-    /** How often operators' commands are read and progress is published. */
-    private static final long OPERATOR_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    /** Interval of reading operators' commands and publishing progress. */
+    private static final long OPERATOR_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
     private static final int HTTP_OK = 200;
 
     private final MigrationCoordinator coordinator;
@@ -51,18 +51,18 @@
             .version(HttpClient.Version.HTTP_1_1).build();
     private final ThreadPoolExecutor requestThreads = Threads.pool("migration-request", MAX_REQUESTS);
     private final BlockingQueue<Supplier<List<MigrationAction>>> events = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
-    private long operatorServedAt = System.nanoTime() - OPERATOR_NANOS;
+    private long operatorServedAt = System.nanoTime() - OPERATOR_INTERVAL_NANOS;
     private String loggedSummary = "";
     private MigrationPlan plan;
 
-    /** @param addressByNode host:port */
+    /** @param addressByNode address of each node, as host:port */
     public MigrationRunner(MigrationCoordinator coordinator, PlanStore store, Map<String, String> addressByNode) {
         this.coordinator = coordinator;
         this.store = store;
         this.addressByNode = Map.copyOf(addressByNode);
     }
 
-    /** Runs until everything is migrated or migrations were stopped, and returns which. */
+    /** Runs until all migrations are finished or stopped, and returns which of the two phases was reached. */
     public MigrationPhase run() throws PlanStoreException, InterruptedException {
         try {
             while (true) {
@@ -70,7 +70,7 @@
                 proceed();
                 MigrationStatus status = coordinator.status();
                 boolean ended = status.phase() == MigrationPhase.FINISHED || status.phase() == MigrationPhase.STOPPED;
-                if (ended || System.nanoTime() - operatorServedAt >= OPERATOR_NANOS) {
+                if (ended || System.nanoTime() - operatorServedAt >= OPERATOR_INTERVAL_NANOS) {
                     operatorServedAt = System.nanoTime();
                     takeCommand();
                     publish(status);
@@ -95,7 +95,7 @@
         }
     }
 
-    /** Takes the next response, or lets time pass; nothing is requested while the plan may be outdated. */
+    /** Handles the next response, or a tick if there is none; does neither while the plan may be outdated. */
     private void proceed() throws PlanStoreException, InterruptedException {
         if (store.isCurrent()) {
             Supplier<List<MigrationAction>> event = events.poll(TICK_MILLIS, TimeUnit.MILLISECONDS);
@@ -144,7 +144,7 @@
         }
     }
 
-    /** Sends a request and queues its outcome; on a thread of the pool. */
+    /** Sends a request and queues its outcome; runs on a thread of the pool. */
     private void exchange(MigrationAction.SendRequest request) {
         try {
             Supplier<List<MigrationAction>> event;
--- a/src/main/java/wallmoor/migration/http/PlanDocuments.java
+++ b/src/main/java/wallmoor/migration/http/PlanDocuments.java
@@ -10,7 +10,7 @@
 public final class PlanDocuments {
     private PlanDocuments() {}
 
-    /** The plan that a version says. */
+    /** Decodes the plan from a version of the document. */
     public static MigrationPlan decode(RuleDocument document) throws PlanStoreException {
         try {
             return MigrationPlan.decode(DocumentSchemas.PLAN.validate(document));
@@ -19,7 +19,7 @@
         }
     }
 
-    /** The plan that a version's body says. */
+    /** Decodes the plan from a version's body. */
     static MigrationPlan decode(long version, String body) throws PlanStoreException {
         try {
             return MigrationPlan.decode(DocumentSchemas.PLAN.parse(body));
@@ -29,7 +29,7 @@
     }
 
     private static PlanStoreException unreadable(long version, Exception cause) {
-        return new PlanStoreException("version " + version + " of the plan can't be read by this program: "
+        return new PlanStoreException("version " + version + " of the plan cannot be read by this program: "
                 + cause.getMessage() + "; use the program that wrote it", cause);
     }
 }
--- a/src/main/java/wallmoor/migration/http/PlanStore.java
+++ b/src/main/java/wallmoor/migration/http/PlanStore.java
@@ -5,14 +5,15 @@
 import wallmoor.migration.MigrationPlan;
 
 /**
- * Keeps the versions of the plan: tells which one is active, and what became of proposals. No method blocks for long.
+ * Stores the versions of the plan; reports which one is active, and the outcomes of proposals. No method blocks for
+ * long.
  */
 public interface PlanStore extends AutoCloseable {
     /**
-     * News of the plan.
+     * A version that became active, or the rejection of a proposal.
      *
-     * @param version of the active plan; where {@code plan} is null, the parent version of a rejected proposal
-     * @param plan    what that version says; null where a proposal was rejected
+     * @param version version of the active plan; where {@code plan} is null, the parent version of a rejected proposal
+     * @param plan    the plan of that version; null where a proposal was rejected
      */
     record PlanUpdate(long version, MigrationPlan plan) {
         boolean isRejection() {
@@ -20,22 +21,22 @@
         }
     }
 
-    /** Proposes a version; its outcome is an update later. Idempotent. */
+    /** Proposes a version; a later update reports its outcome. Idempotent. */
     void propose(MigrationAction.ProposePlan proposal) throws PlanStoreException;
 
-    /** The next update, or null. */
+    /** Returns the next update, or null. */
     PlanUpdate poll() throws PlanStoreException;
 
     /**
-     * Whether the last update may still be acted on. If not, migrations may have been paused meanwhile, and nothing
-     * must be requested from nodes.
+     * Returns whether the last update may still be acted on. If not, migrations may have been paused meanwhile, and no
+     * requests may be sent to nodes.
      */
     boolean isCurrent();
 
-    /** A command that an operator left beside the plan, or null. */
+    /** Returns the command that an operator stored with the plan, or null. */
     OperatorCommand pendingCommand() throws PlanStoreException;
 
-    /** The plan reflects the command: it is no longer pending. */
+    /** Removes the pending command, because the plan reflects it. */
     void clearCommand() throws PlanStoreException;
 
     /** Publishes the progress, a JSON object, for operators. */
--- a/src/main/java/wallmoor/migration/http/PlanStoreException.java
+++ b/src/main/java/wallmoor/migration/http/PlanStoreException.java
@@ -1,6 +1,6 @@
 package wallmoor.migration.http;
 
-/** The plan cannot be read or written where it is kept. The message says what an operator can do. */
+/** Thrown when the plan cannot be read from or written to its store. The message says what an operator can do. */
 public final class PlanStoreException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wallmoor/migration/http/ProgressReport.java
+++ b/src/main/java/wallmoor/migration/http/ProgressReport.java
@@ -8,12 +8,12 @@
 
 /** JSON form of a {@link MigrationStatus}, for {@code rebalance status} and scripts. */
 final class ProgressReport {
-    /** Fractions have three decimals. */
-    private static final double DECIMALS = 1_000.0;
+    /** Factor that rounds fractions to three decimals. */
+    private static final double FRACTION_SCALE = 1_000.0;
 
     private ProgressReport() {}
 
-    /** @param atMillis when the status was true, in milliseconds since 1970 */
+    /** @param atMillis time of the status, in milliseconds since 1970 */
     static String encode(MigrationStatus status, long atMillis) {
         var json = new StringBuilder("{\"version\":").append(status.version()).append(",\"phase\":\"")
                 .append(status.phase().name().toLowerCase(Locale.ROOT)).append("\",\"bytes_per_second\":")
@@ -35,7 +35,8 @@
         Json.quote(json.append(",\"to\":"), migration.to());
         json.append(",\"mb\":").append(migration.sizeMb()).append(",\"wave\":").append(migration.wave())
                 .append(",\"stage\":\"").append(migration.stage().name().toLowerCase(Locale.ROOT))
-                .append("\",\"there\":").append(Math.round(progress.copiedFraction() * DECIMALS) / DECIMALS);
+                .append("\",\"there\":")
+                .append(Math.round(progress.copiedFraction() * FRACTION_SCALE) / FRACTION_SCALE);
         Json.quote(json.append(",\"waits\":"), progress.waitingFor());
         json.append('}');
     }
