--- a/src/test/java/wallmoor/migration/MigrationInvariants.java
+++ b/src/test/java/wallmoor/migration/MigrationInvariants.java
@@ -14,86 +14,92 @@
 import wallmoor.placement.PlacementProblem;
 
 /**
- * Knows the truth: what each of a block's copies has come to by all that ran on it. It shares nothing with what decides
- * but what nodes say that they are. Copies of one content may be taken for each other: no harm can come of that.
+ * Tracks the expected content of each copy of a block, and checks the simulation against it. Apart from the states that
+ * nodes report it is independent of the code under test. Copies with equal contents are interchangeable here.
  */
 final class MigrationInvariants {
-    private final MigrationSimulation world;
-    /** By block, what each copy must hold that the fleet began with, whoever has it now. */
-    private final Map<String, List<int[]>> truth = new HashMap<>();
-    private final Map<String, Set<String>> history = new HashMap<>();
-    private final Map<String, Long> heldMb = new HashMap<>();
-    private final Map<Integer, String> ran = new HashMap<>();
-    int reads;
+    private final MigrationSimulation simulation;
+    /** Expected content of each initial copy, wherever it is now, by block. */
+    private final Map<String, List<int[]>> expectedContents = new HashMap<>();
+    private final Map<String, Set<String>> pastContents = new HashMap<>();
+    private final Map<String, Long> previousMb = new HashMap<>();
+    private final Map<Integer, String> nodeByPart = new HashMap<>();
+    int readCount;
 
-    MigrationInvariants(MigrationSimulation world) {
-        this.world = world;
-        for (BlockReplicas b : world.fleet.blocks()) {
-            truth.put(b.id(), new ArrayList<>());
-            history.put(b.id(), new HashSet<>());
+    MigrationInvariants(MigrationSimulation simulation) {
+        this.simulation = simulation;
+        for (BlockReplicas b : simulation.problem.blocks()) {
+            expectedContents.put(b.id(), new ArrayList<>());
+            pastContents.put(b.id(), new HashSet<>());
             b.holders().forEach(n -> {
-                int[] content = world.nodes.get(n).content.get(b.id()).clone();
-                truth.get(b.id()).add(content);
-                history.get(b.id()).add(Arrays.toString(content));
+                int[] content = simulation.nodes.get(n).chunksByBlock.get(b.id()).clone();
+                expectedContents.get(b.id()).add(content);
+                pastContents.get(b.id()).add(Arrays.toString(content));
             });
         }
     }
 
-    void check(boolean holds, String what) {
-        if (!holds) {
+    void check(boolean isFulfilled, String failure) {
+        if (!isFulfilled) {
             throw new AssertionError(
-                    what + " at " + world.now + ", version " + world.number + ": " + world.state.migrations());
+                    failure + " at " + simulation.now + ", version " + simulation.activeVersion + ": "
+                            + simulation.plan.migrations());
         }
     }
 
-    void same(MigrationPlan said, MigrationPlan read) {
-        assertEquals(said, read);
+    void checkEqual(MigrationPlan expected, MigrationPlan decoded) {
+        assertEquals(expected, decoded);
     }
 
-    /** After each step of time. */
-    void look() {
-        for (SimulatedNode n : world.nodes.values()) {
-            long mb = n.room().replicasMb();
-            long usable = n.diskMb * (PlacementProblem.MILLION - world.fleet.headroom()) / PlacementProblem.MILLION;
-            check(mb <= usable, n.id + " holds " + mb + " MB of " + usable);
-            check(mb <= heldMb.getOrDefault(n.id, mb) || mb + n.otherMb <= usable,
-                    n.id + " takes what it has no room for");
-            heldMb.put(n.id, mb);
+    /** Checks all replicas and disks; called after each step. */
+    void checkReplicas() {
+        for (SimulatedNode n : simulation.nodes.values()) {
+            long replicasMb = n.diskSpace().replicasMb();
+            long usableMb = n.diskMb * (PlacementProblem.MILLION - simulation.problem.headroom())
+                    / PlacementProblem.MILLION;
+            check(replicasMb <= usableMb, n.id + " holds " + replicasMb + " MB of replicas, allowed: " + usableMb);
+            check(replicasMb <= previousMb.getOrDefault(n.id, replicasMb) || replicasMb + n.otherMb <= usableMb,
+                    n.id + " added replicas beyond its usable space");
+            previousMb.put(n.id, replicasMb);
         }
-        truth.forEach((block, copies) -> {
-            long owners = world.nodes.values().stream().filter(n -> n.of(block).state() == ReplicaState.OWNER).count();
-            check(owners <= copies.size(), owners + " run what runs once of " + block);
-            var there = new ArrayList<String>();
-            world.nodes.values().stream().filter(n -> n.of(block).isComplete())
-                    .forEach(n -> there.add(Arrays.toString(n.content.get(block))));
-            copies.forEach(c -> check(there.remove(Arrays.toString(c)),
-                    "a copy of " + block + " is lost: " + Arrays.toString(c)));
+        expectedContents.forEach((block, expectedCopies) -> {
+            long owners = simulation.nodes.values().stream().filter(n -> n.replica(block).state() == ReplicaState.OWNER)
+                    .count();
+            check(owners <= expectedCopies.size(), owners + " nodes accept non-idempotent parts of " + block);
+            var presentContents = new ArrayList<String>();
+            simulation.nodes.values().stream().filter(n -> n.replica(block).isComplete())
+                    .forEach(n -> presentContents.add(Arrays.toString(n.chunksByBlock.get(block))));
+            expectedCopies.forEach(c -> check(presentContents.remove(Arrays.toString(c)),
+                    "a copy of " + block + " was lost: " + Arrays.toString(c)));
         });
     }
 
-    boolean ranOn(int id, SimulatedNode node) {
-        return node.id.equals(ran.get(id));
+    boolean hasRun(int id, SimulatedNode node) {
+        return node.id.equals(nodeByPart.get(id));
     }
 
-    /** A part that runs once runs here. */
-    void ran(int id, String block, SimulatedNode node) {
-        String before = ran.put(id, node.id);
-        check(before == null, "part " + id + " ran on " + before + " and on " + node.id);
-        int[] content = node.content.get(block);
-        int[] copy = truth.get(block).stream().filter(c -> Arrays.equals(c, content)).findFirst().orElse(null);
-        check(copy != null, "a part ran on a copy of " + block + " at " + node.id + " that is over");
+    /** Records that a non-idempotent part runs on this node, and checks that it may. */
+    void onPartRun(int id, String block, SimulatedNode node) {
+        String previousNode = nodeByPart.put(id, node.id);
+        check(previousNode == null, "part " + id + " ran on " + previousNode + " and on " + node.id);
+        int[] content = node.chunksByBlock.get(block);
+        int[] expectedCopy = expectedContents.get(block).stream().filter(c -> Arrays.equals(c, content)).findFirst()
+                .orElse(null);
+        check(expectedCopy != null, "a part ran on a replica of " + block + " at " + node.id
+                + " that is not a current copy");
         content[id % content.length] = id;
-        copy[id % copy.length] = id;
-        history.get(block).add(Arrays.toString(content));
+        expectedCopy[id % expectedCopy.length] = id;
+        pastContents.get(block).add(Arrays.toString(content));
     }
 
-    /** A query reads here, of which its map says that a whole copy is here. */
-    void read(String block, long version, SimulatedNode node) {
-        if (!node.down) {
-            reads++;
-            check(node.of(block).servesReads() && history.get(block).contains(Arrays.toString(node.content.get(block))),
-                    "version " + version + " says that " + node.id + " holds " + block + ", but it has "
-                            + node.of(block).state());
+    /** Checks a read by a query whose plan version lists this node as an owner of the block. */
+    void onRead(String block, long version, SimulatedNode node) {
+        if (!node.isDown) {
+            readCount++;
+            check(node.replica(block).servesReads()
+                    && pastContents.get(block).contains(Arrays.toString(node.chunksByBlock.get(block))),
+                    "version " + version + " lists " + node.id + " as owner of " + block + ", but its replica is "
+                            + node.replica(block).state());
         }
     }
 }
--- a/src/test/java/wallmoor/migration/MigrationSimulation.java
+++ b/src/test/java/wallmoor/migration/MigrationSimulation.java
@@ -14,307 +14,327 @@
 import wallmoor.placement.PlacementProblem;
 import wallmoor.placement.StorageNode;
 
-/** Nodes, leaders, clients and a wire between them, all on one clock. What is seen of it goes to a judge. */
+/**
+ * Simulates nodes, leaders, clients and the network between them on one clock, and reports what happens to {@link
+ * MigrationInvariants}.
+ */
 final class MigrationSimulation {
-    static final long STEP = 10_000;
-    static final int CHUNKS = 2;
-    static final long QUERY = 150_000;
+    static final long STEP_MICROS = 10_000;
+    static final int CHUNK_COUNT = 2;
+    static final long MAX_QUERY_MICROS = 150_000;
     static final MigrationSettings SETTINGS = new MigrationSettings(1_000_000_000, 500_000, 300_000, 1_500_000, 50_000);
-    private static final long TIMEOUT = 200_000;
+    private static final long TIMEOUT_MICROS = 200_000;
 
-    /** On the wire: a request, or a chunk for it, or what came of it. */
-    private record Letter(long due, Leader leader, SendRequest send, ReplicaResponse said, Integer fetched) {}
+    /** A message in the network: a request, the fetched chunk for one, or its response. */
+    private record Message(long dueMicros, Leader leader, SendRequest action, ReplicaResponse response,
+            Integer fetchedChunk) {}
 
-    /** A part that runs once, on its way to a node. */
-    private record Part(long due, int id, String block, String node, long version, List<String> others) {}
+    /** A non-idempotent part on its way to a node; where that rejects it, it goes to the remaining nodes. */
+    private record Part(long dueMicros, int id, String block, String node, long version, List<String> remainingNodes) {}
 
-    /** A query that reads, and where it will. */
-    private record Query(long due, String block, long version, SortedSet<String> owners) {}
+    /** A query that reads from all these owners when it is due. */
+    private record Query(long dueMicros, String block, long version, SortedSet<String> owners) {}
 
-    /** One that carries out; it may stand still while another leads. */
+    /** A process that runs a coordinator; it may be paused while another one leads. */
     static final class Leader {
-        final MigrationCoordinator mover = new MigrationCoordinator(SETTINGS);
-        long frozenUntil;
-        final Map<Long, Long> deadlines = new TreeMap<>();
+        final MigrationCoordinator coordinator = new MigrationCoordinator(SETTINGS);
+        long pausedUntil;
+        final Map<Long, Long> deadlineByRequest = new TreeMap<>();
     }
 
-    final PlacementProblem fleet;
+    final PlacementProblem problem;
     final Random random;
     final Map<String, SimulatedNode> nodes = new TreeMap<>();
     final List<Leader> leaders = new ArrayList<>();
-    final MigrationInvariants judge;
-    private List<Letter> wire = new ArrayList<>();
+    final MigrationInvariants invariants;
+    private List<Message> messages = new ArrayList<>();
     private List<Part> parts = new ArrayList<>();
     private List<Query> queries = new ArrayList<>();
     private final Map<String, Long> downUntil = new HashMap<>();
     long now;
-    long number = 1;
-    MigrationPlan state;
-    private MigrationPlan accepted;
-    private long actsAt;
-    private int ids;
+    long activeVersion = 1;
+    MigrationPlan plan;
+    private MigrationPlan acceptedPlan;
+    private long activeAt;
+    private int lastPartId;
     long version;
-    // what goes wrong from now on, or once
+    // faults in effect until a time, or for the next request or chunk
     long loseRequestsUntil;
-    long loseAnswersUntil;
-    boolean repeatNext;
-    boolean lateNext;
-    boolean flipNext;
-    long spoilsUntil;
-    int jitter = 1;
+    long loseResponsesUntil;
+    boolean duplicateNextRequest;
+    boolean delayNextRequest;
+    boolean corruptNextChunk;
+    long corruptChunksUntil;
+    int maxDelaySteps = 1;
 
-    MigrationSimulation(PlacementProblem fleet, long seed) {
-        this.fleet = fleet;
+    MigrationSimulation(PlacementProblem problem, long seed) {
+        this.problem = problem;
         random = new Random(seed);
-        for (StorageNode n : fleet.nodes()) {
+        for (StorageNode n : problem.nodes()) {
             nodes.put(n.id(), new SimulatedNode(n.id(), n.diskMb()));
         }
-        int made = -1000;
-        for (BlockReplicas b : fleet.blocks()) {
-            int[] content = new int[CHUNKS];
-            for (int i = 0; i < CHUNKS; i++) {
-                content[i] = made--;
+        int nextContent = -1000;
+        for (BlockReplicas b : problem.blocks()) {
+            int[] content = new int[CHUNK_COUNT];
+            for (int i = 0; i < CHUNK_COUNT; i++) {
+                content[i] = nextContent--;
             }
             for (String n : b.holders()) {
-                nodes.get(n).held.put(b.id(), ReplicaRecord.owned(CHUNKS * (long) SETTINGS.chunkBytes(), b.sizeMb()));
-                nodes.get(n).content.put(b.id(), content.clone());
+                nodes.get(n).replicas.put(b.id(),
+                        ReplicaRecord.owned(CHUNK_COUNT * (long) SETTINGS.chunkBytes(), b.sizeMb()));
+                nodes.get(n).chunksByBlock.put(b.id(), content.clone());
             }
         }
-        state = MigrationPlan.initial(fleet, 4);
-        judge = new MigrationInvariants(this);
+        plan = MigrationPlan.initial(problem, 4);
+        invariants = new MigrationInvariants(this);
         leaders.add(new Leader());
-        tell(leaders.get(0));
+        deliverActiveVersion(leaders.get(0));
     }
 
-    private void tell(Leader l) {
-        act(l, l.mover.onVersionActive(now, number, state));
+    private void deliverActiveVersion(Leader leader) {
+        perform(leader, leader.coordinator.onVersionActive(now, activeVersion, plan));
     }
 
-    /** A step of time, with all that is due in it. */
+    /** Advances the clock by a step, and handles all that is due. */
     void step() {
-        now += STEP;
+        now += STEP_MICROS;
         downUntil.entrySet().removeIf(e -> {
-            nodes.get(e.getKey()).down = e.getValue() > now;
+            nodes.get(e.getKey()).isDown = e.getValue() > now;
             return e.getValue() <= now;
         });
-        if (accepted != null && now >= actsAt) {
-            number++;
-            state = accepted;
-            accepted = null;
-            leaders.stream().filter(l -> now >= l.frozenUntil).forEach(this::tell);
+        if (acceptedPlan != null && now >= activeAt) {
+            activeVersion++;
+            plan = acceptedPlan;
+            acceptedPlan = null;
+            leaders.stream().filter(leader -> now >= leader.pausedUntil).forEach(this::deliverActiveVersion);
         }
-        List<Letter> due = wire.stream()
-                .filter(m -> m.due() <= now && (m.said() == null || now >= m.leader().frozenUntil)).toList();
-        var rest = new ArrayList<>(wire);
-        rest.removeAll(due);
-        wire = rest;
-        due.forEach(this::deliver);
-        for (Leader l : leaders) {
-            if (now >= l.frozenUntil) {
-                if (l.mover.status().version() < number) {
-                    tell(l);
+        List<Message> dueMessages = messages.stream()
+                .filter(message -> message.dueMicros() <= now
+                        && (message.response() == null || now >= message.leader().pausedUntil)).toList();
+        var remaining = new ArrayList<>(messages);
+        remaining.removeAll(dueMessages);
+        messages = remaining;
+        dueMessages.forEach(this::deliver);
+        for (Leader leader : leaders) {
+            if (now >= leader.pausedUntil) {
+                if (leader.coordinator.status().version() < activeVersion) {
+                    deliverActiveVersion(leader);
                 }
-                var over = l.deadlines.entrySet().stream().filter(e -> e.getValue() <= now).map(Map.Entry::getKey)
-                        .toList();
-                over.forEach(id -> {
-                    l.deadlines.remove(id);
-                    act(l, l.mover.onRequestFailed(now, id, "no answer"));
+                var timedOut = leader.deadlineByRequest.entrySet().stream().filter(e -> e.getValue() <= now)
+                        .map(Map.Entry::getKey).toList();
+                timedOut.forEach(id -> {
+                    leader.deadlineByRequest.remove(id);
+                    perform(leader, leader.coordinator.onRequestFailed(now, id, "no answer"));
                 });
-                act(l, l.mover.onTick(now));
+                perform(leader, leader.coordinator.onTick(now));
             }
         }
-        clients();
-        judge.look();
+        runDueQueries();
+        invariants.checkReplicas();
     }
 
-    private void act(Leader l, List<MigrationAction> actions) {
-        for (MigrationAction a : actions) {
-            if (a instanceof ProposePlan p) {
-                propose(l, p);
-            } else if (a instanceof SendRequest s) {
-                l.deadlines.put(s.requestId(), now + TIMEOUT);
-                long delay = STEP * (1 + random.nextInt(jitter));
+    private void perform(Leader leader, List<MigrationAction> actions) {
+        for (MigrationAction action : actions) {
+            if (action instanceof ProposePlan proposal) {
+                propose(leader, proposal);
+            } else if (action instanceof SendRequest request) {
+                leader.deadlineByRequest.put(request.requestId(), now + TIMEOUT_MICROS);
+                long delayMicros = STEP_MICROS * (1 + random.nextInt(maxDelaySteps));
                 if (now >= loseRequestsUntil) {
-                    wire.add(new Letter(now + (lateNext ? 40 * STEP : delay), l, s, null, null));
+                    messages.add(new Message(now + (delayNextRequest ? 40 * STEP_MICROS : delayMicros), leader, request,
+                            null, null));
                 }
-                if (repeatNext) {
-                    wire.add(new Letter(now + 35 * STEP, l, s, null, null));
+                if (duplicateNextRequest) {
+                    messages.add(new Message(now + 35 * STEP_MICROS, leader, request, null, null));
                 }
-                lateNext = false;
-                repeatNext = false;
+                delayNextRequest = false;
+                duplicateNextRequest = false;
             }
         }
     }
 
-    private void propose(Leader l, ProposePlan p) {
-        if (accepted == null && p.parentVersion() == number) {
-            accepted = p.plan();
-            actsAt = now + STEP * (1 + random.nextInt(3 * jitter));
-            try { // what a process would read of the document
-                var kind = wallmoor.rules.DocumentSchemas.PLAN;
-                judge.same(p.plan(), MigrationPlan.decode(kind.parse(p.plan().body())));
-                judge.check(state.migrations().isEmpty() || p.plan().maxEncodedLength() <= state.maxEncodedLength(),
-                        "a step is too large");
-                judge.check(p.plan().body().length() + p.plan().fallback().length() <= p.plan().maxEncodedLength(),
-                        "most is not the most");
-                judge.check(kind.isAtMostAsPermissive(kind.parse(p.plan().fallback()), kind.parse(p.plan().body())),
-                        "a fallback is bolder");
+    private void propose(Leader leader, ProposePlan proposal) {
+        if (acceptedPlan == null && proposal.parentVersion() == activeVersion) {
+            acceptedPlan = proposal.plan();
+            activeAt = now + STEP_MICROS * (1 + random.nextInt(3 * maxDelaySteps));
+            try { // what a process would decode from the document
+                var schema = wallmoor.rules.DocumentSchemas.PLAN;
+                invariants.checkEqual(proposal.plan(), MigrationPlan.decode(schema.parse(proposal.plan().body())));
+                invariants.check(plan.migrations().isEmpty()
+                                || proposal.plan().maxEncodedLength() <= plan.maxEncodedLength(),
+                        "the next plan's upper bound exceeds that of its parent");
+                invariants.check(
+                        proposal.plan().body().length() + proposal.plan().fallback().length() <= proposal.plan()
+                                .maxEncodedLength(),
+                        "body and fallback are longer than their upper bound");
+                invariants.check(schema.isAtMostAsPermissive(schema.parse(proposal.plan().fallback()),
+                                schema.parse(proposal.plan().body())),
+                        "the fallback is more permissive than the body");
             } catch (wallmoor.rules.InvalidRuleException | UnreadablePlanException e) {
                 throw new AssertionError(e);
             }
-        } else if (p.parentVersion() != number || !p.plan().equals(accepted)) {
-            act(l, l.mover.onProposalRejected(now, p.parentVersion()));
+        } else if (proposal.parentVersion() != activeVersion || !proposal.plan().equals(acceptedPlan)) {
+            perform(leader, leader.coordinator.onProposalRejected(now, proposal.parentVersion()));
         }
     }
 
-    private void deliver(Letter m) {
-        SimulatedNode node = nodes.get(m.send().node());
-        if (m.said() != null) {
-            if (m.leader().deadlines.remove(m.send().requestId()) != null) {
-                act(m.leader(), m.leader().mover.onResponse(now, m.send().requestId(), m.said()));
+    private void deliver(Message message) {
+        SimulatedNode node = nodes.get(message.action().node());
+        if (message.response() != null) {
+            if (message.leader().deadlineByRequest.remove(message.action().requestId()) != null) {
+                perform(message.leader(), message.leader().coordinator.onResponse(now, message.action().requestId(),
+                        message.response()));
             }
             return;
         }
-        if (node.down) {
+        if (node.isDown) {
             return;
         }
-        if (m.fetched() != null) {
-            var p = (ReplicaRequest.FetchChunk) m.send().request();
-            answer(m, node.pulled(m.send().block(), m.send().fencingToken(), p.chunkIndex(), m.fetched(), p.limitMb()));
+        if (message.fetchedChunk() != null) {
+            var fetch = (ReplicaRequest.FetchChunk) message.action().request();
+            sendResponse(message, node.handleFetchedChunk(message.action().block(), message.action().fencingToken(),
+                    fetch.chunkIndex(), message.fetchedChunk(), fetch.limitMb()));
             return;
         }
-        ReplicaResponse said = node.answer(m.send().block(), m.send().fencingToken(), m.send().request());
-        if (said.code() == ReplicaResponse.ResponseCode.OK
-                && m.send().request() instanceof ReplicaRequest.FetchChunk p) {
-            SimulatedNode from = nodes.get(p.source());
-            if (from.down || !from.of(m.send().block()).isComplete()) {
-                said = new ReplicaResponse(ReplicaResponse.ResponseCode.NO_SOURCE, said.replica(), said.space(),
+        ReplicaResponse response = node.handle(message.action().block(), message.action().fencingToken(),
+                message.action().request());
+        if (response.code() == ReplicaResponse.ResponseCode.OK
+                && message.action().request() instanceof ReplicaRequest.FetchChunk fetch) {
+            SimulatedNode source = nodes.get(fetch.source());
+            if (source.isDown || !source.replica(message.action().block()).isComplete()) {
+                response = new ReplicaResponse(ReplicaResponse.ResponseCode.NO_SOURCE, response.replica(),
+                        response.space(),
                         List.of(), 0, Map.of());
-            } else { // it is fetched now and written when it has come: the rules are asked again then
-                int value = from.content.get(m.send().block())[p.chunkIndex()];
-                boolean flip = flipNext || now < spoilsUntil;
-                flipNext = false;
-                wire.add(new Letter(now + STEP * (1 + random.nextInt(2 * jitter)), m.leader(), m.send(), null,
-                        flip ? value ^ 1 << 20 : value));
+            } else { // the chunk is read now and written on arrival, when the request is checked again
+                int value = source.chunksByBlock.get(message.action().block())[fetch.chunkIndex()];
+                boolean isCorrupted = corruptNextChunk || now < corruptChunksUntil;
+                corruptNextChunk = false;
+                messages.add(new Message(now + STEP_MICROS * (1 + random.nextInt(2 * maxDelaySteps)), message.leader(),
+                        message.action(), null,
+                        isCorrupted ? value ^ 1 << 20 : value));
                 return;
             }
         }
-        answer(m, said);
+        sendResponse(message, response);
     }
 
-    private void answer(Letter m, ReplicaResponse said) {
-        if (now >= loseAnswersUntil) {
-            wire.add(new Letter(now + STEP * (1 + random.nextInt(jitter)), m.leader(), m.send(), said, null));
+    private void sendResponse(Message message, ReplicaResponse response) {
+        if (now >= loseResponsesUntil) {
+            messages.add(new Message(now + STEP_MICROS * (1 + random.nextInt(maxDelaySteps)), message.leader(),
+                    message.action(), response, null));
         }
     }
 
-    /** A client asks for a part that runs once, and another reads. Each goes by a map that acts somewhere. */
-    void open(String block, boolean once) {
-        boolean hears = accepted != null && random.nextBoolean();
-        var on = new TreeSet<>(state.owners().get(block));
-        if (hears) {
-            on.retainAll(accepted.owners().get(block));
+    /** Opens a query with a non-idempotent part, or one that reads, by the active plan or its accepted successor. */
+    void openQuery(String block, boolean isNonIdempotent) {
+        boolean knowsAccepted = acceptedPlan != null && random.nextBoolean();
+        var targets = new TreeSet<>(plan.owners().get(block));
+        if (knowsAccepted) {
+            targets.retainAll(acceptedPlan.owners().get(block));
         }
-        judge.check(!on.isEmpty(), "nobody owns " + block);
-        if (once) {
-            var order = new ArrayList<>(on);
-            java.util.Collections.shuffle(order, random);
-            parts.add(new Part(now + STEP * (1 + random.nextInt(10)), ++ids, block, order.remove(0), number, order));
+        invariants.check(!targets.isEmpty(), "no owner of " + block);
+        if (isNonIdempotent) {
+            var shuffled = new ArrayList<>(targets);
+            java.util.Collections.shuffle(shuffled, random);
+            parts.add(new Part(now + STEP_MICROS * (1 + random.nextInt(10)), ++lastPartId, block, shuffled.remove(0),
+                    activeVersion, shuffled));
         } else {
-            queries.add(new Query(now + random.nextInt((int) QUERY), block, number, on));
+            queries.add(new Query(now + random.nextInt((int) MAX_QUERY_MICROS), block, activeVersion, targets));
         }
     }
 
-    private void clients() {
-        for (Query q : List.copyOf(queries)) {
-            if (q.due() <= now) {
-                queries.remove(q);
-                q.owners().forEach(n -> judge.read(q.block(), q.version(), nodes.get(n)));
+    private void runDueQueries() {
+        for (Query query : List.copyOf(queries)) {
+            if (query.dueMicros() <= now) {
+                queries.remove(query);
+                query.owners().forEach(owner -> invariants.onRead(query.block(), query.version(), nodes.get(owner)));
             }
         }
-        for (Part p : List.copyOf(parts)) {
-            SimulatedNode node = nodes.get(p.node());
-            if (p.due() <= now) {
-                parts.remove(p);
-                if (node.down) {
-                    continue; // nobody knows what came of it: it is not told again
+        for (Part part : List.copyOf(parts)) {
+            SimulatedNode node = nodes.get(part.node());
+            if (part.dueMicros() <= now) {
+                parts.remove(part);
+                if (node.isDown) {
+                    continue; // the outcome is unknown to the client: it does not send the part again
                 }
-                if (random.nextInt(4) == 0) { // told twice, late
-                    parts.add(new Part(now + STEP * (20 + random.nextInt(100)), p.id(), p.block(), p.node(),
-                            p.version(), List.of()));
+                if (random.nextInt(4) == 0) { // a late duplicate
+                    parts.add(new Part(now + STEP_MICROS * (20 + random.nextInt(100)), part.id(), part.block(),
+                            part.node(),
+                            part.version(), List.of()));
                 }
-                ReplicaRecord h = node.of(p.block());
-                if (judge.ranOn(p.id(), node)) {
-                    continue; // a node knows the parts that it ran
+                ReplicaRecord replica = node.replica(part.block());
+                if (invariants.hasRun(part.id(), node)) {
+                    continue; // a node recognizes the parts that it ran
                 }
-                if (h.servesNonIdempotent(p.version())) {
-                    judge.ran(p.id(), p.block(), node);
+                if (replica.servesNonIdempotent(part.version())) {
+                    invariants.onPartRun(part.id(), part.block(), node);
                 } else {
-                    node.held.put(p.block(), h.afterRejecting(p.version()));
-                    if (!p.others().isEmpty()) {
-                        parts.add(new Part(now + STEP, p.id(), p.block(), p.others().get(0), p.version(),
-                                p.others().subList(1, p.others().size())));
+                    node.replicas.put(part.block(), replica.afterRejecting(part.version()));
+                    if (!part.remainingNodes().isEmpty()) {
+                        parts.add(new Part(now + STEP_MICROS, part.id(), part.block(), part.remainingNodes().get(0),
+                                part.version(),
+                                part.remainingNodes().subList(1, part.remainingNodes().size())));
                     }
                 }
             }
         }
     }
 
-    void down(String node, long micros) {
-        nodes.get(node).down = true;
+    void stopNode(String node, long micros) {
+        nodes.get(node).isDown = true;
         downUntil.put(node, now + micros);
     }
 
-    /** The one that leads is gone, and another begins. */
-    void crash() {
+    /** Replaces the leader by a new one that has no state. */
+    void crashLeader() {
         leaders.clear();
         leaders.add(new Leader());
-        tell(leaders.get(0));
+        deliverActiveVersion(leaders.get(0));
     }
 
-    /** The one that leads stands still, and another begins; later both act. */
+    /** Pauses the leader and starts another one; after the pause both are active. */
     void pauseLeader(long micros) {
-        leaders.get(leaders.size() - 1).frozenUntil = now + micros;
+        leaders.get(leaders.size() - 1).pausedUntil = now + micros;
         leaders.add(new Leader());
-        tell(leaders.get(leaders.size() - 1));
+        deliverActiveVersion(leaders.get(leaders.size() - 1));
     }
 
-    void wish(MigrationCoordinator.OperatorCommand wish) {
-        Leader l = leaders.get(leaders.size() - 1);
-        act(l, l.mover.onCommand(now, wish));
+    void sendCommand(MigrationCoordinator.OperatorCommand command) {
+        Leader leader = leaders.get(leaders.size() - 1);
+        perform(leader, leader.coordinator.onCommand(now, command));
     }
 
-    /** Another author's version comes between. */
-    void rival() {
-        if (accepted == null) {
-            accepted = state.withPaused(state.paused());
-            actsAt = now + 2 * STEP;
+    /** Has a version of another author accepted, unless one is accepted already. */
+    void acceptConcurrentVersion() {
+        if (acceptedPlan == null) {
+            acceptedPlan = plan.withPaused(plan.paused());
+            activeAt = now + 2 * STEP_MICROS;
         }
     }
 
-    private MigrationPlan restarted() {
+    private MigrationPlan restartedPlan() {
         try {
-            return state.retargeted(state.target(), 4);
+            return plan.retargeted(plan.target(), 4);
         } catch (IncompatibleTargetException e) {
             throw new AssertionError(e);
         }
     }
 
-    /** What an operator does at last: starts it again, with all that was broken mended. */
-    boolean ends() {
+    /** Ends all faults, has migrations restarted as an operator would, and returns whether they finish. */
+    boolean recoverAndFinish() {
         loseRequestsUntil = 0;
-        loseAnswersUntil = 0;
-        spoilsUntil = 0;
+        loseResponsesUntil = 0;
+        corruptChunksUntil = 0;
         nodes.values().forEach(n -> n.otherMb = 0);
         for (int i = 0; i < 6_000; i++) {
-            if (((state.stopped() && state.migrations().isEmpty()) || state.paused() || state.frozenBlocks().size() > 0)
-                    && accepted == null) {
-                accepted = restarted();
-                actsAt = now + STEP;
+            if (((plan.stopped() && plan.migrations().isEmpty()) || plan.paused() || plan.frozenBlocks().size() > 0)
+                    && acceptedPlan == null) {
+                acceptedPlan = restartedPlan();
+                activeAt = now + STEP_MICROS;
             }
             step();
-            if (leaders.get(leaders.size() - 1).mover.status().phase() == MigrationStatus.MigrationPhase.FINISHED
-                    && now >= leaders.get(0).frozenUntil) {
+            if (leaders.get(leaders.size() - 1).coordinator.status().phase() == MigrationStatus.MigrationPhase.FINISHED
+                    && now >= leaders.get(0).pausedUntil) {
                 return true;
             }
         }
--- a/src/test/java/wallmoor/migration/SimulatedNode.java
+++ b/src/test/java/wallmoor/migration/SimulatedNode.java
@@ -8,16 +8,14 @@
 import wallmoor.migration.ReplicaRecord.ReplicaState;
 import wallmoor.migration.ReplicaResponse.ResponseCode;
 
-/**
- * A node on the model: what it keeps on its disk, by the rules that real nodes go by. A chunk's content is a number.
- */
+/** A simulated node and its disk, with the state machine of real nodes. The content of a chunk is one number. */
 final class SimulatedNode {
     final String id;
     final long diskMb;
-    final Map<String, ReplicaRecord> held = new TreeMap<>();
-    final Map<String, int[]> content = new TreeMap<>();
+    final Map<String, ReplicaRecord> replicas = new TreeMap<>();
+    final Map<String, int[]> chunksByBlock = new TreeMap<>();
     long otherMb;
-    boolean down;
+    boolean isDown;
     double load;
 
     SimulatedNode(String id, long diskMb) {
@@ -25,50 +23,54 @@
         this.diskMb = diskMb;
     }
 
-    ReplicaRecord of(String block) {
-        return held.getOrDefault(block, ReplicaRecord.NONE);
+    ReplicaRecord replica(String block) {
+        return replicas.getOrDefault(block, ReplicaRecord.NONE);
     }
 
-    DiskSpace room() {
-        return new DiskSpace(diskMb, otherMb, held.values().stream().mapToLong(ReplicaRecord::reservedMb).sum());
+    DiskSpace diskSpace() {
+        return new DiskSpace(diskMb, otherMb, replicas.values().stream().mapToLong(ReplicaRecord::reservedMb).sum());
     }
 
-    /** All but a pull, which takes time. */
-    ReplicaResponse answer(String block, long number, ReplicaRequest ask) {
-        ReplicaStateMachine.Transition r = ReplicaStateMachine.handle(of(block), number, ask, room(),
-                () -> sums(block));
+    /** Handles a request; of {@link ReplicaRequest.FetchChunk} only the decision whether to fetch. */
+    ReplicaResponse handle(String block, long token, ReplicaRequest request) {
+        ReplicaStateMachine.Transition transition = ReplicaStateMachine.handle(replica(block), token, request,
+                diskSpace(),
+                () -> checksums(block));
         if (!block.isEmpty()) {
-            keep(block, r.replica());
+            store(block, transition.replica());
         }
-        boolean tells = r.code() == ResponseCode.OK
-                && (ask instanceof ReplicaRequest.ComputeChecksums || ask instanceof ReplicaRequest.Fence);
-        return new ReplicaResponse(r.code(), r.replica(), room(), tells ? sums(block) : List.of(), load,
-                ask instanceof ReplicaRequest.ListReplicas ? held : Map.of());
+        boolean hasChecksums = transition.code() == ResponseCode.OK
+                && (request instanceof ReplicaRequest.ComputeChecksums || request instanceof ReplicaRequest.Fence);
+        return new ReplicaResponse(transition.code(), transition.replica(), diskSpace(), hasChecksums ? checksums(block)
+                : List.of(), load,
+                request instanceof ReplicaRequest.ListReplicas ? replicas : Map.of());
     }
 
-    /** A chunk has come. */
-    ReplicaResponse pulled(String block, long number, int index, int value, long mostMb) {
-        ReplicaStateMachine.Transition r = ReplicaStateMachine.handleFetchedChunk(of(block), number, index, room(),
-                mostMb);
-        if (r.code() == ResponseCode.OK) {
-            content.get(block)[index] = value;
-            keep(block, r.replica());
+    /** Handles a fetched chunk. */
+    ReplicaResponse handleFetchedChunk(String block, long token, int chunkIndex, int value, long limitMb) {
+        ReplicaStateMachine.Transition transition = ReplicaStateMachine.handleFetchedChunk(replica(block), token,
+                chunkIndex, diskSpace(),
+                limitMb);
+        if (transition.code() == ResponseCode.OK) {
+            chunksByBlock.get(block)[chunkIndex] = value;
+            store(block, transition.replica());
         }
-        return new ReplicaResponse(r.code(), r.replica(), room(), List.of(), load, Map.of());
+        return new ReplicaResponse(transition.code(), transition.replica(), diskSpace(), List.of(), load, Map.of());
     }
 
-    private void keep(String block, ReplicaRecord next) {
-        ReplicaRecord was = held.put(block, next);
+    private void store(String block, ReplicaRecord next) {
+        ReplicaRecord previous = replicas.put(block, next);
         if (next.state() == ReplicaState.ABSENT) {
-            content.remove(block);
-        } else if (next.state() == ReplicaState.FILLING && (was == null || was.state() == ReplicaState.ABSENT)) {
-            content.put(block, new int[ReplicaStateMachine.chunkCount(next)]);
+            chunksByBlock.remove(block);
+        } else if (next.state() == ReplicaState.FILLING
+                && (previous == null || previous.state() == ReplicaState.ABSENT)) {
+            chunksByBlock.put(block, new int[ReplicaStateMachine.chunkCount(next)]);
         }
     }
 
-    private List<String> sums(String block) {
-        var sums = new ArrayList<String>();
-        Arrays.stream(content.getOrDefault(block, new int[0])).forEach(v -> sums.add("" + v));
-        return sums;
+    private List<String> checksums(String block) {
+        var checksums = new ArrayList<String>();
+        Arrays.stream(chunksByBlock.getOrDefault(block, new int[0])).forEach(v -> checksums.add("" + v));
+        return checksums;
     }
 }
--- a/src/test/java/wallmoor/migration/http/ConsensusPlanStoreTest.java
+++ b/src/test/java/wallmoor/migration/http/ConsensusPlanStoreTest.java
@@ -27,25 +27,25 @@
 import wallmoor.placement.PlacementProblem;
 import wallmoor.placement.StorageNode;
 
-/** The agreed plan against control ports that answer as they are told. */
+/** Tests the plan store against simulated control ports of two gatherers. */
 public class ConsensusPlanStoreTest {
-    private static final MigrationPlan FIRST = of(1);
-    private static final MigrationPlan PAUSED = FIRST
+    private static final MigrationPlan ACTIVE_PLAN = planWithBlocks(1);
+    private static final MigrationPlan PAUSED_PLAN = ACTIVE_PLAN
             .withCommand(wallmoor.migration.MigrationCoordinator.OperatorCommand.PAUSE);
 
-    private final List<String> proposed = Collections.synchronizedList(new ArrayList<>());
-    private final List<String> log = Collections.synchronizedList(new ArrayList<>());
-    private final ConcurrentLinkedQueue<String> answers = new ConcurrentLinkedQueue<>();
-    private volatile String show = "";
-    private volatile boolean firstIsGone;
+    private final List<String> sentProposals = Collections.synchronizedList(new ArrayList<>());
+    private final List<String> logLines = Collections.synchronizedList(new ArrayList<>());
+    private final ConcurrentLinkedQueue<String> proposalAnswers = new ConcurrentLinkedQueue<>();
+    private volatile String showAnswer = "";
+    private volatile boolean isFirstGathererDown;
     private final Logger logger = (Logger) LoggerFactory.getLogger(ConsensusPlanStore.class);
     private final AppenderBase<ILoggingEvent> appender = new AppenderBase<>() {
         @Override
         protected void append(ILoggingEvent event) {
-            log.add(event.getLevel() + " " + event.getFormattedMessage());
+            logLines.add(event.getLevel() + " " + event.getFormattedMessage());
         }
     };
-    private ConsensusPlanStore plan;
+    private ConsensusPlanStore store;
 
     @Before
     public void captureLog() {
@@ -54,105 +54,108 @@
         logger.addAppender(appender);
     }
 
-    private static MigrationPlan of(int blocks) {
-        var all = new ArrayList<BlockReplicas>();
+    private static MigrationPlan planWithBlocks(int blocks) {
+        var replicas = new ArrayList<BlockReplicas>();
         for (int i = 0; i < blocks; i++) {
-            all.add(new BlockReplicas("b" + i, 1, List.of("n")));
+            replicas.add(new BlockReplicas("b" + i, 1, List.of("n")));
         }
         return MigrationPlan.initial(new PlacementProblem(0, FailureDomain.NODE, PlacementProblem.NO_LEVEL,
-                List.of(new StorageNode("n", "", 100_000, false)), all), 2);
+                List.of(new StorageNode("n", "", 100_000, false)), replicas), 2);
     }
 
-    private String ask(InetSocketAddress at, String line, long millis) throws IOException {
-        if (at.getPort() == 1 && firstIsGone) {
+    private String exchange(InetSocketAddress address, String line, long timeoutMillis) throws IOException {
+        if (address.getPort() == 1 && isFirstGathererDown) {
             throw new IOException("gone");
         } else if (line.contains("\"show\"")) {
-            return show;
+            return showAnswer;
         }
-        proposed.add(at.getPort() + line);
-        String answer = answers.poll();
+        sentProposals.add(address.getPort() + line);
+        String answer = proposalAnswers.poll();
         if (answer == null) {
             throw new IOException("nobody answers");
         }
         return answer;
     }
 
-    private static String shown(int lease, String basis, int acting, MigrationPlan says) {
-        var to = new StringBuilder("{\"lease_ms\":" + lease + ",\"basis\":\"" + basis + "\",\"acting\":" + acting);
-        if (says != null) {
-            Json.quote(to.append(",\"body\":"), says.body());
+    private static String encodeShowAnswer(int leaseMillis, String basis, int actingVersion, MigrationPlan plan) {
+        var json = new StringBuilder("{\"lease_ms\":" + leaseMillis + ",\"basis\":\"" + basis + "\",\"acting\":"
+                + actingVersion);
+        if (plan != null) {
+            Json.quote(json.append(",\"body\":"), plan.body());
         }
-        return to.append("}\n").toString();
+        return json.append("}\n").toString();
     }
 
-    private PlanStore.PlanUpdate next() throws Exception {
+    private PlanStore.PlanUpdate awaitUpdate() throws Exception {
         for (int i = 0; i < 1_500; i++) {
-            PlanStore.PlanUpdate n = plan.poll();
-            if (n != null) {
-                return n;
+            PlanStore.PlanUpdate update = store.poll();
+            if (update != null) {
+                return update;
             }
             Thread.sleep(10);
         }
-        throw new AssertionError("no news: " + log);
+        throw new AssertionError("no update of the plan within 15 s: " + logLines);
     }
 
-    private void begin() {
-        plan = new ConsensusPlanStore(
+    private void openStore() {
+        store = new ConsensusPlanStore(
                 new PlanControlClient(
                         List.of(new InetSocketAddress("127.0.0.1", 1), new InetSocketAddress("127.0.0.1", 2)),
-                        this::ask, "ann"));
+                        this::exchange, "ann"));
     }
 
     @After
-    public void end() {
-        plan.close();
+    public void closeStore() {
+        store.close();
         logger.detachAppender(appender);
     }
 
     @Test
-    public void aVersionIsGoneByOnceItActsWhollyAndSurelyWhileTheLeaseLasts() throws Exception {
-        show = shown(60_000, "careful", 3, FIRST); // a later one is known: its meet is no version's body
-        begin();
+    public void reportsOnlyActiveVersionsAndIsNotCurrentOnceTheLeaseExpires() throws Exception {
+        // a later version is known, and the common part of both is not the body of any version
+        showAnswer = encodeShowAnswer(60_000, "careful", 3, ACTIVE_PLAN);
+        openStore();
         Thread.sleep(300);
-        assertNull(plan.poll());
-        show = shown(60_000, "version", 4, FIRST);
-        assertEquals(new PlanStore.PlanUpdate(4, FIRST), next());
-        assertTrue(plan.isCurrent());
-        show = shown(400, "version", 4, null);
+        assertNull(store.poll());
+        showAnswer = encodeShowAnswer(60_000, "version", 4, ACTIVE_PLAN);
+        assertEquals(new PlanStore.PlanUpdate(4, ACTIVE_PLAN), awaitUpdate());
+        assertTrue(store.isCurrent());
+        showAnswer = encodeShowAnswer(400, "version", 4, null);
         Thread.sleep(300);
-        show = shown(0, "fallback", 0, PAUSED);
-        for (int i = 0; i < 1_500 && plan.isCurrent(); i++) {
+        showAnswer = encodeShowAnswer(0, "fallback", 0, PAUSED_PLAN);
+        for (int i = 0; i < 1_500 && store.isCurrent(); i++) {
             Thread.sleep(10);
         }
-        assertFalse("without a lease elsewhere it may be paused", plan.isCurrent());
-        assertNull(plan.poll());
+        assertFalse("without a lease the plan may have been paused meanwhile", store.isCurrent());
+        assertNull(store.poll());
     }
 
     @Test
-    public void aProposalIsToldToTheNextUntilItIsKnownWhatCameOfIt() throws Exception {
-        show = shown(60_000, "version", 4, FIRST);
-        firstIsGone = true;
-        answers.add("{\"unknown\":\"it is accepted\"}\n");
-        answers.add("{\"name\":\"plan\",\"version\":5,\"state\":\"acts\"}\n");
-        answers.add("{\"name\":\"plan\",\"version\":6,\"refused\":\"plan 6 by bob was proposed first\"}\n");
-        begin();
-        next();
-        plan.propose(new MigrationAction.ProposePlan(4, PAUSED));
-        assertEquals(new PlanStore.PlanUpdate(5, PAUSED), next());
-        assertEquals("the same: one proposal", 1, proposed.stream().distinct().count());
-        plan.propose(new MigrationAction.ProposePlan(5, FIRST));
-        assertEquals(new PlanStore.PlanUpdate(5, null), next());
-        assertTrue(proposed.get(2),
-                proposed.get(2).contains("\"number\":5") && proposed.get(2).contains("\"author\":\"ann\""));
-        assertTrue(log.toString(), log.contains("INFO plan proposal rejected: plan 6 by bob was proposed first"));
+    public void repeatsProposalToNextGathererUntilItsOutcomeIsKnown() throws Exception {
+        showAnswer = encodeShowAnswer(60_000, "version", 4, ACTIVE_PLAN);
+        isFirstGathererDown = true;
+        proposalAnswers.add("{\"unknown\":\"it is accepted\"}\n");
+        proposalAnswers.add("{\"name\":\"plan\",\"version\":5,\"state\":\"acts\"}\n");
+        proposalAnswers.add("{\"name\":\"plan\",\"version\":6,\"refused\":\"plan 6 by bob was proposed first\"}\n");
+        openStore();
+        awaitUpdate();
+        store.propose(new MigrationAction.ProposePlan(4, PAUSED_PLAN));
+        assertEquals(new PlanStore.PlanUpdate(5, PAUSED_PLAN), awaitUpdate());
+        assertEquals("the repeated proposal is identical", 1, sentProposals.stream().distinct().count());
+        store.propose(new MigrationAction.ProposePlan(5, ACTIVE_PLAN));
+        assertEquals(new PlanStore.PlanUpdate(5, null), awaitUpdate());
+        assertTrue(sentProposals.get(2),
+                sentProposals.get(2).contains("\"number\":5") && sentProposals.get(2).contains("\"author\":\"ann\""));
+        assertTrue(logLines.toString(),
+                logLines.contains("INFO plan proposal rejected: reason=\"plan 6 by bob was proposed first\""));
     }
 
     @Test
-    public void whatCantBeAgreedOnIsRefusedBeforeItIsTold() {
-        begin();
+    public void rejectsTooLargePlanWithoutSendingIt() {
+        openStore();
         PlanStoreException e = assertThrows(PlanStoreException.class,
-                () -> plan.propose(new MigrationAction.ProposePlan(4, of(6_000))));
+                () -> store.propose(new MigrationAction.ProposePlan(4, planWithBlocks(6_000))));
         assertTrue(e.getMessage(), e.getMessage().contains("524288 at most: drain fewer nodes at once"));
-        assertEquals(List.of(), proposed);
+        assertEquals(List.of(), sentProposals);
     }
 }
--- a/src/test/java/wallmoor/migration/http/MigrationGoldenFilesTest.java
+++ b/src/test/java/wallmoor/migration/http/MigrationGoldenFilesTest.java
@@ -31,8 +31,8 @@
 import wallmoor.rules.RuleDocument;
 
 /**
- * What the program before 3 December 2026 sent to nodes and kept on disks is read, and written again with the same
- * bytes.
+ * Guards against a change of the formats on the wire and on disk. Decodes messages and files that the program wrote
+ * before 3 December 2026, and compares their encoding byte for byte.
  */
 public class MigrationGoldenFilesTest {
     private static final String RESOURCES = "/golden/migration/";
@@ -55,29 +55,29 @@
     }
 
     @Test
-    public void requestsToNodesKeepTheirForm() throws IOException {
+    public void decodesAndEncodesRequestsUnchanged() throws IOException {
         Set<Class<?>> seen = Stream.of(ReplicaRequest.class.getPermittedSubclasses()).collect(Collectors.toSet());
         for (String line : lines("requests.jsonl")) {
             MigrationCodec.RequestMessage request = MigrationCodec.decodeRequest(utf8(line));
             assertEquals(line, MigrationCodec.encode(request.block(), request.fencingToken(), request.request()));
             seen.remove(request.request().getClass());
         }
-        assertEquals("every kind of request has a line", Set.of(), seen);
+        assertEquals("request types without a line in requests.jsonl", Set.of(), seen);
     }
 
     @Test
-    public void answersOfNodesKeepTheirForm() throws IOException {
+    public void decodesAndEncodesResponsesUnchanged() throws IOException {
         var seen = new TreeSet<ReplicaResponse.ResponseCode>();
         for (String line : lines("answers.jsonl")) {
-            ReplicaResponse answer = MigrationCodec.decodeResponse(utf8(line));
-            assertEquals(line, MigrationCodec.encode(answer));
-            seen.add(answer.code());
+            ReplicaResponse response = MigrationCodec.decodeResponse(utf8(line));
+            assertEquals(line, MigrationCodec.encode(response));
+            seen.add(response.code());
         }
         assertEquals(Set.of(ReplicaResponse.ResponseCode.values()), seen);
     }
 
     @Test
-    public void whatNodesKeepOfABlockIsReadAndWrittenAlike() throws IOException {
+    public void decodesAndEncodesReplicaRecordsUnchanged() throws IOException {
         var seen = new TreeSet<ReplicaRecord.ReplicaState>();
         for (String line : lines("replica-records.jsonl")) {
             ReplicaRecord replica = MigrationCodec.decodeReplica(utf8(line));
@@ -88,60 +88,64 @@
     }
 
     @Test
-    public void thePlansBodyAndFallbackAreReadAndWrittenAlike() throws Exception {
+    public void decodesAndEncodesPlanBodyAndFallbackUnchanged() throws Exception {
         List<String> lines = lines("plan-documents.jsonl");
         var seen = new TreeSet<MigrationStage>();
         for (int i = 0; i < lines.size(); i += 2) {
-            MigrationPlan state = MigrationPlan.decode(DocumentSchemas.PLAN.parse(lines.get(i)));
-            assertEquals(lines.get(i), state.body());
-            assertEquals(lines.get(i + 1), state.fallback());
+            MigrationPlan plan = MigrationPlan.decode(DocumentSchemas.PLAN.parse(lines.get(i)));
+            assertEquals(lines.get(i), plan.body());
+            assertEquals(lines.get(i + 1), plan.fallback());
             assertEquals(lines.get(i + 1), MigrationPlan.decode(DocumentSchemas.PLAN.parse(lines.get(i + 1))).body());
-            state.migrations().values().forEach(c -> seen.add(c.stage()));
+            plan.migrations().values().forEach(migration -> seen.add(migration.stage()));
         }
         assertEquals(Set.of(MigrationStage.values()), seen);
     }
 
     @Test
-    public void thePlansFileIsReadAndWrittenAlike() throws Exception {
+    public void readsAndWritesPlanFileUnchanged() throws Exception {
         List<String> lines = lines("plan-documents.jsonl");
-        Path old = folder.newFolder("old").toPath();
-        Files.write(old.resolve("plan"), bytes("plan"));
-        try (var plan = new DirectoryPlanStore(old)) {
-            RuleDocument second = plan.read();
-            assertEquals(2, second.version());
-            assertEquals(lines.get(2), second.body());
-            assertEquals(lines.get(3), second.fallback());
-            assertEquals(MigrationPlan.decode(DocumentSchemas.PLAN.parse(lines.get(2))), PlanDocuments.decode(second));
+        Path oldDirectory = folder.newFolder("old").toPath();
+        Files.write(oldDirectory.resolve("plan"), bytes("plan"));
+        try (var store = new DirectoryPlanStore(oldDirectory)) {
+            RuleDocument secondVersion = store.read();
+            assertEquals(2, secondVersion.version());
+            assertEquals(lines.get(2), secondVersion.body());
+            assertEquals(lines.get(3), secondVersion.fallback());
+            assertEquals(MigrationPlan.decode(DocumentSchemas.PLAN.parse(lines.get(2))),
+                    PlanDocuments.decode(secondVersion));
         }
-        Path fresh = folder.newFolder("fresh").toPath();
-        try (var plan = new DirectoryPlanStore(fresh)) {
-            plan.acquireLock();
-            plan.propose(0, lines.get(0), lines.get(1));
-            plan.propose(1, lines.get(2), lines.get(3));
+        Path newDirectory = folder.newFolder("fresh").toPath();
+        try (var store = new DirectoryPlanStore(newDirectory)) {
+            store.acquireLock();
+            store.propose(0, lines.get(0), lines.get(1));
+            store.propose(1, lines.get(2), lines.get(3));
         }
-        assertArrayEquals(bytes("plan"), Files.readAllBytes(fresh.resolve("plan")));
+        assertArrayEquals(bytes("plan"), Files.readAllBytes(newDirectory.resolve("plan")));
     }
 
     @Test
-    public void progressKeepsItsForm() throws Exception {
+    public void encodesProgressUnchanged() throws Exception {
         String pid = "\"pid\":" + ProcessHandle.current().pid();
         var phases = new TreeSet<MigrationStatus.MigrationPhase>();
         for (String line : lines("progress.jsonl")) {
-            Json.Obj o = Json.object(utf8(line), 0, utf8(line).length);
-            var moves = new ArrayList<MigrationStatus.MigrationProgress>();
-            for (Object each : o.list("moves")) {
-                var m = (Json.Obj) each;
-                var carry = new Migration(m.text("block"), m.text("from"), m.text("to"), (long) m.number("mb", 0),
-                        (int) m.number("wave", 0), MigrationStage.valueOf(m.text("stage").toUpperCase(Locale.ROOT)),
+            Json.Obj json = Json.object(utf8(line), 0, utf8(line).length);
+            var migrations = new ArrayList<MigrationStatus.MigrationProgress>();
+            for (Object each : json.list("moves")) {
+                var move = (Json.Obj) each;
+                var migration = new Migration(move.text("block"), move.text("from"), move.text("to"),
+                        (long) move.number("mb", 0),
+                        (int) move.number("wave", 0),
+                        MigrationStage.valueOf(move.text("stage").toUpperCase(Locale.ROOT)),
                         true, 3);
-                moves.add(new MigrationStatus.MigrationProgress(carry, m.number("there", 0), m.text("waits")));
+                migrations.add(new MigrationStatus.MigrationProgress(migration, move.number("there", 0),
+                        move.text("waits")));
             }
             MigrationStatus.MigrationPhase phase = MigrationStatus.MigrationPhase
-                    .valueOf(o.text("phase").toUpperCase(Locale.ROOT));
-            var status = new MigrationStatus((long) o.number("version", 0), phase, moves, o.text("stuck"),
-                    (long) o.number("bytes_per_second", 0), o.text("given_up"));
-            String written = ProgressReport.encode(status, (long) o.number("at_ms", 0));
-            assertEquals(line, written.replace(pid, "\"pid\":1"));
+                    .valueOf(json.text("phase").toUpperCase(Locale.ROOT));
+            var status = new MigrationStatus((long) json.number("version", 0), phase, migrations, json.text("stuck"),
+                    (long) json.number("bytes_per_second", 0), json.text("given_up"));
+            String encoded = ProgressReport.encode(status, (long) json.number("at_ms", 0));
+            assertEquals(line, encoded.replace(pid, "\"pid\":1"));
             phases.add(phase);
         }
         assertEquals(Set.of(MigrationStatus.MigrationPhase.values()), phases);
