--- a/src/main/java/wallmoor/placement/CopyLowerBound.java
+++ b/src/main/java/wallmoor/placement/CopyLowerBound.java
@@ -5,91 +5,106 @@
 import java.util.PriorityQueue;
 
 /**
- * Megabytes that every plan copies at least, for fleets of any size. Every node must give what drains, what is over
- * its bound and what stands beside another copy, and take what it lacks for the level; whole blocks only; and what the
- * cells take from each other is limited by the blocks that may change their cell. The level's window of shares may lie
- * anywhere: all places of it are covered by intervals, and the least of their bounds holds.
+ * Computes a lower bound on the megabytes that a plan copies, for problems of any size. Replicas must leave draining
+ * nodes, nodes above their upper limit, and cells that hold another replica of the block; replicas must arrive at nodes
+ * below the level's window. Blocks move as a whole, and the exchange between cells is limited by the blocks that may
+ * change their cell. The window of shares may have any position: intervals cover all positions, and the least of their
+ * bounds is the result.
  */
 final class CopyLowerBound {
-    /** No place of the window can be had. */
+    /** The bound where no position of the window can be reached. */
     static final long INFEASIBLE = Long.MAX_VALUE;
-    /** Bits of the sums of a node's blocks, for all nodes: 64 MiB of heap at most. */
-    private static final long MOST_BITS = 1L << 29;
-    /** Intervals looked at: each costs microseconds a node; where they are used up the bound is a little lower. */
-    private static final int INTERVALS = 2_000;
+    /** Total size of the subset sums of all nodes, in bits: 64 MiB of heap. */
+    private static final long MAX_SUM_BITS = 1L << 29;
+    /** Number of intervals examined, at microseconds per node each; if it is used up, the bound is slightly lower. */
+    private static final int MAX_INTERVALS = 2_000;
 
     /**
-     * Where the window's lower end may lie, in millionths of a disk, and what any plan that ends there copies at
-     * least.
+     * A range of positions of the window's lower end, in millionths of a disk, and the megabytes that any plan whose
+     * window lies there copies at least.
      */
-    private record Interval(int from, int to, long mb) {}
+    private record Interval(int from, int to, long boundMb) {}
 
-    /** A bound, and where the window lies that it was found for. */
+    /**
+     * A lower bound in megabytes, and the window that it was found for.
+     *
+     * @param window lower end of the window, in millionths of a disk
+     */
     record WindowBound(long copiedMb, int window) {}
 
     private final PlacementModel model;
-    private final long[] used;
-    private final BitSet[] sums;
-    private final long[] smallest;
+    private final long[] usedMb;
+    /** Sums of the subsets of each node's blocks; null for draining nodes and beyond {@link #MAX_SUM_BITS}. */
+    private final BitSet[] subsetSums;
+    private final long[] smallestBlockMb;
+    /** Area of each node: its cell if replicas are spread over cells, otherwise one area for all nodes. */
     private final int[] area;
-    private final int areas;
-    /** For each area: what stands beside another copy, what surely comes or goes, and how much more may go or come. */
-    private final long[] beside;
-    private final long[] net;
-    private final long[] mayGo;
-    private final long[] mayCome;
-    private final long[] besideOn;
+    private final int areaCount;
+    /**
+     * Megabytes per area: colocated replicas that must leave, the net inflow that is certain, and how much more may
+     * leave or arrive.
+     */
+    private final long[] colocatedMb;
+    private final long[] netInflowMb;
+    private final long[] mayLeaveMb;
+    private final long[] mayArriveMb;
+    /** Megabytes of colocated replicas per node. */
+    private final long[] colocatedOnNodeMb;
 
     CopyLowerBound(PlacementModel model) {
         this.model = model;
-        used = model.initialUsedMb();
-        int n = model.nodes();
-        boolean cells = model.fleet.spread() == FailureDomain.CELL;
-        area = cells ? model.group : new int[n];
-        areas = cells ? model.groups : 1;
-        sums = new BitSet[n];
-        smallest = new long[n];
-        beside = new long[areas];
-        net = new long[areas];
-        mayGo = new long[areas];
-        mayCome = new long[areas];
-        besideOn = new long[n];
-        sums();
+        usedMb = model.initialUsedMb();
+        int n = model.nodeCount();
+        boolean spreadsOverCells = model.problem.spread() == FailureDomain.CELL;
+        area = spreadsOverCells ? model.group : new int[n];
+        areaCount = spreadsOverCells ? model.groups : 1;
+        subsetSums = new BitSet[n];
+        smallestBlockMb = new long[n];
+        colocatedMb = new long[areaCount];
+        netInflowMb = new long[areaCount];
+        mayLeaveMb = new long[areaCount];
+        mayArriveMb = new long[areaCount];
+        colocatedOnNodeMb = new long[n];
+        computeSubsetSums();
         sumAreas();
     }
 
     static WindowBound of(PlacementModel model) {
-        return new CopyLowerBound(model).least();
+        return new CopyLowerBound(model).findBound();
     }
 
-    private void sums() {
+    /** Computes the subset sums of the blocks of each non-draining node, within the limit of bits. */
+    private void computeSubsetSums() {
         long bits = 0;
-        for (int i = 0; i < used.length; i++) {
-            bits += used[i] + 1;
-            if (bits <= MOST_BITS && !model.draining[i]) {
-                sums[i] = new BitSet((int) used[i] + 1);
-                sums[i].set(0);
+        for (int i = 0; i < usedMb.length; i++) {
+            bits += usedMb[i] + 1;
+            if (bits <= MAX_SUM_BITS && !model.draining[i]) {
+                subsetSums[i] = new BitSet((int) usedMb[i] + 1);
+                subsetSums[i].set(0);
             }
         }
         for (int b = 0; b < model.sizeMb.length; b++) {
-            for (int h : model.initialHolders[b]) {
-                smallest[h] = smallest[h] == 0 ? model.sizeMb[b] : Math.min(smallest[h], model.sizeMb[b]);
-                if (sums[h] != null) {
-                    sums[h] = withShifted(sums[h], (int) model.sizeMb[b]);
+            for (int holder : model.initialHolders[b]) {
+                smallestBlockMb[holder] = smallestBlockMb[holder] == 0
+                        ? model.sizeMb[b]
+                        : Math.min(smallestBlockMb[holder], model.sizeMb[b]);
+                if (subsetSums[holder] != null) {
+                    subsetSums[holder] = unionShifted(subsetSums[holder], (int) model.sizeMb[b]);
                 }
             }
         }
     }
 
-    private static BitSet withShifted(BitSet set, int by) {
+    /** Returns the union of a set and the set with {@code by} added to each of its numbers. */
+    private static BitSet unionShifted(BitSet set, int by) {
         long[] words = set.toLongArray();
-        int whole = by >> 6;
-        int part = by & 63;
-        long[] shifted = new long[words.length + whole + 1];
+        int wordShift = by >> 6;
+        int bitShift = by & 63;
+        long[] shifted = new long[words.length + wordShift + 1];
         for (int w = 0; w < words.length; w++) {
-            shifted[w + whole] |= words[w] << part;
-            if (part > 0) {
-                shifted[w + whole + 1] |= words[w] >>> (64 - part);
+            shifted[w + wordShift] |= words[w] << bitShift;
+            if (bitShift > 0) {
+                shifted[w + wordShift + 1] |= words[w] >>> (64 - bitShift);
             }
         }
         for (int w = 0; w < words.length; w++) {
@@ -98,128 +113,149 @@
         return BitSet.valueOf(shifted);
     }
 
-    /** Sums up, by area, what each block must and may exchange. */
+    /** Sums up, by area, the megabytes that each block must and may exchange with other areas. */
     private void sumAreas() {
-        var live = new boolean[areas];
+        var isLive = new boolean[areaCount];
         int liveAreas = 0;
-        for (int i = 0; i < used.length; i++) {
-            if (!model.draining[i] && !live[area[i]]) {
-                live[area[i]] = true;
+        for (int i = 0; i < usedMb.length; i++) {
+            if (!model.draining[i] && !isLive[area[i]]) {
+                isLive[area[i]] = true;
                 liveAreas++;
             }
         }
         for (int b = 0; b < model.sizeMb.length; b++) {
-            boolean apart = model.spread[b] && areas > 1;
-            boolean everywhere = apart && model.initialHolders[b].length == liveAreas;
-            sumBlock(b, live, apart, everywhere);
+            boolean mustSpread = model.spread[b] && areaCount > 1;
+            boolean inEveryArea = mustSpread && model.initialHolders[b].length == liveAreas;
+            addBlock(b, isLive, mustSpread, inEveryArea);
         }
     }
 
-    /** @param everywhere whether the block ends with one replica in every live area */
-    private void sumBlock(int block, boolean[] live, boolean apart, boolean everywhere) {
-        var replicas = new int[areas];
-        var staying = new int[areas];
+    /**
+     * Adds one block to the sums by area.
+     *
+     * @param isLive      whether each area has a node that does not drain
+     * @param mustSpread  whether the block's replicas must be in different areas
+     * @param inEveryArea whether the block ends with one replica in every live area
+     */
+    private void addBlock(int block, boolean[] isLive, boolean mustSpread, boolean inEveryArea) {
+        var replicas = new int[areaCount];
+        var staying = new int[areaCount];
         for (int node : model.initialHolders[block]) {
             replicas[area[node]]++;
             staying[area[node]] += model.draining[node] ? 0 : 1;
         }
-        long mb = model.sizeMb[block];
-        for (int a = 0; a < areas; a++) {
-            if (everywhere) {
-                net[a] += mb * ((live[a] ? 1 : 0) - replicas[a]);
+        long sizeMb = model.sizeMb[block];
+        for (int a = 0; a < areaCount; a++) {
+            if (inEveryArea) {
+                netInflowMb[a] += sizeMb * ((isLive[a] ? 1 : 0) - replicas[a]);
             } else {
-                mayGo[a] += mb * replicas[a];
-                int mostMore = apart ? Math.max(0, 1 - replicas[a]) : model.initialHolders[block].length - replicas[a];
-                mayCome[a] += live[a] ? mb * mostMore : 0;
+                mayLeaveMb[a] += sizeMb * replicas[a];
+                int maxAdded = mustSpread
+                        ? Math.max(0, 1 - replicas[a])
+                        : model.initialHolders[block].length - replicas[a];
+                mayArriveMb[a] += isLive[a] ? sizeMb * maxAdded : 0;
             }
-            if (apart && staying[a] > 1) {
-                beside[a] += mb * (staying[a] - 1);
+            if (mustSpread && staying[a] > 1) {
+                colocatedMb[a] += sizeMb * (staying[a] - 1);
                 for (int node : model.initialHolders[block]) {
-                    besideOn[node] += area[node] == a ? mb : 0;
+                    colocatedOnNodeMb[node] += area[node] == a ? sizeMb : 0;
                 }
             }
         }
     }
 
-    private WindowBound least() {
+    /** Searches the intervals of window positions, best first, for the least bound. */
+    private WindowBound findBound() {
         if (!model.windowed) {
-            return new WindowBound(between(0, PlacementProblem.MILLION), 0);
+            return new WindowBound(boundBetween(0, PlacementProblem.MILLION), 0);
         }
-        var open = new PriorityQueue<Interval>(Comparator.comparingLong(Interval::mb)
+        var queue = new PriorityQueue<Interval>(Comparator.comparingLong(Interval::boundMb)
                 .thenComparingInt(i -> i.to() - i.from()));
-        open.add(new Interval(0, PlacementProblem.MILLION, between(0, PlacementProblem.MILLION)));
-        for (int looked = 0;; looked++) {
-            Interval at = open.poll();
-            if (at.to() - at.from() <= 1 || at.mb() == INFEASIBLE || looked >= INTERVALS) {
-                return new WindowBound(at.mb(), at.from());
+        queue.add(new Interval(0, PlacementProblem.MILLION, boundBetween(0, PlacementProblem.MILLION)));
+        for (int examined = 0;; examined++) {
+            Interval interval = queue.poll();
+            if (interval.to() - interval.from() <= 1 || interval.boundMb() == INFEASIBLE || examined >= MAX_INTERVALS) {
+                return new WindowBound(interval.boundMb(), interval.from());
             }
-            int middle = at.from() + (at.to() - at.from()) / 2;
-            open.add(new Interval(at.from(), middle, between(at.from(), middle)));
-            open.add(new Interval(middle, at.to(), between(middle, at.to())));
+            int middle = interval.from() + (interval.to() - interval.from()) / 2;
+            queue.add(new Interval(interval.from(), middle, boundBetween(interval.from(), middle)));
+            queue.add(new Interval(middle, interval.to(), boundBetween(middle, interval.to())));
         }
     }
 
-    /** What must move where the window's lower end lies between the two. */
-    private long between(int from, int to) {
-        var give = new long[areas];
-        var take = new long[areas];
-        var covered = new long[areas];
-        var most = new long[areas];
-        var fewest = new long[areas];
-        var holds = new long[areas];
-        for (int i = 0; i < used.length; i++) {
+    /** Returns the megabytes that must move if the window's lower end lies between {@code from} and {@code to}. */
+    private long boundBetween(int from, int to) {
+        var mustLeaveMb = new long[areaCount];
+        var mustArriveMb = new long[areaCount];
+        var coveredMb = new long[areaCount];
+        var maxHeldMb = new long[areaCount];
+        var minHeldMb = new long[areaCount];
+        var heldMb = new long[areaCount];
+        for (int i = 0; i < usedMb.length; i++) {
             int a = area[i];
-            holds[a] += used[i];
+            heldMb[a] += usedMb[i];
             if (model.draining[i]) {
-                give[a] += used[i];
+                mustLeaveMb[a] += usedMb[i];
                 continue;
             }
-            long high = high(model, i, to);
-            long low = low(model, i, from);
-            most[a] += high;
-            fewest[a] += low;
-            long over = cover(i, used[i] - high);
-            give[a] += over;
-            covered[a] += Math.min(over, besideOn[i]);
-            take[a] += Math.max(0, low - used[i]);
+            long highMb = highMb(model, i, to);
+            long lowMb = lowMb(model, i, from);
+            maxHeldMb[a] += highMb;
+            minHeldMb[a] += lowMb;
+            long excessMb = smallestSumAtLeast(i, usedMb[i] - highMb);
+            mustLeaveMb[a] += excessMb;
+            coveredMb[a] += Math.min(excessMb, colocatedOnNodeMb[i]);
+            mustArriveMb[a] += Math.max(0, lowMb - usedMb[i]);
         }
-        long given = 0;
-        long exchanged = 0;
-        long lacking = 0;
-        for (int a = 0; a < areas; a++) {
-            if (holds[a] + net[a] + mayCome[a] < fewest[a] || holds[a] + net[a] - mayGo[a] > most[a]) {
+        long leavingMb = 0;
+        long exchangedMb = 0;
+        long lackingMb = 0;
+        for (int a = 0; a < areaCount; a++) {
+            if (heldMb[a] + netInflowMb[a] + mayArriveMb[a] < minHeldMb[a]
+                    || heldMb[a] + netInflowMb[a] - mayLeaveMb[a] > maxHeldMb[a]) {
                 return INFEASIBLE;
             }
-            give[a] += beside[a] - Math.min(beside[a], covered[a]);
-            given += give[a];
-            // give + net must reach take: what is short of it comes from other cells, or is given once more within
-            long wanted = take[a] - net[a] - give[a];
-            long more = Math.min(mayCome[a], Math.max(-mayGo[a], wanted));
-            lacking += Math.max(0, wanted - more);
-            exchanged += more + net[a];
+            mustLeaveMb[a] += colocatedMb[a] - Math.min(colocatedMb[a], coveredMb[a]);
+            leavingMb += mustLeaveMb[a];
+            // what leaves plus the net inflow must reach what arrives: the shortfall comes from other areas, or from
+            // further moves within this area
+            long shortfallMb = mustArriveMb[a] - netInflowMb[a] - mustLeaveMb[a];
+            long exchangeableMb = Math.min(mayArriveMb[a], Math.max(-mayLeaveMb[a], shortfallMb));
+            lackingMb += Math.max(0, shortfallMb - exchangeableMb);
+            exchangedMb += exchangeableMb + netInflowMb[a];
         }
-        return given + lacking + Math.max(0, exchanged);
+        return leavingMb + lackingMb + Math.max(0, exchangedMb);
     }
 
-    /** The least that a node's whole blocks come to, of those that are at least so much together. */
-    private long cover(int node, long over) {
-        if (over <= 0) {
+    /** Returns the least total size of a subset of a node's blocks that is at least {@code excessMb} megabytes. */
+    private long smallestSumAtLeast(int node, long excessMb) {
+        if (excessMb <= 0) {
             return 0;
         }
-        return sums[node] == null ? Math.max(over, smallest[node]) : sums[node].nextSetBit((int) over);
+        return subsetSums[node] == null
+                ? Math.max(excessMb, smallestBlockMb[node])
+                : subsetSums[node].nextSetBit((int) excessMb);
     }
 
-    /** The most that a node holds where the window's lower end lies there, in millionths of its disk. */
-    static long high(PlacementModel model, int node, int window) {
+    /**
+     * Returns the most megabytes that a node may hold at the end.
+     *
+     * @param window lower end of the window, in millionths of a disk
+     */
+    static long highMb(PlacementModel model, int node, int window) {
         if (!model.windowed || !model.levelled[node]) {
             return model.capacityMb[node];
         }
         return Math.min(model.capacityMb[node],
-                model.diskMb[node] * (window + model.window()) / PlacementProblem.MILLION);
+                model.diskMb[node] * (window + model.windowWidth()) / PlacementProblem.MILLION);
     }
 
-    /** The least that it holds. */
-    static long low(PlacementModel model, int node, int window) {
+    /**
+     * Returns the fewest megabytes that a node may hold at the end.
+     *
+     * @param window lower end of the window, in millionths of a disk
+     */
+    static long lowMb(PlacementModel model, int node, int window) {
         if (!model.windowed || !model.levelled[node]) {
             return 0;
         }
--- a/src/main/java/wallmoor/placement/EvictionChoice.java
+++ b/src/main/java/wallmoor/placement/EvictionChoice.java
@@ -9,26 +9,26 @@
 import java.util.TreeMap;
 
 /**
- * Which replicas a greedy plan has leave their nodes: colocated ones, and of a node above its window the blocks of the
- * least size in all (subset sum, by dynamic programming).
+ * Selects the replicas that a greedy plan moves off their nodes: colocated replicas, and on a node above its window the
+ * blocks with the smallest total size that covers the excess (subset sum, by dynamic programming).
  */
 final class EvictionChoice {
-    /** Sums in the dynamic programming's table at most, an int each; a node that needs more evicts greedily. */
+    /** Size of the dynamic programming table, one int per sum; a node that needs a larger table evicts greedily. */
     private static final long MAX_SUMS = 1 << 22;
-    /** Marks a sum that no blocks reach. */
+    /** Marks a sum that no subset of the blocks reaches. */
     private static final int UNREACHED = -1;
 
     private EvictionChoice() {}
 
     /**
-     * Replicas that stand in one group with another of their block, less the one that stays: by block, the nodes that
-     * it leaves. Draining nodes don't count, as all leaves them.
+     * Returns, by block, the nodes that its colocated replicas must leave: of several replicas in one group, all but
+     * the one that stays. Replicas on draining nodes are not counted, since every replica leaves those anyway.
      */
     static Map<Integer, List<Integer>> colocated(PlacementModel model, BitSet[] blocksByNode, long[] usedMb,
             long[] highMb) {
         Map<Integer, List<Integer>> leaving = new TreeMap<>();
-        if (model.groups == model.nodes()) {
-            return leaving; // a node has one replica of a block at most
+        if (model.groups == model.nodeCount()) {
+            return leaving; // every group is a single node, which holds at most one replica of a block
         }
         for (int block = 0; block < model.sizeMb.length; block++) {
             if (!model.spread[block]) {
@@ -36,7 +36,7 @@
             }
             for (List<Integer> nodes : holdersByGroup(model, blocksByNode, block).values()) {
                 if (nodes.size() > 1) {
-                    nodes.sort(Comparator.comparingLong(node -> usedMb[node] - highMb[node])); // the fullest leave
+                    nodes.sort(Comparator.comparingLong(node -> usedMb[node] - highMb[node])); // the fullest evict
                     leaving.computeIfAbsent(block, unused -> new ArrayList<>()).addAll(nodes.subList(1, nodes.size()));
                 }
             }
@@ -44,7 +44,7 @@
         return leaving;
     }
 
-    /** The initial holders of a block that don't drain and hold it still. */
+    /** Returns, by group, the initial holders of a block that don't drain and that still hold it. */
     private static Map<Integer, List<Integer>> holdersByGroup(PlacementModel model, BitSet[] blocksByNode, int block) {
         Map<Integer, List<Integer>> byGroup = new TreeMap<>();
         for (int holder : model.initialHolders[block]) {
@@ -55,7 +55,7 @@
         return byGroup;
     }
 
-    /** Of the given blocks, some of at least {@code excessMb} megabytes in all, by as little more as can be. */
+    /** Returns the candidates with the smallest total size that is at least {@code excessMb} megabytes. */
     static List<Integer> smallestCover(PlacementModel model, BitSet candidates, long excessMb) {
         int[] descending = candidates.stream().boxed().sorted(Comparator.comparingLong(b -> -model.sizeMb[b]))
                 .mapToInt(b -> b).toArray();
@@ -84,8 +84,8 @@
     }
 
     /**
-     * For each sum, the index of the block with which it is first reached, taking the blocks in their order; the rest
-     * of the sum was reached by earlier ones.
+     * Returns, for each sum, the index of the first block in the given order that completes a subset with that sum, or
+     * {@link #UNREACHED}. The rest of the sum is made up of earlier blocks.
      */
     private static int[] subsetSums(PlacementModel model, int[] blocks, int maxSum) {
         int[] lastBlock = new int[maxSum + 1];
@@ -102,7 +102,10 @@
         return lastBlock;
     }
 
-    /** The largest blocks that are not more than what is missing, and a smallest that is where those don't do. */
+    /**
+     * Returns blocks in descending size, skipping those larger than the megabytes still missing. A larger one is taken
+     * if it is the last, or if nothing is chosen yet and the next one is smaller than the missing megabytes.
+     */
     private static List<Integer> greedyCover(PlacementModel model, int[] descending, long excessMb) {
         List<Integer> cover = new ArrayList<>();
         long missingMb = excessMb;
--- a/src/main/java/wallmoor/placement/FailureDomain.java
+++ b/src/main/java/wallmoor/placement/FailureDomain.java
@@ -1,6 +1,6 @@
 package wallmoor.placement;
 
-/** What no two replicas of a block share. The names are stored. */
+/** The domain that no two replicas of a block may share. The constants' names are stored. */
 public enum FailureDomain {
     CELL, NODE
 }
--- a/src/main/java/wallmoor/placement/GreedyPlanner.java
+++ b/src/main/java/wallmoor/placement/GreedyPlanner.java
@@ -9,18 +9,18 @@
 import wallmoor.placement.PlacementState.Replica;
 
 /**
- * Greedy construction with repair: an upper bound on the bytes of the best plan, found fast. Each move is legal where
- * it stands. Replicas that must leave their nodes are placed first, in descending size (as in best-fit decreasing bin
- * packing); one that fits nowhere has others displaced by a depth-limited search with backtracking; last,
- * {@link LevelRepair} brings the nodes into their window. It may fail where a plan exists.
+ * Constructs a plan greedily and repairs it, which gives a fast upper bound on the bytes of the best plan. Each move is
+ * legal after the moves before it. Replicas that must leave their nodes are placed first, in descending size (as in
+ * best-fit decreasing bin packing). For one that fits nowhere, a depth-limited search with backtracking displaces other
+ * replicas. Last, {@link LevelRepair} brings the nodes into their window. It may fail although a plan exists.
  */
 final class GreedyPlanner {
-    /** Moves that may be made for the sake of one: each further one multiplies the search by {@link #MAX_BREADTH}. */
+    /** Displacing moves per placed replica; each further one multiplies the search by {@link #MAX_BREADTH}. */
     private static final int MAX_DEPTH = 3;
-    /** Displacements tried at each depth but the last. */
+    /** Number of displacements tried at each depth but the last. */
     private static final int MAX_BREADTH = 12;
-    /** A node's lack below its window counts as much as this many of its shares. */
-    private static final double LACK_WEIGHT = 2;
+    /** Weight of filling a node that is below its window, relative to the node's share of used disk. */
+    private static final double BELOW_WINDOW_WEIGHT = 2;
     private static final int NO_NODE = -1;
 
     private final PlacementModel model;
@@ -30,47 +30,47 @@
     private final PlacementState state;
 
     /**
-     * @param window  where the level's window of shares begins, in millionths of a disk
-     * @param bestFit a replica goes to the node that it leaves the least room on, not to the emptiest, so that large
-     *                holes last
+     * @param window  lower end of the level's window of used shares, in millionths of a disk
+     * @param bestFit whether a replica goes to the fullest node that it fits on rather than to the emptiest, which
+     *                preserves large gaps for large replicas
      */
     GreedyPlanner(PlacementModel model, int window, boolean bestFit) {
         this.model = model;
         this.bestFit = bestFit;
-        int nodes = model.nodes();
+        int nodes = model.nodeCount();
         lowMb = new long[nodes];
         highMb = new long[nodes];
         for (int node = 0; node < nodes; node++) {
             lowMb[node] = model.draining[node]
                     ? 0
-                    : Math.min(model.capacityMb[node], CopyLowerBound.low(model, node, window));
-            highMb[node] = CopyLowerBound.high(model, node, window);
+                    : Math.min(model.capacityMb[node], CopyLowerBound.lowMb(model, node, window));
+            highMb[node] = CopyLowerBound.highMb(model, node, window);
         }
         state = new PlacementState(model);
     }
 
-    /** Megabytes that the plan copies. */
-    long cost() {
+    /** Returns the megabytes that the plan copies. */
+    long copiedMb() {
         return state.copiedMb();
     }
 
-    /** The plan, each move legal after those before it. */
+    /** Returns the moves of the plan, each legal after those before it. */
     List<ReplicaMove> moves() {
         return state.moves();
     }
 
-    /** Constructs the plan; whether its end satisfies all constraints. */
+    /** Constructs the plan, and returns whether its final placement satisfies all constraints. */
     boolean build() {
-        List<Replica> evicted = evicted();
+        List<Replica> evicted = selectEvicted();
         evicted.sort(Comparator.comparingLong((Replica replica) -> -model.sizeMb[replica.block()])
                 .thenComparingInt(Replica::block).thenComparingInt(Replica::node));
         return placeAll(evicted) && new LevelRepair(model, state, lowMb, highMb).run();
     }
 
-    /** Replicas that must leave: of draining nodes, of groups with two of one block, of nodes above their window. */
-    private List<Replica> evicted() {
+    /** Selects the replicas on draining nodes, colocated replicas, and replicas of nodes above their window. */
+    private List<Replica> selectEvicted() {
         List<Replica> evicted = new ArrayList<>();
-        for (int node = 0; node < state.nodes(); node++) {
+        for (int node = 0; node < state.nodeCount(); node++) {
             if (model.draining[node]) {
                 addAll(evicted, state.blocksOf(node).stream().boxed().toList(), node);
             }
@@ -81,9 +81,9 @@
         return evicted;
     }
 
-    /** Adds what nodes that don't drain are above their window with, after all that leaves already. */
+    /** Adds replicas of non-draining nodes that are still above their window once the evicted replicas have left. */
     private void evictExcess(List<Replica> evicted) {
-        BitSet[] remaining = new BitSet[state.nodes()];
+        BitSet[] remaining = new BitSet[state.nodeCount()];
         long[] remainingMb = state.usedMb().clone();
         for (int node = 0; node < remaining.length; node++) {
             remaining[node] = (BitSet) state.blocksOf(node).clone();
@@ -104,7 +104,10 @@
         blocks.forEach(block -> replicas.add(new Replica(block, node)));
     }
 
-    /** Places all; what fits nowhere waits for the room that the others leave, then displaces some, ever deeper. */
+    /**
+     * Places all replicas. One that fits nowhere is retried after the others have freed space, and then with displacing
+     * moves, whose depth rises whenever a pass places none.
+     */
     private boolean placeAll(List<Replica> evicted) {
         List<Replica> waiting = evicted;
         int depth = 0;
@@ -123,7 +126,10 @@
         return waiting.isEmpty();
     }
 
-    /** Moves a replica to its best target, within the target's window if it can be; it may take {@code depth} more. */
+    /**
+     * Moves a replica to its best target, preferably within the target's window. If it fits nowhere, up to
+     * {@code depth} displacing moves are made for it.
+     */
     private boolean place(Replica replica, int depth) {
         int target = bestTarget(replica, highMb);
         if (target == NO_NODE) {
@@ -136,11 +142,11 @@
         return depth > 0 && displace(replica, depth - 1);
     }
 
-    /** Has another block leave a node that this one may then go to, the smallest first; undone if it is of no use. */
+    /** Tries to displace another block to make room, smallest first; undoes a displacement that does not help. */
     private boolean displace(Replica replica, int depth) {
         List<Replica> candidates = displaceable(replica);
-        int tried = depth == 0 ? candidates.size() : Math.min(candidates.size(), MAX_BREADTH);
-        for (Replica displaced : candidates.subList(0, tried)) {
+        int breadth = depth == 0 ? candidates.size() : Math.min(candidates.size(), MAX_BREADTH);
+        for (Replica displaced : candidates.subList(0, breadth)) {
             int movesBefore = state.moves().size();
             if (place(displaced, depth)) {
                 int target = displaced.node();
@@ -155,11 +161,11 @@
         return false;
     }
 
-    /** Replicas of other blocks, each of which alone would leave room enough for this one; in ascending size. */
+    /** Returns replicas of other blocks, each of which alone frees enough room for this one; in ascending size. */
     private List<Replica> displaceable(Replica replica) {
         List<Replica> candidates = new ArrayList<>();
         int block = replica.block();
-        for (int target = 0; target < state.nodes(); target++) {
+        for (int target = 0; target < state.nodeCount(); target++) {
             if (target == replica.node() || !state.mayHold(block, replica.node(), target)) {
                 continue;
             }
@@ -176,11 +182,11 @@
         return candidates;
     }
 
-    /** The node of the best score that a replica fits on, the first of equals; {@link #NO_NODE} if it fits on none. */
+    /** Returns the best-scored node that a replica fits on, the first of equals, or {@link #NO_NODE}. */
     private int bestTarget(Replica replica, long[] limitMb) {
         int best = NO_NODE;
         double bestScore = 0;
-        for (int target = 0; target < state.nodes(); target++) {
+        for (int target = 0; target < state.nodeCount(); target++) {
             if (state.fits(replica.block(), replica.node(), target, limitMb)) {
                 double score = score(replica.block(), target);
                 if (best == NO_NODE || score > bestScore) {
@@ -192,12 +198,12 @@
         return best;
     }
 
-    /** How well a block is placed on a node: by the part of it that the node lacks, then by how full the node gets. */
+    /** Scores a block's placement by the part of it that the node lacks for its window, and by the node's fullness. */
     private double score(int block, int target) {
         long sizeMb = model.sizeMb[block];
         long lackMb = Math.max(0, lowMb[target] - state.usedMb(target));
         double lackingPart = Math.min(sizeMb, lackMb) / (double) sizeMb;
         double shareAfter = (double) (state.usedMb(target) + sizeMb) / model.diskMb[target];
-        return LACK_WEIGHT * lackingPart + (bestFit ? shareAfter : -shareAfter);
+        return BELOW_WINDOW_WEIGHT * lackingPart + (bestFit ? shareAfter : -shareAfter);
     }
 }
--- a/src/main/java/wallmoor/placement/InvalidProblemException.java
+++ b/src/main/java/wallmoor/placement/InvalidProblemException.java
@@ -1,6 +1,6 @@
 package wallmoor.placement;
 
-/** A placement problem has a value out of bounds, an id twice, or a name that refers to nothing. */
+/** Thrown for a placement problem with a value out of range, a duplicate id, or a reference to an unknown node. */
 public final class InvalidProblemException extends IllegalArgumentException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wallmoor/placement/LevelRepair.java
+++ b/src/main/java/wallmoor/placement/LevelRepair.java
@@ -7,12 +7,12 @@
 import wallmoor.placement.PlacementState.Replica;
 
 /**
- * The second part of the greedy construction: brings nodes into their window of used megabytes. It first fills those
- * below it, then repairs what is left by steepest descent: the move that lessens the nodes' distances from their
- * windows the most for its bytes.
+ * Brings nodes into their window of used megabytes; the second phase of the greedy construction. It first fills the
+ * nodes below their window, then repairs the rest by steepest descent: each step makes the move that most reduces the
+ * nodes' distances from their windows per megabyte copied.
  */
 final class LevelRepair {
-    /** Repairs at most, each a look at all replicas: a plan that needs more is better begun with another window. */
+    /** Number of repair moves; each examines all replicas, and a plan that needs more suits another window better. */
     private static final int MAX_REPAIRS = 60;
     private static final int NO_NODE = -1;
 
@@ -31,15 +31,15 @@
                 .sorted(Comparator.comparingLong(block -> -model.sizeMb[block])).mapToInt(block -> block).toArray();
     }
 
-    /** Moves replicas as long as it helps; whether the placement satisfies all constraints then. */
+    /** Moves replicas while that helps, and returns whether the placement then satisfies all constraints. */
     boolean run() {
-        fill();
+        fillBelowWindow();
         repair();
-        return satisfied();
+        return isSatisfied();
     }
 
-    /** Fills the nodes below their window, at each step the one that lacks the most. */
-    private void fill() {
+    /** Fills the nodes below their window, at each step the one that is furthest below. */
+    private void fillBelowWindow() {
         var unfillable = new BitSet();
         int target = mostLacking(unfillable);
         while (target != NO_NODE) {
@@ -55,7 +55,7 @@
 
     private int mostLacking(BitSet unfillable) {
         int most = NO_NODE;
-        for (int node = 0; node < state.nodes(); node++) {
+        for (int node = 0; node < state.nodeCount(); node++) {
             if (!unfillable.get(node) && lackMb(node) > 0 && (most == NO_NODE || lackMb(node) > lackMb(most))) {
                 most = node;
             }
@@ -68,8 +68,8 @@
     }
 
     /**
-     * The replica that a node is best filled with, on the fullest of those that can spare it: the largest that is not
-     * more than what is lacking, then the smallest of the larger ones; null where there is none.
+     * Returns the replica to fill a node with, on its fullest holder that stays within its window without it: the
+     * largest replica that does not exceed the missing megabytes, else the smallest of the larger ones, else null.
      */
     private Replica filler(int target) {
         int larger = 0;
@@ -91,7 +91,7 @@
         return null;
     }
 
-    /** The holder of the largest share that stays within its window without a block. */
+    /** Returns the holder with the largest used share that stays within its window without the block. */
     private int fullestDonor(int block, int target) {
         int fullest = NO_NODE;
         for (int donor : state.holders(block)) {
@@ -108,7 +108,7 @@
     }
 
     private void repair() {
-        for (int i = 0; i < MAX_REPAIRS && !satisfied(); i++) {
+        for (int i = 0; i < MAX_REPAIRS && !isSatisfied(); i++) {
             ReplicaMove best = bestRepair();
             if (best == null) {
                 return;
@@ -117,14 +117,14 @@
         }
     }
 
-    /** The legal move that gains the most for its bytes, the first of equals; null where none gains. */
+    /** Returns the legal move with the largest gain, the first of equals, or null if no move has a gain. */
     private ReplicaMove bestRepair() {
-        int[] all = IntStream.range(0, state.nodes()).toArray();
-        int[] lacking = IntStream.of(all).filter(node -> lackMb(node) > 0).toArray();
+        int[] allNodes = IntStream.range(0, state.nodeCount()).toArray();
+        int[] lacking = IntStream.of(allNodes).filter(node -> lackMb(node) > 0).toArray();
         ReplicaMove best = null;
         double bestGain = 0;
-        for (int from : all) {
-            int[] targets = state.usedMb(from) > highMb[from] ? all : lacking;
+        for (int from : allNodes) {
+            int[] targets = state.usedMb(from) > highMb[from] ? allNodes : lacking;
             BitSet blocks = state.blocksOf(from);
             for (int block = blocks.nextSetBit(0); block >= 0; block = blocks.nextSetBit(block + 1)) {
                 for (int to : targets) {
@@ -139,21 +139,21 @@
         return best;
     }
 
-    /** By how much a move lessens both nodes' distances from their windows, for each megabyte that it copies. */
+    /** Returns by how much a move reduces both nodes' distances from their windows, per megabyte that it copies. */
     private double gain(int block, int from, int to) {
         long sizeMb = model.sizeMb[block];
         long before = distanceMb(from, 0) + distanceMb(to, 0);
         return (before - distanceMb(from, -sizeMb) - distanceMb(to, sizeMb)) / (double) sizeMb;
     }
 
-    /** How far a node would be outside of its window with {@code addedMb} more. */
+    /** Returns how many megabytes a node would be outside its window with {@code addedMb} more. */
     private long distanceMb(int node, long addedMb) {
         long usedMb = state.usedMb(node) + addedMb;
         return Math.max(0, usedMb - highMb[node]) + Math.max(0, lowMb[node] - usedMb);
     }
 
-    private boolean satisfied() {
-        return state.withinCapacity() && model.level(state.usedMb())
+    private boolean isSatisfied() {
+        return state.isWithinCapacity() && model.isLevel(state.usedMb())
                 && EvictionChoice.colocated(model, state.blocksByNode(), state.usedMb(), highMb).isEmpty();
     }
 }
--- a/src/main/java/wallmoor/placement/PlacementConflictFinder.java
+++ b/src/main/java/wallmoor/placement/PlacementConflictFinder.java
@@ -7,24 +7,24 @@
 import java.util.function.Predicate;
 
 /**
- * Explains an infeasible problem by a small unsatisfiable set of its constraints. The smallest one is found by implicit
- * hitting sets: of each set of constraints that can be satisfied together, one that is left out belongs to the
- * conflict; so the smallest sets that hit all such complements are tried, until one is unsatisfiable. Where that would
- * take too long, a minimal unsatisfiable subset is sought by deletion: constraints are left out as long as a proof
- * stands without them.
+ * Explains an infeasible problem by a small unsatisfiable set of its constraints. The smallest such set is found by
+ * implicit hitting sets: for each satisfiable set of constraints, the conflict must contain a constraint outside it, so
+ * the smallest sets that hit all those complements are tried until one is unsatisfiable. Where that would take too
+ * long, a minimal unsatisfiable subset is sought by deletion: constraints are dropped while the proof of infeasibility
+ * still holds without them.
  */
 final class PlacementConflictFinder {
-    /** Constraints of a problem whose smallest conflict is sought, at most: each check may be a search of its own. */
+    /** Number of constraints up to which the smallest conflict is sought; each check may run a search of its own. */
     private static final int MAX_CONSTRAINTS = 40;
     /**
-     * A check may keep one in so many of the placements that a plan's search may: there are many checks. All together
-     * may keep twice a plan's.
+     * A check may store one in this many of the placements that a plan's search may store, since there are many checks.
+     * All checks together may store twice as many as a plan's search.
      */
-    private static final int CHECK_PART = 5;
-    /** Sets that deletion tries of a large problem; each takes some thirty milliseconds. */
+    private static final int CHECK_BUDGET_DIVISOR = 5;
+    /** Number of sets that deletion tries; each takes some thirty milliseconds for a large problem. */
     private static final int MAX_DELETIONS = 200;
-    private static final List<Predicate<PlacementModel>> PROOFS = List.of(CapacityProof::proven,
-            m -> CopyLowerBound.of(m).copiedMb() == CopyLowerBound.INFEASIBLE, AStarSearch::stuck);
+    private static final List<Predicate<PlacementModel>> PROOFS = List.of(CapacityProof::isProvenInfeasible,
+            m -> CopyLowerBound.of(m).copiedMb() == CopyLowerBound.INFEASIBLE, AStarSearch::isStuck);
 
     private enum Feasibility {
         FEASIBLE, INFEASIBLE, UNKNOWN
@@ -32,73 +32,80 @@
 
     private final PlacementProblem problem;
     private final List<PlacementConstraint> constraints;
-    private final int placements;
+    private final int maxPlacements;
     private long budgetLeft;
 
-    private PlacementConflictFinder(PlacementProblem problem, int placements) {
+    private PlacementConflictFinder(PlacementProblem problem, int maxPlacements) {
         this.problem = problem;
-        this.placements = placements;
-        budgetLeft = 2L * placements;
-        this.constraints = PlacementModel.rules(problem);
+        this.maxPlacements = maxPlacements;
+        budgetLeft = 2L * maxPlacements;
+        this.constraints = PlacementModel.allConstraints(problem);
     }
 
-    /** The conflict of a problem that is known to have no plan; {@code placements} is what a plan's search may keep. */
-    static PlacementResult.Infeasible of(PlacementProblem problem, int placements) {
-        var finder = new PlacementConflictFinder(problem, placements);
-        boolean few = finder.constraints.size() <= MAX_CONSTRAINTS;
-        PlacementResult.Infeasible smallest = few ? finder.smallestConflict() : null;
-        finder.budgetLeft = 2L * placements;
+    /**
+     * Returns the conflict of a problem that is known to have no plan.
+     *
+     * @param maxPlacements number of placements that a plan's search may store
+     */
+    static PlacementResult.Infeasible of(PlacementProblem problem, int maxPlacements) {
+        var finder = new PlacementConflictFinder(problem, maxPlacements);
+        boolean hasFewConstraints = finder.constraints.size() <= MAX_CONSTRAINTS;
+        PlacementResult.Infeasible smallest = hasFewConstraints ? finder.smallestConflict() : null;
+        finder.budgetLeft = 2L * maxPlacements;
         if (smallest != null) {
             return smallest;
         }
-        Predicate<PlacementModel> quick = PROOFS.stream().filter(p -> p.test(new PlacementModel(problem))).findFirst()
-                .orElse(m -> false);
-        return new PlacementResult.Infeasible(finder.byDeletion(quick, few), false);
+        Predicate<PlacementModel> quickProof = PROOFS.stream().filter(p -> p.test(new PlacementModel(problem)))
+                .findFirst().orElse(m -> false);
+        return new PlacementResult.Infeasible(finder.reduceByDeletion(quickProof, hasFewConstraints), false);
     }
 
-    /** Whether a quick proof shows that a model's rules can't be kept. */
-    static boolean proven(PlacementModel model) {
+    /** Returns whether a quick proof shows that a model's constraints are unsatisfiable. */
+    static boolean isProvenInfeasible(PlacementModel model) {
         return PROOFS.stream().anyMatch(p -> p.test(model));
     }
 
     /**
-     * By hitting sets; null where the searches it takes are too many. Rules that may or may not go together count as
-     * if they did.
+     * Returns the smallest conflict, found by hitting sets, or null if that exceeds the budget. Constraints of unknown
+     * feasibility are treated as satisfiable, and the result is then not marked minimal.
      */
     private PlacementResult.Infeasible smallestConflict() {
-        List<Set<Integer>> toHit = new ArrayList<>();
-        boolean sure = true;
+        List<Set<Integer>> complements = new ArrayList<>();
+        boolean isMinimal = true;
         while (budgetLeft > 0) {
-            Set<Integer> hit = smallestHittingSet(toHit);
-            if (hit == null) {
+            Set<Integer> hittingSet = smallestHittingSet(complements);
+            if (hittingSet == null) {
                 return null;
             }
-            Feasibility verdict = check(select(hit));
-            if (verdict == Feasibility.INFEASIBLE) {
-                return new PlacementResult.Infeasible(select(hit), sure);
+            Feasibility feasibility = check(select(hittingSet));
+            if (feasibility == Feasibility.INFEASIBLE) {
+                return new PlacementResult.Infeasible(select(hittingSet), isMinimal);
             }
-            sure &= verdict == Feasibility.FEASIBLE;
-            Set<Integer> kept = new HashSet<>(hit);
-            Set<Integer> out = new HashSet<>();
-            for (int r = 0; r < constraints.size(); r++) {
-                if (kept.add(r)) {
-                    Feasibility with = check(select(kept));
-                    sure &= with != Feasibility.UNKNOWN;
-                    if (with == Feasibility.INFEASIBLE) {
-                        kept.remove(r);
-                        out.add(r);
+            isMinimal &= feasibility == Feasibility.FEASIBLE;
+            Set<Integer> enforced = new HashSet<>(hittingSet);
+            Set<Integer> excluded = new HashSet<>();
+            for (int constraint = 0; constraint < constraints.size(); constraint++) {
+                if (enforced.add(constraint)) {
+                    Feasibility extendedFeasibility = check(select(enforced));
+                    isMinimal &= extendedFeasibility != Feasibility.UNKNOWN;
+                    if (extendedFeasibility == Feasibility.INFEASIBLE) {
+                        enforced.remove(constraint);
+                        excluded.add(constraint);
                     }
                 }
             }
-            toHit.add(out);
+            complements.add(excluded);
         }
         return null;
     }
 
-    /** The smallest set of constraints that has one of each given set; null where one of those is empty. */
+    /**
+     * Returns the smallest set of constraint indexes with at least one of each given set, or null if a given set is
+     * empty or the budget is used up.
+     */
     private Set<Integer> smallestHittingSet(List<Set<Integer>> sets) {
         for (int size = 0; size <= constraints.size(); size++) {
-            Set<Integer> found = hit(sets, new HashSet<>(), size);
+            Set<Integer> found = extendToHit(sets, new HashSet<>(), size);
             if (found != null) {
                 return found;
             }
@@ -106,19 +113,21 @@
         return null;
     }
 
-    private Set<Integer> hit(List<Set<Integer>> sets, Set<Integer> taken, int more) {
-        budgetLeft--; // wide sets take long to hit: that counts as the searches do
-        Set<Integer> missed = sets.stream().filter(s -> s.stream().noneMatch(taken::contains)).findFirst().orElse(null);
-        if (missed == null) {
+    /** Adds at most {@code maxAdded} constraints to those taken so that every set is hit; null if none do. */
+    private Set<Integer> extendToHit(List<Set<Integer>> sets, Set<Integer> taken, int maxAdded) {
+        budgetLeft--; // large sets take long to hit, so each step counts against the budget of the searches
+        Set<Integer> firstUnhit = sets.stream().filter(s -> s.stream().noneMatch(taken::contains)).findFirst()
+                .orElse(null);
+        if (firstUnhit == null) {
             return taken;
         }
-        if (more == 0 || budgetLeft <= 0) {
+        if (maxAdded == 0 || budgetLeft <= 0) {
             return null;
         }
-        for (int r : missed) {
-            Set<Integer> with = new HashSet<>(taken);
-            with.add(r);
-            Set<Integer> found = hit(sets, with, more - 1);
+        for (int constraint : firstUnhit) {
+            Set<Integer> extended = new HashSet<>(taken);
+            extended.add(constraint);
+            Set<Integer> found = extendToHit(sets, extended, maxAdded - 1);
             if (found != null) {
                 return found;
             }
@@ -126,15 +135,16 @@
         return null;
     }
 
-    private Feasibility check(List<PlacementConstraint> kept) {
-        var model = new PlacementModel(problem, kept);
-        if (!proven(model)) {
-            if (PlacementPlanner.draft(model, CopyLowerBound.of(model)) != null) {
+    /** Checks a subset of the constraints by the quick proofs, then by greedy plans, then by a search. */
+    private Feasibility check(List<PlacementConstraint> enforced) {
+        var model = new PlacementModel(problem, enforced);
+        if (!isProvenInfeasible(model)) {
+            if (PlacementPlanner.bestGreedyPlan(model, CopyLowerBound.of(model)) != null) {
                 return Feasibility.FEASIBLE;
             }
-            int most = (int) Math.min(Math.min(placements / CHECK_PART, budgetLeft),
-                    PlacementPlanner.budget(model, placements));
-            AStarSearch.SearchResult found = new AStarSearch(model, most).search(Long.MAX_VALUE);
+            int maxStored = (int) Math.min(Math.min(maxPlacements / CHECK_BUDGET_DIVISOR, budgetLeft),
+                    PlacementPlanner.searchBudget(model, maxPlacements));
+            AStarSearch.SearchResult found = new AStarSearch(model, maxStored).search(Long.MAX_VALUE);
             budgetLeft -= found.placementsSeen();
             return found.moves() != null ? Feasibility.FEASIBLE
                     : found.complete() ? Feasibility.INFEASIBLE : Feasibility.UNKNOWN;
@@ -142,26 +152,32 @@
         return Feasibility.INFEASIBLE;
     }
 
-    private List<PlacementConstraint> select(Set<Integer> which) {
-        return which.stream().sorted().map(constraints::get).toList();
+    /** Returns the constraints with the given indexes. */
+    private List<PlacementConstraint> select(Set<Integer> indexes) {
+        return indexes.stream().sorted().map(constraints::get).toList();
     }
 
-    /** Leaves rules out, many at a time and then few, as long as a proof stands: a quick one, or by a search. */
-    private List<PlacementConstraint> byDeletion(Predicate<PlacementModel> quick, boolean search) {
+    /**
+     * Drops constraints, first many at a time and then fewer, while infeasibility is still proven without them.
+     *
+     * @param quickProof  the quick proof to repeat
+     * @param allowSearch whether infeasibility may also be proven by a search
+     */
+    private List<PlacementConstraint> reduceByDeletion(Predicate<PlacementModel> quickProof, boolean allowSearch) {
         int deletionsLeft = MAX_DELETIONS;
-        List<PlacementConstraint> kept = constraints;
-        for (int some = Integer.highestOneBit(Math.max(1, kept.size() / 2)); some >= 1; some /= 2) {
-            for (int from = 0; from < kept.size() && deletionsLeft-- > 0;) {
-                List<PlacementConstraint> without = new ArrayList<>(kept.subList(0, from));
-                without.addAll(kept.subList(Math.min(kept.size(), from + some), kept.size()));
-                if (quick.test(new PlacementModel(problem, without))
-                        || (search && check(without) == Feasibility.INFEASIBLE)) {
-                    kept = without;
+        List<PlacementConstraint> enforced = constraints;
+        for (int step = Integer.highestOneBit(Math.max(1, enforced.size() / 2)); step >= 1; step /= 2) {
+            for (int from = 0; from < enforced.size() && deletionsLeft-- > 0;) {
+                List<PlacementConstraint> without = new ArrayList<>(enforced.subList(0, from));
+                without.addAll(enforced.subList(Math.min(enforced.size(), from + step), enforced.size()));
+                if (quickProof.test(new PlacementModel(problem, without))
+                        || (allowSearch && check(without) == Feasibility.INFEASIBLE)) {
+                    enforced = without;
                 } else {
-                    from += some;
+                    from += step;
                 }
             }
         }
-        return kept;
+        return enforced;
     }
 }
--- a/src/main/java/wallmoor/placement/PlacementModel.java
+++ b/src/main/java/wallmoor/placement/PlacementModel.java
@@ -8,44 +8,49 @@
 import java.util.Map;
 
 /**
- * A fleet in numbers, under all of its rules or some of them. Without a rule, whatever kept it still keeps the others.
+ * A placement problem as arrays, under all of its constraints or some of them. Nodes and blocks are indexes into the
+ * problem's lists. A node or block whose constraint is left out stays subject to all others.
  */
 final class PlacementModel {
-    /** Room without the rule of room: more than all blocks there may be, and far from a long's end. */
+    /** Capacity of a node without a ROOM constraint: above the size of all blocks, and far below a long's maximum. */
     private static final long UNBOUNDED_MB = 1L << 50;
-    /** Shares as doubles err by far less than this; within it the comparison is made in whole numbers. */
-    private static final double NEAR = 1e-9;
-    /** A millionth of a millionth: the unit of a share of a share. */
-    private static final long SQUARED = (long) PlacementProblem.MILLION * PlacementProblem.MILLION;
+    /** Difference of shares up to which they are compared exactly; the error of doubles is far smaller. */
+    private static final double MAX_INEXACT_DIFFERENCE = 1e-9;
+    /** Number of millionths of a millionth in a whole: the unit for the product of two shares. */
+    private static final long MILLION_SQUARED = (long) PlacementProblem.MILLION * PlacementProblem.MILLION;
 
-    /** A copy's way: from one node to another. */
+    /** The move of one replica of a block from one node to another. */
     record ReplicaMove(int block, int from, int to) {}
 
-    final PlacementProblem fleet;
+    final PlacementProblem problem;
     final long[] diskMb;
-    /** What a node may hold. */
+    /** Megabytes that each node may hold. */
     final long[] capacityMb;
     final boolean[] draining;
-    /** Whether the node counts for the level: it does not drain in the fleet, whatever this model leaves out. */
+    /** Whether each node counts for the level: it does not drain in the problem, even if this model omits the drain. */
     final boolean[] levelled;
-    /** Nodes of one group may not hold two copies of a block: cells, or the nodes themselves. */
+    /** Group of each node: its cell, or itself. Nodes of one group may not hold two replicas of a block. */
     final int[] group;
     final int groups;
     final long[] sizeMb;
     final int[][] initialHolders;
     final boolean[] spread;
+    /** Allowed difference of used shares in millionths of usable disk, or {@link PlacementProblem#NO_LEVEL}. */
     final int level;
-    /** Whether the nodes that count for the level end with shares of 0 to 1, so that a window of shares bounds them. */
+    /**
+     * Whether a level is enforced and each node that counts for it has a capacity. Their shares then end between 0 and
+     * 1, so that a window of shares bounds them.
+     */
     final boolean windowed;
 
-    /** A model under all constraints of the problem. */
+    /** Creates a model under all constraints of the problem. */
     PlacementModel(PlacementProblem problem) {
-        this(problem, rules(problem));
+        this(problem, allConstraints(problem));
     }
 
-    /** A model under some of the constraints. */
+    /** Creates a model under some constraints of the problem. */
     PlacementModel(PlacementProblem problem, Collection<PlacementConstraint> enforced) {
-        this.fleet = problem;
+        this.problem = problem;
         int nodes = problem.nodes().size();
         diskMb = new long[nodes];
         capacityMb = new long[nodes];
@@ -61,27 +66,27 @@
         Map<String, Integer> blockIndex = new HashMap<>();
         readBlocks(nodeIndex, blockIndex);
         level = enforce(enforced, nodeIndex, blockIndex);
-        windowed = level != PlacementProblem.NO_LEVEL && allLevelledBounded();
+        windowed = level != PlacementProblem.NO_LEVEL && areLevelledNodesBounded();
     }
 
     /** Reads the nodes, and returns the number of groups. */
     private int readNodes(Map<String, Integer> nodeIndex) {
         Map<String, Integer> groupByCell = new HashMap<>();
         for (int i = 0; i < diskMb.length; i++) {
-            StorageNode node = fleet.nodes().get(i);
+            StorageNode node = problem.nodes().get(i);
             nodeIndex.put(node.id(), i);
             diskMb[i] = node.diskMb();
             capacityMb[i] = UNBOUNDED_MB;
             levelled[i] = !node.draining();
             groupByCell.putIfAbsent(node.cell(), groupByCell.size());
-            group[i] = fleet.spread() == FailureDomain.NODE ? i : groupByCell.get(node.cell());
+            group[i] = problem.spread() == FailureDomain.NODE ? i : groupByCell.get(node.cell());
         }
-        return fleet.spread() == FailureDomain.NODE ? diskMb.length : groupByCell.size();
+        return problem.spread() == FailureDomain.NODE ? diskMb.length : groupByCell.size();
     }
 
     private void readBlocks(Map<String, Integer> nodeIndex, Map<String, Integer> blockIndex) {
         for (int b = 0; b < sizeMb.length; b++) {
-            BlockReplicas block = fleet.blocks().get(b);
+            BlockReplicas block = problem.blocks().get(b);
             blockIndex.put(block.id(), b);
             sizeMb[b] = block.sizeMb();
             initialHolders[b] = block.holders().stream().mapToInt(nodeIndex::get).sorted().toArray();
@@ -96,17 +101,17 @@
             switch (constraint.rule()) {
                 case ROOM -> {
                     int node = nodeIndex.get(constraint.nodes().get(0));
-                    capacityMb[node] = fleet.usable(fleet.nodes().get(node));
+                    capacityMb[node] = problem.usableMb(problem.nodes().get(node));
                 }
                 case DRAIN -> draining[nodeIndex.get(constraint.nodes().get(0))] = true;
                 case SPREAD -> spread[blockIndex.get(constraint.blocks().get(0))] = true;
-                default -> enforcedLevel = fleet.level();
+                default -> enforcedLevel = problem.level();
             }
         }
         return enforcedLevel;
     }
 
-    private boolean allLevelledBounded() {
+    private boolean areLevelledNodesBounded() {
         for (int i = 0; i < capacityMb.length; i++) {
             if (levelled[i] && capacityMb[i] == UNBOUNDED_MB) {
                 return false;
@@ -115,25 +120,25 @@
         return true;
     }
 
-    /** Every rule of a fleet, each for its node or block. */
-    static List<PlacementConstraint> rules(PlacementProblem fleet) {
+    /** Returns all constraints of a problem, one for each node or block that a rule applies to. */
+    static List<PlacementConstraint> allConstraints(PlacementProblem problem) {
         List<PlacementConstraint> all = new ArrayList<>();
-        if (fleet.level() != PlacementProblem.NO_LEVEL) {
+        if (problem.level() != PlacementProblem.NO_LEVEL) {
             all.add(new PlacementConstraint(PlacementRule.LEVEL, List.of(), List.of()));
         }
-        fleet.nodes().stream().filter(StorageNode::draining)
+        problem.nodes().stream().filter(StorageNode::draining)
                 .forEach(n -> all.add(new PlacementConstraint(PlacementRule.DRAIN, List.of(n.id()), List.of())));
-        fleet.nodes().forEach(n -> all.add(new PlacementConstraint(PlacementRule.ROOM, List.of(n.id()), List.of())));
-        fleet.blocks().stream().filter(b -> b.holders().size() > 1)
+        problem.nodes().forEach(n -> all.add(new PlacementConstraint(PlacementRule.ROOM, List.of(n.id()), List.of())));
+        problem.blocks().stream().filter(b -> b.holders().size() > 1)
                 .forEach(b -> all.add(new PlacementConstraint(PlacementRule.SPREAD, List.of(), List.of(b.id()))));
         return all;
     }
 
-    int nodes() {
+    int nodeCount() {
         return diskMb.length;
     }
 
-    int copies() {
+    int replicaCount() {
         int all = 0;
         for (int[] holders : initialHolders) {
             all += holders.length;
@@ -142,23 +147,23 @@
     }
 
     /**
-     * Whether one copy may stand on {@code to} beside the others of its block, which stand on {@code holders} less
-     * {@code from}.
+     * Returns whether a block's spread constraint allows one of its replicas to move from {@code from} to {@code to}
+     * while the others stay on their holders.
      */
-    boolean maySpread(int block, int[] holders, int from, int to) {
+    boolean satisfiesSpread(int block, int[] holders, int from, int to) {
         if (!spread[block]) {
             return true;
         }
-        for (int h : holders) {
-            if (h != from && group[h] == group[to]) {
+        for (int holder : holders) {
+            if (holder != from && group[holder] == group[to]) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether the shares of the nodes that count are as near as asked. */
-    boolean level(long[] used) {
+    /** Returns whether the used shares of the nodes that count for the level differ by no more than the level. */
+    boolean isLevel(long[] usedMb) {
         if (level == PlacementProblem.NO_LEVEL) {
             return true;
         }
@@ -166,24 +171,25 @@
         int emptiest = -1;
         for (int i = 0; i < diskMb.length; i++) {
             if (levelled[i]) {
-                fullest = fullest < 0 || above(used, i, fullest, 0) ? i : fullest;
-                emptiest = emptiest < 0 || above(used, emptiest, i, 0) ? i : emptiest;
+                fullest = fullest < 0 || isFullerBy(usedMb, i, fullest, 0) ? i : fullest;
+                emptiest = emptiest < 0 || isFullerBy(usedMb, emptiest, i, 0) ? i : emptiest;
             }
         }
-        return fullest < 0 || !above(used, fullest, emptiest, level);
+        return fullest < 0 || !isFullerBy(usedMb, fullest, emptiest, level);
     }
 
-    /** Whether node {@code a} is fuller than {@code b} by more than {@code by} millionths of usable disk. */
-    private boolean above(long[] used, int a, int b, int by) {
-        // the headroom is a share too: it comes out of the one side and is put to the other
-        long byDisk = (long) by * (PlacementProblem.MILLION - fleet.headroom());
-        double difference = (double) used[a] / diskMb[a] - (double) used[b] / diskMb[b] - byDisk / (double) SQUARED;
-        if (Math.abs(difference) > NEAR) {
+    /** Returns whether the first node is fuller than the second by more than {@code by} millionths of usable disk. */
+    private boolean isFullerBy(long[] usedMb, int node, int other, int by) {
+        // shares of usable disk are compared as shares of the whole disk, so the headroom scales the difference
+        long scaledBy = (long) by * (PlacementProblem.MILLION - problem.headroom());
+        double difference = (double) usedMb[node] / diskMb[node] - (double) usedMb[other] / diskMb[other]
+                - scaledBy / (double) MILLION_SQUARED;
+        if (Math.abs(difference) > MAX_INEXACT_DIFFERENCE) {
             return difference > 0;
         }
-        return big(used[a]).multiply(big(diskMb[b])).subtract(big(used[b]).multiply(big(diskMb[a])))
-                .multiply(big(SQUARED))
-                .compareTo(big(diskMb[a]).multiply(big(diskMb[b])).multiply(big(byDisk))) > 0;
+        return big(usedMb[node]).multiply(big(diskMb[other])).subtract(big(usedMb[other]).multiply(big(diskMb[node])))
+                .multiply(big(MILLION_SQUARED))
+                .compareTo(big(diskMb[node]).multiply(big(diskMb[other])).multiply(big(scaledBy))) > 0;
     }
 
     private static BigInteger big(long value) {
@@ -191,22 +197,22 @@
     }
 
     /**
-     * The level in millionths of the whole disk: by its headroom less than of usable disk; not a whole number, rounded
-     * up.
+     * Returns the level in millionths of the whole disk, rounded up. The level is a share of usable disk, that is, of
+     * the disk less its headroom.
      */
-    int window() {
-        return (int) (((long) level * (PlacementProblem.MILLION - fleet.headroom()) + PlacementProblem.MILLION - 1)
+    int windowWidth() {
+        return (int) (((long) level * (PlacementProblem.MILLION - problem.headroom()) + PlacementProblem.MILLION - 1)
                 / PlacementProblem.MILLION);
     }
 
-    /** What all nodes hold at first. */
+    /** Returns the megabytes that each node holds in the initial placement. */
     long[] initialUsedMb() {
-        var used = new long[diskMb.length];
+        var usedMb = new long[diskMb.length];
         for (int b = 0; b < sizeMb.length; b++) {
-            for (int h : initialHolders[b]) {
-                used[h] += sizeMb[b];
+            for (int holder : initialHolders[b]) {
+                usedMb[holder] += sizeMb[b];
             }
         }
-        return used;
+        return usedMb;
     }
 }
--- a/src/main/java/wallmoor/placement/PlacementPlanner.java
+++ b/src/main/java/wallmoor/placement/PlacementPlanner.java
@@ -4,78 +4,85 @@
 import wallmoor.placement.PlacementModel.ReplicaMove;
 
 /**
- * Plans moves in the least bytes. Small fleets are solved exactly or shown to have no plan; for large ones a plan comes
- * with a bound that no plan can be under. The same fleet always has the same answer.
+ * Plans the moves that copy the fewest bytes. Small problems are solved exactly or proven infeasible; for large ones
+ * the plan comes with a lower bound on what any plan copies. The same problem always has the same result.
  */
 public final class PlacementPlanner {
-    /** Placements that one search may keep, of a few copies: some 200 MB of heap, seconds on one core. */
-    private static final int PLACEMENTS = 300_000;
-    /** A placement's size counts too: copies kept by one search, in all. */
-    private static final long COPIES = 6_000_000;
-    /** Moves that one placement may have: beyond it a search sees too few placements to be of use. */
-    private static final long BRANCHES = 20_000;
-    /** Windows tried for the level, from the bound's own to both sides, and their distance as a part of the level. */
-    private static final int WINDOWS = 9;
-    private static final int APART = 8;
+    /** Number of placements of few replicas that one search may store: about 200 MB of heap, seconds on one core. */
+    private static final int MAX_PLACEMENTS = 300_000;
+    /** Number of replicas in all placements that one search stores; it limits the memory of large placements. */
+    private static final long MAX_STORED_REPLICAS = 6_000_000;
+    /** Number of moves from one placement; with more, a search sees too few placements to be useful. */
+    private static final long MAX_MOVES_PER_PLACEMENT = 20_000;
+    /** Number of windows tried for the level: the lower bound's own window, then windows on both sides of it. */
+    private static final int WINDOW_COUNT = 9;
+    /** Divides the level into the distance between the windows that are tried. */
+    private static final int WINDOW_STEP_DIVISOR = 8;
 
     private PlacementPlanner() {}
 
-    /** Plans for a fleet. */
-    public static PlacementResult plan(PlacementProblem fleet) {
-        return plan(fleet, PLACEMENTS);
+    /** Plans the moves for a problem. */
+    public static PlacementResult plan(PlacementProblem problem) {
+        return plan(problem, MAX_PLACEMENTS);
     }
 
-    /** Plans for a fleet; a search keeps so many placements at most. */
-    static PlacementResult plan(PlacementProblem fleet, int placements) {
-        var model = new PlacementModel(fleet);
-        if (PlacementConflictFinder.proven(model)) {
-            return PlacementConflictFinder.of(fleet, placements);
+    /** Plans the moves for a problem; a search stores at most {@code maxPlacements} placements. */
+    static PlacementResult plan(PlacementProblem problem, int maxPlacements) {
+        var model = new PlacementModel(problem);
+        if (PlacementConflictFinder.isProvenInfeasible(model)) {
+            return PlacementConflictFinder.of(problem, maxPlacements);
         }
         CopyLowerBound.WindowBound bound = CopyLowerBound.of(model);
-        GreedyPlanner draft = draft(model, bound);
-        long most = draft == null ? Long.MAX_VALUE : draft.cost();
-        long least = bound.copiedMb();
-        List<ReplicaMove> steps = draft == null ? null : draft.moves();
-        int states = 0;
-        if (most > least) {
-            AStarSearch.SearchResult found = new AStarSearch(model, budget(model, placements)).search(most);
-            states = found.placementsSeen();
+        GreedyPlanner greedyPlan = bestGreedyPlan(model, bound);
+        long upperBoundMb = greedyPlan == null ? Long.MAX_VALUE : greedyPlan.copiedMb();
+        long lowerBoundMb = bound.copiedMb();
+        List<ReplicaMove> moves = greedyPlan == null ? null : greedyPlan.moves();
+        int placementsSeen = 0;
+        if (upperBoundMb > lowerBoundMb) {
+            AStarSearch.SearchResult found = new AStarSearch(model, searchBudget(model, maxPlacements))
+                    .search(upperBoundMb);
+            placementsSeen = found.placementsSeen();
             if (found.moves() != null) {
-                steps = found.moves();
-                most = found.copiedMb();
-                least = most;
-            } else if (found.complete() && steps == null) {
-                return PlacementConflictFinder.of(fleet, placements);
+                moves = found.moves();
+                upperBoundMb = found.copiedMb();
+                lowerBoundMb = upperBoundMb;
+            } else if (found.complete() && moves == null) {
+                return PlacementConflictFinder.of(problem, maxPlacements);
             } else {
-                least = found.complete() ? most : Math.max(least, Math.min(most, found.lowerBoundMb()));
+                lowerBoundMb = found.complete()
+                        ? upperBoundMb
+                        : Math.max(lowerBoundMb, Math.min(upperBoundMb, found.lowerBoundMb()));
             }
         }
-        if (steps == null) {
-            return new PlacementResult.NotFound(least, states);
+        if (moves == null) {
+            return new PlacementResult.NotFound(lowerBoundMb, placementsSeen);
         }
-        return new PlacementResult.Plan(WaveScheduler.schedule(model, steps), most, least, most == least);
+        return new PlacementResult.Plan(WaveScheduler.schedule(model, moves), upperBoundMb, lowerBoundMb,
+                upperBoundMb == lowerBoundMb);
     }
 
-    /** How many placements a search of this model may keep. */
-    static int budget(PlacementModel model, int placements) {
-        long copies = model.copies();
-        return copies * model.nodes() > BRANCHES ? 1 : (int) Math.min(placements, COPIES / copies);
+    /** Returns how many placements a search of this model may store. */
+    static int searchBudget(PlacementModel model, int maxPlacements) {
+        long replicas = model.replicaCount();
+        return replicas * model.nodeCount() > MAX_MOVES_PER_PLACEMENT
+                ? 1
+                : (int) Math.min(maxPlacements, MAX_STORED_REPLICAS / replicas);
     }
 
-    /** The cheapest of some drafts; null where none came to an end. */
-    static GreedyPlanner draft(PlacementModel model, CopyLowerBound.WindowBound bound) {
+    /** Returns the cheapest of several greedy plans, or null if none satisfies all constraints. */
+    static GreedyPlanner bestGreedyPlan(PlacementModel model, CopyLowerBound.WindowBound bound) {
         GreedyPlanner best = null;
-        int windows = model.windowed ? WINDOWS : 1;
+        int windows = model.windowed ? WINDOW_COUNT : 1;
         for (int i = 0; i < windows * 2; i++) {
-            int aside = (i / 2 + 1) / 2 * (i / 2 % 2 == 0 ? 1 : -1);
-            int window = bound.window() + aside * Math.max(1, model.level / APART);
+            int shift = (i / 2 + 1) / 2 * (i / 2 % 2 == 0 ? 1 : -1);
+            int window = bound.window() + shift * Math.max(1, model.level / WINDOW_STEP_DIVISOR);
             if (window < 0 || window > PlacementProblem.MILLION) {
                 continue;
             }
-            var draft = new GreedyPlanner(model, window, i % 2 == 1);
-            if (draft.build() && (best == null || draft.cost() < best.cost())) {
-                best = draft;
-                if (best.cost() == bound.copiedMb()) {
+            var greedyPlan = new GreedyPlanner(model, window, i % 2 == 1);
+            if (greedyPlan.build() && (best == null || greedyPlan.copiedMb() < best.copiedMb())) {
+                best = greedyPlan;
+                if (best.copiedMb() == bound.copiedMb()) {
                     break;
                 }
             }
--- a/src/main/java/wallmoor/placement/PlacementRule.java
+++ b/src/main/java/wallmoor/placement/PlacementRule.java
@@ -1,13 +1,13 @@
 package wallmoor.placement;
 
-/** What a plan keeps, each for a node, a block or the fleet. */
+/** The rules that a plan satisfies, each for a node, a block or the whole fleet. The constants' names are printed. */
 public enum PlacementRule {
-    /** A node's disk less its headroom: nothing is taken beyond it, and it ends within. */
+    /** A node takes no replica beyond its disk less its headroom, and ends within it. */
     ROOM,
-    /** A node gives, never takes, and ends empty. */
+    /** A node takes no replicas and ends empty. */
     DRAIN,
-    /** A block's whole copies stay apart. */
+    /** No two complete replicas of a block share a failure domain. */
     SPREAD,
-    /** The fullest less the emptiest node at the end. */
+    /** Limits the difference between the used shares of the fullest and the emptiest node at the end. */
     LEVEL
 }
--- a/src/main/java/wallmoor/placement/PlacementState.java
+++ b/src/main/java/wallmoor/placement/PlacementState.java
@@ -7,8 +7,8 @@
 import wallmoor.placement.PlacementModel.ReplicaMove;
 
 /**
- * The placement that a greedy construction has reached: which node holds which block, how many megabytes each node
- * holds, and the moves that led there from the initial placement. Moves are undone in reverse order, for backtracking.
+ * The placement that a greedy construction has reached: the blocks and used megabytes of each node, and the moves that
+ * led there from the initial placement. For backtracking, moves are undone in reverse order.
  */
 final class PlacementState {
     /** One replica of a block on the node that holds it. */
@@ -21,12 +21,12 @@
     private final List<ReplicaMove> moves = new ArrayList<>();
     private long copiedMb;
 
-    /** The initial placement of a model. */
+    /** Creates the initial placement of a model. */
     PlacementState(PlacementModel model) {
         this.model = model;
         holders = model.initialHolders.clone();
         usedMb = model.initialUsedMb();
-        blocksOf = new BitSet[model.nodes()];
+        blocksOf = new BitSet[model.nodeCount()];
         for (int node = 0; node < blocksOf.length; node++) {
             blocksOf[node] = new BitSet();
         }
@@ -37,7 +37,7 @@
         }
     }
 
-    int nodes() {
+    int nodeCount() {
         return usedMb.length;
     }
 
@@ -45,22 +45,22 @@
         return usedMb[node];
     }
 
-    /** What each node holds, in megabytes; the live array, not to be written to. */
+    /** Returns the live array of the megabytes that each node holds; callers must not write to it. */
     long[] usedMb() {
         return usedMb;
     }
 
-    /** The nodes that hold a block; not to be written to. */
+    /** Returns the live array of the nodes that hold a block; callers must not write to it. */
     int[] holders(int block) {
         return holders[block];
     }
 
-    /** The blocks that a node holds; live, not to be written to. */
+    /** Returns the live set of the blocks that a node holds; callers must not write to it. */
     BitSet blocksOf(int node) {
         return blocksOf[node];
     }
 
-    /** The blocks of each node; live, not to be written to. */
+    /** Returns the live sets of the blocks of each node; callers must not write to them. */
     BitSet[] blocksByNode() {
         return blocksOf;
     }
@@ -69,29 +69,29 @@
         return blocksOf[node].get(block);
     }
 
-    /** All moves so far, in their order. */
+    /** Returns a view of all moves so far, in order. */
     List<ReplicaMove> moves() {
         return Collections.unmodifiableList(moves);
     }
 
-    /** The moves' sizes in all, in megabytes. */
+    /** Returns the megabytes that all moves so far copy. */
     long copiedMb() {
         return copiedMb;
     }
 
-    /** Whether a replica may move now, with no more than {@code limitMb} of its target and the target's capacity. */
+    /** Returns whether a replica may move now without exceeding the target's {@code limitMb} or its capacity. */
     boolean fits(int block, int from, int to, long[] limitMb) {
         return to != from && mayHold(block, from, to)
                 && usedMb[to] + model.sizeMb[block] <= Math.min(limitMb[to], model.capacityMb[to]);
     }
 
-    /** Whether all rules but the room let a replica move from one node to another. */
+    /** Returns whether all rules but ROOM allow a replica to move from one node to another. */
     boolean mayHold(int block, int from, int to) {
-        return !model.draining[to] && !holds(to, block) && model.maySpread(block, holders[block], from, to);
+        return !model.draining[to] && !holds(to, block) && model.satisfiesSpread(block, holders[block], from, to);
     }
 
-    /** Whether every node is within its capacity, and the draining ones are empty. */
-    boolean withinCapacity() {
+    /** Returns whether every node is within its capacity and every draining node is empty. */
+    boolean isWithinCapacity() {
         for (int node = 0; node < usedMb.length; node++) {
             if (usedMb[node] > (model.draining[node] ? 0 : model.capacityMb[node])) {
                 return false;
@@ -100,6 +100,7 @@
         return true;
     }
 
+    /** Moves a replica and records the move. */
     void move(int block, int from, int to) {
         var move = new ReplicaMove(block, from, to);
         apply(move);
--- a/src/main/java/wallmoor/placement/PlanVerifier.java
+++ b/src/main/java/wallmoor/placement/PlanVerifier.java
@@ -10,166 +10,177 @@
 import java.util.TreeSet;
 
 /**
- * Replays a plan against every rule: move by move in its order, and wave by wave with all of a wave's moves at once. It
- * shares nothing with what makes plans but the records, and computes in decimals.
+ * Verifies a plan by replaying it against every rule: move by move in order, and wave by wave with all moves of a wave
+ * at once. It shares only the records with the planner, and computes in decimals.
  */
 public final class PlanVerifier {
-    private final PlacementProblem fleet;
+    private final PlacementProblem problem;
     private final Map<String, StorageNode> nodes = new HashMap<>();
     private final Map<String, BlockReplicas> blocks = new HashMap<>();
-    private final Map<String, Set<String>> on = new HashMap<>();
-    private final Map<String, Long> held = new HashMap<>();
+    private final Map<String, Set<String>> holdersByBlock = new HashMap<>();
+    private final Map<String, Long> usedMbByNode = new HashMap<>();
     private final List<String> violations = new ArrayList<>();
 
-    private PlanVerifier(PlacementProblem fleet) {
-        this.fleet = fleet;
-        fleet.nodes().forEach(n -> nodes.put(n.id(), n));
-        fleet.blocks().forEach(b -> blocks.put(b.id(), b));
-        begin();
+    private PlanVerifier(PlacementProblem problem) {
+        this.problem = problem;
+        problem.nodes().forEach(node -> nodes.put(node.id(), node));
+        problem.blocks().forEach(block -> blocks.put(block.id(), block));
+        reset();
     }
 
-    private void begin() {
-        held.clear();
-        for (BlockReplicas b : fleet.blocks()) {
-            on.put(b.id(), new TreeSet<>(b.holders()));
-            b.holders().forEach(n -> held.merge(n, b.sizeMb(), Long::sum));
+    /** Resets to the initial placement. */
+    private void reset() {
+        usedMbByNode.clear();
+        for (BlockReplicas block : problem.blocks()) {
+            holdersByBlock.put(block.id(), new TreeSet<>(block.holders()));
+            block.holders().forEach(node -> usedMbByNode.merge(node, block.sizeMb(), Long::sum));
         }
     }
 
-    /** All that is wrong with a plan, a sentence each; empty for a sound one. */
-    public static List<String> violations(PlacementProblem fleet, PlacementResult.Plan plan) {
-        var check = new PlanVerifier(fleet);
-        check.figures(plan);
-        check.oneByOne(plan.moves());
-        if (check.violations.isEmpty()) {
-            check.end();
-            check.begin();
-            check.byWaves(plan.moves());
+    /** Returns the violations of a plan, a sentence each; empty for a valid plan. */
+    public static List<String> violations(PlacementProblem problem, PlacementResult.Plan plan) {
+        var verifier = new PlanVerifier(problem);
+        verifier.checkTotals(plan);
+        verifier.replayMoves(plan.moves());
+        if (verifier.violations.isEmpty()) {
+            verifier.checkFinalPlacement();
+            verifier.reset();
+            verifier.replayWaves(plan.moves());
         }
-        return List.copyOf(check.violations);
+        return List.copyOf(verifier.violations);
     }
 
-    private void figures(PlacementResult.Plan plan) {
-        long sum = 0;
+    /** Checks the plan's totals, and that its moves name known nodes and blocks and have ascending waves. */
+    private void checkTotals(PlacementResult.Plan plan) {
+        long copiedMb = 0;
         int wave = 1;
-        for (Move m : plan.moves()) {
-            sum += m.sizeMb();
-            BlockReplicas b = blocks.get(m.block());
-            if (b == null || !nodes.containsKey(m.from()) || !nodes.containsKey(m.to()) || b.sizeMb() != m.sizeMb()) {
-                violations.add(m + ": names what is not there, or another size");
+        for (Move move : plan.moves()) {
+            copiedMb += move.sizeMb();
+            BlockReplicas block = blocks.get(move.block());
+            if (block == null || !nodes.containsKey(move.from()) || !nodes.containsKey(move.to())
+                    || block.sizeMb() != move.sizeMb()) {
+                violations.add(move + ": the block or a node is unknown, or its size is not that of the block");
             }
-            if ((m.wave() != wave && m.wave() != wave + 1) || m.wave() < 1) {
-                violations.add(m + ": its wave does not follow");
+            if ((move.wave() != wave && move.wave() != wave + 1) || move.wave() < 1) {
+                violations.add(move + ": its wave must be " + wave + " or " + (wave + 1));
             }
-            wave = m.wave();
+            wave = move.wave();
         }
         if (!plan.moves().isEmpty() && plan.moves().get(0).wave() != 1) {
-            violations.add("the first wave is not 1");
+            violations.add("the first move is in wave " + plan.moves().get(0).wave() + ", required is wave 1");
         }
-        if (sum != plan.copiedMb() || plan.lowerBoundMb() > sum || plan.optimal() != (plan.lowerBoundMb() == sum)) {
-            violations.add("mb is " + plan.copiedMb() + " and bound_mb " + plan.lowerBoundMb()
-                    + " where the moves copy " + sum);
+        if (copiedMb != plan.copiedMb() || plan.lowerBoundMb() > copiedMb
+                || plan.optimal() != (plan.lowerBoundMb() == copiedMb)) {
+            violations.add("the moves copy " + copiedMb + " MB, but the plan has mb " + plan.copiedMb()
+                    + ", bound_mb " + plan.lowerBoundMb() + " and exact " + plan.optimal());
         }
     }
 
-    private void oneByOne(List<Move> moves) {
-        for (Move m : moves) {
+    private void replayMoves(List<Move> moves) {
+        for (Move move : moves) {
             if (!violations.isEmpty()) {
                 return;
             }
-            legal(m, Map.of());
-            carry(m);
+            checkMove(move, Map.of());
+            apply(move);
         }
     }
 
-    private void byWaves(List<Move> moves) {
+    private void replayWaves(List<Move> moves) {
         int from = 0;
         while (from < moves.size() && violations.isEmpty()) {
             int to = from;
-            Map<String, Long> coming = new HashMap<>();
-            Set<String> moving = new HashSet<>();
-            // each is judged as the wave begins, with all that comes in the wave beside it
+            Map<String, Long> arrivingMb = new HashMap<>();
+            Set<String> movingBlocks = new HashSet<>();
+            // each move is checked against the state before the wave plus what earlier moves of the wave bring
             while (to < moves.size() && moves.get(to).wave() == moves.get(from).wave()) {
-                Move m = moves.get(to++);
-                legal(m, coming);
-                coming.merge(m.to(), m.sizeMb(), Long::sum);
-                if (!moving.add(m.block())) {
-                    violations.add(m + ": its block moves twice in a wave");
+                Move move = moves.get(to++);
+                checkMove(move, arrivingMb);
+                arrivingMb.merge(move.to(), move.sizeMb(), Long::sum);
+                if (!movingBlocks.add(move.block())) {
+                    violations.add(move + ": its block moves more than once in the wave");
                 }
             }
-            moves.subList(from, to).forEach(this::carry);
+            moves.subList(from, to).forEach(this::apply);
             from = to;
         }
     }
 
-    private void carry(Move m) {
-        on.get(m.block()).remove(m.from());
-        on.get(m.block()).add(m.to());
-        held.merge(m.from(), -m.sizeMb(), Long::sum);
-        held.merge(m.to(), m.sizeMb(), Long::sum);
+    private void apply(Move move) {
+        holdersByBlock.get(move.block()).remove(move.from());
+        holdersByBlock.get(move.block()).add(move.to());
+        usedMbByNode.merge(move.from(), -move.sizeMb(), Long::sum);
+        usedMbByNode.merge(move.to(), move.sizeMb(), Long::sum);
     }
 
-    private void legal(Move m, Map<String, Long> coming) {
-        Set<String> holders = on.get(m.block());
-        StorageNode to = nodes.get(m.to());
-        if (!holders.contains(m.from()) || holders.contains(m.to())) {
-            violations.add(m + ": is not on the one, or is on the other");
+    /**
+     * Checks that a move is legal.
+     *
+     * @param arrivingMb megabytes that other moves of the wave bring to each node
+     */
+    private void checkMove(Move move, Map<String, Long> arrivingMb) {
+        Set<String> holders = holdersByBlock.get(move.block());
+        StorageNode to = nodes.get(move.to());
+        if (!holders.contains(move.from()) || holders.contains(move.to())) {
+            violations.add(move + ": the source node has no replica of the block, or the target node has one already");
         }
         if (to.draining()) {
-            violations.add(m + ": goes to a node that drains");
+            violations.add(move + ": the target node drains");
         }
-        if (fleet.spread() == FailureDomain.CELL && holders.stream()
-                .anyMatch(h -> !h.equals(m.from()) && nodes.get(h).cell().equals(to.cell()))) {
-            violations.add(m + ": another copy is in cell " + to.cell());
+        if (problem.spread() == FailureDomain.CELL && holders.stream()
+                .anyMatch(h -> !h.equals(move.from()) && nodes.get(h).cell().equals(to.cell()))) {
+            violations.add(move + ": another replica of the block is in cell " + to.cell());
         }
-        if (!within(to, used(m.to()) + coming.getOrDefault(m.to(), 0L) + m.sizeMb())) {
-            violations.add(m + ": there is no room for it");
+        if (!isWithinDisk(to, usedMb(move.to()) + arrivingMb.getOrDefault(move.to(), 0L) + move.sizeMb())) {
+            violations.add(move + ": the target node has no room for it, its usable disk is " + usableMb(to) + " MB");
         }
     }
 
-    private void end() {
+    /** Checks the final placement. */
+    private void checkFinalPlacement() {
         BigDecimal fullest = null;
         BigDecimal emptiest = null;
-        for (StorageNode n : fleet.nodes()) {
-            long used = used(n.id());
-            if (n.draining()) {
-                if (used > 0) {
-                    violations.add(n.id() + " drains and ends with " + used + " MB");
+        for (StorageNode node : problem.nodes()) {
+            long usedMb = usedMb(node.id());
+            if (node.draining()) {
+                if (usedMb > 0) {
+                    violations.add("node " + node.id() + " drains, but holds " + usedMb + " MB at the end");
                 }
                 continue;
             }
-            if (!within(n, used)) {
-                violations.add(n.id() + " ends over its bound");
+            if (!isWithinDisk(node, usedMb)) {
+                violations.add("node " + node.id() + " holds " + usedMb + " MB at the end, its usable disk is "
+                        + usableMb(node) + " MB");
             }
-            BigDecimal share = BigDecimal.valueOf(used).divide(usable(n), new java.math.MathContext(40));
+            BigDecimal share = BigDecimal.valueOf(usedMb).divide(usableMb(node), new java.math.MathContext(40));
             fullest = fullest == null || share.compareTo(fullest) > 0 ? share : fullest;
             emptiest = emptiest == null || share.compareTo(emptiest) < 0 ? share : emptiest;
         }
-        // what differs, differs by 10^-30 or more: disks are under 10^9, headroom and level have six decimals
-        if (fleet.level() != PlacementProblem.NO_LEVEL && fullest != null && fullest.subtract(emptiest)
-                .compareTo(BigDecimal.valueOf(fleet.level(), 6).add(BigDecimal.valueOf(1, 32))) > 0) {
-            violations
-                    .add("fullest less emptiest is " + fullest.subtract(emptiest).stripTrailingZeros() + " at the end");
+        // different values differ by 10^-30 or more: disks are at most 10^9 MB, headroom and level have six decimals
+        if (problem.level() != PlacementProblem.NO_LEVEL && fullest != null && fullest.subtract(emptiest)
+                .compareTo(BigDecimal.valueOf(problem.level(), 6).add(BigDecimal.valueOf(1, 32))) > 0) {
+            violations.add("the used shares of the fullest and the emptiest node differ by "
+                    + fullest.subtract(emptiest).stripTrailingZeros() + " at the end");
         }
-        if (fleet.spread() == FailureDomain.CELL) {
-            on.forEach((b, holders) -> {
+        if (problem.spread() == FailureDomain.CELL) {
+            holdersByBlock.forEach((block, holders) -> {
                 if (holders.stream().map(h -> nodes.get(h).cell()).distinct().count() < holders.size()) {
-                    violations.add(b + " ends with two copies in a cell");
+                    violations.add("block " + block + " has two replicas in one cell at the end");
                 }
             });
         }
     }
 
-    private boolean within(StorageNode n, long mb) {
-        return BigDecimal.valueOf(mb).compareTo(usable(n)) <= 0;
+    private boolean isWithinDisk(StorageNode node, long mb) {
+        return BigDecimal.valueOf(mb).compareTo(usableMb(node)) <= 0;
     }
 
-    private BigDecimal usable(StorageNode n) {
-        BigDecimal share = BigDecimal.ONE.subtract(BigDecimal.valueOf(fleet.headroom(), 6));
-        return BigDecimal.valueOf(n.diskMb()).multiply(share);
+    private BigDecimal usableMb(StorageNode node) {
+        BigDecimal share = BigDecimal.ONE.subtract(BigDecimal.valueOf(problem.headroom(), 6));
+        return BigDecimal.valueOf(node.diskMb()).multiply(share);
     }
 
-    private long used(String node) {
-        return held.getOrDefault(node, 0L);
+    private long usedMb(String node) {
+        return usedMbByNode.getOrDefault(node, 0L);
     }
 }
--- a/src/main/java/wallmoor/placement/StorageNode.java
+++ b/src/main/java/wallmoor/placement/StorageNode.java
@@ -1,10 +1,10 @@
 package wallmoor.placement;
 
 /**
- * A machine that holds blocks.
+ * A node that stores blocks.
  *
- * @param cell     failure domain that it is in
- * @param diskMb   megabytes, 1 to {@link PlacementProblem#MOST_MB}
- * @param draining gives replicas, takes none, and ends empty
+ * @param cell     id of the cell that the node is in, a failure domain
+ * @param diskMb   megabytes of its disk, 1 to {@link PlacementProblem#MOST_MB}
+ * @param draining whether the node takes no replicas and must end empty
  */
 public record StorageNode(String id, String cell, long diskMb, boolean draining) {}
--- a/src/main/java/wallmoor/placement/WaveScheduler.java
+++ b/src/main/java/wallmoor/placement/WaveScheduler.java
@@ -7,9 +7,9 @@
 import wallmoor.placement.PlacementModel.ReplicaMove;
 
 /**
- * Wave scheduling: puts moves that are legal one after another into waves of moves that run concurrently. A block's
- * moves keep their order. A move that has to wait reserves its room on its target where there is some, and lets no
- * later one in where there is none: so the first of the moves left is always legal, and scheduling always ends.
+ * Groups moves that are legal one after another into waves of moves that run concurrently. A block's moves keep their
+ * order. A move that has to wait reserves space on its target if there is enough, and otherwise closes the target to
+ * later moves of the wave. The first of the remaining moves is therefore always legal, and scheduling always ends.
  */
 final class WaveScheduler {
     private final PlacementModel model;
@@ -23,7 +23,7 @@
         usedMb = model.initialUsedMb();
     }
 
-    /** Schedules all moves, given in an order in which each is legal; waves count from 1. */
+    /** Schedules all moves, given in an order in which each is legal. Waves are numbered from 1. */
     static List<Move> schedule(PlacementModel model, List<ReplicaMove> moves) {
         var scheduler = new WaveScheduler(model);
         List<ReplicaMove> waiting = moves;
@@ -33,13 +33,13 @@
         return scheduler.scheduled;
     }
 
-    /** Schedules the moves that can run in a wave, and returns those that wait. */
+    /** Schedules the moves that can run in a wave, and returns the moves that must wait. */
     private List<ReplicaMove> scheduleWave(int wave, List<ReplicaMove> waiting) {
         List<ReplicaMove> running = new ArrayList<>();
         List<ReplicaMove> later = new ArrayList<>();
         Set<Integer> seenBlocks = new HashSet<>();
         Set<Integer> closedTargets = new HashSet<>();
-        long[] reservedMb = usedMb.clone(); // sources keep their bytes until the wave has ended
+        long[] reservedMb = usedMb.clone(); // a source frees its space only when the wave has ended
         for (ReplicaMove move : waiting) {
             long sizeMb = model.sizeMb[move.block()];
             boolean firstOfBlock = seenBlocks.add(move.block());
@@ -50,14 +50,15 @@
                 continue;
             }
             reservedMb[to] += sizeMb;
-            if (firstOfBlock && model.maySpread(move.block(), holders[move.block()], move.from(), to)) {
+            if (firstOfBlock && model.satisfiesSpread(move.block(), holders[move.block()], move.from(), to)) {
                 running.add(move);
             } else {
                 later.add(move);
             }
         }
         if (running.isEmpty()) {
-            throw new IllegalStateException("steps that are not legal one after another");
+            throw new IllegalStateException("wave " + wave + ": none of the " + waiting.size()
+                    + " waiting moves is legal; the moves must be legal one after another");
         }
         running.forEach(move -> complete(move, wave));
         return later;
@@ -69,12 +70,12 @@
         usedMb[move.from()] -= sizeMb;
         usedMb[move.to()] += sizeMb;
         holders[block] = holdersAfter(holders[block], move);
-        PlacementProblem problem = model.fleet;
+        PlacementProblem problem = model.problem;
         scheduled.add(new Move(problem.blocks().get(block).id(), problem.nodes().get(move.from()).id(),
                 problem.nodes().get(move.to()).id(), sizeMb, wave));
     }
 
-    /** A block's holders after one of its moves. */
+    /** Returns the holders of a block after one of its moves. */
     static int[] holdersAfter(int[] holders, ReplicaMove move) {
         int[] after = holders.clone();
         for (int i = 0; i < after.length; i++) {
@@ -83,6 +84,6 @@
                 return after;
             }
         }
-        throw new IllegalStateException("block " + move.block() + " is not on node " + move.from());
+        throw new IllegalStateException("block " + move.block() + " has no replica on node " + move.from());
     }
 }
--- a/src/main/java/wallmoor/placement/package-info.java
+++ b/src/main/java/wallmoor/placement/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Which blocks move between nodes, in which order, in the least bytes. Decides; no I/O, no clock, no threads, no random
- * source. The rules, and how the answer is found, stand in docs/placement.md.
+ * Plans which blocks move between nodes, and in which order, so that the fewest bytes are copied. The code is pure: it
+ * uses no I/O, clock, threads or random source. The rules and the planning algorithm are described in
+ * docs/placement.md.
  */
 package wallmoor.placement;
