--- a/src/bench/java/wallmoor/placement/SmallPlacementsExhaustive.java
+++ b/src/bench/java/wallmoor/placement/SmallPlacementsExhaustive.java
@@ -22,7 +22,7 @@
         int none = 0;
         for (int seed = 0; seed < fleets; seed++) {
             PlacementProblem fleet = RandomPlacementProblems.of(seed, 4, 4);
-            long least = BruteForce.least(fleet, BruteForce.rules(fleet));
+            long least = BruteForce.minCopiedMb(fleet, BruteForce.allConstraints(fleet));
             PlacementResult answer = PlacementPlanner.plan(fleet);
             if (!isSame(fleet, least, answer)) {
                 System.out.println("seed " + seed + ": " + least + " by trying everything, but " + answer);
@@ -37,7 +37,7 @@
     private static boolean isSame(PlacementProblem fleet, long least, PlacementResult answer) {
         if (least < 0) {
             return answer instanceof PlacementResult.Infeasible i && i.minimal()
-                    && BruteForce.least(fleet, i.conflict()) < 0;
+                    && BruteForce.minCopiedMb(fleet, i.conflict()) < 0;
         }
         return answer instanceof PlacementResult.Plan p && p.copiedMb() == least && p.optimal()
                 && PlanVerifier.violations(fleet, p).isEmpty();
--- a/src/test/java/wallmoor/placement/BruteForce.java
+++ b/src/test/java/wallmoor/placement/BruteForce.java
@@ -6,127 +6,131 @@
 import java.util.PriorityQueue;
 
 /**
- * The least bytes by trying everything: all placements are numbered, and all legal moves walked from the first,
- * cheapest first. Shares nothing with the planner but the records. Without a block's rule of spread its copies may
- * share a node.
+ * Finds the fewest megabytes that a plan copies by exhaustive search: all placements are numbered, and all legal moves
+ * are followed from the initial one, cheapest first. It shares only the records with the planner. The replicas of a
+ * block without a spread constraint may share a node.
  */
 final class BruteForce {
-    private final PlacementProblem fleet;
-    private final List<List<int[]>> places = new ArrayList<>();
-    private final boolean[] drains;
-    private final boolean[] bounded;
-    private final boolean[] apart;
-    private final boolean level;
+    private final PlacementProblem problem;
+    private final List<List<int[]>> choicesByBlock = new ArrayList<>();
+    private final boolean[] draining;
+    private final boolean[] hasRoomLimit;
+    private final boolean[] mustSpread;
+    private final boolean hasLevel;
     private final int nodes;
 
-    private BruteForce(PlacementProblem fleet, List<PlacementConstraint> kept) {
-        this.fleet = fleet;
-        nodes = fleet.nodes().size();
-        drains = new boolean[nodes];
-        bounded = new boolean[nodes];
-        apart = new boolean[fleet.blocks().size()];
+    private BruteForce(PlacementProblem problem, List<PlacementConstraint> enforced) {
+        this.problem = problem;
+        nodes = problem.nodes().size();
+        draining = new boolean[nodes];
+        hasRoomLimit = new boolean[nodes];
+        mustSpread = new boolean[problem.blocks().size()];
         for (int i = 0; i < nodes; i++) {
-            List<String> own = List.of(fleet.nodes().get(i).id());
-            drains[i] = kept.contains(new PlacementConstraint(PlacementRule.DRAIN, own, List.of()));
-            bounded[i] = kept.contains(new PlacementConstraint(PlacementRule.ROOM, own, List.of()));
+            List<String> own = List.of(problem.nodes().get(i).id());
+            draining[i] = enforced.contains(new PlacementConstraint(PlacementRule.DRAIN, own, List.of()));
+            hasRoomLimit[i] = enforced.contains(new PlacementConstraint(PlacementRule.ROOM, own, List.of()));
         }
-        for (int b = 0; b < apart.length; b++) {
-            BlockReplicas block = fleet.blocks().get(b);
-            apart[b] = block.holders().size() == 1
-                    || kept.contains(new PlacementConstraint(PlacementRule.SPREAD, List.of(), List.of(block.id())));
+        for (int b = 0; b < mustSpread.length; b++) {
+            BlockReplicas block = problem.blocks().get(b);
+            mustSpread[b] = block.holders().size() == 1
+                    || enforced.contains(new PlacementConstraint(PlacementRule.SPREAD, List.of(), List.of(block.id())));
             List<int[]> all = new ArrayList<>();
-            list(all, new int[block.holders().size()], 0, 0, apart[b]);
-            places.add(all);
+            listChoices(all, new int[block.holders().size()], 0, 0, mustSpread[b]);
+            choicesByBlock.add(all);
         }
-        level = kept.contains(new PlacementConstraint(PlacementRule.LEVEL, List.of(), List.of()));
+        hasLevel = enforced.contains(new PlacementConstraint(PlacementRule.LEVEL, List.of(), List.of()));
     }
 
-    /** Megabytes of the cheapest plan under these rules, or -1 where there is none. */
-    static long least(PlacementProblem fleet, List<PlacementConstraint> kept) {
-        return new BruteForce(fleet, kept).walk();
+    /** Returns the megabytes that the cheapest plan under these constraints copies, or -1 if there is no plan. */
+    static long minCopiedMb(PlacementProblem problem, List<PlacementConstraint> enforced) {
+        return new BruteForce(problem, enforced).search();
     }
 
-    /** All rules of a fleet. */
-    static List<PlacementConstraint> rules(PlacementProblem fleet) {
+    /** Returns all constraints of a problem. */
+    static List<PlacementConstraint> allConstraints(PlacementProblem problem) {
         List<PlacementConstraint> all = new ArrayList<>(
                 List.of(new PlacementConstraint(PlacementRule.LEVEL, List.of(), List.of())));
-        all.removeIf(r -> fleet.level() < 0);
-        for (StorageNode n : fleet.nodes()) {
+        all.removeIf(r -> problem.level() < 0);
+        for (StorageNode n : problem.nodes()) {
             all.add(new PlacementConstraint(PlacementRule.ROOM, List.of(n.id()), List.of()));
             if (n.draining()) {
                 all.add(new PlacementConstraint(PlacementRule.DRAIN, List.of(n.id()), List.of()));
             }
         }
-        fleet.blocks().forEach(b -> all.add(new PlacementConstraint(PlacementRule.SPREAD, List.of(), List.of(b.id()))));
+        problem.blocks()
+                .forEach(b -> all.add(new PlacementConstraint(PlacementRule.SPREAD, List.of(), List.of(b.id()))));
         return all;
     }
 
-    private void list(List<int[]> all, int[] own, int at, int from, boolean distinct) {
-        if (at == own.length) {
+    /** Lists all choices of nodes for the replicas of a block, in ascending order of nodes. */
+    private void listChoices(List<int[]> all, int[] own, int position, int from, boolean distinct) {
+        if (position == own.length) {
             all.add(own.clone());
             return;
         }
         for (int n = from; n < nodes; n++) {
-            own[at] = n;
-            list(all, own, at + 1, distinct ? n + 1 : n, distinct);
+            own[position] = n;
+            listChoices(all, own, position + 1, distinct ? n + 1 : n, distinct);
         }
     }
 
-    private int number(int block, int[] own) {
+    /** Returns the index of a block's holders in its list of choices, or -1. */
+    private int choiceIndex(int block, int[] own) {
         int[] sorted = own.clone();
         Arrays.sort(sorted);
-        for (int i = 0; i < places.get(block).size(); i++) {
-            if (Arrays.equals(places.get(block).get(i), sorted)) {
+        for (int i = 0; i < choicesByBlock.get(block).size(); i++) {
+            if (Arrays.equals(choicesByBlock.get(block).get(i), sorted)) {
                 return i;
             }
         }
         return -1;
     }
 
-    private long walk() {
-        int count = places.size();
-        int all = 1;
+    /** Searches the placements in the order of megabytes copied. */
+    private long search() {
+        int count = choicesByBlock.size();
+        int placements = 1;
         int start = 0;
         for (int b = 0; b < count; b++) {
-            int[] own = fleet.blocks().get(b).holders().stream()
-                    .mapToInt(id -> fleet.nodes().stream().map(StorageNode::id).toList().indexOf(id)).toArray();
-            start += number(b, own) * all;
-            all *= places.get(b).size();
+            int[] initial = problem.blocks().get(b).holders().stream()
+                    .mapToInt(id -> problem.nodes().stream().map(StorageNode::id).toList().indexOf(id)).toArray();
+            start += choiceIndex(b, initial) * placements;
+            placements *= choicesByBlock.get(b).size();
         }
-        long[] cost = new long[all];
-        Arrays.fill(cost, Long.MAX_VALUE);
-        cost[start] = 0;
+        long[] costMb = new long[placements];
+        Arrays.fill(costMb, Long.MAX_VALUE);
+        costMb[start] = 0;
         var open = new PriorityQueue<long[]>((x, y) -> Long.compare(x[0], y[0]));
         open.add(new long[] {0, start});
         while (!open.isEmpty()) {
             long[] next = open.poll();
-            int at = (int) next[1];
-            if (next[0] > cost[at]) {
+            int current = (int) next[1];
+            if (next[0] > costMb[current]) {
                 continue;
             }
-            int[][] placed = new int[count][];
-            long[] used = new long[nodes];
-            for (int b = 0, rest = at; b < count; b++) {
-                placed[b] = places.get(b).get(rest % places.get(b).size());
-                rest /= places.get(b).size();
-                for (int n : placed[b]) {
-                    used[n] += fleet.blocks().get(b).sizeMb();
+            int[][] holders = new int[count][];
+            long[] usedMb = new long[nodes];
+            for (int b = 0, rest = current; b < count; b++) {
+                holders[b] = choicesByBlock.get(b).get(rest % choicesByBlock.get(b).size());
+                rest /= choicesByBlock.get(b).size();
+                for (int n : holders[b]) {
+                    usedMb[n] += problem.blocks().get(b).sizeMb();
                 }
             }
-            if (done(placed, used)) {
+            if (isGoal(holders, usedMb)) {
                 return next[0];
             }
-            for (int b = 0, unit = 1; b < count; unit *= places.get(b).size(), b++) {
-                for (int c = 0; c < placed[b].length; c++) {
+            for (int b = 0, unit = 1; b < count; unit *= choicesByBlock.get(b).size(), b++) {
+                for (int replica = 0; replica < holders[b].length; replica++) {
                     for (int to = 0; to < nodes; to++) {
-                        if (may(placed[b], b, c, to, used)) {
-                            int[] own = placed[b].clone();
-                            own[c] = to;
-                            int then = at + (number(b, own) - number(b, placed[b])) * unit;
-                            long costs = next[0] + fleet.blocks().get(b).sizeMb();
-                            if (costs < cost[then]) {
-                                cost[then] = costs;
-                                open.add(new long[] {costs, then});
+                        if (isLegal(holders[b], b, replica, to, usedMb)) {
+                            int[] moved = holders[b].clone();
+                            moved[replica] = to;
+                            int target = current + (choiceIndex(b, moved) - choiceIndex(b, holders[b])) * unit;
+                            long newCostMb = next[0] + problem.blocks().get(b).sizeMb();
+                            if (newCostMb < costMb[target]) {
+                                costMb[target] = newCostMb;
+                                open.add(new long[] {newCostMb, target});
                             }
                         }
                     }
@@ -136,61 +140,63 @@
         return -1;
     }
 
-    private boolean may(int[] own, int block, int copy, int to, long[] used) {
-        if (own[copy] == to || drains[to] || (bounded[to] && over(to, used[to] + fleet.blocks().get(block).sizeMb()))) {
+    private boolean isLegal(int[] holders, int block, int replica, int to, long[] usedMb) {
+        if (holders[replica] == to || draining[to]
+                || (hasRoomLimit[to] && exceedsDisk(to, usedMb[to] + problem.blocks().get(block).sizeMb()))) {
             return false;
         }
-        for (int other = 0; other < own.length; other++) {
-            if (other != copy && apart[block] && near(own[other], to)) {
+        for (int other = 0; other < holders.length; other++) {
+            if (other != replica && mustSpread[block] && shareDomain(holders[other], to)) {
                 return false;
             }
         }
         return true;
     }
 
-    private boolean near(int a, int b) {
+    private boolean shareDomain(int a, int b) {
         return a == b
-                || (fleet.spread() == FailureDomain.CELL
-                        && fleet.nodes().get(a).cell().equals(fleet.nodes().get(b).cell()));
+                || (problem.spread() == FailureDomain.CELL
+                        && problem.nodes().get(a).cell().equals(problem.nodes().get(b).cell()));
     }
 
-    private boolean over(int node, long mb) {
-        return mb * PlacementProblem.MILLION > fleet.nodes().get(node).diskMb()
-                * (PlacementProblem.MILLION - fleet.headroom());
+    private boolean exceedsDisk(int node, long mb) {
+        return mb * PlacementProblem.MILLION > problem.nodes().get(node).diskMb()
+                * (PlacementProblem.MILLION - problem.headroom());
     }
 
-    private boolean done(int[][] placed, long[] used) {
+    private boolean isGoal(int[][] holdersByBlock, long[] usedMb) {
         for (int i = 0; i < nodes; i++) {
-            if ((drains[i] && used[i] > 0) || (bounded[i] && !drains[i] && over(i, used[i]))) {
+            if ((draining[i] && usedMb[i] > 0) || (hasRoomLimit[i] && !draining[i] && exceedsDisk(i, usedMb[i]))) {
                 return false;
             }
-            for (int j = 0; level && j < nodes; j++) {
-                if (!fleet.nodes().get(i).draining() && !fleet.nodes().get(j).draining() && uneven(i, j, used)) {
+            for (int j = 0; hasLevel && j < nodes; j++) {
+                if (!problem.nodes().get(i).draining() && !problem.nodes().get(j).draining()
+                        && exceedsLevel(i, j, usedMb)) {
                     return false;
                 }
             }
         }
-        for (int b = 0; b < placed.length; b++) {
-            if (apart[b] && anyNear(placed[b])) {
+        for (int b = 0; b < holdersByBlock.length; b++) {
+            if (mustSpread[b] && anyShareDomain(holdersByBlock[b])) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether the first node is fuller than the second by more than the level. */
-    private boolean uneven(int i, int j, long[] used) {
-        long a = fleet.nodes().get(i).diskMb();
-        long b = fleet.nodes().get(j).diskMb();
-        // of the whole disk; a whole number in all fleets here
-        long by = (long) fleet.level() / 1_000 * (PlacementProblem.MILLION - fleet.headroom()) / 1_000;
-        return (used[i] * b - used[j] * a) * PlacementProblem.MILLION > by * a * b;
+    /** Returns whether the first node is fuller than the second by more than the level. */
+    private boolean exceedsLevel(int i, int j, long[] usedMb) {
+        long a = problem.nodes().get(i).diskMb();
+        long b = problem.nodes().get(j).diskMb();
+        // the level as a share of the whole disk; an integer in all problems of these tests
+        long levelOfDisk = (long) problem.level() / 1_000 * (PlacementProblem.MILLION - problem.headroom()) / 1_000;
+        return (usedMb[i] * b - usedMb[j] * a) * PlacementProblem.MILLION > levelOfDisk * a * b;
     }
 
-    private boolean anyNear(int[] copies) {
-        for (int c = 0; c < copies.length; c++) {
+    private boolean anyShareDomain(int[] holders) {
+        for (int c = 0; c < holders.length; c++) {
             for (int d = 0; d < c; d++) {
-                if (near(copies[c], copies[d])) {
+                if (shareDomain(holders[c], holders[d])) {
                     return true;
                 }
             }
--- a/src/test/java/wallmoor/placement/PlacementPlannerPropertiesTest.java
+++ b/src/test/java/wallmoor/placement/PlacementPlannerPropertiesTest.java
@@ -10,56 +10,58 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** What holds for every fleet's answer, also where there are too many placements to try. */
+/** Checks properties of the planner's results, also for problems with too many placements for an exhaustive search. */
 class PlacementPlannerPropertiesTest {
-    /** So few that searches come to no end, as those of large fleets do. */
-    private static final int PLACEMENTS = 1_500;
+    /** Number of stored placements, small enough that searches run out of budget as they do for large problems. */
+    private static final int MAX_PLACEMENTS = 1_500;
 
     @Property(tries = 150)
-    void plansAreSoundAndNeverUnderTheirBound(@ForAll @IntRange(max = 1_000_000) int seed,
+    void plansAreValidAndNotBelowTheirLowerBound(@ForAll @IntRange(max = 1_000_000) int seed,
             @ForAll @IntRange(min = 2, max = 9) int nodes, @ForAll @IntRange(min = 1, max = 14) int blocks) {
-        PlacementProblem fleet = RandomPlacementProblems.of(seed, nodes, blocks);
-        PlacementResult answer = PlacementPlanner.plan(fleet, PLACEMENTS);
-        if (answer instanceof PlacementResult.Plan plan) {
-            assertEquals(List.of(), PlanVerifier.violations(fleet, plan));
+        PlacementProblem problem = RandomPlacementProblems.of(seed, nodes, blocks);
+        PlacementResult result = PlacementPlanner.plan(problem, MAX_PLACEMENTS);
+        if (result instanceof PlacementResult.Plan plan) {
+            assertEquals(List.of(), PlanVerifier.violations(problem, plan));
             assertTrue(plan.copiedMb() >= plan.lowerBoundMb());
-        } else if (answer instanceof PlacementResult.Infeasible none) {
-            assertFalse(none.conflict().isEmpty());
-            assertTrue(BruteForce.rules(fleet).containsAll(none.conflict()));
+        } else if (result instanceof PlacementResult.Infeasible infeasible) {
+            assertFalse(infeasible.conflict().isEmpty());
+            assertTrue(BruteForce.allConstraints(problem).containsAll(infeasible.conflict()));
         }
-        assertEquals(answer, PlacementPlanner.plan(fleet, PLACEMENTS));
+        assertEquals(result, PlacementPlanner.plan(problem, MAX_PLACEMENTS));
     }
 
-    /** A cheaper plan than the exact one can't be sound, nor one with a move turned aside onto what may not take it. */
+    /** Rejects a plan cheaper than the optimal one, and a plan with a move redirected to a draining node. */
     @Property(tries = 150)
-    void theCheckRefusesSpoiltPlans(@ForAll @IntRange(max = 1_000_000) int seed,
-            @ForAll @IntRange(max = 20) int which) {
-        PlacementProblem fleet = RandomPlacementProblems.of(seed, 4, 5);
-        if (!(PlacementPlanner.plan(fleet) instanceof PlacementResult.Plan plan) || plan.moves().isEmpty()
+    void verifierRejectsCorruptedPlans(@ForAll @IntRange(max = 1_000_000) int seed,
+            @ForAll @IntRange(max = 20) int moveIndex) {
+        PlacementProblem problem = RandomPlacementProblems.of(seed, 4, 5);
+        if (!(PlacementPlanner.plan(problem) instanceof PlacementResult.Plan plan) || plan.moves().isEmpty()
                 || !plan.optimal()) {
             return;
         }
-        Move move = plan.moves().get(which % plan.moves().size());
+        Move move = plan.moves().get(moveIndex % plan.moves().size());
         List<Move> fewer = new ArrayList<>(plan.moves());
         fewer.remove(move);
-        long mb = plan.copiedMb() - move.sizeMb();
-        assertFalse(PlanVerifier.violations(fleet, new PlacementResult.Plan(fewer, mb, mb, true)).isEmpty());
-        for (StorageNode node : fleet.nodes()) {
-            List<Move> aside = new ArrayList<>(plan.moves());
-            aside.set(aside.indexOf(move), new Move(move.block(), move.from(), node.id(), move.sizeMb(), move.wave()));
-            boolean sound = PlanVerifier
-                    .violations(fleet, new PlacementResult.Plan(aside, plan.copiedMb(), plan.copiedMb(), true))
+        long copiedMb = plan.copiedMb() - move.sizeMb();
+        assertFalse(
+                PlanVerifier.violations(problem, new PlacementResult.Plan(fewer, copiedMb, copiedMb, true)).isEmpty());
+        for (StorageNode node : problem.nodes()) {
+            List<Move> redirected = new ArrayList<>(plan.moves());
+            redirected.set(redirected.indexOf(move),
+                    new Move(move.block(), move.from(), node.id(), move.sizeMb(), move.wave()));
+            boolean isValid = PlanVerifier
+                    .violations(problem, new PlacementResult.Plan(redirected, plan.copiedMb(), plan.copiedMb(), true))
                     .isEmpty();
-            assertFalse(sound && node.draining());
+            assertFalse(isValid && node.draining());
         }
     }
 
     @Property(tries = 60)
-    void reasonsHoldByThemselves(@ForAll @IntRange(max = 1_000_000) int seed) {
-        PlacementProblem fleet = RandomPlacementProblems.of(seed, 4, 3);
-        if (PlacementPlanner.plan(fleet) instanceof PlacementResult.Infeasible none) {
-            assertTrue(none.minimal());
-            assertEquals(-1, BruteForce.least(fleet, none.conflict()));
+    void conflictsAreInfeasibleOnTheirOwn(@ForAll @IntRange(max = 1_000_000) int seed) {
+        PlacementProblem problem = RandomPlacementProblems.of(seed, 4, 3);
+        if (PlacementPlanner.plan(problem) instanceof PlacementResult.Infeasible infeasible) {
+            assertTrue(infeasible.minimal());
+            assertEquals(-1, BruteForce.minCopiedMb(problem, infeasible.conflict()));
         }
     }
 }
--- a/src/test/java/wallmoor/placement/PlacementPlannerTest.java
+++ b/src/test/java/wallmoor/placement/PlacementPlannerTest.java
@@ -7,82 +7,82 @@
 import java.util.List;
 import org.junit.Test;
 
-/** Plans of small fleets against all there are, and fleets whose plan is known. */
+/** Compares plans of small problems with an exhaustive search, and checks problems whose plan is known. */
 public class PlacementPlannerTest {
     @Test
-    public void smallFleetsAreSolvedAsByTryingEverything() {
-        int plans = 0;
+    public void solvesSmallProblemsAsExhaustiveSearchDoes() {
+        int withMoves = 0;
         int none = 0;
-        int proven = 0;
-        int stops = 0;
+        int boundMet = 0;
+        int withIntermediateMove = 0;
         for (long seed = 0; seed < 1_000; seed++) {
-            PlacementProblem fleet = RandomPlacementProblems.of(seed, 4, 4);
-            long least = BruteForce.least(fleet, BruteForce.rules(fleet));
-            PlacementResult answer = PlacementPlanner.plan(fleet);
-            if (least < 0) {
-                assertTrue("seed " + seed + " has no plan: " + answer, answer instanceof PlacementResult.Infeasible);
+            PlacementProblem problem = RandomPlacementProblems.of(seed, 4, 4);
+            long minMb = BruteForce.minCopiedMb(problem, BruteForce.allConstraints(problem));
+            PlacementResult result = PlacementPlanner.plan(problem);
+            if (minMb < 0) {
+                assertTrue("seed " + seed + " has no plan: " + result, result instanceof PlacementResult.Infeasible);
                 none++;
                 continue;
             }
-            assertTrue("seed " + seed + " has a plan: " + answer, answer instanceof PlacementResult.Plan);
-            var plan = (PlacementResult.Plan) answer;
-            assertEquals("seed " + seed, least, plan.copiedMb());
+            assertTrue("seed " + seed + " has a plan: " + result, result instanceof PlacementResult.Plan);
+            var plan = (PlacementResult.Plan) result;
+            assertEquals("seed " + seed, minMb, plan.copiedMb());
             assertTrue("seed " + seed, plan.optimal());
-            // without a draft to go under
-            var alone = new AStarSearch(new PlacementModel(fleet), 100_000).search(Long.MAX_VALUE);
-            assertEquals("seed " + seed, least, alone.copiedMb());
-            assertEquals("seed " + seed, List.of(), PlanVerifier.violations(fleet, plan));
-            assertTrue("seed " + seed + ": the bound for any size is above the least",
-                    CopyLowerBound.of(new PlacementModel(fleet)).copiedMb() <= least);
-            proven += CopyLowerBound.of(new PlacementModel(fleet)).copiedMb() == least ? 1 : 0;
-            plans += least > 0 ? 1 : 0;
-            stops += plan.moves().stream().anyMatch(m -> plan.moves().stream()
+            // the search alone, without the cost of a greedy plan as its limit
+            var searchResult = new AStarSearch(new PlacementModel(problem), 100_000).search(Long.MAX_VALUE);
+            assertEquals("seed " + seed, minMb, searchResult.copiedMb());
+            assertEquals("seed " + seed, List.of(), PlanVerifier.violations(problem, plan));
+            assertTrue("seed " + seed + ": the lower bound is above the optimum",
+                    CopyLowerBound.of(new PlacementModel(problem)).copiedMb() <= minMb);
+            boundMet += CopyLowerBound.of(new PlacementModel(problem)).copiedMb() == minMb ? 1 : 0;
+            withMoves += minMb > 0 ? 1 : 0;
+            withIntermediateMove += plan.moves().stream().anyMatch(m -> plan.moves().stream()
                     .anyMatch(o -> o.block().equals(m.block()) && o.from().equals(m.to()))) ? 1 : 0;
         }
-        System.out.println("small fleets: " + plans + " with moves, " + none + " without a plan, " + stops
-                + " with a stop on the way, bound met by " + proven);
-        assertTrue(plans > 200 && none > 200 && stops > 0);
+        System.out.println("small problems: " + withMoves + " with moves, " + none + " without a plan, "
+                + withIntermediateMove + " with an intermediate move, lower bound met by " + boundMet);
+        assertTrue(withMoves > 200 && none > 200 && withIntermediateMove > 0);
     }
 
     @Test
-    public void reasonsAreInfeasibleByThemselvesAndNoFewerAre() {
+    public void conflictsAreInfeasibleAndOfMinimalSize() {
         int seen = 0;
         for (long seed = 0; seen < 60; seed++) {
-            PlacementProblem fleet = RandomPlacementProblems.of(seed, 3, 3);
-            if (PlacementPlanner.plan(fleet) instanceof PlacementResult.Infeasible none) {
+            PlacementProblem problem = RandomPlacementProblems.of(seed, 3, 3);
+            if (PlacementPlanner.plan(problem) instanceof PlacementResult.Infeasible none) {
                 seen++;
                 assertTrue("seed " + seed, none.minimal());
-                assertEquals("seed " + seed + " " + none, -1, BruteForce.least(fleet, none.conflict()));
-                List<PlacementConstraint> rules = BruteForce.rules(fleet);
-                for (int set = 0; set < 1 << rules.size(); set++) {
+                assertEquals("seed " + seed + " " + none, -1, BruteForce.minCopiedMb(problem, none.conflict()));
+                List<PlacementConstraint> constraints = BruteForce.allConstraints(problem);
+                for (int set = 0; set < 1 << constraints.size(); set++) {
                     if (Integer.bitCount(set) == none.conflict().size() - 1) {
                         List<PlacementConstraint> fewer = new ArrayList<>();
-                        for (int r = 0; r < rules.size(); r++) {
+                        for (int r = 0; r < constraints.size(); r++) {
                             if ((set >> r & 1) == 1) {
-                                fewer.add(rules.get(r));
+                                fewer.add(constraints.get(r));
                             }
                         }
-                        assertTrue("seed " + seed + " also " + fewer, BruteForce.least(fleet, fewer) >= 0);
+                        assertTrue("seed " + seed + " also " + fewer, BruteForce.minCopiedMb(problem, fewer) >= 0);
                     }
                 }
             }
         }
     }
 
-    /** One block goes out of another's way and comes to where that one was. */
+    /** Block p must move to a third node to make room for block q, and then to the node that q has left. */
     @Test
-    public void twoBlocksChangePlacesByAThirdNode() {
-        PlacementProblem fleet = new PlacementProblem(0, FailureDomain.CELL, 250_000,
+    public void swapsTwoBlocksThroughAThirdNode() {
+        PlacementProblem problem = new PlacementProblem(0, FailureDomain.CELL, 250_000,
                 List.of(node("a", 150), node("b", 400), node("c", 250)),
                 List.of(new BlockReplicas("p", 50, List.of("a")), new BlockReplicas("q", 150, List.of("b")),
                         new BlockReplicas("r", 250, List.of("b")), new BlockReplicas("s", 200, List.of("c"))));
         assertEquals(new PlacementResult.Plan(List.of(new Move("p", "a", "c", 50, 1), new Move("q", "b", "a", 150, 2),
-                new Move("p", "c", "b", 50, 3)), 250, 250, true), PlacementPlanner.plan(fleet));
+                new Move("p", "c", "b", 50, 3)), 250, 250, true), PlacementPlanner.plan(problem));
     }
 
-    /** Sixty nodes are too many for a search. */
+    /** Sixty nodes are too many for a search, so infeasibility must be proven by counting. */
     @Test
-    public void whatIsLargeIsProvenByCounting() {
+    public void provesInfeasibilityOfLargeProblemsByCounting() {
         List<StorageNode> nodes = new ArrayList<>();
         List<BlockReplicas> blocks = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -91,14 +91,14 @@
                 blocks.add(new BlockReplicas("b" + i + "-" + b, 14, List.of("n" + i)));
             }
         }
-        PlacementResult answer = PlacementPlanner
+        PlacementResult result = PlacementPlanner
                 .plan(new PlacementProblem(0, FailureDomain.CELL, PlacementProblem.NO_LEVEL, nodes, blocks));
-        // 59 nodes take seven each, and there are 420
-        assertTrue("" + answer, answer instanceof PlacementResult.Infeasible);
+        // 59 nodes have room for seven blocks each, and there are 420 blocks
+        assertTrue("" + result, result instanceof PlacementResult.Infeasible);
         nodes.set(1, new StorageNode("n1", "c1", 99 + 98, false));
-        answer = PlacementPlanner
+        result = PlacementPlanner
                 .plan(new PlacementProblem(0, FailureDomain.CELL, PlacementProblem.NO_LEVEL, nodes, blocks));
-        assertTrue("" + answer, answer instanceof PlacementResult.Plan p && p.optimal() && p.copiedMb() == 98);
+        assertTrue("" + result, result instanceof PlacementResult.Plan p && p.optimal() && p.copiedMb() == 98);
     }
 
     private static StorageNode node(String id, long mb) {
--- a/src/test/java/wallmoor/placement/RandomPlacementProblems.java
+++ b/src/test/java/wallmoor/placement/RandomPlacementProblems.java
@@ -6,31 +6,32 @@
 import java.util.Random;
 
 /**
- * Small fleets by a seed: nodes over their bound, drains, copies side by side, levels; one in three hardly has room.
+ * Creates small problems from a seed, with overfull nodes, draining nodes, colocated replicas and levels. One in three
+ * has hardly any free space.
  */
 final class RandomPlacementProblems {
     private RandomPlacementProblems() {}
 
-    static PlacementProblem of(long seed, int mostNodes, int mostBlocks) {
+    static PlacementProblem of(long seed, int maxNodes, int maxBlocks) {
         var random = new Random(seed * 7919 + 17);
-        return seed % 3 == 2 && mostNodes > 2 ? tight(random, mostNodes, mostBlocks)
-                : mixed(random, mostNodes, mostBlocks);
+        return seed % 3 == 2 && maxNodes > 2 ? tight(random, maxNodes, maxBlocks)
+                : mixed(random, maxNodes, maxBlocks);
     }
 
-    private static PlacementProblem mixed(Random random, int mostNodes, int mostBlocks) {
-        int n = 2 + random.nextInt(mostNodes - 1);
-        int cells = 2 + random.nextInt(n);
+    private static PlacementProblem mixed(Random random, int maxNodes, int maxBlocks) {
+        int nodeCount = 2 + random.nextInt(maxNodes - 1);
+        int cells = 2 + random.nextInt(nodeCount);
         List<StorageNode> nodes = new ArrayList<>();
         int scale = 6 + random.nextInt(9);
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < nodeCount; i++) {
             nodes.add(new StorageNode("n" + i, "c" + (random.nextInt(4) == 0 ? random.nextInt(cells) : i % cells),
                     100L * (scale + random.nextInt(4)) + random.nextInt(2) * 10L, random.nextInt(5) == 0));
         }
         List<BlockReplicas> blocks = new ArrayList<>();
-        int count = 1 + random.nextInt(mostBlocks);
+        int count = 1 + random.nextInt(maxBlocks);
         for (int b = 0; b < count; b++) {
-            int copies = 1 + random.nextInt(Math.min(2 + random.nextInt(2), n));
-            blocks.add(block(b, 50L * (1 + random.nextInt(8)) + random.nextInt(3), copies, nodes, random));
+            int replicas = 1 + random.nextInt(Math.min(2 + random.nextInt(2), nodeCount));
+            blocks.add(block(b, 50L * (1 + random.nextInt(8)) + random.nextInt(3), replicas, nodes, random));
         }
         int level = random.nextInt(3) == 0 ? 100_000 * (1 + random.nextInt(6)) : PlacementProblem.NO_LEVEL;
         int headroom = random.nextInt(3) * 100_000;
@@ -38,28 +39,28 @@
                 nodes, blocks);
     }
 
-    /** Blocks must make way for each other, some for a while only. */
-    private static PlacementProblem tight(Random random, int mostNodes, int mostBlocks) {
-        int n = 3 + random.nextInt(mostNodes - 2);
+    /** Creates a problem whose blocks must make room for each other, some of them only temporarily. */
+    private static PlacementProblem tight(Random random, int maxNodes, int maxBlocks) {
+        int nodeCount = 3 + random.nextInt(maxNodes - 2);
         List<StorageNode> nodes = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < nodeCount; i++) {
             nodes.add(new StorageNode("n" + i, "c" + i, 1, false));
         }
         List<BlockReplicas> blocks = new ArrayList<>();
-        for (int b = 0; b < mostBlocks; b++) {
+        for (int b = 0; b < maxBlocks; b++) {
             blocks.add(block(b, 50L * (1 + random.nextInt(8)), 1 + random.nextInt(2), nodes, random));
         }
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < nodeCount; i++) {
             String id = "n" + i;
-            long held = blocks.stream().filter(b -> b.holders().contains(id)).mapToLong(BlockReplicas::sizeMb).sum();
-            nodes.set(i, new StorageNode(id, "c" + i, Math.max(50, held + 50L * random.nextInt(8)), false));
+            long usedMb = blocks.stream().filter(b -> b.holders().contains(id)).mapToLong(BlockReplicas::sizeMb).sum();
+            nodes.set(i, new StorageNode(id, "c" + i, Math.max(50, usedMb + 50L * random.nextInt(8)), false));
         }
         return new PlacementProblem(0, FailureDomain.CELL, 50_000 * (1 + random.nextInt(8)), nodes, blocks);
     }
 
-    private static BlockReplicas block(int b, long mb, int copies, List<StorageNode> nodes, Random random) {
-        List<String> on = new ArrayList<>(nodes.stream().map(StorageNode::id).toList());
-        Collections.shuffle(on, random);
-        return new BlockReplicas("b" + b, mb, on.subList(0, copies));
+    private static BlockReplicas block(int b, long sizeMb, int replicas, List<StorageNode> nodes, Random random) {
+        List<String> holders = new ArrayList<>(nodes.stream().map(StorageNode::id).toList());
+        Collections.shuffle(holders, random);
+        return new BlockReplicas("b" + b, sizeMb, holders.subList(0, replicas));
     }
 }
