--- a/src/main/java/wallmoor/config/RebalanceFile.java
+++ b/src/main/java/wallmoor/config/RebalanceFile.java
@@ -138,7 +138,7 @@
     }
 
     private static long megabytes(ConfigSection at, String key) {
-        return present(at, key) ? at.whole(key, 1, 1, (int) PlacementProblem.MOST_MB) : at.whole(key, 1, 1, 1);
+        return present(at, key) ? at.whole(key, 1, 1, (int) PlacementProblem.MAX_MB) : at.whole(key, 1, 1, 1);
     }
 
     /** A share as millionths. */
--- a/src/main/java/wallmoor/placement/PlacementProblem.java
+++ b/src/main/java/wallmoor/placement/PlacementProblem.java
@@ -15,7 +15,7 @@
 public record PlacementProblem(int headroom, FailureDomain spread, int level, List<StorageNode> nodes,
         List<BlockReplicas> blocks) {
     /** Megabytes of a disk or a block at most, so that a share of a disk in millionths is exact in a long. */
-    public static final long MOST_MB = 1_000_000_000;
+    public static final long MAX_MB = 1_000_000_000;
     /** The {@code level} of a problem that does not limit the difference of used shares. */
     public static final int NO_LEVEL = -1;
     /** Number of millionths in a whole share. */
@@ -39,15 +39,15 @@
         Set<String> nodeIds = new HashSet<>();
         for (StorageNode node : nodes) {
             require(nodeIds.add(node.id()), "node id " + node.id() + " is not unique");
-            require(node.diskMb() >= 1 && node.diskMb() <= MOST_MB && usableMb(node, headroom) >= 1,
-                    "disk_mb of node " + node.id() + " is " + node.diskMb() + ", allowed are 1 to " + MOST_MB
+            require(node.diskMb() >= 1 && node.diskMb() <= MAX_MB && usableMb(node, headroom) >= 1,
+                    "disk_mb of node " + node.id() + " is " + node.diskMb() + ", allowed are 1 to " + MAX_MB
                             + " with at least 1 MB beside the headroom");
         }
         Set<String> blockIds = new HashSet<>();
         for (BlockReplicas block : blocks) {
             require(blockIds.add(block.id()), "block id " + block.id() + " is not unique");
-            require(block.sizeMb() >= 1 && block.sizeMb() <= MOST_MB,
-                    "mb of block " + block.id() + " is " + block.sizeMb() + ", allowed are 1 to " + MOST_MB);
+            require(block.sizeMb() >= 1 && block.sizeMb() <= MAX_MB,
+                    "mb of block " + block.id() + " is " + block.sizeMb() + ", allowed are 1 to " + MAX_MB);
             require(!block.holders().isEmpty() && nodeIds.containsAll(block.holders())
                     && new HashSet<>(block.holders()).size() == block.holders().size(),
                     "holders of block " + block.id() + " are " + block.holders()
