--- a/src/main/java/wallmoor/summaries/KeyBloomFilter.java
+++ b/src/main/java/wallmoor/summaries/KeyBloomFilter.java
@@ -81,7 +81,7 @@
         return true;
     }
 
-    /** Returns a filter of the same keys with {@code bits} bits, at most as many as now: positions keep their low bits. */
+    /** Returns a filter of the same keys with {@code bits} bits, at most as many as this one has. */
     KeyBloomFilter shrunk(int bits) {
         var smaller = ofBits(bits);
         for (int i = 0; i < words.length; i++) {
