--- a/src/main/java/wallmoor/cli/CheckCommand.java
+++ b/src/main/java/wallmoor/cli/CheckCommand.java
@@ -12,47 +12,48 @@
 import wallmoor.config.OperatorConfig;
 import wallmoor.inventory.InventorySource;
 
-/** Checks the files without serving. */
+/** Checks the configuration files and inventories without serving. */
 @Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Check the gatherer's configuration, the operators' file and the inventories it names.",
-        footer = "Exits 0 when all are sound, 2 with every fault on a line of its own.")
+        description = "Check the gatherer's configuration, the operators' file and the inventories that it names.",
+        footer = "Exits 0 when all files are valid, 2 after printing each error on a line of its own.")
 final class CheckCommand implements Callable<Integer> {
     @Mixin
     private ConfigFileOptions files;
 
-    @Parameters(arity = "0..1", paramLabel = "FILE", description = "The operators' file, in place of --operator.")
-    private Path file;
+    @Parameters(arity = "0..1", paramLabel = "FILE", description = "The operators' file, used instead of --operator.")
+    private Path operatorFile;
 
     @Override
     public Integer call() {
-        List<String> faults = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
         try {
-            LaunchConfig launch = files.launch();
-            OperatorConfig operator = file != null ? OperatorConfig.read(file, launch) : files.operator(launch);
+            LaunchConfig launch = files.readLaunchConfig();
+            OperatorConfig operator = operatorFile != null ? OperatorConfig.read(operatorFile, launch)
+                    : files.readOperatorConfig(launch);
             if (operator.inventory() != null) {
-                inventory(new InventorySource(operator.inventory().file(), launch.settings().layout(), launch.zones(),
-                        launch.kinds()), faults);
+                checkInventory(new InventorySource(operator.inventory().file(), launch.settings().layout(),
+                        launch.zones(), launch.kinds()), errors);
             }
             if (operator.ogc() != null) {
-                inventory(new InventorySource(operator.ogc().inventory(), operator.ogc().layout(), launch.zones(),
-                        launch.kinds()), faults);
+                checkInventory(new InventorySource(operator.ogc().inventory(), operator.ogc().layout(), launch.zones(),
+                        launch.kinds()), errors);
             }
         } catch (ConfigException e) {
-            faults.add(e.getMessage());
+            errors.add(e.getMessage());
         }
-        faults.forEach(System.err::println);
-        if (!faults.isEmpty()) {
-            return Commands.USAGE;
+        errors.forEach(System.err::println);
+        if (!errors.isEmpty()) {
+            return Commands.USAGE_ERROR;
         }
         System.out.println("sound");
         return 0;
     }
 
-    private static void inventory(InventorySource inventory, List<String> faults) {
+    private static void checkInventory(InventorySource inventory, List<String> errors) {
         try {
             inventory.initialEndpoints();
         } catch (ConfigException e) {
-            faults.add(e.getMessage());
+            errors.add(e.getMessage());
         }
     }
 }
--- a/src/main/java/wallmoor/cli/CommandGroup.java
+++ b/src/main/java/wallmoor/cli/CommandGroup.java
@@ -4,20 +4,24 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** A command that does nothing without one of its subcommands. */
+/** A command that only groups subcommands: running it without one is a usage error. */
 abstract class CommandGroup implements Runnable {
     @Spec
     CommandSpec spec;
 
-    private final String missing;
+    private final String subcommands;
 
-    /** {@code missing} names the subcommands, as the complaint does that one of them is missing. */
-    CommandGroup(String missing) {
-        this.missing = missing;
+    /**
+     * Creates a group.
+     *
+     * @param subcommands the subcommands, as the error message for a missing subcommand lists them
+     */
+    CommandGroup(String subcommands) {
+        this.subcommands = subcommands;
     }
 
     @Override
     public final void run() {
-        throw new ParameterException(spec.commandLine(), missing + " is missing");
+        throw new ParameterException(spec.commandLine(), "a subcommand is required: " + subcommands);
     }
 }
--- a/src/main/java/wallmoor/cli/Commands.java
+++ b/src/main/java/wallmoor/cli/Commands.java
@@ -8,25 +8,25 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** The command line, with a subcommand for each thing an operator does. */
+/** The top-level command, with a subcommand for each of an operator's tasks. */
 @Command(name = "wallmoor", mixinStandardHelpOptions = true, versionProvider = Commands.Version.class,
-        description = "A gatherer: queries split over nodes, one final answer in time.",
-        footer = {"", "Exit codes: 0 well, 1 an error of the program's own, 2 bad usage or configuration;",
-            "others as the command's own help says."},
+        description = "A gatherer: splits each query over nodes and returns one final answer within its deadline.",
+        footer = {"", "Exit codes: 0 success, 1 internal error, 2 invalid usage or configuration;",
+            "for others see the help of the command."},
         subcommands = {CheckCommand.class, MembersCommand.class, ResolveCommand.class, DeviceCommand.class,
             DevicesCommand.class,
             FleetCommand.class,
             MaintenanceCommand.class, RebalanceCommand.class, RulesCommand.class, SummariesCommand.class,
             GenerateCompletion.class})
 public final class Commands extends CommandGroup {
-    /** What the command was called with could not be used, or a configuration could not. */
-    static final int USAGE = 2;
+    /** Exit code for invalid arguments or an invalid configuration. */
+    static final int USAGE_ERROR = 2;
 
     private Commands() {
-        super("a command");
+        super("see the list of commands");
     }
 
-    /** The version that the build wrote into the jar. */
+    /** Provides the version that the build wrote into the jar's manifest. */
     static final class Version implements IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -35,19 +35,23 @@
         }
     }
 
-    /** For the help alone: these run without this command line. */
+    /** Listed for the help only: {@code Main} runs this command and the two below without this command line. */
     @Command(name = "serve", description = "Serve as a gatherer; ROUTER_CONFIG and WALLMOOR_OPERATOR name its files.")
-    private static final class Serve extends Plain {}
+    private static final class Serve extends NoArgumentsCommand {}
 
-    @Command(name = "simulate", aliases = "drill", description = "Speak the simulator's wire on standard streams.")
-    private static final class Simulate extends Plain {}
+    @Command(name = "simulate", aliases = "drill",
+            description = "Exchange messages with the simulator over the standard streams.")
+    private static final class Simulate extends NoArgumentsCommand {}
 
     @Command(name = "train-archive", aliases = "rehearse",
-            description = "Load what serving needs and end, for an archive of classes.")
-    private static final class TrainArchive extends Plain {}
+            description = "Load the classes that serving needs and exit, to create a class data sharing archive.")
+    private static final class TrainArchive extends NoArgumentsCommand {}
 
-    /** A command that takes no options, or it would not have come here. */
-    private abstract static class Plain implements Callable<Integer> {
+    /**
+     * A command that {@code Main} runs itself if it has no arguments. It gets here only with surplus arguments, which
+     * are a usage error.
+     */
+    private abstract static class NoArgumentsCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
--- a/src/main/java/wallmoor/cli/ConfigFileOptions.java
+++ b/src/main/java/wallmoor/cli/ConfigFileOptions.java
@@ -7,32 +7,33 @@
 import wallmoor.config.LaunchConfig;
 import wallmoor.config.OperatorConfig;
 
-/** The two files that a gatherer is started with, as options of a command. */
+/** Command options for the two files that a gatherer is started with; each defaults to an environment variable. */
 final class ConfigFileOptions {
     @Option(names = "--config", paramLabel = "FILE",
-            description = "The gatherer's JSON configuration; else ROUTER_CONFIG names it.")
-    private Path config;
+            description = "The gatherer's JSON configuration (default: the file that ROUTER_CONFIG names).")
+    private Path configFile;
 
     @Option(names = "--operator", paramLabel = "FILE",
-            description = "The operators' file; else WALLMOOR_OPERATOR names it.")
-    private Path operator;
+            description = "The operators' file (default: the file that WALLMOOR_OPERATOR names).")
+    private Path operatorFile;
 
+    /** Returns the process environment, with the files given as options in place of those that it names. */
     private Map<String, String> environment() {
         var env = new HashMap<>(System.getenv());
-        if (config != null) {
-            env.put("ROUTER_CONFIG", config.toString());
+        if (configFile != null) {
+            env.put("ROUTER_CONFIG", configFile.toString());
         }
-        if (operator != null) {
-            env.put("WALLMOOR_OPERATOR", operator.toString());
+        if (operatorFile != null) {
+            env.put("WALLMOOR_OPERATOR", operatorFile.toString());
         }
         return env;
     }
 
-    LaunchConfig launch() {
+    LaunchConfig readLaunchConfig() {
         return LaunchConfig.read(environment());
     }
 
-    OperatorConfig operator(LaunchConfig launch) {
+    OperatorConfig readOperatorConfig(LaunchConfig launch) {
         return OperatorConfig.read(environment(), launch);
     }
 }
--- a/src/main/java/wallmoor/cli/ControlAnswer.java
+++ b/src/main/java/wallmoor/cli/ControlAnswer.java
@@ -7,39 +7,44 @@
 import wallmoor.json.Json;
 
 /**
- * What a gatherer answered at its control port.
+ * A gatherer's response at its control port.
  *
- * @param exitCode 0 where it answered; else why it did not was printed, and nothing else is here
- * @param lines    of the answer, JSON objects
- * @param first    the first line's object, or null where the answer has none
+ * @param exitCode 0 if the gatherer responded; otherwise the reason was printed and the other fields are empty
+ * @param lines    the non-empty lines of the response, each a JSON object
+ * @param first    the object on the first line, or null if the response has no lines
  */
 record ControlAnswer(int exitCode, List<String> lines, Json.Obj first) {
-    /** The gatherer could not be asked. */
+    /** Exit code if the gatherer could not be reached or its response could not be parsed. */
     static final int NO_ANSWER = 4;
 
-    /** Asks; prints what went wrong. */
+    /**
+     * Sends a request and returns the response; prints the reason if that fails.
+     *
+     * @param timeoutMillis how long to wait for each piece of the response
+     * @param maxBytes      the length at which the response is cut off
+     */
     static ControlAnswer ask(ControlPortOptions options, String request, long timeoutMillis, int maxBytes) {
         try {
-            String answer = ControlClient.ask(options.address(), request, timeoutMillis, maxBytes);
-            List<String> lines = answer.lines().filter(line -> !line.isEmpty()).toList();
+            String response = ControlClient.ask(options.address(), request, timeoutMillis, maxBytes);
+            List<String> lines = response.lines().filter(line -> !line.isEmpty()).toList();
             Json.Obj first = lines.isEmpty() ? null : ControlClient.parse(lines.get(0));
             if (first != null && first.get("fault") != null) {
-                return failed(Commands.USAGE, "the gatherer " + first.text("fault"));
+                return failed(Commands.USAGE_ERROR, "the gatherer " + first.text("fault"));
             }
             return new ControlAnswer(0, lines, first);
         } catch (ConfigException e) {
-            return failed(Commands.USAGE, e.getMessage());
+            return failed(Commands.USAGE_ERROR, e.getMessage());
         } catch (IOException | Json.Malformed e) {
             return unanswered(e.getMessage());
         }
     }
 
-    /** Prints that the gatherer can't be asked, and why. */
+    /** Prints why no usable response came from the gatherer. */
     static ControlAnswer unanswered(String reason) {
-        return failed(NO_ANSWER, "the gatherer can't be asked: " + reason);
+        return failed(NO_ANSWER, "no usable response from the gatherer's control port: " + reason);
     }
 
-    /** Prints why the answer is of no use. */
+    /** Prints the reason of a failure and returns an answer without lines. */
     static ControlAnswer failed(int exitCode, String reason) {
         System.err.println("wallmoor: " + reason);
         return new ControlAnswer(exitCode, List.of(), null);
--- a/src/main/java/wallmoor/cli/ControlPortOptions.java
+++ b/src/main/java/wallmoor/cli/ControlPortOptions.java
@@ -7,49 +7,49 @@
 import wallmoor.config.LaunchConfig;
 import wallmoor.config.OperatorConfig;
 
-/** Which control port a command asks, and how it prints the answer: options of a command. */
+/** Command options for the control port that a command sends its request to, and for the format of its output. */
 abstract class ControlPortOptions {
     @Mixin
     private ConfigFileOptions files;
 
     @Option(names = "--at", paramLabel = "ADDRESS:PORT",
-            description = "The control port; else ${PARENT-COMMAND-NAME}.control of the operators' file.")
-    private String at;
+            description = "The control port (default: ${PARENT-COMMAND-NAME}.control of the operators' file).")
+    private String controlAddress;
 
-    @Option(names = "--json", description = "Print JSON objects, one a line.")
+    @Option(names = "--json", description = "Print JSON objects, one per line.")
     private boolean json;
 
     private final String setting;
-    private final String missing;
+    private final String unsetMessage;
 
     /**
-     * Options of the commands below one.
+     * Creates the options shared by the subcommands of a command.
      *
-     * @param setting of the operators' file that has the address
-     * @param missing what it means that it is not set
+     * @param setting      the key of the address in the operators' file
+     * @param unsetMessage the error message if neither that key nor {@code --at} is set
      */
-    ControlPortOptions(String setting, String missing) {
+    ControlPortOptions(String setting, String unsetMessage) {
         this.setting = setting;
-        this.missing = missing;
+        this.unsetMessage = unsetMessage;
     }
 
-    /** The address of the operators' file, or null where it has none. */
-    abstract InetSocketAddress configured(OperatorConfig operator);
+    /** Returns the control port's address in the operators' file, or null if it has none. */
+    abstract InetSocketAddress configuredAddress(OperatorConfig operator);
 
-    /** Where to ask. */
+    /** Returns the address of {@code --at}, or else the one in the operators' file. */
     final InetSocketAddress address() {
-        if (at != null) {
-            return LaunchConfig.address("--at", at);
+        if (controlAddress != null) {
+            return LaunchConfig.address("--at", controlAddress);
         }
-        InetSocketAddress configured = configured(files.operator(files.launch()));
+        InetSocketAddress configured = configuredAddress(files.readOperatorConfig(files.readLaunchConfig()));
         if (configured == null) {
-            throw new ConfigException(setting, missing);
+            throw new ConfigException(setting, unsetMessage);
         }
         return configured;
     }
 
-    /** Whether the answer is printed as it came. */
-    final boolean json() {
+    /** Returns whether the response is printed as JSON, unchanged. */
+    final boolean isJson() {
         return json;
     }
 }
--- a/src/main/java/wallmoor/cli/ControlRequest.java
+++ b/src/main/java/wallmoor/cli/ControlRequest.java
@@ -2,7 +2,7 @@
 
 import wallmoor.json.Json;
 
-/** A request to a control port that is asked in JSON: a command and its fields, on one line. */
+/** A request to a control port that takes JSON: a command and its fields, on one line. */
 final class ControlRequest {
     private final String command;
     private final StringBuilder json = new StringBuilder("{");
@@ -16,19 +16,21 @@
         return command;
     }
 
+    /** Appends a field with a text value. */
     ControlRequest with(String field, String value) {
-        name(field);
+        appendName(field);
         Json.quote(json, value);
         return this;
     }
 
+    /** Appends a field with an integer value. */
     ControlRequest with(String field, long value) {
-        name(field);
+        appendName(field);
         json.append(value);
         return this;
     }
 
-    private void name(String field) {
+    private void appendName(String field) {
         if (json.length() > 1) {
             json.append(',');
         }
--- a/src/main/java/wallmoor/cli/DevicesCommand.java
+++ b/src/main/java/wallmoor/cli/DevicesCommand.java
@@ -18,31 +18,33 @@
 import wallmoor.edge.Devices;
 import wallmoor.edge.EdgeRequest;
 
-/** Keeps the file of devices. It is replaced whole, so that a gatherer which reads it never sees half of it. */
-@Command(name = "devices", mixinStandardHelpOptions = true, description = "Keep the file of devices that may ask.")
+/** Edits the file of devices. The file is replaced atomically, so that a gatherer never reads a partly written one. */
+@Command(name = "devices", mixinStandardHelpOptions = true,
+        description = "Manage the file of devices that may send queries.")
 final class DevicesCommand extends CommandGroup {
     private static final String HEADER = "device,sha256";
-    private static final int SECRET = 32;
+    private static final int SECRET_BYTES = 32;
 
     DevicesCommand() {
         super("add, list or revoke");
     }
 
     @Command(name = "add", mixinStandardHelpOptions = true,
-            description = "Add a device and print its token: it is kept nowhere else.")
+            description = "Add a device and print its token, which is stored nowhere else.")
     int add(@Option(names = "--file", required = true, paramLabel = "FILE") Path file,
             @Parameters(paramLabel = "DEVICE") String device) throws IOException {
         if (!device.matches("[A-Za-z0-9_-]{1,64}")) {
-            throw new ParameterException(spec.commandLine(), "a device's name has letters, digits, - and _ alone");
+            throw new ParameterException(spec.commandLine(),
+                    "the device name '" + device + "' is invalid: 1 to 64 letters, digits, - or _");
         }
         List<String> lines = read(file);
         if (lines.stream().anyMatch(l -> l.startsWith(device + ","))) {
-            System.err.println("wallmoor: " + device + " is there already: revoke it first");
-            return Commands.USAGE;
+            System.err.println("wallmoor: device " + device + " already exists in " + file + ": revoke it first");
+            return Commands.USAGE_ERROR;
         }
-        byte[] drawn = new byte[SECRET];
-        new SecureRandom().nextBytes(drawn);
-        String token = device + "." + Base64.getUrlEncoder().withoutPadding().encodeToString(drawn);
+        byte[] secret = new byte[SECRET_BYTES];
+        new SecureRandom().nextBytes(secret);
+        String token = device + "." + Base64.getUrlEncoder().withoutPadding().encodeToString(secret);
         lines.add(device + "," + HexFormat.of().formatHex(EdgeRequest.sha256(token.getBytes(StandardCharsets.UTF_8))));
         write(file, lines);
         System.out.println(token);
@@ -57,13 +59,14 @@
     }
 
     @Command(name = "revoke", mixinStandardHelpOptions = true,
-            description = "Remove a device: it is refused within 2 s; what it had out goes on, its outcomes are kept.")
+            description = "Remove a device: it is refused within 2 s; its running queries go on, and their outcomes "
+                    + "are retained.")
     int revoke(@Option(names = "--file", required = true, paramLabel = "FILE") Path file,
             @Parameters(paramLabel = "DEVICE") String device) throws IOException {
         List<String> lines = read(file);
         if (!lines.removeIf(l -> l.startsWith(device + ","))) {
-            System.err.println("wallmoor: there is no device " + device);
-            return Commands.USAGE;
+            System.err.println("wallmoor: device " + device + " does not exist in " + file);
+            return Commands.USAGE_ERROR;
         }
         write(file, lines);
         return 0;
@@ -82,8 +85,8 @@
     }
 
     private static void write(Path file, List<String> lines) throws IOException {
-        Path whole = file.toAbsolutePath().resolveSibling(file.getFileName() + ".new");
-        Files.write(whole, lines);
-        Files.move(whole, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Path newFile = file.toAbsolutePath().resolveSibling(file.getFileName() + ".new");
+        Files.write(newFile, lines);
+        Files.move(newFile, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 }
--- a/src/main/java/wallmoor/cli/FleetCommand.java
+++ b/src/main/java/wallmoor/cli/FleetCommand.java
@@ -10,30 +10,30 @@
 import wallmoor.control.ControlClient;
 import wallmoor.json.Json;
 
-/** Asks a gatherer on this machine what it knows of the group, over its control port. */
+/** Shows a local gatherer's view of the group of gatherers, requested over its control port. */
 @Command(name = "fleet", mixinStandardHelpOptions = true,
-        description = "Ask a running gatherer on this machine what it holds of the group of gatherers.",
-        footer = {"It must have fleet.control set in its operators' file.",
-            "Exits 0, 2 on a faulty configuration or an unknown member, 3 without a quorum (members), 4 where it "
-                    + "can't be asked."})
+        description = "Show the view that a running gatherer on this machine has of the group of gatherers.",
+        footer = {"The gatherer must have fleet.control set in its operators' file.",
+            "Exits 0 on success, 2 on an invalid configuration or an unknown member, 3 without a quorum (members), "
+                    + "4 if the gatherer does not respond."})
 final class FleetCommand extends CommandGroup {
     private static final int NO_QUORUM = 3;
     private static final int TIMEOUT_MILLIS = 5_000;
     private static final int MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-    private static final long WATCH_MILLIS = 1_000;
+    private static final long WATCH_INTERVAL_MILLIS = 1_000;
 
     FleetCommand() {
         super("members or explain");
     }
 
-    /** Which control port. */
+    /** Options for the control port {@code fleet.control}. */
     private static final class FleetPort extends ControlPortOptions {
         FleetPort() {
-            super("fleet.control", "is not set: the gatherer tells nobody of its group");
+            super("fleet.control", "fleet.control is not set and --at is not given: no control port to ask");
         }
 
         @Override
-        InetSocketAddress configured(OperatorConfig operator) {
+        InetSocketAddress configuredAddress(OperatorConfig operator) {
             FleetConfig fleet = operator.fleet();
             return fleet == null ? null : fleet.control();
         }
@@ -42,39 +42,40 @@
     @Command(name = "members", mixinStandardHelpOptions = true,
             description = "Print each gatherer of the group and its state.")
     int members(@Mixin FleetPort port,
-            @Option(names = "--watch", description = "Go on, and print again whenever the view changes.") boolean watch)
+            @Option(names = "--watch",
+                    description = "Keep running, and print again whenever the view changes.") boolean watch)
             throws InterruptedException {
-        String shownVersion = null;
+        String printedVersion = null;
         while (true) {
             ControlAnswer answer = ask(port, "members");
             String version = answer.first() == null ? null : String.valueOf(answer.first().get("version"));
-            if (version != null && !version.equals(shownVersion)) {
+            if (version != null && !version.equals(printedVersion)) {
                 answer = print(port, answer);
             }
             if (!watch || answer.first() == null) {
                 return exitCode(answer);
             }
-            shownVersion = version;
-            Thread.sleep(WATCH_MILLIS);
+            printedVersion = version;
+            Thread.sleep(WATCH_INTERVAL_MILLIS);
         }
     }
 
     @Command(name = "explain", mixinStandardHelpOptions = true,
-            description = "Print who observes a gatherer, what each said of it, and what it would take to remove it.")
+            description = "Print which gatherers observe a gatherer, what each reported, and what its removal needs.")
     int explain(@Mixin FleetPort port, @Parameters(paramLabel = "NAME") String name) {
         return exitCode(print(port, ask(port, "explain " + name)));
     }
 
     private static ControlAnswer ask(FleetPort port, String request) {
         ControlAnswer answer = ControlAnswer.ask(port, request, TIMEOUT_MILLIS, MAX_ANSWER_BYTES);
-        boolean empty = answer.exitCode() == 0 && answer.first() == null;
-        return empty ? ControlAnswer.unanswered("it did not answer") : answer;
+        boolean isEmpty = answer.exitCode() == 0 && answer.first() == null;
+        return isEmpty ? ControlAnswer.unanswered("the response is empty") : answer;
     }
 
     private static ControlAnswer print(FleetPort port, ControlAnswer answer) {
         try {
             for (String line : answer.lines()) {
-                System.out.println(port.json() ? line : JsonText.of(ControlClient.parse(line)));
+                System.out.println(port.isJson() ? line : JsonText.of(ControlClient.parse(line)));
             }
             return answer;
         } catch (Json.Malformed e) {
@@ -83,7 +84,7 @@
     }
 
     private static int exitCode(ControlAnswer answer) {
-        boolean noQuorum = answer.first() != null && Boolean.FALSE.equals(answer.first().get("quorum"));
-        return noQuorum ? NO_QUORUM : answer.exitCode();
+        boolean hasNoQuorum = answer.first() != null && Boolean.FALSE.equals(answer.first().get("quorum"));
+        return hasNoQuorum ? NO_QUORUM : answer.exitCode();
     }
 }
--- a/src/main/java/wallmoor/cli/JsonText.java
+++ b/src/main/java/wallmoor/cli/JsonText.java
@@ -5,11 +5,11 @@
 import wallmoor.control.ControlClient;
 import wallmoor.json.Json;
 
-/** JSON objects as lines for people: each value after its name. */
+/** Formats JSON objects as lines for people, each value after its name. */
 final class JsonText {
     private JsonText() {}
 
-    /** A line of JSON for people; one that is no object stays as it is. */
+    /** Formats a line that holds a JSON object; returns any other line unchanged. */
     static String ofLine(String line) {
         try {
             return of(ControlClient.parse(line));
@@ -18,23 +18,23 @@
         }
     }
 
-    /** An object's values in their order, each after its name; those of an object in it as well. */
+    /** Formats all members of an object in their order, including those of nested objects. */
     static String of(Json.Obj object) {
         return of(object, object.members().keySet());
     }
 
-    /** The same of these fields, in their order. */
+    /** Formats the given members of an object, in the order of {@code fields}. */
     static String of(Json.Obj object, Collection<String> fields) {
-        return fields.stream().map(field -> field + ' ' + plain(object.get(field)))
+        return fields.stream().map(field -> field + ' ' + formatValue(object.get(field)))
                 .collect(Collectors.joining("  "));
     }
 
-    /** A value: whole numbers without a point. */
-    private static String plain(Object value) {
+    /** Formats a value; integers have no decimal point. */
+    private static String formatValue(Object value) {
         if (value instanceof Json.Obj inner) {
             return of(inner);
         }
-        boolean whole = value instanceof Double d && d == Math.rint(d);
-        return whole ? String.valueOf(((Double) value).longValue()) : String.valueOf(value);
+        boolean isInteger = value instanceof Double d && d == Math.rint(d);
+        return isInteger ? String.valueOf(((Double) value).longValue()) : String.valueOf(value);
     }
 }
--- a/src/main/java/wallmoor/cli/MaintenanceCommand.java
+++ b/src/main/java/wallmoor/cli/MaintenanceCommand.java
@@ -15,98 +15,106 @@
 import wallmoor.maintenance.SchedulingResult;
 import wallmoor.maintenance.SchedulingResult.OutageSlot;
 
-/** Plans in which order machines are taken out for work. */
+/** Plans the order in which machines are taken out of service for maintenance. */
 @Command(name = "maintenance", mixinStandardHelpOptions = true,
-        description = "Plan in which order machines are taken out for work.")
+        description = "Plan the order in which machines are taken out of service for maintenance.")
 final class MaintenanceCommand extends CommandGroup {
     private static final int NO_PLAN = 3;
-    private static final double MILLION = 1e6;
+    private static final double PARTS_PER_MILLION = 1e6;
 
     MaintenanceCommand() {
         super("plan");
     }
 
     @Command(name = "plan", mixinStandardHelpOptions = true,
-            description = "Print the order, when each machine goes, and what is left meanwhile; nothing is taken out.",
-            footer = {"Exits 0 with an order, 2 on a faulty file, 3 without an order: with \"feasible\":false none is "
-                    + "possible,",
-                "and the blocks, machines and budgets that stand against it are named; with \"feasible\":\"waits\" "
+            description = "Print the order, the time of each outage and the capacity left during it; nothing is taken "
+                    + "out.",
+            footer = {"Exits 0 with an order, 2 on an invalid file, 3 without an order: with \"feasible\":false none "
+                    + "is possible,",
+                "and the conflicting blocks, machines and budgets are listed; with \"feasible\":\"waits\" "
                         + "there is",
-                "none until what is out by itself is back."})
+                "none until the unplanned outages have ended."})
     int plan(@Parameters(paramLabel = "FILE", description = "Machines, blocks, budgets and wishes, in YAML.") Path file,
             @Option(names = "--json", description = "Print one JSON object.") boolean json) {
-        MaintenanceFile.MaintenancePlanInput whole;
+        MaintenanceFile.MaintenancePlanInput input;
         try {
-            whole = MaintenanceFile.read(file);
+            input = MaintenanceFile.read(file);
         } catch (ConfigException e) {
             System.err.println(e.getMessage());
-            return Commands.USAGE;
+            return Commands.USAGE_ERROR;
         }
-        SchedulingResult answer = MaintenancePlanner.plan(whole.at(), whole.wishes(), whole.fleet(), whole.budgets());
-        System.out.println(json ? json(whole.at(), answer) : text(whole.at(), answer));
-        return answer instanceof SchedulingResult.Schedule ? 0 : NO_PLAN;
+        SchedulingResult result = MaintenancePlanner.plan(input.at(), input.wishes(), input.fleet(), input.budgets());
+        System.out.println(json ? json(input.at(), result) : text(input.at(), result));
+        return result instanceof SchedulingResult.Schedule ? 0 : NO_PLAN;
     }
 
-    private static String text(long at, SchedulingResult answer) {
+    private static String text(long startMillis, SchedulingResult result) {
         var to = new StringBuilder();
-        if (answer instanceof SchedulingResult.Schedule order) {
-            for (OutageSlot s : order.slots()) {
-                to.append(time(s.starts())).append(' ').append(s.request().machine())
+        if (result instanceof SchedulingResult.Schedule schedule) {
+            for (OutageSlot slot : schedule.slots()) {
+                to.append(timestamp(slot.starts())).append(' ').append(slot.request().machine())
                         .append(" drains; may be worked on from ")
-                        .append(time(s.free())).append(", back by ").append(time(s.back())).append(", done at ")
-                        .append(time(s.done())).append("; ").append(s.out()).append(" out, capacity left ")
-                        .append(s.capacity() / MILLION);
-                to.append(s.mustStay().isEmpty() ? "\n" : "; must stay: " + String.join(", ", s.mustStay()) + "\n");
+                        .append(timestamp(slot.free())).append(", back by ").append(timestamp(slot.back()))
+                        .append(", done at ").append(timestamp(slot.done())).append("; ").append(slot.out())
+                        .append(" out, capacity left ")
+                        .append(slot.capacity() / PARTS_PER_MILLION);
+                to.append(slot.mustStay().isEmpty() ? "\n"
+                        : "; must stay: " + String.join(", ", slot.mustStay()) + "\n");
             }
-            return to.append("takes ").append((order.endsAt() - at) / 1_000).append(" s; no order takes less than ")
-                    .append((order.lowerBound() - at) / 1_000).append(" s").toString();
+            return to.append("takes ").append((schedule.endsAt() - startMillis) / 1_000)
+                    .append(" s; no order takes less than ")
+                    .append((schedule.lowerBound() - startMillis) / 1_000).append(" s").toString();
         }
-        if (answer instanceof SchedulingResult.WaitsForRecovery waits) {
-            return reasons(
-                    to.append("no order until what is out by itself is back; as it is, these can't be kept together:"),
+        if (result instanceof SchedulingResult.WaitsForRecovery waits) {
+            return appendConstraints(
+                    to.append("no order until the unplanned outages have ended;"
+                            + " until then these constraints conflict:"),
                     waits.conflict()).toString();
         }
-        var no = (SchedulingResult.Infeasible) answer;
-        to.append(no.proven() ? "no order exists; these can't be kept together"
-                : "no order was found that keeps all of these");
-        return reasons(to.append(no.minimal() ? ", and no fewer:" : ":"), no.conflict()).toString();
+        var infeasible = (SchedulingResult.Infeasible) result;
+        to.append(infeasible.proven() ? "no order exists; these constraints conflict"
+                : "no order was found that satisfies all of these constraints");
+        return appendConstraints(to.append(infeasible.minimal() ? ", and no fewer of them do:" : ":"),
+                infeasible.conflict()).toString();
     }
 
-    private static StringBuilder reasons(StringBuilder to, List<MaintenanceConstraint> because) {
-        because.forEach(r -> to.append("\n  ").append(r.text()));
+    private static StringBuilder appendConstraints(StringBuilder to, List<MaintenanceConstraint> conflict) {
+        conflict.forEach(c -> to.append("\n  ").append(c.text()));
         return to;
     }
 
-    private static String json(long at, SchedulingResult answer) {
+    private static String json(long startMillis, SchedulingResult result) {
         var to = new StringBuilder();
-        if (answer instanceof SchedulingResult.Schedule order) {
+        if (result instanceof SchedulingResult.Schedule schedule) {
             to.append("{\"feasible\":true,\"order\":[");
-            for (OutageSlot s : order.slots()) {
+            for (OutageSlot slot : schedule.slots()) {
                 Json.quote(to.append(to.charAt(to.length() - 1) == '[' ? "" : ",").append("{\"wish\":"),
-                        s.request().id());
-                Json.quote(to.append(",\"machine\":"), s.request().machine());
-                Json.quote(to.append(",\"starts\":"), time(s.starts()));
-                Json.quote(to.append(",\"free\":"), time(s.free()));
-                Json.quote(to.append(",\"back\":"), time(s.back()));
-                Json.quote(to.append(",\"done\":"), time(s.done()));
-                to.append(",\"out\":").append(s.out()).append(",\"capacity\":").append(s.capacity() / MILLION);
-                MaintenanceCodec.names(to.append(",\"must_stay\":"), s.mustStay()).append('}');
+                        slot.request().id());
+                Json.quote(to.append(",\"machine\":"), slot.request().machine());
+                Json.quote(to.append(",\"starts\":"), timestamp(slot.starts()));
+                Json.quote(to.append(",\"free\":"), timestamp(slot.free()));
+                Json.quote(to.append(",\"back\":"), timestamp(slot.back()));
+                Json.quote(to.append(",\"done\":"), timestamp(slot.done()));
+                to.append(",\"out\":").append(slot.out())
+                        .append(",\"capacity\":").append(slot.capacity() / PARTS_PER_MILLION);
+                MaintenanceCodec.names(to.append(",\"must_stay\":"), slot.mustStay()).append('}');
             }
-            return to.append("],\"seconds\":").append((order.endsAt() - at) / 1_000).append(",\"bound_seconds\":")
-                    .append((order.lowerBound() - at) / 1_000).append('}').toString();
+            return to.append("],\"seconds\":").append((schedule.endsAt() - startMillis) / 1_000)
+                    .append(",\"bound_seconds\":")
+                    .append((schedule.lowerBound() - startMillis) / 1_000).append('}').toString();
         }
-        if (answer instanceof SchedulingResult.WaitsForRecovery waits) {
+        if (result instanceof SchedulingResult.WaitsForRecovery waits) {
             return MaintenanceCodec.reasons(to.append("{\"feasible\":\"waits\",\"because\":"), waits.conflict())
                     .append(",\"smallest\":")
                     .append(waits.minimal()).append('}').toString();
         }
-        var no = (SchedulingResult.Infeasible) answer;
-        return MaintenanceCodec.reasons(to.append("{\"feasible\":false,\"because\":"), no.conflict())
+        var infeasible = (SchedulingResult.Infeasible) result;
+        return MaintenanceCodec.reasons(to.append("{\"feasible\":false,\"because\":"), infeasible.conflict())
                 .append(",\"smallest\":")
-                .append(no.minimal()).append(",\"proven\":").append(no.proven()).append('}').toString();
+                .append(infeasible.minimal()).append(",\"proven\":").append(infeasible.proven()).append('}').toString();
     }
 
-    private static String time(long at) {
-        return Instant.ofEpochMilli(at).toString();
+    private static String timestamp(long epochMillis) {
+        return Instant.ofEpochMilli(epochMillis).toString();
     }
 }
--- a/src/main/java/wallmoor/cli/MembersCommand.java
+++ b/src/main/java/wallmoor/cli/MembersCommand.java
@@ -11,11 +11,12 @@
 import wallmoor.json.Json;
 import wallmoor.service.EndpointPreview;
 
-/** Shows which nodes a gatherer started now would hold, and why. */
+/** Shows the nodes that a gatherer started now would use, each with the cause of its state. */
 @Command(name = "members", mixinStandardHelpOptions = true,
-        description = "Ask all sources as a gatherer would, and print the nodes with the cause of each one's state.",
-        footer = {"No gatherer is asked and nothing is served: these are the nodes as a fresh one would see them.",
-            "Exits 0, 2 on a faulty configuration, 4 when a source could not be heard (the rest is printed)."})
+        description = "Query all sources as a gatherer does, and print the nodes with the cause of each one's state.",
+        footer = {"No gatherer is contacted and nothing is served: these are the nodes that a new gatherer would see.",
+            "Exits 0 on success, 2 on an invalid configuration, 4 if a source did not report (the others are",
+            "printed)."})
 final class MembersCommand implements Callable<Integer> {
     private static final int NO_ANSWER = 4;
 
@@ -23,43 +24,47 @@
     private ConfigFileOptions files;
 
     @Option(names = "--wait", paramLabel = "SECONDS", defaultValue = "10",
-            description = "For how long to wait until every source was heard (default ${DEFAULT-VALUE}).")
-    private int seconds;
+            description = "How long to wait for a report of every source, from 1 to 600 (default ${DEFAULT-VALUE}).")
+    private int waitSeconds;
 
-    @Option(names = "--json", description = "Print JSON objects, one a line.")
+    @Option(names = "--json", description = "Print JSON objects, one per line.")
     private boolean json;
 
     @Override
     public Integer call() throws InterruptedException {
         try {
-            LaunchConfig launch = files.launch();
-            OperatorConfig operator = files.operator(launch);
-            EndpointPreview look = EndpointPreview.at(launch, operator, 1000L * Math.max(1, Math.min(600, seconds)));
-            look.nodes().forEach(this::print);
-            look.sources().forEach(s -> System.err.println(s.source() + ": " + s.endpoints() + " nodes, "
-                    + (s.pendingRemoval() > 0 ? s.pendingRemoval() + " of them doubted, " : "") + s.state()));
-            return look.allSourcesHeard() ? 0 : NO_ANSWER;
+            LaunchConfig launch = files.readLaunchConfig();
+            OperatorConfig operator = files.readOperatorConfig(launch);
+            EndpointPreview preview = EndpointPreview.at(launch, operator,
+                    1000L * Math.max(1, Math.min(600, waitSeconds)));
+            preview.nodes().forEach(this::print);
+            preview.sources().forEach(source -> System.err.println(source.source() + ": " + source.endpoints()
+                    + " nodes, "
+                    + (source.pendingRemoval() > 0 ? source.pendingRemoval() + " of them pending removal, " : "")
+                    + source.state()));
+            return preview.allSourcesHeard() ? 0 : NO_ANSWER;
         } catch (ConfigException | Json.Malformed e) {
             System.err.println("wallmoor: " + e.getMessage());
-            return Commands.USAGE;
+            return Commands.USAGE_ERROR;
         }
     }
 
-    private void print(EndpointStatus s) {
-        var m = s.endpoint();
+    private void print(EndpointStatus status) {
+        var endpoint = status.endpoint();
         if (!json) {
-            System.out.println(m.id() + " " + m.address() + " cell " + m.cell() + " size " + m.size() + " " + m.state()
-                    + ": " + s.cause());
+            System.out.println(endpoint.id() + " " + endpoint.address() + " cell " + endpoint.cell()
+                    + " size " + endpoint.size() + " " + endpoint.state() + ": " + status.cause());
             return;
         }
         var line = new StringBuilder("{\"node\":");
-        Json.quote(line, m.id());
+        Json.quote(line, endpoint.id());
         line.append(",\"address\":");
-        Json.quote(line, m.address());
-        line.append(",\"cell\":").append(m.cell()).append(",\"size\":").append(m.size()).append(",\"state\":");
-        Json.quote(line, m.state().toString());
+        Json.quote(line, endpoint.address());
+        line.append(",\"cell\":").append(endpoint.cell()).append(",\"size\":").append(endpoint.size())
+                .append(",\"state\":");
+        Json.quote(line, endpoint.state().toString());
         line.append(",\"cause\":");
-        Json.quote(line, String.valueOf(s.cause()));
+        Json.quote(line, String.valueOf(status.cause()));
         System.out.println(line.append('}'));
     }
 }
--- a/src/main/java/wallmoor/cli/RebalanceCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceCommand.java
@@ -17,14 +17,14 @@
 import wallmoor.placement.PlacementResult;
 import wallmoor.placement.PlanVerifier;
 
-/** Plans which blocks move where; the commands beside {@code plan} carry that out. */
+/** Plans the moves of blocks between nodes; the subcommands other than {@code plan} execute them. */
 @Command(name = "rebalance", mixinStandardHelpOptions = true,
-        description = "Plan moves of blocks between nodes, by bytes and room, and carry them out.",
+        description = "Plan moves of blocks between nodes, by size and free space, and execute them.",
         subcommands = {RebalanceStartCommand.class, RebalanceStatusCommand.class, RebalanceControlCommand.Pause.class,
             RebalanceControlCommand.Resume.class,
             RebalanceControlCommand.Stop.class, RebalanceStatusCommand.Explain.class})
 final class RebalanceCommand extends CommandGroup {
-    private static final int OWN_ERROR = 1;
+    private static final int INTERNAL_ERROR = 1;
     private static final int NO_PLAN = 3;
 
     RebalanceCommand() {
@@ -32,96 +32,99 @@
     }
 
     @Command(name = "plan", mixinStandardHelpOptions = true,
-            description = "Print the moves that copy the least, in a safe order and in waves; nothing is moved.",
-            footer = {"Exits 0 with a plan, 2 on a faulty file, 3 without a plan: with \"feasible\":false none",
-                "exists, and the rules that stand against it are named; with \"feasible\":null none was found",
-                "within the search's bounds."})
+            description = "Print the moves that copy the fewest bytes, in a safe order and in waves; nothing is moved.",
+            footer = {"Exits 0 with a plan, 1 if the plan fails its verification, 2 on an invalid file, 3 without",
+                "a plan: with \"feasible\":false none exists, and the conflicting rules are listed; with",
+                "\"feasible\":null none was found within the limits of the search."})
     int plan(@Parameters(paramLabel = "FILE", description = "Nodes, blocks and rules, in YAML.") Path file,
             @Option(names = "--json", description = "Print one JSON object.") boolean json) {
-        PlacementProblem fleet;
+        PlacementProblem problem;
         try {
-            fleet = RebalanceFile.read(file);
+            problem = RebalanceFile.read(file);
         } catch (ConfigException e) {
             System.err.println(e.getMessage());
-            return Commands.USAGE;
+            return Commands.USAGE_ERROR;
         }
-        PlacementResult answer = PlacementPlanner.plan(fleet);
-        if (answer instanceof PlacementResult.Plan plan) {
-            List<String> faults = PlanVerifier.violations(fleet, plan);
-            if (!faults.isEmpty()) { // never seen; a plan that is not sound must not be carried out
-                faults.forEach(f -> System.err.println("wallmoor: the plan is not sound, and not printed: " + f));
-                return OWN_ERROR;
+        PlacementResult result = PlacementPlanner.plan(problem);
+        if (result instanceof PlacementResult.Plan plan) {
+            List<String> violations = PlanVerifier.violations(problem, plan);
+            if (!violations.isEmpty()) { // a bug of the planner; an invalid plan must not be executed
+                violations.forEach(violation -> System.err
+                        .println("wallmoor: the planner's result is invalid and is not printed: " + violation));
+                return INTERNAL_ERROR;
             }
         }
-        System.out.println(json ? json(answer) : text(answer));
-        return answer instanceof PlacementResult.Plan ? 0 : NO_PLAN;
+        System.out.println(json ? json(result) : text(result));
+        return result instanceof PlacementResult.Plan ? 0 : NO_PLAN;
     }
 
-    private static String text(PlacementResult answer) {
+    private static String text(PlacementResult result) {
         var text = new StringBuilder();
-        if (answer instanceof PlacementResult.Plan plan) {
-            for (Move m : plan.moves()) {
-                text.append("wave ").append(m.wave()).append(": ").append(m.block()).append(" from ").append(m.from())
-                        .append(" to ").append(m.to()).append(", ").append(m.sizeMb()).append(" MB\n");
+        if (result instanceof PlacementResult.Plan plan) {
+            for (Move move : plan.moves()) {
+                text.append("wave ").append(move.wave()).append(": ").append(move.block()).append(" from ")
+                        .append(move.from()).append(" to ").append(move.to()).append(", ").append(move.sizeMb())
+                        .append(" MB\n");
             }
             return text.append(plan.copiedMb()).append(" MB; no plan copies less than ").append(plan.lowerBoundMb())
                     .append(" MB")
                     .toString();
         }
-        if (answer instanceof PlacementResult.Infeasible none) {
-            text.append("no plan exists; together these can't be kept")
-                    .append(none.minimal() ? ", and no fewer:" : ":");
-            for (PlacementConstraint r : none.conflict()) {
-                text.append("\n  ").append(name(r)).append(' ')
-                        .append(String.join(" ", r.nodes())).append(String.join(" ", r.blocks()));
+        if (result instanceof PlacementResult.Infeasible infeasible) {
+            text.append("no plan exists; these constraints conflict")
+                    .append(infeasible.minimal() ? ", and no fewer of them do:" : ":");
+            for (PlacementConstraint constraint : infeasible.conflict()) {
+                text.append("\n  ").append(ruleName(constraint)).append(' ')
+                        .append(String.join(" ", constraint.nodes())).append(String.join(" ", constraint.blocks()));
             }
             return text.toString();
         }
-        return "no plan was found, and none was shown not to exist: give more room, a wider level, or plan a part";
+        return "no plan was found, though one may exist: allow more space or a wider level,"
+                + " or plan fewer blocks at once";
     }
 
-    private static String json(PlacementResult answer) {
-        var to = new StringBuilder();
-        if (answer instanceof PlacementResult.Plan plan) {
-            to.append("{\"feasible\":true,\"moves\":");
-            list(to, plan.moves(), m -> {
-                quoted(to.append("{\"block\":"), m.block());
-                quoted(to.append(",\"from\":"), m.from());
-                quoted(to.append(",\"to\":"), m.to());
-                to.append(",\"mb\":").append(m.sizeMb()).append(",\"wave\":").append(m.wave()).append('}');
+    private static String json(PlacementResult result) {
+        var json = new StringBuilder();
+        if (result instanceof PlacementResult.Plan plan) {
+            json.append("{\"feasible\":true,\"moves\":");
+            appendList(json, plan.moves(), m -> {
+                appendQuoted(json.append("{\"block\":"), m.block());
+                appendQuoted(json.append(",\"from\":"), m.from());
+                appendQuoted(json.append(",\"to\":"), m.to());
+                json.append(",\"mb\":").append(m.sizeMb()).append(",\"wave\":").append(m.wave()).append('}');
             });
-            to.append(",\"mb\":").append(plan.copiedMb()).append(",\"bound_mb\":").append(plan.lowerBoundMb())
+            json.append(",\"mb\":").append(plan.copiedMb()).append(",\"bound_mb\":").append(plan.lowerBoundMb())
                     .append(",\"exact\":").append(plan.optimal());
-        } else if (answer instanceof PlacementResult.Infeasible none) {
-            to.append("{\"feasible\":false,\"because\":");
-            list(to, none.conflict(), r -> {
-                quoted(to.append("{\"rule\":"), name(r));
-                list(to.append(",\"nodes\":"), r.nodes(), n -> quoted(to, n));
-                list(to.append(",\"blocks\":"), r.blocks(), b -> quoted(to, b));
-                to.append('}');
+        } else if (result instanceof PlacementResult.Infeasible infeasible) {
+            json.append("{\"feasible\":false,\"because\":");
+            appendList(json, infeasible.conflict(), r -> {
+                appendQuoted(json.append("{\"rule\":"), ruleName(r));
+                appendList(json.append(",\"nodes\":"), r.nodes(), n -> appendQuoted(json, n));
+                appendList(json.append(",\"blocks\":"), r.blocks(), b -> appendQuoted(json, b));
+                json.append('}');
             });
-            to.append(",\"smallest\":").append(none.minimal());
-        } else if (answer instanceof PlacementResult.NotFound not) {
-            to.append("{\"feasible\":null,\"bound_mb\":").append(not.lowerBoundMb())
-                    .append(",\"placements_seen\":").append(not.placementsSeen());
+            json.append(",\"smallest\":").append(infeasible.minimal());
+        } else if (result instanceof PlacementResult.NotFound notFound) {
+            json.append("{\"feasible\":null,\"bound_mb\":").append(notFound.lowerBoundMb())
+                    .append(",\"placements_seen\":").append(notFound.placementsSeen());
         }
-        return to.append('}').toString();
+        return json.append('}').toString();
     }
 
-    private static <T> void list(StringBuilder to, List<T> items, Consumer<T> each) {
-        to.append('[');
+    private static <T> void appendList(StringBuilder json, List<T> items, Consumer<T> each) {
+        json.append('[');
         for (int i = 0; i < items.size(); i++) {
-            to.append(i == 0 ? "" : ",");
+            json.append(i == 0 ? "" : ",");
             each.accept(items.get(i));
         }
-        to.append(']');
+        json.append(']');
     }
 
-    private static void quoted(StringBuilder to, String text) {
-        Json.quote(to, text);
+    private static void appendQuoted(StringBuilder json, String text) {
+        Json.quote(json, text);
     }
 
-    private static String name(PlacementConstraint r) {
-        return r.rule().name().toLowerCase(Locale.ROOT);
+    private static String ruleName(PlacementConstraint constraint) {
+        return constraint.rule().name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/wallmoor/cli/RebalanceControlCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceControlCommand.java
@@ -14,11 +14,12 @@
 import wallmoor.migration.http.PlanStoreException;
 
 /**
- * Gives an operator's command to whoever carries migrations out. In a directory it is left for the present writer or
- * the next one; where gatherers agree on the plan, it is proposed as a version of it.
+ * Sends an operator's command to the process that executes the migrations. With a plan in a directory, the command is
+ * stored there for the current or next writer; with a plan that the gatherers agree on, it is proposed as a new version
+ * of the plan.
  */
 abstract class RebalanceControlCommand implements Callable<Integer> {
-    private static final int OWN_ERROR = 1;
+    private static final int PLAN_STORE_ERROR = 1;
     private static final long RETRY_MILLIS = 200;
 
     @ArgGroup(exclusive = true, multiplicity = "1")
@@ -30,26 +31,26 @@
         this.command = command;
     }
 
-    /** Nothing more is begun or copied. */
+    /** Pauses migrations: no move is started and nothing is copied. */
     @Command(name = "pause", mixinStandardHelpOptions = true,
-            description = "Begin no move and copy nothing; what is being handed over is ended.")
+            description = "Start no move and copy nothing; hand-overs in progress are completed.")
     static final class Pause extends RebalanceControlCommand {
         Pause() {
             super(OperatorCommand.PAUSE);
         }
     }
 
-    /** Migrations go on. */
-    @Command(name = "resume", mixinStandardHelpOptions = true, description = "Go on after a pause.")
+    /** Resumes paused migrations. */
+    @Command(name = "resume", mixinStandardHelpOptions = true, description = "Resume migrations after a pause.")
     static final class Resume extends RebalanceControlCommand {
         Resume() {
             super(OperatorCommand.RESUME);
         }
     }
 
-    /** What can be rolled back is. */
+    /** Stops migrations and rolls back those that can be. */
     @Command(name = "stop", mixinStandardHelpOptions = true,
-            description = "Take back what is not handed over, end the rest, and end; start begins anew.")
+            description = "Roll back the moves not yet handed over, complete the others, and stop; start begins again.")
     static final class Stop extends RebalanceControlCommand {
         Stop() {
             super(OperatorCommand.STOP);
@@ -58,19 +59,19 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        if (location.rules != null) {
+        if (location.controlAddresses != null) {
             return proposeToGatherers();
         }
-        if (!Files.exists(location.dir.resolve("plan"))) {
-            System.err.println(location.dir + " holds no plan; rebalance start makes one");
-            return Commands.USAGE;
+        if (!Files.exists(location.directory.resolve("plan"))) {
+            System.err.println(location.directory + " contains no plan; create one with rebalance start");
+            return Commands.USAGE_ERROR;
         }
-        try (var store = new DirectoryPlanStore(location.dir)) {
+        try (var store = new DirectoryPlanStore(location.directory)) {
             store.setCommand(command);
             return 0;
         } catch (PlanStoreException e) {
             System.err.println(e.getMessage());
-            return OWN_ERROR;
+            return PLAN_STORE_ERROR;
         }
     }
 
@@ -78,33 +79,34 @@
         try {
             PlanControlClient client = location.client(command.name().toLowerCase(Locale.ROOT));
             while (true) {
-                PlanVersion latest = client.latest(PlanLocation.WAIT_MILLIS);
+                PlanVersion latest = client.latest(PlanLocation.LEADER_WAIT_MILLIS);
                 if (latest == null) {
-                    System.err.println("the gatherers agree on no plan; rebalance start makes one");
-                    return Commands.USAGE;
+                    System.err.println("the gatherers have no plan; create one with rebalance start");
+                    return Commands.USAGE_ERROR;
                 }
-                if (isReflected(client, latest)) {
+                if (applyCommand(client, latest)) {
                     return 0;
                 }
             }
         } catch (ConfigException e) {
             System.err.println(e.getMessage());
-            return Commands.USAGE;
+            return Commands.USAGE_ERROR;
         } catch (PlanStoreException e) {
             System.err.println(e.getMessage());
-            return OWN_ERROR;
+            return PLAN_STORE_ERROR;
         }
     }
 
     /**
-     * Proposes the command on the latest version, active or not, so that no other author's step comes between. False
-     * where it has to be tried again: another proposal won, or the version that reflects the command is not active yet.
+     * Proposes the command on top of the latest version, active or not, so that no other author's step comes between.
+     *
+     * @return false if it must be tried again: another proposal won, or the version with the command is not active yet
      */
-    private boolean isReflected(PlanControlClient client, PlanVersion latest)
+    private boolean applyCommand(PlanControlClient client, PlanVersion latest)
             throws PlanStoreException, InterruptedException {
         MigrationPlan next = latest.plan().withCommand(command);
         if (!next.equals(latest.plan())) {
-            return client.proposeAndAwait(latest.number(), next, PlanLocation.WAIT_MILLIS).isActive();
+            return client.proposeAndAwait(latest.number(), next, PlanLocation.LEADER_WAIT_MILLIS).isActive();
         }
         if (!latest.active()) {
             Thread.sleep(RETRY_MILLIS);
--- a/src/main/java/wallmoor/cli/RebalanceStartCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceStartCommand.java
@@ -27,17 +27,18 @@
 import wallmoor.placement.InvalidProblemException;
 import wallmoor.rules.RuleDocument;
 
-/** Carries moves out, in this process, until they are done or stopped. */
+/** Executes moves in this process until all are done or stopped. */
 @Command(name = "start", mixinStandardHelpOptions = true,
-        description = "Carry out the moves that a file's rules ask for, or go on with them after a crash.",
+        description = "Execute the moves that a file's rules require, or continue them after a crash.",
         footer = {
-            "Ends when all is moved, or stopped. Exits 0 then, 1 where the plan can't be kept, 2 on a faulty file."})
+            "Runs until all moves are finished or stopped. Exits 0 then, 1 if the plan can't be stored, 2 on an",
+            "invalid file."})
 final class RebalanceStartCommand implements Callable<Integer> {
-    private static final int OWN_ERROR = 1;
+    private static final int PLAN_STORE_ERROR = 1;
     private static final double BYTES_PER_MB = 1e6;
     private static final int BYTES_PER_KB = 1_024;
 
-    /** The file is well-formed, but does not fit the present plan or the gatherers. */
+    /** Thrown if the file is well-formed, but incompatible with the current plan or the gatherers' settings. */
     private static final class UnsuitableFileException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -56,28 +57,30 @@
     public Integer call() throws InterruptedException {
         try {
             RebalancePlanInput input = RebalanceFile.readWhole(file);
-            return location.rules == null ? runInDirectory(input) : runByGatherers(input);
+            return location.controlAddresses == null ? runInDirectory(input) : runByGatherers(input);
         } catch (ConfigException e) {
             System.err.println(e.getMessage());
-            return Commands.USAGE;
+            return Commands.USAGE_ERROR;
         } catch (UnsuitableFileException | IncompatibleTargetException | InvalidProblemException e) {
             System.err.println(file + ": " + e.getMessage());
-            return Commands.USAGE;
+            return Commands.USAGE_ERROR;
         } catch (PlanStoreException e) {
             System.err.println(e.getMessage());
-            return OWN_ERROR;
+            return PLAN_STORE_ERROR;
         }
     }
 
     private int runInDirectory(RebalancePlanInput input)
             throws PlanStoreException, UnsuitableFileException, IncompatibleTargetException, InterruptedException {
-        try (var store = new DirectoryPlanStore(location.dir)) {
+        try (var store = new DirectoryPlanStore(location.directory)) {
             store.acquireLock();
-            RuleDocument last = store.read();
-            MigrationPlan before = last == null ? null : PlanDocuments.decode(last);
-            MigrationPlan wanted = wantedPlan(input, before, location.dir + " holds", "name another directory");
-            if (!wanted.equals(before)) {
-                store.propose(last == null ? 0 : last.version(), wanted.body(), wanted.fallback());
+            RuleDocument storedDocument = store.read();
+            MigrationPlan current = storedDocument == null ? null : PlanDocuments.decode(storedDocument);
+            MigrationPlan required = requiredPlan(input, current, location.directory + " contains",
+                    "use another directory");
+            if (!required.equals(current)) {
+                store.propose(storedDocument == null ? 0 : storedDocument.version(), required.body(),
+                        required.fallback());
             }
             return run(input, store);
         }
@@ -86,50 +89,59 @@
     private int runByGatherers(RebalancePlanInput input)
             throws PlanStoreException, UnsuitableFileException, IncompatibleTargetException, InterruptedException {
         PlanControlClient client = location.client("start");
-        checkSettleTime(input.carrying(), client.termMillis(PlanLocation.WAIT_MILLIS));
-        boolean active = false;
-        while (!active) {
-            PlanVersion latest = client.latest(PlanLocation.WAIT_MILLIS);
-            MigrationPlan before = latest == null ? null : latest.plan();
-            MigrationPlan wanted = wantedPlan(input, before, "the gatherers agree on",
-                    "add or take out blocks by rules propose plan first");
-            String sizeFault = PlanControlClient.sizeFault(wanted);
+        checkSettleTime(input.carrying(), client.termMillis(PlanLocation.LEADER_WAIT_MILLIS));
+        boolean isActive = false;
+        while (!isActive) {
+            PlanVersion latest = client.latest(PlanLocation.LEADER_WAIT_MILLIS);
+            MigrationPlan current = latest == null ? null : latest.plan();
+            MigrationPlan required = requiredPlan(input, current, "the gatherers agree on",
+                    "add or remove blocks with rules propose plan first");
+            String sizeFault = PlanControlClient.sizeFault(required);
             if (sizeFault != null) {
                 throw new UnsuitableFileException(sizeFault);
             }
-            active = wanted.equals(before) || client.proposeAndAwait(latest == null ? 0 : latest.number(), wanted,
-                    PlanLocation.WAIT_MILLIS).isActive();
+            isActive = required.equals(current) || client.proposeAndAwait(latest == null ? 0 : latest.number(),
+                    required, PlanLocation.LEADER_WAIT_MILLIS).isActive();
         }
         try (var store = new ConsensusPlanStore(client)) {
             return run(input, store);
         }
     }
 
+    /** Checks that a replaced copy is kept until every query that may still use it has ended. */
     private static void checkSettleTime(MigrationConfig config, long termMillis) throws UnsuitableFileException {
-        long leastMillis = termMillis + config.longestQueryMillis();
-        if (config.settleMillis() < leastMillis) {
+        long minMillis = termMillis + config.longestQueryMillis();
+        if (config.settleMillis() < minMillis) {
             throw new UnsuitableFileException("carry.settle is " + config.settleMillis()
-                    + " ms, less than the gatherers' term and carry.longest_query together (" + termMillis + " and "
-                    + config.longestQueryMillis() + " ms): a query could go to a copy that is dropped; set it to "
-                    + leastMillis + "ms at least");
+                    + " ms, less than the sum of the gatherers' term and carry.longest_query (" + termMillis + " and "
+                    + config.longestQueryMillis() + " ms): a query could reach a replica that is already"
+                    + " dropped; set it to " + minMillis + "ms at least");
         }
     }
 
-    /** The plan that the file asks for. What the present plan says of owners is newer than the file. */
-    private static MigrationPlan wantedPlan(RebalancePlanInput input, MigrationPlan before, String holder,
+    /**
+     * Returns the plan that the file requires. The owners of the current plan are newer than those of the file and
+     * replace them.
+     *
+     * @param current the current plan, or null if there is none
+     * @param holder  subject and verb of the error message if the plans have different blocks
+     * @param remedy  what the operator can do then
+     */
+    private static MigrationPlan requiredPlan(RebalancePlanInput input, MigrationPlan current, String holder,
             String remedy) throws UnsuitableFileException, IncompatibleTargetException {
         int maxConcurrent = input.carrying().atOnce();
         MigrationPlan initial = MigrationPlan.initial(input.fleet(), maxConcurrent);
-        if (before == null) {
+        if (current == null) {
             return initial;
         }
-        if (!before.owners().keySet().equals(initial.owners().keySet())) {
-            throw new UnsuitableFileException(holder + " a plan of other blocks than this file; " + remedy);
+        if (!current.owners().keySet().equals(initial.owners().keySet())) {
+            throw new UnsuitableFileException(
+                    holder + " a plan whose blocks differ from those of this file; " + remedy);
         }
         PlacementTarget target = PlacementTarget.of(input.fleet());
-        boolean unchanged = !before.stopped() && target.equals(before.target())
-                && before.maxConcurrent() == maxConcurrent;
-        return unchanged ? before : before.retargeted(target, maxConcurrent);
+        boolean isUnchanged = !current.stopped() && target.equals(current.target())
+                && current.maxConcurrent() == maxConcurrent;
+        return isUnchanged ? current : current.retargeted(target, maxConcurrent);
     }
 
     private static int run(RebalancePlanInput input, PlanStore store) throws PlanStoreException, InterruptedException {
--- a/src/main/java/wallmoor/cli/RebalanceStatusCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceStatusCommand.java
@@ -16,48 +16,49 @@
 import wallmoor.migration.http.PlanControlClient;
 import wallmoor.migration.http.PlanStoreException;
 
-/** Shows how far moves have come, as who carries them out said last, or as the gatherers agree. */
-@Command(name = "status", mixinStandardHelpOptions = true, description = "Show how far the moves have come.",
-        footer = "Exits 0 with a status, 2 where there is none.")
+/** Shows the progress of moves: as the process that executes them last reported, or as the agreed plan has it. */
+@Command(name = "status", mixinStandardHelpOptions = true, description = "Show the progress of the moves.",
+        footer = "Exits 0 with a status, 2 if there is none.")
 final class RebalanceStatusCommand implements Callable<Integer> {
-    private static final long EVERY_MILLIS = 1_000;
-    /** Who carries out says how far it is five times a second. */
-    private static final long OLD_MILLIS = 3_000;
+    private static final long WATCH_INTERVAL_MILLIS = 1_000;
+    /** Age of a report above which nothing executes the plan: a running process reports five times a second. */
+    private static final long STALE_AFTER_MILLIS = 3_000;
 
     @ArgGroup(exclusive = true, multiplicity = "1")
-    private PlanLocation place;
+    private PlanLocation location;
 
     @Option(names = "--json", description = "Print one JSON object.")
     private boolean json;
 
-    @Option(names = "--watch", description = "Print it each second until all is moved or stopped.")
+    @Option(names = "--watch", description = "Print the status every second until all moves are finished or stopped.")
     private boolean watch;
 
     @Override
     public Integer call() throws InterruptedException {
         while (true) {
-            String progress = progress(place);
-            Json.Obj status = read(progress);
+            String progress = progress(location);
+            Json.Obj status = parse(progress);
             if (status == null) {
-                return Commands.USAGE;
+                return Commands.USAGE_ERROR;
             }
             System.out.println(json ? progress : text(status));
             if (!watch || List.of("finished", "stopped").contains(status.text("phase"))) {
                 return 0;
             }
-            Thread.sleep(EVERY_MILLIS);
+            Thread.sleep(WATCH_INTERVAL_MILLIS);
         }
     }
 
-    /** What there is to show; null where there is nothing, which is said then. */
-    private static String progress(PlanLocation place) throws InterruptedException {
+    /** Returns the status as JSON, or prints why there is none and returns null. */
+    private static String progress(PlanLocation location) throws InterruptedException {
         try {
-            String progress = place.rules == null ? new DirectoryPlanStore(place.dir).readProgress()
-                    : json(place.client("status").latest(PlanLocation.WAIT_MILLIS));
+            String progress = location.controlAddresses == null
+                    ? new DirectoryPlanStore(location.directory).readProgress()
+                    : toJson(location.client("status").latest(PlanLocation.LEADER_WAIT_MILLIS));
             if (progress == null) {
                 System.err.println(
-                        (place.rules == null ? place.dir + " holds no status" : "the gatherers agree on no plan")
-                                + "; rebalance start makes one");
+                        (location.controlAddresses == null ? location.directory + " contains no status"
+                                : "the gatherers have no plan") + "; run rebalance start first");
             }
             return progress;
         } catch (ConfigException | PlanStoreException e) {
@@ -66,29 +67,36 @@
         }
     }
 
-    /** What the agreed plan says; how much of a copy is there, only its author and the nodes know. */
-    private static String json(PlanControlClient.PlanVersion v) {
-        if (v == null) {
+    /**
+     * Returns the status that the agreed plan holds. It lacks the copied share of a block, which only the process that
+     * executes the plan and the nodes know.
+     */
+    private static String toJson(PlanControlClient.PlanVersion version) {
+        if (version == null) {
             return null;
         }
-        MigrationPlan s = v.plan();
-        String phase = !s.migrations().isEmpty() ? s.paused() ? "paused" : "moving"
-                : s.stopped() ? "stopped" : s.paused() ? "paused" : s.isTargetReached() ? "finished" : "planning";
-        var to = new StringBuilder("{\"version\":").append(v.number()).append(",\"acts\":").append(v.active())
+        MigrationPlan plan = version.plan();
+        String phase = !plan.migrations().isEmpty() ? plan.paused() ? "paused" : "moving"
+                : plan.stopped() ? "stopped"
+                        : plan.paused() ? "paused" : plan.isTargetReached() ? "finished" : "planning";
+        var to = new StringBuilder("{\"version\":").append(version.number()).append(",\"acts\":")
+                .append(version.active())
                 .append(",\"phase\":\"").append(phase).append('"');
-        Json.quote(to.append(",\"author\":"), v.author());
+        Json.quote(to.append(",\"author\":"), version.author());
         to.append(",\"moves\":[");
-        for (Migration c : s.migrations().values()) {
-            Json.quote(to.append(to.charAt(to.length() - 1) == '[' ? "" : ",").append("{\"block\":"), c.block());
-            Json.quote(to.append(",\"from\":"), c.from());
-            Json.quote(to.append(",\"to\":"), c.to());
-            to.append(",\"mb\":").append(c.sizeMb()).append(",\"wave\":").append(c.wave()).append(",\"stage\":\"")
-                    .append(c.stage().name().toLowerCase(Locale.ROOT)).append("\"}");
+        for (Migration migration : plan.migrations().values()) {
+            Json.quote(to.append(to.charAt(to.length() - 1) == '[' ? "" : ",").append("{\"block\":"),
+                    migration.block());
+            Json.quote(to.append(",\"from\":"), migration.from());
+            Json.quote(to.append(",\"to\":"), migration.to());
+            to.append(",\"mb\":").append(migration.sizeMb()).append(",\"wave\":").append(migration.wave())
+                    .append(",\"stage\":\"")
+                    .append(migration.stage().name().toLowerCase(Locale.ROOT)).append("\"}");
         }
         return to.append("]}").toString();
     }
 
-    private static Json.Obj read(String progress) {
+    private static Json.Obj parse(String progress) {
         if (progress == null) {
             return null;
         }
@@ -96,92 +104,95 @@
         try {
             return Json.object(bytes, 0, bytes.length);
         } catch (Json.Malformed e) {
-            return null; // a torn file after a loss of power; the next one is whole
+            return null; // truncated by a power loss; the next report replaces it
         }
     }
 
-    private static String text(Json.Obj s) {
-        var to = new StringBuilder(s.text("phase")).append(", version ").append(s.get("version"));
-        if (s.text("author") != null) { // what is agreed on, and no more
-            to.append(" by ").append(s.text("author"))
-                    .append(Boolean.FALSE.equals(s.get("acts")) ? ", waits to act" : "");
-            moves(to, s);
+    private static String text(Json.Obj status) {
+        var to = new StringBuilder(status.text("phase")).append(", version ").append(status.get("version"));
+        if (status.text("author") != null) { // the status comes from the agreed plan
+            to.append(" by ").append(status.text("author"))
+                    .append(Boolean.FALSE.equals(status.get("acts")) ? ", not in force yet" : "");
+            appendMoves(to, status);
             return to.toString();
         }
-        to.append(", at most ").append((long) s.number("bytes_per_second", 0) / 1_000_000).append(" MB/s");
-        long age = System.currentTimeMillis() - (long) s.number("at_ms", 0);
-        boolean over = List.of("finished", "stopped").contains(s.text("phase"));
-        if (age > OLD_MILLIS && !over) {
-            to.append("; ").append(age / 1_000)
-                    .append(" s old: nobody carries it out; rebalance start goes on with it");
+        to.append(", at most ").append((long) status.number("bytes_per_second", 0) / 1_000_000).append(" MB/s");
+        long ageMillis = System.currentTimeMillis() - (long) status.number("at_ms", 0);
+        boolean isOver = List.of("finished", "stopped").contains(status.text("phase"));
+        if (ageMillis > STALE_AFTER_MILLIS && !isOver) {
+            to.append("; ").append(ageMillis / 1_000)
+                    .append(" s old: no process executes the plan; continue it with rebalance start");
         }
         for (String key : List.of("stuck", "given_up")) {
-            if (!s.text(key).isEmpty()) {
-                to.append('\n').append(key.replace('_', ' ')).append(": ").append(s.text(key));
+            if (!status.text(key).isEmpty()) {
+                to.append('\n').append(key.replace('_', ' ')).append(": ").append(status.text(key));
             }
         }
-        moves(to, s);
+        appendMoves(to, status);
         return to.toString();
     }
 
-    private static void moves(StringBuilder to, Json.Obj s) {
-        for (Object o : s.list("moves")) {
-            var m = (Json.Obj) o;
-            to.append('\n').append(m.text("block")).append(" from ").append(m.text("from")).append(" to ")
-                    .append(m.text("to"))
-                    .append(", ").append(m.get("mb")).append(" MB, wave ").append(m.get("wave")).append(": ")
-                    .append(m.text("stage"))
-                    .append(m.text("stage").equals("copy") && m.get("there") != null
-                            ? " " + Math.round(m.number("there", 0) * 100) + " %" : "")
-                    .append(blank(m.text("waits")) ? "" : ", waits: " + m.text("waits"));
+    private static void appendMoves(StringBuilder to, Json.Obj status) {
+        for (Object item : status.list("moves")) {
+            var move = (Json.Obj) item;
+            to.append('\n').append(move.text("block")).append(" from ").append(move.text("from")).append(" to ")
+                    .append(move.text("to"))
+                    .append(", ").append(move.get("mb")).append(" MB, wave ").append(move.get("wave")).append(": ")
+                    .append(move.text("stage"))
+                    .append(move.text("stage").equals("copy") && move.get("there") != null
+                            ? " " + Math.round(move.number("there", 0) * 100) + " %" : "")
+                    .append(isBlank(move.text("waits")) ? "" : ", waits: " + move.text("waits"));
         }
     }
 
-    private static boolean blank(String text) {
+    private static boolean isBlank(String text) {
         return text == null || text.isEmpty();
     }
 
-    /** Says what a move's stage means and what comes next. */
+    /** Explains the stage of a block's move and what it waits for. */
     @Command(name = "explain", mixinStandardHelpOptions = true,
-            description = "Say where a block's move is, what it waits for, and what may still be taken back.")
+            description = "Print the stage of a block's move, what it waits for, and whether stop can still roll it "
+                    + "back.")
     static final class Explain implements Callable<Integer> {
         @ArgGroup(exclusive = true, multiplicity = "1")
-        private PlanLocation place;
+        private PlanLocation location;
 
         @Parameters(paramLabel = "BLOCK", description = "The block's id.")
         private String block;
 
         @Override
         public Integer call() throws InterruptedException {
-            Json.Obj status = read(progress(place));
+            Json.Obj status = parse(progress(location));
             if (status == null) {
-                return Commands.USAGE;
+                return Commands.USAGE_ERROR;
             }
-            for (Object o : status.list("moves")) {
-                var m = (Json.Obj) o;
-                if (block.equals(m.text("block"))) {
-                    System.out.println(sentence(m.text("stage"), m.text("from"), m.text("to"))
-                            + (blank(m.text("waits")) ? "" : "\nwaits: " + m.text("waits")));
+            for (Object item : status.list("moves")) {
+                var move = (Json.Obj) item;
+                if (block.equals(move.text("block"))) {
+                    System.out.println(describeStage(move.text("stage"), move.text("from"), move.text("to"))
+                            + (isBlank(move.text("waits")) ? "" : "\nwaits: " + move.text("waits")));
                     return 0;
                 }
             }
-            System.out.println("no move of " + block + " is out (" + status.text("phase") + ")"
-                    + (blank(status.text("stuck")) ? "" : ": " + status.text("stuck")));
+            System.out.println("no move of block " + block + " is in progress (" + status.text("phase") + ")"
+                    + (isBlank(status.text("stuck")) ? "" : ": " + status.text("stuck")));
             return 0;
         }
 
-        private static String sentence(String stage, String from, String to) {
-            String back = "; stop takes it back";
+        private static String describeStage(String stage, String from, String to) {
+            String canRollBack = "; stop rolls it back";
             return switch (stage) {
-                case "planned" -> "planned; begins when its wave does" + back;
-                case "prepare" -> to + " is asked to keep room" + back;
-                case "copy" -> to + " fetches chunks from " + from + ", which runs all queries" + back;
-                case "confirm" -> "the chunks of " + from + " and " + to + " are compared by hash" + back;
-                case "hand" -> from + " refuses what runs once; its chunks are compared a last time" + back;
-                case "join" -> "both are owners; " + to + " is let run what runs once; it is carried to its end";
-                case "settle" -> to + " is the owner; " + from + " keeps its copy for queries that began before";
-                case "forget" -> from + " is to drop its copy, once " + to + " has said that it holds its own";
-                default -> "given up: " + to + " throws its part away and " + from + " runs all as before";
+                case "planned" -> "planned; begins with its wave" + canRollBack;
+                case "prepare" -> to + " is asked to reserve space" + canRollBack;
+                case "copy" -> to + " fetches chunks from " + from + ", which runs all queries" + canRollBack;
+                case "confirm" -> "the chunks of " + from + " and " + to + " are compared by hash" + canRollBack;
+                case "hand" -> from + " refuses queries that must run only once; its chunks are compared a last time"
+                        + canRollBack;
+                case "join" -> "both are owners; " + to + " starts to run queries that must run only once; "
+                        + "the move can only be completed";
+                case "settle" -> to + " is the owner; " + from + " keeps its copy for queries that began earlier";
+                case "forget" -> from + " drops its copy as soon as " + to + " confirms that it has its own";
+                default -> "given up: " + to + " deletes its partial copy and " + from + " runs all queries as before";
             };
         }
     }
--- a/src/main/java/wallmoor/cli/ResolveCommand.java
+++ b/src/main/java/wallmoor/cli/ResolveCommand.java
@@ -20,17 +20,17 @@
 import wallmoor.dns.ServiceTarget;
 import wallmoor.json.Json;
 
-/** Looks a service up as the gatherer would. */
+/** Looks up a service in DNS as the gatherer does. */
 @Command(name = "resolve", mixinStandardHelpOptions = true,
         description = "Look up a service's SRV records, with the addresses of its targets.",
-        footer = {"Prints a line a node: target, address and port, priority, weight, lifetime in seconds.",
-            "Exits 0 found, 2 bad usage, 3 no such records (NXDOMAIN, NODATA, or the one target \".\"),",
-            "4 no useful answer (failing, silent, truncated beyond mending, malformed, a CNAME loop)."})
+        footer = {"Prints one line per node: target, address and port, priority, weight, time to live in seconds.",
+            "Exits 0 found, 2 invalid usage, 3 no such records (NXDOMAIN, NODATA, or the only target is \".\"),",
+            "4 no usable answer (server failure, timeout, truncated also over TCP, malformed, a CNAME loop)."})
 final class ResolveCommand implements Callable<Integer> {
     private static final int NO_RECORDS = 3;
     private static final int NO_ANSWER = 4;
-    /** With the last try's own time, under the ten seconds that are promised. */
-    private static final long MILLIS = 6_000;
+    /** Limit of the lookup; with the time of the last attempt, the command ends within ten seconds. */
+    private static final long TIMEOUT_MILLIS = 6_000;
 
     @Spec
     private CommandSpec spec;
@@ -39,10 +39,10 @@
     private ConfigFileOptions files;
 
     @Option(names = "--server", paramLabel = "HOST:PORT",
-            description = "A DNS server, by address; may stand several times. Else those of the operators' file.")
+            description = "The address of a DNS server; repeatable (default: those of the operators' file).")
     private List<String> servers = new ArrayList<>();
 
-    @Option(names = "--json", description = "Print JSON objects, one a line.")
+    @Option(names = "--json", description = "Print JSON objects, one per line.")
     private boolean json;
 
     @Parameters(paramLabel = "NAME", description = "The service, such as _calendar._tcp.example.")
@@ -50,23 +50,23 @@
 
     @Override
     public Integer call() {
-        ServiceLookup result = OneTimeLookup.find(addresses(), name, MILLIS);
-        if (result instanceof ServiceLookup.Resolved offered) {
-            offered.faults().forEach(f -> System.err.println("wallmoor: " + f));
-            if (offered.targets().isEmpty()) {
-                System.err.println("wallmoor: " + name + ": no target can be used");
+        ServiceLookup result = OneTimeLookup.find(addresses(), name, TIMEOUT_MILLIS);
+        if (result instanceof ServiceLookup.Resolved resolved) {
+            resolved.faults().forEach(f -> System.err.println("wallmoor: " + f));
+            if (resolved.targets().isEmpty()) {
+                System.err.println("wallmoor: " + name + ": no target has a usable address");
                 return NO_ANSWER;
             }
-            offered.targets().stream().sorted(Comparator.comparingInt(ServiceTarget::priority)
+            resolved.targets().stream().sorted(Comparator.comparingInt(ServiceTarget::priority)
                     .thenComparingInt(t -> -t.weight()).thenComparing(ServiceTarget::name)).forEach(this::print);
             return 0;
         }
-        if (result instanceof ServiceLookup.ServiceLookupFailure failed) {
-            System.err.println("wallmoor: " + name + ": " + failed.reason());
+        if (result instanceof ServiceLookup.ServiceLookupFailure failure) {
+            System.err.println("wallmoor: " + name + ": " + failure.reason());
             return NO_ANSWER;
         }
         System.err.println("wallmoor: " + name + ": "
-                + (result instanceof ServiceLookup.NoService none ? none.reason()
+                + (result instanceof ServiceLookup.NoService noService ? noService.reason()
                         : "the service is not offered"));
         return NO_RECORDS;
     }
@@ -76,30 +76,32 @@
             if (!servers.isEmpty()) {
                 return servers.stream().map(s -> LaunchConfig.address("--server", s)).toList();
             }
-            OperatorConfig operator = files.operator(files.launch());
+            OperatorConfig operator = files.readOperatorConfig(files.readLaunchConfig());
             if (operator.dns() != null) {
                 return operator.dns().servers();
             }
         } catch (ConfigException e) {
             throw new ParameterException(spec.commandLine(), e.getMessage());
         }
-        throw new ParameterException(spec.commandLine(), "no --server, and no operators' file that names one");
+        throw new ParameterException(spec.commandLine(),
+                "no DNS server: --server is not given and the operators' file has no sources.dns");
     }
 
-    private void print(ServiceTarget t) {
-        long ttl = t.ttlMillis() / 1000;
-        for (String address : t.addresses()) {
+    private void print(ServiceTarget target) {
+        long ttlSeconds = target.ttlMillis() / 1000;
+        for (String address : target.addresses()) {
             if (!json) {
-                System.out.println(t.name() + " " + ServiceTarget.hostPort(address, t.port()) + " " + t.priority() + " "
-                        + t.weight() + " " + ttl);
+                System.out.println(target.name() + " " + ServiceTarget.hostPort(address, target.port()) + " "
+                        + target.priority() + " " + target.weight() + " " + ttlSeconds);
                 continue;
             }
             var line = new StringBuilder("{\"target\":");
-            Json.quote(line, t.name());
+            Json.quote(line, target.name());
             line.append(",\"address\":");
             Json.quote(line, address);
-            System.out.println(line.append(",\"port\":").append(t.port()).append(",\"priority\":").append(t.priority())
-                    .append(",\"weight\":").append(t.weight()).append(",\"ttl\":").append(ttl).append('}'));
+            System.out.println(line.append(",\"port\":").append(target.port()).append(",\"priority\":")
+                    .append(target.priority()).append(",\"weight\":").append(target.weight())
+                    .append(",\"ttl\":").append(ttlSeconds).append('}'));
         }
     }
 }
--- a/src/main/java/wallmoor/cli/RowsFile.java
+++ b/src/main/java/wallmoor/cli/RowsFile.java
@@ -19,95 +19,96 @@
 import wallmoor.summaries.TimeSpan;
 
 /**
- * A site's rows in CSV with a header, in UTF-8. {@code lon} and {@code lat} are the place in degrees; a column whose
- * cells all read as numbers holds numbers, unless it is said to hold texts. It is read twice, and never held.
+ * Reads a site's rows from a CSV file with a header, in UTF-8. The columns {@code lon} and {@code lat} are the
+ * coordinates in degrees. A column whose cells all parse as numbers holds numbers, unless it is declared to hold texts.
+ * The file is read twice, so that it need not fit into memory.
  */
 final class RowsFile {
     private final Path file;
-    private final Set<String> texts;
-    private final String time;
+    private final Set<String> declaredTextColumns;
+    private final String timeColumn;
 
     /**
-     * Nothing is read yet.
+     * Creates a reader; {@link #read} opens the file.
      *
-     * @param texts columns that hold texts though they read as numbers
-     * @param time  the column with a time, a day or an interval
+     * @param declaredTextColumns columns that hold texts even if all their cells parse as numbers
+     * @param timeColumn          the column that holds a time, a day or an interval
      */
-    RowsFile(Path file, List<String> texts, String time) {
+    RowsFile(Path file, List<String> declaredTextColumns, String timeColumn) {
         this.file = file;
-        this.texts = Set.copyOf(texts);
-        this.time = time;
+        this.declaredTextColumns = Set.copyOf(declaredTextColumns);
+        this.timeColumn = timeColumn;
     }
 
-    /** What is wrong, and in which line. */
+    /** Thrown if the file is malformed or can't be read; the message names the file, the line and the problem. */
     static final class InvalidRowException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        InvalidRowException(String what) {
-            super(what);
+        InvalidRowException(String message) {
+            super(message);
         }
     }
 
     private interface RowConsumer {
-        void take(CSVRecord row, long line) throws InvalidRowException;
+        void accept(CSVRecord row, long line) throws InvalidRowException;
     }
 
-    /** Hands over each row. */
-    void read(Consumer<Row> to) throws InvalidRowException {
-        var others = new HashSet<>(texts);
-        each((row, line) -> row.toMap().forEach((name, cell) -> {
+    /** Passes each row to the consumer. */
+    void read(Consumer<Row> consumer) throws InvalidRowException {
+        var textColumns = new HashSet<>(declaredTextColumns);
+        forEachRow((row, line) -> row.toMap().forEach((name, cell) -> {
             if (!cell.isBlank() && Row.number(cell) == null) {
-                others.add(name);
+                textColumns.add(name);
             }
         }));
-        each((row, line) -> {
+        forEachRow((row, line) -> {
             var values = new HashMap<String, Object>();
             row.toMap().forEach((name, cell) -> values.put(name, cell.isEmpty() ? null
-                    : others.contains(name) ? cell : Row.number(cell)));
-            values.keySet().removeAll(Set.of("lon", "lat", time));
-            to.accept(new Row(values, place(row, line), time(row, line)));
+                    : textColumns.contains(name) ? cell : Row.number(cell)));
+            values.keySet().removeAll(Set.of("lon", "lat", timeColumn));
+            consumer.accept(new Row(values, coordinates(row, line), timeSpan(row, line)));
         });
     }
 
-    private void each(RowConsumer taker) throws InvalidRowException {
+    private void forEachRow(RowConsumer consumer) throws InvalidRowException {
         CSVFormat format = CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true).setIgnoreEmptyLines(true)
                 .setDuplicateHeaderMode(DuplicateHeaderMode.DISALLOW).get();
         long line = 1;
         try (BufferedReader in = Files.newBufferedReader(file)) {
             in.mark(1);
-            if (in.read() != '\uFEFF') { // a mark of byte order, as some tables begin with
+            if (in.read() != '\uFEFF') { // some spreadsheets begin the file with a byte order mark
                 in.reset();
             }
             try (CSVParser rows = CSVParser.parse(in, format)) {
                 if (rows.getHeaderNames().isEmpty()) {
-                    throw bad(1, "has no header");
+                    throw invalid(1, "has no header");
                 }
-                for (String name : texts) {
+                for (String name : declaredTextColumns) {
                     if (!rows.getHeaderMap().containsKey(name)) {
-                        throw bad(1, "has no column " + name);
+                        throw invalid(1, "has no column " + name);
                     }
                 }
                 line = rows.getCurrentLineNumber() + 1;
                 for (CSVRecord row : rows) {
                     if (!row.isConsistent()) {
-                        throw bad(line, "has " + row.size() + " cells where the header has " + rows.getHeaderNames()
+                        throw invalid(line, "has " + row.size() + " cells, but the header has " + rows.getHeaderNames()
                                 .size());
                     }
-                    taker.take(row, line);
+                    consumer.accept(row, line);
                     line = rows.getCurrentLineNumber() + 1;
                 }
             }
         } catch (UncheckedIOException | IllegalArgumentException e) {
-            throw bad(line, "is no CSV: " + (e.getCause() instanceof MalformedInputException ? "not UTF-8"
+            throw invalid(line, "is not valid CSV: " + (e.getCause() instanceof MalformedInputException ? "not UTF-8"
                     : e.getMessage()));
         } catch (MalformedInputException e) {
-            throw bad(line, "is not UTF-8");
+            throw invalid(line, "is not UTF-8");
         } catch (IOException e) {
             throw new InvalidRowException(file + " can't be read: " + e);
         }
     }
 
-    private Row.Coordinates place(CSVRecord row, long line) throws InvalidRowException {
+    private Row.Coordinates coordinates(CSVRecord row, long line) throws InvalidRowException {
         String lon = cell(row, "lon");
         String lat = cell(row, "lat");
         if (lon.isBlank() && lat.isBlank()) {
@@ -115,20 +116,20 @@
         }
         Double x = Row.number(lon);
         Double y = Row.number(lat);
-        Row.Coordinates place = x == null || y == null ? null : Row.Coordinates.of(x, y);
-        if (place == null) {
-            throw bad(line, "has no place: lon " + lon + ", lat " + lat
-                    + "; degrees from -180 to 180 and -90 to 90, or neither");
+        Row.Coordinates coordinates = x == null || y == null ? null : Row.Coordinates.of(x, y);
+        if (coordinates == null) {
+            throw invalid(line, "has invalid coordinates: lon '" + lon + "', lat '" + lat
+                    + "'; must be from -180 to 180 and from -90 to 90 degrees, or both empty");
         }
-        return place;
+        return coordinates;
     }
 
-    private TimeSpan time(CSVRecord row, long line) throws InvalidRowException {
-        String text = cell(row, time);
+    private TimeSpan timeSpan(CSVRecord row, long line) throws InvalidRowException {
+        String text = cell(row, timeColumn);
         try {
             return text.isBlank() ? null : TimeSpan.parse(text.strip());
         } catch (IllegalArgumentException e) {
-            throw bad(line, "has no " + time + ": " + e.getMessage());
+            throw invalid(line, "has an invalid " + timeColumn + " '" + text + "': " + e.getMessage());
         }
     }
 
@@ -136,7 +137,7 @@
         return row.isMapped(column) ? row.get(column) : "";
     }
 
-    private InvalidRowException bad(long line, String what) {
-        return new InvalidRowException(file + " line " + line + " " + what);
+    private InvalidRowException invalid(long line, String problem) {
+        return new InvalidRowException(file + " line " + line + " " + problem);
     }
 }
--- a/src/main/java/wallmoor/cli/RulesCommand.java
+++ b/src/main/java/wallmoor/cli/RulesCommand.java
@@ -18,21 +18,22 @@
 import wallmoor.rules.InvalidRuleException;
 import wallmoor.rules.RuleBody;
 
-/** The rules that all gatherers agree on: shown and changed over the control port of one on this machine. */
+/** Shows and changes the rules that all gatherers agree on, over the control port of a gatherer on this machine. */
 @Command(name = "rules", mixinStandardHelpOptions = true,
-        description = "Show and change what all gatherers agree on, over a running gatherer on this machine.",
-        footer = {"It must have rules.control set in its operators' file.",
-            "Exits 0, 2 on a faulty file or configuration, 3 where a proposal was refused or show finds nothing that "
-                    + "acts under",
-            "a lease, 4 where the gatherer can't be asked, 5 where it is not known what came of it."})
+        description = "Show and change the rules that all gatherers agree on, through a running gatherer on this "
+                + "machine.",
+        footer = {"The gatherer must have rules.control set in its operators' file.",
+            "Exits 0 on success, 2 on an invalid file or configuration, 3 if a proposal was refused or show finds no "
+                    + "document in",
+            "force under a lease, 4 if the gatherer does not respond, 5 if the outcome of a proposal is unknown."})
 final class RulesCommand extends CommandGroup {
     private static final int REFUSED = 3;
-    private static final int UNKNOWN = 5;
-    /** Beyond what the gatherer itself waits. */
-    private static final int SPARE_MILLIS = 5_000;
+    private static final int OUTCOME_UNKNOWN = 5;
+    /** Time allowed for a response in addition to what the gatherer itself waits. */
+    private static final int RESPONSE_MARGIN_MILLIS = 5_000;
     private static final int MAX_ANSWER_BYTES = 64 << 20;
     private static final long MAX_FILE_BYTES = 1 << 20;
-    private static final long WATCH_MILLIS = 500;
+    private static final long WATCH_INTERVAL_MILLIS = 500;
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final List<String> SHOWN_FIELDS = List.of("name", "version", "acting", "basis", "lease_ms",
             "leader", "since", "body", "unreadable", "denied");
@@ -41,26 +42,27 @@
         super("show, history, explain, propose, rollback or check");
     }
 
-    /** Which control port. */
+    /** Options for the control port {@code rules.control}. */
     private static final class RulesPort extends ControlPortOptions {
         RulesPort() {
-            super("rules.control", "is not set: the gatherer tells nobody of its rules");
+            super("rules.control", "rules.control is not set and --at is not given: no control port to ask");
         }
 
         @Override
-        InetSocketAddress configured(OperatorConfig operator) {
+        InetSocketAddress configuredAddress(OperatorConfig operator) {
             RulesConfig rules = operator.rules();
             return rules == null ? null : rules.control();
         }
     }
 
-    /** Who answers for a change, and how long it is waited for. */
+    /** Options for the author of a change and for how long to wait until it is in force. */
     private static final class ChangeOptions {
-        @Option(names = "--author", paramLabel = "NAME", description = "Who answers for it; else the user's name.")
+        @Option(names = "--author", paramLabel = "NAME",
+                description = "The author of the change (default: the user's name).")
         private String author = System.getProperty("user.name", "unknown");
 
         @Option(names = "--wait", paramLabel = "SECONDS", defaultValue = "20",
-                description = "How long to wait until it acts (${DEFAULT-VALUE}).")
+                description = "How long to wait until the change is in force (default ${DEFAULT-VALUE}).")
         private int waitSeconds;
 
         long waitMillis() {
@@ -74,55 +76,56 @@
     }
 
     @Command(name = "show", mixinStandardHelpOptions = true,
-            description = "Print what the gatherer goes by, of each document or of one.")
+            description = "Print the rules that the gatherer applies, for each document or for one.")
     int show(@Mixin RulesPort port, @Parameters(paramLabel = "NAME", arity = "0..1") String name,
-            @Option(names = "--watch", description = "Go on, and print again whenever that changes.") boolean watch)
+            @Option(names = "--watch",
+                    description = "Keep running, and print again whenever they change.") boolean watch)
             throws InterruptedException {
         var request = new ControlRequest("show");
         if (name != null) {
             request.with("name", name);
         }
-        String shown = "";
+        String printedState = "";
         while (true) {
-            ControlAnswer answer = ask(port, request, SPARE_MILLIS);
-            String now = withoutTimes(answer.lines());
-            if (!now.equals(shown)) {
-                shown = now;
-                answer.lines().forEach(line -> System.out.println(port.json() ? line : brief(line)));
+            ControlAnswer answer = ask(port, request, RESPONSE_MARGIN_MILLIS);
+            String currentState = stateWithoutTimes(answer.lines());
+            if (!currentState.equals(printedState)) {
+                printedState = currentState;
+                answer.lines().forEach(line -> System.out.println(port.isJson() ? line : summarize(line)));
             }
             if (answer.exitCode() != 0) {
                 return answer.exitCode();
             }
             if (!watch) {
-                return now.contains(" acts") ? 0 : REFUSED;
+                return currentState.contains(" acts") ? 0 : REFUSED;
             }
-            Thread.sleep(WATCH_MILLIS);
+            Thread.sleep(WATCH_INTERVAL_MILLIS);
         }
     }
 
     @Command(name = "history", mixinStandardHelpOptions = true,
-            description = "Print the versions of a document that the voters keep, and what was refused of late.")
+            description = "Print the versions of a document that the voters retain, and recently refused proposals.")
     int history(@Mixin RulesPort port, @Parameters(paramLabel = "NAME") String name) {
-        return askAndPrint(port, new ControlRequest("history").with("name", name), 2 * SPARE_MILLIS);
+        return askAndPrint(port, new ControlRequest("history").with("name", name), 2 * RESPONSE_MARGIN_MILLIS);
     }
 
     @Command(name = "explain", mixinStandardHelpOptions = true,
-            description = "Print why the gatherer goes by what it does: its lease, its leader, each version that "
-                    + "holds.")
+            description = "Print why the gatherer applies its current rules: its lease, its leader, and each version "
+                    + "in force.")
     int explain(@Mixin RulesPort port) {
-        return askAndPrint(port, new ControlRequest("explain"), SPARE_MILLIS);
+        return askAndPrint(port, new ControlRequest("explain"), RESPONSE_MARGIN_MILLIS);
     }
 
     @Command(name = "propose", mixinStandardHelpOptions = true,
-            description = "Propose a body as the next version; waits until it acts everywhere, or prints why it was "
-                    + "refused.")
+            description = "Propose a body as the next version; wait until it is in force everywhere, or print why it "
+                    + "was refused.")
     int propose(@Mixin RulesPort port, @Mixin ChangeOptions change, @Parameters(paramLabel = "NAME") String name,
             @Parameters(paramLabel = "FILE") Path file,
             @Option(names = "--fallback", paramLabel = "FILE",
-                    description = "What a gatherer goes by that can't be sure; else the "
-                            + "body's bounds, and nothing of what it gives.") Path fallback,
+                    description = "The rules of a gatherer that can't confirm its version (default: the body's "
+                            + "restrictions, without its permissions).") Path fallback,
             @Option(names = "--parent", paramLabel = "N",
-                    description = "The version that it was made from; else the last one.") Long parent) {
+                    description = "The version that the proposal is based on (default: the latest).") Long parent) {
         ControlRequest request = change.request("propose", name);
         try {
             request.with("body", read(file));
@@ -130,12 +133,12 @@
                 request.with("fallback", read(fallback));
             }
         } catch (IOException e) {
-            return fault("the file can't be read: " + e.getMessage());
+            return usageError("the file can't be read: " + e.getMessage());
         }
         if (parent != null) {
             request.with("number", parent);
         }
-        return askAndPrint(port, request, change.waitMillis() + SPARE_MILLIS);
+        return askAndPrint(port, request, change.waitMillis() + RESPONSE_MARGIN_MILLIS);
     }
 
     @Command(name = "rollback", mixinStandardHelpOptions = true,
@@ -143,16 +146,16 @@
     int rollback(@Mixin RulesPort port, @Mixin ChangeOptions change, @Parameters(paramLabel = "NAME") String name,
             @Parameters(paramLabel = "N") long number) {
         ControlRequest request = change.request("rollback", name).with("number", number);
-        return askAndPrint(port, request, change.waitMillis() + SPARE_MILLIS);
+        return askAndPrint(port, request, change.waitMillis() + RESPONSE_MARGIN_MILLIS);
     }
 
     @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Read a body by this program's rules, without telling anybody; print the fallback it would "
-                    + "get.")
+            description = "Check a body against its document's schema without contacting a gatherer; print the "
+                    + "body and its default fallback.")
     int check(@Parameters(paramLabel = "NAME") String name, @Parameters(paramLabel = "FILE") Path file) {
         DocumentSchema schema = DocumentSchemas.all().get(name);
         if (schema == null) {
-            return fault("this program has no kind " + name + "; it has "
+            return usageError("document kind " + name + " is unknown; the known kinds are "
                     + String.join(", ", DocumentSchemas.all().keySet().stream().sorted().toList()));
         }
         try {
@@ -161,26 +164,26 @@
             System.out.println("fallback  " + schema.minimalFallback(body).toJson());
             return 0;
         } catch (IOException e) {
-            return fault("the file can't be read: " + e.getMessage());
+            return usageError("the file can't be read: " + e.getMessage());
         } catch (InvalidRuleException e) {
-            return fault(e.getMessage());
+            return usageError(e.getMessage());
         }
     }
 
     private static String read(Path file) throws IOException {
         if (Files.size(file) > MAX_FILE_BYTES) {
-            throw new IOException("more than " + MAX_FILE_BYTES + " bytes: " + file);
+            throw new IOException(file + " is larger than " + MAX_FILE_BYTES + " bytes");
         }
         return Files.readString(file);
     }
 
-    private static int fault(String reason) {
-        return ControlAnswer.failed(Commands.USAGE, reason).exitCode();
+    private static int usageError(String reason) {
+        return ControlAnswer.failed(Commands.USAGE_ERROR, reason).exitCode();
     }
 
     private static int askAndPrint(RulesPort port, ControlRequest request, long timeoutMillis) {
         ControlAnswer answer = ask(port, request, timeoutMillis);
-        answer.lines().forEach(line -> System.out.println(port.json() ? line : JsonText.ofLine(line)));
+        answer.lines().forEach(line -> System.out.println(port.isJson() ? line : JsonText.ofLine(line)));
         return answer.exitCode();
     }
 
@@ -191,7 +194,7 @@
             return answer;
         }
         if (first.get("unknown") != null) {
-            return ControlAnswer.failed(UNKNOWN, "not known to act: " + first.text("unknown"));
+            return ControlAnswer.failed(OUTCOME_UNKNOWN, "outcome unknown: " + first.text("unknown"));
         }
         if (!request.command().equals("history") && first.get("refused") != null) {
             return ControlAnswer.failed(REFUSED, "refused: " + first.text("refused"));
@@ -199,26 +202,30 @@
         return answer;
     }
 
-    /** What stays the same while nothing changes, with a word on each document that acts under a lease. */
-    private static String withoutTimes(List<String> lines) {
-        var steady = new StringBuilder();
+    /**
+     * Returns the parts of a response that change only with the rules, without times. A document in force under a lease
+     * is marked with {@code acts}.
+     */
+    private static String stateWithoutTimes(List<String> lines) {
+        var state = new StringBuilder();
         for (String line : lines) {
             try {
-                Json.Obj o = ControlClient.parse(line);
-                steady.append(o.text("name")).append(o.get("version")).append(o.get("from")).append(o.get("basis"))
-                        .append(o.get("leader")).append(o.get("denied"))
-                        .append(o.number("acting", 0) > 0 ? " acts" : "").append('\n');
+                Json.Obj document = ControlClient.parse(line);
+                state.append(document.text("name")).append(document.get("version")).append(document.get("from"))
+                        .append(document.get("basis")).append(document.get("leader")).append(document.get("denied"))
+                        .append(document.number("acting", 0) > 0 ? " acts" : "").append('\n');
             } catch (Json.Malformed e) {
-                steady.append(line);
+                state.append(line);
             }
         }
-        return steady.toString();
+        return state.toString();
     }
 
-    private static String brief(String line) {
+    /** Formats the fields that {@code show} prints; returns a line that is not a JSON object unchanged. */
+    private static String summarize(String line) {
         try {
-            Json.Obj answer = ControlClient.parse(line);
-            return JsonText.of(answer, SHOWN_FIELDS.stream().filter(field -> answer.get(field) != null).toList());
+            Json.Obj document = ControlClient.parse(line);
+            return JsonText.of(document, SHOWN_FIELDS.stream().filter(field -> document.get(field) != null).toList());
         } catch (Json.Malformed e) {
             return line;
         }
--- a/src/main/java/wallmoor/cli/SummariesCommand.java
+++ b/src/main/java/wallmoor/cli/SummariesCommand.java
@@ -24,31 +24,31 @@
 import wallmoor.summaries.TimeSpan;
 import wallmoor.summaries.UnreadableSummaryException;
 
-/** Makes summaries of sites' rows, shows them, and tells which sites a query would go to. */
+/** Builds summaries of sites' rows, prints them, and lists the sites that a query must be sent to. */
 @Command(name = "summaries", mixinStandardHelpOptions = true,
-        description = "Make summaries of sites' rows, and tell which sites a query must go to.",
-        footer = "Exits 0, 2 for bad input with what is wrong and where.")
+        description = "Build summaries of sites' rows, and list the sites that a query must be sent to.",
+        footer = "Exits 0 on success, 2 on invalid input, with a message that says what is wrong and where.")
 final class SummariesCommand extends CommandGroup {
     SummariesCommand() {
         super("build, sites, show or explain");
     }
 
-    /** What can't be used, with where. */
+    /** Thrown for an invalid option or an unreadable file; the message names it and the problem. */
     private static final class InvalidInputException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        InvalidInputException(String what) {
-            super(what);
+        InvalidInputException(String message) {
+            super(message);
         }
     }
 
-    /** A query's conditions, as options. */
+    /** Options for the conditions of a query. */
     private static final class Query {
         @Option(names = "--where", paramLabel = "FIELD=VALUE|FIELD=LO..HI",
-                description = "A condition on a property; repeat it for more. Either end of a range may be left out.")
+                description = "A condition on a property; repeatable. Either end of a range may be omitted.")
         private List<String> where = List.of();
 
-        @Option(names = "--bbox", paramLabel = "W,S,E,N", description = "A box in degrees; W may lie east of E.")
+        @Option(names = "--bbox", paramLabel = "W,S,E,N", description = "A box in degrees; W may be east of E.")
         private String bbox;
 
         @Option(names = "--datetime", paramLabel = "A/B",
@@ -56,159 +56,166 @@
         private String datetime;
 
         private Conditions conditions() throws InvalidInputException {
-            String at = "--bbox";
+            String option = "--bbox";
             try {
                 Conditions.QueryBox box = bbox == null ? null : Conditions.box(bbox);
-                at = "--datetime";
+                option = "--datetime";
                 TimeSpan time = datetime == null ? null : TimeSpan.parse(datetime);
-                at = "--where";
-                var all = new ArrayList<Condition>();
-                for (String w : where) {
-                    at = "--where " + w;
-                    all.add(Condition.parse(w));
+                option = "--where";
+                var conditions = new ArrayList<Condition>();
+                for (String condition : where) {
+                    option = "--where " + condition;
+                    conditions.add(Condition.parse(condition));
                 }
-                return new Conditions(box, time, all);
+                return new Conditions(box, time, conditions);
             } catch (IllegalArgumentException e) {
-                throw new InvalidInputException(at + ": " + e.getMessage());
+                throw new InvalidInputException(option + ": " + e.getMessage());
             }
         }
     }
 
     @Command(name = "build", mixinStandardHelpOptions = true,
-            description = {"Make the summary of a site's rows, from CSV with a header.",
-                "Columns lon and lat are the place. A column whose cells all read as numbers is compared by number."})
+            description = {"Build the summary of a site's rows, from CSV with a header.",
+                "Columns lon and lat are the coordinates. A column whose cells are all numbers is compared by number."})
     int build(@Parameters(paramLabel = "ROWS.csv") Path rows,
             @Option(names = "--site", required = true, paramLabel = "NAME") String site,
             @Option(names = "--out", required = true, paramLabel = "FILE") Path out,
             @Option(names = "--block", defaultValue = "", paramLabel = "BLOCK",
-                    description = "The region block, for show.") String block,
+                    description = "The site's region block, which show prints.") String block,
             @Option(names = "--text", paramLabel = "COLUMN",
-                    description = "It holds texts, though they read as numbers; repeatable.") List<String> texts,
+                    description = "A column of texts, even if all of them are numbers; repeatable.")
+            List<String> textColumns,
             @Option(names = "--time", defaultValue = "datetime", paramLabel = "COLUMN",
-                    description = "The time, a day or an interval A/B (default ${DEFAULT-VALUE}).") String time,
-            @Option(names = "--bytes", paramLabel = "N", description = "The summary's bytes at most.") Integer bytes) {
+                    description = "The column with a time, a day or an interval A/B "
+                            + "(default ${DEFAULT-VALUE}).") String timeColumn,
+            @Option(names = "--bytes", paramLabel = "N",
+                    description = "The maximum size of the summary in bytes.") Integer bytes) {
         try {
             if (bytes != null && (bytes < SummaryLimits.MIN_BYTES || bytes > SummaryLimits.MAX_BYTES)) {
-                return said("--bytes must be from " + SummaryLimits.MIN_BYTES + " to " + SummaryLimits.MAX_BYTES);
+                return usageError("--bytes is " + bytes + ", must be from " + SummaryLimits.MIN_BYTES + " to "
+                        + SummaryLimits.MAX_BYTES);
             }
-            SummaryLimits usual = SummaryLimits.defaults();
-            var draft = new SummaryBuilder(
-                    bytes == null ? usual : new SummaryLimits(bytes, usual.properties(), usual.values(),
-                            usual.maxValueBytes(), usual.filterBits(), usual.boxes(), usual.spans()),
+            SummaryLimits defaults = SummaryLimits.defaults();
+            var builder = new SummaryBuilder(
+                    bytes == null ? defaults : new SummaryLimits(bytes, defaults.properties(), defaults.values(),
+                            defaults.maxValueBytes(), defaults.filterBits(), defaults.boxes(), defaults.spans()),
                     site, block, 1);
-            new RowsFile(rows, texts == null ? List.of() : texts, time).read(draft::add);
-            Summary s = draft.build(1);
-            byte[] encoded = Encoding.encode(s);
-            Path whole = out.toAbsolutePath().resolveSibling("." + out.getFileName() + ".new");
-            Files.write(whole, encoded);
-            Files.move(whole, out, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-            System.out.println(site + ": " + s.rows() + " rows, " + encoded.length + " bytes");
+            new RowsFile(rows, textColumns == null ? List.of() : textColumns, timeColumn).read(builder::add);
+            Summary summary = builder.build(1);
+            byte[] encoded = Encoding.encode(summary);
+            Path newFile = out.toAbsolutePath().resolveSibling("." + out.getFileName() + ".new");
+            Files.write(newFile, encoded);
+            Files.move(newFile, out, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            System.out.println(site + ": " + summary.rows() + " rows, " + encoded.length + " bytes");
             return 0;
         } catch (RowsFile.InvalidRowException | IllegalArgumentException e) {
-            return said(e.getMessage());
+            return usageError(e.getMessage());
         } catch (IOException e) {
-            return said(out + " can't be written: " + e);
+            return usageError(out + " can't be written: " + e);
         }
     }
 
     @Command(name = "sites", mixinStandardHelpOptions = true,
-            description = "Tell which sites a query must be asked at, by the summaries in a directory.",
-            footer = {"A file that can't be read is told on standard error, and its site is asked:",
-                "the file's name without its ending."})
+            description = "List the sites that a query must be sent to, according to the summaries in a directory.",
+            footer = {"A file that can't be read is reported on standard error, and its site must be asked;",
+                "the site is then the file's name without its extension."})
     int sites(@Option(names = "--dir", required = true, paramLabel = "DIR",
-            description = "Files made by build.") Path dir,
+            description = "The directory of files written by build.") Path dir,
             @Mixin Query query, @Option(names = "--json", description = "Print one JSON object.") boolean json) {
-        var verdicts = new TreeMap<String, String>(); // why a site is skipped; null where it is asked
+        var skipReasons = new TreeMap<String, String>(); // by site, why it is skipped; null if it must be asked
         try {
             Conditions conditions = query.conditions();
             for (Path file : files(dir)) {
                 try {
-                    Summary s = read(file);
-                    MatchResult v = s.match(conditions);
-                    String why = v.kind() == MatchResult.MatchKind.CANNOT ? v.reason() : null;
-                    // a site with several files is skipped only where each of them excludes the query
-                    boolean asked = verdicts.containsKey(s.site()) && verdicts.get(s.site()) == null;
-                    verdicts.put(s.site(), asked ? null : why);
+                    Summary summary = read(file);
+                    MatchResult match = summary.match(conditions);
+                    String reason = match.kind() == MatchResult.MatchKind.CANNOT ? match.reason() : null;
+                    // a site with several files is skipped only if each of them excludes the query
+                    boolean isAsked = skipReasons.containsKey(summary.site())
+                            && skipReasons.get(summary.site()) == null;
+                    skipReasons.put(summary.site(), isAsked ? null : reason);
                 } catch (InvalidInputException e) {
                     System.err.println("wallmoor: " + e.getMessage());
-                    verdicts.put(file.getFileName().toString().replaceFirst("(?<=.)\\.[^.]*$", ""), null);
+                    skipReasons.put(file.getFileName().toString().replaceFirst("(?<=.)\\.[^.]*$", ""), null);
                 }
             }
         } catch (InvalidInputException e) {
-            return said(e.getMessage());
+            return usageError(e.getMessage());
         }
-        System.out.print(json ? object(verdicts) + "\n" : lines(verdicts));
+        System.out.print(json ? json(skipReasons) + "\n" : text(skipReasons));
         return 0;
     }
 
-    private static String lines(Map<String, String> verdicts) {
+    private static String text(Map<String, String> skipReasons) {
         var text = new StringBuilder();
-        verdicts.forEach((site, why) -> text.append(why == null ? "ask " + site : "skip " + site + ": " + why)
+        skipReasons.forEach((site, reason) -> text
+                .append(reason == null ? "ask " + site : "skip " + site + ": " + reason)
                 .append('\n'));
         return text.toString();
     }
 
-    private static String object(Map<String, String> verdicts) {
-        var ask = new StringBuilder();
-        var skip = new StringBuilder();
-        verdicts.forEach((site, why) -> {
-            StringBuilder to = why == null ? ask : skip;
-            to.append(to.isEmpty() ? "" : ",").append(why == null ? "" : "{\"site\":");
-            Json.quote(to, site);
-            if (why != null) {
-                to.append(",\"because\":");
-                Json.quote(to, why);
-                to.append('}');
+    private static String json(Map<String, String> skipReasons) {
+        var askedSites = new StringBuilder();
+        var skippedSites = new StringBuilder();
+        skipReasons.forEach((site, reason) -> {
+            StringBuilder target = reason == null ? askedSites : skippedSites;
+            target.append(target.isEmpty() ? "" : ",").append(reason == null ? "" : "{\"site\":");
+            Json.quote(target, site);
+            if (reason != null) {
+                target.append(",\"because\":");
+                Json.quote(target, reason);
+                target.append('}');
             }
         });
-        return "{\"ask\":[" + ask + "],\"skip\":[" + skip + "]}";
+        return "{\"ask\":[" + askedSites + "],\"skip\":[" + skippedSites + "]}";
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Print what a summary holds.")
+    @Command(name = "show", mixinStandardHelpOptions = true, description = "Print the contents of a summary.")
     int show(@Parameters(paramLabel = "FILE") Path file) {
         try {
             read(file).lines().forEach(System.out::println);
             return 0;
         } catch (InvalidInputException e) {
-            return said(e.getMessage());
+            return usageError(e.getMessage());
         }
     }
 
     @Command(name = "explain", mixinStandardHelpOptions = true,
-            description = "Print what a summary says to a query, and to each of its conditions.")
+            description = "Print whether a summary can match a query and each of the query's conditions.")
     int explain(@Parameters(paramLabel = "FILE") Path file, @Mixin Query query) {
         try {
-            Conditions all = query.conditions();
-            Summary s = read(file);
-            if (all.box() != null) {
-                say("--bbox " + query.bbox, s.match(new Conditions(all.box(), null, List.of())));
+            Conditions conditions = query.conditions();
+            Summary summary = read(file);
+            if (conditions.box() != null) {
+                printMatch("--bbox " + query.bbox, summary.match(new Conditions(conditions.box(), null, List.of())));
             }
-            if (all.time() != null) {
-                say("--datetime " + query.datetime, s.match(new Conditions(null, all.time(), List.of())));
+            if (conditions.time() != null) {
+                printMatch("--datetime " + query.datetime,
+                        summary.match(new Conditions(null, conditions.time(), List.of())));
             }
-            for (int i = 0; i < all.properties().size(); i++) {
-                say("--where " + query.where.get(i), s.match(new Conditions(null, null,
-                        List.of(all.properties().get(i)))));
+            for (int i = 0; i < conditions.properties().size(); i++) {
+                printMatch("--where " + query.where.get(i), summary.match(new Conditions(null, null,
+                        List.of(conditions.properties().get(i)))));
             }
-            MatchResult v = s.match(all);
-            say((v.kind() == MatchResult.MatchKind.CANNOT ? "skip " : "ask ") + s.site(), v);
+            MatchResult match = summary.match(conditions);
+            printMatch((match.kind() == MatchResult.MatchKind.CANNOT ? "skip " : "ask ") + summary.site(), match);
             return 0;
         } catch (InvalidInputException e) {
-            return said(e.getMessage());
+            return usageError(e.getMessage());
         }
     }
 
-    private static void say(String what, MatchResult v) {
-        System.out.println(what + ": " + switch (v.kind()) {
-            case CANNOT -> "cannot, " + v.reason();
-            case UNKNOWN -> "unknown, " + v.reason();
-            default -> "could match, " + v.reason();
+    private static void printMatch(String label, MatchResult match) {
+        System.out.println(label + ": " + switch (match.kind()) {
+            case CANNOT -> "cannot, " + match.reason();
+            case UNKNOWN -> "unknown, " + match.reason();
+            default -> "could match, " + match.reason();
         });
     }
 
     private static List<Path> files(Path dir) throws InvalidInputException {
-        try (Stream<Path> all = Files.list(dir)) {
-            return all.filter(f -> !f.getFileName().toString().startsWith(".") && !Files.isDirectory(f)).sorted()
+        try (Stream<Path> entries = Files.list(dir)) {
+            return entries.filter(f -> !f.getFileName().toString().startsWith(".") && !Files.isDirectory(f)).sorted()
                     .toList();
         } catch (IOException e) {
             throw new InvalidInputException("--dir " + dir + " can't be read: " + e);
@@ -225,8 +232,8 @@
         }
     }
 
-    private static int said(String what) {
-        System.err.println("wallmoor: " + what);
-        return Commands.USAGE;
+    private static int usageError(String message) {
+        System.err.println("wallmoor: " + message);
+        return Commands.USAGE_ERROR;
     }
 }
--- a/src/main/java/wallmoor/cli/package-info.java
+++ b/src/main/java/wallmoor/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: a class for each command, which reads its arguments, calls the packages below and prints. No rule
- * of the program stands here.
+ * The command line: a class for each command, which parses its arguments, calls other packages and prints the result.
+ * The package contains no logic of the program beyond that.
  */
 package wallmoor.cli;
