--- a/src/main/java/wallmoor/consensus/ClientRequestHandler.java
+++ b/src/main/java/wallmoor/consensus/ClientRequestHandler.java
@@ -7,9 +7,12 @@
 import wallmoor.rules.RuleEvent;
 import wallmoor.rules.RuleStateMachine;
 
-/** Answers clients' requests while this member leads: proposals, and reads of a document's history. Control thread. */
+/**
+ * Handles client requests while this member leads: proposals and reads of a document's history. Runs on the control
+ * thread.
+ */
 final class ClientRequestHandler {
-    /** Sentences on rejected proposals that are kept for the operators. */
+    /** Messages about rejected proposals that are retained for operators. */
     private static final int MAX_REJECTIONS = 20;
 
     private final RaftLog raftLog;
@@ -20,7 +23,7 @@
         this.raftLog = raftLog;
     }
 
-    /** Answers at once or once something comes of the proposal. */
+    /** Responds immediately where the outcome is known, otherwise once the proposal is decided. */
     void handle(long nowMicros, Packet.ClientRequest request, RuleStateMachine stateMachine,
             Consumer<Packet.ClientResponse> responder) {
         if (request.proposal() == null) {
@@ -37,12 +40,12 @@
 
     private Packet.ClientResponse history(Packet.ClientRequest request, RuleStateMachine stateMachine) {
         String document = request.name();
-        List<String> rejected = rejections.stream().filter(r -> r.startsWith(document + " ")).toList();
-        return new Packet.ClientResponse(request.id(), Packet.ClientResponse.TOLD, 0, "",
-                stateMachine.activeVersion(document), stateMachine.history(document), rejected);
+        List<String> documentRejections = rejections.stream().filter(r -> r.startsWith(document + " ")).toList();
+        return new Packet.ClientResponse(request.id(), Packet.ClientResponse.HISTORY, 0, "",
+                stateMachine.activeVersion(document), stateMachine.history(document), documentRejections);
     }
 
-    /** Entries of the log were applied. */
+    /** Processes the events of newly applied log entries. */
     void onApplied(List<RuleEvent> events, RuleStateMachine stateMachine) {
         for (RuleEvent event : events) {
             if (event instanceof RuleEvent.ProposalRejected rejected) {
--- a/src/main/java/wallmoor/consensus/ConnectionCounters.java
+++ b/src/main/java/wallmoor/consensus/ConnectionCounters.java
@@ -2,28 +2,28 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What did not get through, since the start. Any thread. */
+/** Counts dropped packets, malformed packets and rejected connections since process start. Thread-safe. */
 final class ConnectionCounters {
     private final AtomicLong dropped = new AtomicLong();
     private final AtomicLong malformed = new AtomicLong();
     private final AtomicLong rejected = new AtomicLong();
 
-    /** A packet was not sent. */
+    /** Counts a packet that was not sent. */
     void countDropped() {
         dropped.incrementAndGet();
     }
 
-    /** A packet that came can't be read. */
+    /** Counts a received packet that could not be decoded. */
     void countMalformed() {
         malformed.incrementAndGet();
     }
 
-    /** A connection was rejected. */
+    /** Counts a rejected connection. */
     void countRejected() {
         rejected.incrementAndGet();
     }
 
-    /** For the operators; the words are those of the control port. */
+    /** Returns the counters as text for the control port, whose words are part of its format. */
     String describe(int connections) {
         return "links " + connections + " dropped " + dropped + " malformed " + malformed + " refused " + rejected;
     }
--- a/src/main/java/wallmoor/consensus/ConsensusService.java
+++ b/src/main/java/wallmoor/consensus/ConsensusService.java
@@ -18,9 +18,9 @@
 import wallmoor.rules.RuleReader;
 
 /**
- * This gatherer's part in the consensus on rules: a lease holder, and a voting member of the Raft group where the
- * operators' file names it. The control thread has all of that state, the transport's thread the connections; traffic
- * reads an immutable snapshot and waits for neither.
+ * The consensus on rules in one gatherer: a lease holder and, if the configuration lists this gatherer as a voter, a
+ * voting member of the Raft group. The control thread owns this state and the transport thread owns the connections;
+ * traffic reads an immutable snapshot and waits for neither.
  */
 public final class ConsensusService implements RuleReader, AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(ConsensusService.class);
@@ -28,7 +28,7 @@
     private static final int TICKS_PER_TERM = 100;
     private static final long CLOSE_MILLIS = 1_000;
     private static final long MICROS_PER_MILLI = 1_000;
-    /** Clocks of gatherers may run apart by so much of true time. */
+    /** The maximum rate difference between a gatherer's monotonic clock and true time, as a fraction. */
     private static final double CLOCK_DRIFT = 0.01;
 
     private final String name;
@@ -38,7 +38,7 @@
     private final TcpTransport transport;
     private final PacketQueue packets;
     private final LeaseHolderConnections holderConnections;
-    /** Null where this gatherer does not vote. */
+    /** Null if this gatherer does not vote. */
     private final VotingMember votingMember;
     private final LeaseHolder leaseHolder;
     private final LeaseSession session;
@@ -47,36 +47,33 @@
     private final StatusPublisher publisher;
 
     /**
-     * A document's history as the leader tells it.
+     * The history of a document as reported by the leader.
      *
-     * @param activeVersion the number of the version that acts
-     * @param versions      that the voting members keep
-     * @param rejected      sentences on proposals that were rejected of late
+     * @param activeVersion the number of the active version
+     * @param versions      the versions that the voting members retain
+     * @param rejected      messages about recently rejected proposals
      */
     public record RuleHistory(long activeVersion, List<RuleDocument> versions, List<String> rejected) {}
 
     /**
-     * What came of a proposal.
+     * The outcome of a proposal.
      *
-     * @param version   the number that it got
-     * @param rejection why it was rejected; empty where it acts
+     * @param version   the version number it was assigned
+     * @param rejection the reason for its rejection; empty if the version is active
      */
     public record ProposalOutcome(long version, String rejection) {}
 
     /**
-     * Opens what was kept and listens; {@link #start} begins.
+     * Loads the durable state and opens the listening socket; {@link #start} begins work.
      *
-     * @throws IOException where it can't listen, or the directory can't be used
+     * @throws IOException if listening fails or the directory can't be used
      */
     public ConsensusService(RulesConfig config, String name, long seed, RuleChangeListener listener)
             throws IOException {
         this(config, name, seed, listener, System::currentTimeMillis);
     }
 
-    /**
-     * The same with a wall clock of its own, milliseconds: incarnations are counted by it, and nothing else that is
-     * decided.
-     */
+    /** Creates a service with the given wall clock in milliseconds. The wall clock only determines incarnations. */
     ConsensusService(RulesConfig config, String name, long seed, RuleChangeListener listener, LongSupplier wallClock)
             throws IOException {
         this.name = name;
@@ -106,12 +103,13 @@
         try {
             return new DurableStore(directory, name, voters, wallMicros);
         } catch (CorruptDataException e) {
-            LOG.warn("rules: does not vote: in {}: {}", directory, e.getMessage());
+            LOG.warn("rules: voting disabled, durable state unreadable: directory={} error={}", directory,
+                    e.getMessage());
             return null;
         }
     }
 
-    /** Begins to request leases, and to vote where it does. */
+    /** Starts requesting leases and, on a voting member, voting. */
     public void start() {
         transport.start(packets);
         long tickMillis = Math.min(MAX_TICK_MILLIS, config.term() / TICKS_PER_TERM);
@@ -123,40 +121,51 @@
         return publisher.snapshot().effectiveRule(nowMicros(), document);
     }
 
-    /** What is known now; never waits. */
+    /** Returns the most recently published status without waiting. */
     public ConsensusStatus status() {
         return publisher.status();
     }
 
-    /** This process' monotonic clock, microseconds; the same that leases are counted by. */
+    /** Returns this process's monotonic clock in microseconds, which also measures leases. */
     public static long nowMicros() {
         return System.nanoTime() / MICROS_PER_MILLI;
     }
 
-    /** No two gatherers act on contradicting versions for longer, milliseconds. */
+    /**
+     * Returns the lease term in milliseconds: the longest time for which two gatherers may act on contradicting
+     * versions.
+     */
     public long termMillis() {
         return config.term();
     }
 
-    /** The connections' counters, and what did not fit, for the operators. */
+    /** Returns the connection counters and the number of packets dropped by the receive queue, for operators. */
     public String counters() {
         return transport.counters() + " overflow " + packets.overflow();
     }
 
-    /** Reads a document's history from the leader; waits so long at most. */
+    /**
+     * Reads a document's history from the leader.
+     *
+     * @throws TimeoutException if no response arrives within {@code timeoutMillis}
+     */
     public RuleHistory history(String document, long timeoutMillis) throws TimeoutException, InterruptedException {
         Packet.ClientResponse response = requests.call(document, null, timeoutMillis);
         return new RuleHistory(response.activeVersion(), response.versions(), response.rejected());
     }
 
-    /** Proposes a version; waits until it acts or is rejected, so long at most. */
+    /**
+     * Proposes a version and waits until it is active or rejected.
+     *
+     * @throws TimeoutException if neither is known after {@code timeoutMillis}
+     */
     public ProposalOutcome propose(RuleProposal proposal, long timeoutMillis)
             throws TimeoutException, InterruptedException {
         Packet.ClientResponse response = requests.call(proposal.name(), proposal, timeoutMillis);
         return new ProposalOutcome(response.version(), response.reason());
     }
 
-    /** Leaves the group: stops voting and requesting, and closes all connections. */
+    /** Stops voting and requesting leases, and closes all connections. */
     @Override
     public void close() {
         controlThread.run(() -> {
@@ -170,11 +179,11 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            // it listens no more either way
+            // close() is best effort: the transport thread ends either way
         }
     }
 
-    // ---- the control thread -------------------------------------------------------------------------------
+    // ---- control thread -----------------------------------------------------------------------------------
 
     private void tick() throws IOException {
         long now = nowMicros();
@@ -199,7 +208,7 @@
     private void onLeaseMessage(LeaseMessage message) {
         long now = nowMicros();
         LeaseMessage.LeaseRequest next = session.onMessage(now, message);
-        publish(now); // before the request, which gives the word that traffic goes by it already
+        publish(now); // before the request, which confirms to the leader that traffic already uses this state
         if (next != null) {
             session.send(next);
         }
@@ -223,7 +232,9 @@
         }
     }
 
-    /** Takes each packet to the part that it is for; what a peer may not send is ignored. */
+    /**
+     * Routes each packet to the component that handles it; packets that the sender is not allowed to send are ignored.
+     */
     private final class Dispatcher implements PacketHandler {
         @Override
         public void handle(FramedConnection from, Packet packet) throws CorruptDataException {
--- a/src/main/java/wallmoor/consensus/ConsensusStatus.java
+++ b/src/main/java/wallmoor/consensus/ConsensusStatus.java
@@ -7,15 +7,15 @@
 import wallmoor.rules.VersionChain;
 
 /**
- * What a gatherer knows of the rules and of the consensus on them, as it was published last. Immutable.
+ * The last published state of the rules and of the consensus on them in one gatherer. Immutable.
  *
- * @param snapshot       what traffic acts on
- * @param known          the versions that are known
- * @param effectiveSince by document
- * @param leader         who gave the last lease, or who is asked for one
- * @param voterState     of a voting member, its state; else empty
- * @param leaseDenial    why the last lease request was denied, or empty
- * @param unreadable     documents that this program can't read, and why
+ * @param snapshot       the rules that traffic uses
+ * @param known          the known versions of each document
+ * @param effectiveSince how each document is in effect and since when, by document name
+ * @param leader         the known leader, or the voter that lease requests are sent to
+ * @param voterState     the state of a voting member; empty if this gatherer does not vote
+ * @param leaseDenial    the reason for the denial of the last lease request, or empty
+ * @param unreadable     the reason for each document that this program can't read, by document name
  */
 public record ConsensusStatus(RuleSnapshot snapshot, List<VersionChain> known,
         Map<String, EffectiveSince> effectiveSince, String leader, String voterState, String leaseDenial,
@@ -24,7 +24,7 @@
     /**
      * How a document is in effect, and since when.
      *
-     * @param atMillis wall clock, milliseconds since 1970
+     * @param atMillis wall clock time of the last change, in milliseconds since 1970
      */
     public record EffectiveSince(EffectiveRule.Basis basis, long activeVersion, long latestVersion, long atMillis) {
         boolean isOf(EffectiveRule rule) {
@@ -33,14 +33,14 @@
         }
     }
 
-    /** Keeps copies that nobody changes. */
+    /** Copies the collections, so that the status is immutable. */
     public ConsensusStatus {
         known = List.copyOf(known);
         effectiveSince = Map.copyOf(effectiveSince);
         unreadable = Map.copyOf(unreadable);
     }
 
-    /** Before anything was heard. */
+    /** Returns the status before anything was received. */
     static ConsensusStatus initial(RuleSnapshot snapshot, List<VersionChain> known) {
         return new ConsensusStatus(snapshot, known, Map.of(), "", "", "", Map.of());
     }
--- a/src/main/java/wallmoor/consensus/ControlThread.java
+++ b/src/main/java/wallmoor/consensus/ControlThread.java
@@ -11,11 +11,11 @@
 import wallmoor.rules.CorruptDataException;
 
 /**
- * The one thread that owns the consensus state of this process; the Raft library runs on it as well. A task that fails
- * is logged and ends no other. After {@link #shutDown} tasks are dropped.
+ * The single thread that owns the consensus state of this process and also runs the Raft library. A failed task is
+ * logged and does not affect others. Tasks submitted after {@link #shutDown} are dropped.
  */
 final class ControlThread implements RaftNodeExecutor {
-    /** Work that may fail on what the disk or the wire gave. */
+    /** A task that may fail on disk or network data. */
     interface Task {
         void run() throws IOException, CorruptDataException;
     }
@@ -34,16 +34,20 @@
         executor.setRemoveOnCancelPolicy(true);
     }
 
-    /** Runs a task as soon as those before it are done. Any thread. */
+    /** Runs a task after those submitted before it. May be called by any thread. */
     void run(Task task) {
         try {
             executor.execute(() -> runGuarded(task));
         } catch (RejectedExecutionException e) {
-            // it is shut down: whoever waits, waits no longer than it said
+            // shut down: callers that wait for a result run into their own timeout
         }
     }
 
-    /** Runs a task now and again, with so long between its end and its next beginning. */
+    /**
+     * Runs a task repeatedly.
+     *
+     * @param delayMillis the delay between the end of one run and the start of the next
+     */
     void runPeriodically(long delayMillis, Task task) {
         Future<?> unused = executor.scheduleWithFixedDelay(() -> runGuarded(task), 0, delayMillis,
                 TimeUnit.MILLISECONDS);
@@ -53,7 +57,7 @@
         try {
             task.run();
         } catch (IOException | CorruptDataException | RuntimeException e) {
-            LOG.warn("rules: a task of the consensus failed: {}", e.toString());
+            LOG.warn("rules: control thread task failed: error={}", e.toString());
         }
     }
 
@@ -72,11 +76,11 @@
         try {
             Future<?> unused = executor.schedule(() -> runGuarded(task::run), delay, unit);
         } catch (RejectedExecutionException e) {
-            // it is shut down
+            // shut down: the task is dropped
         }
     }
 
-    /** Takes no more tasks; waits so long at most for those that were handed over. */
+    /** Rejects new tasks and waits up to {@code maxWaitMillis} for the tasks already submitted. */
     void shutDown(long maxWaitMillis) throws InterruptedException {
         executor.shutdown();
         executor.awaitTermination(maxWaitMillis, TimeUnit.MILLISECONDS);
--- a/src/main/java/wallmoor/consensus/DurableDirectory.java
+++ b/src/main/java/wallmoor/consensus/DurableDirectory.java
@@ -12,13 +12,13 @@
 import wallmoor.rules.RecordFile;
 
 /**
- * Files of one process: each is replaced atomically, or is a log that grows by records. What is said to be written is
- * on the disk.
+ * A directory of durable files of one process. A file is either replaced atomically or is a log to which records are
+ * appended. Data is on disk when a write method that forces it returns.
  */
 final class DurableDirectory {
     private final Path path;
 
-    /** Makes it where there is none. */
+    /** Creates the directory if it does not exist. */
     DurableDirectory(Path path) throws IOException {
         this.path = Files.createDirectories(path);
     }
@@ -27,12 +27,12 @@
         return Files.exists(path.resolve(file));
     }
 
-    /** The records of a file that is replaced; empty where there is none. */
+    /** Returns the records of an atomically replaced file; empty if the file does not exist. */
     List<byte[]> readRecords(String file) throws IOException, CorruptDataException {
         return has(file) ? RecordFile.decodeComplete(Files.readAllBytes(path.resolve(file))) : List.of();
     }
 
-    /** Replaces a file: after a crash it is the old one or the new one. */
+    /** Replaces a file atomically: after a crash it holds either the old or the new content. */
     void replaceFile(String file, List<byte[]> records) throws IOException {
         replaceBytes(file, RecordFile.encodeComplete(records));
     }
@@ -46,38 +46,41 @@
         }
         Files.move(temporary, path.resolve(file), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         try (var directory = FileChannel.open(path)) {
-            directory.force(true); // the new name is on the disk too
+            directory.force(true); // makes the rename durable
         }
     }
 
-    /** The records of a log; a torn tail is cut off on the disk as well. */
+    /** Returns the records of a log; truncates a torn tail in the file. */
     List<byte[]> readLog(String file) throws IOException, CorruptDataException {
         byte[] bytes = Files.readAllBytes(path.resolve(file));
-        RecordFile.DecodedRecords read = RecordFile.decodeLog(bytes);
-        if (read.validLength() < bytes.length) {
+        RecordFile.DecodedRecords decoded = RecordFile.decodeLog(bytes);
+        if (decoded.validLength() < bytes.length) {
             try (var to = FileChannel.open(path.resolve(file), StandardOpenOption.WRITE)) {
-                to.truncate(read.validLength());
+                to.truncate(decoded.validLength());
                 to.force(true);
             }
         }
-        return read.records();
+        return decoded.records();
     }
 
-    /** A log begun anew with these encoded records; whoever had the old one open must use this one. */
+    /**
+     * Replaces a log by one with the given encoded records and opens it for appending. A channel of the previous log
+     * must not be used any more.
+     */
     FileChannel createLog(String file, List<byte[]> records) throws IOException {
         int size = records.stream().mapToInt(r -> r.length).sum();
-        var all = ByteBuffer.allocate(size);
-        records.forEach(all::put);
-        replaceBytes(file, all.array());
+        var content = ByteBuffer.allocate(size);
+        records.forEach(content::put);
+        replaceBytes(file, content.array());
         return openLog(file);
     }
 
-    /** A log, opened to append to. */
+    /** Opens an existing log for appending. */
     FileChannel openLog(String file) throws IOException {
         return FileChannel.open(path.resolve(file), StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     }
 
-    /** Writes all bytes. */
+    /** Writes all bytes, in as many calls as the channel needs. */
     static void write(FileChannel to, byte[] bytes) throws IOException {
         var from = ByteBuffer.wrap(bytes);
         while (from.hasRemaining()) {
--- a/src/main/java/wallmoor/consensus/DurableStore.java
+++ b/src/main/java/wallmoor/consensus/DurableStore.java
@@ -18,9 +18,9 @@
 import wallmoor.rules.RecordFile;
 
 /**
- * A voting member's stable storage, as Raft asks for: the file {@code vote} ({@link HardState}), which is replaced, and
- * the file {@code log} (entries, truncations and snapshots), which is appended to and begun anew once a snapshot covers
- * its beginning. An entry is on the disk before its coming is confirmed. Control thread.
+ * The stable storage of a voting member that Raft requires: the file {@code vote} ({@link HardState}), which is
+ * replaced, and the file {@code log} (entries, truncations and snapshots), which is appended to and rewritten once a
+ * snapshot covers its beginning. An entry is on disk before its receipt is acknowledged. Runs on the control thread.
  */
 final class DurableStore implements RaftStore {
     private static final String VOTE_FILE = "vote";
@@ -36,11 +36,11 @@
     private FileChannel logFile;
 
     /**
-     * Opens what was kept.
+     * Loads the stored state, or creates the files if there is none.
      *
-     * @param nowMicros wall clock; this process' incarnation is that or, where the clock went back, one more than the
-     *   last
-     * @throws CorruptDataException where a file is damaged: what was promised may be lost
+     * @param nowMicros the wall clock in microseconds. It becomes the incarnation of this process, unless the clock
+     *   went back: then the incarnation is the previous one plus one.
+     * @throws CorruptDataException if a file is damaged, as votes and acknowledged entries may be lost
      */
     DurableStore(DurableDirectory directory, String self, Collection<String> voters, long nowMicros)
             throws IOException, CorruptDataException {
@@ -64,7 +64,7 @@
 
     private void readLog() throws IOException, CorruptDataException {
         if (!directory.has(LOG_FILE)) {
-            throw new CorruptDataException("there is a file " + VOTE_FILE + " and no file " + LOG_FILE, 0);
+            throw new CorruptDataException("file " + VOTE_FILE + " exists but file " + LOG_FILE + " is missing", 0);
         }
         var codec = new LogRecordCodec(models, members);
         for (byte[] record : directory.readLog(LOG_FILE)) {
@@ -76,46 +76,47 @@
         directory.replaceFile(VOTE_FILE, List.of(state.encode()));
     }
 
-    /** Whether nothing was kept: this member begins, or has lost all. */
+    /** Returns whether no state was stored: this member is new or has lost its files. */
     boolean startedEmpty() {
         return startedEmpty;
     }
 
-    /** {@link RejoiningVoter#minimumLeaderTerm} as it was kept. */
+    /** Returns the stored {@link RejoiningVoter#minimumLeaderTerm}. */
     int minimumLeaderTerm() {
         return state.minimumLeaderTerm();
     }
 
-    /** This process' incarnation. */
+    /** Returns the incarnation of this process. */
     long incarnation() {
         return state.incarnation();
     }
 
-    /** The latest term that this member was in. */
+    /** Returns the latest term that this member was in. */
     int term() {
         return state.term();
     }
 
-    /** The term of the entry at an index, as far as that is kept; else -1. */
+    /** Returns the term of the entry at an index, or -1 if the entry is not stored. */
     int termAt(long index) {
         return log.termAt(index);
     }
 
     /**
-     * It takes part from a term on, and learns first from a leader of {@code leaderTerm} or later, where that is not 0.
+     * Stores the term in which this member starts, and the minimum term of the leader that it must catch up with before
+     * it votes (0 for none).
      */
     void startInTerm(int term, int leaderTerm) throws IOException {
         state = state.withTerm(Math.max(state.term(), term)).withMinimumLeaderTerm(leaderTerm);
         saveState();
     }
 
-    /** It has learned what it must know before it votes. */
+    /** Stores that this member has caught up and may vote. */
     void markCaughtUp() throws IOException {
         state = state.withMinimumLeaderTerm(0);
         saveState();
     }
 
-    /** What the Raft library goes on from. */
+    /** Returns the state that the Raft library restores at start. */
     RestoredRaftState restoredState() {
         SnapshotEntry snapshot = log.snapshot();
         long from = snapshot == null ? 0 : snapshot.getIndex();
@@ -131,16 +132,16 @@
         logFile.close();
     }
 
-    // ---- what the Raft library tells ----------------------------------------------------------------------
+    // ---- RaftStore -------------------------------------------------------------------------------------
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) {
-        // the operators' file says who this is
+        // not stored: the configuration names this member
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView initial) {
-        // and who votes
+        // not stored: the configuration names the voters
     }
 
     @Override
--- a/src/main/java/wallmoor/consensus/FramedConnection.java
+++ b/src/main/java/wallmoor/consensus/FramedConnection.java
@@ -10,24 +10,25 @@
 import java.util.zip.CRC32C;
 
 /**
- * One connection: frames of a length, a CRC-32C and so many bytes, both ways. A frame that is not as it was sent ends
- * the connection, and the bytes buffered for one grow with what comes and not with what its length says. Used on the
- * transport's thread alone, but for {@link #peer}.
+ * A connection that carries frames in both directions. A frame is a length, a CRC-32C checksum and the payload. A
+ * corrupt frame ends the connection. The read buffer grows with the bytes received, not with the length that a frame
+ * announces. Used only on the transport thread, except for {@link #peer}.
  */
 final class FramedConnection {
-    /** Takes the payloads of frames. */
+    /** Receives the payloads of frames. */
     interface PayloadHandler {
-        /** A frame came; a fault ends the connection. */
+        /** Handles a payload; an exception ends the connection. */
         void onPayload(byte[] payload) throws IOException;
     }
 
     /**
-     * The largest grant, thirty versions of 512 Ki characters, fits in ASCII; what does not fit is dropped and counted.
+     * The largest grant, thirty versions of 512 Ki characters, fits in if it is ASCII; a larger packet is dropped and
+     * counted.
      */
     static final int MAX_PAYLOAD_BYTES = 16 << 20;
-    /** What waits to be sent on one connection: more is dropped, as all that is sent is sent again. */
+    /** Limit of bytes queued on one connection. Frames beyond it are dropped, as every message is sent again. */
     private static final int MAX_UNSENT_BYTES = MAX_PAYLOAD_BYTES + (4 << 20);
-    /** Of a frame before the handshake. */
+    /** Limit of the payload of a frame received before the handshake. */
     private static final int MAX_HANDSHAKE_BYTES = 4 << 10;
     private static final int HEADER_BYTES = 2 * Integer.BYTES;
     private static final int READ_BUFFER_BYTES = 16 << 10;
@@ -42,7 +43,11 @@
     private long lastReadMillis;
     private long lastWrittenMillis;
 
-    /** {@code dialledVoter} is null where the other end has dialled. */
+    /**
+     * Creates a connection.
+     *
+     * @param dialledVoter the voter that was dialled; null for an accepted connection
+     */
     FramedConnection(SocketChannel channel, String dialledVoter, long nowMillis) {
         this.channel = channel;
         this.dialledVoter = dialledVoter;
@@ -50,7 +55,7 @@
         lastWrittenMillis = nowMillis;
     }
 
-    /** Has the selector watch it. */
+    /** Registers the channel with the selector. */
     void register(Selector selector, int interestOps) throws IOException {
         channel.configureBlocking(false);
         channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -61,17 +66,17 @@
         return key;
     }
 
-    /** The voting member that was dialled, or null where the other end has dialled. */
+    /** Returns the voter that was dialled, or null for an accepted connection. */
     String dialledVoter() {
         return dialledVoter;
     }
 
-    /** Who the other end says to be, or null where it has not yet. Any thread. */
+    /** Returns the handshake of the peer, or null before it was accepted. May be called by any thread. */
     Packet.Handshake peer() {
         return peer;
     }
 
-    /** The other end's handshake came, and was accepted. */
+    /** Stores the accepted handshake of the peer. */
     void accept(Packet.Handshake handshake) {
         peer = handshake;
     }
@@ -84,12 +89,12 @@
         return channel.isConnected();
     }
 
-    /** Whether the connection is there now. */
+    /** Completes a pending connect and returns whether the connection is established. */
     boolean finishConnect() throws IOException {
         return channel.finishConnect();
     }
 
-    /** A payload as it goes over the wire. */
+    /** Returns the frame of a payload. */
     static byte[] frame(byte[] payload) {
         var to = ByteBuffer.allocate(HEADER_BYTES + payload.length);
         to.putInt(payload.length).putInt(checksum(payload)).put(payload);
@@ -103,7 +108,7 @@
         return (int) crc.getValue();
     }
 
-    /** Whether the frame waits to be sent; not where too much does. */
+    /** Queues a frame, and returns false if the queue is full. */
     boolean offer(byte[] frame) {
         if (unsentBytes + frame.length > MAX_UNSENT_BYTES) {
             return false;
@@ -113,14 +118,14 @@
         return true;
     }
 
-    /** Writes what goes; whether all has gone. */
+    /** Writes queued frames as far as the channel accepts them, and returns whether all were written. */
     boolean write(long nowMillis) throws IOException {
         while (!unsent.isEmpty()) {
             ByteBuffer first = unsent.peek();
-            int n = channel.write(first);
-            if (n > 0) {
+            int bytesWritten = channel.write(first);
+            if (bytesWritten > 0) {
                 lastWrittenMillis = nowMillis;
-                unsentBytes -= n;
+                unsentBytes -= bytesWritten;
             }
             if (first.hasRemaining()) {
                 return false;
@@ -130,27 +135,33 @@
         return true;
     }
 
-    /** Reads what is there, and hands over each complete payload; an empty one is a heartbeat. */
+    /**
+     * Reads the available bytes and passes each complete payload to the handler. An empty payload is a heartbeat and is
+     * not passed on.
+     */
     void read(long nowMillis, PayloadHandler handler) throws IOException {
-        int n = channel.read(in);
-        while (n > 0) {
+        int bytesRead = channel.read(in);
+        while (bytesRead > 0) {
             lastReadMillis = nowMillis;
             in.flip();
             int needed = takeFrames(handler);
             makeRoom(needed);
-            n = channel.read(in);
+            bytesRead = channel.read(in);
         }
-        if (n < 0) {
-            throw new IOException("the other end has closed");
+        if (bytesRead < 0) {
+            throw new IOException("connection closed by the peer");
         }
     }
 
-    /** Hands over the complete frames; gives how many bytes the next one has, as far as that is known. */
+    /**
+     * Passes on the payloads of complete frames, and returns the size in bytes of the next frame, or of a header if its
+     * length is not known yet.
+     */
     private int takeFrames(PayloadHandler handler) throws IOException {
         while (in.remaining() >= HEADER_BYTES) {
             int length = in.getInt(in.position());
             if (length < 0 || length > (peer == null ? MAX_HANDSHAKE_BYTES : MAX_PAYLOAD_BYTES)) {
-                throw new PeerProtocolException("a frame of " + length + " bytes");
+                throw new PeerProtocolException("invalid frame length " + length + " bytes");
             }
             if (in.remaining() < HEADER_BYTES + length) {
                 return HEADER_BYTES + length;
@@ -161,19 +172,19 @@
     }
 
     private void takeFrame(int length, PayloadHandler handler) throws IOException {
-        in.getInt(); // the length
+        in.getInt(); // skips the length
         int checksum = in.getInt();
         byte[] payload = new byte[length];
         in.get(payload);
         if (checksum != checksum(payload)) {
-            throw new PeerProtocolException("a frame is not what its checksum says");
+            throw new PeerProtocolException("frame checksum mismatch, payload of " + length + " bytes");
         }
         if (length > 0) {
             handler.onPayload(payload);
         }
     }
 
-    /** Keeps what is read of a frame of so many bytes, and makes room for as much again at most. */
+    /** Compacts the buffer, or resizes it: it at most doubles, up to the size of the pending frame. */
     private void makeRoom(int frameBytes) {
         if (in.remaining() == 0 && in.capacity() > READ_BUFFER_BYTES) {
             in = ByteBuffer.allocate(READ_BUFFER_BYTES);
@@ -185,12 +196,12 @@
         }
     }
 
-    /** Whether the other end was silent for longer. */
+    /** Returns whether nothing was received for more than {@code maxMillis}. */
     boolean isSilent(long nowMillis, long maxMillis) {
         return nowMillis - lastReadMillis > maxMillis;
     }
 
-    /** Whether nothing was sent for so long. */
+    /** Returns whether nothing was sent for at least {@code minMillis}. */
     boolean isIdle(long nowMillis, long minMillis) {
         return nowMillis - lastWrittenMillis >= minMillis;
     }
@@ -199,7 +210,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            // it is gone either way
+            // the connection is unusable either way
         }
     }
 }
--- a/src/main/java/wallmoor/consensus/HandshakeVerifier.java
+++ b/src/main/java/wallmoor/consensus/HandshakeVerifier.java
@@ -7,8 +7,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which peers may talk: those of the same group, under the name that was dialled, and of a voting member no process
- * older than the last one heard, so that one that lost its state speaks for the member alone. The transport's thread.
+ * Verifies handshakes. A peer must belong to the same group and have the name that was dialled. A process of a voting
+ * member must not be older than the last one seen, so that a process that lost its state is the only one that acts for
+ * the member. Runs on the transport thread.
  */
 final class HandshakeVerifier {
     private static final Logger LOG = LoggerFactory.getLogger(HandshakeVerifier.class);
@@ -22,29 +23,38 @@
         this.voters = voters;
     }
 
-    /** Whether the peer may go on; says why where it may not. {@code dialledVoter} is null where it has dialled. */
+    /**
+     * Returns whether the peer is accepted; logs the reason if not.
+     *
+     * @param dialledVoter the voter that was dialled; null for an accepted connection
+     */
     boolean verify(String dialledVoter, Packet.Handshake handshake) {
         String name = handshake.name();
         if (!handshake.group().equals(group)) {
             LOG.warn(
-                    "rules: {} has other voters or another term: {}; here {}: set rules.voters and rules.term the same "
-                            + "everywhere",
+                    "rules: peer rejected, its voters or term differ: peer={} peer_group=\"{}\" own_group=\"{}\""
+                            + "; set the same rules.voters and rules.term on all gatherers",
                     name, handshake.group(), group);
             return false;
         }
         if (dialledVoter != null && !dialledVoter.equals(name)) {
-            LOG.warn("rules: at {}'s address answers {}: correct rules.voters", dialledVoter, name);
+            LOG.warn("rules: peer rejected, wrong name at the address of a voter: voter={} peer={}; correct rules.voters",
+                    dialledVoter, name);
             return false;
         }
         if (voters.contains(name) && handshake.incarnation() < lastIncarnation(name)) {
-            LOG.warn("rules: a process of {} is older than one that was heard already, and is not heard: "
-                    + "where it is not, its clock went back after it lost what it kept; set it", name);
+            LOG.warn("rules: peer rejected, older incarnation than the last one seen: peer={}; "
+                    + "if this process is the current one, its clock went back after it lost its state: set its clock",
+                    name);
             return false;
         }
         return true;
     }
 
-    /** Remembers the peer's process; whether it is a later one of its voting member than any before. */
+    /**
+     * Records the incarnation of the peer, and returns whether it is a voting member's process newer than any seen
+     * before.
+     */
     boolean recordIncarnation(Packet.Handshake handshake) {
         String name = handshake.name();
         boolean later = voters.contains(name) && handshake.incarnation() > lastIncarnation(name);
--- a/src/main/java/wallmoor/consensus/HardState.java
+++ b/src/main/java/wallmoor/consensus/HardState.java
@@ -6,12 +6,13 @@
 import wallmoor.rules.LogEntryCodec;
 
 /**
- * What a voting member must have on disk before it answers: Raft's current term and vote, and what this program adds.
+ * The state that a voting member must have on disk before it responds: the current term and vote of Raft, and fields
+ * that this program adds.
  *
- * @param incarnation       tells two processes of one name apart; goes up with each start
+ * @param incarnation       distinguishes two processes of one name; increases with each start
  * @param term              the latest term that this member was in
- * @param votedFor          in that term; empty for none
- * @param minimumLeaderTerm of a rejoining voter, see {@link RejoiningVoter#minimumLeaderTerm}; else 0
+ * @param votedFor          the candidate that this member voted for in {@code term}; empty for none
+ * @param minimumLeaderTerm see {@link RejoiningVoter#minimumLeaderTerm}; 0 unless the voter is rejoining
  */
 record HardState(long incarnation, int term, String votedFor, int minimumLeaderTerm) {
     byte[] encode() {
--- a/src/main/java/wallmoor/consensus/KnownVersionsFile.java
+++ b/src/main/java/wallmoor/consensus/KnownVersionsFile.java
@@ -9,8 +9,9 @@
 import wallmoor.rules.VersionChain;
 
 /**
- * The versions that this gatherer knew last, kept for their fallbacks after a restart. A file that is late or lost
- * costs a fallback and breaks no promise, so faults are logged and nothing waits for it. Control thread.
+ * The file with the versions that this gatherer knew last, from which it takes fallbacks after a restart. A late or
+ * lost file costs a fallback but violates no guarantee, so errors are logged and nothing waits for the file. Runs on
+ * the control thread.
  */
 final class KnownVersionsFile {
     private static final Logger LOG = LoggerFactory.getLogger(KnownVersionsFile.class);
@@ -20,12 +21,16 @@
     private List<VersionChain> saved = List.of();
     private boolean writable = true;
 
-    /** {@code directory} is null where nothing is kept. */
+    /**
+     * Creates the file access.
+     *
+     * @param directory null if nothing is stored
+     */
     KnownVersionsFile(DurableDirectory directory) {
         this.directory = directory;
     }
 
-    /** What was saved; nothing where the file is absent or corrupt. */
+    /** Returns the saved versions; empty if the file is missing or corrupt. */
     List<VersionChain> load() throws IOException {
         if (directory == null) {
             return List.of();
@@ -33,18 +38,18 @@
         try {
             return LeaseMessageCodec.decodeKnownVersions(directory.readRecords(FILE));
         } catch (CorruptDataException e) {
-            LOG.warn("rules: in {}, file {}: {}; no fallback is known until the voters are heard", directory, FILE,
-                    e.getMessage());
+            LOG.warn("rules: known versions unreadable: directory={} file={} error={}; "
+                    + "no fallback is known until a voter responds", directory, FILE, e.getMessage());
             return List.of();
         }
     }
 
-    /** These stand in the file already, or need not. */
+    /** Marks versions as saved: {@link #save} does not write them again. */
     void markSaved(List<VersionChain> known) {
         saved = known;
     }
 
-    /** Saves them where they are others than the last. */
+    /** Saves the versions if they differ from those saved last. */
     void save(List<VersionChain> known) {
         if (directory == null || known.equals(saved)) {
             return;
@@ -55,8 +60,8 @@
             writable = true;
         } catch (IOException e) {
             if (writable) {
-                LOG.warn("rules: what is known can't be kept in {}, after a restart no fallback is known: {}",
-                        directory, e.toString());
+                LOG.warn("rules: known versions not saved: directory={} error={}; "
+                        + "after a restart no fallback is known", directory, e.toString());
             }
             writable = false;
         }
--- a/src/main/java/wallmoor/consensus/LeaderRequests.java
+++ b/src/main/java/wallmoor/consensus/LeaderRequests.java
@@ -11,13 +11,13 @@
 import wallmoor.rules.RuleProposal;
 
 /**
- * Requests of this process to the leader: proposals, and reads of a document's history. Each is sent again until a
- * final response comes or its caller gives up; the leader knows a repeated one by its number. State on the control
- * thread.
+ * Requests of this process to the leader: proposals and reads of a document's history. A request is sent again until a
+ * final response arrives or the caller gives up; the leader recognizes repeated requests by their id. The state belongs
+ * to the control thread.
  */
 final class LeaderRequests {
     private static final long RESEND_MICROS = 300_000;
-    /** Callers that wait at once; the request of one more is never sent, and times out. */
+    /** Limit of concurrent requests. A request beyond it is never sent, and times out. */
     private static final int MAX_PENDING = 64;
 
     private record PendingRequest(Packet.ClientRequest request, CompletableFuture<Packet.ClientResponse> response,
@@ -29,17 +29,21 @@
     private final Map<Long, PendingRequest> pending = new TreeMap<>();
     private long resendAt;
 
-    /** {@code sender} sends to the presumed leader; on the control thread. */
+    /**
+     * Creates the requests.
+     *
+     * @param sender sends a request to the presumed leader; called on the control thread
+     */
     LeaderRequests(ControlThread controlThread, Consumer<Packet.ClientRequest> sender) {
         this.controlThread = controlThread;
         this.sender = sender;
     }
 
     /**
-     * Asks the leader and waits for the final response. Any thread but the control thread.
+     * Sends a request to the leader and waits for the final response. Must not be called on the control thread.
      *
-     * @param proposal null where the document's history is read
-     * @throws TimeoutException where none came in time; its message says how far it got
+     * @param proposal the proposal, or null to read the history of the document
+     * @throws TimeoutException if no final response arrives in time; its message reports the last known state
      */
     Packet.ClientResponse call(String document, RuleProposal proposal, long timeoutMillis)
             throws TimeoutException, InterruptedException {
@@ -50,11 +54,11 @@
         try {
             return response.get(timeoutMillis, TimeUnit.MILLISECONDS);
         } catch (TimeoutException e) {
-            throw new TimeoutException(lastState[0].isEmpty() ? "no leader of the voters was heard"
-                    : "it is " + lastState[0]
-                            + ", and not known to act: somebody may hold an older version for up to a term");
+            throw new TimeoutException(lastState[0].isEmpty() ? "no response from a leader of the voters"
+                    : "the proposal is " + lastState[0]
+                            + ", but not known to be active: a gatherer may use an older version for up to a term");
         } catch (ExecutionException e) {
-            throw new AssertionError("a response is never completed by a fault", e);
+            throw new AssertionError("the response future never completes exceptionally", e);
         } finally {
             controlThread.run(() -> pending.remove(request.id()));
         }
@@ -67,7 +71,7 @@
         }
     }
 
-    /** Time passes. */
+    /** Sends pending requests again when the resend interval has elapsed. */
     void tick(long nowMicros) {
         if (!pending.isEmpty() && nowMicros >= resendAt) {
             resendAt = nowMicros + RESEND_MICROS;
@@ -75,7 +79,7 @@
         }
     }
 
-    /** A response came; one that is not final only says how far the request got. */
+    /** Handles a response; one that is not final only updates the known state of the request. */
     void onResponse(Packet.ClientResponse response) {
         PendingRequest request = pending.get(response.id());
         if (request != null) {
--- a/src/main/java/wallmoor/consensus/LeaseHolderConnections.java
+++ b/src/main/java/wallmoor/consensus/LeaseHolderConnections.java
@@ -6,8 +6,8 @@
 import wallmoor.rules.LeaseMessage;
 
 /**
- * How this voting member reaches the others and the lease holders: members by their address, a holder over the
- * connection that its last request came over, the holder of this process directly. Control thread.
+ * The connections of this voting member: other members are reached at their address, a lease holder over the connection
+ * of its last request, and the lease holder of this process directly. Runs on the control thread.
  */
 final class LeaseHolderConnections implements VoterContext {
     private final String self;
@@ -15,19 +15,23 @@
     private final Consumer<LeaseMessage> ownHolder;
     private final Map<String, FramedConnection> connections = new HashMap<>();
 
-    /** {@code ownHolder} takes what is for the lease holder of this process, later. */
+    /**
+     * Creates the connections.
+     *
+     * @param ownHolder delivers a message to the lease holder of this process asynchronously
+     */
     LeaseHolderConnections(String self, TcpTransport transport, Consumer<LeaseMessage> ownHolder) {
         this.self = self;
         this.transport = transport;
         this.ownHolder = ownHolder;
     }
 
-    /** A holder's request came over this connection. */
+    /** Records the connection over which the last request of a holder arrived. */
     void put(String holder, FramedConnection connection) {
         connections.put(holder, connection);
     }
 
-    /** A connection has ended. */
+    /** Removes a closed connection. */
     void remove(FramedConnection connection) {
         connections.values().removeIf(c -> c == connection);
     }
--- a/src/main/java/wallmoor/consensus/LeaseSession.java
+++ b/src/main/java/wallmoor/consensus/LeaseSession.java
@@ -5,16 +5,16 @@
 import wallmoor.rules.LeaseMessage;
 
 /**
- * This gatherer's session with the leader: sends the lease holder's requests to the voting member that is presumed to
- * lead, follows redirects, and tries the next one where no answer came. Control thread.
+ * The lease session of this gatherer: sends the lease holder's requests to the voting member that is presumed to lead,
+ * follows redirects, and tries the next member if no response arrives. Runs on the control thread.
  */
 final class LeaseSession {
-    /** Sends a lease request to a voting member, or has the one of this process answer it. */
+    /** Sends a lease request to a voting member, or passes it to the voting member of this process. */
     interface RequestSender {
         void send(String voter, LeaseMessage.LeaseRequest request);
     }
 
-    /** A request is forwarded so often at most: two members may each take the other for the leader. */
+    /** Limit of redirects per request, as two members may each take the other for the leader. */
     private static final int MAX_REDIRECTS = 2;
 
     private final List<String> voters;
@@ -25,7 +25,10 @@
     private boolean answered = true;
     private int redirects;
 
-    /** Begins with the voting member that the seed falls on, so that gatherers spread over them. */
+    /**
+     * Creates a session that starts with the voting member selected by the seed, so that gatherers spread over the
+     * members.
+     */
     LeaseSession(List<String> voters, LeaseHolder holder, RequestSender sender, long seed) {
         this.voters = voters;
         this.holder = holder;
@@ -33,24 +36,24 @@
         presumedLeader = voters.get(Math.floorMod(seed, voters.size()));
     }
 
-    /** The voting member that requests are sent to. */
+    /** Returns the voting member that requests are sent to. */
     String presumedLeader() {
         return presumedLeader;
     }
 
-    /** Time passes: renews the lease where that is due. */
+    /** Renews the lease when due. */
     void tick(long nowMicros) {
         LeaseMessage.LeaseRequest request = holder.onTick(nowMicros);
         if (request == null) {
             return;
         }
-        if (!answered) { // since the last renewal
+        if (!answered) { // the request of the last renewal
             presumedLeader = voters.get((voters.indexOf(presumedLeader) + 1) % voters.size());
         }
         send(request);
     }
 
-    /** Takes a leader's message; gives the request that it calls for, or null. */
+    /** Handles a message of the leader, and returns the request to send next, or null. */
     LeaseMessage.LeaseRequest onMessage(long nowMicros, LeaseMessage message) {
         LeaseMessage.LeaseRequest next = null;
         if (message instanceof LeaseMessage.LeaseGrant grant) {
@@ -74,7 +77,8 @@
     }
 
     /**
-     * The member that was asked does not lead: the last request goes to the one that does. A late copy does no harm.
+     * Sends the last request to the reported leader, after the member that received it reported that it does not lead.
+     * A duplicate request has no effect.
      */
     void redirect(String leader) {
         boolean other = voters.contains(leader) && !leader.equals(presumedLeader);
--- a/src/main/java/wallmoor/consensus/LogRecordCodec.java
+++ b/src/main/java/wallmoor/consensus/LogRecordCodec.java
@@ -8,18 +8,21 @@
 import wallmoor.rules.ByteWriter;
 import wallmoor.rules.CorruptDataException;
 
-/** The records of a voting member's file {@code log}. They stay readable: a type's number is never given to another. */
+/**
+ * Encodes and decodes the records of the file {@code log} of a voting member. Old files must stay readable, so the
+ * number of a record type is never reused.
+ */
 final class LogRecordCodec {
-    /** Told of what a record says. */
+    /** Receives the content of decoded records. */
     interface Visitor {
         void onEntry(LogEntry entry);
 
-        /** The entries from an index on were overwritten by a new leader's. */
+        /** Handles the truncation of the entries from an index on, which a new leader has overwritten. */
         void onTruncateFrom(long index);
 
         void onChunk(SnapshotChunk chunk);
 
-        /** The chunks of a snapshot were deleted. */
+        /** Handles the deletion of all chunks of a snapshot. */
         void onDeleteChunks(long index);
     }
 
@@ -71,7 +74,7 @@
                     .setSnapshotChunkIndex((int) from.readLong()).setSnapshotChunkCount((int) from.readLong())
                     .setOperation(from.readBytes()).setGroupMembersView(members).build());
         } else {
-            throw new CorruptDataException("a record of unknown type " + type, 0);
+            throw new CorruptDataException("unknown log record type " + type, 0);
         }
         from.expectEnd();
     }
--- a/src/main/java/wallmoor/consensus/OutboundConnection.java
+++ b/src/main/java/wallmoor/consensus/OutboundConnection.java
@@ -1,25 +1,25 @@
 package wallmoor.consensus;
 
-/** The connection to a voting member that is dialled, and the backoff between attempts. The transport's thread. */
+/** The connection dialled to a voting member, and the backoff between attempts. Runs on the transport thread. */
 final class OutboundConnection {
     private static final long MIN_BACKOFF_MILLIS = 100;
     private static final long MAX_BACKOFF_MILLIS = 1_000;
 
     private FramedConnection connection;
     private long backoffMillis = MIN_BACKOFF_MILLIS;
-    private long notBefore;
+    private long nextAttemptMillis;
 
-    /** Null where there is none. */
+    /** Returns the connection, or null if there is none. */
     FramedConnection connection() {
         return connection;
     }
 
-    /** Whether an attempt may begin now; if so the next one waits longer. */
+    /** Returns whether an attempt may begin now; if so, increases the backoff before the next one. */
     boolean tryBegin(long nowMillis) {
-        if (nowMillis < notBefore) {
+        if (nowMillis < nextAttemptMillis) {
             return false;
         }
-        notBefore = nowMillis + backoffMillis;
+        nextAttemptMillis = nowMillis + backoffMillis;
         backoffMillis = Math.min(2 * backoffMillis, MAX_BACKOFF_MILLIS);
         return true;
     }
@@ -28,12 +28,12 @@
         connection = opened;
     }
 
-    /** The other end's handshake came. */
+    /** Resets the backoff after the peer's handshake was accepted. */
     void established() {
         backoffMillis = MIN_BACKOFF_MILLIS;
     }
 
-    /** Whether it was this one that has ended. */
+    /** Clears the connection if it is the one that ended, and returns whether it was. */
     boolean closed(FramedConnection ended) {
         boolean current = connection == ended;
         if (current) {
--- a/src/main/java/wallmoor/consensus/Packet.java
+++ b/src/main/java/wallmoor/consensus/Packet.java
@@ -6,18 +6,21 @@
 import wallmoor.rules.RuleDocument;
 import wallmoor.rules.RuleProposal;
 
-/** What processes of a group send to each other over a connection; see {@link PacketCodec} for the bytes. */
+/** A packet that processes of a group send to each other over a connection; {@link PacketCodec} defines the bytes. */
 sealed interface Packet {
     /**
-     * The first on each connection, both ways.
+     * The first packet on each connection, in both directions.
      *
-     * @param group       the same of all that may talk to each other
-     * @param name        of the gatherer
-     * @param incarnation tells two processes of one name apart; a later one has the higher
+     * @param group       identifies the group; the same for all processes that may connect to each other
+     * @param name        the name of the gatherer
+     * @param incarnation distinguishes two processes of one name; the newer process has the higher value
      */
     record Handshake(String group, String name, long incarnation) implements Packet {}
 
-    /** A message of the Raft library's between voting members. No record, as arrays are equal to themselves alone. */
+    /**
+     * A message of the Raft library between voting members. Not a record, as a record's equality would compare the
+     * array by identity.
+     */
     final class RaftEnvelope implements Packet {
         private final byte[] message;
 
@@ -33,50 +36,50 @@
     /** A message between a lease holder and the leader. */
     record LeaseEnvelope(LeaseMessage message) implements Packet {}
 
-    /** The member that was asked does not lead; who does, as far as it knows, or an empty text. */
+    /** The response of a member that does not lead, with the leader that it knows, or an empty text. */
     record NotLeader(String leader) implements Packet {}
 
     /** A voting member's verdict, for the leader to append. */
     record ForwardedVerdict(LogEntry.VoterVerdict entry) implements Packet {}
 
-    /** A rejoining voter asks for the other's Raft term. */
+    /** A rejoining voter's request for the Raft term of another voter. */
     record TermRequest() implements Packet {}
 
-    /** The term. */
+    /** The response to a {@link TermRequest}: the term of the sender. */
     record TermResponse(int term) implements Packet {}
 
     /**
-     * A client of the leader proposes, or, where {@code proposal} is null, reads a document's history.
+     * A client's request to the leader: a proposal or, if {@code proposal} is null, a read of a document's history.
      *
-     * @param id   the same where the request is sent again
-     * @param name of the document
+     * @param id   the same each time the request is sent
+     * @param name the name of the document
      */
     record ClientRequest(long id, String name, RuleProposal proposal) implements Packet {}
 
     /**
-     * The leader's response.
+     * The leader's response to a client request.
      *
-     * @param state         one of the constants here
-     * @param version       that it is about
-     * @param reason        why the proposal was rejected, or empty
-     * @param activeVersion the number of the version that acts
-     * @param versions      that are kept, where the history was read
-     * @param rejected      sentences on proposals rejected of late, where the history was read
+     * @param state         one of the constants of this record
+     * @param version       the version that the response is about
+     * @param reason        the reason for a rejection, or empty
+     * @param activeVersion the number of the active version
+     * @param versions      the retained versions, if the history was read
+     * @param rejected      messages about recently rejected proposals, if the history was read
      */
     record ClientResponse(long id, String state, long version, String reason, long activeVersion,
             List<RuleDocument> versions, List<String> rejected) implements Packet {
-        /** The proposed version acts. */
+        /** The proposed version is active. */
         static final String ACTS = "acts";
-        /** It is accepted, and waits until nobody acts without knowing it. */
+        /** The version is accepted, and becomes active once no gatherer acts without knowing it. */
         static final String ACCEPTED = "accepted";
-        /** It waits for verdicts. */
+        /** The version waits for the verdicts of the voters. */
         static final String PENDING = "pending";
         /** The proposal was rejected. */
         static final String REJECTED = "refused";
-        /** The history that was asked for. */
-        static final String TOLD = "told";
+        /** The response carries the requested history. */
+        static final String HISTORY = "told";
 
-        /** Whether no other response to the request follows. */
+        /** Returns whether no further response to the request follows. */
         boolean isFinal() {
             return !state.equals(ACCEPTED) && !state.equals(PENDING);
         }
--- a/src/main/java/wallmoor/consensus/PacketCodec.java
+++ b/src/main/java/wallmoor/consensus/PacketCodec.java
@@ -10,9 +10,9 @@
 import wallmoor.rules.LogEntryCodec;
 import wallmoor.rules.RuleDocument;
 
-/** Packets as a frame's payload, and back; all of it is read as if anybody could have sent it. */
+/** Encodes packets to frame payloads and decodes them. The decoder treats its input as untrusted. */
 final class PacketCodec {
-    /** Of a handshake: both ends must have it. It spells {@code WMrules1}. */
+    /** The first field of a handshake, {@code WMrules1} in ASCII, which identifies the protocol. */
     private static final long MAGIC = 0x574d72756c657331L;
     private static final int HANDSHAKE = 1;
     private static final int RAFT_ENVELOPE = 2;
@@ -67,9 +67,9 @@
     }
 
     /**
-     * The packet that was encoded.
+     * Returns the decoded packet.
      *
-     * @throws CorruptDataException where it is none of this program's
+     * @throws CorruptDataException if the payload is not a valid packet
      */
     static Packet decode(byte[] payload) throws CorruptDataException {
         var from = new ByteReader(payload);
@@ -84,7 +84,7 @@
             case TERM_RESPONSE -> new Packet.TermResponse((int) from.readLong());
             case CLIENT_REQUEST -> decodeRequest(from);
             case CLIENT_RESPONSE -> decodeResponse(from);
-            default -> throw new CorruptDataException("a packet of unknown type " + type, 0);
+            default -> throw new CorruptDataException("unknown packet type " + type, 0);
         };
         from.expectEnd();
         return packet;
@@ -92,7 +92,7 @@
 
     private static Packet decodeHandshake(ByteReader from) throws CorruptDataException {
         if (from.readLong() != MAGIC) {
-            throw new CorruptDataException("no hello of this program's", 0);
+            throw new CorruptDataException("handshake does not begin with the protocol's magic number", 0);
         }
         return new Packet.Handshake(from.readText(), from.readText(), from.readLong());
     }
@@ -101,7 +101,7 @@
         if (LogEntryCodec.decode(from.readBytes()) instanceof LogEntry.VoterVerdict verdict) {
             return new Packet.ForwardedVerdict(verdict);
         }
-        throw new CorruptDataException("no verdict", 0);
+        throw new CorruptDataException("forwarded log entry is not a voter's verdict", 0);
     }
 
     private static Packet decodeRequest(ByteReader from) throws CorruptDataException {
@@ -114,7 +114,7 @@
         if (LogEntryCodec.decode(entry) instanceof LogEntry.ProposeVersion proposed) {
             return new Packet.ClientRequest(id, name, proposed.proposal());
         }
-        throw new CorruptDataException("no proposal", 0);
+        throw new CorruptDataException("log entry of a client request is not a proposal", 0);
     }
 
     private static Packet decodeResponse(ByteReader from) throws CorruptDataException {
--- a/src/main/java/wallmoor/consensus/PacketHandler.java
+++ b/src/main/java/wallmoor/consensus/PacketHandler.java
@@ -2,15 +2,15 @@
 
 import wallmoor.rules.CorruptDataException;
 
-/** What is done with packets; on the control thread. */
+/** Handles received packets on the control thread. */
 interface PacketHandler {
     /**
-     * A packet of a peer came.
+     * Handles a packet of a peer.
      *
-     * @throws CorruptDataException where the message within it can't be read; it is logged
+     * @throws CorruptDataException if the message in the packet can't be decoded; the caller logs it
      */
     void handle(FramedConnection from, Packet packet) throws CorruptDataException;
 
-    /** A connection has ended. */
+    /** Handles the end of a connection. */
     void disconnected(FramedConnection connection);
 }
--- a/src/main/java/wallmoor/consensus/PacketListener.java
+++ b/src/main/java/wallmoor/consensus/PacketListener.java
@@ -1,10 +1,10 @@
 package wallmoor.consensus;
 
-/** Told by the transport, on its thread, which it must not hold up. */
+/** Notified by the transport on its thread, which the listener must not block. */
 interface PacketListener {
-    /** A peer that has sent its handshake has sent a packet. */
+    /** Called for each packet of a peer whose handshake was accepted. */
     void onPacket(FramedConnection from, Packet packet);
 
-    /** A connection has ended. */
+    /** Called when a connection has ended. */
     void onDisconnect(FramedConnection connection);
 }
--- a/src/main/java/wallmoor/consensus/PacketQueue.java
+++ b/src/main/java/wallmoor/consensus/PacketQueue.java
@@ -4,11 +4,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Hands packets from the transport's thread to the control thread, in their order. More than fit are dropped and
- * counted, as all that is sent is sent again.
+ * Passes packets from the transport thread to the control thread in order. Packets beyond the limit are dropped and
+ * counted, as every message is sent again.
  */
 final class PacketQueue implements PacketListener {
-    /** Packets that the control thread has not taken yet. */
+    /** Limit of packets that the control thread has not yet taken. */
     private static final int MAX_QUEUED = 2_048;
 
     private final ControlThread controlThread;
@@ -16,7 +16,11 @@
     private final AtomicInteger queued = new AtomicInteger();
     private final AtomicLong overflow = new AtomicLong();
 
-    /** {@code handler} is called on the control thread. */
+    /**
+     * Creates the queue.
+     *
+     * @param handler called on the control thread
+     */
     PacketQueue(ControlThread controlThread, PacketHandler handler) {
         this.controlThread = controlThread;
         this.handler = handler;
@@ -40,7 +44,7 @@
         controlThread.run(() -> handler.disconnected(connection));
     }
 
-    /** Packets that did not fit. */
+    /** Returns the number of packets dropped because the queue was full. */
     long overflow() {
         return overflow.get();
     }
--- a/src/main/java/wallmoor/consensus/PeerProtocolException.java
+++ b/src/main/java/wallmoor/consensus/PeerProtocolException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A peer sent what the protocol does not allow; its connection is closed. */
+/** Thrown when a peer violates the protocol; its connection is closed. */
 final class PeerProtocolException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wallmoor/consensus/PendingProposals.java
+++ b/src/main/java/wallmoor/consensus/PendingProposals.java
@@ -11,14 +11,14 @@
 import wallmoor.rules.RuleStateMachine;
 
 /**
- * Clients that wait for what comes of a proposal, while this member leads. A request that comes again is the same one
- * by its number, so that a proposal is appended once; one that is lost with the leader is sent again to the next, whose
- * state machine knows what came of it. Control thread.
+ * The clients that wait for the outcome of a proposal while this member leads. A repeated request has the same id, so
+ * its proposal is appended once. A request lost with a leader is sent again to the next one, whose state machine knows
+ * the outcome. Runs on the control thread.
  */
 final class PendingProposals {
-    /** Proposals that wait, and rejections that are remembered; the oldest goes. */
+    /** Limit of pending proposals, and of stored rejections; the oldest is removed. */
     private static final int MAX_ENTRIES = 64;
-    /** What was appended and not applied for so long is appended again. */
+    /** The time after which an appended proposal that was not applied is appended again. */
     private static final long RETRY_MICROS = 2_000_000;
 
     private record PendingProposal(Packet.ClientRequest request, Consumer<Packet.ClientResponse> responder,
@@ -27,7 +27,7 @@
     private final LinkedHashMap<Long, PendingProposal> pending = new LinkedHashMap<>();
     private final LinkedHashMap<Long, Packet.ClientResponse> rejections = new LinkedHashMap<>();
 
-    /** What is known already of a proposal, or null. */
+    /** Returns the response to a proposal whose outcome is already known, or null. */
     Packet.ClientResponse knownOutcome(Packet.ClientRequest request, RuleStateMachine stateMachine) {
         Packet.ClientResponse rejection = rejections.get(request.id());
         if (rejection != null) {
@@ -53,7 +53,9 @@
                 && document.fallback().equals(proposal.fallback());
     }
 
-    /** Answers once something comes of the proposal; whether it is to be appended now. */
+    /**
+     * Registers a responder for the outcome of a proposal, and returns whether the caller must append the proposal now.
+     */
     boolean await(long nowMicros, Packet.ClientRequest request, Consumer<Packet.ClientResponse> responder) {
         PendingProposal last = pending.get(request.id());
         boolean append = last == null || nowMicros - last.appendedAt() >= RETRY_MICROS;
@@ -63,7 +65,7 @@
         return append;
     }
 
-    /** Entries of the log were applied. */
+    /** Processes the events of newly applied log entries. */
     void onApplied(List<RuleEvent> events, RuleStateMachine stateMachine) {
         for (RuleEvent event : events) {
             for (PendingProposal proposal : new ArrayList<>(pending.values())) {
@@ -84,7 +86,7 @@
         } else if (event instanceof RuleEvent.VersionActivated activated && activated.name().equals(request.name())) {
             response = knownOutcome(request, stateMachine);
         } else if (event instanceof RuleEvent.LeaderChanged) {
-            pending.remove(request.id()); // what was appended may be lost: who still wants it asks again
+            pending.remove(request.id()); // its entry may be lost with the old leader: the client sends it again
         }
         if (response != null) {
             pending.remove(request.id());
--- a/src/main/java/wallmoor/consensus/ProposeRequestHandler.java
+++ b/src/main/java/wallmoor/consensus/ProposeRequestHandler.java
@@ -13,7 +13,9 @@
 import wallmoor.rules.RuleDocument;
 import wallmoor.rules.RuleProposal;
 
-/** Requests of the control port of {@code rules} that change a document: {@code propose} and {@code rollback}. */
+/**
+ * Handles the requests of the {@code rules} control port that change a document: {@code propose} and {@code rollback}.
+ */
 final class ProposeRequestHandler {
     private static final int MAX_WAIT_MILLIS = 120_000;
 
@@ -23,7 +25,7 @@
         this.consensus = consensus;
     }
 
-    /** Proposes the body of the request as the next version, and answers what came of it. */
+    /** Proposes the body of the request as the next version, and writes the outcome. */
     void propose(JsonGenerator out, Json.Obj request, String name)
             throws IOException, TimeoutException, InterruptedException, InvalidRuleException {
         long deadline = deadlineNanos(request);
@@ -31,26 +33,28 @@
         propose(out, proposal(request, name, versions), deadline);
     }
 
-    /** Proposes an older version's body as the next version, and answers what came of it. */
+    /** Proposes an older version's body as the next version, and writes the outcome. */
     void rollBack(JsonGenerator out, Json.Obj request, String name)
             throws IOException, TimeoutException, InterruptedException {
         long deadline = deadlineNanos(request);
         List<RuleDocument> versions = consensus.history(name, waitMillis(request)).versions();
         long version = (long) request.number("number", 0);
-        RuleDocument to = find(versions, version);
-        if (to == null) {
+        RuleDocument target = find(versions, version);
+        if (target == null) {
             JsonLines.writeFault(out,
-                    "does not keep " + name + " " + version + ": look at its history, and propose its body again");
+                    "version " + version + " of " + name
+                            + " is not retained: see the history, and propose its body again");
             return;
         }
-        propose(out, RuleProposal.rollback(latest(versions), to, author(request)), deadline);
+        propose(out, RuleProposal.rollback(latest(versions), target, author(request)), deadline);
     }
 
     private static RuleProposal proposal(Json.Obj request, String name, List<RuleDocument> versions)
             throws InvalidRuleException {
         DocumentSchema schema = DocumentSchemas.all().get(name);
         if (schema == null) {
-            throw new InvalidRuleException("this program has no kind " + name);
+            throw new InvalidRuleException("unknown document " + name + ", expected one of "
+                    + DocumentSchemas.all().keySet());
         }
         String body = String.valueOf(request.text("body"));
         String fallback = request.text("fallback");
@@ -87,12 +91,12 @@
         return String.valueOf(request.text("author"));
     }
 
-    /** The latest version, or null where there is none. */
+    /** Returns the latest version, or null if there is none. */
     private static RuleDocument latest(List<RuleDocument> versions) {
         return versions.isEmpty() ? null : versions.get(versions.size() - 1);
     }
 
-    /** The version of a number, or null. */
+    /** Returns the version with the given number, or null. */
     private static RuleDocument find(List<RuleDocument> versions, long version) {
         return versions.stream().filter(d -> d.version() == version).findFirst().orElse(null);
     }
--- a/src/main/java/wallmoor/consensus/RaftClock.java
+++ b/src/main/java/wallmoor/consensus/RaftClock.java
@@ -6,7 +6,10 @@
 import java.time.ZoneOffset;
 import java.util.concurrent.TimeUnit;
 
-/** For the Raft library, which measures the time between heartbeats: a wall clock that is set must not end a leader. */
+/**
+ * The clock of the Raft library, which measures the time between heartbeats with it. It is monotonic, so that setting
+ * the wall clock does not end a leadership.
+ */
 final class RaftClock extends Clock {
     @Override
     public ZoneId getZone() {
@@ -23,7 +26,7 @@
         return Instant.ofEpochMilli(millis());
     }
 
-    /** Never 0, which may stand for never. */
+    /** Returns the time in milliseconds; never 0, which the library may read as "never". */
     @Override
     public long millis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime()) + TimeUnit.DAYS.toMillis(1);
--- a/src/main/java/wallmoor/consensus/RaftGroup.java
+++ b/src/main/java/wallmoor/consensus/RaftGroup.java
@@ -6,14 +6,14 @@
 import java.util.Collection;
 import java.util.List;
 
-/** The one Raft group: its members are those of the operators' file, and never change while a process runs. */
+/** The single Raft group. Its members are the configured voters and do not change while a process runs. */
 final class RaftGroup {
-    /** The library's name of the group; it is not sent. */
+    /** The group id that the library requires; it is not sent. */
     static final String ID = "rules";
 
     private RaftGroup() {}
 
-    /** All members as the library has them; each votes. */
+    /** Returns the view of all members, each of which votes. */
     static RaftGroupMembersView members(RaftModelFactory models, Collection<String> voters) {
         List<RaftEndpoint> all = voters.stream().<RaftEndpoint>map(VoterEndpoint::new).toList();
         return models.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(all).setVotingMembers(all).build();
--- a/src/main/java/wallmoor/consensus/RaftLog.java
+++ b/src/main/java/wallmoor/consensus/RaftLog.java
@@ -20,25 +20,27 @@
 import wallmoor.rules.LogEntryCodec;
 
 /**
- * The replicated log: the Raft library's node of this process, once it is started, and why it was stopped, if it was.
- * Control thread.
+ * The replicated log: the Raft library's node of this process after its start, and the reason for its stop, if any.
+ * Runs on the control thread.
  */
 final class RaftLog {
     private static final Logger LOG = LoggerFactory.getLogger(RaftLog.class);
     /**
-     * Entries behind a snapshot: ten changes at the largest body are 5 MB, and stay below an eighth of a heap of 64 MB.
+     * Number of log entries per snapshot. Ten changes with bodies of the maximum size take 5 MB, which is less than an
+     * eighth of a heap of 64 MB.
      */
     private static final int ENTRIES_PER_SNAPSHOT = 64;
     /**
-     * How long an election may take: longer at each next voter, by more than the noise, or two that tie do so again.
+     * The election timeout of the first voter. Each next voter adds a step, larger than the random part of the timeout,
+     * or two voters that tie would tie again.
      */
     private static final long ELECTION_TIMEOUT_MILLIS = 500;
     private static final long ELECTION_TIMEOUT_STEP_MILLIS = 200;
-    /** The library counts heartbeats in whole seconds. */
+    /** Heartbeat period; the library accepts whole seconds only. */
     private static final int HEARTBEAT_SECONDS = 1;
     private static final int HEARTBEAT_TIMEOUT_SECONDS = 2;
     private static final Duration BARRIER_TIMEOUT = Duration.ofSeconds(10);
-    /** Of a linearizable query that reads nothing: the state machine ignores it. */
+    /** The operation of a linearizable query that reads nothing; the state machine ignores it. */
     private static final String BARRIER = "barrier";
 
     private final String self;
@@ -57,7 +59,7 @@
         this.random = random;
     }
 
-    /** Takes part in the group from here on, with the state that the store has. */
+    /** Starts the Raft node with the restored state of the store. */
     void start(StateMachine stateMachine, Transport transport) {
         node = RaftNode.newBuilder().setGroupId(RaftGroup.ID).setRestoredState(store.restoredState())
                 .setStore(store).setStateMachine(stateMachine).setTransport(transport).setExecutor(executor)
@@ -66,9 +68,9 @@
     }
 
     private RaftConfig config() {
-        int place = new TreeSet<>(voters).headSet(self).size();
+        int index = new TreeSet<>(voters).headSet(self).size();
         return RaftConfig.newBuilder()
-                .setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT_MILLIS + ELECTION_TIMEOUT_STEP_MILLIS * place)
+                .setLeaderElectionTimeoutMillis(ELECTION_TIMEOUT_MILLIS + ELECTION_TIMEOUT_STEP_MILLIS * index)
                 .setLeaderHeartbeatPeriodSecs(HEARTBEAT_SECONDS)
                 .setLeaderHeartbeatTimeoutSecs(HEARTBEAT_TIMEOUT_SECONDS)
                 .setCommitCountToTakeSnapshot(ENTRIES_PER_SNAPSHOT)
@@ -81,12 +83,12 @@
         return node != null;
     }
 
-    /** Who leads as far as is known here, or an empty text. */
+    /** Returns the leader known to this member, or an empty text. */
     String leader() {
         return node == null ? "" : VoterEndpoint.nameOf(node.getTerm().getLeaderEndpoint());
     }
 
-    /** Whether this member leads, as far as it knows. */
+    /** Returns whether this member leads, as far as it knows. */
     boolean isLeader() {
         return node != null && !isStopped() && node.getStatus() != RaftNodeStatus.TERMINATED && leader().equals(self);
     }
@@ -95,55 +97,58 @@
         return !stopReason.isEmpty();
     }
 
-    /** Why it was stopped; empty while it was not. */
+    /** Returns the reason for the stop; empty if not stopped. */
     String stopReason() {
         return stopReason;
     }
 
-    /** Stops for good: it may not go on without what the reason names. Needs a start before. */
+    /** Stops permanently for the given reason. {@link #start} must have been called. */
     void stop(String reason) {
         stopReason = reason;
-        LOG.warn("rules: this voter has stopped: {}", reason);
+        LOG.warn("rules: voter stopped: reason=\"{}\"", reason);
         terminate();
     }
 
-    /** Stops at once where it was started. */
+    /** Terminates the node immediately if it was started. */
     void terminate() {
         if (node != null) {
             CompletableFuture<?> unused = node.terminate();
         }
     }
 
-    /** Finds out whether the library gave up, and mends its pre-vote. Needs a start before. */
+    /**
+     * Detects that the library has terminated the node, and restarts a stalled pre-vote. {@link #start} must have been
+     * called.
+     */
     void checkRunning() {
         if (!isStopped() && node.getStatus() == RaftNodeStatus.TERMINATED) {
-            stop("it can't write what it must keep; see that the disk of rules.directory has room and start it again");
+            stop("durable state can't be written; check the free disk space of rules.directory and restart");
         }
         if (!isStopped()) {
             PreVoteRestart.restartIfStalled(node);
         }
     }
 
-    /** A message of another member's. Needs a start before. */
+    /** Handles another member's message. {@link #start} must have been called. */
     void handle(RaftMessage message) {
         node.handle(message);
     }
 
-    /** Appends an entry where this member leads; one that is lost is appended again by whoever still wants it. */
+    /** Appends an entry if this member leads. An entry that is lost must be appended again by its originator. */
     void append(LogEntry entry) {
         if (node != null) {
             CompletableFuture<?> unused = node.replicate(LogEntryCodec.encode(entry));
         }
     }
 
-    /** Hands leadership over. Needs a start before. */
+    /** Transfers leadership to another voter. {@link #start} must have been called. */
     void transferLeadership(String voter) {
         CompletableFuture<?> unused = node.transferLeadership(new VoterEndpoint(voter));
     }
 
     /**
-     * A read barrier (Raft's ReadIndex): completes once all entries that were committed before this call are applied
-     * here, and fails where this member no longer leads. Needs a start before.
+     * Starts a read barrier (Raft's ReadIndex). The future completes once all entries committed before this call are
+     * applied here, and fails if this member no longer leads. {@link #start} must have been called.
      */
     CompletableFuture<?> readBarrier() {
         return node.query(BARRIER, QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.of(BARRIER_TIMEOUT));
--- a/src/main/java/wallmoor/consensus/RaftMessageDecoder.java
+++ b/src/main/java/wallmoor/consensus/RaftMessageDecoder.java
@@ -13,20 +13,22 @@
 import wallmoor.rules.ByteReader;
 import wallmoor.rules.CorruptDataException;
 
-/** Bytes as the Raft library's messages; who sent one and who votes is not taken from the bytes. */
+/**
+ * Decodes messages of the Raft library. The sender and the voters are given by the caller and not read from the bytes.
+ */
 final class RaftMessageDecoder {
     private final RaftModelFactory models = new DefaultRaftModelFactory();
     private final RaftGroupMembersView members;
 
-    /** Of a group that never changes its members. */
+    /** Creates a decoder for a group with fixed members. */
     RaftMessageDecoder(Collection<String> voters) {
         members = RaftGroup.members(models, voters);
     }
 
     /**
-     * The message that was encoded.
+     * Returns the decoded message.
      *
-     * @throws CorruptDataException where it is none of this program's
+     * @throws CorruptDataException if the bytes are not a valid message
      */
     RaftMessage decode(VoterEndpoint sender, byte[] bytes) throws CorruptDataException {
         var from = new ByteReader(bytes);
@@ -45,7 +47,7 @@
             case RaftMessageType.VOTE_RESPONSE -> models.createVoteResponseBuilder().setGroupId(RaftGroup.ID)
                     .setSender(sender).setTerm(term).setGranted(from.readLong() == 1).build();
             case RaftMessageType.TRIGGER_LEADER_ELECTION -> triggerElection(sender, term, from);
-            default -> throw new CorruptDataException("a message of unknown type " + type, 0);
+            default -> throw new CorruptDataException("unknown Raft message type " + type, 0);
         };
         from.expectEnd();
         return message;
--- a/src/main/java/wallmoor/consensus/RaftMessageEncoder.java
+++ b/src/main/java/wallmoor/consensus/RaftMessageEncoder.java
@@ -16,8 +16,8 @@
 import wallmoor.rules.ByteWriter;
 
 /**
- * The Raft library's messages as bytes. The sender and the group's members are not among them:
- * {@link RaftMessageDecoder} knows both.
+ * Encodes messages of the Raft library. The sender and the members of the group are not encoded, as {@link
+ * RaftMessageDecoder} knows both.
  */
 final class RaftMessageEncoder {
     private RaftMessageEncoder() {}
@@ -47,7 +47,7 @@
             begin(to, RaftMessageType.TRIGGER_LEADER_ELECTION, m).writeLong(m.getLastLogTerm())
                     .writeLong(m.getLastLogIndex());
         } else {
-            throw new IllegalArgumentException("unknown to this program: " + message);
+            throw new IllegalArgumentException("Raft message type can't be encoded: " + message);
         }
         return to.toByteArray();
     }
--- a/src/main/java/wallmoor/consensus/RaftMessageType.java
+++ b/src/main/java/wallmoor/consensus/RaftMessageType.java
@@ -1,6 +1,6 @@
 package wallmoor.consensus;
 
-/** The first number of a Raft message's encoded form; sent, so a number is never given to another type. */
+/** The first field of an encoded Raft message. It is sent between versions, so a number is never reused. */
 final class RaftMessageType {
     static final int APPEND_ENTRIES_REQUEST = 1;
     static final int APPEND_ENTRIES_SUCCESS = 2;
--- a/src/main/java/wallmoor/consensus/RaftTransport.java
+++ b/src/main/java/wallmoor/consensus/RaftTransport.java
@@ -7,7 +7,7 @@
 import io.microraft.model.message.VoteRequest;
 import io.microraft.transport.Transport;
 
-/** Sends the Raft library's messages; a member that must catch up first stands for no election. */
+/** Sends the messages of the Raft library. Drops election requests while this member must catch up. */
 final class RaftTransport implements Transport {
     private final VoterContext context;
     private final RejoiningVoter rejoining;
@@ -17,7 +17,7 @@
         this.rejoining = rejoining;
     }
 
-    /** Whether it asks for a vote, or for an election. */
+    /** Returns whether a message requests a vote or an election. */
     static boolean isElectionRequest(RaftMessage message) {
         return message instanceof VoteRequest || message instanceof PreVoteRequest
                 || message instanceof TriggerLeaderElectionRequest;
--- a/src/main/java/wallmoor/consensus/ReadBarrier.java
+++ b/src/main/java/wallmoor/consensus/ReadBarrier.java
@@ -7,35 +7,39 @@
 import wallmoor.rules.LeaseTiming;
 
 /**
- * The read barrier that the leader's lease table waits for, one at a time: it shows that this member led, and knows all
- * that was committed, at a time after the barrier began. Control thread.
+ * The read barrier that the lease table of the leader waits for, one at a time. It confirms that, at some time after
+ * its begin, this member led and knew all committed entries. Runs on the control thread.
  */
 final class ReadBarrier {
     private static final long MIN_TIMEOUT_MICROS = 1_000_000;
-    private static final long NONE = -1;
+    private static final long NO_TOKEN = -1;
 
     private final RaftLog raftLog;
     private final VoterContext context;
     private final RaftNodeExecutor executor;
     private final long timeoutMicros;
     private Supplier<LeaseTable> leaseTable;
-    private long token = NONE;
+    private long token = NO_TOKEN;
     private long expiresAt;
 
     ReadBarrier(RaftLog raftLog, VoterContext context, RaftNodeExecutor executor, LeaseTiming timing) {
         this.raftLog = raftLog;
         this.context = context;
         this.executor = executor;
-        // a holder has asked again by then
+        // a holder has repeated its request by then
         timeoutMicros = Math.max(MIN_TIMEOUT_MICROS, timing.holderDuration() / 2);
     }
 
-    /** Whom to tell what came of a barrier: the lease table of that time. */
+    /** Sets the supplier of the lease table that is notified of the result of a barrier. */
     void reportTo(Supplier<LeaseTable> current) {
         leaseTable = current;
     }
 
-    /** Begins a barrier; its token tells it from those before it. */
+    /**
+     * Begins a barrier.
+     *
+     * @param barrierToken distinguishes this barrier from earlier ones
+     */
     void begin(long barrierToken) {
         token = barrierToken;
         expiresAt = context.nowMicros() + timeoutMicros;
@@ -43,9 +47,9 @@
                 .whenComplete((done, failure) -> executor.execute(() -> end(barrierToken, failure == null)));
     }
 
-    /** Time passes. */
+    /** Fails a barrier that has timed out. */
     void tick(long now) {
-        if (token != NONE && now >= expiresAt) {
+        if (token != NO_TOKEN && now >= expiresAt) {
             end(token, false);
         }
     }
@@ -54,7 +58,7 @@
         if (token != barrierToken) {
             return;
         }
-        token = NONE;
+        token = NO_TOKEN;
         if (passed) {
             leaseTable.get().onBarrier(context.nowMicros(), barrierToken);
         } else {
--- a/src/main/java/wallmoor/consensus/RejoiningVoter.java
+++ b/src/main/java/wallmoor/consensus/RejoiningVoter.java
@@ -7,20 +7,21 @@
 import java.util.TreeSet;
 
 /**
- * Decides when a voting member that has no durable state may take part, and when it may vote; no I/O and no clock.
+ * Decides when a voting member without durable state may join the group, and when it may vote. Has no I/O and no clock.
  *
  * <p>
- * Raft's safety needs that a member keeps its term, vote and log. One that lost them may have voted, and confirmed
- * entries, before. So it asks <em>all</em> other members for their term: in no term above the highest of theirs has it
- * ever voted or confirmed anything, as whom it answered was in that term itself; and nobody hears its former process
- * any more once it has answered. Where all say 0 the group is new, and there was nothing to lose.
+ * Raft is safe only if a member keeps its term, vote and log. A member that lost them may have voted and acknowledged
+ * entries before. It therefore requests the term of <em>all</em> other members. It has never voted or acknowledged
+ * anything in a term above the highest reported one, as the member that received such a message was in that term
+ * itself. Once a member has responded, it no longer accepts messages of the former process. If all members report 0,
+ * the group is new and nothing was lost.
  *
  * <p>
- * Else it begins in the highest term heard, and neither votes nor stands for election until it has applied all that a
- * leader of a <em>later</em> term knew to be committed. An older leader may count, for an entry that it commits later,
- * what the former process had confirmed; so a leader that is asked for its term hands leadership over. And the leader
- * must have committed an entry of its own term, as only then does it know of all that was committed before (Raft,
- * section 5.4.2).
+ * Otherwise the member starts in the highest reported term, and neither votes nor starts an election until it has
+ * applied everything that a leader of a <em>later</em> term knew to be committed. An older leader may count an
+ * acknowledgement of the former process for an entry that it commits later; so a leader that receives a term request
+ * transfers its leadership. The leader must also have committed an entry of its own term, as only then does it know all
+ * entries committed before (Raft, section 5.4.2).
  */
 final class RejoiningVoter {
     private static final long UNKNOWN_INDEX = -1;
@@ -33,23 +34,23 @@
     private int catchUpTerm = UNKNOWN_TERM;
 
     /**
-     * A member that starts.
+     * Creates the state of a member at its start.
      *
-     * @param others            all voting members but this one
-     * @param startedEmpty      whether it has no durable state; else it only goes on catching up, where it was not done
-     * @param minimumLeaderTerm what {@link #minimumLeaderTerm} was when it was not done; else 0
+     * @param others            all voting members except this one
+     * @param startedEmpty      whether it has no durable state; otherwise it only continues an unfinished catch-up
+     * @param minimumLeaderTerm the stored {@link #minimumLeaderTerm} of an unfinished catch-up; 0 if there is none
      */
     RejoiningVoter(Collection<String> others, boolean startedEmpty, int minimumLeaderTerm) {
         unansweredVoters = new TreeSet<>(startedEmpty ? others : Set.of());
         this.minimumLeaderTerm = minimumLeaderTerm;
     }
 
-    /** The members that must still answer before it takes part. */
+    /** Returns the members that must still respond before this member joins. */
     Set<String> unansweredVoters() {
         return Set.copyOf(unansweredVoters);
     }
 
-    /** Another member says which term it is in; the first answer of each counts. */
+    /** Handles the term reported by another member; only the first response of each counts. */
     void onTermResponse(String voter, int term) {
         if (!unansweredVoters.remove(voter)) {
             return;
@@ -60,17 +61,17 @@
         }
     }
 
-    /** The term that it begins in: the highest that was heard. */
+    /** Returns the term that this member starts in: the highest reported one. */
     int startTerm() {
         return terms.values().stream().mapToInt(t -> t).max().orElse(0);
     }
 
-    /** It learns from a leader of this term or a later one, and votes for nobody before; 0 where it may vote. */
+    /** Returns the lowest term of a leader that this member may catch up with before it votes; 0 if it may vote. */
     int minimumLeaderTerm() {
         return minimumLeaderTerm;
     }
 
-    /** A leader has told how far it knows entries to be committed. */
+    /** Handles the commit index reported by a leader. */
     void onLeaderCommit(int term, long commitIndex) {
         if (term >= minimumLeaderTerm && term > catchUpTerm) {
             catchUpTerm = term;
@@ -79,17 +80,17 @@
     }
 
     /**
-     * Entries are applied up to an index.
+     * Handles the application of entries up to an index.
      *
      * @param termAtCatchUpIndex the term of the entry at {@link #catchUpIndex}
-     * @return whether it has caught up by that, and may vote from here on
+     * @return whether this member has now caught up and may vote
      */
     boolean onApplied(long appliedIndex, int termAtCatchUpIndex) {
         if (minimumLeaderTerm == 0 || catchUpIndex < 0 || appliedIndex < catchUpIndex) {
             return false;
         }
         if (termAtCatchUpIndex != catchUpTerm) {
-            // the leader had no entry of its own term committed: what it commits next counts
+            // the leader had committed no entry of its own term: waits for its next commit index
             catchUpTerm = UNKNOWN_TERM;
             catchUpIndex = UNKNOWN_INDEX;
             return false;
@@ -98,7 +99,10 @@
         return true;
     }
 
-    /** The index that must be applied, or negative where no leader was heard. */
+    /**
+     * Returns the index that must be applied before this member votes, or a negative value if no leader has reported
+     * one.
+     */
     long catchUpIndex() {
         return catchUpIndex;
     }
--- a/src/main/java/wallmoor/consensus/ReplicatedRules.java
+++ b/src/main/java/wallmoor/consensus/ReplicatedRules.java
@@ -21,13 +21,13 @@
 import wallmoor.rules.RuleStateMachine;
 
 /**
- * The rules' state machine as the Raft library drives it: applies committed entries, takes and installs snapshots, and
- * gives this member's verdict on each pending version. An entry or snapshot that this program can't read stops the
- * member, as it can't follow what others act on. Control thread.
+ * The state machine of the rules, driven by the Raft library: applies committed entries, takes and installs snapshots,
+ * and sends this member's verdict on each pending version. An entry or snapshot that this program can't read stops the
+ * member, as it can't follow the rules that others use. Runs on the control thread.
  */
 final class ReplicatedRules implements StateMachine, LeaseTable.Actions {
     private static final int SNAPSHOT_CHUNK_BYTES = 1 << 20;
-    /** A new leader's first entry, which carries nothing of the rules. */
+    /** The first entry of a new leader, which carries no rule data. */
     private static final byte[] NEW_TERM_ENTRY = new byte[0];
 
     private final String self;
@@ -70,12 +70,12 @@
         return leaseTable;
     }
 
-    /** The index of the last entry that was applied. */
+    /** Returns the index of the last applied entry. */
     long appliedIndex() {
         return appliedIndex;
     }
 
-    /** Sends this member's verdict on each version that is still pending. */
+    /** Sends this member's verdict on each pending version. */
     void sendPendingVerdicts() {
         stateMachine.documentNames().stream().map(stateMachine::pending).filter(Objects::nonNull)
                 .forEach(this::sendVerdict);
@@ -91,7 +91,7 @@
         }
     }
 
-    // ---- state machine of the Raft library ----------------------------------------------------------------
+    // ---- StateMachine of the Raft library ----------------------------------------------------------------
 
     @Override
     public Object runOperation(long index, Object operation) {
@@ -115,8 +115,8 @@
             leaseTable.onApplied(context.nowMicros(), events);
             clientRequests.onApplied(events, stateMachine);
         } catch (CorruptDataException e) {
-            raftLog.stop("an entry of the log can't be read by this program (" + e.getMessage()
-                    + "): put the newer program here");
+            raftLog.stop("log entry can't be decoded by this program version (" + e.getMessage()
+                    + "): install the newer version");
         }
     }
 
@@ -126,8 +126,9 @@
             throw new VoterStoppedException(raftLog.stopReason());
         }
         byte[] snapshot = stateMachine.takeSnapshot();
-        for (int at = 0; at < snapshot.length; at += SNAPSHOT_CHUNK_BYTES) {
-            chunks.accept(Arrays.copyOfRange(snapshot, at, Math.min(snapshot.length, at + SNAPSHOT_CHUNK_BYTES)));
+        for (int offset = 0; offset < snapshot.length; offset += SNAPSHOT_CHUNK_BYTES) {
+            chunks.accept(Arrays.copyOfRange(snapshot, offset,
+                    Math.min(snapshot.length, offset + SNAPSHOT_CHUNK_BYTES)));
         }
     }
 
@@ -139,8 +140,8 @@
             replace(RuleStateMachine.restoreSnapshot(voters, snapshot.toByteArray()));
             appliedIndex = index;
         } catch (CorruptDataException e) {
-            raftLog.stop("a snapshot can't be read by this program (" + e.getMessage()
-                    + "): put the newer program here");
+            raftLog.stop("snapshot can't be decoded by this program version (" + e.getMessage()
+                    + "): install the newer version");
         }
     }
 
@@ -149,7 +150,7 @@
         return NEW_TERM_ENTRY;
     }
 
-    // ---- actions of the lease table -----------------------------------------------------------------------
+    // ---- LeaseTable.Actions -------------------------------------------------------------------------------
 
     @Override
     public void send(String holder, LeaseMessage message) {
--- a/src/main/java/wallmoor/consensus/RuleChangeListener.java
+++ b/src/main/java/wallmoor/consensus/RuleChangeListener.java
@@ -2,9 +2,9 @@
 
 import wallmoor.rules.EffectiveRule;
 
-/** Told of each change of the rules in effect; on the control thread, which it must not hold up. */
+/** Notified of each change of the rules in effect, on the control thread, which the listener must not block. */
 @FunctionalInterface
 public interface RuleChangeListener {
-    /** A document is in effect in another way from now on. */
+    /** Called when a document comes into effect in a different way. */
     void onRuleChanged(String document, EffectiveRule rule);
 }
--- a/src/main/java/wallmoor/consensus/RulesControlServer.java
+++ b/src/main/java/wallmoor/consensus/RulesControlServer.java
@@ -12,27 +12,27 @@
 import wallmoor.rules.InvalidRuleException;
 
 /**
- * The control port of {@code rules}: one line of JSON asks, JSON objects answer. Whoever can connect from this machine
- * may propose; who did stands in the version as its author.
+ * The control port of {@code rules}: a request is one line of JSON, a response consists of JSON objects. Any user who
+ * can connect from this machine may propose; the version's author field names the proposer.
  */
 public final class RulesControlServer implements AutoCloseable {
-    /** A body and its fallback at their largest, each character escaped, fit. */
+    /** A body and its fallback fit at their maximum size with each character escaped. */
     private static final RequestLimits LIMITS = new RequestLimits(8 << 20, 2_000);
     private static final int MAX_CONCURRENT = 8;
-    private static final String UNKNOWN_REQUEST = "asks for nothing that there is";
+    private static final String UNKNOWN_REQUEST = "unknown request, or a request that needs a name";
 
     private final ControlServer server;
     private final RulesReport report;
     private final ProposeRequestHandler proposals;
 
-    /** Listens at an address of loopback; {@link #start} begins to answer. */
+    /** Listens on a loopback address; {@link #start} begins to respond. */
     public RulesControlServer(InetSocketAddress listen, String self, ConsensusService consensus) throws IOException {
         report = new RulesReport(self, consensus);
         proposals = new ProposeRequestHandler(consensus);
         server = ControlServer.concurrent(listen, "rules-listen", LIMITS, "rules-asked", MAX_CONCURRENT);
     }
 
-    /** Begins to answer. */
+    /** Begins to respond to requests. */
     public void start() {
         server.start(this::handle);
     }
@@ -42,12 +42,12 @@
         try {
             request = Json.object(line, 0, line.length);
         } catch (Json.Malformed e) {
-            return; // who asks what is no JSON gets no answer
+            return; // a request that is not JSON gets no response
         }
         try (JsonGenerator out = JsonLines.generator(response)) {
             answer(request, out);
         }
-        // an answer without an object in it ends with a line too: what is empty is not what never came
+        // a response without objects also ends with a line end, which distinguishes it from a missing response
         response.write('\n');
     }
 
@@ -59,7 +59,7 @@
             out.writeStringField("unknown", e.getMessage());
             out.writeEndObject();
         } catch (InvalidRuleException e) {
-            JsonLines.writeFault(out, "refuses it: " + e.getMessage());
+            JsonLines.writeFault(out, "invalid proposal: " + e.getMessage());
         }
     }
 
--- a/src/main/java/wallmoor/consensus/RulesReport.java
+++ b/src/main/java/wallmoor/consensus/RulesReport.java
@@ -10,7 +10,7 @@
 import wallmoor.rules.RuleDocument;
 import wallmoor.rules.VersionChain;
 
-/** What the control port of {@code rules} answers to {@code show}, {@code explain} and {@code history}. */
+/** Writes the responses of the {@code rules} control port to {@code show}, {@code explain} and {@code history}. */
 final class RulesReport {
     private static final long HISTORY_TIMEOUT_MILLIS = 5_000;
     private static final long MICROS_PER_MILLI = 1_000;
@@ -24,10 +24,10 @@
     }
 
     /**
-     * What is in effect, of one document or, where {@code only} is null, of each that is known.
+     * Writes the state of one document or, if {@code only} is null, of each known document.
      *
-     * @param knownVersion the version whose body the requester has, as it says, or 0; that body is left out, as it may
-     *   have half a megabyte
+     * @param knownVersion the version whose body the requester already has, or 0. That body, which may have half a
+     *   megabyte, is omitted.
      */
     void show(JsonGenerator out, String only, long knownVersion) throws IOException {
         ConsensusStatus status = consensus.status();
@@ -85,7 +85,7 @@
         return now < leaseExpiry ? (leaseExpiry - now) / MICROS_PER_MILLI : 0;
     }
 
-    /** Whether this gatherer votes, its lease, and each version that is known. */
+    /** Writes the voter state and the lease of this gatherer, and each known version. */
     void explain(JsonGenerator out) throws IOException {
         ConsensusStatus status = consensus.status();
         out.writeStartObject();
@@ -108,7 +108,7 @@
         }
     }
 
-    /** The versions that the voting members keep, and what was rejected of late. */
+    /** Writes the versions that the voting members retain, and the recently rejected proposals. */
     void history(JsonGenerator out, String name) throws IOException, TimeoutException, InterruptedException {
         ConsensusService.RuleHistory history = consensus.history(name, HISTORY_TIMEOUT_MILLIS);
         for (RuleDocument document : history.versions()) {
--- a/src/main/java/wallmoor/consensus/SendQueue.java
+++ b/src/main/java/wallmoor/consensus/SendQueue.java
@@ -5,7 +5,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Frames that other threads have handed to the transport's and that are on no connection yet; bounded. */
+/**
+ * A bounded queue of frames that other threads have passed to the transport thread and that are not yet assigned to a
+ * connection.
+ */
 final class SendQueue {
     private static final int MAX_FRAMES = 4_096;
     private static final long MAX_BYTES = 2L * FramedConnection.MAX_PAYLOAD_BYTES;
@@ -14,7 +17,7 @@
     private final AtomicInteger frames = new AtomicInteger();
     private final AtomicLong bytes = new AtomicLong();
 
-    /** Queues the sending of a frame; false where too much waits. Any thread. */
+    /** Queues the sending of a frame, and returns false if the queue is full. May be called by any thread. */
     boolean offer(byte[] frame, Runnable send) {
         if (frames.get() >= MAX_FRAMES || bytes.get() > MAX_BYTES) {
             return false;
@@ -29,7 +32,7 @@
         return true;
     }
 
-    /** Sends what waits. The transport's thread. */
+    /** Runs the queued sends. Runs on the transport thread. */
     void drain() {
         for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
             task.run();
--- a/src/main/java/wallmoor/consensus/StatusPublisher.java
+++ b/src/main/java/wallmoor/consensus/StatusPublisher.java
@@ -9,8 +9,8 @@
 import wallmoor.rules.VersionChain;
 
 /**
- * Publishes what this gatherer knows: immutable snapshots that any thread reads without waiting. Publishing is for the
- * control thread.
+ * Publishes the state of this gatherer as immutable snapshots, which any thread reads without waiting. The control
+ * thread publishes.
  */
 final class StatusPublisher {
     private final LeaseHolder holder;
@@ -26,21 +26,21 @@
         status = ConsensusStatus.initial(snapshot, holder.knownVersions());
     }
 
-    /** What traffic may act on. */
+    /** Returns the rules that traffic may use. */
     RuleSnapshot snapshot() {
         return snapshot;
     }
 
-    /** What operators are shown. */
+    /** Returns the status shown to operators. */
     ConsensusStatus status() {
         return status;
     }
 
     /**
-     * Publishes what is held now, and tells the listener of each rule that is in effect in another way.
+     * Publishes the current state, and notifies the listener of each document whose effect has changed.
      *
-     * @param leader     the one that is known or presumed to lead
-     * @param voterState of a voting member, its state; else empty
+     * @param leader     the known or presumed leader
+     * @param voterState the state of a voting member; empty if this gatherer does not vote
      */
     void publish(long nowMicros, String leader, String voterState) {
         snapshot = holder.snapshot();
--- a/src/main/java/wallmoor/consensus/StoredLog.java
+++ b/src/main/java/wallmoor/consensus/StoredLog.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import wallmoor.rules.RecordFile;
 
-/** What stands in a voting member's file {@code log}, in memory: entries, and the chunks of snapshots. */
+/** The content of the file {@code log} of a voting member in memory: entries and the chunks of snapshots. */
 final class StoredLog implements LogRecordCodec.Visitor {
     private final RaftModelFactory models;
     private final RaftGroupMembersView members;
@@ -42,7 +42,7 @@
         chunks.remove(index);
     }
 
-    /** Drops what the last complete snapshot covers: entries up to an index, and older snapshots. */
+    /** Removes what the last complete snapshot covers: entries up to an index, and older snapshots. */
     void truncateUntil(long index) {
         entries.headMap(index, true).clear();
         SnapshotEntry snapshot = snapshot();
@@ -51,7 +51,7 @@
         }
     }
 
-    /** The last snapshot of which all chunks are there, or null. */
+    /** Returns the last snapshot of which all chunks are present, or null. */
     SnapshotEntry snapshot() {
         for (TreeMap<Integer, SnapshotChunk> snapshot : chunks.descendingMap().values()) {
             SnapshotChunk any = snapshot.firstEntry().getValue();
@@ -63,12 +63,12 @@
         return null;
     }
 
-    /** The entries after an index. */
+    /** Returns the entries after an index. */
     List<LogEntry> entriesAfter(long index) {
         return List.copyOf(entries.tailMap(index, false).values());
     }
 
-    /** The term of the entry at an index, as far as that is kept; else -1. */
+    /** Returns the term of the entry at an index, or -1 if the entry is not stored. */
     int termAt(long index) {
         LogEntry entry = entries.get(index);
         if (entry != null) {
@@ -78,7 +78,7 @@
         return snapshot != null && snapshot.getIndex() == index ? snapshot.getTerm() : -1;
     }
 
-    /** All that is kept, as the records of a file begun anew. */
+    /** Returns the whole content as the encoded records of a new file. */
     List<byte[]> toRecords() {
         var records = new ArrayList<byte[]>();
         chunks.values().forEach(snapshot -> snapshot.values()
--- a/src/main/java/wallmoor/consensus/TcpTransport.java
+++ b/src/main/java/wallmoor/consensus/TcpTransport.java
@@ -19,19 +19,19 @@
 import wallmoor.rules.CorruptDataException;
 
 /**
- * The connections of one process, on one thread: it listens where it is a voting member, and dials the members that
- * something is to be sent to. What can't be sent now is dropped and counted: all that is sent is sent again. Both ends
- * send heartbeats, and a connection on which nothing comes is closed, so that a half-open one does not last.
+ * The connections of one process, on one thread. It listens if the process is a voting member, and dials the members
+ * that have something to receive. Packets that can't be sent immediately are dropped and counted, as every message is
+ * sent again. Both ends send heartbeats, and a silent connection is closed, so that half-open connections do not last.
  */
 final class TcpTransport implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(TcpTransport.class);
     private static final long HEARTBEAT_MILLIS = 400;
     private static final long SELECT_MILLIS = HEARTBEAT_MILLIS / 4;
     private static final long HEARTBEAT_CHECK_MILLIS = HEARTBEAT_MILLIS / 2;
-    /** Five heartbeats may be lost: less would end connections for a long pause of the collector. */
+    /** Tolerates five lost heartbeats. A lower limit would close connections during a long garbage collection pause. */
     private static final long MAX_SILENCE_MILLIS = 2_400;
     private static final int MAX_CONNECTIONS = 2_000;
-    /** Connections that wait to be accepted. */
+    /** Limit of connections that wait to be accepted. */
     private static final int BACKLOG = 128;
     private static final byte[] HEARTBEAT = FramedConnection.frame(new byte[0]);
 
@@ -39,7 +39,7 @@
     private final byte[] handshakeFrame;
     private final HandshakeVerifier verifier;
     private final Selector selector = Selector.open();
-    /** Null where this process does not vote. */
+    /** Null if this process does not vote. */
     private final ServerSocketChannel server;
     private final Set<FramedConnection> connections = ConcurrentHashMap.newKeySet();
     private final Map<String, OutboundConnection> outbound = new TreeMap<>();
@@ -50,10 +50,10 @@
     private volatile boolean closed;
 
     /**
-     * Listens; {@link #start} begins to accept and to dial.
+     * Opens the listening socket; {@link #start} begins to accept and to dial.
      *
-     * @param handshake of this process
-     * @param listen    null where this process does not vote
+     * @param handshake the handshake of this process
+     * @param listen    the address to listen on; null if this process does not vote
      * @param voters    the addresses of the voting members
      */
     TcpTransport(Packet.Handshake handshake, InetSocketAddress listen, Map<String, InetSocketAddress> voters)
@@ -78,35 +78,35 @@
 
     // ---- any thread ---------------------------------------------------------------------------------------
 
-    /** Sends to a voting member, over a connection that is dialled where there is none. */
+    /** Sends to a voting member; dials it if there is no connection. */
     void send(String voter, Packet packet) {
         byte[] frame = frame(packet);
         enqueue(frame, () -> {
-            OutboundConnection to = outbound.computeIfAbsent(voter, v -> new OutboundConnection());
-            if (to.connection() == null) {
-                dial(voter, to);
+            OutboundConnection target = outbound.computeIfAbsent(voter, v -> new OutboundConnection());
+            if (target.connection() == null) {
+                dial(voter, target);
             }
-            sendFrame(to.connection(), frame);
+            sendFrame(target.connection(), frame);
         });
     }
 
-    /** Sends over a connection that something came from. */
+    /** Sends over a connection that a packet was received on. */
     void send(FramedConnection connection, Packet packet) {
         byte[] frame = frame(packet);
         enqueue(frame, () -> sendFrame(connections.contains(connection) ? connection : null, frame));
     }
 
-    /** Whether there is a connection to a voting member over which its handshake came. */
+    /** Returns whether there is a connection to a voting member whose handshake was accepted. */
     boolean isReachable(String voter) {
         return reachable.contains(voter);
     }
 
-    /** For the operators. */
+    /** Returns the counters as text for operators. */
     String counters() {
         return counters.describe(connections.size());
     }
 
-    /** Null where it does not fit a frame. */
+    /** Returns the frame of a packet, or null if the packet is too large. */
     private static byte[] frame(Packet packet) {
         byte[] payload = PacketCodec.encode(packet);
         return payload.length > FramedConnection.MAX_PAYLOAD_BYTES ? null : FramedConnection.frame(payload);
@@ -120,7 +120,7 @@
         }
     }
 
-    // ---- the transport's thread ---------------------------------------------------------------------------
+    // ---- transport thread ---------------------------------------------------------------------------------
 
     private static long nowMillis() {
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
@@ -138,14 +138,14 @@
                     connections.forEach(this::heartbeat);
                 }
             } catch (IOException e) {
-                LOG.warn("rules: the connections' selector failed: {}", e.toString());
+                LOG.warn("rules: selector failed: error={}", e.toString());
             }
         }
         connections.forEach(FramedConnection::close);
         try {
             selector.close();
         } catch (IOException e) {
-            // it is closed either way
+            // best effort: the thread ends
         }
     }
 
@@ -185,10 +185,10 @@
         write(connection);
     }
 
-    private void dial(String voter, OutboundConnection to) {
+    private void dial(String voter, OutboundConnection target) {
         InetSocketAddress address = voters.get(voter);
         long now = nowMillis();
-        if (address == null || !to.tryBegin(now)) {
+        if (address == null || !target.tryBegin(now)) {
             return;
         }
         SocketChannel channel = null;
@@ -197,10 +197,10 @@
             channel.configureBlocking(false);
             boolean connected = channel.connect(address);
             var connection = new FramedConnection(channel, voter, now);
-            to.opened(connection);
+            target.opened(connection);
             begin(connection, connected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT);
         } catch (IOException e) {
-            to.opened(null);
+            target.opened(null);
             close(channel);
         }
     }
@@ -211,7 +211,7 @@
                 channel.close();
             }
         } catch (IOException e) {
-            // it is gone either way
+            // the channel is unusable either way
         }
     }
 
@@ -233,7 +233,11 @@
         }
     }
 
-    /** {@code connection} is null where there is none. */
+    /**
+     * Sends a frame.
+     *
+     * @param connection null if there is none; the frame is then dropped and counted
+     */
     private void sendFrame(FramedConnection connection, byte[] frame) {
         if (connection == null || !connection.offer(frame)) {
             counters.countDropped();
@@ -260,7 +264,7 @@
             packet = PacketCodec.decode(payload);
         } catch (CorruptDataException e) {
             counters.countMalformed();
-            throw new PeerProtocolException("a packet can't be read", e);
+            throw new PeerProtocolException("invalid packet of " + payload.length + " bytes", e);
         }
         if (connection.peer() != null) {
             listener.onPacket(connection, packet);
@@ -269,12 +273,12 @@
             establish(connection, handshake);
         } else {
             counters.countRejected();
-            throw new PeerProtocolException("it is not one of the group");
+            throw new PeerProtocolException("peer rejected: first packet is not a handshake of this group");
         }
     }
 
     private void establish(FramedConnection connection, Packet.Handshake handshake) {
-        if (verifier.recordIncarnation(handshake)) { // what the member's earlier process sent is heard no more
+        if (verifier.recordIncarnation(handshake)) { // closes the connections of the member's earlier process
             connections.stream().filter(c -> c.isPeer(handshake.name())).forEach(this::end);
         }
         connection.accept(handshake);
@@ -299,8 +303,8 @@
         connection.close();
         if (connections.remove(connection)) {
             String dialled = connection.dialledVoter();
-            OutboundConnection to = dialled == null ? null : outbound.get(dialled);
-            if (to != null && to.closed(connection)) {
+            OutboundConnection target = dialled == null ? null : outbound.get(dialled);
+            if (target != null && target.closed(connection)) {
                 reachable.remove(dialled);
             }
             listener.onDisconnect(connection);
--- a/src/main/java/wallmoor/consensus/VoterContext.java
+++ b/src/main/java/wallmoor/consensus/VoterContext.java
@@ -2,17 +2,17 @@
 
 import wallmoor.rules.LeaseMessage;
 
-/** What is around a voting member: the time, and how the other processes are reached. */
+/** The environment of a voting member: the time, and the ways to reach other processes. */
 interface VoterContext {
-    /** Monotonic clock, microseconds. */
+    /** Returns the monotonic clock in microseconds. */
     long nowMicros();
 
-    /** Sends to another voting member; what can't be sent now is dropped. */
+    /** Sends to another voting member; a packet that can't be sent now is dropped. */
     void sendToVoter(String voter, Packet packet);
 
-    /** Sends to a lease holder; dropped where no connection of its is known. */
+    /** Sends to a lease holder; the message is dropped if no connection of the holder is known. */
     void sendToLeaseHolder(String holder, LeaseMessage message);
 
-    /** Whether something came from a voting member of late. */
+    /** Returns whether there is a live connection to a voting member. */
     boolean isReachable(String voter);
 }
--- a/src/main/java/wallmoor/consensus/VoterEndpoint.java
+++ b/src/main/java/wallmoor/consensus/VoterEndpoint.java
@@ -2,14 +2,14 @@
 
 import io.microraft.RaftEndpoint;
 
-/** A voting member as the Raft library names it. */
+/** The identity of a voting member in the Raft library. */
 record VoterEndpoint(String name) implements RaftEndpoint {
     @Override
     public Object getId() {
         return name;
     }
 
-    /** The member's name; empty for null. */
+    /** Returns the member's name; empty for null. */
     static String nameOf(RaftEndpoint endpoint) {
         return endpoint == null ? "" : (String) endpoint.getId();
     }
--- a/src/main/java/wallmoor/consensus/VoterStoppedException.java
+++ b/src/main/java/wallmoor/consensus/VoterStoppedException.java
@@ -1,10 +1,14 @@
 package wallmoor.consensus;
 
-/** The Raft library asks a voting member for something after it was stopped. */
+/** Thrown when the Raft library calls a voting member that has stopped. */
 final class VoterStoppedException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** {@code reason} is why it was stopped. */
+    /**
+     * Creates the exception.
+     *
+     * @param reason the reason for the stop
+     */
     VoterStoppedException(String reason) {
         super(reason);
     }
--- a/src/main/java/wallmoor/consensus/VotingMember.java
+++ b/src/main/java/wallmoor/consensus/VotingMember.java
@@ -19,14 +19,15 @@
 import wallmoor.rules.LogEntry;
 
 /**
- * One voting member of the Raft group. It joins once it may, feeds the state machine with what the log commits, and,
- * while it leads, the lease table with what lease holders request. Control thread, which is the Raft library's as well.
+ * One voting member of the Raft group. It joins when allowed, applies committed log entries to the state machine and,
+ * while it leads, passes the requests of lease holders to the lease table. Runs on the control thread, as does the Raft
+ * library.
  */
 final class VotingMember {
     private static final Logger LOG = LoggerFactory.getLogger(VotingMember.class);
     private static final Marker STATE = MarkerFactory.getMarker(Logging.STATE);
     private static final long RETRY_MICROS = 500_000;
-    /** Longer than a leader takes to hand over. */
+    /** Longer than a leader takes to transfer its leadership. */
     private static final long LEADER_RETRY_MICROS = 4_000_000;
 
     private final String self;
@@ -61,15 +62,15 @@
                 clientRequests);
     }
 
-    /** Stops at once; what is kept stays. */
+    /** Stops immediately; the durable state remains. */
     void close() throws IOException {
         raftLog.terminate();
         store.close();
     }
 
-    // ---- time ---------------------------------------------------------------------------------------------
+    // ---- timers -------------------------------------------------------------------------------------------
 
-    /** Time passes. */
+    /** Performs periodic work; joins the group first. */
     void tick(long now) throws IOException {
         if (!raftLog.isStarted()) {
             join(now);
@@ -86,7 +87,7 @@
         rules.leaseTable().onTick(now);
     }
 
-    /** Takes part as soon as it may; until then asks the other members for their terms. */
+    /** Joins the group when allowed; until then requests the terms of the other members. */
     private void join(long now) throws IOException {
         if (!rejoining.unansweredVoters().isEmpty()) {
             if (now - termRequestedAt >= RETRY_MICROS) {
@@ -98,8 +99,8 @@
         if (store.startedEmpty()) {
             store.startInTerm(rejoining.startTerm(), rejoining.minimumLeaderTerm());
             LOG.info(STATE, "rules: {}", rejoining.minimumLeaderTerm() == 0
-                    ? "begins with nothing kept, as all other voters do"
-                    : "had nothing kept: learns from the other voters before it votes");
+                    ? "voter started without durable state, as all other voters"
+                    : "voter lost its durable state: catches up before it votes");
         }
         raftLog.start(rules, raftTransport);
     }
@@ -108,18 +109,19 @@
         long index = rejoining.catchUpIndex();
         if (rejoining.onApplied(rules.appliedIndex(), index < 0 ? -1 : store.termAt(index))) {
             store.markCaughtUp();
-            LOG.info(STATE, "rules: has learned what the other voters know, and votes");
+            LOG.info(STATE, "rules: voter caught up and votes");
         }
         boolean waitsForLeader = rejoining.minimumLeaderTerm() > 0 && rejoining.catchUpIndex() < 0;
         if (waitsForLeader && now - termRequestedAt >= LEADER_RETRY_MICROS && !leader().isEmpty()) {
             termRequestedAt = now;
-            context.sendToVoter(leader(), new Packet.TermRequest()); // it leads still: it is to hand over
+            // a leader that receives this transfers its leadership
+            context.sendToVoter(leader(), new Packet.TermRequest());
         }
     }
 
     // ---- packets ------------------------------------------------------------------------------------------
 
-    /** Takes what another voting member sent to this one. */
+    /** Handles a packet of another voting member. */
     void onPacket(String from, Packet packet) throws CorruptDataException {
         if (packet instanceof Packet.RaftEnvelope envelope) {
             onRaftMessage(from, envelope.message());
@@ -139,7 +141,7 @@
         RaftMessage message = decoder.decode(new VoterEndpoint(from), bytes);
         if (rejoining.minimumLeaderTerm() > 0) {
             if (RaftTransport.isElectionRequest(message)) {
-                return; // it votes for nobody yet
+                return; // may not vote yet
             }
             if (message instanceof AppendEntriesRequest append && append.getTerm() >= store.term()) {
                 rejoining.onLeaderCommit(append.getTerm(), append.getCommitIndex());
@@ -150,7 +152,7 @@
 
     void onTermRequest(String from) {
         context.sendToVoter(from, new Packet.TermResponse(store.term()));
-        if (raftLog.isLeader()) { // the other learns only from a leader that came after this
+        if (raftLog.isLeader()) { // the requester catches up only with a leader elected after this request
             voters.stream().filter(v -> !v.equals(self) && !v.equals(from) && context.isReachable(v)).findFirst()
                     .ifPresent(raftLog::transferLeadership);
         }
@@ -166,7 +168,7 @@
         }
     }
 
-    /** A lease holder's request; whether it came to the leader. */
+    /** Handles a lease holder's request, and returns false if this member does not lead. */
     boolean onLeaseRequest(LeaseMessage.LeaseRequest request) {
         boolean leads = raftLog.isLeader();
         if (leads) {
@@ -175,7 +177,7 @@
         return leads;
     }
 
-    /** Somebody proposes, or reads a document's history; whether it came to the leader. */
+    /** Handles a proposal or a read of a document's history, and returns false if this member does not lead. */
     boolean onClientRequest(Packet.ClientRequest request, Consumer<Packet.ClientResponse> responder) {
         if (!raftLog.isLeader() || !rules.stateMachine().isLeader(self, store.incarnation())) {
             return false;
@@ -186,12 +188,12 @@
 
     // ---- status -------------------------------------------------------------------------------------------
 
-    /** Who leads as far as is known here, or an empty text. */
+    /** Returns the leader known to this member, or an empty text. */
     String leader() {
         return raftLog.leader();
     }
 
-    /** What an operator asks first. */
+    /** Returns the state for operators; the text is part of the control port's responses. */
     String describeState() {
         if (raftLog.isStopped()) {
             return "stopped: " + raftLog.stopReason();
--- a/src/main/java/wallmoor/control/ControlServer.java
+++ b/src/main/java/wallmoor/control/ControlServer.java
@@ -12,11 +12,12 @@
 import wallmoor.http.Threads;
 
 /**
- * The listener of a control port. It owns the socket and the threads, reads one request from each connection, has the
- * handler answer it, and closes the connection. Whoever connects and does not go on gets no answer, and nobody is told.
+ * The listener of a control port. It owns the socket and the threads, reads one request from each connection, lets the
+ * handler respond, and closes the connection. A client that sends no complete request in time gets no response, and
+ * nothing is logged.
  */
 public final class ControlServer implements AutoCloseable {
-    /** Connections that wait to be accepted. */
+    /** Limit of connections that wait to be accepted. */
     private static final int BACKLOG = 16;
     private static final int READ_BUFFER_BYTES = 4096;
 
@@ -30,28 +31,29 @@
         this.threadName = threadName;
         this.limits = limits;
         this.executor = executor;
-        // a process that comes back at once finds its old connections waiting out their time
+        // allows a quick restart while old connections are in TIME_WAIT
         server.setReuseAddress(true);
         server.bind(address, BACKLOG);
     }
 
-    /** Listens; {@link #start} begins to answer, one request after another on the thread that listens. */
+    /** Listens; {@link #start} begins to respond to one request at a time, on the listening thread. */
     public static ControlServer sequential(InetSocketAddress address, String threadName, RequestLimits limits)
             throws IOException {
         return new ControlServer(address, threadName, limits, Runnable::run);
     }
 
     /**
-     * Listens; {@link #start} begins to answer on threads of this server's own.
+     * Listens; {@link #start} begins to respond on a thread pool.
      *
-     * @param maxConcurrent requests that are answered at once; one more is closed unanswered
+     * @param maxConcurrent limit of requests handled at the same time; further connections are closed without a
+     *   response
      */
     public static ControlServer concurrent(InetSocketAddress address, String threadName, RequestLimits limits,
             String workerName, int maxConcurrent) throws IOException {
         return new ControlServer(address, threadName, limits, Threads.pool(workerName, maxConcurrent));
     }
 
-    /** Begins to answer. */
+    /** Begins to respond. */
     public void start(ControlHandler handler) {
         Threads.start(threadName, () -> {
             while (!server.isClosed()) {
@@ -66,10 +68,10 @@
             try {
                 executor.execute(() -> serve(requester, handler));
             } catch (RejectedExecutionException e) {
-                requester.close(); // as many as may be are being answered
+                requester.close(); // the maximum of concurrent requests is reached
             }
         } catch (IOException e) {
-            // the requester has gone, or this server was closed
+            // the requester has disconnected, or this server was closed
         }
     }
 
@@ -78,7 +80,7 @@
             requester.setSoTimeout(limits.timeoutMillis());
             handler.handle(readRequest(requester), requester.getOutputStream());
         } catch (IOException e) {
-            // the requester has gone, or sent no request in time
+            // the requester has disconnected, or sent no request in time
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -89,24 +91,25 @@
         byte[] buffer = new byte[READ_BUFFER_BYTES];
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(limits.timeoutMillis());
         while (true) {
-            int n = requester.getInputStream().read(buffer);
-            if (n < 0 || request.size() + n > limits.maxBytes() || System.nanoTime() > deadline) {
-                throw new IOException("no request");
+            int bytesRead = requester.getInputStream().read(buffer);
+            if (bytesRead < 0 || request.size() + bytesRead > limits.maxBytes() || System.nanoTime() > deadline) {
+                throw new IOException("no complete request of at most " + limits.maxBytes() + " bytes within "
+                        + limits.timeoutMillis() + " ms");
             }
-            request.write(buffer, 0, n);
-            if (buffer[n - 1] == '\n') {
+            request.write(buffer, 0, bytesRead);
+            if (buffer[bytesRead - 1] == '\bytesRead') {
                 return request.toByteArray();
             }
         }
     }
 
-    /** Listens no more; threads that answer are interrupted. */
+    /** Stops listening and interrupts the pool threads. */
     @Override
     public void close() {
         try {
             server.close();
         } catch (IOException e) {
-            // it listens no more either way
+            // best effort: the socket is unusable either way
         }
         if (executor instanceof ExecutorService workers) {
             workers.shutdownNow();
--- a/src/main/java/wallmoor/control/RequestLimits.java
+++ b/src/main/java/wallmoor/control/RequestLimits.java
@@ -1,9 +1,9 @@
 package wallmoor.control;
 
 /**
- * What a requester may take of a control port.
+ * The limits of a request to a control port.
  *
- * @param maxBytes      length of a request with its line end
- * @param timeoutMillis from the connection to the line end
+ * @param maxBytes      the maximum length of a request with its line end
+ * @param timeoutMillis the maximum time from the connection to the line end
  */
 public record RequestLimits(int maxBytes, int timeoutMillis) {}
--- a/src/test/java/wallmoor/consensus/ClocksTest.java
+++ b/src/test/java/wallmoor/consensus/ClocksTest.java
@@ -22,90 +22,94 @@
 import wallmoor.standin.CapturedWarnings;
 import wallmoor.standin.Ports;
 
-/** Wall clocks five minutes apart, either way, and such that go back: leases are not counted by them, lives are. */
+/**
+ * Guards against leases that depend on the wall clock: wall clocks are five minutes apart or go back. Incarnations
+ * depend on the wall clock unless a stored one is higher.
+ */
 public class ClocksTest {
-    private static final long FIVE_MINUTES = 300_000;
+    private static final long FIVE_MINUTES_MILLIS = 300_000;
     private static final long TERM_MILLIS = 1_000;
-    private static final int MOST_WAIT = 30;
+    private static final int MAX_WAIT_SECONDS = 30;
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
     private final TreeMap<String, InetSocketAddress> voters = new TreeMap<>();
-    private final Map<String, ConsensusService> all = new TreeMap<>();
+    private final Map<String, ConsensusService> services = new TreeMap<>();
     private final CapturedWarnings warnings = new CapturedWarnings("wallmoor.consensus");
 
-    private void start(String name, long ahead) throws Exception {
-        Path kept = folder.getRoot().toPath().resolve(name);
-        var config = new RulesConfig(voters, voters.get(name), TERM_MILLIS, kept, null);
-        all.put(name, new ConsensusService(config, name, name.charAt(0), (document, rule) -> {},
-                () -> System.currentTimeMillis() + ahead));
-        all.get(name).start();
+    private void start(String name, long offsetMillis) throws Exception {
+        Path directory = folder.getRoot().toPath().resolve(name);
+        var config = new RulesConfig(voters, voters.get(name), TERM_MILLIS, directory, null);
+        services.put(name, new ConsensusService(config, name, name.charAt(0), (document, rule) -> {},
+                () -> System.currentTimeMillis() + offsetMillis));
+        services.get(name).start();
     }
 
-    private void again(String name, long ahead) throws Exception {
-        all.remove(name).close();
-        start(name, ahead);
+    private void restart(String name, long offsetMillis) throws Exception {
+        services.remove(name).close();
+        start(name, offsetMillis);
     }
 
-    private static void await(String what, BooleanSupplier came) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(MOST_WAIT);
-        while (!came.getAsBoolean()) {
-            assertTrue("did not come: " + what, System.nanoTime() < until);
+    private static void await(String event, BooleanSupplier condition) throws Exception {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(MAX_WAIT_SECONDS);
+        while (!condition.getAsBoolean()) {
+            assertTrue("not observed in time: " + event, System.nanoTime() < deadline);
             Thread.sleep(10);
         }
     }
 
-    /** The next version acts at all of them, wholly. */
-    private void agree(String at) throws Exception {
+    /** Proposes the next version through one gatherer and waits until it is active on all of them. */
+    private void proposeAndAwaitActive(String proposer) throws Exception {
         ConsensusService.ProposalOutcome outcome;
-        do { // while a leader hands over verdicts may come late: the refusal says to propose again
-            List<RuleDocument> before = all.get(at).history("settings", MOST_WAIT * 1_000).versions();
-            RuleDocument parent = before.isEmpty() ? null : before.get(before.size() - 1);
-            String body = "{\"limits.open\":" + (1 + before.size()) + "}";
-            outcome = all.get(at).propose(new RuleProposal("settings", parent == null ? 0 : parent.version(),
-                    parent == null ? "" : parent.hash(), "ann", body, body), MOST_WAIT * 1_000);
+        do { // verdicts may be late during a change of leader: the rejection asks for a new proposal
+            List<RuleDocument> versions = services.get(proposer).history("settings", MAX_WAIT_SECONDS * 1_000)
+                    .versions();
+            RuleDocument parent = versions.isEmpty() ? null : versions.get(versions.size() - 1);
+            String body = "{\"limits.open\":" + (1 + versions.size()) + "}";
+            outcome = services.get(proposer).propose(new RuleProposal("settings", parent == null ? 0 : parent.version(),
+                    parent == null ? "" : parent.hash(), "ann", body, body), MAX_WAIT_SECONDS * 1_000);
         } while (outcome.rejection().contains("no verdict came"));
         assertEquals("", outcome.rejection());
-        long number = outcome.version();
-        for (String who : all.keySet()) {
-            await(who + " acts on " + number,
-                    () -> all.get(who).effectiveRule("settings").basis() == EffectiveRule.Basis.VERSION
-                            && all.get(who).effectiveRule("settings").activeVersion() == number);
+        long version = outcome.version();
+        for (String gatherer : services.keySet()) {
+            await(gatherer + " activates version " + version,
+                    () -> services.get(gatherer).effectiveRule("settings").basis() == EffectiveRule.Basis.VERSION
+                            && services.get(gatherer).effectiveRule("settings").activeVersion() == version);
         }
     }
 
     @After
     public void stop() {
-        all.values().forEach(ConsensusService::close);
+        services.values().forEach(ConsensusService::close);
         warnings.close();
     }
 
     @Test
-    public void theyAgreeAndWhatWentBackMustBeSetOnlyWhereFilesWereLost() throws Exception {
+    public void activatesVersionsWithSkewedClocksAndRejectsBackwardClockOnlyAfterFileLoss() throws Exception {
         for (String voter : new String[] {"a", "b", "c"}) {
             voters.put(voter, Ports.freeAddress());
         }
         start("a", 0);
-        start("b", FIVE_MINUTES);
-        start("c", -FIVE_MINUTES);
-        start("d", FIVE_MINUTES);
-        agree("d");
-        again("b", -FIVE_MINUTES); // it has kept its life, and goes on from there
-        again("c", FIVE_MINUTES);
-        again("d", -FIVE_MINUTES);
-        agree("d");
+        start("b", FIVE_MINUTES_MILLIS);
+        start("c", -FIVE_MINUTES_MILLIS);
+        start("d", FIVE_MINUTES_MILLIS);
+        proposeAndAwaitActive("d");
+        restart("b", -FIVE_MINUTES_MILLIS); // its stored incarnation is higher than its clock
+        restart("c", FIVE_MINUTES_MILLIS);
+        restart("d", -FIVE_MINUTES_MILLIS);
+        proposeAndAwaitActive("d");
         assertEquals(List.of(), warnings.messages());
 
-        all.remove("c").close();
+        services.remove("c").close();
         for (String file : new String[] {"vote", "log", "known"}) {
             Files.delete(folder.getRoot().toPath().resolve("c").resolve(file));
         }
-        start("c", -FIVE_MINUTES);
-        await("it is said",
+        start("c", -FIVE_MINUTES_MILLIS);
+        await("warning about the older incarnation",
                 () -> warnings.messages().stream()
-                        .anyMatch(w -> w.contains("a process of c is older than one that was heard")));
-        assertTrue(all.get("c").effectiveRule("settings").basis() != EffectiveRule.Basis.VERSION);
-        again("c", FIVE_MINUTES + 1_000); // the clock was set
-        agree("d");
+                        .anyMatch(w -> w.contains("older incarnation than the last one seen: peer=c")));
+        assertTrue(services.get("c").effectiveRule("settings").basis() != EffectiveRule.Basis.VERSION);
+        restart("c", FIVE_MINUTES_MILLIS + 1_000); // the clock was corrected
+        proposeAndAwaitActive("d");
     }
 }
--- a/src/test/java/wallmoor/consensus/DurableStoreGoldenTest.java
+++ b/src/test/java/wallmoor/consensus/DurableStoreGoldenTest.java
@@ -23,11 +23,13 @@
 import wallmoor.rules.RuleProposal;
 import wallmoor.rules.VersionChain;
 
-/** The files that a voter keeps, and the versions that any gatherer keeps, are those of the versions before. */
+/**
+ * Guards against changes of the format of stored files: an upgraded gatherer must read the files of earlier versions.
+ */
 public class DurableStoreGoldenTest {
     private static final String FILE = "store.hex";
     private static final List<String> VOTERS = List.of("a", "b", "c");
-    private static final long NOW = 1_700_000_000_000_000L;
+    private static final long NOW_MICROS = 1_700_000_000_000_000L;
     private static final RuleDocument FIRST = RuleDocument.of(
             new RuleProposal("settings", 0, "", "ann", "{\"limits.open\": 200}", "{\"limits.open\": 100}"), 3);
     private static final RuleDocument SECOND = RuleDocument.of(
@@ -39,12 +41,12 @@
     public final TemporaryFolder folder = new TemporaryFolder();
     private final DefaultRaftModelFactory models = new DefaultRaftModelFactory();
 
-    private Path at(String file) {
+    private Path path(String file) {
         return folder.getRoot().toPath().resolve(file);
     }
 
     private DurableStore open() throws Exception {
-        return new DurableStore(new DurableDirectory(folder.getRoot().toPath()), "a", VOTERS, NOW);
+        return new DurableStore(new DurableDirectory(folder.getRoot().toPath()), "a", VOTERS, NOW_MICROS);
     }
 
     private LogEntry entry(long index, int term) {
@@ -58,13 +60,13 @@
                 .setGroupMembersView(store.restoredState().getInitialGroupMembers()).build();
     }
 
-    /** What stands in the files after each step of a small history. */
-    Map<String, byte[]> played() throws Exception {
+    /** Returns the content of the files after each step of a short history. */
+    Map<String, byte[]> writeFiles() throws Exception {
         Map<String, byte[]> files = new LinkedHashMap<>();
         DurableStore store = open();
-        files.put("log-fresh", Files.readAllBytes(at("log")));
+        files.put("log-fresh", Files.readAllBytes(path("log")));
         store.startInTerm(4, 5);
-        files.put("vote-learns", Files.readAllBytes(at("vote")));
+        files.put("vote-learns", Files.readAllBytes(path("vote")));
         store.persistAndFlushTerm(models.createRaftTermPersistentStateBuilder().setTerm(6).build());
         store.persistLogEntries(List.of(entry(1, 6), entry(2, 6), entry(3, 6), entry(4, 6), entry(5, 6)));
         store.truncateLogEntriesFrom(4);
@@ -77,38 +79,38 @@
         store.persistAndFlushTerm(
                 models.createRaftTermPersistentStateBuilder().setTerm(7).setVotedFor(new VoterEndpoint("b")).build());
         store.flush();
-        files.put("vote", Files.readAllBytes(at("vote")));
-        files.put("log", Files.readAllBytes(at("log")));
+        files.put("vote", Files.readAllBytes(path("vote")));
+        files.put("log", Files.readAllBytes(path("log")));
         store.truncateLogEntriesUntil(3);
         store.flush();
-        files.put("log-compacted", Files.readAllBytes(at("log")));
+        files.put("log-compacted", Files.readAllBytes(path("log")));
         store.close();
         open().close();
-        files.put("vote-reopened", Files.readAllBytes(at("vote")));
+        files.put("vote-reopened", Files.readAllBytes(path("vote")));
         new DurableDirectory(folder.getRoot().toPath()).replaceFile("known",
                 LeaseMessageCodec.encodeKnownVersions(KNOWN));
-        files.put("known", Files.readAllBytes(at("known")));
+        files.put("known", Files.readAllBytes(path("known")));
         return files;
     }
 
     @Test
-    public void theSameHistoryGivesTheSameFiles() throws Exception {
-        Golden.assertSame(FILE, played());
+    public void writesGoldenFiles() throws Exception {
+        Golden.assertSame(FILE, writeFiles());
     }
 
-    private void put(Map<String, byte[]> golden, String sample, String file) throws IOException {
-        Files.write(at(file), golden.get(sample));
+    private void writeSample(Map<String, byte[]> golden, String sample, String file) throws IOException {
+        Files.write(path(file), golden.get(sample));
     }
 
     @Test
-    public void filesOfTheVersionBeforeAreReadAndLeftAsTheyAre() throws Exception {
+    public void readsGoldenFilesWithoutChangingThem() throws Exception {
         Map<String, byte[]> golden = Golden.read(FILE);
         for (String log : List.of("log", "log-compacted")) {
-            put(golden, "vote", "vote");
-            put(golden, log, "log");
+            writeSample(golden, "vote", "vote");
+            writeSample(golden, log, "log");
             DurableStore store = open();
             assertFalse(store.startedEmpty());
-            assertEquals(NOW + 1, store.incarnation());
+            assertEquals(NOW_MICROS + 1, store.incarnation());
             assertEquals(7, store.term());
             assertEquals(0, store.minimumLeaderTerm());
             RestoredRaftState state = store.restoredState();
@@ -123,16 +125,16 @@
             assertArrayEquals("entry 5 of 7".getBytes(StandardCharsets.US_ASCII),
                     (byte[]) state.getLogEntries().get(1).getOperation());
             store.close();
-            assertArrayEquals(golden.get(log), Files.readAllBytes(at("log")));
-            assertArrayEquals(golden.get("vote-reopened"), Files.readAllBytes(at("vote")));
+            assertArrayEquals(golden.get(log), Files.readAllBytes(path("log")));
+            assertArrayEquals(golden.get("vote-reopened"), Files.readAllBytes(path("vote")));
         }
     }
 
     @Test
-    public void aVoterThatWasStillLearningGoesOnLearning() throws Exception {
+    public void restoresUnfinishedCatchUp() throws Exception {
         Map<String, byte[]> golden = Golden.read(FILE);
-        put(golden, "vote-learns", "vote");
-        put(golden, "log-fresh", "log");
+        writeSample(golden, "vote-learns", "vote");
+        writeSample(golden, "log-fresh", "log");
         DurableStore store = open();
         assertEquals(4, store.term());
         assertEquals(5, store.minimumLeaderTerm());
@@ -140,8 +142,8 @@
     }
 
     @Test
-    public void theVersionsThatAGathererKnewAreRead() throws Exception {
-        put(Golden.read(FILE), "known", "known");
+    public void readsGoldenKnownVersions() throws Exception {
+        writeSample(Golden.read(FILE), "known", "known");
         assertEquals(KNOWN, LeaseMessageCodec
                 .decodeKnownVersions(new DurableDirectory(folder.getRoot().toPath()).readRecords("known")));
     }
--- a/src/test/java/wallmoor/consensus/DurableStoreTest.java
+++ b/src/test/java/wallmoor/consensus/DurableStoreTest.java
@@ -22,7 +22,7 @@
 import org.junit.rules.TemporaryFolder;
 import wallmoor.rules.CorruptDataException;
 
-/** What a voter keeps is there after each restart, whatever it was cut off in. */
+/** Guards against the loss of stored votes, terms and log entries on restart, also after an interrupted write. */
 public class DurableStoreTest {
     private static final List<String> VOTERS = List.of("a", "b", "c");
 
@@ -43,9 +43,9 @@
                 .setOperation(("entry " + index + " of " + term).getBytes(StandardCharsets.US_ASCII)).build();
     }
 
-    private void vote(DurableStore store, int term, String whom) throws Exception {
+    private void vote(DurableStore store, int term, String candidate) throws Exception {
         store.persistAndFlushTerm(
-                models.createRaftTermPersistentStateBuilder().setTerm(term).setVotedFor(new VoterEndpoint(whom))
+                models.createRaftTermPersistentStateBuilder().setTerm(term).setVotedFor(new VoterEndpoint(candidate))
                         .build());
     }
 
@@ -58,7 +58,7 @@
     }
 
     @Test
-    public void votesTermsAndLivesLastAndALifeNeverGoesBack() throws Exception {
+    public void restoresVoteAndTermAndIncreasesIncarnation() throws Exception {
         DurableStore first = open();
         assertTrue(first.startedEmpty());
         first.startInTerm(0, 0);
@@ -73,9 +73,9 @@
         assertEquals(9, open().minimumLeaderTerm());
     }
 
-    /** Appended, cut and appended again in any order, what is read is what was written. */
+    /** Appends and truncates entries in random order and compares the restored log with a model. */
     @Test
-    public void entriesAreThoseOfAModelOverManyRestarts() throws Exception {
+    public void restoresEntriesEqualToModelOverManyRestarts() throws Exception {
         var random = new Random(11);
         var model = new TreeMap<Long, LogEntry>();
         DurableStore store = open();
@@ -94,9 +94,9 @@
             store.flush();
             if (random.nextInt(10) == 0) {
                 store = open();
-                List<LogEntry> read = store.restoredState().getLogEntries();
-                assertEquals(List.copyOf(model.keySet()), read.stream().map(LogEntry::getIndex).toList());
-                for (LogEntry e : read) {
+                List<LogEntry> restored = store.restoredState().getLogEntries();
+                assertEquals(List.copyOf(model.keySet()), restored.stream().map(LogEntry::getIndex).toList());
+                for (LogEntry e : restored) {
                     assertEquals(model.get(e.getIndex()).getTerm(), e.getTerm());
                     assertArrayEquals((byte[]) model.get(e.getIndex()).getOperation(), (byte[]) e.getOperation());
                 }
@@ -105,36 +105,36 @@
     }
 
     @Test
-    public void onlyAWholeSnapshotCountsAndTheLogBeginsAnewBehindIt() throws Exception {
+    public void restoresOnlyCompleteSnapshotAndCompactsLog() throws Exception {
         DurableStore store = open();
         store.startInTerm(0, 0);
         store.persistLogEntries(LongStream.rangeClosed(1, 20).mapToObj(i -> entry(i, 3)).toList());
         chunk(store, 10, 0, 2);
         assertEquals(null, open().restoredState().getSnapshotEntry());
         chunk(store, 10, 1, 2);
-        long before = Files.size(log());
+        long sizeBefore = Files.size(log());
         store.truncateLogEntriesUntil(10);
-        assertTrue(Files.size(log()) < before);
+        assertTrue(Files.size(log()) < sizeBefore);
         store.persistLogEntries(List.of(entry(21, 3)));
         store.flush();
-        DurableStore again = open();
-        RestoredRaftState state = again.restoredState();
+        DurableStore reopened = open();
+        RestoredRaftState state = reopened.restoredState();
         assertEquals(10, state.getSnapshotEntry().getIndex());
         assertEquals(11, state.getLogEntries().size());
         assertEquals(11, state.getLogEntries().get(0).getIndex());
-        assertEquals(3, again.termAt(10));
-        assertEquals(-1, again.termAt(9));
+        assertEquals(3, reopened.termAt(10));
+        assertEquals(-1, reopened.termAt(9));
     }
 
     @Test
-    public void aTornTailIsCutAndDamageIsTold() throws Exception {
+    public void truncatesTornTailAndRejectsDamagedLog() throws Exception {
         DurableStore store = open();
         store.startInTerm(0, 0);
         store.persistLogEntries(List.of(entry(1, 1), entry(2, 1)));
         store.flush();
-        byte[] whole = Files.readAllBytes(log());
-        for (int length = whole.length - 1; length > whole.length / 2; length--) {
-            Files.write(log(), java.util.Arrays.copyOf(whole, length));
+        byte[] complete = Files.readAllBytes(log());
+        for (int length = complete.length - 1; length > complete.length / 2; length--) {
+            Files.write(log(), java.util.Arrays.copyOf(complete, length));
             assertEquals(1, open().restoredState().getLogEntries().size());
         }
         open().persistLogEntries(List.of(entry(2, 2)));
--- a/src/test/java/wallmoor/consensus/PacketGoldenTest.java
+++ b/src/test/java/wallmoor/consensus/PacketGoldenTest.java
@@ -12,8 +12,7 @@
 import wallmoor.rules.RuleProposal;
 import wallmoor.rules.VersionChain;
 
-/** The bytes on connections between gatherers stay those of the versions before: both run side by side in an upgrade.
- * */
+/** Guards against changes of the wire format: gatherers of two versions are connected during an upgrade. */
 public class PacketGoldenTest {
     private static final String FILE = "packets.hex";
     private static final RuleProposal PROPOSAL = new RuleProposal("settings", 0, "", "ann", "{\"limits.open\": 200}",
@@ -55,31 +54,31 @@
         return samples;
     }
 
-    private static Map<String, byte[]> written() {
+    private static Map<String, byte[]> encodedSamples() {
         Map<String, byte[]> written = new LinkedHashMap<>();
         samples().forEach((name, packet) -> written.put(name, PacketCodec.encode(packet)));
         return written;
     }
 
     @Test
-    public void whatIsSentIsWhatWasSent() throws Exception {
-        Golden.assertSame(FILE, written());
+    public void encodesGoldenPackets() throws Exception {
+        Golden.assertSame(FILE, encodedSamples());
     }
 
     @Test
-    public void whatWasSentIsReadAndWrittenAlike() throws Exception {
+    public void decodesGoldenPacketsAndEncodesThemUnchanged() throws Exception {
         Map<String, Packet> samples = samples();
-        for (Map.Entry<String, byte[]> sent : Golden.read(FILE).entrySet()) {
-            Packet read = PacketCodec.decode(sent.getValue());
-            assertEquals(sent.getKey(), Golden.hex(sent.getValue()), Golden.hex(PacketCodec.encode(read)));
-            if (!(read instanceof Packet.RaftEnvelope)) { // an array is equal to itself alone
-                assertEquals(samples.get(sent.getKey()), read);
+        for (Map.Entry<String, byte[]> sample : Golden.read(FILE).entrySet()) {
+            Packet decoded = PacketCodec.decode(sample.getValue());
+            assertEquals(sample.getKey(), Golden.hex(sample.getValue()), Golden.hex(PacketCodec.encode(decoded)));
+            if (!(decoded instanceof Packet.RaftEnvelope)) { // arrays are compared by identity
+                assertEquals(samples.get(sample.getKey()), decoded);
             }
         }
     }
 
     @Test
-    public void aFrameIsItsLengthItsChecksumAndItsBytes() throws Exception {
+    public void encodesGoldenFrames() throws Exception {
         Map<String, byte[]> frames = new LinkedHashMap<>();
         frames.put("beat", FramedConnection.frame(new byte[0]));
         frames.put("hello", FramedConnection.frame(PacketCodec.encode(samples().get("hello"))));
--- a/src/test/java/wallmoor/consensus/PreVoteRestartTest.java
+++ b/src/test/java/wallmoor/consensus/PreVoteRestartTest.java
@@ -26,18 +26,19 @@
 import org.junit.Test;
 
 /**
- * One voter of the library on a clock of the test's: it stands whenever its leader is silent, whatever it did before.
+ * Guards against the bug that {@link PreVoteRestart} works around: a voter that abandoned a pre-vote starts no further
+ * election when its leader falls silent. Runs one node of the library with a simulated clock.
  */
 public class PreVoteRestartTest implements RaftNodeExecutor, Transport, StateMachine {
-    private static final int BEATS_MISSED = 4_000;
-    private static final int TICK = 20;
+    private static final int LEADER_SILENCE_MILLIS = 4_000;
+    private static final int TICK_MILLIS = 20;
 
-    private record Task(long at, long order, Runnable work) {}
+    private record Task(long dueMillis, long order, Runnable work) {}
 
     private final DefaultRaftModelFactory models = new DefaultRaftModelFactory();
     private final VoterEndpoint other = new VoterEndpoint("b");
     private final PriorityQueue<Task> tasks = new PriorityQueue<>(
-            Comparator.comparingLong(Task::at).thenComparingLong(Task::order));
+            Comparator.comparingLong(Task::dueMillis).thenComparingLong(Task::order));
     private final List<RaftMessage> sent = new ArrayList<>();
     private long now = 1_000_000;
     private long order;
@@ -63,87 +64,87 @@
             return now;
         }
     };
-    private final List<RaftEndpoint> all = List.of(new VoterEndpoint("a"), other, new VoterEndpoint("c"));
-    private final RaftNode node = RaftNode.newBuilder().setGroupId(RaftGroup.ID).setLocalEndpoint(all.get(0))
-            .setInitialGroupMembers(all).setStateMachine(this).setTransport(this).setExecutor(this)
+    private final List<RaftEndpoint> members = List.of(new VoterEndpoint("a"), other, new VoterEndpoint("c"));
+    private final RaftNode node = RaftNode.newBuilder().setGroupId(RaftGroup.ID).setLocalEndpoint(members.get(0))
+            .setInitialGroupMembers(members).setStateMachine(this).setTransport(this).setExecutor(this)
             .setRandom(new Random(1)).setClock(clock)
             .setConfig(RaftConfig.newBuilder().setLeaderElectionTimeoutMillis(500).setLeaderHeartbeatPeriodSecs(1)
                     .setLeaderHeartbeatTimeoutSecs(2).build())
             .build();
 
-    private void run(int millis, boolean mended) {
-        for (long end = now + millis; now < end; now += TICK) {
-            while (!tasks.isEmpty() && tasks.peek().at <= now) {
+    private void run(int millis, boolean restartStalled) {
+        for (long end = now + millis; now < end; now += TICK_MILLIS) {
+            while (!tasks.isEmpty() && tasks.peek().dueMillis <= now) {
                 tasks.poll().work.run();
             }
-            if (mended) {
+            if (restartStalled) {
                 PreVoteRestart.restartIfStalled(node);
             }
         }
     }
 
-    private void vote(int term) {
+    private void requestVote(int term) {
         node.handle(models.createVoteRequestBuilder().setGroupId(RaftGroup.ID).setSender(other).setTerm(term)
                 .setLastLogTerm(0).setLastLogIndex(0).setSticky(false).build());
-        run(TICK, false);
+        run(TICK_MILLIS, false);
     }
 
-    private void lead(int term) {
+    private void sendHeartbeat(int term) {
         node.handle(
                 models.createAppendEntriesRequestBuilder().setGroupId(RaftGroup.ID).setSender(other)
                         .setTerm(term)
                         .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setQuerySequenceNumber(0)
                         .setFlowControlSequenceNumber(0).setLogEntries(List.of()).build());
-        run(TICK, false);
+        run(TICK_MILLIS, false);
     }
 
-    private boolean asked() {
+    private boolean hasSentPreVote() {
         return sent.stream().anyMatch(PreVoteRequest.class::isInstance);
     }
 
-    /** It votes for b, begins a pre-vote as b is not heard yet, and hears b lead in that term, twice. */
-    private void followsLate(boolean mended) {
+    /** Grants b a vote, starts a pre-vote as b is silent, then receives two heartbeats of b in that term. */
+    private void receiveLateLeader(boolean restartStalled) {
         var unused = node.start();
-        run(TICK, false);
-        vote(1);
+        run(TICK_MILLIS, false);
+        requestVote(1);
         run(2_000, false);
-        assertTrue("it did not begin a pre-vote of the term that it voted in", asked());
-        lead(1);
-        run(1_000, mended);
-        lead(1);
+        assertTrue("no pre-vote was started in the term of the granted vote", hasSentPreVote());
+        sendHeartbeat(1);
+        run(1_000, restartStalled);
+        sendHeartbeat(1);
         assertEquals(other, node.getTerm().getLeaderEndpoint());
         sent.clear();
-        run(BEATS_MISSED, mended);
+        run(LEADER_SILENCE_MILLIS, restartStalled);
     }
 
     @Test
-    public void itStandsAgainAfterItGaveAPreVoteUpForALeaderOfTheSameTerm() {
-        followsLate(true);
-        assertTrue(asked());
-        lead(1); // and the same once more
+    public void restartsPreVoteAbandonedForLeaderOfSameTerm() {
+        receiveLateLeader(true);
+        assertTrue(hasSentPreVote());
+        sendHeartbeat(1); // the same a second time
         sent.clear();
-        run(BEATS_MISSED, true);
-        assertTrue(asked());
+        run(LEADER_SILENCE_MILLIS, true);
+        assertTrue(hasSentPreVote());
     }
 
     @Test
-    public void itDoesNotWhileTheLeaderIsHeard() {
-        followsLate(true);
-        lead(1);
-        run(600, false); // the pre-vote that it had begun is given up
+    public void startsNoPreVoteWhileLeaderSendsHeartbeats() {
+        receiveLateLeader(true);
+        sendHeartbeat(1);
+        run(600, false); // the pre-vote that was started is abandoned
         sent.clear();
         for (int i = 0; i < 5; i++) {
-            lead(1);
+            sendHeartbeat(1);
             run(1_000, true);
         }
-        assertFalse(asked());
+        assertFalse(hasSentPreVote());
     }
 
-    /** When the library is another one day and this fails, {@link PreVoteRestart} may go. */
+    /** {@link PreVoteRestart} can be removed once a library update makes this test fail. */
     @Test
-    public void theLibraryAloneLeavesItAside() {
-        followsLate(false);
-        assertFalse(asked());
+    public void libraryAloneDoesNotRestartPreVote() {
+        receiveLateLeader(false);
+        assertFalse(hasSentPreVote());
     }
 
     @Override
@@ -178,12 +179,12 @@
 
     @Override
     public void takeSnapshot(long index, Consumer<Object> chunks) {
-        throw new IllegalStateException("nothing was committed");
+        throw new IllegalStateException("unexpected snapshot: nothing was committed");
     }
 
     @Override
     public void installSnapshot(long index, List<Object> chunks) {
-        throw new IllegalStateException("nobody sent one");
+        throw new IllegalStateException("unexpected snapshot: none was sent");
     }
 
     @Override
--- a/src/test/java/wallmoor/consensus/RaftMessageGoldenTest.java
+++ b/src/test/java/wallmoor/consensus/RaftMessageGoldenTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import org.junit.Test;
 
-/** The bytes of the log library's messages stay those of the versions before. */
+/** Guards against changes of the wire format of the Raft library's messages. */
 public class RaftMessageGoldenTest {
     private static final String FILE = "raft-messages.hex";
     private static final List<String> VOTERS = List.of("a", "b", "c");
@@ -76,21 +76,22 @@
     }
 
     @Test
-    public void whatIsSentIsWhatWasSent() throws Exception {
+    public void encodesGoldenMessages() throws Exception {
         Map<String, byte[]> written = new LinkedHashMap<>();
         samples().forEach((name, message) -> written.put(name, RaftMessageEncoder.encode(message)));
         Golden.assertSame(FILE, written);
     }
 
     @Test
-    public void whatWasSentIsReadAndWrittenAlike() throws Exception {
+    public void decodesGoldenMessagesAndEncodesThemUnchanged() throws Exception {
         var decoder = new RaftMessageDecoder(VOTERS);
         Map<String, RaftMessage> samples = samples();
-        for (Map.Entry<String, byte[]> sent : Golden.read(FILE).entrySet()) {
-            RaftMessage read = decoder.decode(SENDER, sent.getValue());
-            assertEquals(samples.get(sent.getKey()).getClass(), read.getClass());
-            assertEquals(SENDER, read.getSender());
-            assertEquals(sent.getKey(), Golden.hex(sent.getValue()), Golden.hex(RaftMessageEncoder.encode(read)));
+        for (Map.Entry<String, byte[]> sample : Golden.read(FILE).entrySet()) {
+            RaftMessage decoded = decoder.decode(SENDER, sample.getValue());
+            assertEquals(samples.get(sample.getKey()).getClass(), decoded.getClass());
+            assertEquals(SENDER, decoded.getSender());
+            assertEquals(sample.getKey(), Golden.hex(sample.getValue()),
+                    Golden.hex(RaftMessageEncoder.encode(decoded)));
         }
     }
 }
--- a/src/test/java/wallmoor/consensus/RejoiningVoterTest.java
+++ b/src/test/java/wallmoor/consensus/RejoiningVoterTest.java
@@ -8,52 +8,52 @@
 import java.util.Set;
 import org.junit.Test;
 
-/** When a voter that lost what it kept may vote again. */
+/** Guards against a voter that votes again before it has caught up after the loss of its durable state. */
 public class RejoiningVoterTest {
     @Test
-    public void whereNobodyEverVotedItBeginsAtOnce() {
-        var it = new RejoiningVoter(List.of("a", "b"), true, 0);
-        it.onTermResponse("a", 0);
-        assertEquals(Set.of("b"), it.unansweredVoters());
-        it.onTermResponse("b", 0);
-        assertEquals(Set.of(), it.unansweredVoters());
-        assertEquals(0, it.minimumLeaderTerm());
+    public void startsImmediatelyIfAllOthersReportTermZero() {
+        var voter = new RejoiningVoter(List.of("a", "b"), true, 0);
+        voter.onTermResponse("a", 0);
+        assertEquals(Set.of("b"), voter.unansweredVoters());
+        voter.onTermResponse("b", 0);
+        assertEquals(Set.of(), voter.unansweredVoters());
+        assertEquals(0, voter.minimumLeaderTerm());
     }
 
     @Test
-    public void elseItLearnsFromALeaderOfALaterTermThanAnyHeard() {
-        var it = new RejoiningVoter(List.of("a", "b"), true, 0);
-        it.onTermResponse("a", 7);
-        it.onTermResponse("a", 9); // told twice
-        it.onTermResponse("b", 3);
-        assertEquals(7, it.startTerm());
-        assertEquals(8, it.minimumLeaderTerm());
-        it.onLeaderCommit(7, 100); // it may count what the former process had confirmed
-        assertFalse(it.onApplied(100, 7));
-        it.onLeaderCommit(8, 40);
-        assertFalse(it.onApplied(39, 8));
-        assertTrue(it.onApplied(40, 8));
-        assertEquals(0, it.minimumLeaderTerm());
-        assertFalse("once", it.onApplied(41, 7));
+    public void catchesUpOnlyWithLeaderOfTermAboveReportedTerms() {
+        var voter = new RejoiningVoter(List.of("a", "b"), true, 0);
+        voter.onTermResponse("a", 7);
+        voter.onTermResponse("a", 9); // a repeated response is ignored
+        voter.onTermResponse("b", 3);
+        assertEquals(7, voter.startTerm());
+        assertEquals(8, voter.minimumLeaderTerm());
+        voter.onLeaderCommit(7, 100); // may count acknowledgements of the former process
+        assertFalse(voter.onApplied(100, 7));
+        voter.onLeaderCommit(8, 40);
+        assertFalse(voter.onApplied(39, 8));
+        assertTrue(voter.onApplied(40, 8));
+        assertEquals(0, voter.minimumLeaderTerm());
+        assertFalse("catches up only once", voter.onApplied(41, 7));
     }
 
-    /** A new leader that has nothing of its own term committed may not know of all that was. */
+    /** A new leader without a committed entry of its own term may not know all committed entries. */
     @Test
-    public void anEntryOfAnOlderTermShowsNothing() {
-        var it = new RejoiningVoter(List.of("a", "b"), true, 0);
-        it.onTermResponse("a", 4);
-        it.onTermResponse("b", 4);
-        it.onLeaderCommit(5, 40);
-        assertFalse(it.onApplied(40, 4));
-        assertTrue(it.minimumLeaderTerm() > 0);
-        it.onLeaderCommit(5, 41);
-        assertTrue(it.onApplied(41, 5));
+    public void doesNotCatchUpByEntryOfOlderTerm() {
+        var voter = new RejoiningVoter(List.of("a", "b"), true, 0);
+        voter.onTermResponse("a", 4);
+        voter.onTermResponse("b", 4);
+        voter.onLeaderCommit(5, 40);
+        assertFalse(voter.onApplied(40, 4));
+        assertTrue(voter.minimumLeaderTerm() > 0);
+        voter.onLeaderCommit(5, 41);
+        assertTrue(voter.onApplied(41, 5));
     }
 
     @Test
-    public void oneThatWasNotDoneGoesOnLearningAndAsksNobody() {
-        var it = new RejoiningVoter(List.of("a", "b"), false, 7);
-        assertEquals(Set.of(), it.unansweredVoters());
-        assertEquals(7, it.minimumLeaderTerm());
+    public void continuesUnfinishedCatchUpWithoutTermRequests() {
+        var voter = new RejoiningVoter(List.of("a", "b"), false, 7);
+        assertEquals(Set.of(), voter.unansweredVoters());
+        assertEquals(7, voter.minimumLeaderTerm());
     }
 }
--- a/src/test/java/wallmoor/consensus/VotingMemberTest.java
+++ b/src/test/java/wallmoor/consensus/VotingMemberTest.java
@@ -22,7 +22,10 @@
 import wallmoor.rules.LeaseTiming;
 import wallmoor.standin.CapturedWarnings;
 
-/** One voter on its control thread; the others are this test. */
+/**
+ * Guards against a voter that starts no election after it received a late message of its leader. Runs one voter on its
+ * control thread; the test sends the messages of the other voters.
+ */
 public class VotingMemberTest implements VoterContext, RaftNodeExecutor {
     private static final List<String> VOTERS = List.of("a", "b", "c");
 
@@ -30,8 +33,8 @@
     public final TemporaryFolder folder = new TemporaryFolder();
     private final ScheduledExecutorService control = Executors.newSingleThreadScheduledExecutor();
     private final DefaultRaftModelFactory models = new DefaultRaftModelFactory();
-    /** Pre-votes that were sent for the term after the one that the test leads in. */
-    private final AtomicInteger asked = new AtomicInteger();
+    /** Pre-vote requests that were sent for term 2, the one after the term of the simulated leader. */
+    private final AtomicInteger preVoteRequests = new AtomicInteger();
     private final CapturedWarnings warnings = new CapturedWarnings("wallmoor.consensus");
 
     @After
@@ -41,7 +44,7 @@
         assertEquals(List.of(), warnings.messages());
     }
 
-    private void heard(VotingMember voter, RaftMessage message) throws Exception {
+    private void receive(VotingMember voter, RaftMessage message) throws Exception {
         Callable<Void> work = () -> {
             voter.onRaftMessage("b", RaftMessageEncoder.encode(message));
             return null;
@@ -49,16 +52,16 @@
         control.submit(work).get();
     }
 
-    private void awaitAsked() throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-        while (asked.get() == 0) {
-            assertTrue("it does not stand", System.nanoTime() < until);
+    private void awaitPreVoteRequest() throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
+        while (preVoteRequests.get() == 0) {
+            assertTrue("no pre-vote request was sent", System.nanoTime() < deadline);
             Thread.sleep(10);
         }
     }
 
     @Test
-    public void itStandsAgainAfterALeaderThatItHeardLate() throws Exception {
+    public void startsPreVoteAgainAfterLateLeaderMessage() throws Exception {
         var store = new DurableStore(new DurableDirectory(folder.getRoot().toPath()), "a", VOTERS, 1_000);
         var voter = new VotingMember("a", VOTERS, LeaseTiming.defaults(), store, this, this, 1);
         voter.onTermResponse("b", 0);
@@ -68,18 +71,18 @@
             return null;
         };
         control.submit(tick).get();
-        heard(voter,
+        receive(voter,
                 models.createVoteRequestBuilder().setGroupId(RaftGroup.ID).setSender(new VoterEndpoint("b"))
                         .setTerm(1)
                         .setLastLogTerm(0).setLastLogIndex(0).setSticky(false).build());
-        awaitAsked(); // it gave its vote, and nothing comes
-        heard(voter,
+        awaitPreVoteRequest(); // it granted its vote and receives nothing
+        receive(voter,
                 models.createAppendEntriesRequestBuilder().setGroupId(RaftGroup.ID)
                         .setSender(new VoterEndpoint("b"))
                         .setTerm(1)
                         .setPreviousLogTerm(0).setPreviousLogIndex(0).setCommitIndex(0).setQuerySequenceNumber(0)
                         .setFlowControlSequenceNumber(0).setLogEntries(List.of()).build());
-        asked.set(0);
+        preVoteRequests.set(0);
         var unused = control.scheduleWithFixedDelay(() -> execute(() -> {
             try {
                 voter.tick(nowMicros());
@@ -87,7 +90,7 @@
                 throw new java.io.UncheckedIOException(e);
             }
         }), 0, 20, TimeUnit.MILLISECONDS);
-        awaitAsked();
+        awaitPreVoteRequest();
     }
 
     @Override
@@ -98,11 +101,11 @@
     @Override
     public void sendToVoter(String voter, Packet packet) {
         try {
-            if (packet instanceof Packet.RaftEnvelope log
+            if (packet instanceof Packet.RaftEnvelope envelope
                     && new RaftMessageDecoder(VOTERS).decode(new VoterEndpoint("a"),
-                            log.message()) instanceof PreVoteRequest p
-                    && p.getTerm() == 2) {
-                asked.incrementAndGet();
+                            envelope.message()) instanceof PreVoteRequest preVote
+                    && preVote.getTerm() == 2) {
+                preVoteRequests.incrementAndGet();
             }
         } catch (CorruptDataException e) {
             throw new IllegalStateException(e);
@@ -111,7 +114,7 @@
 
     @Override
     public void sendToLeaseHolder(String holder, LeaseMessage message) {
-        // it never leads
+        // the voter under test never leads
     }
 
     @Override
--- a/src/test/java/wallmoor/control/ControlServerTest.java
+++ b/src/test/java/wallmoor/control/ControlServerTest.java
@@ -16,11 +16,14 @@
 import org.junit.Test;
 import wallmoor.standin.Ports;
 
-/** One request a connection, within its limits; whoever goes on beyond them gets no answer and holds up nobody. */
+/**
+ * Guards against clients that block a control port: a connection carries one request within size and time limits, and a
+ * client that exceeds them gets no response and does not delay others.
+ */
 public class ControlServerTest {
-    private static final int READ_MILLIS = 10_000;
-    private static final int REQUEST_MILLIS = 300;
-    private static final RequestLimits LIMITS = new RequestLimits(16, REQUEST_MILLIS);
+    private static final int READ_TIMEOUT_MILLIS = 10_000;
+    private static final int REQUEST_TIMEOUT_MILLIS = 300;
+    private static final RequestLimits LIMITS = new RequestLimits(16, REQUEST_TIMEOUT_MILLIS);
 
     private final InetSocketAddress address;
     private ControlServer server;
@@ -40,8 +43,8 @@
 
     private Socket connect(String request) throws IOException {
         var socket = new Socket();
-        socket.connect(address, READ_MILLIS);
-        socket.setSoTimeout(READ_MILLIS);
+        socket.connect(address, READ_TIMEOUT_MILLIS);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         return socket;
     }
@@ -55,11 +58,11 @@
     }
 
     @Test
-    public void aRequestIsAnsweredAndItsConnectionClosed() throws Exception {
+    public void answersRequestAndClosesConnection() throws Exception {
         server = ControlServer.sequential(address, "control-test", LIMITS);
         server.start(ControlServerTest::echo);
         assertEquals("members\n", answer(connect("members\n")));
-        assertEquals("explain a\n", ControlClient.ask(address, "explain a", READ_MILLIS, 100));
+        assertEquals("explain a\n", ControlClient.ask(address, "explain a", READ_TIMEOUT_MILLIS, 100));
         try (Socket slow = connect("mem")) {
             slow.getOutputStream().write("bers\n".getBytes(StandardCharsets.US_ASCII));
             assertArrayEquals("members\n".getBytes(StandardCharsets.US_ASCII),
@@ -68,50 +71,50 @@
     }
 
     @Test
-    public void whatIsTooLongOrTooSlowGetsNoAnswer() throws Exception {
+    public void closesTooLongOrTooSlowRequestWithoutResponse() throws Exception {
         server = ControlServer.sequential(address, "control-test", LIMITS);
         server.start(ControlServerTest::echo);
         assertEquals("0123456789abcde\n", answer(connect("0123456789abcde\n")));
         assertEquals("", answer(connect("0123456789abcdef\n")));
         assertEquals("", answer(connect("no line end")));
-        assertEquals("the next is answered", "members\n", answer(connect("members\n")));
+        assertEquals("the next request is answered", "members\n", answer(connect("members\n")));
     }
 
     @Test
-    public void oneMoreThanIsAnsweredAtOnceIsClosedUnanswered() throws Exception {
-        var begun = new CountDownLatch(2);
-        var go = new CountDownLatch(1);
+    public void closesConnectionAboveConcurrencyLimitWithoutResponse() throws Exception {
+        var started = new CountDownLatch(2);
+        var release = new CountDownLatch(1);
         server = ControlServer.concurrent(address, "control-test", LIMITS, "control-test-worker", 2);
         server.start((request, response) -> {
-            begun.countDown();
-            go.await();
+            started.countDown();
+            release.await();
             response.write(request);
         });
         Socket first = connect("first\n");
         Socket second = connect("second\n");
-        begun.await();
+        started.await();
         assertEquals("", answer(connect("third\n")));
-        go.countDown();
+        release.countDown();
         assertEquals("first\n", answer(first));
         assertEquals("second\n", answer(second));
     }
 
     @Test
-    public void aHandlerThatFailsLeavesTheOthersServed() throws Exception {
+    public void answersNextRequestAfterFailedHandler() throws Exception {
         server = ControlServer.sequential(address, "control-test", LIMITS);
         server.start((request, response) -> {
             if (request[0] == 'x') {
-                throw new IOException("the requester has gone");
+                throw new IOException("the requester has disconnected");
             }
             response.write(request);
         });
-        assertThrows(IOException.class, () -> ControlClient.ask(address, "x", READ_MILLIS, 100));
-        assertEquals("y\n", ControlClient.ask(address, "y", READ_MILLIS, 100));
+        assertThrows(IOException.class, () -> ControlClient.ask(address, "x", READ_TIMEOUT_MILLIS, 100));
+        assertEquals("y\n", ControlClient.ask(address, "y", READ_TIMEOUT_MILLIS, 100));
     }
 
-    /** An answer may end with a line end or not: that is the handler's. */
+    /** The handler decides whether the response ends with a line end. */
     @Test
-    public void objectsStandOnALineEach() throws Exception {
+    public void writesOneObjectPerLine() throws Exception {
         server = ControlServer.sequential(address, "control-test", LIMITS);
         server.start((request, response) -> {
             try (JsonGenerator out = JsonLines.generator(response)) {
@@ -122,7 +125,7 @@
             }
             response.write('\n');
         });
-        String answer = ControlClient.ask(address, "members", READ_MILLIS, 100);
+        String answer = ControlClient.ask(address, "members", READ_TIMEOUT_MILLIS, 100);
         assertEquals("{\"a\":1}\n{\"fault\":\"knows no \\\"b\\\"\"}\n", answer);
         assertEquals("knows no \"b\"", ControlClient.parse(answer.lines().toList().get(1)).text("fault"));
     }
--- a/src/test/java/wallmoor/net/RulesTest.java
+++ b/src/test/java/wallmoor/net/RulesTest.java
@@ -174,8 +174,8 @@
             Files.delete(group.all.get(lost).directory.resolve(file));
         }
         group.all.get(lost).start();
-        Program.await("it learns", () -> group.all.get(lost).hasLogged("had nothing kept: learns"));
-        Program.await("it has learned", () -> group.all.get(lost).hasLogged("has learned what the other voters know"));
+        Program.await("it learns", () -> group.all.get(lost).hasLogged("voter lost its durable state: catches up"));
+        Program.await("it has learned", () -> group.all.get(lost).hasLogged("voter caught up and votes"));
         group.all.get(0).kill();
         propose(4);
         group.all.get(0).start();
@@ -192,7 +192,8 @@
         bytes[20] ^= 1;
         Files.write(log, bytes);
         group.all.get(damaged).start();
-        Program.await("it says so", () -> group.all.get(damaged).hasLogged("does not vote: in "));
+        Program.await("it says so",
+                () -> group.all.get(damaged).hasLogged("voting disabled, durable state unreadable: directory="));
         propose(4);
         group.awaitAll(version, group.others());
     }
