--- a/src/main/java/wallmoor/consensus/DurableStore.java
+++ b/src/main/java/wallmoor/consensus/DurableStore.java
@@ -132,7 +132,7 @@
         logFile.close();
     }
 
-    // ---- RaftStore -------------------------------------------------------------------------------------
+    // ---- RaftStore ----------------------------------------------------------------------------------------
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) {
--- a/src/main/java/wallmoor/consensus/FramedConnection.java
+++ b/src/main/java/wallmoor/consensus/FramedConnection.java
@@ -161,7 +161,8 @@
         while (in.remaining() >= HEADER_BYTES) {
             int length = in.getInt(in.position());
             if (length < 0 || length > (peer == null ? MAX_HANDSHAKE_BYTES : MAX_PAYLOAD_BYTES)) {
-                throw new PeerProtocolException("invalid frame length " + length + " bytes");
+                throw new PeerProtocolException("invalid frame length " + length + ", allowed are 0 to "
+                        + (peer == null ? MAX_HANDSHAKE_BYTES : MAX_PAYLOAD_BYTES) + " bytes");
             }
             if (in.remaining() < HEADER_BYTES + length) {
                 return HEADER_BYTES + length;
@@ -184,7 +185,10 @@
         }
     }
 
-    /** Compacts the buffer, or resizes it: it at most doubles, up to the size of the pending frame. */
+    /**
+     * Compacts the buffer or resizes it. It grows to at most twice its size and no further than the pending frame
+     * needs.
+     */
     private void makeRoom(int frameBytes) {
         if (in.remaining() == 0 && in.capacity() > READ_BUFFER_BYTES) {
             in = ByteBuffer.allocate(READ_BUFFER_BYTES);
--- a/src/main/java/wallmoor/consensus/HandshakeVerifier.java
+++ b/src/main/java/wallmoor/consensus/HandshakeVerifier.java
@@ -38,14 +38,14 @@
             return false;
         }
         if (dialledVoter != null && !dialledVoter.equals(name)) {
-            LOG.warn("rules: peer rejected, wrong name at the address of a voter: voter={} peer={}; correct rules.voters",
-                    dialledVoter, name);
+            LOG.warn("rules: peer rejected, wrong name at the address of a voter: voter={} peer={}; "
+                    + "correct rules.voters", dialledVoter, name);
             return false;
         }
         if (voters.contains(name) && handshake.incarnation() < lastIncarnation(name)) {
-            LOG.warn("rules: peer rejected, older incarnation than the last one seen: peer={}; "
+            LOG.warn("rules: peer rejected, older incarnation than the last one seen: peer={} incarnation={} last={}; "
                     + "if this process is the current one, its clock went back after it lost its state: set its clock",
-                    name);
+                    name, handshake.incarnation(), lastIncarnation(name));
             return false;
         }
         return true;
--- a/src/main/java/wallmoor/consensus/PacketCodec.java
+++ b/src/main/java/wallmoor/consensus/PacketCodec.java
@@ -28,25 +28,25 @@
 
     static byte[] encode(Packet packet) {
         var to = new ByteWriter();
-        if (packet instanceof Packet.Handshake p) {
-            to.writeLong(HANDSHAKE).writeLong(MAGIC).writeText(p.group()).writeText(p.name())
-                    .writeLong(p.incarnation());
-        } else if (packet instanceof Packet.RaftEnvelope p) {
-            to.writeLong(RAFT_ENVELOPE).writeBytes(p.message());
-        } else if (packet instanceof Packet.LeaseEnvelope p) {
-            to.writeLong(LEASE_ENVELOPE).writeBytes(LeaseMessageCodec.encode(p.message()));
-        } else if (packet instanceof Packet.NotLeader p) {
-            to.writeLong(NOT_LEADER).writeText(p.leader());
-        } else if (packet instanceof Packet.ForwardedVerdict p) {
-            to.writeLong(FORWARDED_VERDICT).writeBytes(LogEntryCodec.encode(p.entry()));
+        if (packet instanceof Packet.Handshake handshake) {
+            to.writeLong(HANDSHAKE).writeLong(MAGIC).writeText(handshake.group()).writeText(handshake.name())
+                    .writeLong(handshake.incarnation());
+        } else if (packet instanceof Packet.RaftEnvelope envelope) {
+            to.writeLong(RAFT_ENVELOPE).writeBytes(envelope.message());
+        } else if (packet instanceof Packet.LeaseEnvelope envelope) {
+            to.writeLong(LEASE_ENVELOPE).writeBytes(LeaseMessageCodec.encode(envelope.message()));
+        } else if (packet instanceof Packet.NotLeader redirect) {
+            to.writeLong(NOT_LEADER).writeText(redirect.leader());
+        } else if (packet instanceof Packet.ForwardedVerdict verdict) {
+            to.writeLong(FORWARDED_VERDICT).writeBytes(LogEntryCodec.encode(verdict.entry()));
         } else if (packet instanceof Packet.TermRequest) {
             to.writeLong(TERM_REQUEST);
-        } else if (packet instanceof Packet.TermResponse p) {
-            to.writeLong(TERM_RESPONSE).writeLong(p.term());
-        } else if (packet instanceof Packet.ClientRequest p) {
-            encodeRequest(to, p);
-        } else if (packet instanceof Packet.ClientResponse p) {
-            encodeResponse(to, p);
+        } else if (packet instanceof Packet.TermResponse response) {
+            to.writeLong(TERM_RESPONSE).writeLong(response.term());
+        } else if (packet instanceof Packet.ClientRequest request) {
+            encodeRequest(to, request);
+        } else if (packet instanceof Packet.ClientResponse response) {
+            encodeResponse(to, response);
         }
         return to.toByteArray();
     }
--- a/src/main/java/wallmoor/consensus/RaftGroup.java
+++ b/src/main/java/wallmoor/consensus/RaftGroup.java
@@ -15,7 +15,8 @@
 
     /** Returns the view of all members, each of which votes. */
     static RaftGroupMembersView members(RaftModelFactory models, Collection<String> voters) {
-        List<RaftEndpoint> all = voters.stream().<RaftEndpoint>map(VoterEndpoint::new).toList();
-        return models.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(all).setVotingMembers(all).build();
+        List<RaftEndpoint> endpoints = voters.stream().<RaftEndpoint>map(VoterEndpoint::new).toList();
+        return models.createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(endpoints)
+                .setVotingMembers(endpoints).build();
     }
 }
--- a/src/main/java/wallmoor/consensus/RaftLog.java
+++ b/src/main/java/wallmoor/consensus/RaftLog.java
@@ -36,7 +36,7 @@
      */
     private static final long ELECTION_TIMEOUT_MILLIS = 500;
     private static final long ELECTION_TIMEOUT_STEP_MILLIS = 200;
-    /** Heartbeat period; the library accepts whole seconds only. */
+    /** Heartbeat period; the library accepts full seconds only. */
     private static final int HEARTBEAT_SECONDS = 1;
     private static final int HEARTBEAT_TIMEOUT_SECONDS = 2;
     private static final Duration BARRIER_TIMEOUT = Duration.ofSeconds(10);
--- a/src/main/java/wallmoor/consensus/RaftMessageEncoder.java
+++ b/src/main/java/wallmoor/consensus/RaftMessageEncoder.java
@@ -24,28 +24,30 @@
 
     static byte[] encode(RaftMessage message) {
         var to = new ByteWriter();
-        if (message instanceof AppendEntriesRequest m) {
-            append(to, m);
-        } else if (message instanceof AppendEntriesSuccessResponse m) {
-            appendSuccess(to, m);
-        } else if (message instanceof AppendEntriesFailureResponse m) {
-            appendFailure(to, m);
-        } else if (message instanceof InstallSnapshotRequest m) {
-            installSnapshot(to, m);
-        } else if (message instanceof InstallSnapshotResponse m) {
-            snapshotResponse(to, m);
-        } else if (message instanceof PreVoteRequest m) {
-            begin(to, RaftMessageType.PRE_VOTE_REQUEST, m).writeLong(m.getLastLogTerm()).writeLong(m.getLastLogIndex());
-        } else if (message instanceof PreVoteResponse m) {
-            begin(to, RaftMessageType.PRE_VOTE_RESPONSE, m).writeLong(m.isGranted() ? 1 : 0);
-        } else if (message instanceof VoteRequest m) {
-            begin(to, RaftMessageType.VOTE_REQUEST, m).writeLong(m.getLastLogTerm()).writeLong(m.getLastLogIndex())
-                    .writeLong(m.isSticky() ? 1 : 0);
-        } else if (message instanceof VoteResponse m) {
-            begin(to, RaftMessageType.VOTE_RESPONSE, m).writeLong(m.isGranted() ? 1 : 0);
-        } else if (message instanceof TriggerLeaderElectionRequest m) {
-            begin(to, RaftMessageType.TRIGGER_LEADER_ELECTION, m).writeLong(m.getLastLogTerm())
-                    .writeLong(m.getLastLogIndex());
+        if (message instanceof AppendEntriesRequest request) {
+            append(to, request);
+        } else if (message instanceof AppendEntriesSuccessResponse response) {
+            appendSuccess(to, response);
+        } else if (message instanceof AppendEntriesFailureResponse response) {
+            appendFailure(to, response);
+        } else if (message instanceof InstallSnapshotRequest request) {
+            installSnapshot(to, request);
+        } else if (message instanceof InstallSnapshotResponse response) {
+            snapshotResponse(to, response);
+        } else if (message instanceof PreVoteRequest request) {
+            begin(to, RaftMessageType.PRE_VOTE_REQUEST, request).writeLong(request.getLastLogTerm())
+                    .writeLong(request.getLastLogIndex());
+        } else if (message instanceof PreVoteResponse response) {
+            begin(to, RaftMessageType.PRE_VOTE_RESPONSE, response).writeLong(response.isGranted() ? 1 : 0);
+        } else if (message instanceof VoteRequest request) {
+            begin(to, RaftMessageType.VOTE_REQUEST, request).writeLong(request.getLastLogTerm())
+                    .writeLong(request.getLastLogIndex())
+                    .writeLong(request.isSticky() ? 1 : 0);
+        } else if (message instanceof VoteResponse response) {
+            begin(to, RaftMessageType.VOTE_RESPONSE, response).writeLong(response.isGranted() ? 1 : 0);
+        } else if (message instanceof TriggerLeaderElectionRequest request) {
+            begin(to, RaftMessageType.TRIGGER_LEADER_ELECTION, request).writeLong(request.getLastLogTerm())
+                    .writeLong(request.getLastLogIndex());
         } else {
             throw new IllegalArgumentException("Raft message type can't be encoded: " + message);
         }
@@ -56,50 +58,50 @@
         return to.writeLong(type).writeLong(message.getTerm());
     }
 
-    private static void append(ByteWriter to, AppendEntriesRequest m) {
-        begin(to, RaftMessageType.APPEND_ENTRIES_REQUEST, m).writeLong(m.getPreviousLogTerm())
-                .writeLong(m.getPreviousLogIndex())
-                .writeLong(m.getCommitIndex())
-                .writeLong(m.getQuerySequenceNumber())
-                .writeLong(m.getFlowControlSequenceNumber())
-                .writeLong(m.getLogEntries().size());
-        for (LogEntry e : m.getLogEntries()) {
-            to.writeLong(e.getIndex()).writeLong(e.getTerm()).writeBytes((byte[]) e.getOperation());
+    private static void append(ByteWriter to, AppendEntriesRequest request) {
+        begin(to, RaftMessageType.APPEND_ENTRIES_REQUEST, request).writeLong(request.getPreviousLogTerm())
+                .writeLong(request.getPreviousLogIndex())
+                .writeLong(request.getCommitIndex())
+                .writeLong(request.getQuerySequenceNumber())
+                .writeLong(request.getFlowControlSequenceNumber())
+                .writeLong(request.getLogEntries().size());
+        for (LogEntry entry : request.getLogEntries()) {
+            to.writeLong(entry.getIndex()).writeLong(entry.getTerm()).writeBytes((byte[]) entry.getOperation());
         }
     }
 
-    private static void appendSuccess(ByteWriter to, AppendEntriesSuccessResponse m) {
-        begin(to, RaftMessageType.APPEND_ENTRIES_SUCCESS, m).writeLong(m.getLastLogIndex())
-                .writeLong(m.getQuerySequenceNumber())
-                .writeLong(m.getFlowControlSequenceNumber());
+    private static void appendSuccess(ByteWriter to, AppendEntriesSuccessResponse response) {
+        begin(to, RaftMessageType.APPEND_ENTRIES_SUCCESS, response).writeLong(response.getLastLogIndex())
+                .writeLong(response.getQuerySequenceNumber())
+                .writeLong(response.getFlowControlSequenceNumber());
     }
 
-    private static void appendFailure(ByteWriter to, AppendEntriesFailureResponse m) {
-        begin(to, RaftMessageType.APPEND_ENTRIES_FAILURE, m).writeLong(m.getExpectedNextIndex())
-                .writeLong(m.getQuerySequenceNumber())
-                .writeLong(m.getFlowControlSequenceNumber());
+    private static void appendFailure(ByteWriter to, AppendEntriesFailureResponse response) {
+        begin(to, RaftMessageType.APPEND_ENTRIES_FAILURE, response).writeLong(response.getExpectedNextIndex())
+                .writeLong(response.getQuerySequenceNumber())
+                .writeLong(response.getFlowControlSequenceNumber());
     }
 
-    private static void installSnapshot(ByteWriter to, InstallSnapshotRequest m) {
-        begin(to, RaftMessageType.INSTALL_SNAPSHOT_REQUEST, m).writeLong(m.isSenderLeader() ? 1 : 0)
-                .writeLong(m.getSnapshotTerm())
-                .writeLong(m.getSnapshotIndex())
-                .writeLong(m.getTotalSnapshotChunkCount())
-                .writeLong(m.getQuerySequenceNumber())
-                .writeLong(m.getFlowControlSequenceNumber())
-                .writeLong(m.getSnapshottedMembers().size());
-        m.getSnapshottedMembers().forEach(v -> to.writeText(VoterEndpoint.nameOf(v)));
-        SnapshotChunk chunk = m.getSnapshotChunk();
+    private static void installSnapshot(ByteWriter to, InstallSnapshotRequest request) {
+        begin(to, RaftMessageType.INSTALL_SNAPSHOT_REQUEST, request).writeLong(request.isSenderLeader() ? 1 : 0)
+                .writeLong(request.getSnapshotTerm())
+                .writeLong(request.getSnapshotIndex())
+                .writeLong(request.getTotalSnapshotChunkCount())
+                .writeLong(request.getQuerySequenceNumber())
+                .writeLong(request.getFlowControlSequenceNumber())
+                .writeLong(request.getSnapshottedMembers().size());
+        request.getSnapshottedMembers().forEach(v -> to.writeText(VoterEndpoint.nameOf(v)));
+        SnapshotChunk chunk = request.getSnapshotChunk();
         to.writeLong(chunk == null ? 0 : 1);
         if (chunk != null) {
             to.writeLong(chunk.getSnapshotChunkIndex()).writeBytes((byte[]) chunk.getOperation());
         }
     }
 
-    private static void snapshotResponse(ByteWriter to, InstallSnapshotResponse m) {
-        begin(to, RaftMessageType.INSTALL_SNAPSHOT_RESPONSE, m).writeLong(m.getSnapshotIndex())
-                .writeLong(m.getRequestedSnapshotChunkIndex())
-                .writeLong(m.getQuerySequenceNumber())
-                .writeLong(m.getFlowControlSequenceNumber());
+    private static void snapshotResponse(ByteWriter to, InstallSnapshotResponse response) {
+        begin(to, RaftMessageType.INSTALL_SNAPSHOT_RESPONSE, response).writeLong(response.getSnapshotIndex())
+                .writeLong(response.getRequestedSnapshotChunkIndex())
+                .writeLong(response.getQuerySequenceNumber())
+                .writeLong(response.getFlowControlSequenceNumber());
     }
 }
--- a/src/main/java/wallmoor/consensus/ReplicatedRules.java
+++ b/src/main/java/wallmoor/consensus/ReplicatedRules.java
@@ -91,7 +91,7 @@
         }
     }
 
-    // ---- StateMachine of the Raft library ----------------------------------------------------------------
+    // ---- StateMachine of the Raft library -----------------------------------------------------------------
 
     @Override
     public Object runOperation(long index, Object operation) {
--- a/src/main/java/wallmoor/consensus/StoredLog.java
+++ b/src/main/java/wallmoor/consensus/StoredLog.java
@@ -78,7 +78,7 @@
         return snapshot != null && snapshot.getIndex() == index ? snapshot.getTerm() : -1;
     }
 
-    /** Returns the whole content as the encoded records of a new file. */
+    /** Returns the complete content as the encoded records of a new file. */
     List<byte[]> toRecords() {
         var records = new ArrayList<byte[]>();
         chunks.values().forEach(snapshot -> snapshot.values()
--- a/src/main/java/wallmoor/consensus/VotingMember.java
+++ b/src/main/java/wallmoor/consensus/VotingMember.java
@@ -200,7 +200,7 @@
         }
         if (!raftLog.isStarted()) {
             return "waits for " + String.join(", ", rejoining.unansweredVoters())
-                    + ": has nothing kept, and begins once all other voters have answered";
+                    + ": has no durable state, and starts once all other voters have responded";
         }
         return rejoining.minimumLeaderTerm() > 0 ? "learns" : "votes";
     }
--- a/src/main/java/wallmoor/control/ControlServer.java
+++ b/src/main/java/wallmoor/control/ControlServer.java
@@ -97,7 +97,7 @@
                         + limits.timeoutMillis() + " ms");
             }
             request.write(buffer, 0, bytesRead);
-            if (buffer[bytesRead - 1] == '\bytesRead') {
+            if (buffer[bytesRead - 1] == '\n') {
                 return request.toByteArray();
             }
         }
--- a/src/test/java/wallmoor/consensus/DurableStoreTest.java
+++ b/src/test/java/wallmoor/consensus/DurableStoreTest.java
@@ -83,9 +83,9 @@
         for (int step = 0; step < 300; step++) {
             long last = model.isEmpty() ? 0 : model.lastKey();
             if (random.nextInt(4) > 0) {
-                LogEntry e = entry(last + 1, step);
-                model.put(last + 1, e);
-                store.persistLogEntries(List.of(e));
+                LogEntry added = entry(last + 1, step);
+                model.put(last + 1, added);
+                store.persistLogEntries(List.of(added));
             } else if (last > 0) {
                 long from = 1 + random.nextLong(last);
                 model.tailMap(from, true).clear();
