--- a/src/main/java/wallmoor/cli/ControlAnswer.java
+++ b/src/main/java/wallmoor/cli/ControlAnswer.java
@@ -39,9 +39,9 @@
         }
     }
 
-    /** Prints why no usable response came from the gatherer. */
+    /** Prints why no valid response came from the gatherer. */
     static ControlAnswer unanswered(String reason) {
-        return failed(NO_ANSWER, "no usable response from the gatherer's control port: " + reason);
+        return failed(NO_ANSWER, "the request to the gatherer failed: " + reason);
     }
 
     /** Prints the reason of a failure and returns an answer without lines. */
--- a/src/main/java/wallmoor/cli/RowsFile.java
+++ b/src/main/java/wallmoor/cli/RowsFile.java
@@ -129,7 +129,7 @@
         try {
             return text.isBlank() ? null : TimeSpan.parse(text.strip());
         } catch (IllegalArgumentException e) {
-            throw invalid(line, "has an invalid " + timeColumn + " '" + text + "': " + e.getMessage());
+            throw invalid(line, "has an invalid " + timeColumn + ": " + e.getMessage());
         }
     }
 
--- a/src/test/java/wallmoor/cli/CommandNamesTest.java
+++ b/src/test/java/wallmoor/cli/CommandNamesTest.java
@@ -5,15 +5,15 @@
 
 import org.junit.Test;
 
-/** Commands keep their former names as aliases, as deploy files and operators' scripts may use them. */
+/** Checks that commands keep their former names as aliases, which deploy files and operators' scripts may use. */
 public class CommandNamesTest {
 
     @Test
-    public void formerNamesAreStillKnown() {
+    public void acceptsCurrentAndFormerCommandNames() {
         for (String command : new String[] {"simulate", "drill", "train-archive", "rehearse", "serve"}) {
-            Console ended = Console.run(command, "surplus");
-            assertEquals(command, Commands.USAGE_ERROR, ended.code());
-            assertTrue(ended.err(), ended.err().contains("surplus"));
+            Console result = Console.run(command, "surplus");
+            assertEquals(command, Commands.USAGE_ERROR, result.code());
+            assertTrue(result.err(), result.err().contains("surplus"));
         }
     }
 }
--- a/src/test/java/wallmoor/cli/Console.java
+++ b/src/test/java/wallmoor/cli/Console.java
@@ -9,11 +9,18 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** What a command line ended with and printed, run in this process. */
+/**
+ * The result of a command line that was run in this process.
+ *
+ * @param code the exit code
+ * @param out  the text on standard output
+ * @param err  the text on standard error
+ */
 public record Console(int code, String out, String err) {
+    /** Runs a command line and captures its output. */
     public static Console run(String... args) {
-        PrintStream wasOut = System.out;
-        PrintStream wasErr = System.err;
+        PrintStream originalOut = System.out;
+        PrintStream originalErr = System.err;
         var out = new ByteArrayOutputStream();
         var err = new ByteArrayOutputStream();
         System.setOut(new PrintStream(out, true));
@@ -22,12 +29,12 @@
             int code = Commands.run(args);
             return new Console(code, out.toString(UTF_8), err.toString(UTF_8));
         } finally {
-            System.setOut(wasOut);
-            System.setErr(wasErr);
+            System.setOut(originalOut);
+            System.setErr(originalErr);
         }
     }
 
-    /** Has a command plan by a file of these lines, and print JSON. */
+    /** Writes the lines to the file and runs the {@code plan} subcommand of a command on it, with JSON output. */
     static Console plan(String command, Path file, String... lines) throws IOException {
         Files.write(file, List.of(lines));
         return run(command, "plan", file.toString(), "--json");
--- a/src/test/java/wallmoor/cli/MaintenanceTest.java
+++ b/src/test/java/wallmoor/cli/MaintenanceTest.java
@@ -8,7 +8,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** The command over a file: its answers, its exit codes, and every fault by key and line. */
+/** Checks the output and exit codes of {@code maintenance plan}, and that each error names its key and line. */
 public class MaintenanceTest {
     @Rule
     public TemporaryFolder folder = new TemporaryFolder();
@@ -18,8 +18,8 @@
     }
 
     @Test
-    public void anOrderIsPrinted() throws Exception {
-        Console c = plan("at: 2026-12-05T20:00:00Z", "budgets: {at_once: 1, parts: 5s, cold: 18s, warm_up: 7s}",
+    public void printsOrderAsJson() throws Exception {
+        Console result = plan("at: 2026-12-05T20:00:00Z", "budgets: {at_once: 1, parts: 5s, cold: 18s, warm_up: 7s}",
                 "machines:",
                 "- {id: a, centre: x}", "- {id: b, centre: x, capacity: 3}", "blocks:", "- {id: b1, on: [a, b]}",
                 "wishes:",
@@ -29,30 +29,30 @@
                         + "\"free\":\"2026-12-05T20:00:05Z\",\"back\":\"2026-12-05T20:00:35Z\","
                         + "\"done\":\"2026-12-05T20:01:00Z\",\"out\":1,"
                         + "\"capacity\":0.75,\"must_stay\":[\"b\"]}],\"seconds\":60,\"bound_seconds\":60}\n",
-                c.out());
-        assertEquals(0, c.code());
+                result.out());
+        assertEquals(0, result.code());
         Console example = Console.run("maintenance", "plan", "example/maintenance.yaml");
         assertEquals(example.err(), 0, example.code());
     }
 
     @Test
-    public void whereNoneExistsTheFewestReasonsAreNamed() throws Exception {
-        Console c = plan("at: 2026-12-05T20:00:00Z", "budgets: {at_once: 1}", "machines:", "- {id: a, centre: x}",
+    public void printsMinimalConflictWithoutOrder() throws Exception {
+        Console result = plan("at: 2026-12-05T20:00:00Z", "budgets: {at_once: 1}", "machines:", "- {id: a, centre: x}",
                 "blocks:",
                 "- {id: b1, on: [a]}", "wishes:", "- {id: w1, machine: a, lasts: 30s, who: kim}");
         assertEquals("{\"feasible\":false,\"because\":[{\"rule\":\"cover\",\"machines\":[\"a\"],\"blocks\":[\"b1\"],"
-                + "\"budget\":\"\"}],\"smallest\":true,\"proven\":true}\n", c.out());
-        assertEquals(3, c.code());
-        c = plan("at: 2026-12-05T20:00:00Z", "budgets: {at_once: 1}", "machines:", "- {id: a, centre: x}",
+                + "\"budget\":\"\"}],\"smallest\":true,\"proven\":true}\n", result.out());
+        assertEquals(3, result.code());
+        result = plan("at: 2026-12-05T20:00:00Z", "budgets: {at_once: 1}", "machines:", "- {id: a, centre: x}",
                 "- {id: b, centre: x, phase: away}", "wishes:", "- {id: w1, machine: a, lasts: 30s, who: kim}");
         assertEquals("{\"feasible\":\"waits\",\"because\":[{\"rule\":\"at_once\",\"machines\":[],\"blocks\":[],"
-                + "\"budget\":\"at_once\"}],\"smallest\":true}\n", c.out());
-        assertEquals(3, c.code());
+                + "\"budget\":\"at_once\"}],\"smallest\":true}\n", result.out());
+        assertEquals(3, result.code());
     }
 
     @Test
-    public void everyFaultIsNamedByKeyAndLine() throws Exception {
-        Console c = plan("at: tomorrow", "budgets:", "  at_once: many", "  centres: {z: 1}", "  capacity_kept: 2",
+    public void reportsEachErrorWithKeyAndLine() throws Exception {
+        Console result = plan("at: tomorrow", "budgets:", "  at_once: many", "  centres: {z: 1}", "  capacity_kept: 2",
                 "  hours: [\"22-4\"]", "  offset: east", "  cold_sahre: 0.1", "machines:",
                 "- {id: a, centre: x, kind: door}",
                 "- {id: a, centre: x, phase: gone}", "- {id: c}", "blocks:", "- {id: b1, on: []}",
@@ -60,9 +60,9 @@
                 "wishes:", "- {id: w1, machine: q, lasts: soon, who: kim}",
                 "- {id: w2, machine: a, by: never, after: [q]}",
                 "- {id: w3, machine: a, lasts: 5m, who: ali}");
-        assertEquals(2, c.code());
-        List<String> lines = c.err().lines().map(l -> l.replaceFirst(".*?: (line .*)", "$1")).toList();
-        for (String fault : List.of("line 1: at: is no time in UTC", "line 3: budgets.at_once: is no whole",
+        assertEquals(2, result.code());
+        List<String> lines = result.err().lines().map(l -> l.replaceFirst(".*?: (line .*)", "$1")).toList();
+        for (String error : List.of("line 1: at: is no time in UTC", "line 3: budgets.at_once: is no whole",
                 "line 4: budgets.centres.z: is no machine's centre", "line 5: budgets.capacity_kept: is no share",
                 "line 6: budgets.hours: holds what is no window", "line 7: budgets.offset: is no offset",
                 "line 8: budgets.cold_sahre: is unknown; did you mean cold_share?",
@@ -77,7 +77,7 @@
                 "line 18: wishes.1.by: is no time",
                 "line 18: wishes.1.after: names a machine that is not there", "line 18: wishes.1.who: is absent",
                 "line 19: wishes.2.machine: has a wish already: a")) {
-            assertTrue(fault + " in " + lines, lines.stream().anyMatch(l -> l.startsWith(fault)));
+            assertTrue(error + " in " + lines, lines.stream().anyMatch(l -> l.startsWith(error)));
         }
         assertEquals(2, Console.run("maintenance", "plan", "no-such-file.yaml").code());
     }
--- a/src/test/java/wallmoor/cli/ResolveCommandTest.java
+++ b/src/test/java/wallmoor/cli/ResolveCommandTest.java
@@ -19,7 +19,7 @@
 import wallmoor.standin.DnsServer;
 import wallmoor.standin.DnsServer.Fault;
 
-/** The command line against a scripted DNS server. */
+/** Runs {@code resolve}, {@code members} and {@code check} against a scripted DNS server. */
 public class ResolveCommandTest {
     private static final String SERVICE = "_calendar._tcp.fleet.example";
 
@@ -42,10 +42,10 @@
     }
 
     private int run(String... args) {
-        Console said = Console.run(args);
-        out = said.out();
-        err = said.err();
-        return said.code();
+        Console result = Console.run(args);
+        out = result.out();
+        err = result.err();
+        return result.code();
     }
 
     private int resolve(String name) {
@@ -53,7 +53,7 @@
     }
 
     @Test
-    public void aServiceIsPrintedALineANode() {
+    public void printsOneLinePerNode() {
         assertEquals(err, 0, resolve(SERVICE));
         assertEquals("{\"target\":\"n1.example\",\"address\":\"127.0.0.1\",\"port\":9001,\"priority\":10,\"weight\":60,"
                 + "\"ttl\":60}\n"
@@ -71,7 +71,7 @@
     }
 
     @Test
-    public void whatServersDoWrongIsToldByTheExitCode() {
+    public void exitCodeAndMessageReportServerFaults() {
         Object[][] cases = {{Fault.SERVFAIL, 4, "SERVFAIL"}, {Fault.REFUSED, 4, "REFUSED"},
             {Fault.SILENT, 4, "no answer"},
             {Fault.WRONG_ID, 4, "something else"}, {Fault.WRONG_QUESTION, 4, "something else"},
@@ -79,17 +79,17 @@
             {Fault.POINTER_LOOP, 4, "can't be read"}, {Fault.TRUNCATED, 0, ""}, {Fault.FORMERR_ON_EDNS, 0, ""},
             {Fault.TRUNCATED_NO_TCP, 4, "truncated, and over TCP"}, {Fault.TRUNCATED_SILENT_TCP, 4, "over TCP"},
             {Fault.HALF_TCP, 4, "half an answer"}};
-        for (Object[] c : cases) {
-            dns.fail((Fault) c[0]);
-            long begun = System.nanoTime();
-            assertEquals(c[0] + ": " + err, c[1], resolve(SERVICE));
-            assertTrue(c[0] + ": " + err, err.contains((String) c[2]));
-            assertTrue(c[0] + " took too long", System.nanoTime() - begun < TimeUnit.SECONDS.toNanos(10));
+        for (Object[] testCase : cases) {
+            dns.fail((Fault) testCase[0]);
+            long startNanos = System.nanoTime();
+            assertEquals(testCase[0] + ": " + err, testCase[1], resolve(SERVICE));
+            assertTrue(testCase[0] + ": " + err, err.contains((String) testCase[2]));
+            assertTrue(testCase[0] + " took too long", System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(10));
         }
     }
 
     @Test
-    public void anAbsenceIsNoFailure() {
+    public void exitsWithNoRecordsCodeIfServiceIsAbsent() {
         assertEquals(3, resolve("_none._tcp.fleet.example"));
         assertTrue(err, err.contains("NXDOMAIN"));
         dns.absences(false, "_empty._tcp.fleet.example");
@@ -101,7 +101,7 @@
     }
 
     @Test
-    public void aliasesAreFollowedUpToABound() {
+    public void followsAliasesAndReportsLoops() {
         for (int i = 0; i < 6; i++) {
             dns.set("c" + i + ".example", Type.CNAME, DnsServer.cname("c" + i + ".example",
                     i == 5 ? SERVICE : "c" + (i + 1) + ".example"));
@@ -115,22 +115,22 @@
     }
 
     @Test
-    public void aSecondServerMendsWhatTheFirstSpoils() throws Exception {
-        try (var good = new DnsServer()) {
-            good.service(SERVICE, 0, "n1.example:9001:10:60:cell=0");
-            for (Fault f : new Fault[] {Fault.SERVFAIL, Fault.GARBAGE, Fault.TRUNCATED_NO_TCP}) {
-                dns.fail(f);
+    public void usesSecondServerIfFirstFails() throws Exception {
+        try (var workingServer = new DnsServer()) {
+            workingServer.service(SERVICE, 0, "n1.example:9001:10:60:cell=0");
+            for (Fault fault : new Fault[] {Fault.SERVFAIL, Fault.GARBAGE, Fault.TRUNCATED_NO_TCP}) {
+                dns.fail(fault);
                 assertEquals(0, run("resolve", "--server", "127.0.0.1:" + dns.port(), "--server", "127.0.0.1:"
-                        + good.port(), SERVICE));
+                        + workingServer.port(), SERVICE));
                 assertEquals(out, 1, out.lines().count());
             }
         }
     }
 
     @Test
-    public void aThousandRecordsComeOverTcpAndFaultyTargetsAreNamed() {
+    public void receivesThousandRecordsOverTcpAndReportsUnresolvableTargets() {
         var records = new ArrayList<Record>();
-        for (int i = 0; i < 1000; i++) { // a message holds 64 KiB: five thousand would not fit
+        for (int i = 0; i < 1000; i++) { // a DNS message is limited to 64 KiB, which 5000 records exceed
             records.add(DnsServer.srv(SERVICE, 60, 0, 1, 1 + i, i == 7 ? "none.example" : "n1.example"));
         }
         dns.set(SERVICE, Type.SRV, records.toArray(Record[]::new));
@@ -142,29 +142,29 @@
     }
 
     @Test
-    public void membersAreShownWithTheirCauses() throws Exception {
+    public void membersPrintsNodesWithCauses() throws Exception {
         Path operator = folder.newFile("members.yaml").toPath();
         String file = "sources:\n  list: {enabled: false}\n  dns: {servers: [\"127.0.0.1:" + dns.port()
                 + "\"], names: [{name: "
                 + SERVICE + "}], timeout: 100ms}\n";
         Files.writeString(operator, file);
-        String[] ask = {"members", "--config", "example/config.json", "--operator", operator.toString(), "--wait", "5",
-            "--json"};
-        assertEquals(err, 0, run(ask));
+        String[] command = {"members", "--config", "example/config.json", "--operator", operator.toString(), "--wait",
+            "5", "--json"};
+        assertEquals(err, 0, run(command));
         assertEquals(out, 3, out.lines().count());
         assertTrue(out,
                 out.startsWith(
                         "{\"node\":\"n2.example:9002/127.0.0.1\",\"address\":\"127.0.0.1:9002\",\"cell\":1,\"size\":0.8"
                                 + ",\"state\":\"SERVING\",\"cause\":\"named by dns " + SERVICE + " at look-up 1\"}"));
-        assertTrue("tier 20 stands by: " + out, out.contains("stands by in tier 20: tier 10 serves cell 1"));
+        assertTrue("tier 20 is on standby: " + out, out.contains("stands by in tier 20: tier 10 serves cell 1"));
         dns.fail(Fault.SILENT);
-        ask[6] = "1";
-        assertEquals("a source that could not be heard", 4, run(ask));
+        command[6] = "1";
+        assertEquals("a source did not report", 4, run(command));
         assertTrue(err, err.contains("dns " + SERVICE + ": 0 nodes, no report yet: "));
     }
 
     @Test
-    public void badUsageAndBadFilesAreExitCodeTwo() throws Exception {
+    public void exitsWithUsageErrorOnInvalidArgumentsAndFiles() throws Exception {
         assertEquals(2, run("resolve", "--server", "nowhere", SERVICE));
         assertEquals(2, run("resolve"));
         assertEquals(2, run());
@@ -185,11 +185,11 @@
                 ogx: 1
                 """);
         assertEquals(2, run("check", "--config", "example/config.json", bad.toString()));
-        for (String said : new String[] {"line 3: sources.dns.servers: holds what is not ADDRESS:PORT: somewhere",
+        for (String error : new String[] {"line 3: sources.dns.servers: holds what is not ADDRESS:PORT: somewhere",
             "line 4: sources.dns.name: is unknown; did you mean names?", "line 5: sources.dns.most_age: is no time",
             "line 6: sources.list.enabled: is neither true nor false", "line 8: logging.levels.dns: is none of",
             "line 9: ogx: is unknown; did you mean ogc?"}) {
-            assertTrue(said + " in " + err, err.contains(said));
+            assertTrue(error + " in " + err, err.contains(error));
         }
         assertEquals(err, 0, run("check", "--config", "example/config.json", "deploy/operator.yaml"));
         assertEquals(err, 0, run("check", "--config", "example/config.json", "example/operator.yaml"));
--- a/src/test/java/wallmoor/cli/RulesCheckTest.java
+++ b/src/test/java/wallmoor/cli/RulesCheckTest.java
@@ -9,7 +9,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** {@code rules check} tells nobody; what it prints is what a proposal would carry. */
+/** Checks that {@code rules check} contacts no gatherer and prints the body and fallback of a proposal. */
 public class RulesCheckTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -20,19 +20,19 @@
     }
 
     @Test
-    public void theFallbackKeepsBoundsAndGivesNothing() throws Exception {
-        Console said = check("settings",
+    public void fallbackKeepsRestrictionsWithoutPermissions() throws Exception {
+        Console result = check("settings",
                 "{\"limits.open\":200,\"allowances.t\":2.5,\"allow.x\":true,\"forbid.y\":true,\"values.z\":\"q\"}");
-        assertEquals(0, said.code());
-        assertTrue(said.out(), said.out().contains("fallback  {\"forbid.y\":true,\"limits.open\":200}"));
-        assertTrue(said.out(), said.out().contains("\"allowances.t\":2.5"));
+        assertEquals(0, result.code());
+        assertTrue(result.out(), result.out().contains("fallback  {\"forbid.y\":true,\"limits.open\":200}"));
+        assertTrue(result.out(), result.out().contains("\"allowances.t\":2.5"));
         assertTrue(check("list", "{\"nodes\":[\"b\",\"a\"],\"draining\":[\"a\"]}").out()
                 .contains("body      {\"draining\":[\"a\"],\"nodes\":[\"a\",\"b\"]}"));
         assertEquals(0, Console.run("rules", "check", "settings", "example/settings.json").code());
     }
 
     @Test
-    public void whatIsNoBodyIsRefusedByItsField() throws Exception {
+    public void rejectsInvalidBodiesAndNamesTheField() throws Exception {
         assertTrue(check("settings", "{\"limits.open\":\"many\"}").err().contains("limits.open"));
         assertTrue(check("settings", "{\"limit.open\":1}").err().contains("limit.open is not a field"));
         assertEquals(2, check("setings", "{}").code());
