--- a/src/main/java/wallmoor/inventory/CsvInventory.java
+++ b/src/main/java/wallmoor/inventory/CsvInventory.java
@@ -9,18 +9,18 @@
 import org.apache.commons.csv.CSVParser;
 import org.apache.commons.csv.CSVRecord;
 
-/** An inventory in CSV: a header, then a host a row, with its variables in columns. */
+/** Parses an inventory in CSV: a header row, then one row per host with its variables in columns. */
 final class CsvInventory {
     private static final String HOST_COLUMN = "host";
 
     private final Path file;
 
-    /** Makes it; the file is only named in faults. */
+    /** Creates a parser; the file is only named in error messages. */
     CsvInventory(Path file) {
         this.file = file;
     }
 
-    /** The variables of each host by the host's name, in the order of the rows. */
+    /** Returns the variables of each host by host name, in the order of the rows. */
     Map<String, Map<String, String>> parse(String text) {
         var hosts = new LinkedHashMap<String, Map<String, String>>();
         CSVFormat format = CSVFormat.DEFAULT.builder().setHeader().setSkipHeaderRecord(true)
@@ -36,13 +36,14 @@
     }
 
     private void addHost(CSVRecord row, Map<String, Map<String, String>> hosts) {
-        String place = "row " + (row.getRecordNumber() + 1);
+        String location = "row " + (row.getRecordNumber() + 1);
         String name = row.isSet(HOST_COLUMN) ? row.get(HOST_COLUMN) : "";
         if (!row.isConsistent() || name.isEmpty()) {
-            throw InventoryParser.fault(file, place, "has no host or not as many cells as the header");
+            throw InventoryParser.fault(file, location,
+                    "must have a value in column host and as many columns as the header");
         }
         if (hosts.put(name, row.toMap()) != null) {
-            throw InventoryParser.fault(file, place, "names host " + name + " again");
+            throw InventoryParser.fault(file, location, "repeats host " + name + ", which is already listed");
         }
     }
 }
--- a/src/main/java/wallmoor/inventory/HostMapper.java
+++ b/src/main/java/wallmoor/inventory/HostMapper.java
@@ -9,10 +9,11 @@
 import wallmoor.core.WorkerEndpoint;
 import wallmoor.endpoints.SourceEndpoint;
 
-/** Maps a host of an inventory with its variables to an endpoint; each variable is checked. */
+/** Maps an inventory host to an endpoint and validates the host's variables. */
 final class HostMapper {
-    /** All endpoints of an inventory are of one size and tier. */
+    /** The relative capacity of every endpoint of an inventory. */
     private static final double SIZE = 1;
+    /** The priority tier of every endpoint of an inventory. */
     private static final int TIER = 0;
 
     private final Path file;
@@ -21,9 +22,9 @@
     private final List<String> kinds;
 
     /**
-     * Makes it; the file is only named in faults.
+     * Creates a mapper; the file is only named in error messages.
      *
-     * @param cells how many cells there are
+     * @param cells the number of cells
      * @param zones the zones' names, by index
      * @param kinds the machine kinds' names, by index
      */
@@ -35,21 +36,21 @@
     }
 
     /**
-     * The endpoint of a host.
+     * Returns the endpoint of a host.
      *
-     * @throws ConfigException if a variable is missing or wrong
+     * @throws ConfigException if a variable is missing or invalid
      */
     SourceEndpoint endpoint(String name, Map<String, String> variables) {
-        String place = "host " + name;
-        String address = address(place, variables);
-        WorkerEndpoint.EndpointState state = state(place, variables);
-        int cell = cell(place, variables);
-        int zone = index(place, "zone", zones, variables);
-        int kind = index(place, "kind", kinds, variables);
+        String location = "host " + name;
+        String address = address(location, variables);
+        WorkerEndpoint.EndpointState state = state(location, variables);
+        int cell = cell(location, variables);
+        int zone = index(location, "zone", zones, variables);
+        int kind = index(location, "kind", kinds, variables);
         return new SourceEndpoint(name, address, zone, kind, cell, state, SIZE, SourceEndpoint.UNKNOWN_START, TIER);
     }
 
-    private String address(String place, Map<String, String> variables) {
+    private String address(String location, Map<String, String> variables) {
         String address = variables.getOrDefault("address", "");
         if (address.isEmpty()) {
             address = variables.getOrDefault("ansible_host", "") + ":"
@@ -59,39 +60,39 @@
             LaunchConfig.address("address", address);
             return address;
         } catch (ConfigException e) {
-            throw fault(place, "has no address that can be connected to: " + address);
+            throw fault(location, "has an invalid address, must be HOST:PORT: " + address);
         }
     }
 
-    private WorkerEndpoint.EndpointState state(String place, Map<String, String> variables) {
+    private WorkerEndpoint.EndpointState state(String location, Map<String, String> variables) {
         String state = variables.getOrDefault("state", "serving");
         return switch (state.toLowerCase(Locale.ROOT)) {
             case "serving", "" -> WorkerEndpoint.EndpointState.SERVING;
             case "draining" -> WorkerEndpoint.EndpointState.DRAINING;
             case "gone" -> WorkerEndpoint.EndpointState.GONE;
-            default -> throw fault(place, "has an unknown state: " + state);
+            default -> throw fault(location, "has an unknown state, must be serving, draining or gone: " + state);
         };
     }
 
-    private int cell(String place, Map<String, String> variables) {
+    private int cell(String location, Map<String, String> variables) {
         String cell = variables.getOrDefault("cell", "");
         if (!cell.matches("[0-9]{1,6}") || Integer.parseInt(cell) >= cells) {
-            throw fault(place, "has no cell from 0 to " + (cells - 1) + ": " + cell);
+            throw fault(location, "has an invalid cell, must be from 0 to " + (cells - 1) + ": " + cell);
         }
         return Integer.parseInt(cell);
     }
 
-    /** The index of a variable's value in these names; the first where none is given. */
-    private int index(String place, String key, List<String> names, Map<String, String> variables) {
+    /** Returns the index of a variable's value in these names, or 0 if the host doesn't set the variable. */
+    private int index(String location, String key, List<String> names, Map<String, String> variables) {
         String name = variables.getOrDefault(key, "");
         int index = names.indexOf(name);
         if (index < 0 && !name.isEmpty()) {
-            throw fault(place, "has an unknown " + key + ": " + name);
+            throw fault(location, "has an unknown " + key + ", must be one of " + names + ": " + name);
         }
         return Math.max(0, index);
     }
 
-    private ConfigException fault(String place, String what) {
-        return InventoryParser.fault(file, place, what);
+    private ConfigException fault(String location, String problem) {
+        return InventoryParser.fault(file, location, problem);
     }
 }
--- a/src/main/java/wallmoor/inventory/InventoryParser.java
+++ b/src/main/java/wallmoor/inventory/InventoryParser.java
@@ -8,7 +8,7 @@
 import wallmoor.config.ConfigException;
 import wallmoor.endpoints.SourceEndpoint;
 
-/** Parses the bytes of an inventory file, in the format that the file's name says, to endpoints. */
+/** Parses an inventory file to endpoints, as CSV if the file's name ends with {@code .csv}, else as YAML. */
 final class InventoryParser {
     private final Path file;
     private final HostMapper mapper;
@@ -19,9 +19,9 @@
     }
 
     /**
-     * The endpoints of all hosts, in the order of the file.
+     * Returns the endpoints of all hosts, in the order of the file.
      *
-     * @throws ConfigException if the file is wrong anywhere
+     * @throws ConfigException if any part of the file is invalid
      */
     List<SourceEndpoint> parse(byte[] bytes) {
         String text = new String(bytes, StandardCharsets.UTF_8);
@@ -35,8 +35,8 @@
         return List.copyOf(endpoints);
     }
 
-    /** A fault of the file, which names the file and the place in it. */
-    static ConfigException fault(Path file, String place, String what) {
-        return new ConfigException("inventory", file.getFileName() + ": " + place + " " + what);
+    /** Creates an exception that names the file, the location in it and the problem. */
+    static ConfigException fault(Path file, String location, String problem) {
+        return new ConfigException("inventory", file.getFileName() + ": " + location + " " + problem);
     }
 }
--- a/src/main/java/wallmoor/inventory/InventorySource.java
+++ b/src/main/java/wallmoor/inventory/InventorySource.java
@@ -16,8 +16,8 @@
 import wallmoor.sources.EndpointSource;
 
 /**
- * Endpoints from a CSV or YAML file as configuration tools keep it. The file is polled; one that is wrong anywhere is
- * not applied at all, and the last good one stands.
+ * Reads endpoints from an inventory file in CSV or YAML, as configuration tools write it. The file is polled for
+ * changes. If any part of it is invalid, none of it is applied and the last valid endpoints remain in use.
  */
 public final class InventorySource implements EndpointSource {
     private static final String NAME = "inventory";
@@ -27,13 +27,15 @@
     private final Logger log = LoggerFactory.getLogger(InventorySource.class);
     private final Path file;
     private final InventoryParser parser;
-    /** The bytes last parsed, and those that differ from them but were read once only. */
+    /** The bytes that were last parsed, valid or not. */
     private byte[] parsed;
+    /** Bytes that differ from the parsed ones and were read only once so far, or null. */
     private byte[] pending;
+    /** Whether no file was parsed without an error so far. */
     private boolean first = true;
 
     /**
-     * Makes the source; nothing is read yet.
+     * Creates the source; nothing is read yet.
      *
      * @param zones the zones' names, by index
      * @param kinds the machine kinds' names, by index
@@ -49,9 +51,9 @@
     }
 
     /**
-     * What the file holds.
+     * Returns the endpoints in the file.
      *
-     * @throws ConfigException if it is wrong anywhere: a program is not started on a faulty one
+     * @throws ConfigException if any part of the file is invalid: the program doesn't start with an invalid file
      */
     @Override
     public List<SourceEndpoint> initialEndpoints() {
@@ -65,7 +67,7 @@
     }
 
     private void run(Consumer<WatchEvent> listener) {
-        String lastFault = "";
+        String lastError = "";
         int reading = 1;
         while (true) {
             try {
@@ -74,14 +76,14 @@
                 if (endpoints != null) {
                     reading++;
                     listener.accept(new WatchEvent.EndpointSnapshot(NAME, "reading " + reading, endpoints, true));
-                    log.info("{}: {} hosts", file.getFileName(), endpoints.size());
-                    lastFault = "";
+                    log.info("inventory applied: file={} hosts={}", file.getFileName(), endpoints.size());
+                    lastError = "";
                 }
             } catch (ConfigException e) {
-                if (!lastFault.equals(e.getMessage())) {
-                    lastFault = e.getMessage();
-                    log.error("inventory rejected, the last good one stands: {}", lastFault);
-                    listener.accept(new WatchEvent.SourceFailure(NAME, lastFault));
+                if (!lastError.equals(e.getMessage())) {
+                    lastError = e.getMessage();
+                    log.error("inventory rejected, last valid endpoints remain in use: error={}", lastError);
+                    listener.accept(new WatchEvent.SourceFailure(NAME, lastError));
                 }
             } catch (InterruptedException e) {
                 return;
@@ -90,23 +92,24 @@
     }
 
     /**
-     * Reads the file again.
+     * Reads the file and checks whether it has changed.
      *
-     * @return its endpoints if it has changed since the last call and was read alike twice, else null
-     * @throws ConfigException if it can't be read or is wrong anywhere; a fault in the same bytes is reported once
+     * @return the endpoints if the file differs from the one last parsed and, once a valid file was read, had the same
+     *         content in two calls in a row; else null
+     * @throws ConfigException if the file can't be read or any part of it is invalid; invalid content is reported once
      */
     List<SourceEndpoint> pollForChange() {
-        byte[] text = read();
-        if (Arrays.equals(text, parsed)) {
+        byte[] content = read();
+        if (Arrays.equals(content, parsed)) {
             pending = null;
             return null;
         }
-        if (!first && !Arrays.equals(text, pending)) {
-            pending = text; // it may be half-written: hosts not yet in it must not seem gone
+        if (!first && !Arrays.equals(content, pending)) {
+            pending = content; // it may be partly written: hosts that are not yet in it must not count as removed
             return null;
         }
-        parsed = text;
-        List<SourceEndpoint> endpoints = parser.parse(text);
+        parsed = content;
+        List<SourceEndpoint> endpoints = parser.parse(content);
         first = false;
         return endpoints;
     }
--- a/src/test/java/wallmoor/inventory/InventorySourceTest.java
+++ b/src/test/java/wallmoor/inventory/InventorySourceTest.java
@@ -16,7 +16,7 @@
 import wallmoor.decision.ShardLayout;
 import wallmoor.endpoints.SourceEndpoint;
 
-/** Inventories in YAML and CSV: what is read, and which faults are named. */
+/** Tests which endpoints are read from YAML and CSV inventories, and which host or row an error names. */
 public class InventorySourceTest {
     private static final String YAML = """
             all:
@@ -37,7 +37,7 @@
     }
 
     @Test
-    public void nearerVariablesWinAndAChangeIsTakenOnceItStands() throws Exception {
+    public void appliesNearestVariableAndAChangeOnlyAfterItWasReadTwice() throws Exception {
         Path file = folder.newFile("hosts.yaml").toPath();
         Files.writeString(file, YAML);
         InventorySource inventory = inventory(file);
@@ -54,12 +54,12 @@
     }
 
     @Test
-    public void aHalfWrittenFileDoesNotMakeHostsSeemGone() throws Exception {
+    public void doesNotRemoveHostsWhileTheFileIsPartlyWritten() throws Exception {
         Path file = folder.newFile("hosts.yaml").toPath();
         Files.writeString(file, YAML);
         InventorySource inventory = inventory(file);
         inventory.pollForChange();
-        Files.writeString(file, YAML.substring(0, YAML.indexOf("        b:"))); // well-formed, and a host short
+        Files.writeString(file, YAML.substring(0, YAML.indexOf("        b:"))); // well-formed, but without host b
         assertNull(inventory.pollForChange());
         Files.writeString(file, YAML + "\n");
         assertNull(inventory.pollForChange());
@@ -67,16 +67,16 @@
     }
 
     @Test
-    public void aBadRowIsNamed() throws Exception {
+    public void namesTheFileAndTheHostOrRowOfAnInvalidEntry() throws Exception {
         String csv = "host,address,zone,cell,state\nok,127.0.0.1:1,east,0,\n";
-        String[][] bad = {{"x,127.0.0.1:1,north,0,serving", "host x"}, {"x,nowhere,east,0,serving", "host x"},
+        String[][] invalidRows = {{"x,127.0.0.1:1,north,0,serving", "host x"}, {"x,nowhere,east,0,serving", "host x"},
             {"x,127.0.0.1:1,east,2,serving", "host x"}, {"x,127.0.0.1:1,east,0,resting", "host x"},
             {"x,127.0.0.1:1,east", "row 3"}, {"ok,127.0.0.1:1,east,0,serving", "row 3"}, {",a:1,east,0,", "row 3"}};
-        for (String[] b : bad) {
+        for (String[] invalid : invalidRows) {
             Path file = folder.newFile().toPath();
-            Path named = Files.writeString(file.resolveSibling(file.getFileName() + ".csv"), csv + b[0] + "\n");
-            String said = assertThrows(ConfigException.class, () -> inventory(named).pollForChange()).getMessage();
-            assertTrue(b[0] + ": " + said, said.contains(b[1]) && said.contains(".csv"));
+            Path csvFile = Files.writeString(file.resolveSibling(file.getFileName() + ".csv"), csv + invalid[0] + "\n");
+            String message = assertThrows(ConfigException.class, () -> inventory(csvFile).pollForChange()).getMessage();
+            assertTrue(invalid[0] + ": " + message, message.contains(invalid[1]) && message.contains(".csv"));
         }
     }
 }
