--- a/src/main/java/wallmoor/inventory/YamlInventory.java
+++ b/src/main/java/wallmoor/inventory/YamlInventory.java
@@ -88,7 +88,7 @@
         var variables = new HashMap<String, String>();
         mapping(location + " variables", value).forEach((key, variable) -> {
             boolean isScalar = !(variable instanceof Map || variable instanceof List);
-            if (isScalar) { // structured variables are for other tools
+            if (isScalar) { // lists and maps are variables for other tools
                 variables.put(String.valueOf(key), variable == null ? "" : variable.toString());
             }
         });
--- a/src/main/java/wallmoor/ogc/AttemptCancelledException.java
+++ b/src/main/java/wallmoor/ogc/AttemptCancelledException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** The gatherer cancelled the attempt, and its connection is closed. */
+/** Thrown when the gatherer has cancelled the attempt; its connection is closed then. */
 final class AttemptCancelledException extends IOException {
     private static final long serialVersionUID = 1L;
 
     AttemptCancelledException() {
-        super("called off");
+        super("attempt cancelled by the gatherer");
     }
 }
--- a/src/main/java/wallmoor/ogc/CatalogDocuments.java
+++ b/src/main/java/wallmoor/ogc/CatalogDocuments.java
@@ -9,9 +9,9 @@
 import wallmoor.config.OgcConfig.Collection;
 import wallmoor.json.Json;
 
-/** The documents that describe the service: landing page, conformance classes and collections. */
+/** Builds the documents that describe the service: landing page, conformance classes and collections. */
 final class CatalogDocuments {
-    /** The conformance classes of OGC API - Features Part 1 that this front holds. */
+    /** The conformance classes of OGC API - Features Part 1 that this front implements. */
     static final String CONFORMANCE = "{\"conformsTo\":["
             + "\"http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/core\","
             + "\"http://www.opengis.net/spec/ogcapi-features-1/1.0/conf/geojson\"]}";
@@ -30,10 +30,10 @@
     }
 
     static String collections(OgcConfig config, String base) {
-        var all = new ArrayList<String>();
-        config.collections().values().forEach(collection -> all.add(collection(collection, base)));
+        var documents = new ArrayList<String>();
+        config.collections().values().forEach(collection -> documents.add(collection(collection, base)));
         return "{" + new LinkList(base).add("self", JSON, "Collections", "/collections").member()
-                + ",\"collections\":[" + String.join(",", all) + "]}";
+                + ",\"collections\":[" + String.join(",", documents) + "]}";
     }
 
     static String collection(Collection collection, String base) {
--- a/src/main/java/wallmoor/ogc/FeatureFetch.java
+++ b/src/main/java/wallmoor/ogc/FeatureFetch.java
@@ -7,16 +7,16 @@
 import wallmoor.http.HttpProtocolException;
 import wallmoor.json.Json;
 
-/** One attempt at a feature server: reads the part's pages on one connection, and reports its outcome. */
+/** Runs one attempt at a feature server: reads the part's pages on one connection and reports the outcome. */
 final class FeatureFetch {
     private final Attempt attempt;
     private final Gatherer gatherer;
     private final FetchConnection connection;
 
     /**
-     * An attempt that is not begun.
+     * Creates an attempt, which {@link #run} starts.
      *
-     * @param connectMillis how long a connect may take at most, in milliseconds
+     * @param connectMillis the connect timeout in milliseconds
      */
     FeatureFetch(Attempt attempt, Gatherer gatherer, int connectMillis) {
         this.attempt = attempt;
@@ -24,27 +24,27 @@
         connection = new FetchConnection(attempt, gatherer, connectMillis);
     }
 
-    /** Cancels the attempt, from any thread. */
+    /** Cancels the attempt; may be called from any thread. */
     void cancel(AttemptOutcome outcome) {
         connection.cancel(outcome);
     }
 
     /**
-     * Runs the attempt on this thread and reports it.
+     * Runs the attempt on this thread and reports its outcome.
      *
-     * @param idle a connection to use, or null for a new one
-     * @return a connection that can be used again, or null
+     * @param idle an idle connection to use, or null to open a new one
+     * @return the connection if another attempt may use it, else null
      */
     PooledConnection run(PooledConnection idle) {
         AttemptOutcome outcome;
         byte[] value = null;
-        boolean keep = false;
+        boolean reusable = false;
         try {
             FeatureQuery query = (FeatureQuery) attempt.query().attachment();
             if (connection.open(idle)) {
                 value = new ShardPageReader(attempt, connection, query).read().encode();
                 outcome = AttemptOutcome.SERVED;
-                keep = connection.reusable();
+                reusable = connection.isReusable();
             } else {
                 outcome = AttemptOutcome.CONNECT_FAILED;
             }
@@ -57,11 +57,11 @@
         } catch (HttpProtocolException | Json.Malformed | RuntimeException | OutOfMemoryError e) {
             outcome = AttemptOutcome.ERROR;
         }
-        if (!keep) {
+        if (!reusable) {
             connection.close();
         }
-        // a value that came in complete counts, even if it crossed the cancel
+        // a complete value is reported as served even if the attempt was cancelled meanwhile
         gatherer.report(attempt, value != null ? outcome : connection.outcomeUnlessCancelled(outcome), value);
-        return keep ? connection.release() : null;
+        return reusable ? connection.release() : null;
     }
 }
--- a/src/main/java/wallmoor/ogc/FeatureHandler.java
+++ b/src/main/java/wallmoor/ogc/FeatureHandler.java
@@ -19,11 +19,11 @@
 import wallmoor.json.Json;
 
 /**
- * Answers {@code /collections/ID/items/FEATURE}. The feature may be in any shard: not found means that all shards said
- * so, and those not heard are asked again.
+ * Handles {@code /collections/ID/items/FEATURE}. The feature may be in any shard, so 404 is answered only once every
+ * shard has reported that it lacks the feature. Shards that did not answer are queried again.
  */
 final class FeatureHandler {
-    /** A guess at the links' size, in bytes. */
+    /** The estimated size of the links, for the initial buffer. */
     private static final int LINKS_BYTES = 512;
 
     private final FeatureQueryRunner queries;
@@ -33,52 +33,52 @@
     }
 
     /**
-     * Answers with the feature.
+     * Answers a request for one feature.
      *
-     * @param pathSegment the feature's id as the path has it, escaped
+     * @param pathSegment the feature's id as it stands in the path, percent-encoded
      */
-    void answer(HttpExchange exchange, HttpMessage request, Collection collection, String pathSegment, String base)
+    void handle(HttpExchange exchange, HttpMessage request, Collection collection, String pathSegment, String base)
             throws IOException, HttpProtocolException, InterruptedException {
-        String escapedId = normalized(pathSegment);
-        List<Integer> unheard = new ArrayList<>(collection.shards());
-        while (!unheard.isEmpty()) {
-            Step.FinalStep end = queries.run(exchange, request, queries.nextId(), unheard,
-                    new FeatureQuery(collection, "", escapedId, 1, Map.of(), queries.idempotent(collection)));
-            if (!(end instanceof Step.Answer answer)) {
-                HttpResponses.queryFailure(exchange, "", end);
+        String escapedId = normalizeEscapes(pathSegment);
+        List<Integer> unansweredShards = new ArrayList<>(collection.shards());
+        while (!unansweredShards.isEmpty()) {
+            Step.FinalStep finalStep = queries.run(exchange, request, queries.nextId(), unansweredShards,
+                    new FeatureQuery(collection, "", escapedId, 1, Map.of(), queries.isIdempotent(collection)));
+            if (!(finalStep instanceof Step.Answer answer)) {
+                HttpResponses.queryFailure(exchange, "", finalStep);
                 return;
             }
             for (Step.PartValue value : answer.values()) {
-                List<byte[]> found = FeatureQuery.ShardFeatures.decode(value).features();
-                if (!found.isEmpty()) {
+                List<byte[]> features = FeatureQuery.ShardFeatures.decode(value).features();
+                if (!features.isEmpty()) {
                     LinkList links = new LinkList(base).add("self", GEOJSON, "This feature", request.target())
                             .add("collection", JSON, collection.title(), "/collections/" + collection.id());
-                    HttpResponses.document(exchange, GEOJSON, "", withLinks(found.get(0), links));
+                    HttpResponses.document(exchange, GEOJSON, "", withLinks(features.get(0), links));
                     return;
                 }
-                unheard.remove((Integer) value.shard());
+                unansweredShards.remove((Integer) value.shard());
             }
         }
         throw new HttpProtocolException(404, "no such feature");
     }
 
-    /** The id escaped in one way, whatever the client escaped; a plus sign of a path is no space. */
-    private static String normalized(String pathSegment) throws HttpProtocolException {
-        String plain = ItemsParameters.decoded(pathSegment.replace("+", "%2B"));
-        return URLEncoder.encode(plain, StandardCharsets.UTF_8).replace("+", "%20");
+    /** Returns the id with normalized percent-encoding. In a path, a plus sign doesn't stand for a space. */
+    private static String normalizeEscapes(String pathSegment) throws HttpProtocolException {
+        String decodedId = ItemsParameters.decode(pathSegment.replace("+", "%2B"));
+        return URLEncoder.encode(decodedId, StandardCharsets.UTF_8).replace("+", "%20");
     }
 
-    /** A feature as it came, but for the links, which are ours. */
+    /** Returns the feature as the server sent it, with its links replaced by these. */
     private static byte[] withLinks(byte[] feature, LinkList links) {
         var document = new ByteArrayOutputStream(feature.length + LINKS_BYTES);
         document.writeBytes(bytes("{" + links.member()));
         try {
-            Json.object(feature, 0, feature.length).places().forEach((name, place) -> {
+            Json.object(feature, 0, feature.length).places().forEach((name, range) -> {
                 if (!name.equals("links")) {
                     var key = new StringBuilder(",");
                     Json.quote(key, name);
                     document.writeBytes(bytes(key.append(':').toString()));
-                    document.write(feature, place[0], place[1] - place[0]);
+                    document.write(feature, range[0], range[1] - range[0]);
                 }
             });
         } catch (Json.Malformed e) {
--- a/src/main/java/wallmoor/ogc/FeatureQuery.java
+++ b/src/main/java/wallmoor/ogc/FeatureQuery.java
@@ -14,69 +14,78 @@
 import wallmoor.core.Step;
 
 /**
- * What a query asks of feature servers, the same for all its parts but for where each goes on.
+ * A query to feature servers. All parts of a query share it; only their offsets differ.
  *
- * @param collection      the collection, which knows where each shard's features are
- * @param query   further parameters, ready to be appended
- * @param featureId     the id of the one feature that is wanted, or null for a page
- * @param maxFeatures  features a part is to bring at most
- * @param offsets    for each shard, how many features earlier pages have taken
- * @param idempotent  whether the class lets a part run twice: if not, only new connections are used, since one that was
- *                kept may have been closed by the server without our knowing
+ * @param collection  the collection, which has the paths of each shard's features
+ * @param filterQuery further URL parameters, ready to be appended
+ * @param featureId   the id of the one requested feature, or null for a page
+ * @param maxFeatures the maximum number of features that a part returns
+ * @param offsets     for each shard, how many features earlier pages have taken
+ * @param idempotent  whether the query class lets a part run twice. If not, only new connections are used, since the
+ *                    server may have closed an idle one without notice
  */
-record FeatureQuery(OgcConfig.Collection collection, String query, String featureId, int maxFeatures,
+record FeatureQuery(OgcConfig.Collection collection, String filterQuery, String featureId, int maxFeatures,
         java.util.Map<Integer, Integer> offsets,
         boolean idempotent) {
 
     /**
-     * A part's value.
+     * The result of a part.
      *
-     * @param hasMore     whether the shard has more than these features, which are as they came
-     * @param serverId       who gave them
-     * @param epoch    of its data, and {@code version}, where it tells them; else {@link Long#MIN_VALUE}
+     * @param hasMore  whether the shard has more features than these
+     * @param features the features as the server sent them
+     * @param serverId the feature server that returned them
+     * @param epoch    the epoch of the server's data, or {@link Long#MIN_VALUE} if it didn't report one
+     * @param version  the version of the server's data, or {@link Long#MIN_VALUE} if it didn't report one
      */
     record ShardFeatures(boolean hasMore, List<byte[]> features, String serverId, long epoch, long version) {
-        private static final Pattern DATA = Pattern.compile("([0-9]{1,18})\\.([0-9]{1,18})");
+        private static final Pattern DATA_VERSION = Pattern.compile("([0-9]{1,18})\\.([0-9]{1,18})");
 
-        /** With the version of its data as a server's answer has it ({@code EPOCH.VERSION}), or null. */
-        static ShardFeatures of(boolean more, List<byte[]> features, String by, String data) {
-            Matcher told = data == null ? null : DATA.matcher(data);
-            boolean tells = told != null && told.matches();
-            return new ShardFeatures(more, features, by, tells ? Long.parseLong(told.group(1)) : Long.MIN_VALUE,
-                    tells ? Long.parseLong(told.group(2)) : Long.MIN_VALUE);
+        /**
+         * Creates a result.
+         *
+         * @param dataVersion the version of the server's data as its response has it ({@code EPOCH.VERSION}), or null
+         */
+        static ShardFeatures of(boolean hasMore, List<byte[]> features, String serverId, String dataVersion) {
+            Matcher matcher = dataVersion == null ? null : DATA_VERSION.matcher(dataVersion);
+            boolean hasVersion = matcher != null && matcher.matches();
+            return new ShardFeatures(hasMore, features, serverId,
+                    hasVersion ? Long.parseLong(matcher.group(1)) : Long.MIN_VALUE,
+                    hasVersion ? Long.parseLong(matcher.group(2)) : Long.MIN_VALUE);
         }
 
+        /** Encodes the result: a line with the fields and each feature's length, then the features. */
         byte[] encode() {
             var head = new StringBuilder(hasMore ? "1" : "0").append(' ').append(URLEncoder.encode(serverId, UTF_8))
                     .append(' ')
                     .append(epoch).append(' ').append(version);
             int length = 0;
-            for (byte[] f : features) {
-                head.append(' ').append(f.length);
-                length += f.length;
+            for (byte[] feature : features) {
+                head.append(' ').append(feature.length);
+                length += feature.length;
             }
-            byte[] first = head.append('\n').toString().getBytes(ISO_8859_1);
-            byte[] all = Arrays.copyOf(first, first.length + length);
-            int at = first.length;
-            for (byte[] f : features) {
-                System.arraycopy(f, 0, all, at, f.length);
-                at += f.length;
+            byte[] header = head.append('\n').toString().getBytes(ISO_8859_1);
+            byte[] encoded = Arrays.copyOf(header, header.length + length);
+            int position = header.length;
+            for (byte[] feature : features) {
+                System.arraycopy(feature, 0, encoded, position, feature.length);
+                position += feature.length;
             }
-            return all;
+            return encoded;
         }
 
+        /** Decodes what {@link #encode} wrote. */
         static ShardFeatures decode(Step.PartValue value) {
-            byte[] all = value.bytes();
-            int at = 0;
-            while (all[at] != '\n') {
-                at++;
+            byte[] encoded = value.bytes();
+            int position = 0;
+            while (encoded[position] != '\n') {
+                position++;
             }
-            String[] head = new String(all, 0, at++, ISO_8859_1).split(" ");
+            String[] head = new String(encoded, 0, position++, ISO_8859_1).split(" ");
             var features = new ArrayList<byte[]>();
             for (int i = 4; i < head.length; i++) {
                 int length = Integer.parseInt(head[i]);
-                features.add(Arrays.copyOfRange(all, at, at + length));
-                at += length;
+                features.add(Arrays.copyOfRange(encoded, position, position + length));
+                position += length;
             }
             return new ShardFeatures(head[0].equals("1"), features, URLDecoder.decode(head[1], UTF_8),
                     Long.parseLong(head[2]),
--- a/src/main/java/wallmoor/ogc/FeatureQueryRunner.java
+++ b/src/main/java/wallmoor/ogc/FeatureQueryRunner.java
@@ -13,16 +13,16 @@
 import wallmoor.http.HttpExchange;
 import wallmoor.http.HttpMessage;
 
-/** Runs the queries of this front on its gatherer: scatter over shards, gather of what they answer. */
+/** Runs the queries of this front on its gatherer: scatters them over shards and gathers the results. */
 final class FeatureQueryRunner {
-    /** Time kept back from the client's deadline for the answer's way and a busy machine. */
+    /** The time reserved before the client's deadline to send the response, also on a busy machine. */
     private static final long RESPONSE_RESERVE_MICROS = 10_000;
 
     private final RoutingSettings settings;
     private final MonotonicClock clock;
     private final Gatherer gatherer;
     private final FeatureServerTransport transport;
-    private final AtomicLong queriesBegun = new AtomicLong();
+    private final AtomicLong startedQueries = new AtomicLong();
 
     FeatureQueryRunner(RoutingSettings settings, MonotonicClock clock, Gatherer gatherer,
             FeatureServerTransport transport) {
@@ -32,29 +32,29 @@
         this.transport = transport;
     }
 
-    /** The id of a new query. */
+    /** Returns the id for a new query. */
     String nextId() {
-        return "ogc-" + queriesBegun.incrementAndGet();
+        return "ogc-" + startedQueries.incrementAndGet();
     }
 
-    /** Whether a part of the collection's queries may run twice. */
-    boolean idempotent(Collection collection) {
+    /** Returns whether a part of the collection's queries may run twice. */
+    boolean isIdempotent(Collection collection) {
         return settings.classes().get(collection.queryClass()).idempotency() == Idempotency.IDEMPOTENT;
     }
 
-    /** The least fraction of a query's shards that makes an answer, from 0 to 1. */
+    /** Returns the minimum fraction of a query's shards that must answer, from 0 to 1. */
     double minimumShare(Collection collection) {
         return settings.classes().get(collection.queryClass()).minimumShare();
     }
 
     /**
-     * Runs a query on this thread, until it is answered, rejected or failed, or its client is gone.
+     * Runs a query on this thread until it is answered, rejected or failed, or its client has disconnected.
      *
-     * @param exchange the client's request, whose end cancels the query
-     * @param request  the same request as it came; its deadline counts from its first byte
-     * @param id       from {@link #nextId}
-     * @param shards   the shards asked, one part each, all of the same weight
-     * @param query    what feature servers are asked
+     * @param exchange the client's exchange; a disconnect of the client cancels the query
+     * @param request  the client's request; its deadline counts from its first byte
+     * @param id       the query's id, from {@link #nextId}
+     * @param shards   the queried shards: one part each, all of the same weight
+     * @param query    the query to feature servers
      */
     Step.FinalStep run(HttpExchange exchange, HttpMessage request, String id, List<Integer> shards,
             FeatureQuery query) throws InterruptedException {
@@ -63,8 +63,8 @@
                 - RESPONSE_RESERVE_MICROS;
         var parts = new ArrayList<Query.PartRequest>();
         shards.forEach(shard -> parts.add(new Query.PartRequest(shard, 1.0 / shards.size(), -1)));
-        Query opened = gatherer.open(id, queryClass, deadline, false, parts, query);
-        exchange.whenGone(() -> gatherer.clientDisconnected(opened));
-        return gatherer.run(opened, transport);
+        Query openQuery = gatherer.open(id, queryClass, deadline, false, parts, query);
+        exchange.whenGone(() -> gatherer.clientDisconnected(openQuery));
+        return gatherer.run(openQuery, transport);
     }
 }
--- a/src/main/java/wallmoor/ogc/FeatureServerDirectory.java
+++ b/src/main/java/wallmoor/ogc/FeatureServerDirectory.java
@@ -22,27 +22,28 @@
 import wallmoor.summaries.TimeSpan;
 
 /**
- * Which feature servers may answer a shard of a collection, and which shards of a page none of them has anything for.
- * It stands between the inventory and the roster, so that a server that is new is counted among those that may answer
- * before anything is sent to it.
+ * Knows which feature servers may answer each shard of a collection, and prunes the shards of a page for which none of
+ * them has features. It wraps the inventory as an endpoint source, so that a new server is among those that may answer
+ * before any request is sent to it.
  */
 final class FeatureServerDirectory implements EndpointSource {
-    /** A value with any other sign in it may be a pattern, a list or a range to some server. */
-    private static final Pattern PLAIN = Pattern.compile("[\\p{L}\\p{M}\\p{N} :'+-]+(\\.[\\p{L}\\p{M}\\p{N} :'+-]+)*");
+    /** Values that every server compares literally; other characters may form a pattern, a list or a range. */
+    private static final Pattern LITERAL_VALUE = Pattern
+            .compile("[\\p{L}\\p{M}\\p{N} :'+-]+(\\.[\\p{L}\\p{M}\\p{N} :'+-]+)*");
 
     private final OgcConfig config;
     private final EndpointSource inventory;
-    private final SummaryLeases promises;
-    /** By collection and shard. Read by traffic, replaced as a whole. */
-    private volatile Map<String, Map<Integer, List<Site>>> holders = Map.of();
+    private final SummaryLeases summaryLeases;
+    /** The sites that may answer, by collection id and shard. Request threads read it; each update replaces the map. */
+    private volatile Map<String, Map<Integer, List<Site>>> sitesByCollection = Map.of();
 
-    FeatureServerDirectory(OgcConfig config, EndpointSource inventory, SummaryLeases promises) {
+    FeatureServerDirectory(OgcConfig config, EndpointSource inventory, SummaryLeases summaryLeases) {
         this.config = config;
         this.inventory = inventory;
-        this.promises = promises;
+        this.summaryLeases = summaryLeases;
     }
 
-    // ---- the inventory ------------------------------------------------------------------------------------
+    // ---- endpoint source ----------------------------------------------------------------------------------
 
     @Override
     public String name() {
@@ -51,92 +52,102 @@
 
     @Override
     public List<SourceEndpoint> initialEndpoints() {
-        List<SourceEndpoint> all = inventory.initialEndpoints();
-        take(all);
-        return all;
+        List<SourceEndpoint> endpoints = inventory.initialEndpoints();
+        update(endpoints);
+        return endpoints;
     }
 
     @Override
-    public void start(Consumer<WatchEvent> to) {
-        inventory.start(news -> {
-            if (news instanceof WatchEvent.EndpointSnapshot whole) {
-                take(whole.endpoints());
+    public void start(Consumer<WatchEvent> listener) {
+        inventory.start(event -> {
+            if (event instanceof WatchEvent.EndpointSnapshot snapshot) {
+                update(snapshot.endpoints());
             }
-            to.accept(news);
+            listener.accept(event);
         });
-        promises.start();
+        summaryLeases.start();
     }
 
-    private void take(List<SourceEndpoint> entries) {
+    private void update(List<SourceEndpoint> endpoints) {
         var byCell = new HashMap<Integer, List<SourceEndpoint>>();
-        for (SourceEndpoint e : entries) {
-            if (e.state() != WorkerEndpoint.EndpointState.GONE) { // one that drains may be at work on it still
-                byCell.computeIfAbsent(e.cell(), c -> new ArrayList<>()).add(e);
+        for (SourceEndpoint endpoint : endpoints) {
+            // a draining server may still have parts in flight
+            if (endpoint.state() != WorkerEndpoint.EndpointState.GONE) {
+                byCell.computeIfAbsent(endpoint.cell(), c -> new ArrayList<>()).add(endpoint);
             }
         }
-        var next = new HashMap<String, Map<Integer, List<Site>>>();
-        var blocks = new HashMap<SourceEndpoint, Set<String>>();
-        for (Collection c : config.collections().values()) {
-            var shards = new HashMap<Integer, List<Site>>();
-            for (int shard : c.shards()) {
-                var here = new ArrayList<Site>();
-                for (int j = 0; j < config.layout().cellsPerShard(); j++) {
-                    for (SourceEndpoint e : byCell.getOrDefault((shard + j) % config.layout().cells(), List.of())) {
-                        here.add(new Site(e.id(), c.upstream(shard)));
-                        blocks.computeIfAbsent(e, x -> new HashSet<>()).add(c.upstream(shard));
+        var newSites = new HashMap<String, Map<Integer, List<Site>>>();
+        var blocksByServer = new HashMap<SourceEndpoint, Set<String>>();
+        for (Collection collection : config.collections().values()) {
+            var sitesByShard = new HashMap<Integer, List<Site>>();
+            for (int shard : collection.shards()) {
+                var sites = new ArrayList<Site>();
+                for (int i = 0; i < config.layout().cellsPerShard(); i++) {
+                    for (SourceEndpoint server : byCell.getOrDefault((shard + i) % config.layout().cells(),
+                            List.of())) {
+                        sites.add(new Site(server.id(), collection.upstream(shard)));
+                        blocksByServer.computeIfAbsent(server, s -> new HashSet<>())
+                                .add(collection.upstream(shard));
                     }
                 }
-                shards.put(shard, List.copyOf(here));
+                sitesByShard.put(shard, List.copyOf(sites));
             }
-            next.put(c.id(), shards);
+            newSites.put(collection.id(), sitesByShard);
         }
         var servers = new ArrayList<SummaryLeases.SummaryServer>();
-        blocks.forEach((e, own) -> servers.add(new SummaryLeases.SummaryServer(e.id(), e.address(), Set.copyOf(own))));
-        promises.updateServers(servers);
-        holders = next;
+        blocksByServer.forEach((server, blocks) -> servers
+                .add(new SummaryLeases.SummaryServer(server.id(), server.address(), Set.copyOf(blocks))));
+        summaryLeases.updateServers(servers);
+        sitesByCollection = newSites;
     }
 
-    // ---- pages --------------------------------------------------------------------------------------------
+    // ---- pruning ------------------------------------------------------------------------------------------
 
-    /** What of a page's shards is asked. */
-    SummaryLeases.PruningDecision decide(Collection c, ItemsParameters params, Iterable<Integer> shards,
+    /** Decides which of a page's shards are queried and which are pruned. */
+    SummaryLeases.PruningDecision decide(Collection collection, ItemsParameters parameters, Iterable<Integer> shards,
             boolean mayRepeat) {
-        Map<Integer, List<Site>> here = holders.getOrDefault(c.id(), Map.of());
+        Map<Integer, List<Site>> sitesByShard = sitesByCollection.getOrDefault(collection.id(), Map.of());
         var shares = new ArrayList<Pruning.Share>();
-        shards.forEach(s -> shares.add(new Pruning.Share(s, here.getOrDefault(s, List.of()))));
-        return promises.decide(conditions(params.given(), c.properties()), shares, mayRepeat);
+        shards.forEach(s -> shares.add(new Pruning.Share(s, sitesByShard.getOrDefault(s, List.of()))));
+        return summaryLeases.decide(conditions(parameters.values(), collection.properties()), shares, mayRepeat);
     }
 
-    /** What came of shares that were asked all the same. */
-    void probed(Collection c, SummaryLeases.PruningDecision cuts, Map<Integer, FeatureQuery.ShardFeatures> shares) {
-        for (Pruning.PrunedShard cut : cuts.decision().probes()) {
-            FeatureQuery.ShardFeatures share = shares.get(cut.shard());
-            if (share != null && !share.features().isEmpty()) {
-                promises.reportProbe(cut, new Site(share.serverId(), c.upstream(cut.shard())), share.epoch(),
-                        share.version(),
-                        share.features().size());
+    /**
+     * Reports each probe that returned features. A probe queries a shard although it could be pruned, to check the
+     * summaries.
+     */
+    void reportProbes(Collection collection, SummaryLeases.PruningDecision pruning,
+            Map<Integer, FeatureQuery.ShardFeatures> results) {
+        for (Pruning.PrunedShard probe : pruning.decision().probes()) {
+            FeatureQuery.ShardFeatures result = results.get(probe.shard());
+            if (result != null && !result.features().isEmpty()) {
+                summaryLeases.reportProbe(probe, new Site(result.serverId(), collection.upstream(probe.shard())),
+                        result.epoch(), result.version(), result.features().size());
             }
         }
     }
 
-    /** The conditions of which it is sure how every server reads them. One left out only has more sites asked. */
-    static Conditions conditions(Map<String, String> given, List<String> properties) {
+    /**
+     * Returns the conditions that all servers interpret alike. Leaving out a condition only causes more sites to be
+     * queried.
+     */
+    static Conditions conditions(Map<String, String> parameters, List<String> properties) {
         Conditions.QueryBox box = null;
         TimeSpan time = null;
         try {
-            box = given.containsKey("bbox") ? Conditions.box(given.get("bbox")) : null;
+            box = parameters.containsKey("bbox") ? Conditions.box(parameters.get("bbox")) : null;
         } catch (IllegalArgumentException e) {
-            // off the globe: what a server makes of that is its own affair
+            // outside the valid longitudes and latitudes: servers may interpret it differently
         }
         try {
-            time = given.containsKey("datetime") ? TimeSpan.parse(given.get("datetime")) : null;
+            time = parameters.containsKey("datetime") ? TimeSpan.parse(parameters.get("datetime")) : null;
         } catch (IllegalArgumentException e) {
-            // likewise
+            // not a time span that can be compared: servers may interpret it differently
         }
         var conditions = new ArrayList<Condition>();
         for (String name : properties) {
-            String value = given.get(name);
-            if (value != null && PLAIN.matcher(value).matches() && !value.isBlank()) {
+            String value = parameters.get(name);
+            if (value != null && LITERAL_VALUE.matcher(value).matches() && !value.isBlank()) {
                 conditions.add(Condition.equal(name, value));
             }
         }
--- a/src/main/java/wallmoor/ogc/FeatureServerTransport.java
+++ b/src/main/java/wallmoor/ogc/FeatureServerTransport.java
@@ -15,85 +15,87 @@
 import wallmoor.core.WorkerTransport;
 import wallmoor.http.Threads;
 
-/** Runs attempts at feature servers, each on a thread of its own, and keeps a few connections for the next. */
+/** Runs attempts at feature servers, each on a thread of its own, and pools a few idle connections per server. */
 final class FeatureServerTransport implements WorkerTransport {
-    private static final int MOST_KEPT = 4;
+    private static final int MAX_IDLE_PER_SERVER = 4;
 
     private final Gatherer gatherer;
     private final int connectMillis;
     private final ThreadPoolExecutor threads;
-    private final Map<Attempt, FeatureFetch> out = new ConcurrentHashMap<>();
-    private final Map<String, Deque<PooledConnection>> kept = new HashMap<>();
+    private final Map<Attempt, FeatureFetch> fetches = new ConcurrentHashMap<>();
+    private final Map<String, Deque<PooledConnection>> idleConnections = new HashMap<>();
 
-    FeatureServerTransport(Gatherer gatherer, int connectMillis, int most) {
+    FeatureServerTransport(Gatherer gatherer, int connectMillis, int maxThreads) {
         this.gatherer = gatherer;
         this.connectMillis = connectMillis;
-        threads = Threads.pool("ogc-fetch", most);
+        threads = Threads.pool("ogc-fetch", maxThreads);
     }
 
     @Override
     public void send(Step.Send send) {
         for (Attempt attempt : send.attempts()) {
             var fetch = new FeatureFetch(attempt, gatherer, connectMillis);
-            out.put(attempt, fetch);
+            fetches.put(attempt, fetch);
             try {
                 threads.execute(() -> run(fetch, attempt, send.closeIdleFirst()));
             } catch (RejectedExecutionException | OutOfMemoryError e) {
-                out.remove(attempt);
-                gatherer.report(attempt, AttemptOutcome.NOT_SENT, null); // our own bound: no server is to blame
+                fetches.remove(attempt);
+                // a limit of this process was reached, which is no fault of the server
+                gatherer.report(attempt, AttemptOutcome.NOT_SENT, null);
             }
         }
     }
 
-    private void run(FeatureFetch fetch, Attempt attempt, boolean fresh) {
+    private void run(FeatureFetch fetch, Attempt attempt, boolean closeIdleFirst) {
         try {
-            boolean anew = fresh || !((FeatureQuery) attempt.query().attachment()).idempotent();
-            PooledConnection back = fetch.run(take(attempt.worker().address(), anew));
-            if (back != null) {
-                keep(back);
+            boolean requireNew = closeIdleFirst || !((FeatureQuery) attempt.query().attachment()).idempotent();
+            PooledConnection connection = fetch.run(takeIdle(attempt.worker().address(), requireNew));
+            if (connection != null) {
+                returnToPool(connection);
             }
         } finally {
-            out.remove(attempt);
+            fetches.remove(attempt);
         }
     }
 
     @Override
     public void cancel(Step.Cancel cancel) {
-        FeatureFetch fetch = out.get(cancel.attempt());
+        FeatureFetch fetch = fetches.get(cancel.attempt());
         if (fetch != null) {
             fetch.cancel(cancel.outcome());
         }
     }
 
-    /** A connection that can be used, or null; {@code anew}: the idle ones are not trusted. */
-    private PooledConnection take(String address, boolean anew) {
-        while (!anew) {
-            PooledConnection last;
-            synchronized (kept) {
-                Deque<PooledConnection> here = kept.get(address);
-                last = here == null ? null : here.pollLast();
+    /** Takes an idle connection that can be used, or returns null if there is none or a new one is required. */
+    private PooledConnection takeIdle(String address, boolean requireNew) {
+        while (!requireNew) {
+            PooledConnection connection;
+            synchronized (idleConnections) {
+                Deque<PooledConnection> idle = idleConnections.get(address);
+                connection = idle == null ? null : idle.pollLast();
             }
-            if (last == null) {
+            if (connection == null) {
                 return null;
             }
-            if (last.usable()) {
-                return last;
+            if (connection.isUsable()) {
+                return connection;
             }
-            last.close();
+            connection.close();
         }
         return null;
     }
 
-    private void keep(PooledConnection back) {
-        var old = new ArrayList<PooledConnection>();
-        synchronized (kept) {
-            Deque<PooledConnection> here = kept.computeIfAbsent(back.address(), a -> new ArrayDeque<>());
-            here.addLast(back);
-            if (here.size() > MOST_KEPT) {
-                old.add(here.pollFirst());
+    private void returnToPool(PooledConnection connection) {
+        var expired = new ArrayList<PooledConnection>();
+        synchronized (idleConnections) {
+            Deque<PooledConnection> idle = idleConnections.computeIfAbsent(connection.address(),
+                    a -> new ArrayDeque<>());
+            idle.addLast(connection);
+            if (idle.size() > MAX_IDLE_PER_SERVER) {
+                expired.add(idle.pollFirst());
             }
-            kept.values().forEach(all -> all.removeIf(k -> k.isOld() && old.add(k)));
+            idleConnections.values().forEach(all -> all.removeIf(c -> c.isExpired() && expired.add(c)));
         }
-        old.forEach(PooledConnection::close);
+        expired.forEach(PooledConnection::close);
     }
 }
--- a/src/main/java/wallmoor/ogc/FeaturesFront.java
+++ b/src/main/java/wallmoor/ogc/FeaturesFront.java
@@ -21,31 +21,31 @@
 import wallmoor.sources.EndpointUpdater;
 
 /**
- * The second front: OGC API - Features Part 1 (Core) with GeoJSON. A page asked for is a query, a shard's share of it
- * a part, a feature server a worker. It owns the front's gatherer, its endpoint updates and its listening server;
- * {@link ResourceRouter} answers the requests.
+ * The front for OGC API - Features Part 1 (Core) with GeoJSON. Each page that a client requests is a query, each
+ * shard's share of it is a part, and each feature server is a worker. This class owns the front's gatherer, its
+ * endpoint updates and its listening server; {@link ResourceRouter} answers the requests.
  */
 public final class FeaturesFront {
     private static final Logger LOG = LoggerFactory.getLogger(FeaturesFront.class);
-    /** Feature servers at most; an inventory of a megabyte holds about as many. */
+    /** The maximum number of feature servers. An inventory file of the maximum size, 1 MiB, lists about as many. */
     private static final int MAX_FEATURE_SERVERS = 20_000;
-    /** Of the process's sockets, one in so many for attempts at feature servers. */
+    /** One in this many of the process's sockets is for attempts at feature servers. */
     private static final int FETCH_SOCKETS_DIVISOR = 8;
-    /** Of the process's sockets, one in so many for clients, and as many threads for their requests. */
+    /** One in this many of the process's sockets is for clients, and as many threads handle their requests. */
     private static final int CLIENT_SOCKETS_DIVISOR = 16;
 
     private final Gatherer gatherer;
     private final EndpointUpdater endpointUpdater;
     private final Server server;
-    /** What feature servers hold, by their summaries; null where all servers are always asked. */
+    /** The leases on feature servers' summaries; null if all servers are always queried. */
     private final SummaryLeases summaryLeases;
 
     /**
-     * Makes the front and listens; nothing is answered before {@link #start}.
+     * Creates the front and listens; no request is answered before {@link #start}.
      *
-     * @param config    collections, inventory and address of this front
-     * @param summaries which feature servers may be pruned from queries, or null where all are asked
-     * @param rules     the rules that the gatherers agreed on
+     * @param config    the collections, inventory and address of this front
+     * @param summaries which feature servers may be pruned from queries, or null if all are always queried
+     * @param rules     the rules that the gatherers have agreed on
      * @param launch    the process's settings: sockets, timeouts, zones and the decision module's parameters
      * @param clock     the gatherer's clock
      * @throws IOException if the address can't be listened on
@@ -69,7 +69,7 @@
         server = new Server("ogc", config.listen(), clientSockets, clientSockets, router::handle, LOG::info);
     }
 
-    /** Begins to serve. */
+    /** Starts to serve requests. */
     public void start() {
         endpointUpdater.start();
         Threads.start("ogc-timers", gatherer::runTimers);
@@ -77,17 +77,17 @@
     }
 
     /**
-     * Tells how many gatherers share quotas and bounds from now on, and this one's place among them.
+     * Sets how many gatherers share quotas and limits from now on, and this gatherer's index among them.
      *
-     * @param count gatherers in the fleet
-     * @param place this gatherer's index, from 0
+     * @param count the number of gatherers in the fleet
+     * @param index this gatherer's index, from 0
      */
-    public void setFleetPosition(int count, int place) {
-        gatherer.control().setFleetPosition(count, place);
+    public void setFleetPosition(int count, int index) {
+        gatherer.control().setFleetPosition(count, index);
     }
 
     /**
-     * Graceful shutdown: asks clients to leave, takes what still comes, and answers all of it.
+     * Shuts down gracefully: asks clients to disconnect, and answers all requests that are still accepted.
      *
      * @param handOverMillis how long requests are still accepted, in milliseconds
      * @param finishMillis   how long accepted requests may take after that, in milliseconds
@@ -102,9 +102,9 @@
     }
 
     /**
-     * The operators' file was read again: its sites may be pruned from now on. What else it says waits for a restart.
+     * Applies a reloaded operators' file: its sites may be pruned from now on. Other changes need a restart.
      *
-     * @param changed the file's summaries section, or null where it has none
+     * @param changed the file's summaries section, or null if it has none
      */
     public void reload(SummariesConfig changed) {
         if (summaryLeases != null) {
--- a/src/main/java/wallmoor/ogc/FetchConnection.java
+++ b/src/main/java/wallmoor/ogc/FetchConnection.java
@@ -15,19 +15,19 @@
 import wallmoor.http.HttpWriter;
 
 /**
- * The connection of one attempt, its requests one after another. It owns whether a request was sent and whether the
- * attempt was cancelled; a cancel comes from another thread than the requests.
+ * The connection of one attempt, which sends its requests one after another. It records whether a request was sent and
+ * whether the attempt was cancelled. Requests and {@link #cancel} run on different threads.
  */
 final class FetchConnection {
     private final Attempt attempt;
     private final Gatherer gatherer;
     private final int connectMillis;
     private PooledConnection connection;
-    /** What the gatherer cancelled the attempt as, or null. */
-    private AttemptOutcome cancelledAs;
+    /** The outcome with which the gatherer cancelled the attempt, or null. */
+    private AttemptOutcome cancelOutcome;
     private boolean sent;
     /** Whether the next request needs a new connection. */
-    private boolean ended;
+    private boolean needsReconnect;
 
     FetchConnection(Attempt attempt, Gatherer gatherer, int connectMillis) {
         this.attempt = attempt;
@@ -35,28 +35,29 @@
         this.connectMillis = connectMillis;
     }
 
-    /** Cancels the attempt: closing the connection is how a feature server is notified. */
+    /** Cancels the attempt and closes its connection, which notifies the feature server. */
     synchronized void cancel(AttemptOutcome outcome) {
-        cancelledAs = outcome;
+        cancelOutcome = outcome;
         if (connection != null) {
             connection.close();
         }
     }
 
-    private synchronized boolean use(PooledConnection opened) {
-        connection = opened;
-        return cancelledAs == null;
+    /** Sets the connection. Returns whether the attempt may go on: false if it has been cancelled. */
+    private synchronized boolean use(PooledConnection newConnection) {
+        connection = newConnection;
+        return cancelOutcome == null;
     }
 
-    /** The outcome of an attempt without a value: the cancel's, if there was one, or else this one. */
+    /** Returns the outcome of an attempt without a value: the cancel's outcome if it was cancelled, else this one. */
     synchronized AttemptOutcome outcomeUnlessCancelled(AttemptOutcome outcome) {
-        if (cancelledAs == null) {
+        if (cancelOutcome == null) {
             return outcome;
         }
-        return sent ? cancelledAs : AttemptOutcome.NOT_SENT;
+        return sent ? cancelOutcome : AttemptOutcome.NOT_SENT;
     }
 
-    /** Whether the server may have seen a byte of the attempt. */
+    /** Returns whether the server may have received a byte of the attempt. */
     boolean hasSent() {
         return sent;
     }
@@ -64,46 +65,46 @@
     /**
      * Takes an idle connection, or opens one.
      *
-     * @param idle null for a new one
-     * @return whether the attempt may go on: false if it was cancelled meanwhile
+     * @param idle an idle connection, or null to open a new one
+     * @return whether the attempt may go on: false if it has been cancelled
      */
     boolean open(PooledConnection idle) throws IOException {
         return idle != null ? use(idle) : connect();
     }
 
     private boolean connect() throws IOException {
-        String at = attempt.worker().address(); // once: an endpoint update may change it meanwhile
-        InetSocketAddress address = LaunchConfig.address("address", at);
+        String hostAndPort = attempt.worker().address(); // read once, as an endpoint update may change it
+        InetSocketAddress address = LaunchConfig.address("address", hostAndPort);
         var socket = new Socket();
-        if (!use(new PooledConnection(socket, null, at, 0))) {
+        if (!use(new PooledConnection(socket, null, hostAndPort, 0))) {
             return false;
         }
         socket.setTcpNoDelay(true);
         socket.connect(address, (int) Math.max(1, Math.min(connectMillis, remainingMillis())));
-        return use(new PooledConnection(socket, new HttpReader(socket), at, 0));
+        return use(new PooledConnection(socket, new HttpReader(socket), hostAndPort, 0));
     }
 
     private long remainingMillis() {
         return attempt.remainingMillis(gatherer.now());
     }
 
-    /** Has the next request use a new connection, where the rest of an answer was not read. */
+    /** Makes the next request use a new connection, because the rest of a response was not read. */
     void reconnectBeforeNextRequest() {
-        ended = true;
+        needsReconnect = true;
     }
 
     /**
-     * Sends a request and reads its answer: 200, or 404 for one feature.
+     * Sends a request and reads its response: status 200, or also 404 if the request is for one feature.
      *
-     * @throws IOException                if the connection failed or the attempt was cancelled
-     * @throws HttpProtocolException      if the answer is malformed, too long (413) or has another status (502)
+     * @throws IOException               if the connection failed or the attempt was cancelled
+     * @throws HttpProtocolException     if the response is malformed, too long (413) or has another status (502)
      * @throws ServerRejectedException   if the server rejected the first request
-     * @throws SendNotPermittedException  if the first request may no longer be sent
+     * @throws SendNotPermittedException if the first request may no longer be sent
      */
     HttpMessage get(String target)
             throws IOException, HttpProtocolException, ServerRejectedException, SendNotPermittedException {
         boolean first = !sent;
-        if (ended) { // this server closes after each page
+        if (needsReconnect) { // the server closes the connection after each page, or a response was not read completely
             reconnect();
         }
         OutputStream out = connection.socket().getOutputStream();
@@ -111,17 +112,17 @@
         HttpWriter.get(out, attempt.worker().address(), target, "Accept: application/geo+json, application/json\r\n");
         int timeoutMillis = (int) Math.max(1, remainingMillis());
         if (!connection.in().await(timeoutMillis)) {
-            throw new EOFException("closed before an answer");
+            throw new EOFException("feature server closed the connection before a response");
         }
-        HttpMessage answer = connection.in().answer(timeoutMillis, true);
-        requireStatus(answer.status(), first, target);
-        ended = !answer.keep();
-        return answer;
+        HttpMessage response = connection.in().answer(timeoutMillis, true);
+        requireStatus(response.status(), first, target);
+        needsReconnect = !response.keep();
+        return response;
     }
 
     private void reconnect() throws IOException {
         connection.close();
-        ended = false;
+        needsReconnect = false;
         if (!connect()) {
             throw new AttemptCancelledException();
         }
@@ -129,13 +130,13 @@
 
     private synchronized void requirePermission(boolean first)
             throws AttemptCancelledException, SendNotPermittedException {
-        if (cancelledAs != null) {
+        if (cancelOutcome != null) {
             throw new AttemptCancelledException();
         }
         if (first && !attempt.checkPermission(gatherer.now(), connection.address()).granted()) {
             throw new SendNotPermittedException();
         }
-        sent = true; // from the first byte on the server may have run it
+        sent = true; // the server may run the request from its first byte on
     }
 
     private static void requireStatus(int status, boolean first, String target)
@@ -144,21 +145,21 @@
             throw new ServerRejectedException(status);
         }
         if (status != 200 && !(status == 404 && target.matches("[^?]*/items/[^/]+"))) {
-            throw new HttpProtocolException(502, "status " + status);
+            throw new HttpProtocolException(502, "unexpected status " + status + " of " + target);
         }
     }
 
-    /** Whether another attempt may use the connection after this one was served. */
-    boolean reusable() {
-        return !ended;
+    /** Returns whether another attempt may use the connection after this one was served. */
+    boolean isReusable() {
+        return !needsReconnect;
     }
 
-    /** Gives the connection back, idle from now on. */
+    /** Returns the connection for the pool, marked idle from now on. */
     PooledConnection release() {
         return new PooledConnection(connection.socket(), connection.in(), connection.address(), System.nanoTime());
     }
 
-    /** Closes it, where it was opened. */
+    /** Closes the connection, if there is one. */
     void close() {
         if (connection != null) {
             connection.close();
--- a/src/main/java/wallmoor/ogc/HttpResponses.java
+++ b/src/main/java/wallmoor/ogc/HttpResponses.java
@@ -7,13 +7,13 @@
 import wallmoor.http.HttpExchange;
 import wallmoor.json.Json;
 
-/** Writes this front's answers: documents, and exceptions as OGC API - Features has them (code and description). */
+/** Writes responses: documents, and exceptions in the format of OGC API - Features (code and description). */
 final class HttpResponses {
-    /** Media type of all documents but features and the API definition. */
+    /** The media type of all documents except features and the API definition. */
     static final String JSON = "application/json";
-    /** Media type of features (RFC 7946). */
+    /** The media type of features (RFC 7946). */
     static final String GEOJSON = "application/geo+json";
-    /** Media type of the API definition. */
+    /** The media type of the API definition. */
     static final String OPENAPI = "application/vnd.oai.openapi+json;version=3.0";
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -25,7 +25,7 @@
         document(exchange, mediaType, "", bytes(text));
     }
 
-    /** The same with further header lines, each with its line end. */
+    /** Answers 200 with a document and further header lines, each of which ends with CRLF. */
     static void document(HttpExchange exchange, String mediaType, String headers, byte[] body) throws IOException {
         exchange.answer(200, headers + "Content-Type: " + mediaType + "\r\n", body);
     }
@@ -38,16 +38,16 @@
     }
 
     /**
-     * Answers a query that has no answer: 503 where it was rejected before any attempt, 504 or 502 where too few
-     * feature servers answered.
+     * Answers a query that failed: 503 if it was rejected before any attempt, 504 or 502 if too few feature servers
+     * answered.
      *
-     * @return the status; 0 where the client is gone
+     * @return the status, or 0 if the client has disconnected
      */
-    static int queryFailure(HttpExchange exchange, String headers, Step.FinalStep end) throws IOException {
-        if (end instanceof Step.Reject reject) {
+    static int queryFailure(HttpExchange exchange, String headers, Step.FinalStep finalStep) throws IOException {
+        if (finalStep instanceof Step.Reject reject) {
             return rejection(exchange, headers, reject);
         }
-        if (end instanceof Step.Fail fail) {
+        if (finalStep instanceof Step.Fail fail) {
             int status = gatewayStatus(fail.timedOut());
             exception(exchange, status, headers, "too few feature servers answered");
             return status;
@@ -68,6 +68,7 @@
         return timedOut ? 504 : 502;
     }
 
+    /** Returns the text in UTF-8. */
     static byte[] bytes(String text) {
         return text.getBytes(StandardCharsets.UTF_8);
     }
--- a/src/main/java/wallmoor/ogc/ItemsHandler.java
+++ b/src/main/java/wallmoor/ogc/ItemsHandler.java
@@ -13,10 +13,10 @@
 import wallmoor.pruning.SummaryLeases;
 import wallmoor.summaries.Pruning;
 
-/** Answers {@code /collections/ID/items}: one page of a collection's features, gathered from its shards. */
+/** Handles {@code /collections/ID/items}: answers one page of a collection's features, gathered from its shards. */
 final class ItemsHandler {
     private final FeatureQueryRunner queries;
-    /** Null where all servers are always asked. */
+    /** Null if all servers are always queried. */
     private final FeatureServerDirectory directory;
 
     ItemsHandler(FeatureQueryRunner queries, FeatureServerDirectory directory) {
@@ -24,29 +24,30 @@
         this.directory = directory;
     }
 
-    void answer(HttpExchange exchange, HttpMessage request, Collection collection, String base)
+    void handle(HttpExchange exchange, HttpMessage request, Collection collection, String base)
             throws IOException, HttpProtocolException, InterruptedException {
-        ItemsParameters parameters = ItemsParameters.of(request.target(), collection.shards(),
+        ItemsParameters parameters = ItemsParameters.parse(request.target(), collection.shards(),
                 collection.properties());
         Map<Integer, Integer> offsets = offsets(parameters, collection);
         String id = queries.nextId();
         SummaryLeases.PruningDecision pruning = directory == null ? null
-                : directory.decide(collection, parameters, offsets.keySet(), queries.idempotent(collection));
-        List<Integer> asked = pruning == null ? List.copyOf(offsets.keySet()) : pruning.decision().ask();
-        Step.FinalStep end = asked.isEmpty() ? new Step.Answer(true, List.of())
-                : queries.run(exchange, request, id, asked, query(collection, parameters, offsets, asked.size()));
-        if (end instanceof Step.Answer || prunedSuffice(pruning, collection, offsets.size(), end)) {
-            var page = new ItemsPage(collection, parameters, offsets, shares(collection, pruning, end));
+                : directory.decide(collection, parameters, offsets.keySet(), queries.isIdempotent(collection));
+        List<Integer> queriedShards = pruning == null ? List.copyOf(offsets.keySet()) : pruning.decision().ask();
+        Step.FinalStep finalStep = queriedShards.isEmpty() ? new Step.Answer(true, List.of())
+                : queries.run(exchange, request, id, queriedShards,
+                        query(collection, parameters, offsets, queriedShards.size()));
+        if (finalStep instanceof Step.Answer || prunedSuffice(pruning, collection, offsets.size(), finalStep)) {
+            var page = new ItemsPage(collection, parameters, offsets, results(collection, pruning, finalStep));
             HttpResponses.document(exchange, HttpResponses.GEOJSON, PruningReport.header(pruning),
                     page.document(base, request.target(), PruningReport.member(pruning)));
             PruningReport.log(id, collection.id(), 200, pruning);
         } else {
-            int status = HttpResponses.queryFailure(exchange, PruningReport.header(pruning), end);
+            int status = HttpResponses.queryFailure(exchange, PruningReport.header(pruning), finalStep);
             PruningReport.log(id, collection.id(), status, pruning);
         }
     }
 
-    /** Where the page goes on in each shard that may still have features. */
+    /** Returns the offset at which the page starts in each shard that may still have features. */
     private static Map<Integer, Integer> offsets(ItemsParameters parameters, Collection collection) {
         if (parameters.cursor() != null) {
             return parameters.cursor();
@@ -58,42 +59,47 @@
         return offsets;
     }
 
-    /** The query for a page: each shard asked is to bring an equal share of the page's limit. */
+    /** Creates the query for a page: each queried shard returns at most an equal share of the page's limit. */
     private FeatureQuery query(Collection collection, ItemsParameters parameters, Map<Integer, Integer> offsets,
-            int shardsAsked) {
-        int featuresPerShard = Math.max(1, (parameters.limit() + shardsAsked - 1) / shardsAsked);
-        return new FeatureQuery(collection, parameters.query(), null, featuresPerShard, offsets,
-                queries.idempotent(collection));
+            int queriedShards) {
+        int featuresPerShard = Math.max(1, (parameters.limit() + queriedShards - 1) / queriedShards);
+        return new FeatureQuery(collection, parameters.filterQuery(), null, featuresPerShard, offsets,
+                queries.isIdempotent(collection));
     }
 
     /**
-     * Whether the pruned shards alone are the least share of an answer: then it is one, though all others failed.
+     * Returns whether the query failed but the pruned shards alone reach the minimum share of an answer. The page is
+     * answered then, although all other shards failed.
      *
-     * @param pruning null where all servers are asked
-     * @param shards  of the page, pruned or not
+     * @param pruning the pruning decision, or null if all servers are queried
+     * @param shards  the number of the page's shards, pruned or not
      */
     private boolean prunedSuffice(SummaryLeases.PruningDecision pruning, Collection collection, int shards,
-            Step.FinalStep end) {
+            Step.FinalStep finalStep) {
         if (pruning == null) {
             return false;
         }
-        boolean failed = end instanceof Step.Fail || (end instanceof Step.Reject reject && reject.attempted());
+        boolean failed = finalStep instanceof Step.Fail
+                || (finalStep instanceof Step.Reject reject && reject.attempted());
         return failed && pruning.decision().pruned().size() >= queries.minimumShare(collection) * shards;
     }
 
-    /** What each shard gave; a pruned shard gave nothing, and one that is absent was not heard. */
-    private Map<Integer, FeatureQuery.ShardFeatures> shares(Collection collection,
-            SummaryLeases.PruningDecision pruning, Step.FinalStep end) {
-        var shares = new HashMap<Integer, FeatureQuery.ShardFeatures>();
-        if (end instanceof Step.Answer answer) {
-            answer.values().forEach(value -> shares.put(value.shard(), FeatureQuery.ShardFeatures.decode(value)));
+    /**
+     * Returns the result of each shard and reports probes. A pruned shard has an empty result, and a shard that did not
+     * answer has none.
+     */
+    private Map<Integer, FeatureQuery.ShardFeatures> results(Collection collection,
+            SummaryLeases.PruningDecision pruning, Step.FinalStep finalStep) {
+        var results = new HashMap<Integer, FeatureQuery.ShardFeatures>();
+        if (finalStep instanceof Step.Answer answer) {
+            answer.values().forEach(value -> results.put(value.shard(), FeatureQuery.ShardFeatures.decode(value)));
         }
         if (pruning != null) {
-            directory.probed(collection, pruning, shares);
+            directory.reportProbes(collection, pruning, results);
             for (Pruning.PrunedShard pruned : pruning.decision().pruned()) {
-                shares.put(pruned.shard(), FeatureQuery.ShardFeatures.of(false, List.of(), "", null));
+                results.put(pruned.shard(), FeatureQuery.ShardFeatures.of(false, List.of(), "", null));
             }
         }
-        return shares;
+        return results;
     }
 }
--- a/src/main/java/wallmoor/ogc/ItemsPage.java
+++ b/src/main/java/wallmoor/ogc/ItemsPage.java
@@ -15,13 +15,14 @@
 import wallmoor.http.HttpReader;
 
 /**
- * One page of features, merged shard by shard up to the page's limit and size; the rest is for the next page. A page
- * that lacks a shard's share says so, and its next link asks for that share again: no page loses features silently.
+ * One page of features, merged shard by shard up to the page's limit and maximum size; the rest is for the next page. A
+ * page that lacks a shard's share lists that shard, and its next link requests that share again. So no features are
+ * lost without notice.
  */
 final class ItemsPage {
-    /** Features of a page at most, in bytes: the longest body, but for room for what stands round the features. */
+    /** The maximum total size of a page's features: the maximum body size less room for the other members. */
     static final int MAX_FEATURES_BYTES = HttpReader.MOST_BODY - 8 * 1024;
-    /** A guess at what stands round the features, in bytes. */
+    /** The estimated size of a page's other members, for the initial buffer. */
     private static final int ENVELOPE_BYTES = 1024;
 
     private final Collection collection;
@@ -34,36 +35,36 @@
     /**
      * Merges a page.
      *
-     * @param offsets how many features earlier pages have taken, for each shard of this page
-     * @param shares  what each shard gave; one that is absent is missing
+     * @param offsets for each shard of this page, how many features earlier pages have taken
+     * @param results the result of each shard; a shard without one is missing
      */
     ItemsPage(Collection collection, ItemsParameters parameters, Map<Integer, Integer> offsets,
-            Map<Integer, FeatureQuery.ShardFeatures> shares) {
+            Map<Integer, FeatureQuery.ShardFeatures> results) {
         this.collection = collection;
         this.parameters = parameters;
-        offsets.forEach((shard, offset) -> merge(shard, offset, shares.get(shard)));
+        offsets.forEach((shard, offset) -> merge(shard, offset, results.get(shard)));
     }
 
-    private void merge(Integer shard, int offset, FeatureQuery.ShardFeatures share) {
-        if (share == null) {
+    private void merge(Integer shard, int offset, FeatureQuery.ShardFeatures result) {
+        if (result == null) {
             missingShards.add(shard);
             nextOffsets.put(shard, offset);
             return;
         }
         int taken = 0;
-        for (byte[] feature : share.features()) {
+        for (byte[] feature : result.features()) {
             if (!hasRoom(feature)) {
                 break;
             }
             add(feature);
             taken++;
         }
-        if (share.hasMore() || taken < share.features().size()) {
+        if (result.hasMore() || taken < result.features().size()) {
             nextOffsets.put(shard, offset + taken);
         }
     }
 
-    /** Whether the feature fits this page; the first one always does. */
+    /** Returns whether the feature fits this page; the first one always does. */
     private boolean hasRoom(byte[] feature) {
         return returned < parameters.limit()
                 && (returned == 0 || features.size() + feature.length <= MAX_FEATURES_BYTES);
@@ -78,11 +79,11 @@
     }
 
     /**
-     * The page as a GeoJSON feature collection.
+     * Returns the page as a GeoJSON feature collection.
      *
-     * @param base          what links begin with
+     * @param base          the prefix of all links
      * @param target        the request's target, for the link to this page
-     * @param pruningMember the member that tells of pruned shards, with a comma before it, or nothing
+     * @param pruningMember the member about pruned shards with a comma before it, or an empty string
      */
     byte[] document(String base, String target, String pruningMember) {
         boolean complete = missingShards.isEmpty();
@@ -101,7 +102,7 @@
         var links = new LinkList(base).add("self", GEOJSON, "This page", target)
                 .add("collection", JSON, collection.title(), path);
         if (!nextOffsets.isEmpty()) {
-            links.add("next", GEOJSON, "Next page", path + "/items" + parameters.nextPage(nextOffsets));
+            links.add("next", GEOJSON, "Next page", path + "/items" + parameters.nextPageQuery(nextOffsets));
         }
         return links;
     }
--- a/src/main/java/wallmoor/ogc/ItemsParameters.java
+++ b/src/main/java/wallmoor/ogc/ItemsParameters.java
@@ -13,81 +13,84 @@
 import wallmoor.http.HttpProtocolException;
 
 /**
- * The parameters of an items request. One that is unknown or malformed is a fault of the client's, as the standard
- * asks.
+ * The parameters of an items request. An unknown or malformed one is answered with 400, as the standard requires.
  *
- * @param limit  features in a page at most
- * @param given  all parameters as they came, decoded
- * @param query  bbox, datetime and properties, ready for a link
- * @param cursor how many features earlier pages took from each shard that still has some; null for the first page
+ * @param limit       the maximum number of features in a page
+ * @param values      the decoded values of all parameters by name
+ * @param filterQuery bbox, datetime and properties, encoded for a link
+ * @param cursor      for each shard that may have more features, how many earlier pages have taken; null for the first
+ *                    page
  */
-record ItemsParameters(int limit, Map<String, String> given, String query, Map<Integer, Integer> cursor) {
+record ItemsParameters(int limit, Map<String, String> values, String filterQuery, Map<Integer, Integer> cursor) {
+    /** The maximum number of features in a page; a larger limit is reduced to it. */
     static final int MAX_LIMIT = 1000;
-    private static final int DEFAULT = 10;
-    private static final Set<String> KNOWN = Set.of("limit", "bbox", "datetime", "cursor");
+    private static final int DEFAULT_LIMIT = 10;
+    private static final Set<String> STANDARD_PARAMETERS = Set.of("limit", "bbox", "datetime", "cursor");
 
-    static ItemsParameters of(String target, List<Integer> shards, List<String> properties)
+    /** Parses the query string of a request's target. */
+    static ItemsParameters parse(String target, List<Integer> shards, List<String> properties)
             throws HttpProtocolException {
-        Map<String, String> given = split(target);
-        for (String name : given.keySet()) {
-            if (!KNOWN.contains(name) && !properties.contains(name)) {
-                throw bad("unknown parameter " + name);
+        Map<String, String> values = parseQuery(target);
+        for (String name : values.keySet()) {
+            if (!STANDARD_PARAMETERS.contains(name) && !properties.contains(name)) {
+                throw badRequest("unknown parameter " + name);
             }
         }
         var query = new StringBuilder();
-        if (given.containsKey("bbox")) {
-            bbox(given.get("bbox"));
-            append(query, "bbox", given.get("bbox"));
+        if (values.containsKey("bbox")) {
+            requireBbox(values.get("bbox"));
+            append(query, "bbox", values.get("bbox"));
         }
-        if (given.containsKey("datetime")) {
-            datetime(given.get("datetime"));
-            append(query, "datetime", given.get("datetime"));
+        if (values.containsKey("datetime")) {
+            requireDatetime(values.get("datetime"));
+            append(query, "datetime", values.get("datetime"));
         }
         for (String name : properties) {
-            if (given.containsKey(name)) {
-                append(query, name, given.get(name));
+            if (values.containsKey(name)) {
+                append(query, name, values.get(name));
             }
         }
-        return new ItemsParameters(limit(given.get("limit")), given, query.toString(),
-                cursor(given.get("cursor"), shards));
+        return new ItemsParameters(parseLimit(values.get("limit")), values, query.toString(),
+                parseCursor(values.get("cursor"), shards));
     }
 
-    /** Refuses any parameter, where a resource has none. */
+    /** Rejects all parameters, for a resource that has none. */
     static void requireNone(String target) throws HttpProtocolException {
-        for (String name : split(target).keySet()) {
-            throw bad("unknown parameter " + name);
+        for (String name : parseQuery(target).keySet()) {
+            throw badRequest("unknown parameter " + name);
         }
     }
 
-    /** The next page's parameters. */
-    String nextPage(Map<Integer, Integer> from) {
+    /** Returns the query string for the next page, which starts at these offsets. */
+    String nextPageQuery(Map<Integer, Integer> nextOffsets) {
         var cursor = new StringBuilder();
-        from.forEach((shard, taken) -> cursor.append(cursor.length() == 0 ? "" : "_").append(shard).append('.')
+        nextOffsets.forEach((shard, taken) -> cursor.append(cursor.length() == 0 ? "" : "_").append(shard).append('.')
                 .append(taken));
-        return "?limit=" + limit + query + "&cursor=" + cursor;
+        return "?limit=" + limit + filterQuery + "&cursor=" + cursor;
     }
 
-    private static Map<String, String> split(String target) throws HttpProtocolException {
-        var given = new LinkedHashMap<String, String>();
-        int mark = target.indexOf('?');
-        if (mark < 0 || mark == target.length() - 1) {
-            return given;
-        }
-        for (String pair : target.substring(mark + 1).split("&", -1)) {
-            String[] sides = pair.split("=", 2);
-            String name = decoded(sides[0]);
-            if (given.put(name, sides.length < 2 ? "" : decoded(sides[1])) != null) {
-                throw bad("parameter " + name + " twice");
+    private static Map<String, String> parseQuery(String target) throws HttpProtocolException {
+        var values = new LinkedHashMap<String, String>();
+        int queryStart = target.indexOf('?');
+        if (queryStart < 0 || queryStart == target.length() - 1) {
+            return values;
+        }
+        for (String pair : target.substring(queryStart + 1).split("&", -1)) {
+            String[] nameAndValue = pair.split("=", 2);
+            String name = decode(nameAndValue[0]);
+            if (values.put(name, nameAndValue.length < 2 ? "" : decode(nameAndValue[1])) != null) {
+                throw badRequest("parameter " + name + " twice");
             }
         }
-        return given;
+        return values;
     }
 
-    static String decoded(String text) throws HttpProtocolException {
+    /** Decodes percent-escapes and plus signs. */
+    static String decode(String text) throws HttpProtocolException {
         try {
             return URLDecoder.decode(text, StandardCharsets.UTF_8);
         } catch (IllegalArgumentException e) {
-            throw bad("malformed escape");
+            throw badRequest("malformed escape");
         }
     }
 
@@ -95,85 +98,86 @@
         query.append('&').append(name).append('=').append(URLEncoder.encode(value, StandardCharsets.UTF_8));
     }
 
-    private static int limit(String value) throws HttpProtocolException {
+    private static int parseLimit(String value) throws HttpProtocolException {
         if (value == null) {
-            return DEFAULT;
+            return DEFAULT_LIMIT;
         }
         if (!value.matches("[0-9]{1,9}") || Integer.parseInt(value) < 1) {
-            throw bad("limit must be a whole number of at least 1");
+            throw badRequest("limit must be a whole number of at least 1");
         }
-        return Math.min(MAX_LIMIT, Integer.parseInt(value)); // more may be asked for than is given
+        return Math.min(MAX_LIMIT, Integer.parseInt(value)); // a larger limit is allowed, but the page is capped
     }
 
-    private static void bbox(String value) throws HttpProtocolException {
-        String[] sides = value.split(",", -1);
-        double[] at = new double[sides.length];
+    private static void requireBbox(String value) throws HttpProtocolException {
+        String[] parts = value.split(",", -1);
+        double[] corners = new double[parts.length];
         try {
-            for (int i = 0; i < sides.length; i++) {
-                at[i] = Double.parseDouble(sides[i]);
+            for (int i = 0; i < parts.length; i++) {
+                corners[i] = Double.parseDouble(parts[i]);
             }
         } catch (NumberFormatException e) {
-            throw bad("bbox must be numbers");
+            throw badRequest("bbox must be numbers");
         }
-        int half = at.length / 2;
-        // the west side may lie east of the east side: such a box spans the antimeridian
-        if ((at.length != 4 && at.length != 6) || !(at[1] <= at[half + 1]) || (half == 3 && !(at[2] <= at[5]))
-                || !java.util.Arrays.stream(at).allMatch(Double::isFinite)) {
-            throw bad("bbox must be 4 or 6 numbers, the lower corner first");
+        int dimensions = corners.length / 2;
+        // the western longitude may exceed the eastern one: such a box spans the antimeridian
+        if ((corners.length != 4 && corners.length != 6) || !(corners[1] <= corners[dimensions + 1])
+                || (dimensions == 3 && !(corners[2] <= corners[5]))
+                || !java.util.Arrays.stream(corners).allMatch(Double::isFinite)) {
+            throw badRequest("bbox must be 4 or 6 numbers, the lower corner first");
         }
     }
 
-    private static void datetime(String value) throws HttpProtocolException {
+    private static void requireDatetime(String value) throws HttpProtocolException {
         String[] ends = value.split("/", -1);
-        if (ends.length > 2 || (ends.length == 1 && open(ends[0]))) {
-            throw bad("datetime must be a time or an interval");
+        if (ends.length > 2 || (ends.length == 1 && isOpen(ends[0]))) {
+            throw badRequest("datetime must be a time or an interval");
         }
-        OffsetDateTime before = null;
+        OffsetDateTime begin = null;
         for (String end : ends) {
-            if (open(end)) {
+            if (isOpen(end)) {
                 continue;
             }
-            OffsetDateTime at = time(end);
-            if (before != null && at.isBefore(before)) {
-                throw bad("datetime ends before it begins");
+            OffsetDateTime time = parseTime(end);
+            if (begin != null && time.isBefore(begin)) {
+                throw badRequest("datetime ends before it begins");
             }
-            before = at;
+            begin = time;
         }
     }
 
-    private static boolean open(String end) {
+    private static boolean isOpen(String end) {
         return end.isEmpty() || end.equals("..");
     }
 
-    private static OffsetDateTime time(String value) throws HttpProtocolException {
+    private static OffsetDateTime parseTime(String value) throws HttpProtocolException {
         try {
             return value.length() == 10 ? LocalDate.parse(value).atStartOfDay().atOffset(java.time.ZoneOffset.UTC)
                     : OffsetDateTime.parse(value);
         } catch (DateTimeParseException e) {
-            throw bad("datetime is no RFC 3339 time: " + value);
+            throw badRequest("datetime is no RFC 3339 time: " + value);
         }
     }
 
-    private static Map<Integer, Integer> cursor(String value, List<Integer> shards) throws HttpProtocolException {
+    private static Map<Integer, Integer> parseCursor(String value, List<Integer> shards) throws HttpProtocolException {
         if (value == null) {
             return null;
         }
-        var from = new LinkedHashMap<Integer, Integer>();
+        var offsets = new LinkedHashMap<Integer, Integer>();
         for (String entry : value.split("_", -1)) {
             if (!entry.matches("[0-9]{1,6}\\.[0-9]{1,9}")) {
-                throw bad("cursor is not one of ours");
+                throw badRequest("cursor is not one of ours");
             }
             int dot = entry.indexOf('.');
             Integer shard = Integer.valueOf(entry.substring(0, dot));
             if (!shards.contains(shard)
-                    || from.put(shard, Integer.valueOf(entry.substring(dot + 1))) != null) {
-                throw bad("cursor is not one of ours");
+                    || offsets.put(shard, Integer.valueOf(entry.substring(dot + 1))) != null) {
+                throw badRequest("cursor is not one of ours");
             }
         }
-        return from;
+        return offsets;
     }
 
-    private static HttpProtocolException bad(String what) {
-        return new HttpProtocolException(400, what);
+    private static HttpProtocolException badRequest(String description) {
+        return new HttpProtocolException(400, description);
     }
 }
--- a/src/main/java/wallmoor/ogc/LinkList.java
+++ b/src/main/java/wallmoor/ogc/LinkList.java
@@ -2,7 +2,7 @@
 
 import wallmoor.json.Json;
 
-/** Builds the lists of links that the standard's resources carry. */
+/** Builds the list of links of a resource. */
 final class LinkList {
     private final String base;
     private final StringBuilder text = new StringBuilder();
@@ -11,6 +11,7 @@
         this.base = base;
     }
 
+    /** Adds a link whose URL is the base followed by {@code target}. */
     LinkList add(String rel, String type, String title, String target) {
         text.append(text.length() == 0 ? "" : ",").append("{\"href\":");
         Json.quote(text, base + target);
@@ -20,7 +21,7 @@
         return this;
     }
 
-    /** The member to put in an object. */
+    /** Returns the list as the member {@code links} of a JSON object. */
     String member() {
         return "\"links\":[" + text + "]";
     }
--- a/src/main/java/wallmoor/ogc/MalformedFeatureException.java
+++ b/src/main/java/wallmoor/ogc/MalformedFeatureException.java
@@ -1,10 +1,10 @@
 package wallmoor.ogc;
 
-/** A feature that was read as JSON when it came in can't be read again: a fault of this program's. */
+/** Thrown when a feature that was parsed on receipt can't be parsed again, which is an internal error. */
 final class MalformedFeatureException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     MalformedFeatureException(Exception cause) {
-        super("a feature that was read before: " + cause.getMessage(), cause);
+        super("feature that was parsed on receipt can't be parsed again: " + cause.getMessage(), cause);
     }
 }
--- a/src/main/java/wallmoor/ogc/OpenApiDocument.java
+++ b/src/main/java/wallmoor/ogc/OpenApiDocument.java
@@ -4,7 +4,7 @@
 import wallmoor.config.OgcConfig;
 import wallmoor.json.Json;
 
-/** The API definition that the landing page links to: OpenAPI 3.0, one entry a resource. */
+/** Builds the API definition that the landing page links to: OpenAPI 3.0, with one path per resource. */
 final class OpenApiDocument {
     private static final String LIMIT = parameter("limit", "query", false,
             "\"type\":\"integer\",\"minimum\":1,\"maximum\":" + ItemsParameters.MAX_LIMIT + ",\"default\":10");
@@ -22,24 +22,25 @@
         paths.add(path("/", "Landing page", ""));
         paths.add(path("/conformance", "Conformance classes", ""));
         paths.add(path("/collections", "Collections", ""));
-        for (OgcConfig.Collection c : config.collections().values()) {
-            String at = "/collections/" + c.id();
-            paths.add(path(at, "The collection " + c.id(), ""));
-            paths.add(path(at + "/items", "Features of " + c.id(), LIMIT + "," + BBOX + "," + DATETIME + "," + CURSOR
-                    + properties(c)));
-            paths.add(path(at + "/items/{featureId}", "One feature of " + c.id(), ID));
+        for (OgcConfig.Collection collection : config.collections().values()) {
+            String path = "/collections/" + collection.id();
+            paths.add(path(path, "The collection " + collection.id(), ""));
+            paths.add(path(path + "/items", "Features of " + collection.id(),
+                    LIMIT + "," + BBOX + "," + DATETIME + "," + CURSOR + properties(collection)));
+            paths.add(path(path + "/items/{featureId}", "One feature of " + collection.id(), ID));
         }
-        var to = new StringBuilder("{\"openapi\":\"3.0.3\",\"info\":{\"title\":");
-        Json.quote(to, config.title());
-        to.append(",\"version\":\"1.0\"},\"servers\":[{\"url\":");
-        Json.quote(to, base);
-        return to.append("}],\"paths\":{").append(String.join(",", paths)).append("}}").toString();
+        var text = new StringBuilder("{\"openapi\":\"3.0.3\",\"info\":{\"title\":");
+        Json.quote(text, config.title());
+        text.append(",\"version\":\"1.0\"},\"servers\":[{\"url\":");
+        Json.quote(text, base);
+        return text.append("}],\"paths\":{").append(String.join(",", paths)).append("}}").toString();
     }
 
-    private static String properties(OgcConfig.Collection c) {
-        var to = new StringBuilder();
-        c.properties().forEach(p -> to.append(',').append(parameter(p, "query", false, "\"type\":\"string\"")));
-        return to.toString();
+    private static String properties(OgcConfig.Collection collection) {
+        var text = new StringBuilder();
+        collection.properties().forEach(property -> text.append(',')
+                .append(parameter(property, "query", false, "\"type\":\"string\"")));
+        return text.toString();
     }
 
     private static String path(String path, String summary, String parameters) {
--- a/src/main/java/wallmoor/ogc/PooledConnection.java
+++ b/src/main/java/wallmoor/ogc/PooledConnection.java
@@ -8,27 +8,27 @@
 /**
  * A connection to a feature server, in use by an attempt or idle in the pool.
  *
- * @param socket    its socket
- * @param in        reads answers from it; null until it is connected
- * @param address   the server's, as the endpoint list had it when it was connected
- * @param idleSince when it was given back, by {@link System#nanoTime}
+ * @param socket    the connection's socket
+ * @param in        the reader of responses; null until the socket is connected
+ * @param address   the server's HOST:PORT, as the endpoint list had it at the connect
+ * @param idleSince when it became idle, by {@link System#nanoTime}
  */
 record PooledConnection(Socket socket, HttpReader in, String address, long idleSince) {
-    /** Idle for longer, and its server may be about to close it. */
+    /** After more idle time than this, the server may be about to close the connection. */
     private static final long MAX_IDLE_NANOS = 3_000_000_000L;
 
-    /** Whether its server may be about to close it. */
-    boolean isOld() {
+    /** Returns whether the connection was idle for too long, so that the server may be about to close it. */
+    boolean isExpired() {
         return System.nanoTime() - idleSince > MAX_IDLE_NANOS;
     }
 
-    /** Whether it is young enough and the server has not closed it meanwhile. */
-    boolean usable() {
+    /** Returns whether the connection has not expired and the server has not closed it. */
+    boolean isUsable() {
         try {
-            if (!isOld()) {
+            if (!isExpired()) {
                 in.await(1);
             }
-            return false; // too old, at its end, or with bytes that nobody asked for
+            return false; // expired, closed by the server, or with bytes that no request asked for
         } catch (SocketTimeoutException e) {
             return true;
         } catch (IOException e) {
@@ -40,7 +40,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // it is closed as far as it can be
+            // nothing more can be done to close it
         }
     }
 }
--- a/src/main/java/wallmoor/ogc/PruningReport.java
+++ b/src/main/java/wallmoor/ogc/PruningReport.java
@@ -7,8 +7,8 @@
 import wallmoor.rules.EffectiveRule;
 
 /**
- * What a page, and the log, tell of the servers that were left out: how many, and under which version of the agreement.
- * It decides nothing. All of it is empty where nobody is ever left out.
+ * Reports the pruning decision on a query in the page and in the log: how many shards were queried and pruned, and
+ * under which version of the agreed rule. It makes no decision itself. Without a decision, its texts are empty.
  */
 final class PruningReport {
     private static final Logger LOG = LoggerFactory.getLogger(PruningReport.class);
@@ -16,53 +16,54 @@
     private PruningReport() {}
 
     /**
-     * The page's own member. A feature collection may have members that GeoJSON does not know (RFC 7946, 6.1), and
-     * whoever keeps the page keeps them with it.
+     * Returns the page's member about pruning. A feature collection may have members that GeoJSON does not define
+     * (RFC 7946, 6.1), and a member is stored together with the page.
      */
-    static String member(SummaryLeases.PruningDecision cuts) {
-        if (cuts == null) {
+    static String member(SummaryLeases.PruningDecision pruning) {
+        if (pruning == null) {
             return "";
         }
-        var to = new StringBuilder(",\"pruning\":{\"asked\":").append(cuts.decision().ask().size())
-                .append(",\"pruned\":").append(cuts.decision().pruned().size());
-        EffectiveRule under = cuts.effectiveRule();
-        if (under != null) {
-            to.append(",\"version\":").append(under.activeVersion());
-            if (under.latestVersion() != under.activeVersion()) {
-                to.append(",\"to\":").append(under.latestVersion());
+        var text = new StringBuilder(",\"pruning\":{\"asked\":").append(pruning.decision().ask().size())
+                .append(",\"pruned\":").append(pruning.decision().pruned().size());
+        EffectiveRule rule = pruning.effectiveRule();
+        if (rule != null) {
+            text.append(",\"version\":").append(rule.activeVersion());
+            if (rule.latestVersion() != rule.activeVersion()) {
+                text.append(",\"to\":").append(rule.latestVersion());
             }
-            to.append(",\"basis\":\"").append(basis(under)).append('"');
+            text.append(",\"basis\":\"").append(basis(rule)).append('"');
         }
-        return to.append('}').toString();
+        return text.append('}').toString();
     }
 
     /**
-     * The same version as a header: what is not a page names it too (HEAD, a refusal), and whoever stands between need
-     * not read a body. A structured dictionary (RFC 9651), so that other documents find room beside it. A link would
-     * not do: relations of versions (RFC 5829) are about the resource itself.
+     * Returns the rule's version as a header line, since a response without a page has it too (HEAD, a failure), and
+     * intermediaries need not parse a body. The header is a structured dictionary (RFC 9651), so that versions of other
+     * documents can be added. A link is not suitable: version relations (RFC 5829) are about the resource itself.
      */
-    static String header(SummaryLeases.PruningDecision cuts) {
-        EffectiveRule under = cuts == null ? null : cuts.effectiveRule();
-        return under == null ? "" : "Wallmoor-Rules: summaries=" + under.activeVersion()
-                + (under.latestVersion() == under.activeVersion() ? "" : ";to=" + under.latestVersion()) + ";basis="
-                + basis(under) + "\r\n";
+    static String header(SummaryLeases.PruningDecision pruning) {
+        EffectiveRule rule = pruning == null ? null : pruning.effectiveRule();
+        return rule == null ? "" : "Wallmoor-Rules: summaries=" + rule.activeVersion()
+                + (rule.latestVersion() == rule.activeVersion() ? "" : ";to=" + rule.latestVersion()) + ";basis="
+                + basis(rule) + "\r\n";
     }
 
-    /** A line for each query, where somebody asks for it. */
-    static void log(String query, String collection, int status, SummaryLeases.PruningDecision cuts) {
-        if (cuts != null && LOG.isDebugEnabled()) {
-            LOG.debug("query {} of {}: {}, asked {}, left out {}, by {}", query, collection, status,
-                    cuts.decision().ask().size(), cuts.decision().pruned().size(), by(cuts.effectiveRule()));
+    /** Logs the decision on a query, at debug level. */
+    static void log(String queryId, String collection, int status, SummaryLeases.PruningDecision pruning) {
+        if (pruning != null && LOG.isDebugEnabled()) {
+            LOG.debug("items query finished: id={} collection={} status={} queried={} pruned={} {}", queryId,
+                    collection, status, pruning.decision().ask().size(), pruning.decision().pruned().size(),
+                    ruleFields(pruning.effectiveRule()));
         }
     }
 
-    private static String by(EffectiveRule under) {
-        return under == null ? "the operators' file" : "summaries " + under.activeVersion()
-                + (under.latestVersion() == under.activeVersion() ? "" : " to " + under.latestVersion()) + " ("
-                + basis(under) + ")";
+    private static String ruleFields(EffectiveRule rule) {
+        return rule == null ? "source=operator-file" : "source=agreement activeVersion=" + rule.activeVersion()
+                + (rule.latestVersion() == rule.activeVersion() ? "" : " latestVersion=" + rule.latestVersion())
+                + " basis=" + basis(rule);
     }
 
-    private static String basis(EffectiveRule under) {
-        return under.basis().name().toLowerCase(Locale.ROOT);
+    private static String basis(EffectiveRule rule) {
+        return rule.basis().name().toLowerCase(Locale.ROOT);
     }
 }
--- a/src/main/java/wallmoor/ogc/ResourceRouter.java
+++ b/src/main/java/wallmoor/ogc/ResourceRouter.java
@@ -7,7 +7,7 @@
 import wallmoor.http.HttpMessage;
 import wallmoor.http.HttpProtocolException;
 
-/** Finds the resource that a request's path names, and has it answered. */
+/** Routes a request to the resource that its path names. */
 final class ResourceRouter {
     private final OgcConfig config;
     private final ItemsHandler items;
@@ -19,7 +19,7 @@
         this.features = features;
     }
 
-    /** Answers a request; one that is malformed or names no resource gets an exception document. */
+    /** Answers a request, with an exception document if it is malformed or names no resource. */
     void handle(HttpMessage request, HttpExchange exchange)
             throws IOException, HttpProtocolException, InterruptedException {
         try {
@@ -76,10 +76,10 @@
             throw noSuchResource();
         }
         if (segments.length == 4) {
-            items.answer(exchange, request, collection, base);
+            items.handle(exchange, request, collection, base);
         } else if (segments.length == 5 && !segments[4].isEmpty()) {
             ItemsParameters.requireNone(request.target());
-            features.answer(exchange, request, collection, segments[4], base);
+            features.handle(exchange, request, collection, segments[4], base);
         } else {
             throw noSuchResource();
         }
@@ -89,7 +89,7 @@
         return new HttpProtocolException(404, "no such resource");
     }
 
-    /** What links begin with: the operators' base, or else the host that the client named. */
+    /** Returns the prefix of all links: the configured base URL, or else the host that the client requested. */
     private String baseUrl(HttpMessage request) throws HttpProtocolException {
         if (config.base() != null) {
             return config.base();
--- a/src/main/java/wallmoor/ogc/ShardPageReader.java
+++ b/src/main/java/wallmoor/ogc/ShardPageReader.java
@@ -12,15 +12,15 @@
 import wallmoor.json.Json;
 
 /**
- * Reads all upstream pages of one part, one after another. The part counts only when all of them are in; a later page
- * that fails may not pass for a part that never ran.
+ * Reads all upstream pages of one part, one after another. The part succeeds only when all of them were read. If a
+ * later page fails, the part may have run already, so it is not reported as rejected or not sent.
  */
 final class ShardPageReader {
-    /** Upstream pages of one part at most: what a server has beyond them is for the client's next page. */
+    /** The maximum number of upstream pages of one part; features beyond them are for the client's next page. */
     private static final int MAX_PAGES = 64;
-    /** Features asked for at once: a page must fit the longest body. */
+    /** The maximum number of features per request, as an upstream page must fit the maximum body size. */
     private static final int MAX_FEATURES_PER_REQUEST = 50;
-    /** A page that was too long is asked for again with a limit so many times smaller. */
+    /** A page that was too long is requested again with the limit divided by this. */
     private static final int LIMIT_DIVISOR = 4;
 
     private final Attempt attempt;
@@ -28,9 +28,9 @@
     private final FeatureQuery query;
     private final List<byte[]> features = new ArrayList<>();
     private int featureBytes;
-    /** Features asked for at once; smaller after a page that was too long. */
+    /** The number of features per request; smaller after a page that was too long. */
     private int limit;
-    /** The version of its data that the server told with its last page, or null. */
+    /** The version of the server's data as its last response had it, or null. */
     private String dataVersion;
 
     ShardPageReader(Attempt attempt, FetchConnection connection, FeatureQuery query) {
@@ -40,7 +40,7 @@
         limit = Math.min(MAX_FEATURES_PER_REQUEST, query.maxFeatures());
     }
 
-    /** Reads the shard's part of a page, or the one feature that the query names. */
+    /** Reads the shard's share of a page, or the one feature that the query requests. */
     FeatureQuery.ShardFeatures read() throws IOException, HttpProtocolException, Json.Malformed,
             ServerRejectedException, SendNotPermittedException {
         return query.featureId() != null ? readFeature() : readPages();
@@ -48,25 +48,25 @@
 
     private FeatureQuery.ShardFeatures readFeature() throws IOException, HttpProtocolException, Json.Malformed,
             ServerRejectedException, SendNotPermittedException {
-        HttpMessage answer = get(query.collection().items(attempt.shard()) + "/" + query.featureId());
-        if (answer.status() != 404) {
-            ByteSlice body = answer.body();
+        HttpMessage response = get(query.collection().items(attempt.shard()) + "/" + query.featureId());
+        if (response.status() != 404) {
+            ByteSlice body = response.body();
             addFeature(Json.object(body.buffer(), body.from(), body.length()), body);
         }
-        return share(1, false);
+        return result(1, false);
     }
 
     private FeatureQuery.ShardFeatures readPages() throws IOException, HttpProtocolException, Json.Malformed,
             ServerRejectedException, SendNotPermittedException {
         int offset = query.offsets().get(attempt.shard());
-        String target = target(offset);
+        String target = pageTarget(offset);
         for (int page = 0; page < MAX_PAGES; page++) {
             ByteSlice body;
             try {
                 body = get(target).body();
             } catch (HttpProtocolException e) {
                 reduceLimit(e);
-                target = target(offset + features.size());
+                target = pageTarget(offset + features.size());
                 continue;
             }
             Json.Obj json = Json.object(body.buffer(), body.from(), body.length());
@@ -74,24 +74,24 @@
             String next = nextLink(json);
             if (next == null || features.size() >= query.maxFeatures()
                     || featureBytes > ItemsPage.MAX_FEATURES_BYTES) {
-                return share(query.maxFeatures(), next != null);
+                return result(query.maxFeatures(), next != null);
             }
             target = resolveOnThisServer(next, target);
         }
         if (features.isEmpty()) {
-            throw new HttpProtocolException(502, "pages without end");
+            throw new HttpProtocolException(502, "no features in the first " + MAX_PAGES + " pages");
         }
-        return share(query.maxFeatures(), true);
+        return result(query.maxFeatures(), true);
     }
 
     private HttpMessage get(String target) throws IOException, HttpProtocolException, ServerRejectedException,
             SendNotPermittedException {
-        HttpMessage answer = connection.get(target);
-        dataVersion = answer.header("Wallmoor-Data");
-        return answer;
+        HttpMessage response = connection.get(target);
+        dataVersion = response.header("Wallmoor-Data");
+        return response;
     }
 
-    /** So many features don't fit a body: fewer may. Any other failure ends the part. */
+    /** Reduces the limit if a page was too long for a body. Rethrows any other failure, which ends the part. */
     private void reduceLimit(HttpProtocolException failure) throws HttpProtocolException {
         if (failure.status() != 413 || limit == 1 || !query.idempotent()) {
             throw failure;
@@ -100,17 +100,18 @@
         connection.reconnectBeforeNextRequest();
     }
 
-    private String target(int offset) {
-        return query.collection().items(attempt.shard()) + "?limit=" + limit + "&offset=" + offset + query.query();
+    private String pageTarget(int offset) {
+        return query.collection().items(attempt.shard()) + "?limit=" + limit + "&offset=" + offset
+                + query.filterQuery();
     }
 
     private void addFeatures(Json.Obj page, ByteSlice body) throws HttpProtocolException {
         if (!"FeatureCollection".equals(page.text("type")) || page.list("features") == null) {
-            throw new HttpProtocolException(502, "no FeatureCollection");
+            throw new HttpProtocolException(502, "page is not a FeatureCollection with a list of features");
         }
         for (Object item : page.list("features")) {
             if (!(item instanceof Json.Obj feature)) {
-                throw new HttpProtocolException(502, "no Feature");
+                throw new HttpProtocolException(502, "features contains an item that is not an object");
             }
             addFeature(feature, body);
         }
@@ -118,29 +119,29 @@
 
     private void addFeature(Json.Obj feature, ByteSlice body) throws HttpProtocolException {
         if (!"Feature".equals(feature.text("type")) || !feature.members().containsKey("geometry")) {
-            throw new HttpProtocolException(502, "no Feature");
+            throw new HttpProtocolException(502, "item is not a Feature with a geometry");
         }
         features.add(Arrays.copyOfRange(body.buffer(), feature.start(), feature.end()));
         featureBytes += feature.end() - feature.start();
     }
 
-    /** At most the features wanted; those beyond are still to come. */
-    private FeatureQuery.ShardFeatures share(int wanted, boolean more) {
-        return FeatureQuery.ShardFeatures.of(more || features.size() > wanted,
-                features.subList(0, Math.min(features.size(), wanted)), attempt.worker().id(), dataVersion);
+    /** Creates the part's result with at most this many features; if some are left over, it has more. */
+    private FeatureQuery.ShardFeatures result(int maxFeatures, boolean hasMore) {
+        return FeatureQuery.ShardFeatures.of(hasMore || features.size() > maxFeatures,
+                features.subList(0, Math.min(features.size(), maxFeatures)), attempt.worker().id(), dataVersion);
     }
 
-    /** Pages of a part belong to its attempt: a link to another machine is not followed. */
-    private String resolveOnThisServer(String next, String from) throws HttpProtocolException {
+    /** Resolves a link to the next page. All pages of a part come from its attempt's server, so others are rejected. */
+    private String resolveOnThisServer(String next, String currentTarget) throws HttpProtocolException {
         try {
-            URI uri = URI.create("http://" + attempt.worker().address() + from).resolve(next);
-            boolean here = attempt.worker().address().equals(uri.getRawAuthority());
-            if (!here || uri.getRawPath() == null || uri.getRawPath().isEmpty()) {
-                throw new HttpProtocolException(502, "next page on another server");
+            URI uri = URI.create("http://" + attempt.worker().address() + currentTarget).resolve(next);
+            boolean isSameServer = attempt.worker().address().equals(uri.getRawAuthority());
+            if (!isSameServer || uri.getRawPath() == null || uri.getRawPath().isEmpty()) {
+                throw new HttpProtocolException(502, "link to the next page is for another server: " + next);
             }
             return uri.getRawPath() + (uri.getRawQuery() == null ? "" : "?" + uri.getRawQuery());
         } catch (IllegalArgumentException e) {
-            throw new HttpProtocolException(502, "malformed link");
+            throw new HttpProtocolException(502, "link to the next page is malformed: " + next);
         }
     }
 
--- a/src/main/java/wallmoor/ogc/package-info.java
+++ b/src/main/java/wallmoor/ogc/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The second front, OGC API - Features, and the client of the feature servers behind it.
+ * The front for OGC API - Features, and the client for the feature servers behind it.
  */
 package wallmoor.ogc;
--- a/src/test/java/wallmoor/net/AgreedPruningTest.java
+++ b/src/test/java/wallmoor/net/AgreedPruningTest.java
@@ -221,6 +221,7 @@
         fleet.processes[0].destroyForcibly().onExit().join(); // of a site that is asked
         String failed = head("GET");
         assertTrue(failed, failed.startsWith("HTTP/1.1 50") && failed.contains("\r\nWallmoor-Rules: summaries=3;"));
-        assertTrue("its line names it", group.all.get(0).hasLogged("left out 0, by summaries 0 (none)"));
+        assertTrue("its line names it",
+                group.all.get(0).hasLogged("pruned=0 source=agreement activeVersion=0 basis=none"));
     }
 }
--- a/src/test/java/wallmoor/ogc/FetchPermissionTest.java
+++ b/src/test/java/wallmoor/ogc/FetchPermissionTest.java
@@ -28,7 +28,10 @@
 import wallmoor.core.Step;
 import wallmoor.core.WorkerEndpoint;
 
-/** What happens between the hand-over of an attempt and its first request decides whether a feature server is asked. */
+/**
+ * Tests that an attempt's first request is sent only if the attempt is still permitted then: a disconnect, a drain or a
+ * deadline may come between the start of an attempt and its first request.
+ */
 public class FetchPermissionTest {
     private static final String SETTINGS = "Classes.count=1 Classes.0.Aim=1000000 Classes.0.GiveUp=2000000"
             + " Classes.0.Repeat=free Classes.0.Worth=1 Classes.0.LateWorth=0.1 Domain.NeedByClass=1"
@@ -50,21 +53,21 @@
         server.setSoTimeout(15_000);
     }
 
-    private WorkerEndpoint member(int port, WorkerEndpoint.EndpointState state) {
+    private WorkerEndpoint endpoint(int port, WorkerEndpoint.EndpointState state) {
         return new WorkerEndpoint("a", "127.0.0.1:" + port, 0, 0, 0, state, 1, 0);
     }
 
     @Before
-    public void handOver() throws Exception {
+    public void openQuery() throws Exception {
         var pairs = new HashMap<String, String>();
         for (String pair : SETTINGS.split(" ")) {
             pairs.put(pair.split("=")[0], pair.split("=")[1]);
         }
         gatherer = new Gatherer(new SettingsReader(pairs).settings(), 7, clock::get, NOPLogger.NOP_LOGGER);
-        gatherer.control().start(List.of(member(server.getLocalPort(), WorkerEndpoint.EndpointState.SERVING)));
-        var of = new OgcConfig.Collection("c", "c", "c", "c-{shard}", 0, List.of(0), List.of());
+        gatherer.control().start(List.of(endpoint(server.getLocalPort(), WorkerEndpoint.EndpointState.SERVING)));
+        var collection = new OgcConfig.Collection("c", "c", "c", "c-{shard}", 0, List.of(0), List.of());
         query = gatherer.open("q", 0, clock.get() + 2_000_000, false, List.of(new Query.PartRequest(0, 1, -1)),
-                new FeatureQuery(of, "", null, 10, Map.of(0, 0), true));
+                new FeatureQuery(collection, "", null, 10, Map.of(0, 0), true));
         send = (Step.Send) gatherer.awaitStep(query);
     }
 
@@ -74,70 +77,71 @@
         server.close();
     }
 
-    private Future<PooledConnection> fetch() {
+    private Future<PooledConnection> startFetch() {
         return threads.submit(() -> new FeatureFetch(send.attempts().get(0), gatherer, 5_000).run(null));
     }
 
-    /** What came on a connection before its end. */
-    private static String all(Socket peer) throws Exception {
+    /** Returns all that was received on a connection until it was closed. */
+    private static String receiveAll(Socket peer) throws Exception {
         peer.setSoTimeout(15_000);
         return new String(peer.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
     @Test
-    public void aClientThatLeavesBeforeTheFirstRequestIsNotAskedFor() throws Exception {
+    public void sendsNothingIfTheClientDisconnectsBeforeTheFirstRequest() throws Exception {
         gatherer.clientDisconnected(query);
-        Future<PooledConnection> fetch = fetch();
-        assertEquals("", all(server.accept()));
+        Future<PooledConnection> fetch = startFetch();
+        assertEquals("", receiveAll(server.accept()));
         fetch.get(15, TimeUnit.SECONDS);
         assertTrue(gatherer.awaitStep(query) instanceof Step.ClientGone);
     }
 
     @Test
-    public void aClientThatLeavesAfterTheFirstRequestHasItCalledOff() throws Exception {
+    public void closesTheConnectionIfTheClientDisconnectsAfterTheFirstRequest() throws Exception {
         var fetch = new FeatureFetch(send.attempts().get(0), gatherer, 5_000);
         Future<PooledConnection> run = threads.submit(() -> fetch.run(null));
         Socket peer = server.accept();
         assertEquals('G', peer.getInputStream().read());
         gatherer.clientDisconnected(query);
         fetch.cancel(((Step.Cancel) gatherer.awaitStep(query)).outcome());
-        assertTrue("its connection is closed", all(peer).startsWith("ET /collections/c-0/items"));
+        assertTrue("the connection is closed", receiveAll(peer).startsWith("ET /collections/c-0/items"));
         run.get(15, TimeUnit.SECONDS);
         assertTrue(gatherer.awaitStep(query) instanceof Step.ClientGone);
     }
 
     @Test
-    public void aDrainThatIsToldBeforeTheFirstRequestHolds() throws Exception {
+    public void sendsNothingIfTheEndpointDrainsBeforeTheFirstRequest() throws Exception {
         gatherer.control().updateEndpoints(false,
-                List.of(member(server.getLocalPort(), WorkerEndpoint.EndpointState.DRAINING)));
-        Future<PooledConnection> fetch = fetch();
-        assertEquals("", all(server.accept()));
+                List.of(endpoint(server.getLocalPort(), WorkerEndpoint.EndpointState.DRAINING)));
+        Future<PooledConnection> fetch = startFetch();
+        assertEquals("", receiveAll(server.accept()));
         fetch.get(15, TimeUnit.SECONDS);
     }
 
     @Test
-    public void anAttemptWhoseTimeIsOverBeforeTheFirstRequestDoesNotBegin() throws Exception {
+    public void sendsNothingIfTheDeadlinePassesBeforeTheFirstRequest() throws Exception {
         clock.addAndGet(2_000_000);
-        fetch().get(15, TimeUnit.SECONDS);
+        startFetch().get(15, TimeUnit.SECONDS);
         server.setSoTimeout(100);
         try {
-            assertEquals("", all(server.accept()));
+            assertEquals("", receiveAll(server.accept()));
         } catch (SocketTimeoutException e) {
-            // its connect took longer than the millisecond that it is given then: nothing was asked either
+            // the connect took longer than its timeout, which is 1 ms then: no request was sent either
         }
     }
 
     @Test
-    public void oneThatIsPermittedIsServed() throws Exception {
-        Future<PooledConnection> fetch = fetch();
+    public void servesAPermittedAttemptAndReturnsItsConnection() throws Exception {
+        Future<PooledConnection> fetch = startFetch();
         Socket peer = server.accept();
-        var seen = new ArrayList<Integer>();
-        while (seen.size() < 4 || !seen.subList(seen.size() - 4, seen.size()).equals(List.of(13, 10, 13, 10))) {
-            seen.add(peer.getInputStream().read());
+        var received = new ArrayList<Integer>();
+        while (received.size() < 4
+                || !received.subList(received.size() - 4, received.size()).equals(List.of(13, 10, 13, 10))) {
+            received.add(peer.getInputStream().read());
         }
         peer.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Type: application/geo+json\r\nContent-Length: "
                 + PAGE.length() + "\r\n\r\n" + PAGE).getBytes(StandardCharsets.ISO_8859_1));
-        assertTrue("the connection is kept", fetch.get(15, TimeUnit.SECONDS) != null);
+        assertTrue("the connection is reusable", fetch.get(15, TimeUnit.SECONDS) != null);
         assertTrue(gatherer.awaitStep(query) instanceof Step.Answer);
     }
 }
