--- a/src/main/java/wallmoor/cli/ResolveCommand.java
+++ b/src/main/java/wallmoor/cli/ResolveCommand.java
@@ -54,7 +54,7 @@
         if (result instanceof ServiceLookup.Resolved resolved) {
             resolved.faults().forEach(f -> System.err.println("wallmoor: " + f));
             if (resolved.targets().isEmpty()) {
-                System.err.println("wallmoor: " + name + ": no target has a usable address");
+                System.err.println("wallmoor: " + name + ": no usable target");
                 return NO_ANSWER;
             }
             resolved.targets().stream().sorted(Comparator.comparingInt(ServiceTarget::priority)
