--- a/src/main/java/wallmoor/discovery/DiscoveryCall.java
+++ b/src/main/java/wallmoor/discovery/DiscoveryCall.java
@@ -34,7 +34,7 @@
         socket.setTcpNoDelay(true);
         socket.connect(target.address(), tracker.remainingMillis());
         var in = new HttpReader(socket);
-        in.takeBodiesOf(MAX_OBJECT_BYTES);
+        in.setMaxBodyBytes(MAX_OBJECT_BYTES);
         if (target.needsFullList()) {
             receiver.onFullList(request(in, LIST_PATH, true).body());
         }
--- a/src/main/java/wallmoor/edge/http/EdgeHttp.java
+++ b/src/main/java/wallmoor/edge/http/EdgeHttp.java
@@ -72,7 +72,7 @@
     /** Takes what still comes for so long, then answers all of it. */
     public void leave(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
         Thread.sleep(handOverMillis);
-        server.leave();
+        server.closeAfterAnswers();
         server.finish(finishMillis);
     }
 
@@ -132,7 +132,8 @@
             }
             sent = whole.body();
         }
-        byte[] body = ContentCoding.ofContent(request.header("Content-Encoding")).unpack(sent, HttpReader.MOST_BODY);
+        byte[] body = ContentCoding.ofContent(request.header("Content-Encoding")).unpack(sent,
+                HttpReader.MAX_BODY_BYTES);
         EdgeRequest ask;
         try {
             ask = EdgeRequest.of(body, launch.get());
@@ -191,7 +192,7 @@
         try {
             CompletableFuture<StoredOutcome> out = queries.await(asked);
             var gone = new CompletableFuture<StoredOutcome>();
-            exchange.whenGone(() -> gone.complete(null));
+            exchange.whenClientDisconnects(() -> gone.complete(null));
             Object first = CompletableFuture.anyOf(out, gone).get(wait, TimeUnit.SECONDS);
             outcome = (StoredOutcome) first;
             if (first == null && !out.isDone()) {
--- a/src/main/java/wallmoor/http/HttpExchange.java
+++ b/src/main/java/wallmoor/http/HttpExchange.java
@@ -20,7 +20,7 @@
         this.server = server;
         this.connection = connection;
         withBody = request == null || !request.method().equals("HEAD");
-        keepAlive = request != null && request.keep() && !server.leaving();
+        keepAlive = request != null && request.keepAlive() && !server.leaving();
     }
 
     static byte[] plain(String text) {
@@ -72,7 +72,7 @@
     }
 
     /** This request was no client's work: a health check, or a path that there is not. */
-    public void notWork() {
+    public void markNotClientWork() {
         isWork = false;
     }
 
@@ -81,12 +81,12 @@
     }
 
     /** Whether the client has left: nothing need be begun for it. */
-    public synchronized boolean clientHasGone() {
+    public synchronized boolean hasClientDisconnected() {
         return clientGone;
     }
 
     /** Runs this once if the client leaves before the answer; at once if it has left. */
-    public void whenGone(Runnable action) {
+    public void whenClientDisconnects(Runnable action) {
         synchronized (this) {
             if (!clientGone) {
                 onClientGone = action;
--- a/src/main/java/wallmoor/http/HttpMessage.java
+++ b/src/main/java/wallmoor/http/HttpMessage.java
@@ -9,11 +9,11 @@
  * @param target   the request's, or the empty text
  * @param status   the answer's, or 0
  * @param headers  names and values in turn, as they came
- * @param keep     whether the connection may carry another message after this one
- * @param begunAt  {@link System#nanoTime} at which its first byte was read
+ * @param keepAlive whether the connection may carry another message after this one
+ * @param firstByteAt  {@link System#nanoTime} at which its first byte was read
  */
-public record HttpMessage(String method, String target, int status, List<String> headers, ByteSlice body, boolean keep,
-        long begunAt) {
+public record HttpMessage(String method, String target, int status, List<String> headers, ByteSlice body,
+        boolean keepAlive, long firstByteAt) {
 
     /** The value of a header, or null. */
     public String header(String name) {
--- a/src/main/java/wallmoor/http/HttpReader.java
+++ b/src/main/java/wallmoor/http/HttpReader.java
@@ -19,7 +19,7 @@
  */
 public final class HttpReader {
     /** The longest body that is taken. */
-    public static final int MOST_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
     private static final int MOST_HEAD = 16 * 1024;
     private static final int MOST_HEADERS = 64;
     private static final int FIRST_SIZE = 2048;
@@ -51,7 +51,7 @@
     private boolean chunkBegun;
     /** What is left of a body that is read in parts and has a length. */
     private int bodyLeft;
-    private int mostBody = MOST_BODY;
+    private int mostBody = MAX_BODY_BYTES;
 
     /** Reads from this connection. */
     public HttpReader(Socket socket) throws IOException {
@@ -72,8 +72,9 @@
         return at < end;
     }
 
-    /** Bodies of so many bytes are taken from here on, where the peer is trusted with more than {@link #MOST_BODY}. */
-    public void takeBodiesOf(int most) {
+    /** Bodies of so many bytes are taken from here on, where the peer is trusted with more than
+     * {@link #MAX_BODY_BYTES}. */
+    public void setMaxBodyBytes(int most) {
         mostBody = most;
     }
 
--- a/src/main/java/wallmoor/http/Server.java
+++ b/src/main/java/wallmoor/http/Server.java
@@ -99,12 +99,12 @@
      * From now on connections between requests stay for as long as they may: nobody connects here any more, and whoever
      * has a connection sends on it. One that is closed now costs its client that request, not a handshake.
      */
-    public void stay() {
+    public void keepIdleConnections() {
         staying = true;
     }
 
     /** From now on each answer asks its client to leave, so that idle connections run dry. */
-    public void leave() {
+    public void closeAfterAnswers() {
         leaving = true;
     }
 
@@ -114,7 +114,7 @@
     }
 
     /** From now on it holds so many connections at most; more that there are may stay until they rest. */
-    public void limit(int most) {
+    public void setMaxConnections(int most) {
         mostConnections = most;
     }
 
--- a/src/main/java/wallmoor/ogc/FeatureQueryRunner.java
+++ b/src/main/java/wallmoor/ogc/FeatureQueryRunner.java
@@ -59,12 +59,12 @@
     Step.FinalStep run(HttpExchange exchange, HttpMessage request, String id, List<Integer> shards,
             FeatureQuery query) throws InterruptedException {
         int queryClass = query.collection().queryClass();
-        long deadline = clock.fromNanoTime(request.begunAt()) + settings.classes().get(queryClass).clientTimeout()
+        long deadline = clock.fromNanoTime(request.firstByteAt()) + settings.classes().get(queryClass).clientTimeout()
                 - RESPONSE_RESERVE_MICROS;
         var parts = new ArrayList<Query.PartRequest>();
         shards.forEach(shard -> parts.add(new Query.PartRequest(shard, 1.0 / shards.size(), -1)));
         Query opened = gatherer.open(id, queryClass, deadline, false, parts, query);
-        exchange.whenGone(() -> gatherer.clientDisconnected(opened));
+        exchange.whenClientDisconnects(() -> gatherer.clientDisconnected(opened));
         return gatherer.run(opened, transport);
     }
 }
--- a/src/main/java/wallmoor/ogc/FeaturesFront.java
+++ b/src/main/java/wallmoor/ogc/FeaturesFront.java
@@ -93,7 +93,7 @@
      * @param finishMillis   how long accepted requests may take after that, in milliseconds
      */
     public void shutDown(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
-        server.leave();
+        server.closeAfterAnswers();
         Thread.sleep(handOverMillis);
         server.finish(finishMillis);
         if (summaryLeases != null) {
--- a/src/main/java/wallmoor/ogc/FetchConnection.java
+++ b/src/main/java/wallmoor/ogc/FetchConnection.java
@@ -115,7 +115,7 @@
         }
         HttpMessage answer = connection.in().answer(timeoutMillis, true);
         requireStatus(answer.status(), first, target);
-        ended = !answer.keep();
+        ended = !answer.keepAlive();
         return answer;
     }
 
--- a/src/main/java/wallmoor/ogc/ItemsPage.java
+++ b/src/main/java/wallmoor/ogc/ItemsPage.java
@@ -20,7 +20,7 @@
  */
 final class ItemsPage {
     /** Features of a page at most, in bytes: the longest body, but for room for what stands round the features. */
-    static final int MAX_FEATURES_BYTES = HttpReader.MOST_BODY - 8 * 1024;
+    static final int MAX_FEATURES_BYTES = HttpReader.MAX_BODY_BYTES - 8 * 1024;
     /** A guess at what stands round the features, in bytes. */
     private static final int ENVELOPE_BYTES = 1024;
 
--- a/src/main/java/wallmoor/operator/OperatorServer.java
+++ b/src/main/java/wallmoor/operator/OperatorServer.java
@@ -58,7 +58,7 @@
         this.register = register;
         server = new Server("operator", at, maxCallers, maxCallers, ConnectionTimeouts.OPERATORS, this::handle,
                 log::info);
-        server.leave(); // each answer ends its connection
+        server.closeAfterAnswers(); // each answer ends its connection
         synchronizer = new BanSynchronizer(controls, register, file, clock);
     }
 
--- a/src/main/java/wallmoor/platform/PlatformFront.java
+++ b/src/main/java/wallmoor/platform/PlatformFront.java
@@ -92,7 +92,7 @@
 
     /** So many processes share the connections that this gatherer may hold. */
     public void setProcessCount(int processes) {
-        server.limit(Math.max(1, launch.mostClients() / processes));
+        server.setMaxConnections(Math.max(1, launch.mostClients() / processes));
     }
 
     /** Whether the platform may send clients here. */
@@ -108,12 +108,12 @@
         lastAnswerAt = clock.getAsLong() + TimeUnit.MILLISECONDS.toMicros(handOverMillis + finishMillis);
         if (launch.inherited()) { // another process takes what connects; with each answer a client moves over to it
             server.stopAccepting();
-            server.leave();
+            server.closeAfterAnswers();
         } else {
-            server.stay();
+            server.keepIdleConnections();
         }
         Thread.sleep(handOverMillis);
-        server.leave();
+        server.closeAfterAnswers();
         server.finish(finishMillis);
         int unanswered = gatherer.openQueries();
         if (unanswered > 0) {
@@ -127,7 +127,7 @@
             throws IOException, HttpProtocolException, InterruptedException {
         String path = request.target().split("\\?", 2)[0];
         if (!path.equals(QUERY_PATH)) {
-            exchange.notWork();
+            exchange.markNotClientWork();
         }
         switch (path) {
             case READY_PATH -> readiness(request, exchange);
@@ -152,11 +152,11 @@
 
     private void query(HttpMessage request, HttpExchange exchange)
             throws IOException, HttpProtocolException, InterruptedException {
-        if (exchange.clientHasGone()) {
+        if (exchange.hasClientDisconnected()) {
             return; // nobody waits for it: nothing is forwarded
         }
         Query query = open(request);
-        exchange.whenGone(() -> gatherer.clientDisconnected(query));
+        exchange.whenClientDisconnects(() -> gatherer.clientDisconnected(query));
         QueryResponses.answer(exchange, gatherer.run(query, workers));
     }
 
@@ -171,7 +171,8 @@
         }
         long timeout = Math.min(QueryHeaders.timeoutMicros(request.header("X-Deadline")),
                 inForce.settings().classes().get(queryClass).clientTimeout());
-        long deadline = Math.min(clock.fromNanoTime(request.begunAt()) + timeout, lastAnswerAt) - WIRE_MARGIN_MICROS;
+        long deadline = Math.min(clock.fromNanoTime(request.firstByteAt()) + timeout, lastAnswerAt)
+                - WIRE_MARGIN_MICROS;
         boolean retry = "1".equals(request.header("X-Retry"));
         Query query = gatherer.open(id, queryClass, deadline, retry, parts(body),
                 asked.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/wallmoor/pruning/SiteClient.java
+++ b/src/main/java/wallmoor/pruning/SiteClient.java
@@ -93,7 +93,7 @@
             InetSocketAddress to = LaunchConfig.address("address", address);
             socket.connect(to, CONNECT_MILLIS);
             in = new HttpReader(socket);
-            in.takeBodiesOf(Math.max(mostBytes, MAX_WIDENINGS_BYTES));
+            in.setMaxBodyBytes(Math.max(mostBytes, MAX_WIDENINGS_BYTES));
         }
         if (json == null) {
             HttpWriter.get(socket.getOutputStream(), address, target, "Cache-Control: no-store\r\n");
@@ -109,7 +109,7 @@
             if (answer.status() != 200) {
                 throw new HttpProtocolException(502, "status " + answer.status());
             }
-            reusable = answer.keep();
+            reusable = answer.keepAlive();
             return answer;
         } catch (java.net.SocketTimeoutException e) {
             throw new HttpProtocolException(504, "no answer within " + ANSWER_MILLIS + " ms");
--- a/src/test/java/wallmoor/http/ConnectionCrossingsTest.java
+++ b/src/test/java/wallmoor/http/ConnectionCrossingsTest.java
@@ -38,7 +38,7 @@
         server = new Server("test", ConnectionAcceptor.at(null), 4, 4, ConnectionTimeouts.SHORT,
                 (request, exchange) -> {
                     handled.incrementAndGet();
-                    leftBefore.addAndGet(exchange.clientHasGone() ? 1 : 0);
+                    leftBefore.addAndGet(exchange.hasClientDisconnected() ? 1 : 0);
                     exchange.answer(200, "", new byte[0]);
                 }, line -> happened.add("failed " + line));
         connection = new Connection(server, new RecordingWire());
--- a/src/test/java/wallmoor/http/ServerCrossingsTest.java
+++ b/src/test/java/wallmoor/http/ServerCrossingsTest.java
@@ -45,11 +45,11 @@
     /** Answers, but what is asked for as /held only once the test lets it go or its client has left. */
     private void handle(HttpMessage request, HttpExchange exchange) throws IOException, InterruptedException {
         String target = request.target();
-        begun.add((exchange.clientHasGone() ? "gone " : "") + target);
+        begun.add((exchange.hasClientDisconnected() ? "gone " : "") + target);
         if (target.equals("/held")) {
             heldAt.set(System.nanoTime());
             var gone = new CountDownLatch(1);
-            exchange.whenGone(() -> {
+            exchange.whenClientDisconnects(() -> {
                 left.add(target);
                 gone.countDown();
             });
@@ -60,7 +60,7 @@
                 return;
             }
         } else {
-            nextCameAt.set(request.begunAt());
+            nextCameAt.set(request.firstByteAt());
         }
         exchange.answer(200, "", target.getBytes(StandardCharsets.ISO_8859_1));
     }
