--- a/src/main/java/wallmoor/frames/AnswerFrame.java
+++ b/src/main/java/wallmoor/frames/AnswerFrame.java
@@ -6,33 +6,39 @@
 import wallmoor.http.ByteSlice;
 
 /**
- * What a worker says became of a part.
+ * A worker's answer to one part.
  *
- * @param value null unless it was served
+ * @param part    the id of the part
+ * @param outcome the result that the worker reports for the part
+ * @param value   the value of the part; null unless the outcome is {@link AttemptOutcome#SERVED}
  */
 record AnswerFrame(String part, AttemptOutcome outcome, byte[] value) {
-    private static final int FIELDS = 4;
+    private static final int MIN_FIELDS = 4;
 
-    /** Reads a frame of letter A: a line {@code ID END SCORE REPORT}, then the value. Null if it is none. */
-    static AnswerFrame of(ByteSlice frame) {
+    /**
+     * Parses a frame of type A: a line {@code ID END SCORE REPORT}, followed by the value. Returns null if the frame is
+     * malformed.
+     */
+    static AnswerFrame parse(ByteSlice frame) {
         byte[] bytes = frame.buffer();
-        int from = frame.from() + 1;
+        int lineStart = frame.from() + 1;
         int end = frame.from() + frame.length();
-        int lineEnd = from;
+        int lineEnd = lineStart;
         while (lineEnd < end && bytes[lineEnd] != '\n') {
             lineEnd++;
         }
         if (lineEnd == end) {
             return null;
         }
-        String[] line = new String(bytes, from, lineEnd - from, StandardCharsets.ISO_8859_1).split(" ", -1);
-        if (line.length < FIELDS) {
+        String[] fields = new String(bytes, lineStart, lineEnd - lineStart, StandardCharsets.ISO_8859_1)
+                .split(" ", -1);
+        if (fields.length < MIN_FIELDS) {
             return null;
         }
-        return switch (line[1]) {
-            case "ok" -> new AnswerFrame(line[0], AttemptOutcome.SERVED, Arrays.copyOfRange(bytes, lineEnd + 1, end));
-            case "err" -> new AnswerFrame(line[0], AttemptOutcome.ERROR, null);
-            case "busy" -> new AnswerFrame(line[0], AttemptOutcome.REJECTED, null);
+        return switch (fields[1]) {
+            case "ok" -> new AnswerFrame(fields[0], AttemptOutcome.SERVED, Arrays.copyOfRange(bytes, lineEnd + 1, end));
+            case "err" -> new AnswerFrame(fields[0], AttemptOutcome.ERROR, null);
+            case "busy" -> new AnswerFrame(fields[0], AttemptOutcome.REJECTED, null);
             default -> null;
         };
     }
--- a/src/main/java/wallmoor/frames/ConnectionLimits.java
+++ b/src/main/java/wallmoor/frames/ConnectionLimits.java
@@ -7,41 +7,48 @@
 import wallmoor.config.LaunchConfig;
 
 /**
- * What the settings say of connections to workers.
+ * The limits and callbacks of connections to workers.
  *
- * @param maxInFlight         parts in flight on one connection at most
- * @param connectMillis       a connect that takes longer fails
- * @param idleTimeoutNanos    an idle connection is closed after this time, before its worker would
- * @param silenceTimeoutNanos a connection on which nothing has come for this long since a part was written is silent
- * @param maxConnections      to all workers together
- * @param sockets             makes the socket of each connection
- * @param onConnectResult     told of each connection that came up or did not, with the worker's id
+ * @param maxInFlight         the maximum number of parts in flight on one connection
+ * @param connectMillis       the timeout of a connect
+ * @param idleTimeoutNanos    the time after which an idle connection is closed, shorter than the worker's own timeout
+ * @param silenceTimeoutNanos the time without an answer after a part was written that makes a connection silent
+ * @param maxConnections      the maximum number of connections to all workers together
+ * @param sockets             creates the socket of each connection
+ * @param onConnectResult     receives the worker's id and whether the connect succeeded, for each connect
  */
 public record ConnectionLimits(int maxInFlight, int connectMillis, long idleTimeoutNanos, long silenceTimeoutNanos,
         int maxConnections, Supplier<Socket> sockets, BiConsumer<String, Boolean> onConnectResult) {
-    /** An idle connection is closed this much before its worker would (milliseconds), or after half that time. */
+    /**
+     * An idle connection is closed this long before the worker would close it, but not before half of the worker's
+     * timeout.
+     */
     private static final long IDLE_MARGIN_MILLIS = 1_500;
-    /** A connection is silent after the shortest latency objective over this: the policy calls a part late then. */
-    private static final int SILENCE_SHARE = 5;
+    /**
+     * The silence timeout is the shortest latency objective divided by this: the routing policy considers a part late
+     * after that time.
+     */
+    private static final int SILENCE_TIMEOUT_DIVISOR = 5;
     private static final long DEFAULT_OBJECTIVE_MICROS = 1_000_000;
 
-    /** What a configuration says. */
+    /** Returns the limits that a configuration defines. */
     public static ConnectionLimits of(LaunchConfig launch, Supplier<Socket> sockets,
             BiConsumer<String, Boolean> onConnectResult) {
-        long workerTimeout = launch.connIdleMillis();
-        long idleTimeout = Math.max(workerTimeout / 2, workerTimeout - IDLE_MARGIN_MILLIS);
-        long silenceTimeout = TimeUnit.MICROSECONDS.toNanos(shortestObjective(launch)) / SILENCE_SHARE;
+        long workerTimeoutMillis = launch.connIdleMillis();
+        long idleTimeoutMillis = Math.max(workerTimeoutMillis / 2, workerTimeoutMillis - IDLE_MARGIN_MILLIS);
+        long silenceTimeoutNanos = TimeUnit.MICROSECONDS.toNanos(shortestObjectiveMicros(launch))
+                / SILENCE_TIMEOUT_DIVISOR;
         return new ConnectionLimits(launch.streams(), launch.connectMillis(),
-                TimeUnit.MILLISECONDS.toNanos(idleTimeout), silenceTimeout, launch.mostWorkerConnections(), sockets,
-                onConnectResult);
+                TimeUnit.MILLISECONDS.toNanos(idleTimeoutMillis), silenceTimeoutNanos, launch.mostWorkerConnections(),
+                sockets, onConnectResult);
     }
 
-    /** The shortest latency objective of a class (microseconds). */
-    private static long shortestObjective(LaunchConfig launch) {
-        long shortest = Long.MAX_VALUE;
+    /** Returns the shortest latency objective of all classes, in microseconds. */
+    private static long shortestObjectiveMicros(LaunchConfig launch) {
+        long shortestMicros = Long.MAX_VALUE;
         for (var queryClass : launch.settings().classes()) {
-            shortest = Math.min(shortest, queryClass.latencyObjective());
+            shortestMicros = Math.min(shortestMicros, queryClass.latencyObjective());
         }
-        return shortest == Long.MAX_VALUE ? DEFAULT_OBJECTIVE_MICROS : shortest;
+        return shortestMicros == Long.MAX_VALUE ? DEFAULT_OBJECTIVE_MICROS : shortestMicros;
     }
 }
--- a/src/main/java/wallmoor/frames/ConnectionReader.java
+++ b/src/main/java/wallmoor/frames/ConnectionReader.java
@@ -4,7 +4,9 @@
 import java.net.Socket;
 import wallmoor.http.ByteSlice;
 
-/** Reads the frames of one connection, in a thread of its own, until one makes the connection useless. */
+/**
+ * Reads the frames of one connection on its own thread, until the connection ends or a frame violates the protocol.
+ */
 final class ConnectionReader {
     private static final char ANSWER = 'A';
     private static final char PROBE_ANSWER = 'P';
@@ -14,36 +16,40 @@
     private final Socket socket;
     private final int pauseMillis;
 
-    /** Reads from this socket; a frame that began to come in must go on coming within so many milliseconds. */
+    /**
+     * Creates a reader of a socket.
+     *
+     * @param pauseMillis the maximum pause between two reads within a frame
+     */
     ConnectionReader(ConnectionState state, Socket socket, int pauseMillis) {
         this.state = state;
         this.socket = socket;
         this.pauseMillis = pauseMillis;
     }
 
-    /** Reads to the end, then closes the connection. */
+    /** Reads until the connection ends, then closes it. */
     void run() {
         try {
             var frames = new FrameReader(socket, pauseMillis);
             for (ByteSlice frame = frames.next(); frame != null && handle(frame); frame = frames.next()) {
-                // each is handled as it comes
+                // handled in the loop condition
             }
         } catch (IOException | RuntimeException e) {
-            // broken: the writer reports what is in flight
+            // the connection failed: the writer reports the attempts in flight
         } finally {
             state.close(socket);
         }
     }
 
-    /** Handles a frame; false if it makes the connection useless. */
+    /** Handles a frame. Returns false if the connection has to be closed because of it. */
     private boolean handle(ByteSlice frame) {
         return switch (frame.buffer()[frame.from()]) {
             case ANSWER -> {
-                AnswerFrame answer = AnswerFrame.of(frame);
+                AnswerFrame answer = AnswerFrame.parse(frame);
                 yield answer != null && state.onAnswer(answer);
             }
-            case PROBE_ANSWER, LOAD_REPORT -> true; // not asked for, and harmless
-            default -> false; // an error of the protocol, or no frame at all
+            case PROBE_ANSWER, LOAD_REPORT -> true; // never requested, and ignored
+            default -> false; // an error frame, or an unknown type
         };
     }
 }
--- a/src/main/java/wallmoor/frames/ConnectionState.java
+++ b/src/main/java/wallmoor/frames/ConnectionState.java
@@ -17,46 +17,48 @@
 import wallmoor.core.Step;
 
 /**
- * The state of one connection: connecting, open, draining or closed, the frames that wait for its writer and the
- * attempts in flight on it. All of it is guarded by one lock, under which only closing the socket does I/O. The
- * gatherer's lock is never taken under it.
+ * The state of one connection: connecting, open, draining or closed, with the frames queued for its writer and the
+ * attempts in flight. One lock guards all of it; closing the socket is the only I/O done while holding the lock. The
+ * gatherer's lock is never acquired while holding it.
  */
 final class ConnectionState {
-    /** A connect that lasts longer than its limit over this is slow: further calls get a connection of their own. */
-    private static final int SLOW_CONNECT_SHARE = 4;
+    /**
+     * A connect is slow once it has taken its timeout divided by this; further calls then use another connection.
+     */
+    private static final int SLOW_CONNECT_DIVISOR = 4;
     private static final long MIN_IDLE_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
-    /** What became of a cancellation. */
+    /** The result of a cancellation. */
     enum CancelResult {
-        /** The attempt is not in flight here. */
-        NOT_HERE,
-        /** Nothing of it was written: it was taken out, and is to be reported at once. */
+        /** The attempt is not in flight on this connection. */
+        NOT_IN_FLIGHT,
+        /** Nothing of the attempt was written: it was removed, and the caller has to report it. */
         NOT_SENT,
-        /** Its cancellation waits for the writer. */
+        /** The cancellation frame is queued for the writer. */
         QUEUED
     }
 
     private final Gatherer gatherer;
     private final ConnectionLimits limits;
     private final String workerAddress;
-    /** Microseconds on the gatherer's clock. */
+    /** The start of the connect, in microseconds of the gatherer's clock. */
     private final long connectStartedAt;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition writerHasWork = lock.newCondition();
-    /** Bounded: a call needs room in {@link #inFlight}, and an attempt is cancelled once. */
+    /** Bounded, since a call needs capacity in {@link #inFlight} and an attempt is cancelled only once. */
     private final Deque<OutboundFrame> outbound = new ArrayDeque<>();
     private final InFlightTable inFlight = new InFlightTable();
     private boolean connected;
     private boolean closed;
     private boolean draining;
-    /** When an answer came last, by {@link System#nanoTime}. */
-    private long answeredAt;
-    private long usedAt = System.nanoTime();
+    /** The time of the last answer, by {@link System#nanoTime}. */
+    private long lastAnswerAt;
+    private long lastUsedAt = System.nanoTime();
 
     /**
-     * The state of a connection that is about to connect.
+     * Creates the state of a connection that is about to connect.
      *
-     * @param workerAddress where it goes, as the endpoint list names it
+     * @param workerAddress the worker's address as in the endpoint list
      */
     ConnectionState(Gatherer gatherer, ConnectionLimits limits, String workerAddress) {
         this.gatherer = gatherer;
@@ -65,7 +67,7 @@
         connectStartedAt = gatherer.now();
     }
 
-    /** The connection has come up. */
+    /** Records that the connection is established. */
     void markConnected() {
         lock.lock();
         try {
@@ -78,15 +80,16 @@
     // ---- calls and cancellations --------------------------------------------------------------------------
 
     /**
-     * Takes a call if there is room and the connection is not about to be closed.
+     * Queues a call if the connection has capacity and is not about to be closed.
      *
-     * @param evenUnhealthy also if it is silent or slow to connect
+     * @param evenUnhealthy whether to accept the call even if the connection is silent or slow to connect
+     * @return whether the call was queued
      */
     boolean offer(Step.Send send, boolean evenUnhealthy) {
         lock.lock();
         try {
             boolean unhealthy = isConnectSlow() || (!inFlight.isEmpty() && isSilent(inFlight.oldest()));
-            if ((unhealthy && !evenUnhealthy) || !hasRoomFor(send.attempts().size())
+            if ((unhealthy && !evenUnhealthy) || !hasCapacityFor(send.attempts().size())
                     || inFlight.conflictsWith(send.attempts())) {
                 return false;
             }
@@ -104,33 +107,34 @@
         }
     }
 
-    private boolean hasRoomFor(int attempts) {
-        boolean idleForTooLong = inFlight.isEmpty() && System.nanoTime() - usedAt > limits.idleTimeoutNanos();
-        return !closed && !draining && inFlight.size() + attempts <= limits.maxInFlight() && !idleForTooLong;
+    private boolean hasCapacityFor(int attemptCount) {
+        boolean idleForTooLong = inFlight.isEmpty() && System.nanoTime() - lastUsedAt > limits.idleTimeoutNanos();
+        return !closed && !draining && inFlight.size() + attemptCount <= limits.maxInFlight() && !idleForTooLong;
     }
 
-    /** Whether it has been connecting for so long that it may never come up. */
+    /** Returns whether the connect has taken so long that it may never succeed. */
     private boolean isConnectSlow() {
-        long limit = TimeUnit.MILLISECONDS.toMicros(limits.connectMillis()) / SLOW_CONNECT_SHARE;
-        return !connected && gatherer.now() - connectStartedAt > limit;
+        long slowAfterMicros = TimeUnit.MILLISECONDS.toMicros(limits.connectMillis()) / SLOW_CONNECT_DIVISOR;
+        return !connected && gatherer.now() - connectStartedAt > slowAfterMicros;
     }
 
     /**
-     * Whether nothing has come since an attempt was written, for longer than sound workers take. A connection may fall
-     * silent alone: what is sent after it is lost as well, and one that is kept takes the trials of a sound worker too.
+     * Returns whether no answer has been received since an attempt was written, for longer than healthy workers take.
+     * A single connection may go silent while its worker is healthy: all later calls on it are lost as well, including
+     * the trial requests that the policy sends to the worker.
      */
     private boolean isSilent(InFlightAttempt attempt) {
-        return attempt.state == WriteState.WRITTEN && answeredAt - attempt.writtenAt < 0
+        return attempt.state == WriteState.WRITTEN && lastAnswerAt - attempt.writtenAt < 0
                 && System.nanoTime() - attempt.writtenAt > limits.silenceTimeoutNanos();
     }
 
-    /** Cancels an attempt: one that was not written is taken out, for another the cancellation is written first. */
+    /** Removes an attempt that was not written yet, or queues a cancellation frame for one that was. */
     CancelResult cancel(Attempt attempt, AttemptOutcome outcome) {
         lock.lock();
         try {
             InFlightAttempt found = inFlight.find(attempt);
             if (found == null) {
-                return CancelResult.NOT_HERE;
+                return CancelResult.NOT_IN_FLIGHT;
             }
             if (found.state == WriteState.QUEUED) {
                 inFlight.remove(attempt);
@@ -147,12 +151,12 @@
         }
     }
 
-    /** Drops the waiting calls of which no attempt is left: while a connect lasts, many may come and go. */
+    /** Drops queued calls without attempts, since many may be queued and cancelled during one connect. */
     private void dropEmptyCalls() {
-        outbound.removeIf(frame -> frame instanceof OutboundFrame.Call call && !isWaiting(call.send()));
+        outbound.removeIf(frame -> frame instanceof OutboundFrame.Call call && !hasAttemptInFlight(call.send()));
     }
 
-    private boolean isWaiting(Step.Send send) {
+    private boolean hasAttemptInFlight(Step.Send send) {
         for (Attempt attempt : send.attempts()) {
             if (inFlight.find(attempt) != null) {
                 return true;
@@ -163,7 +167,7 @@
 
     // ---- closing ------------------------------------------------------------------------------------------
 
-    /** Takes nothing more; the writer ends once nothing is in flight. */
+    /** Accepts no further calls; the writer ends once nothing is in flight. */
     void drain() {
         lock.lock();
         try {
@@ -183,7 +187,10 @@
         }
     }
 
-    /** Closes the connection and its socket, under the lock: who sees it closed may send its parts elsewhere. */
+    /**
+     * Closes the connection and its socket while holding the lock: a thread that sees the connection closed may send
+     * its parts over another one.
+     */
     void close(Socket socket) {
         lock.lock();
         try {
@@ -191,13 +198,13 @@
             writerHasWork.signal();
             socket.close();
         } catch (IOException e) {
-            // it is closed as far as it can be
+            // nothing more can be done to close it
         } finally {
             lock.unlock();
         }
     }
 
-    /** The same, but only if nothing is in flight. */
+    /** Closes the connection and its socket if nothing is in flight. */
     void closeIfIdle(Socket socket) {
         lock.lock();
         try {
@@ -209,7 +216,7 @@
         }
     }
 
-    /** Takes out all that is in flight on a closed connection, each with what that means for it. */
+    /** Removes all attempts in flight on a closed connection. Returns the outcome of each. */
     Map<Attempt, AttemptOutcome> removeAll() {
         lock.lock();
         try {
@@ -222,18 +229,20 @@
 
     // ---- for the writer -----------------------------------------------------------------------------------
 
-    /** The next frame; null when the connection is closed, or has drained, or has been idle for as long as it may. */
+    /**
+     * Waits for the next frame. Returns null if the connection is closed, has drained or has reached the idle timeout.
+     */
     OutboundFrame awaitFrame() throws InterruptedException {
         lock.lock();
         try {
-            usedAt = System.nanoTime();
+            lastUsedAt = System.nanoTime();
             while (outbound.isEmpty() && !closed) {
-                long left = limits.idleTimeoutNanos() - (System.nanoTime() - usedAt);
-                if ((left <= 0 || draining) && inFlight.isEmpty()) {
+                long remainingNanos = limits.idleTimeoutNanos() - (System.nanoTime() - lastUsedAt);
+                if ((remainingNanos <= 0 || draining) && inFlight.isEmpty()) {
                     closed = true;
                     return null;
                 }
-                writerHasWork.awaitNanos(Math.max(left, MIN_IDLE_WAIT_NANOS));
+                writerHasWork.awaitNanos(Math.max(remainingNanos, MIN_IDLE_WAIT_NANOS));
             }
             return closed ? null : outbound.poll();
         } finally {
@@ -242,8 +251,8 @@
     }
 
     /**
-     * Prepares a call just before it is written: without the attempts that may no longer begin, which are reported, and
-     * with the time that the others have left now. Null if none is left.
+     * Prepares a call just before it is written: removes and reports the attempts that are no longer permitted, and
+     * encodes the others with the time they have left. Returns null if no attempt is left.
      */
     PreparedCall prepareCall(Step.Send send) {
         var call = new PreparedCall();
@@ -254,7 +263,7 @@
             for (Attempt attempt : send.attempts()) {
                 InFlightAttempt found = inFlight.find(attempt);
                 if (found == null) {
-                    continue; // cancelled meanwhile
+                    continue; // was cancelled while queued
                 }
                 SendPermission permission = attempt.checkPermission(now, workerAddress);
                 draining |= permission == SendPermission.ADDRESS_CHANGED;
@@ -275,7 +284,7 @@
         return call.attempts().isEmpty() ? null : call;
     }
 
-    /** These attempts have been written completely. */
+    /** Records that these attempts have been written completely. */
     void markWritten(List<Attempt> attempts) {
         lock.lock();
         try {
@@ -291,7 +300,7 @@
         }
     }
 
-    /** The cancellation of an attempt has been written: takes it out; false if it was answered before. */
+    /** Removes an attempt whose cancellation has been written. Returns false if it was answered before. */
     boolean removeCancelled(InFlightAttempt cancelled) {
         lock.lock();
         try {
@@ -303,13 +312,13 @@
 
     // ---- for the reader -----------------------------------------------------------------------------------
 
-    /** An answer has come; false if it makes the connection useless. */
+    /** Handles an answer. Returns false if the connection has to be closed because of it. */
     boolean onAnswer(AnswerFrame answer) {
         InFlightAttempt answered;
         lock.lock();
         try {
-            usedAt = System.nanoTime();
-            answeredAt = usedAt;
+            lastUsedAt = System.nanoTime();
+            lastAnswerAt = lastUsedAt;
             InFlightTable.AnswerMatch match = inFlight.match(answer.part());
             if (match != InFlightTable.AnswerMatch.IN_FLIGHT) {
                 return match == InFlightTable.AnswerMatch.LATE;
--- a/src/main/java/wallmoor/frames/ConnectionWriter.java
+++ b/src/main/java/wallmoor/frames/ConnectionWriter.java
@@ -6,18 +6,18 @@
 import wallmoor.core.Gatherer;
 
 /**
- * Writes the frames of one connection, in a thread of its own: a worker that stops reading holds up nothing else. The
- * permission to send is checked under the connection's lock just before each call is written.
+ * Writes the frames of one connection on its own thread, so that a worker that stops reading blocks no other
+ * connection. The permission to send is checked under the connection's lock just before each call is written.
  */
 final class ConnectionWriter {
-    /** A connection this long in one write has a peer that no longer reads. */
-    private static final long STUCK_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
+    /** The duration of a single write from which the worker is considered to have stopped reading. */
+    private static final long STUCK_WRITE_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
     private final ConnectionState state;
     private final Socket socket;
     private final Gatherer gatherer;
-    /** When the present write began, by {@link System#nanoTime}; 0 while there is none. */
-    private volatile long writingSince;
+    /** The start of the current write, by {@link System#nanoTime}; 0 while no write is in progress. */
+    private volatile long writeStartedAt;
 
     ConnectionWriter(ConnectionState state, Socket socket, Gatherer gatherer) {
         this.state = state;
@@ -25,13 +25,13 @@
         this.gatherer = gatherer;
     }
 
-    /** Whether a write has lasted so long that the worker no longer reads. Takes no lock. */
+    /** Returns whether the current write takes so long that the worker has stopped reading. Acquires no lock. */
     boolean isStuck() {
-        long since = writingSince;
-        return since != 0 && System.nanoTime() - since > STUCK_NANOS;
+        long startedAt = writeStartedAt;
+        return startedAt != 0 && System.nanoTime() - startedAt > STUCK_WRITE_NANOS;
     }
 
-    /** Writes frames until the connection has none and is to be closed. */
+    /** Writes queued frames until the connection is closed, drained or idle for too long. */
     void run() throws IOException, InterruptedException {
         for (OutboundFrame frame = state.awaitFrame(); frame != null; frame = state.awaitFrame()) {
             if (frame instanceof OutboundFrame.Call call) {
@@ -46,7 +46,7 @@
         PreparedCall prepared = state.prepareCall(call.send());
         if (prepared != null) {
             write(prepared.frame());
-            state.markWritten(prepared.attempts()); // first: whatever fails from here on, it may have run
+            state.markWritten(prepared.attempts()); // first: from here on the attempts may have run, whatever fails
             gatherer.recordSent(prepared.attempts());
         }
     }
@@ -59,11 +59,11 @@
     }
 
     private void write(byte[] bytes) throws IOException {
-        writingSince = System.nanoTime();
+        writeStartedAt = System.nanoTime();
         try {
             socket.getOutputStream().write(bytes);
         } finally {
-            writingSince = 0;
+            writeStartedAt = 0;
         }
     }
 }
--- a/src/main/java/wallmoor/frames/FrameReader.java
+++ b/src/main/java/wallmoor/frames/FrameReader.java
@@ -7,12 +7,15 @@
 import java.util.concurrent.TimeUnit;
 import wallmoor.http.ByteSlice;
 
-/** Cuts what comes on a connection into frames. Bounded in bytes by the longest frame, and in time once one began. */
+/**
+ * Splits the bytes received on a connection into frames. The buffer is bounded by the longest frame, and the time to
+ * receive a frame is bounded from its first byte on.
+ */
 final class FrameReader {
     private static final int MAX_FRAME_BYTES = 64 * 1024 + 1024;
     private static final int LENGTH_BYTES = 4;
     private static final int INITIAL_BUFFER_BYTES = 4096;
-    /** A complete frame may take this many times as long as its worker may pause in it. */
+    /** The maximum time to receive a frame, in multiples of the maximum pause within it. */
     private static final int MAX_PAUSES = 4;
 
     private final Socket socket;
@@ -21,10 +24,14 @@
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int from;
     private int end;
-    /** When the first byte of the frame that is not complete yet was seen, by {@link System#nanoTime}. */
-    private long begunAt;
+    /** The time at which the first byte of the incomplete frame was read, by {@link System#nanoTime}. */
+    private long frameStartedAt;
 
-    /** Reads from this socket; a frame that began to come in must go on coming within so many milliseconds. */
+    /**
+     * Creates a reader of a socket.
+     *
+     * @param pauseMillis the maximum pause between two reads within a frame
+     */
     FrameReader(Socket socket, int pauseMillis) throws IOException {
         this.socket = socket;
         this.pauseMillis = pauseMillis;
@@ -32,20 +39,21 @@
     }
 
     /**
-     * The next frame from its letter on, good until the next call; null at the end, or if nothing more can be trusted.
+     * Returns the next frame without its length, valid until the next call; null at the end of the stream, or if a
+     * frame has an invalid length or takes too long.
      */
     ByteSlice next() throws IOException {
         while (true) {
-            int have = end - from;
-            if (have > LENGTH_BYTES) {
-                int length = length();
+            int available = end - from;
+            if (available > LENGTH_BYTES) {
+                int length = frameLength();
                 if (length < 1 || length > MAX_FRAME_BYTES) {
                     return null;
                 }
-                if (have >= LENGTH_BYTES + length) {
+                if (available >= LENGTH_BYTES + length) {
                     var frame = new ByteSlice(buffer, from + LENGTH_BYTES, length);
                     from += LENGTH_BYTES + length;
-                    begunAt = System.nanoTime();
+                    frameStartedAt = System.nanoTime();
                     return frame;
                 }
             }
@@ -55,33 +63,34 @@
         }
     }
 
-    /** Reads on; false at the end, or if a frame takes too long. */
+    /** Reads more bytes. Returns false at the end of the stream, or if a frame takes too long. */
     private boolean fill() throws IOException {
         System.arraycopy(buffer, from, buffer, 0, end - from);
         end -= from;
         from = 0;
-        boolean begun = end > 0;
-        if (begun && System.nanoTime() - begunAt > TimeUnit.MILLISECONDS.toNanos((long) MAX_PAUSES * pauseMillis)) {
+        boolean hasPartialFrame = end > 0;
+        if (hasPartialFrame
+                && System.nanoTime() - frameStartedAt > TimeUnit.MILLISECONDS.toNanos((long) MAX_PAUSES * pauseMillis)) {
             return false;
         }
-        int wanted = end >= LENGTH_BYTES ? LENGTH_BYTES + Math.min(MAX_FRAME_BYTES, Math.max(1, length()))
+        int requiredBytes = end >= LENGTH_BYTES ? LENGTH_BYTES + Math.min(MAX_FRAME_BYTES, Math.max(1, frameLength()))
                 : LENGTH_BYTES + 1;
-        if (wanted > buffer.length) {
-            buffer = Arrays.copyOf(buffer, wanted);
+        if (requiredBytes > buffer.length) {
+            buffer = Arrays.copyOf(buffer, requiredBytes);
         }
-        socket.setSoTimeout(begun ? pauseMillis : 0); // one whose length is a lie may never end
-        int n = in.read(buffer, end, buffer.length - end);
-        if (n < 0) {
+        socket.setSoTimeout(hasPartialFrame ? pauseMillis : 0); // a frame with a wrong length may never end
+        int count = in.read(buffer, end, buffer.length - end);
+        if (count < 0) {
             return false;
         }
-        if (!begun) {
-            begunAt = System.nanoTime();
+        if (!hasPartialFrame) {
+            frameStartedAt = System.nanoTime();
         }
-        end += n;
+        end += count;
         return true;
     }
 
-    private int length() {
+    private int frameLength() {
         int length = 0;
         for (int i = from; i < from + LENGTH_BYTES; i++) {
             length = (length << Byte.SIZE) | (buffer[i] & 0xff);
--- a/src/main/java/wallmoor/frames/InFlightAttempt.java
+++ b/src/main/java/wallmoor/frames/InFlightAttempt.java
@@ -3,13 +3,13 @@
 import wallmoor.core.Attempt;
 import wallmoor.core.AttemptOutcome;
 
-/** An attempt that a connection has taken and not reported yet. Guarded by the connection's lock. */
+/** An attempt that a connection has accepted and not reported yet. Guarded by the connection's lock. */
 final class InFlightAttempt {
     final Attempt attempt;
     WriteState state = WriteState.QUEUED;
-    /** As what it is reported once its cancellation has been written; null if it was not cancelled. */
+    /** The outcome to report once the cancellation has been written; null if the attempt was not cancelled. */
     AttemptOutcome cancelledAs;
-    /** When it was written completely, by {@link System#nanoTime}. */
+    /** The time at which the attempt was written completely, by {@link System#nanoTime}. */
     long writtenAt;
 
     InFlightAttempt(Attempt attempt) {
@@ -17,8 +17,8 @@
     }
 
     /**
-     * What the end of its connection means for it. A connection that had come up may be closed at any time while it is
-     * idle: that is no failure of the worker's where the attempt only waits.
+     * Returns the outcome of the attempt when its connection ends. A worker may close an established connection at any
+     * time while it is idle, so this is not a failure of the worker if the attempt was still queued.
      */
     AttemptOutcome outcomeAtClose(boolean connected) {
         if (cancelledAs != null) {
--- a/src/main/java/wallmoor/frames/InFlightTable.java
+++ b/src/main/java/wallmoor/frames/InFlightTable.java
@@ -9,20 +9,22 @@
 import wallmoor.core.AttemptOutcome;
 
 /**
- * The attempts in flight on one connection, by the id of their part, and which parts it had lately. An attempt stands
- * here until it is reported, and is reported by whoever takes it out. Guarded by the connection's lock.
+ * The attempts in flight on one connection, by part id, and the parts that it recently carried. An attempt is listed
+ * until it is reported; the caller that removes it reports it. Guarded by the connection's lock.
  */
 final class InFlightTable {
-    /** Parts that are remembered of each kind: an older one is long past its query's deadline. */
+    /**
+     * The number of cancelled and of answered parts that are remembered; the deadline of an older one passed long ago.
+     */
     private static final int MAX_REMEMBERED = 512;
 
     private final Map<String, InFlightAttempt> byPartId = new LinkedHashMap<>();
     /**
-     * Parts cancelled here whose answer may still be on its way. Another attempt of such a part takes another
-     * connection: a late answer to the first, mistaken for one to the second, would let a third out beside it.
+     * Cancelled parts whose answer may still arrive. Another attempt of such a part uses another connection: a late
+     * answer to the first attempt, mistaken for one to the second, would allow a third to run at the same time.
      */
     private final Set<String> cancelledParts = new LinkedHashSet<>();
-    /** Parts answered here last: a duplicate of a good answer takes nothing from the connection. */
+    /** Recently answered parts: a duplicate of an answer does not close the connection. */
     private final Set<String> answeredParts = new LinkedHashSet<>();
 
     boolean isEmpty() {
@@ -33,12 +35,15 @@
         return byPartId.size();
     }
 
-    /** The attempt that has been in flight for longest; there must be one. */
+    /** Returns the attempt that has been in flight for the longest time; there must be one. */
     InFlightAttempt oldest() {
         return byPartId.values().iterator().next();
     }
 
-    /** Whether an answer to any of these attempts could not be told from one to an earlier attempt of its part. */
+    /**
+     * Returns whether an answer to any of these attempts would be ambiguous, as an earlier attempt of its part was sent
+     * on this connection.
+     */
     boolean conflictsWith(List<Attempt> attempts) {
         for (Attempt attempt : attempts) {
             if (byPartId.containsKey(attempt.partId()) || cancelledParts.contains(attempt.partId())) {
@@ -52,18 +57,18 @@
         byPartId.put(attempt.partId(), new InFlightAttempt(attempt));
     }
 
-    /** This attempt as it stands here, or null if it is not in flight here. */
+    /** Returns the entry of an attempt, or null if it is not in flight on this connection. */
     InFlightAttempt find(Attempt attempt) {
         InFlightAttempt found = byPartId.get(attempt.partId());
         return found != null && found.attempt == attempt ? found : null;
     }
 
-    /** Takes out an attempt of which nothing was written. */
+    /** Removes an attempt of which nothing was written. */
     void remove(Attempt attempt) {
         byPartId.remove(attempt.partId());
     }
 
-    /** Takes out an attempt whose cancellation has been written; false if it was answered before. */
+    /** Removes an attempt whose cancellation has been written. Returns false if it was answered before. */
     boolean removeCancelled(InFlightAttempt cancelled) {
         String partId = cancelled.attempt.partId();
         boolean removed = byPartId.remove(partId, cancelled);
@@ -73,17 +78,17 @@
         return removed;
     }
 
-    /** What an answer to a part means. */
+    /** The relation of an answer to the attempts on this connection. */
     enum AnswerMatch {
-        /** It answers an attempt that was written here. */
+        /** The answer belongs to an attempt that was written. */
         IN_FLIGHT,
-        /** It crossed a cancellation, or is a duplicate. */
+        /** The answer crossed a cancellation, or is a duplicate. */
         LATE,
-        /** Nobody asked for it: what it was meant to answer will never be answered. */
+        /** The part was not requested: the attempt that the answer was meant for will never be answered. */
         UNKNOWN
     }
 
-    /** What an answer to this part means; an answered attempt is to be taken out by {@link #removeAnswered}. */
+    /** Classifies an answer to a part; the caller removes an answered attempt by {@link #removeAnswered}. */
     AnswerMatch match(String partId) {
         boolean crossedCancellation = cancelledParts.remove(partId);
         InFlightAttempt found = byPartId.get(partId);
@@ -93,17 +98,17 @@
         return crossedCancellation || answeredParts.contains(partId) ? AnswerMatch.LATE : AnswerMatch.UNKNOWN;
     }
 
-    /** Takes out the attempt of a part that was answered. */
+    /** Removes and returns the attempt of an answered part. */
     InFlightAttempt removeAnswered(String partId) {
         remember(answeredParts, partId);
         return byPartId.remove(partId);
     }
 
-    /** Takes out all attempts, each with what the end of the connection means for it. */
+    /** Removes all attempts. Returns the outcome of each when the connection ends. */
     Map<Attempt, AttemptOutcome> removeAll(boolean connected) {
         var outcomes = new LinkedHashMap<Attempt, AttemptOutcome>();
-        for (InFlightAttempt each : byPartId.values()) {
-            outcomes.put(each.attempt, each.outcomeAtClose(connected));
+        for (InFlightAttempt entry : byPartId.values()) {
+            outcomes.put(entry.attempt, entry.outcomeAtClose(connected));
         }
         byPartId.clear();
         return outcomes;
--- a/src/main/java/wallmoor/frames/OutboundFrame.java
+++ b/src/main/java/wallmoor/frames/OutboundFrame.java
@@ -2,9 +2,9 @@
 
 import wallmoor.core.Step;
 
-/** A frame that waits for the writer of a connection. It is encoded when its turn comes. */
+/** A frame that is queued for the writer of a connection. It is encoded just before it is written. */
 sealed interface OutboundFrame {
-    /** The call of some attempts. */
+    /** A call with one or more attempts. */
     record Call(Step.Send send) implements OutboundFrame {}
 
     /** The cancellation of an attempt that was written, or is being written. */
--- a/src/main/java/wallmoor/frames/WorkerConnection.java
+++ b/src/main/java/wallmoor/frames/WorkerConnection.java
@@ -14,21 +14,21 @@
 import wallmoor.http.Threads;
 
 /**
- * One connection to a worker, which carries many parts at once: its socket and its two threads, of which one connects
- * and then writes, the other reads. What it may take and what is in flight on it stands in {@link ConnectionState}.
- * Each attempt that it took is reported once, at the latest when the connection has ended.
+ * One connection to a worker, which carries many parts at once. It has a socket and two threads: one connects and then
+ * writes, the other reads. {@link ConnectionState} decides which calls it accepts and tracks the attempts in flight.
+ * Each accepted attempt is reported exactly once, at the latest when the connection has ended.
  */
 final class WorkerConnection {
-    /** A frame that began to come in must go on coming, within this time at least. */
+    /** The lower bound of the maximum pause within a received frame. */
     private static final int MIN_FRAME_PAUSE_MILLIS = 50;
-    /** ... and within this many times the time after which a connection is silent. */
-    private static final int FRAME_PAUSE_SILENCES = 4;
+    /** The maximum pause within a received frame, in multiples of the silence timeout. */
+    private static final int FRAME_PAUSE_SILENCE_MULTIPLE = 4;
 
     private final Gatherer gatherer;
     private final ConnectionLimits limits;
     private final String name;
     private final String workerId;
-    /** As the endpoint list names it. */
+    /** The address as in the endpoint list. */
     private final String workerAddress;
     private final InetSocketAddress socketAddress;
     private final Socket socket;
@@ -37,9 +37,9 @@
     private final ConnectionReader reader;
 
     /**
-     * Makes a connection to where the worker listens now; {@link #run} opens it.
+     * Creates a connection to the worker's current address; {@link #run} opens it.
      *
-     * @throws wallmoor.config.ConfigException if the worker's address can't be connected to
+     * @throws wallmoor.config.ConfigException if the worker's address is not a valid {@code host:port}
      */
     WorkerConnection(Gatherer gatherer, ConnectionLimits limits, String name, Worker worker) {
         this.gatherer = gatherer;
@@ -51,41 +51,46 @@
         socketAddress = LaunchConfig.address("host_port", workerAddress);
         state = new ConnectionState(gatherer, limits, workerAddress);
         writer = new ConnectionWriter(state, socket, gatherer);
-        long pause = TimeUnit.NANOSECONDS.toMillis(FRAME_PAUSE_SILENCES * limits.silenceTimeoutNanos());
-        reader = new ConnectionReader(state, socket, (int) Math.max(MIN_FRAME_PAUSE_MILLIS, pause));
+        long pauseMillis = TimeUnit.NANOSECONDS.toMillis(FRAME_PAUSE_SILENCE_MULTIPLE * limits.silenceTimeoutNanos());
+        reader = new ConnectionReader(state, socket, (int) Math.max(MIN_FRAME_PAUSE_MILLIS, pauseMillis));
     }
 
-    /** The name of its threads, but for their ends. */
+    /** Returns the common prefix of the names of its threads. */
     String name() {
         return name;
     }
 
-    /** Whether it goes to this address; the endpoint list may give a worker a new one. */
+    /** Returns whether this is the address of the connection; the endpoint list may give a worker a new one. */
     boolean hasAddress(String address) {
         return workerAddress.equals(address);
     }
 
-    /** Takes a call if it can; one that is silent, slow to connect or being closed takes none unless told so. */
+    /**
+     * Accepts a call if the connection has capacity and is not closing.
+     *
+     * @param evenUnhealthy whether to accept the call even if the connection is silent or slow to connect
+     * @return whether the call was accepted
+     */
     boolean offer(Step.Send send, boolean evenUnhealthy) {
         return !writer.isStuck() && state.offer(send, evenUnhealthy);
     }
 
     /**
-     * Cancels an attempt if it is in flight here: one not yet written ends at once, for another the cancellation is
-     * written first.
+     * Cancels an attempt if it is in flight on this connection: an attempt not yet written ends at once, any other once
+     * the cancellation frame has been written.
      *
-     * @return whether it is in flight here
+     * @return whether the attempt was in flight on this connection
      */
     boolean cancel(Attempt attempt, AttemptOutcome outcome) {
         ConnectionState.CancelResult result = state.cancel(attempt, outcome);
         if (result == ConnectionState.CancelResult.NOT_SENT) {
-            // whatever it is cancelled for: whether the worker can be reached is not known yet
+            // whatever the reason for the cancellation: it is not known yet whether the worker is reachable
             gatherer.report(attempt, AttemptOutcome.NOT_SENT, null);
         }
-        return result != ConnectionState.CancelResult.NOT_HERE;
+        return result != ConnectionState.CancelResult.NOT_IN_FLIGHT;
     }
 
-    /** Takes nothing more, and closes once nothing is in flight on it. */
+    /** Accepts no further calls, and closes the connection once nothing is in flight. */
     void drain() {
         state.drain();
     }
@@ -98,12 +103,12 @@
         state.close(socket);
     }
 
-    /** Closes it if nothing is in flight on it. */
+    /** Closes the connection if nothing is in flight. */
     void closeIfIdle() {
         state.closeIfIdle(socket);
     }
 
-    /** Closes it if its worker no longer reads what is written. */
+    /** Closes the connection if its worker has stopped reading. */
     void closeIfStuck() {
         if (writer.isStuck()) {
             close();
@@ -111,9 +116,9 @@
     }
 
     /**
-     * Connects, then writes frames until the connection ends; then reports what is still in flight on it.
+     * Connects, writes frames until the connection ends, and then reports the attempts still in flight.
      *
-     * @param onClosed run once it is closed, before the report: what goes again at once finds its place free
+     * @param onClosed runs after the close and before the report, so that a retry can use the connection slot at once
      */
     void run(Runnable onClosed) {
         try {
@@ -122,7 +127,7 @@
             Threads.start(name + "-read", reader::run);
             writer.run();
         } catch (IOException | RuntimeException | OutOfMemoryError e) {
-            // refused, too slow or broken: what that means for each attempt is reported below
+            // refused, timed out or failed: the outcome of each attempt is reported below
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
--- a/src/main/java/wallmoor/frames/WorkerConnectionPool.java
+++ b/src/main/java/wallmoor/frames/WorkerConnectionPool.java
@@ -13,34 +13,34 @@
 import wallmoor.http.Threads;
 
 /**
- * The connections to all workers: a few for each, opened as those before are full. Its own lock guards which
- * connections there are; a connection's lock may be taken under it, never the other way round, and the gatherer's lock
- * is not taken under it.
+ * The connections to all workers: a few for each, where another one is opened when the existing ones are full. The
+ * pool's lock guards the set of connections. A connection's lock may be acquired while holding it, but never the other
+ * way round, and the gatherer's lock is never acquired while holding it.
  */
 public final class WorkerConnectionPool implements WorkerTransport {
-    /** Connections to one worker at most: each has many parts in flight, so that a few carry all. */
+    /** Each connection carries many parts at once, so that a few suffice. */
     private static final int MAX_CONNECTIONS_PER_WORKER = 4;
-    /** How often connections are looked at that may no longer take what is written. */
-    private static final long WATCH_MILLIS = 250;
+    /** The interval between checks for connections whose worker has stopped reading. */
+    private static final long STUCK_CHECK_INTERVAL_MILLIS = 250;
 
     private final Gatherer gatherer;
     private final ConnectionLimits limits;
     private final Map<String, List<WorkerConnection>> byWorkerId = new HashMap<>();
-    private final Thread watch;
+    private final Thread watchThread;
     /** The number of connections whose writer has not ended. */
     private int openConnections;
-    private long lastNumber;
+    private long lastConnectionNumber;
 
-    /** A pool for a gatherer's parts, without connections. */
+    /** Creates a pool without connections, for the parts of a gatherer. */
     public WorkerConnectionPool(Gatherer gatherer, ConnectionLimits limits) {
         this.gatherer = gatherer;
         this.limits = limits;
-        watch = Threads.start("worker-watch", this::watch);
+        watchThread = Threads.start("worker-watch", this::watchStuckConnections);
     }
 
-    /** Closes all connections, and takes no more calls. */
+    /** Closes all connections and stops the check for stuck connections. */
     public synchronized void close() {
-        watch.interrupt();
+        watchThread.interrupt();
         for (List<WorkerConnection> connections : byWorkerId.values()) {
             connections.forEach(WorkerConnection::close);
         }
@@ -50,7 +50,7 @@
     @Override
     public void send(Step.Send send) {
         WorkerConnection opened = null;
-        AttemptOutcome unplaced = AttemptOutcome.NOT_SENT; // the bound is ours: no worker is to blame
+        AttemptOutcome unsentOutcome = AttemptOutcome.NOT_SENT; // a limit of this process, not a failure of the worker
         synchronized (this) {
             List<WorkerConnection> connections = connectionsFor(send);
             if (offerToOne(connections, send, false)) {
@@ -59,8 +59,8 @@
             if (connections.size() < MAX_CONNECTIONS_PER_WORKER && openConnections < limits.maxConnections()) {
                 try {
                     opened = open(connections, send);
-                } catch (ConfigException e) { // the endpoint list has no address that can be connected to
-                    unplaced = AttemptOutcome.CONNECT_FAILED;
+                } catch (ConfigException e) { // the address in the endpoint list is invalid
+                    unsentOutcome = AttemptOutcome.CONNECT_FAILED;
                 }
             }
             if (opened == null && offerToOne(connections, send, true)) {
@@ -68,11 +68,11 @@
             }
         }
         if (opened == null || !start(opened)) {
-            reportUnplaced(send, unplaced);
+            reportUnsent(send, unsentOutcome);
         }
     }
 
-    /** The connections that a call may take; those to an address that its worker had before take nothing more. */
+    /** Returns the connections that may carry a call, after draining those to a former address of its worker. */
     private List<WorkerConnection> connectionsFor(Step.Send send) {
         List<WorkerConnection> connections = byWorkerId.computeIfAbsent(send.worker().id(), id -> new ArrayList<>());
         String address = send.worker().address();
@@ -97,9 +97,9 @@
         return false;
     }
 
-    /** Makes another connection that takes this call, or null if that can't take it either. */
+    /** Creates another connection with this call queued. Returns null if the connection can't accept the call. */
     private WorkerConnection open(List<WorkerConnection> connections, Step.Send send) {
-        var connection = new WorkerConnection(gatherer, limits, "worker-" + ++lastNumber, send.worker());
+        var connection = new WorkerConnection(gatherer, limits, "worker-" + ++lastConnectionNumber, send.worker());
         if (!connection.offer(send, false)) {
             return null;
         }
@@ -108,13 +108,13 @@
         return connection;
     }
 
-    /** Starts the thread of a new connection; false if there is no memory for it. */
+    /** Starts the thread of a new connection. Returns false if there is not enough memory for it. */
     private boolean start(WorkerConnection connection) {
         try {
-            Threads.start(connection.name() + "-write", () -> connection.run(this::releasePlace));
+            Threads.start(connection.name() + "-write", () -> connection.run(this::releaseSlot));
             return true;
         } catch (OutOfMemoryError e) {
-            releasePlace();
+            releaseSlot();
             synchronized (this) {
                 byWorkerId.values().forEach(connections -> connections.remove(connection));
             }
@@ -122,11 +122,11 @@
         }
     }
 
-    private synchronized void releasePlace() {
+    private synchronized void releaseSlot() {
         openConnections--;
     }
 
-    private void reportUnplaced(Step.Send send, AttemptOutcome outcome) {
+    private void reportUnsent(Step.Send send, AttemptOutcome outcome) {
         var ended = new HashMap<Attempt, AttemptOutcome>();
         for (Attempt attempt : send.attempts()) {
             ended.put(attempt, outcome);
@@ -145,23 +145,26 @@
                 return;
             }
         }
-        // on no connection: one that has ended is reporting it, and only the first report counts
+        // not in flight: the ended connection reports the attempt itself, and only the first report counts
         gatherer.report(cancel.attempt(), cancel.outcome(), null);
     }
 
-    private void watch() {
+    private void watchStuckConnections() {
         try {
             while (true) {
-                Thread.sleep(WATCH_MILLIS);
-                openNow().forEach(WorkerConnection::closeIfStuck);
+                Thread.sleep(STUCK_CHECK_INTERVAL_MILLIS);
+                removeClosed().forEach(WorkerConnection::closeIfStuck);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The connections that are open; forgets the others, and workers without any, as new workers come all day. */
-    private synchronized List<WorkerConnection> openNow() {
+    /**
+     * Returns the open connections. Removes the closed ones, and workers without a connection, so that the map does not
+     * grow as workers come and go.
+     */
+    private synchronized List<WorkerConnection> removeClosed() {
         var open = new ArrayList<WorkerConnection>();
         byWorkerId.values().forEach(connections -> connections.removeIf(WorkerConnection::isClosed));
         byWorkerId.values().removeIf(List::isEmpty);
--- a/src/main/java/wallmoor/frames/WriteState.java
+++ b/src/main/java/wallmoor/frames/WriteState.java
@@ -1,11 +1,11 @@
 package wallmoor.frames;
 
-/** How far the call of an attempt has been written to its connection. */
+/** The progress of writing the call of an attempt to its connection. */
 enum WriteState {
-    /** It waits for the writer: nothing of it has been written. */
+    /** Queued for the writer: nothing of the call has been written. */
     QUEUED,
-    /** The writer has begun with it: its last byte has not been written yet. */
+    /** The writer has started, and has not written the last byte yet. */
     WRITING,
-    /** It has been written completely: it may run. */
+    /** Written completely: the worker may execute the attempt. */
     WRITTEN
 }
--- a/src/main/java/wallmoor/frames/package-info.java
+++ b/src/main/java/wallmoor/frames/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Connections to calendar nodes: the frames on them, their states, and the bound on their number. Network code, with no
+ * Connections to calendar nodes: their frames, their states and the limit on their number. Network code without routing
  * policy.
  */
 package wallmoor.frames;
