--- a/src/main/java/wallmoor/frames/FrameReader.java
+++ b/src/main/java/wallmoor/frames/FrameReader.java
@@ -25,7 +25,7 @@
     private int from;
     private int end;
     /** The time at which the first byte of the incomplete frame was read, by {@link System#nanoTime}. */
-    private long frameStartedAt;
+    private long frameStart;
 
     /**
      * Creates a reader of a socket.
@@ -53,7 +53,7 @@
                 if (available >= LENGTH_BYTES + length) {
                     var frame = new ByteSlice(buffer, from + LENGTH_BYTES, length);
                     from += LENGTH_BYTES + length;
-                    frameStartedAt = System.nanoTime();
+                    frameStart = System.nanoTime();
                     return frame;
                 }
             }
@@ -70,7 +70,7 @@
         from = 0;
         boolean hasPartialFrame = end > 0;
         if (hasPartialFrame
-                && System.nanoTime() - frameStartedAt > TimeUnit.MILLISECONDS.toNanos((long) MAX_PAUSES * pauseMillis)) {
+                && System.nanoTime() - frameStart > TimeUnit.MILLISECONDS.toNanos((long) MAX_PAUSES * pauseMillis)) {
             return false;
         }
         int requiredBytes = end >= LENGTH_BYTES ? LENGTH_BYTES + Math.min(MAX_FRAME_BYTES, Math.max(1, frameLength()))
@@ -84,7 +84,7 @@
             return false;
         }
         if (!hasPartialFrame) {
-            frameStartedAt = System.nanoTime();
+            frameStart = System.nanoTime();
         }
         end += count;
         return true;
--- a/src/main/java/wallmoor/http/BoundListener.java
+++ b/src/main/java/wallmoor/http/BoundListener.java
@@ -11,19 +11,19 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A listening socket of this process's own. The kernel completes handshakes by itself, so that a client may have
- * written its request to a connection that waits here: closing the socket would reset all of these. So they are taken
- * first.
+ * A listening socket that this process has bound. The kernel completes handshakes by itself, so a client may already
+ * have written its request to a connection in the accept queue, and closing the socket would reset it. After a stop the
+ * queue is therefore emptied before the socket is closed.
  */
 final class BoundListener implements ConnectionAcceptor {
-    /** Connections that wait in the kernel while all threads are busy. */
-    private static final int BACKLOG = 256;
-    /** A gatherer that was killed comes back at its address; what is left of the old one may hold it for a moment. */
-    private static final int BIND_TRIES = 20;
+    /** The maximum number of connections in the accept queue. */
+    private static final int MAX_QUEUED_CONNECTIONS = 256;
+    /** A restarted gatherer binds the same address, which its killed predecessor may still occupy for a moment. */
+    private static final int MAX_BIND_ATTEMPTS = 20;
     private static final int BIND_PAUSE_MILLIS = 100;
 
     private final ServerSocketChannel channel;
-    /** Made where something is to be accepted; what can be woken, unlike a blocked accept. */
+    /** Unlike a blocked accept, a select can be woken up. Null if there is no address to listen on. */
     private final Selector selector;
     private volatile boolean stopped;
 
@@ -38,11 +38,11 @@
             return new BoundListener(channel, null);
         }
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        for (int tries = 1; channel.getLocalAddress() == null; tries++) {
+        for (int attempts = 1; channel.getLocalAddress() == null; attempts++) {
             try {
-                channel.bind(address, BACKLOG);
+                channel.bind(address, MAX_QUEUED_CONNECTIONS);
             } catch (BindException e) {
-                if (tries == BIND_TRIES) {
+                if (attempts == MAX_BIND_ATTEMPTS) {
                     throw e;
                 }
                 pause();
@@ -66,13 +66,13 @@
     @Override
     public SocketChannel accept() throws IOException {
         while (true) {
-            boolean last = stopped; // asked first: what waited at the stop is found by the accept after it
+            boolean wasStopped = stopped; // read first, so that the accept below finds what was queued at the stop
             SocketChannel client = channel.accept();
             if (client != null) {
                 return client;
             }
-            if (last) {
-                channel.close(); // from now on connects are refused
+            if (wasStopped) {
+                channel.close(); // from now on the kernel refuses connects
                 selector.close();
                 throw new ClosedChannelException();
             }
@@ -85,7 +85,7 @@
     public synchronized void stop() throws IOException {
         if (selector == null) {
             channel.close();
-        } else if (!stopped) { // a selector must not be woken once it is closed
+        } else if (!stopped) { // a closed selector must not be woken up
             stopped = true;
             selector.wakeup();
         }
--- a/src/main/java/wallmoor/http/ByteSlice.java
+++ b/src/main/java/wallmoor/http/ByteSlice.java
@@ -1,7 +1,7 @@
 package wallmoor.http;
 
-/** Bytes where they were read to. They are good until the next message is read; what must outlive it is copied. */
+/** A range of a read buffer, valid until the next message is read; bytes needed for longer must be copied. */
 public record ByteSlice(byte[] buffer, int from, int length) {
-    /** No bytes. */
+    /** The empty range. */
     public static final ByteSlice EMPTY = new ByteSlice(new byte[0], 0, 0);
 }
--- a/src/main/java/wallmoor/http/Connection.java
+++ b/src/main/java/wallmoor/http/Connection.java
@@ -6,311 +6,331 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client's connection. Between requests it is watched by the selector's thread and has none of its own; what comes in
- * is fed to it, and from a request's first byte to its answer a thread of the pool reads, works and answers.
+ * A client's connection. Between requests only the selector's thread watches it, which passes on the bytes received.
+ * From a request's first byte to its answer, a thread of the pool reads the request, handles it and writes the answer.
  *
- * <p>The feed is the lock of its state. Reading from the channel, and ending the connection from here, are each one
- * step under that lock: a request that was read before the end is answered, and what is read after it is discarded. The
- * states, their events and the tests that force them stand in {@code docs/connections.md}.
+ * <p>The {@link IncomingBytes} object is the lock of the state. Reading from the channel and closing the connection
+ * from this side are each a single step under that lock: a request read before the close is answered, and bytes read
+ * after it are discarded. {@code docs/connections.md} lists the states, their events and the tests of the transitions.
  */
 final class Connection {
-    /** What a connection is at. */
+    /** The state of a connection. */
     enum ConnectionState {
-        /** Nothing has come yet. */
+        /** No byte has been received. */
         NEW,
-        /** Its first request has begun to come. */
+        /** A part of the first request has been received. */
         FIRST_REQUEST,
-        /** A request is being read or is at work. */
+        /** A request is being read or handled. */
         ACTIVE,
-        /** Between requests, none of which was work: a health check mostly connects anew each time. */
+        /**
+         * Between requests, none of which was client work; health checks usually use a new connection each time.
+         */
         IDLE_UNUSED,
         /** Between requests. */
         IDLE,
         /**
-         * The output is shut; what still comes is read and discarded until the client closes too, for a bounded time.
+         * The output is closed; received bytes are discarded until the client closes, too, or a time limit has passed.
          */
         CLOSING,
-        /** It is over. */
+        /** Closed in both directions. */
         CLOSED
     }
 
-    /** After an error, what still comes is read and discarded until so long after connecting. */
+    /** After an error, received bytes are discarded until this time after connecting. */
     static final long ERROR_LINGER_MILLIS = 5_200;
-    /** ... or after the last answer, or the end of an idle connection. */
+    /** After the last answer, or when an idle connection is closed, received bytes are discarded for this time. */
     static final long LINGER_MILLIS = 500;
-    private static final byte[] TOO_BUSY = HttpWriter.bytes(503, "Retry-After: 1\r\n",
-            HttpExchange.plain("too much at work"),
+    private static final byte[] BUSY_RESPONSE = HttpWriter.response(503, "Retry-After: 1\r\n",
+            HttpExchange.plainText("too much at work"),
             true, false);
 
     private final Server server;
-    private final ConnectionOutput wire;
-    private final IncomingBytes feed;
-    private final HttpReader in;
+    private final ConnectionOutput output;
+    private final IncomingBytes incoming;
+    private final HttpReader reader;
     private final long openedAt = System.nanoTime();
-    /** Changes under the lock of the feed. */
+    /** Modified only while holding the lock on {@link #incoming}. */
     private volatile ConnectionState state = ConnectionState.NEW;
-    private volatile long since = openedAt;
-    private volatile long writingSince;
-    private volatile long closeAt;
-    private boolean first = true;
-    /** A request on it was work; of the thread that serves it. */
-    private boolean worked;
-    /** The request at work; guarded by the feed. */
-    private HttpExchange current;
-
-    Connection(Server server, ConnectionOutput wire) {
+    private volatile long stateSince = openedAt;
+    private volatile long writeStartedAt;
+    private volatile long lingerUntil;
+    private boolean isFirstRequest = true;
+    /** Whether a request on this connection was client work; accessed only by the thread that serves it. */
+    private boolean hadClientWork;
+    /** The request being handled; guarded by {@link #incoming}. */
+    private HttpExchange currentExchange;
+
+    Connection(Server server, ConnectionOutput output) {
         this.server = server;
-        this.wire = wire;
-        feed = new IncomingBytes(wire::resume);
-        in = new HttpReader(feed);
+        this.output = output;
+        incoming = new IncomingBytes(output::resume);
+        reader = new HttpReader(incoming);
     }
 
     ConnectionState state() {
         return state;
     }
 
-    long since() {
-        return since;
+    long stateSince() {
+        return stateSince;
     }
 
-    // ---- what comes in: by the watching thread, which waits for nothing ------------------------------------
+    // ---- received bytes: on the selector thread, which never blocks ----------------------------------------
 
     /**
-     * Reads what the channel has; false if nothing more is wanted until it asks. To read, and to know whether the
-     * connection still takes requests, is one step: else it could be ended in between, with a request read and never
-     * answered.
+     * Reads the available bytes of the channel. Reading them and checking that the connection still accepts requests
+     * are a single step: otherwise the connection could be closed in between, and a request that was read would never
+     * be answered.
+     *
+     * @return false if the channel should not be read until {@link ConnectionOutput#resume}
      */
-    boolean readFrom(ReadableByteChannel channel, ByteBuffer scratch) throws IOException {
-        synchronized (feed) {
-            int length = channel.read(scratch.clear());
+    boolean readFrom(ReadableByteChannel channel, ByteBuffer readBuffer) throws IOException {
+        synchronized (incoming) {
+            int length = channel.read(readBuffer.clear());
             if (length >= 0) {
-                return length == 0 || received(scratch.flip());
+                return length == 0 || onReceived(readBuffer.flip());
             }
         }
-        ended();
+        onInputEnd();
         return false;
     }
 
-    /** Takes bytes that came; whether more are wanted. Where the connection is ending they are discarded. */
-    boolean received(ByteBuffer bytes) {
-        synchronized (feed) {
+    /**
+     * Handles received bytes; they are discarded if the connection is closing or closed.
+     *
+     * @return false if the channel should not be read until {@link ConnectionOutput#resume}
+     */
+    boolean onReceived(ByteBuffer bytes) {
+        synchronized (incoming) {
             if (state == ConnectionState.CLOSING || state == ConnectionState.CLOSED) {
                 return true;
             }
-            boolean more = feed.add(bytes);
-            if (state == ConnectionState.NEW || idle(state)) {
-                become(state == ConnectionState.NEW ? ConnectionState.FIRST_REQUEST : ConnectionState.ACTIVE);
-                if (!server.begin(this)) {
-                    turnAway();
+            boolean readMore = incoming.add(bytes);
+            if (state == ConnectionState.NEW || isIdle(state)) {
+                transitionTo(state == ConnectionState.NEW ? ConnectionState.FIRST_REQUEST : ConnectionState.ACTIVE);
+                if (!server.startServing(this)) {
+                    refuseAndClose();
                 }
             }
-            return more;
+            return readMore;
         }
     }
 
     /**
-     * The client has closed: it has gone, whatever it sent before, and so has who waits for the request at work. One
-     * that is still being read ends with its reader.
+     * Handles the end of the input: the client has disconnected, whatever it sent before, and nobody waits for the
+     * request being handled. A request that is still being read is ended by its reader.
      */
-    void ended() {
-        HttpExchange left;
+    void onInputEnd() {
+        HttpExchange interrupted;
         boolean close;
-        synchronized (feed) {
-            feed.end();
-            left = current;
-            close = state == ConnectionState.NEW || idle(state) || state == ConnectionState.CLOSING;
+        synchronized (incoming) {
+            incoming.end();
+            interrupted = currentExchange;
+            close = state == ConnectionState.NEW || isIdle(state) || state == ConnectionState.CLOSING;
         }
         if (close) {
             close();
-        } else if (left != null) {
-            left.clientGone();
+        } else if (interrupted != null) {
+            interrupted.onClientDisconnect();
         }
     }
 
-    /** It takes bytes again. */
-    void writable() {
-        synchronized (wire) {
-            wire.notifyAll();
+    /** Wakes up the writer, as the channel accepts bytes again. */
+    void onWritable() {
+        synchronized (output) {
+            output.notifyAll();
         }
     }
 
-    /** No thread is left to read what has begun: it was not begun upon, and its client may ask again. */
-    private void turnAway() {
-        if (refuse()) {
+    /** Refuses a request for which no thread is available; it was not started, so its client may retry it. */
+    private void refuseAndClose() {
+        if (offerBusyResponse()) {
             halfClose(lingerAfterRequest());
         } else {
             close();
         }
     }
 
-    /** Whoever has begun to ask is told to come again, if the connection takes that at once; whether it did. */
-    private boolean refuse() {
+    /** Offers a 503 response with {@code Retry-After}. Returns whether it could be written without blocking. */
+    private boolean offerBusyResponse() {
         try {
-            return wire.offer(TOO_BUSY);
+            return output.offer(BUSY_RESPONSE);
         } catch (IOException e) {
-            return false; // it has gone
+            return false; // the client has disconnected
         }
     }
 
-    // ---- a request, by a thread of the pool ---------------------------------------------------------------
+    // ---- requests: on a thread of the pool ----------------------------------------------------------------
 
-    /** Serves what has come, until it is idle or ends. An exception here ends this connection and no other. */
+    /** Serves requests until the connection is idle or ends. An exception closes this connection only. */
     void serve() {
-        boolean handedBack = false;
+        boolean idle = false;
         try {
-            boolean keep = true;
-            while (keep && !handedBack && in.await(0)) {
-                keep = one();
-                handedBack = keep && rest();
+            boolean keepAlive = true;
+            while (keepAlive && !idle && reader.await(0)) {
+                keepAlive = serveOne();
+                idle = keepAlive && becomeIdle();
             }
         } catch (IOException e) {
-            // the client has gone, or what it sent was cut off at the bound
+            // the client has disconnected, or its bytes beyond the limit were discarded
         } catch (RuntimeException | OutOfMemoryError e) {
             server.connectionFailed(e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            if (!handedBack) {
+            if (!idle) {
                 halfClose(lingerAfterRequest());
             }
         }
     }
 
-    /** A client that was told off may go on sending for as long as a first request may take. */
+    /**
+     * Returns for how many milliseconds received bytes are discarded after a request: after an error, a client may
+     * still be sending its first request.
+     */
     private long lingerAfterRequest() {
-        long sinceOpen = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt);
-        return Math.max(LINGER_MILLIS, ERROR_LINGER_MILLIS - sinceOpen);
+        long sinceOpenMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt);
+        return Math.max(LINGER_MILLIS, ERROR_LINGER_MILLIS - sinceOpenMillis);
     }
 
-    /** How long the request at hand may take to come in. */
-    private int requestTimeout() {
-        long sinceOpen = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt);
-        int left = first ? (int) Math.max(100, server.timeouts().firstRequest() - sinceOpen)
+    /** Returns the time in milliseconds within which the next request has to be received. */
+    private int requestTimeoutMillis() {
+        long sinceOpenMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - openedAt);
+        int timeoutMillis = isFirstRequest ? (int) Math.max(100, server.timeouts().firstRequest() - sinceOpenMillis)
                 : server.timeouts().request();
-        first = false;
-        return left;
+        isFirstRequest = false;
+        return timeoutMillis;
     }
 
-    private boolean one() throws IOException, InterruptedException {
+    private boolean serveOne() throws IOException, InterruptedException {
         HttpMessage request;
         try {
-            request = in.request(requestTimeout());
+            request = reader.request(requestTimeoutMillis());
         } catch (HttpProtocolException e) {
-            new HttpExchange(server, this, null).answer(e.status(), "", HttpExchange.plain(e.getMessage()));
+            new HttpExchange(server, this, null).answer(e.status(), "", HttpExchange.plainText(e.getMessage()));
             return false;
         }
         var exchange = new HttpExchange(server, this, request);
-        boolean gone;
-        synchronized (feed) {
-            if (!become(ConnectionState.ACTIVE)) {
-                return false; // evicted, with nothing done for it
+        boolean disconnected;
+        synchronized (incoming) {
+            if (!transitionTo(ConnectionState.ACTIVE)) {
+                return false; // evicted before the request was started
             }
-            current = exchange;
-            gone = feed.ended();
-            feed.readOn(true);
+            currentExchange = exchange;
+            disconnected = incoming.ended();
+            incoming.readBeyondLimit(true);
         }
         try {
-            if (gone) {
-                exchange.clientGone();
+            if (disconnected) {
+                exchange.onClientDisconnect();
             }
             return exchange.handle(request);
         } finally {
-            worked |= exchange.wasWork();
-            synchronized (feed) {
-                current = null;
-                feed.readOn(false);
+            hadClientWork |= exchange.wasClientWork();
+            synchronized (incoming) {
+                currentExchange = null;
+                incoming.readBeyondLimit(false);
             }
         }
     }
 
-    /** Is idle from now on and gives up its thread; false where more has come or it has ended. */
-    private boolean rest() {
-        synchronized (feed) {
-            if (feed.waiting() > 0 || in.buffered() || feed.ended() || feed.truncated()) {
-                become(ConnectionState.ACTIVE);
+    /**
+     * Makes the connection idle, so that its thread can be released. Returns false if more bytes have been received or
+     * the connection has ended.
+     */
+    private boolean becomeIdle() {
+        synchronized (incoming) {
+            if (incoming.unreadBytes() > 0 || reader.hasBufferedBytes() || incoming.ended() || incoming.truncated()) {
+                transitionTo(ConnectionState.ACTIVE);
                 return false;
             }
-            return become(worked ? ConnectionState.IDLE : ConnectionState.IDLE_UNUSED);
+            return transitionTo(hadClientWork ? ConnectionState.IDLE : ConnectionState.IDLE_UNUSED);
         }
     }
 
-    private static boolean idle(ConnectionState state) {
+    private static boolean isIdle(ConnectionState state) {
         return state == ConnectionState.IDLE || state == ConnectionState.IDLE_UNUSED;
     }
 
-    /** Writes an answer; one that takes nothing of it for long is closed by {@link #tidy}. */
+    /** Writes an answer. If the client reads nothing for too long, {@link #closeExpired} closes the connection. */
     void write(byte[] answer) throws IOException {
-        writingSince = System.nanoTime();
+        writeStartedAt = System.nanoTime();
         try {
-            wire.write(answer);
+            output.write(answer);
         } finally {
-            writingSince = 0;
+            writeStartedAt = 0;
         }
     }
 
-    /** Waits until it may take bytes again, for at most so long. */
+    /** Waits until the channel may accept bytes again, at most for this time. */
     void awaitWritable(long millis) throws IOException {
         try {
-            synchronized (wire) {
-                wire.wait(millis);
+            synchronized (output) {
+                output.wait(millis);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("told to stop writing");
+            throw new IOException("interrupted while writing");
         }
     }
 
-    // ---- its end ------------------------------------------------------------------------------------------
+    // ---- closing ------------------------------------------------------------------------------------------
 
-    /** Closes what has had its time. */
-    void tidy(long now, long writeMillis, long idleMillis) {
-        long writing = writingSince;
-        if (writing != 0 && now - writing > TimeUnit.MILLISECONDS.toNanos(writeMillis)) {
+    /**
+     * Closes the connection if one of its timeouts has expired.
+     *
+     * @param now         the current time, by {@link System#nanoTime}
+     * @param writeMillis the maximum duration of a write
+     * @param idleMillis  the idle timeout
+     */
+    void closeExpired(long now, long writeMillis, long idleMillis) {
+        long startedAt = writeStartedAt;
+        if (startedAt != 0 && now - startedAt > TimeUnit.MILLISECONDS.toNanos(writeMillis)) {
             close();
         }
-        if (state == ConnectionState.CLOSING && now - closeAt >= 0) {
+        if (state == ConnectionState.CLOSING && now - lingerUntil >= 0) {
             close();
         }
         halfCloseIf(ConnectionState.NEW, server.timeouts().silent());
         halfCloseIdle(idleMillis);
     }
 
-    /** Ends it gracefully if it has been idle for so long. */
+    /** Closes the connection gracefully if it has been idle for this time. */
     void halfCloseIdle(long millis) {
         halfCloseIf(ConnectionState.IDLE, millis);
         halfCloseIf(ConnectionState.IDLE_UNUSED, millis);
     }
 
-    /** Ends it gracefully if it has been in this state for so long. */
-    void halfCloseIf(ConnectionState in, long millis) {
-        if (state != in) {
+    /** Closes the connection gracefully if it has been in this state for this time. */
+    void halfCloseIf(ConnectionState expected, long millis) {
+        if (state != expected) {
             return;
         }
-        synchronized (feed) {
-            if (hasBeen(in, millis)) {
+        synchronized (incoming) {
+            if (hasBeenIn(expected, millis)) {
                 halfClose(LINGER_MILLIS);
             }
         }
     }
 
     /**
-     * Ends it from this side: the client is told that nothing more comes, and what it still sends is read and
-     * discarded. To close over bytes not yet read would reset the connection, and could take the last answer with it.
+     * Closes the output; bytes that the client still sends are read and discarded. Closing the socket with unread bytes
+     * would reset the connection, and the client could lose the last answer.
      *
-     * @param lingerMillis for how long the client may go on sending
+     * @param lingerMillis the time for which the client may continue to send
      */
     private void halfClose(long lingerMillis) {
         boolean clientEnded;
-        synchronized (feed) {
-            clientEnded = feed.ended();
-            if (!clientEnded && become(ConnectionState.CLOSING)) {
-                closeAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(lingerMillis);
+        synchronized (incoming) {
+            clientEnded = incoming.ended();
+            if (!clientEnded && transitionTo(ConnectionState.CLOSING)) {
+                lingerUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(lingerMillis);
                 try {
-                    wire.shutdownOutput();
+                    output.shutdownOutput();
                 } catch (IOException e) {
-                    clientEnded = true; // it has gone already
+                    clientEnded = true; // the client has already disconnected
                 }
-                feed.clear();
+                incoming.clear();
             }
         }
         if (clientEnded) {
@@ -318,14 +338,18 @@
         }
     }
 
-    /** Closes it at once if it has been in this state for so long: its descriptor is wanted. */
-    boolean closeIf(ConnectionState in, long millis) {
+    /**
+     * Evicts the connection if it has been in this state for this time: closes it at once, to free its file descriptor.
+     *
+     * @return whether the connection was closed
+     */
+    boolean closeIf(ConnectionState expected, long millis) {
         boolean close;
-        synchronized (feed) {
-            close = hasBeen(in, millis);
+        synchronized (incoming) {
+            close = hasBeenIn(expected, millis);
             if (close) {
-                if (in == ConnectionState.FIRST_REQUEST) {
-                    refuse(); // its request may have come whole this moment
+                if (expected == ConnectionState.FIRST_REQUEST) {
+                    offerBusyResponse(); // its request may have become complete just now
                 }
                 close();
             }
@@ -333,30 +357,34 @@
         return close;
     }
 
-    private boolean hasBeen(ConnectionState in, long millis) {
-        return state == in && System.nanoTime() - since >= TimeUnit.MILLISECONDS.toNanos(millis);
+    private boolean hasBeenIn(ConnectionState expected, long millis) {
+        return state == expected && System.nanoTime() - stateSince >= TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    /** Ends it at once. */
+    /** Closes the connection at once. */
     void close() {
-        synchronized (feed) {
+        synchronized (incoming) {
             state = ConnectionState.CLOSED;
             try {
-                wire.close();
+                output.close();
             } catch (IOException e) {
-                // it is closed as far as it can be
+                // nothing more can be done to close it
             }
-            feed.end();
+            incoming.end();
         }
-        server.forget(this);
+        server.remove(this);
     }
 
-    /** Goes on to another state, unless it is ending or over. Guarded by the feed. */
-    private boolean become(ConnectionState next) {
+    /**
+     * Changes the state, unless the connection is closing or closed. The caller holds the lock on {@link #incoming}.
+     *
+     * @return whether the state was changed
+     */
+    private boolean transitionTo(ConnectionState next) {
         if (state == ConnectionState.CLOSING || state == ConnectionState.CLOSED) {
             return false;
         }
-        since = System.nanoTime();
+        stateSince = System.nanoTime();
         state = next;
         return true;
     }
--- a/src/main/java/wallmoor/http/ConnectionAcceptor.java
+++ b/src/main/java/wallmoor/http/ConnectionAcceptor.java
@@ -4,20 +4,24 @@
 import java.net.InetSocketAddress;
 import java.nio.channels.SocketChannel;
 
-/** Where a server's connections come from. */
+/** The source of a server's connections. */
 public interface ConnectionAcceptor {
     /**
      * Waits for the next connection.
      *
-     * @throws java.nio.channels.ClosedChannelException once {@link #stop} was called and no connection is left that
-     *     this process has to take
+     * @throws java.nio.channels.ClosedChannelException after {@link #stop}, once no connection is left that only
+     *     this process can accept
      */
     SocketChannel accept() throws IOException;
 
-    /** Takes no more connections, but for those that wait already and that nobody else could take. */
+    /** Stops accepting connections, except for queued ones that no other process could accept. */
     void stop() throws IOException;
 
-    /** A socket of this process's own, at this address; at none where it is null: then nothing can be accepted. */
+    /**
+     * Binds a listening socket of this process.
+     *
+     * @param address the address to listen on; if null, no connection can be accepted
+     */
     static ConnectionAcceptor at(InetSocketAddress address) throws IOException {
         return BoundListener.bind(address);
     }
--- a/src/main/java/wallmoor/http/ConnectionOutput.java
+++ b/src/main/java/wallmoor/http/ConnectionOutput.java
@@ -3,17 +3,17 @@
 import java.io.Closeable;
 import java.io.IOException;
 
-/** What a server's connection writes to; what comes in is fed to it from elsewhere. */
+/** The output side of a connection to a server's client. */
 interface ConnectionOutput extends Closeable {
-    /** Writes all of this; waits while the peer takes nothing. */
+    /** Writes all bytes; blocks while the peer reads nothing. */
     void write(byte[] bytes) throws IOException;
 
-    /** Writes what it takes at once; whether that was all. */
+    /** Writes as many bytes as possible without blocking. Returns whether all were written. */
     boolean offer(byte[] bytes) throws IOException;
 
-    /** Tells the peer that nothing more comes. */
+    /** Closes the output direction only. */
     void shutdownOutput() throws IOException;
 
-    /** Asks for what comes in again after {@link Connection#received} wanted no more. */
+    /** Resumes reading after {@link Connection#onReceived} has returned false. */
     void resume();
 }
--- a/src/main/java/wallmoor/http/ConnectionSelector.java
+++ b/src/main/java/wallmoor/http/ConnectionSelector.java
@@ -12,22 +12,23 @@
 import java.util.function.Consumer;
 
 /**
- * One thread that watches all connections of a server and hands on what comes in. So one that says nothing costs
- * neither a thread nor a wake-up: a gatherer that is stopped and let go on again, as its share of a core is used up,
- * wakes each thread it has, and with hundreds of threads at rest that took more of its share than its queries.
+ * One thread that watches all connections of a server and passes on the bytes received. An idle connection therefore
+ * needs neither a thread nor a wake-up. When the CPU quota of a gatherer is used up, it is suspended, and on resumption
+ * each of its threads wakes up; with a thread for each of hundreds of idle connections that took more CPU time than the
+ * queries.
  */
 final class ConnectionSelector {
-    /** Read at once: most requests whole, and no more than a connection may have unread. */
-    private static final int SCRATCH = IncomingBytes.MOST;
-    /** Of an answer written at once: the JDK keeps as much beside each thread that writes. */
-    private static final int PIECE = 8 * 1024;
-    /** Between two looks at whether a peer that takes nothing has been given up. */
-    private static final long LOOK_MILLIS = 100;
+    /** Enough for most requests, and not more than a connection may have unread. */
+    private static final int READ_BUFFER_BYTES = IncomingBytes.MAX_UNREAD_BYTES;
+    /** The maximum size of a single write: the JDK retains a buffer of that size for each thread that writes. */
+    private static final int MAX_WRITE_BYTES = 8 * 1024;
+    /** The interval at which a blocked write checks whether its connection was closed. */
+    private static final long WRITE_CHECK_INTERVAL_MILLIS = 100;
 
     private final Selector selector;
     private final Consumer<String> log;
-    private final Queue<Runnable> wishes = new ConcurrentLinkedQueue<>();
-    private final ByteBuffer scratch = ByteBuffer.allocateDirect(SCRATCH);
+    private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
     ConnectionSelector(String name, Consumer<String> log) throws IOException {
         this.log = log;
@@ -35,15 +36,15 @@
         Threads.start(name + "-rest", this::run);
     }
 
-    /** What a server writes to over this channel; nothing is read of it before {@link Over#begin}. */
-    Over over(SocketChannel channel) throws IOException {
+    /** Returns the output over a channel; the channel is not read before {@link ChannelOutput#startReading}. */
+    ChannelOutput output(SocketChannel channel) throws IOException {
         channel.configureBlocking(false);
         channel.setOption(java.net.StandardSocketOptions.TCP_NODELAY, true);
-        return new Over(channel);
+        return new ChannelOutput(channel);
     }
 
-    private void wish(Runnable what) {
-        wishes.add(what);
+    private void runOnSelector(Runnable task) {
+        tasks.add(task);
         selector.wakeup();
     }
 
@@ -51,66 +52,66 @@
         while (true) {
             try {
                 selector.select();
-                for (Runnable wish = wishes.poll(); wish != null; wish = wishes.poll()) {
-                    wish.run();
+                for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
+                    task.run();
                 }
-                selector.selectedKeys().forEach(this::ready);
+                selector.selectedKeys().forEach(this::handleReady);
                 selector.selectedKeys().clear();
             } catch (IOException | RuntimeException | OutOfMemoryError e) {
-                log.accept("watching connections: " + e);
+                log.accept("connection selector failed: error=" + e);
             }
         }
     }
 
-    private void ready(SelectionKey key) {
+    private void handleReady(SelectionKey key) {
         var connection = (Connection) key.attachment();
         try {
             if (key.isWritable()) {
                 key.interestOpsAnd(~SelectionKey.OP_WRITE);
-                connection.writable();
+                connection.onWritable();
             }
             if (key.isReadable()) {
                 read(key, connection);
             }
         } catch (CancelledKeyException e) {
-            connection.ended(); // it was closed here
-        } catch (RuntimeException | OutOfMemoryError e) { // ends this connection and no other
-            log.accept("connection ended: " + e);
+            connection.onInputEnd(); // this side has closed it
+        } catch (RuntimeException | OutOfMemoryError e) { // closes this connection only
+            log.accept("connection closed after an error: error=" + e);
             key.cancel();
             connection.close();
         }
     }
 
-    /** Nothing here waits, whatever the peer does: all other connections would wait with it. */
+    /** Reads without blocking, since a blocked read would delay all other connections. */
     private void read(SelectionKey key, Connection connection) {
         try {
-            if (!connection.readFrom((SocketChannel) key.channel(), scratch)) {
-                key.interestOpsAnd(~SelectionKey.OP_READ); // an end stays readable
+            if (!connection.readFrom((SocketChannel) key.channel(), readBuffer)) {
+                key.interestOpsAnd(~SelectionKey.OP_READ); // a closed channel would stay readable
             }
         } catch (IOException e) {
             key.cancel();
-            connection.ended();
+            connection.onInputEnd();
         }
     }
 
-    /** A channel that is written to without blocking, by one thread that waits while it takes nothing. */
-    final class Over implements ConnectionOutput {
+    /** The output over a non-blocking channel; the writing thread waits while the channel accepts no bytes. */
+    final class ChannelOutput implements ConnectionOutput {
         private final SocketChannel channel;
         private volatile SelectionKey key;
         private Connection connection;
 
-        private Over(SocketChannel channel) {
+        private ChannelOutput(SocketChannel channel) {
             this.channel = channel;
         }
 
-        /** What comes in goes to this connection from here on. */
-        void begin(Connection to) {
+        /** Starts to pass the received bytes to a connection. */
+        void startReading(Connection to) {
             connection = to;
-            wish(() -> {
+            runOnSelector(() -> {
                 try {
                     key = channel.register(selector, SelectionKey.OP_READ, to);
                 } catch (ClosedChannelException e) {
-                    to.ended();
+                    to.onInputEnd();
                 }
             });
         }
@@ -122,12 +123,12 @@
 
         @Override
         public void write(byte[] bytes) throws IOException {
-            ByteBuffer all = ByteBuffer.wrap(bytes);
-            while (all.position() < bytes.length) {
-                all.limit(Math.min(bytes.length, all.position() + PIECE));
-                if (channel.write(all) == 0) {
-                    want(SelectionKey.OP_WRITE);
-                    connection.awaitWritable(LOOK_MILLIS);
+            ByteBuffer remaining = ByteBuffer.wrap(bytes);
+            while (remaining.position() < bytes.length) {
+                remaining.limit(Math.min(bytes.length, remaining.position() + MAX_WRITE_BYTES));
+                if (channel.write(remaining) == 0) {
+                    addInterest(SelectionKey.OP_WRITE);
+                    connection.awaitWritable(WRITE_CHECK_INTERVAL_MILLIS);
                 }
             }
         }
@@ -139,13 +140,13 @@
 
         @Override
         public void resume() {
-            want(SelectionKey.OP_READ);
+            addInterest(SelectionKey.OP_READ);
         }
 
-        private void want(int what) {
-            wish(() -> {
+        private void addInterest(int operations) {
+            runOnSelector(() -> {
                 if (key != null && key.isValid()) {
-                    key.interestOpsOr(what);
+                    key.interestOpsOr(operations);
                 }
             });
         }
@@ -153,7 +154,7 @@
         @Override
         public void close() throws IOException {
             channel.close();
-            selector.wakeup(); // its descriptor is given back by the watching thread
+            selector.wakeup(); // the selector thread releases the file descriptor
         }
     }
 }
--- a/src/main/java/wallmoor/http/ConnectionTimeouts.java
+++ b/src/main/java/wallmoor/http/ConnectionTimeouts.java
@@ -1,38 +1,42 @@
 package wallmoor.http;
 
 /**
- * How long a server bears connections, in milliseconds.
+ * The timeouts of a server's connections, in milliseconds.
  *
- * @param firstRequest     a connection's first request must be whole within this time of connecting
- * @param request          a later one within this time of its first byte
- * @param silent           a connection that has sent nothing for so long is ended
- * @param idle             one between requests, where more than an eighth of the connections there may be are open
- * @param idlePressed      ... and where more than a quarter are
- * @param idleAtEase       ... and where there are fewer
- * @param evictSilent      at the cap a silent one is evicted after so long
- * @param evictHalfRequest ... and one whose first request is not whole
- * @param evictIdle        ... and one between requests, before a silent one
- * @param evictJustIdle    ... and after a silent one
+ * @param firstRequest            the time from connecting until the first request must be complete
+ * @param request                 the time from the first byte of a later request until it must be complete
+ * @param silent                  the time after which a connection that never sent anything is closed
+ * @param idle                    the time after which a connection between requests is closed, if more than an eighth
+ *                                and at most a quarter of the maximum number of connections are open
+ * @param idleHighLoad            the same if more than a quarter are open
+ * @param idleLowLoad             the same if at most an eighth are open
+ * @param evictSilent             the minimum age at which a connection that never sent anything may be evicted, when
+ *                                the maximum number of connections is reached
+ * @param evictIncompleteRequest  the same for a connection whose first request is incomplete
+ * @param evictIdle               the same for a connection between requests, in preference to a silent one
+ * @param evictRecentlyIdle       the same for a connection between requests, if no silent one may be evicted
  */
-public record ConnectionTimeouts(long firstRequest, int request, long silent, long idle, long idlePressed,
-        long idleAtEase,
-        long evictSilent, long evictHalfRequest, long evictIdle, long evictJustIdle) {
+public record ConnectionTimeouts(long firstRequest, int request, long silent, long idle, long idleHighLoad,
+        long idleLowLoad,
+        long evictSilent, long evictIncompleteRequest, long evictIdle, long evictRecentlyIdle) {
     /**
-     * With clients on the platform's network. Rude clients hold back the rest of a request for ever, and some that
-     * asked once keep their connections for good and have none left to ask with: so an idle one is ended the sooner the
-     * more are open. A silent one is evicted after an idle one, as its client connects again at once, and the idle
-     * one's only with its next request; one that was idle for some round trips hardly has a request on its way.
+     * For clients on the platform's network. Misbehaving clients never send the rest of a request, and some keep a
+     * connection open for ever after one request until they have no connection left for another one. The idle timeout
+     * therefore shrinks as more connections are open. A silent connection is evicted after an idle one, as its client
+     * reconnects at once, while the client of an idle one reconnects only for its next request. A connection that was
+     * idle for a few round trips is unlikely to have a request in transit.
      */
     public static final ConnectionTimeouts SHORT = new ConnectionTimeouts(2_700, 5_000, 2_200, 2_050, 700, 15_000, 400,
             700,
             250, 50);
-    /** With devices on poor links, where a round trip may take seconds and a request come a packet at a time. */
+    /** For devices on poor links, where a round trip may take seconds and a request may arrive packet by packet. */
     public static final ConnectionTimeouts LONG = new ConnectionTimeouts(30_000, 30_000, 30_000, 60_000, 20_000,
             120_000,
             5_000, 10_000, 10_000, 2_000);
     /**
-     * With operators on the gatherer's own network, a call a connection: who says nothing, or half a call, may take 5 s
-     * over it, but is evicted after a moment, so that a crowd of such costs another caller a fraction of a second.
+     * For operators on the gatherer's own network, who make one call per connection. A connection with no request or an
+     * incomplete one may stay for 5 s, but may be evicted after 50 ms or 100 ms, so that many of them delay another
+     * caller by a fraction of a second only.
      */
     public static final ConnectionTimeouts OPERATORS = new ConnectionTimeouts(5_000, 5_000, 5_000, 2_050, 700, 5_000,
             50,
--- a/src/main/java/wallmoor/http/Eviction.java
+++ b/src/main/java/wallmoor/http/Eviction.java
@@ -3,27 +3,28 @@
 import wallmoor.http.Connection.ConnectionState;
 
 /**
- * Decides which connection is evicted for one that waits, where a server holds as many as it may. Knows no socket and
- * no clock: it is told how long the oldest connection of each state has been in it.
+ * Decides which connection is evicted for a queued one when a server has its maximum number of connections. It has no
+ * access to sockets or clocks: its input is how long the oldest connection in each state has been in that state.
  */
 final class Eviction {
-    /** Milliseconds that the oldest of each state has been in it; -1 where there is none. */
+    /** The time in milliseconds that the oldest connection in each state has been in it; -1 if there is none. */
     record OldestMillis(long closing, long idleUnused, long fresh, long idle, long firstRequest) {}
 
     private Eviction() {}
 
     /**
-     * The state whose oldest connection is evicted, or null if none may be for now. What costs least goes first: one
-     * that is closing costs nothing; one that no work has come over has hardly any to come; an idle one costs its
-     * client a handshake with its next request, if it ever has one; a new, silent one comes back the moment it is
-     * closed, and costs that each time; one that was idle for a moment may have its next request on the way, which
-     * crosses the close and is asked again; half a request is an answer given up.
+     * Returns the state whose oldest connection is to be evicted, or null if no connection may be evicted now. The
+     * order is by increasing cost. Evicting a closing connection costs nothing. A connection that has carried no client
+     * work is unlikely to carry any. The client of an idle connection needs another handshake for its next request, if
+     * there is one. The client of a new, silent connection reconnects at once, each time. A recently idle connection
+     * may have its next request in transit, which is then lost and has to be sent again. An incomplete request is lost
+     * without an answer.
      */
     static ConnectionState choose(OldestMillis oldest, ConnectionTimeouts timeouts) {
         if (oldest.closing >= Connection.LINGER_MILLIS) {
             return ConnectionState.CLOSING;
         }
-        if (oldest.idleUnused >= timeouts.evictJustIdle()) {
+        if (oldest.idleUnused >= timeouts.evictRecentlyIdle()) {
             return ConnectionState.IDLE_UNUSED;
         }
         if (oldest.idle >= timeouts.evictIdle()) {
@@ -32,9 +33,9 @@
         if (oldest.fresh >= timeouts.evictSilent()) {
             return ConnectionState.NEW;
         }
-        if (oldest.idle >= timeouts.evictJustIdle()) {
+        if (oldest.idle >= timeouts.evictRecentlyIdle()) {
             return ConnectionState.IDLE;
         }
-        return oldest.firstRequest >= timeouts.evictHalfRequest() ? ConnectionState.FIRST_REQUEST : null;
+        return oldest.firstRequest >= timeouts.evictIncompleteRequest() ? ConnectionState.FIRST_REQUEST : null;
     }
 }
--- a/src/main/java/wallmoor/http/HttpExchange.java
+++ b/src/main/java/wallmoor/http/HttpExchange.java
@@ -3,104 +3,111 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 
-/** One request and the one answer to it. */
+/** A request and the single answer to it. */
 public final class HttpExchange {
     private final Server server;
     private final Connection connection;
     private final boolean withBody;
     private volatile boolean keepAlive;
-    private boolean isWork = true;
+    private boolean isClientWork = true;
     private boolean answered;
-    private boolean clientGone;
-    private boolean over;
-    private Runnable onClientGone;
+    private boolean clientDisconnected;
+    private boolean handled;
+    private Runnable disconnectAction;
 
-    /** An exchange on this connection; the request is null where it could not be read. */
+    /** Creates an exchange on a connection; the request is null if it could not be read. */
     HttpExchange(Server server, Connection connection, HttpMessage request) {
         this.server = server;
         this.connection = connection;
         withBody = request == null || !request.method().equals("HEAD");
-        keepAlive = request != null && request.keepAlive() && !server.leaving();
+        keepAlive = request != null && request.keepAlive() && !server.isClosingAfterAnswers();
     }
 
-    static byte[] plain(String text) {
+    static byte[] plainText(String text) {
         return (text + "\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Has the front answer; whether the connection may carry another request. */
+    /** Passes the request to the handler. Returns whether the connection may carry another request. */
     boolean handle(HttpMessage request) {
         try {
             server.handler().handle(request, this);
         } catch (HttpProtocolException e) {
-            failed(e.status(), e.getMessage());
+            answerError(e.status(), e.getMessage());
         } catch (IOException e) {
             keepAlive = false;
         } catch (RuntimeException | InterruptedException e) {
             server.requestFailed(e);
-            failed(500, "internal error");
+            answerError(500, "internal error");
         }
         synchronized (this) {
-            over = true;
-            keepAlive &= answered; // whatever went wrong, the client is not left waiting
+            handled = true;
+            keepAlive &= answered; // without an answer, the connection is closed so that the client does not wait
         }
         return keepAlive;
     }
 
-    private void failed(int status, String why) {
+    private void answerError(int status, String message) {
         try {
-            answer(status, "", plain(why));
+            answer(status, "", plainText(message));
         } catch (IOException e) {
             keepAlive = false;
         }
     }
 
-    /** Writes the answer; a second one is a fault of the caller's. */
+    /**
+     * Writes the answer.
+     *
+     * @param headers complete header lines, each with its line end
+     * @throws IllegalStateException if the request was already answered
+     */
     public void answer(int status, String headers, byte[] body) throws IOException {
         synchronized (this) {
             if (answered) {
-                throw new IllegalStateException("answered twice");
+                throw new IllegalStateException("the request was already answered");
             }
             answered = true;
         }
-        keepAlive &= !server.leaving();
+        keepAlive &= !server.isClosingAfterAnswers();
         try {
-            connection.write(HttpWriter.bytes(status, headers, body, withBody, keepAlive));
+            connection.write(HttpWriter.response(status, headers, body, withBody, keepAlive));
         } catch (IOException e) {
             keepAlive = false;
             throw e;
         }
     }
 
-    /** This request was no client's work: a health check, or a path that there is not. */
+    /** Marks a request that is no client work, such as a health check or a request for an unknown path. */
     public void markNotClientWork() {
-        isWork = false;
+        isClientWork = false;
     }
 
-    boolean wasWork() {
-        return isWork;
+    boolean wasClientWork() {
+        return isClientWork;
     }
 
-    /** Whether the client has left: nothing need be begun for it. */
+    /** Returns whether the client has disconnected, so that its request need not be started. */
     public synchronized boolean hasClientDisconnected() {
-        return clientGone;
+        return clientDisconnected;
     }
 
-    /** Runs this once if the client leaves before the answer; at once if it has left. */
+    /**
+     * Runs an action once if the client disconnects before the request has been handled, or at once if it already has.
+     */
     public void whenClientDisconnects(Runnable action) {
         synchronized (this) {
-            if (!clientGone) {
-                onClientGone = action;
+            if (!clientDisconnected) {
+                disconnectAction = action;
                 return;
             }
         }
         action.run();
     }
 
-    void clientGone() {
+    void onClientDisconnect() {
         Runnable action;
         synchronized (this) {
-            clientGone = true;
-            action = over ? null : onClientGone;
+            clientDisconnected = true;
+            action = handled ? null : disconnectAction;
             keepAlive = false;
         }
         if (action != null) {
--- a/src/main/java/wallmoor/http/HttpMessage.java
+++ b/src/main/java/wallmoor/http/HttpMessage.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * A request or an answer.
+ * An HTTP request or response.
  *
- * @param method   the request's, or the empty text
- * @param target   the request's, or the empty text
- * @param status   the answer's, or 0
- * @param headers  names and values in turn, as they came
- * @param keepAlive whether the connection may carry another message after this one
- * @param firstByteAt  {@link System#nanoTime} at which its first byte was read
+ * @param method      the method of a request, or the empty string
+ * @param target      the target of a request, or the empty string
+ * @param status      the status of a response, or 0
+ * @param headers     alternating names and values, in the order received
+ * @param keepAlive   whether the connection may carry another message after this one
+ * @param firstByteAt the time at which the first byte was received, by {@link System#nanoTime}
  */
 public record HttpMessage(String method, String target, int status, List<String> headers, ByteSlice body,
         boolean keepAlive, long firstByteAt) {
 
-    /** The value of a header, or null. */
+    /** Returns the value of a header, or null; the case of the name is ignored. */
     public String header(String name) {
         return find(headers, name);
     }
--- a/src/main/java/wallmoor/http/HttpProtocolException.java
+++ b/src/main/java/wallmoor/http/HttpProtocolException.java
@@ -1,17 +1,17 @@
 package wallmoor.http;
 
-/** A message that is refused, with the status that says why. */
+/** Thrown for a message that violates the protocol or a limit, with the status to answer with. */
 public final class HttpProtocolException extends Exception {
     private static final long serialVersionUID = 1L;
     private final int status;
 
-    /** A fault of the peer's. */
+    /** Creates an exception whose message is the body of the answer. */
     public HttpProtocolException(int status, String message) {
         super(message);
         this.status = status;
     }
 
-    /** The status to answer with. */
+    /** Returns the status to answer with. */
     public int status() {
         return status;
     }
--- a/src/main/java/wallmoor/http/HttpReader.java
+++ b/src/main/java/wallmoor/http/HttpReader.java
@@ -13,177 +13,200 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Reads HTTP/1.1 messages from a connection into one buffer. Heads and bodies are bounded, and so is the time that a
- * message may take once its first byte is in: on poor links half a message is ordinary, and none may hold a thread
- * for ever. One thread reads; a body is good until the next message is begun.
+ * Reads HTTP/1.1 messages from a connection into one buffer. The sizes of heads and bodies are bounded, and so is the
+ * time between the first and the last byte of a message, since partial messages are common on poor links and must not
+ * occupy a thread for ever. Only one thread may read. A body is valid until the next message is read.
  */
 public final class HttpReader {
-    /** The longest body that is taken. */
+    /** The default limit on the size of a body. */
     public static final int MAX_BODY_BYTES = 64 * 1024;
-    private static final int MOST_HEAD = 16 * 1024;
-    private static final int MOST_HEADERS = 64;
-    private static final int FIRST_SIZE = 2048;
-    private static final int MOST_LINE = 1024;
-    /** A body without a length lasts as long as its connection. */
-    private static final int TO_THE_END = Integer.MAX_VALUE;
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final int MAX_HEADERS = 64;
+    private static final int INITIAL_BUFFER_BYTES = 2048;
+    private static final int MAX_CHUNK_LINE_BYTES = 1024;
+    /** The remaining length of a body that ends with its connection. */
+    private static final int UNTIL_CLOSE = Integer.MAX_VALUE;
 
-    /** How long a read waits for its first byte, for ever if 0. */
+    /** Sets the timeout of a read; 0 means no timeout. */
     private interface ReadTimeouts {
         void set(int millis) throws IOException;
     }
 
-    private final ReadTimeouts patience;
-    private final IncomingBytes feed;
+    private final ReadTimeouts timeoutSetter;
+    private final IncomingBytes incoming;
     private final InputStream in;
-    private byte[] buffer = new byte[FIRST_SIZE];
-    private int at;
-    private int end;
-    /** When the first byte of the message at hand came, which may be while the one before was at work. */
-    private long begunAt;
-    /** When its reading began: the time that it may take to come in counts from here. */
-    private long readSince;
-    private long giveUpAt;
-    /** When the bytes read last came, or sooner. */
+    private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
+    private int position;
+    private int limit;
+    /**
+     * The arrival time of the first byte of the current message, which may be while the previous one was handled.
+     */
+    private long firstByteAt;
+    /** The time at which reading of the current message began, from which its timeout counts. */
+    private long readStartedAt;
+    private long deadline;
+    /** The arrival time of the bytes read last, or an earlier time. */
     private long arrivedAt;
     private boolean chunked;
-    private int chunkLeft;
-    /** A chunk has been read, but not the line end behind it. */
-    private boolean chunkBegun;
-    /** What is left of a body that is read in parts and has a length. */
-    private int bodyLeft;
-    private int mostBody = MAX_BODY_BYTES;
+    private int chunkRemaining;
+    /** Whether a chunk has been read, but not the line end after it. */
+    private boolean chunkEndPending;
+    /** The remaining bytes of a body that is read in parts and has a length. */
+    private int bodyRemaining;
+    private int maxBodyBytes = MAX_BODY_BYTES;
 
-    /** Reads from this connection. */
+    /** Creates a reader of a socket. */
     public HttpReader(Socket socket) throws IOException {
-        this.patience = socket::setSoTimeout;
+        this.timeoutSetter = socket::setSoTimeout;
         this.in = socket.getInputStream();
-        this.feed = null;
+        this.incoming = null;
     }
 
-    /** Reads what is fed to a connection. */
-    HttpReader(IncomingBytes feed) {
-        this.patience = feed::timeout;
-        this.in = feed;
-        this.feed = feed;
+    /** Creates a reader of the bytes that a selector receives on a connection. */
+    HttpReader(IncomingBytes incoming) {
+        this.timeoutSetter = incoming::setTimeoutMillis;
+        this.in = incoming;
+        this.incoming = incoming;
     }
 
-    /** Whether more has been read than was asked for: the beginning of another message. */
-    boolean buffered() {
-        return at < end;
+    /** Returns whether the beginning of another message has already been read. */
+    boolean hasBufferedBytes() {
+        return position < limit;
     }
 
-    /** Bodies of so many bytes are taken from here on, where the peer is trusted with more than
-     * {@link #MAX_BODY_BYTES}. */
-    public void setMaxBodyBytes(int most) {
-        mostBody = most;
+    /** Sets the limit on the size of a body, for a peer that is trusted with more than {@link #MAX_BODY_BYTES}. */
+    public void setMaxBodyBytes(int maxBytes) {
+        maxBodyBytes = maxBytes;
     }
 
-    /** Waits for the first byte of the next message, for ever if 0; false if the peer closes instead. */
+    /**
+     * Waits for the first byte of the next message.
+     *
+     * @param millis the timeout; 0 means no timeout
+     * @return false if the peer closes the connection instead
+     */
     public boolean await(int millis) throws IOException {
-        if (at == end) {
-            at = 0;
-            end = 0;
-            if (buffer.length > 8 * FIRST_SIZE) {
-                buffer = new byte[FIRST_SIZE];
+        if (position == limit) {
+            position = 0;
+            limit = 0;
+            if (buffer.length > 8 * INITIAL_BUFFER_BYTES) {
+                buffer = new byte[INITIAL_BUFFER_BYTES];
             }
-            patience.set(millis);
-            if (!more()) {
+            timeoutSetter.set(millis);
+            if (!readMore()) {
                 return false;
             }
-            readSince = arrivedAt;
+            readStartedAt = arrivedAt;
         } else {
-            readSince = System.nanoTime();
+            readStartedAt = System.nanoTime();
         }
-        begunAt = arrivedAt;
+        firstByteAt = arrivedAt;
         return true;
     }
 
-    /** Reads a request whose first byte is in. */
+    /**
+     * Reads a request after {@link #await} has returned true.
+     *
+     * @param millis the time within which the request has to be received
+     */
     public HttpMessage request(int millis) throws IOException, HttpProtocolException {
-        giveUpAt = readSince + TimeUnit.MILLISECONDS.toNanos(millis);
-        String[] first = line(0, 414).split(" ", -1);
-        if (first.length != 3 || first[0].isEmpty() || !first[1].startsWith("/") || !first[2].startsWith("HTTP/")) {
+        deadline = readStartedAt + TimeUnit.MILLISECONDS.toNanos(millis);
+        String[] requestLine = readLine(0, 414).split(" ", -1);
+        if (requestLine.length != 3 || requestLine[0].isEmpty() || !requestLine[1].startsWith("/")
+                || !requestLine[2].startsWith("HTTP/")) {
             throw new HttpProtocolException(400, "malformed request line");
         }
-        if (!first[2].equals("HTTP/1.1") && !first[2].equals("HTTP/1.0")) {
+        if (!requestLine[2].equals("HTTP/1.1") && !requestLine[2].equals("HTTP/1.0")) {
             throw new HttpProtocolException(505, "HTTP/1.1 only");
         }
-        List<String> headers = headers();
-        return new HttpMessage(first[0], first[1], 0, headers, body(headers, false),
-                keeps(headers, first[2]), begunAt);
+        List<String> headers = readHeaders();
+        return new HttpMessage(requestLine[0], requestLine[1], 0, headers, readBody(headers, false),
+                isKeepAlive(headers, requestLine[2]), firstByteAt);
     }
 
-    /** Reads an answer: all of it, or only its head where the body is to be read in parts. */
+    /**
+     * Reads a response.
+     *
+     * @param millis   the time within which it has to be received
+     * @param withBody whether to read the body, too; otherwise {@link #bodyPart} reads it in parts
+     */
     public HttpMessage answer(int millis, boolean withBody) throws IOException, HttpProtocolException {
-        giveUpAt = readSince + TimeUnit.MILLISECONDS.toNanos(millis);
-        String first = line(0, 400);
-        if (!isStatus(first)) {
+        deadline = readStartedAt + TimeUnit.MILLISECONDS.toNanos(millis);
+        String statusLine = readLine(0, 400);
+        if (!isStatusLine(statusLine)) {
             throw new HttpProtocolException(400, "malformed status line");
         }
-        int status = Integer.parseInt(first.substring(9, 12));
-        List<String> headers = headers();
+        int status = Integer.parseInt(statusLine.substring(9, 12));
+        List<String> headers = readHeaders();
         if (!withBody) {
-            int length = framing(headers);
-            bodyLeft = length < 0 ? TO_THE_END : length;
+            int length = parseFraming(headers);
+            bodyRemaining = length < 0 ? UNTIL_CLOSE : length;
         }
-        boolean none = status == 204 || status == 304 || status < 200;
-        boolean ends = !chunked(headers) && HttpMessage.find(headers, "Content-Length") == null && !none;
-        return new HttpMessage("", "", status, headers, withBody && !none ? body(headers, true) : ByteSlice.EMPTY,
-                !ends && keeps(headers, first.substring(0, 8)), begunAt);
+        boolean hasNoBody = status == 204 || status == 304 || status < 200;
+        boolean endsWithConnection = !hasTransferEncoding(headers)
+                && HttpMessage.find(headers, "Content-Length") == null && !hasNoBody;
+        return new HttpMessage("", "", status, headers,
+                withBody && !hasNoBody ? readBody(headers, true) : ByteSlice.EMPTY,
+                !endsWithConnection && isKeepAlive(headers, statusLine.substring(0, 8)), firstByteAt);
     }
 
     /**
-     * The next bytes of the body of an answer whose head alone was read, as many as are in; null where the body ends.
-     * They are good until the next call.
+     * Returns the available bytes of the body of a response of which only the head was read, or null at the end of the
+     * body. They are valid until the next call.
+     *
+     * @param millis the time within which at least one byte has to be received
      */
     public ByteSlice bodyPart(int millis) throws IOException, HttpProtocolException {
-        giveUpAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        if (chunked && chunkLeft == 0) {
-            if (chunkBegun) { // only now: what is in must not wait for the line end behind it
-                chunkEnd();
+        deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        if (chunked && chunkRemaining == 0) {
+            if (chunkEndPending) { // deferred, so that received bytes are returned before it arrives
+                readChunkEnd();
             }
-            chunkBegun = nextChunk();
+            chunkEndPending = nextChunk();
         }
-        if (chunked ? chunkLeft == 0 : bodyLeft == 0) {
+        if (chunked ? chunkRemaining == 0 : bodyRemaining == 0) {
             return null;
         }
-        if (at == end) {
-            at = 0;
-            end = 0;
+        if (position == limit) {
+            position = 0;
+            limit = 0;
             fill();
         }
-        int length = Math.min(end - at, chunked ? chunkLeft : bodyLeft);
-        chunkLeft -= chunked ? length : 0;
-        bodyLeft -= chunked || bodyLeft == TO_THE_END ? 0 : length;
-        at += length;
-        return new ByteSlice(buffer, at - length, length);
+        int length = Math.min(limit - position, chunked ? chunkRemaining : bodyRemaining);
+        chunkRemaining -= chunked ? length : 0;
+        bodyRemaining -= chunked || bodyRemaining == UNTIL_CLOSE ? 0 : length;
+        position += length;
+        return new ByteSlice(buffer, position - length, length);
     }
 
-    private ByteSlice body(List<String> headers, boolean answer) throws IOException, HttpProtocolException {
-        int length = framing(headers);
+    private ByteSlice readBody(List<String> headers, boolean isResponse) throws IOException, HttpProtocolException {
+        int length = parseFraming(headers);
         if (chunked) {
-            return chunks();
+            return readChunkedBody();
         }
-        if (length < 0 && !answer) {
+        if (length < 0 && !isResponse) {
             return ByteSlice.EMPTY;
         }
         if (length < 0) {
-            return untilClosed();
+            return readBodyUntilClose();
         }
-        reserve(length);
-        while (end - at < length) {
+        ensureCapacity(length);
+        while (limit - position < length) {
             fill();
         }
-        at += length;
-        return new ByteSlice(buffer, at - length, length);
+        position += length;
+        return new ByteSlice(buffer, position - length, length);
     }
 
-    /** The length that the head gives, or -1; two that differ, or both kinds at once, hide a second message. */
-    private int framing(List<String> headers) throws HttpProtocolException {
+    /**
+     * Returns the length given by the head, or -1, and sets {@link #chunked}. Rejects two different lengths, and a
+     * length together with chunks: peers that interpret them differently could be made to see a second message.
+     */
+    private int parseFraming(List<String> headers) throws HttpProtocolException {
         int length = -1;
         chunked = false;
-        chunkBegun = false;
-        chunkLeft = 0;
+        chunkEndPending = false;
+        chunkRemaining = 0;
         for (int i = 0; i < headers.size(); i += 2) {
             String value = headers.get(i + 1);
             if (headers.get(i).equalsIgnoreCase("Transfer-Encoding")) {
@@ -192,17 +215,17 @@
                 }
                 chunked = true;
             } else if (headers.get(i).equalsIgnoreCase("Content-Length")) {
-                if (value.length() > 18 || !only("0123456789", value)) {
+                if (value.length() > 18 || !containsOnly("0123456789", value)) {
                     throw new HttpProtocolException(400, "malformed Content-Length");
                 }
-                long given = Long.parseLong(value);
-                if (given > mostBody) {
+                long declaredLength = Long.parseLong(value);
+                if (declaredLength > maxBodyBytes) {
                     throw new HttpProtocolException(413, "body too large");
                 }
-                if (length >= 0 && length != given) {
+                if (length >= 0 && length != declaredLength) {
                     throw new HttpProtocolException(400, "two lengths");
                 }
-                length = (int) given;
+                length = (int) declaredLength;
             }
         }
         if (chunked && length >= 0) {
@@ -211,75 +234,75 @@
         return length;
     }
 
-    private ByteSlice chunks() throws IOException, HttpProtocolException {
+    private ByteSlice readChunkedBody() throws IOException, HttpProtocolException {
         byte[] body = new byte[1024];
         int length = 0;
         while (nextChunk()) {
-            if (length + chunkLeft > mostBody) {
+            if (length + chunkRemaining > maxBodyBytes) {
                 throw new HttpProtocolException(413, "body too large");
             }
-            if (length + chunkLeft > body.length) {
-                body = Arrays.copyOf(body, Math.max(2 * body.length, length + chunkLeft));
+            if (length + chunkRemaining > body.length) {
+                body = Arrays.copyOf(body, Math.max(2 * body.length, length + chunkRemaining));
             }
-            while (chunkLeft > 0) {
-                if (at == end) {
+            while (chunkRemaining > 0) {
+                if (position == limit) {
                     fill();
                 }
-                int n = Math.min(chunkLeft, end - at);
-                System.arraycopy(buffer, at, body, length, n);
-                at += n;
-                length += n;
-                chunkLeft -= n;
+                int count = Math.min(chunkRemaining, limit - position);
+                System.arraycopy(buffer, position, body, length, count);
+                position += count;
+                length += count;
+                chunkRemaining -= count;
             }
-            chunkEnd();
+            readChunkEnd();
         }
         return new ByteSlice(body, 0, length);
     }
 
-    /** Reads the size of the next chunk; false at the last one, after its trailers. */
+    /** Reads the size of the next chunk. Returns false at the last chunk, after reading its trailers. */
     private boolean nextChunk() throws IOException, HttpProtocolException {
-        String size = line(MOST_LINE, 400).split(";", 2)[0].trim();
-        if (size.length() > 7 || !only("0123456789abcdefABCDEF", size)) {
+        String size = readLine(MAX_CHUNK_LINE_BYTES, 400).split(";", 2)[0].trim();
+        if (size.length() > 7 || !containsOnly("0123456789abcdefABCDEF", size)) {
             throw new HttpProtocolException(400, "malformed chunk size");
         }
-        chunkLeft = Integer.parseInt(size, 16);
-        if (chunkLeft == 0) {
-            headers();
+        chunkRemaining = Integer.parseInt(size, 16);
+        if (chunkRemaining == 0) {
+            readHeaders();
         }
-        return chunkLeft > 0;
+        return chunkRemaining > 0;
     }
 
-    private void chunkEnd() throws IOException, HttpProtocolException {
-        if (!line(MOST_LINE, 400).isEmpty()) {
+    private void readChunkEnd() throws IOException, HttpProtocolException {
+        if (!readLine(MAX_CHUNK_LINE_BYTES, 400).isEmpty()) {
             throw new HttpProtocolException(400, "malformed chunk");
         }
     }
 
-    private ByteSlice untilClosed() throws IOException, HttpProtocolException {
+    private ByteSlice readBodyUntilClose() throws IOException, HttpProtocolException {
         try {
             while (true) {
-                if (end - at > mostBody) {
+                if (limit - position > maxBodyBytes) {
                     throw new HttpProtocolException(413, "body too large");
                 }
-                fill(); // may move what is in; it still begins at 'at'
+                fill(); // may move the bytes, but they still begin at 'position'
             }
         } catch (EOFException e) {
-            int from = at;
-            at = end;
-            return new ByteSlice(buffer, from, end - from);
+            int from = position;
+            position = limit;
+            return new ByteSlice(buffer, from, limit - from);
         }
     }
 
-    private List<String> headers() throws IOException, HttpProtocolException {
+    private List<String> readHeaders() throws IOException, HttpProtocolException {
         var headers = new ArrayList<String>();
-        int left = MOST_HEAD;
-        for (String line = line(left, 431); !line.isEmpty(); line = line(left, 431)) {
-            left -= line.length() + 2;
+        int remainingBytes = MAX_HEAD_BYTES;
+        for (String line = readLine(remainingBytes, 431); !line.isEmpty(); line = readLine(remainingBytes, 431)) {
+            remainingBytes -= line.length() + 2;
             int colon = line.indexOf(':');
-            if (colon < 1 || !plain(line, colon)) {
+            if (colon < 1 || !isValidHeaderLine(line, colon)) {
                 throw new HttpProtocolException(400, "malformed header");
             }
-            if (headers.size() >= 2 * MOST_HEADERS || left <= 0) {
+            if (headers.size() >= 2 * MAX_HEADERS || remainingBytes <= 0) {
                 throw new HttpProtocolException(431, "head too large");
             }
             headers.add(line.substring(0, colon));
@@ -288,8 +311,11 @@
         return headers;
     }
 
-    /** Names have only visible characters, values no control characters: others read such a head in another way. */
-    private static boolean plain(String line, int colon) {
+    /**
+     * Returns whether the name has only visible characters and the value no control characters; other implementations
+     * would parse such a head differently.
+     */
+    private static boolean isValidHeaderLine(String line, int colon) {
         for (int i = 0; i < line.length(); i++) {
             char c = line.charAt(i);
             if ((c < ' ' && c != '\t') || c == 127 || (i < colon && (c <= ' ' || c > 126))) {
@@ -299,86 +325,91 @@
         return true;
     }
 
-    /** A line up to its end, of at most so many bytes; 0 for as long as a head may be. */
-    private String line(int most, int tooLong) throws IOException, HttpProtocolException {
-        int longest = most == 0 ? MOST_HEAD : most;
+    /**
+     * Reads a line, without its end.
+     *
+     * @param maxBytes      the maximum length in bytes; 0 for the maximum length of a head
+     * @param tooLongStatus the status to answer with if the line is longer
+     */
+    private String readLine(int maxBytes, int tooLongStatus) throws IOException, HttpProtocolException {
+        int limitBytes = maxBytes == 0 ? MAX_HEAD_BYTES : maxBytes;
         for (int i = 0;; i++) {
-            if (i > longest) {
-                throw new HttpProtocolException(tooLong, "line too long");
+            if (i > limitBytes) {
+                throw new HttpProtocolException(tooLongStatus, "line too long");
             }
-            if (at + i == end) {
-                fill(); // may move the line; it still begins at 'at'
+            if (position + i == limit) {
+                fill(); // may move the line, but it still begins at 'position'
             }
-            if (buffer[at + i] == '\n') {
-                int length = i > 0 && buffer[at + i - 1] == '\r' ? i - 1 : i;
-                String line = new String(buffer, at, length, StandardCharsets.ISO_8859_1);
-                at += i + 1;
+            if (buffer[position + i] == '\n') {
+                int length = i > 0 && buffer[position + i - 1] == '\r' ? i - 1 : i;
+                String line = new String(buffer, position, length, StandardCharsets.ISO_8859_1);
+                position += i + 1;
                 return line;
             }
         }
     }
 
-    /** {@code HTTP/1.0} or {@code 1.1}, a status of 100 to 599, and what stands behind a space, if anything. */
-    private static boolean isStatus(String line) {
+    /** Returns whether a line is {@code HTTP/1.0} or {@code 1.1}, a status of 100 to 599 and an optional reason. */
+    private static boolean isStatusLine(String line) {
         return (line.startsWith("HTTP/1.0 ") || line.startsWith("HTTP/1.1 ")) && line.length() >= 12
-                && line.charAt(9) >= '1' && line.charAt(9) <= '5' && only("0123456789", line.substring(10, 12))
+                && line.charAt(9) >= '1' && line.charAt(9) <= '5' && containsOnly("0123456789", line.substring(10, 12))
                 && (line.length() == 12 || line.charAt(12) == ' ') && line.indexOf('\r') < 0
                 && line.indexOf('\u0085') < 0;
     }
 
-    /** Whether there is something, of these signs alone; a pattern would be made anew for each message. */
-    private static boolean only(String signs, String text) {
+    /** Returns whether a text is not empty and has only these characters. Avoids a regular expression per message. */
+    private static boolean containsOnly(String allowed, String text) {
         for (int i = 0; i < text.length(); i++) {
-            if (signs.indexOf(text.charAt(i)) < 0) {
+            if (allowed.indexOf(text.charAt(i)) < 0) {
                 return false;
             }
         }
         return !text.isEmpty();
     }
 
-    private static boolean chunked(List<String> headers) {
+    private static boolean hasTransferEncoding(List<String> headers) {
         return HttpMessage.find(headers, "Transfer-Encoding") != null;
     }
 
-    private static boolean keeps(List<String> headers, String version) {
+    private static boolean isKeepAlive(List<String> headers, String version) {
         String connection = HttpMessage.find(headers, "Connection");
-        List<String> said = connection == null ? List.of()
+        List<String> options = connection == null ? List.of()
                 : List.of(connection.toLowerCase(Locale.ROOT).split("[ ,]+"));
-        return version.equals("HTTP/1.1") ? !said.contains("close") : said.contains("keep-alive");
+        return version.equals("HTTP/1.1") ? !options.contains("close") : options.contains("keep-alive");
     }
 
-    /** Makes room for so many bytes in one piece from here on. */
-    private void reserve(int length) {
-        if (at + length > buffer.length) {
-            buffer = Arrays.copyOfRange(buffer, at, at + length + FIRST_SIZE);
-            end -= at;
-            at = 0;
+    /** Ensures that the buffer has space for this many bytes from the current position on. */
+    private void ensureCapacity(int length) {
+        if (position + length > buffer.length) {
+            buffer = Arrays.copyOfRange(buffer, position, position + length + INITIAL_BUFFER_BYTES);
+            limit -= position;
+            position = 0;
         }
     }
 
     private void fill() throws IOException, HttpProtocolException {
-        if (end == buffer.length) {
-            reserve(2 * (end - at) + 1);
+        if (limit == buffer.length) {
+            ensureCapacity(2 * (limit - position) + 1);
         }
-        long left = TimeUnit.NANOSECONDS.toMillis(giveUpAt - System.nanoTime());
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime());
         try {
-            if (left <= 0) {
+            if (remainingMillis <= 0) {
                 throw new SocketTimeoutException();
             }
-            patience.set((int) left);
-            if (!more()) {
-                throw new EOFException("closed within a message");
+            timeoutSetter.set((int) remainingMillis);
+            if (!readMore()) {
+                throw new EOFException("connection closed within a message");
             }
         } catch (SocketTimeoutException e) {
             throw new HttpProtocolException(408, "half a message, then silence");
         }
     }
 
-    private boolean more() throws IOException {
-        long waitedSince = feed != null && feed.waiting() > 0 ? feed.arrivedAt() : 0;
-        int n = in.read(buffer, end, buffer.length - end);
-        end += Math.max(0, n);
-        arrivedAt = waitedSince != 0 ? waitedSince : System.nanoTime();
-        return n > 0;
+    private boolean readMore() throws IOException {
+        long bufferedSince = incoming != null && incoming.unreadBytes() > 0 ? incoming.arrivedAt() : 0;
+        int count = in.read(buffer, limit, buffer.length - limit);
+        limit += Math.max(0, count);
+        arrivedAt = bufferedSince != 0 ? bufferedSince : System.nanoTime();
+        return count > 0;
     }
 }
--- a/src/main/java/wallmoor/http/IncomingBytes.java
+++ b/src/main/java/wallmoor/http/IncomingBytes.java
@@ -7,90 +7,98 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Bytes on their way from the thread that watches all connections to the one that reads a request. It is its own lock;
- * with nothing in it it holds no buffer, as most connections rest.
+ * A buffer of bytes between the selector's thread, which adds what was received on a connection, and the thread that
+ * reads a request from it. The object is its own lock. An empty one retains no buffer, since most connections are idle.
  */
 final class IncomingBytes extends InputStream {
     /**
-     * So much waits unread at most: a reader that has fallen behind is filled up no further, and the peer waits. While
-     * a request is at work the peer is read on beyond that, so that its close is seen behind whatever it sent.
+     * The limit on unread bytes: once it is reached, the peer is not read any further until the reader has caught up.
+     * While a request is being handled, reading continues beyond the limit in order to detect that the peer has closed.
      */
-    static final int MOST = 16 * 1024;
-    private static final int FIRST = 1024;
-    private static final byte[] NONE = new byte[0];
+    static final int MAX_UNREAD_BYTES = 16 * 1024;
+    private static final int INITIAL_BUFFER_BYTES = 1024;
+    private static final byte[] EMPTY = new byte[0];
 
-    private byte[] bytes = NONE;
-    private int at;
-    private int end;
+    private byte[] bytes = EMPTY;
+    private int position;
+    private int limit;
     private boolean ended;
     private int timeoutMillis;
     private long arrivedAt;
     private boolean full;
-    private boolean readingOn;
+    private boolean readingBeyondLimit;
     private boolean truncated;
     private final Runnable resume;
 
-    /** One that asks for more by this once it was full and has been read. */
+    /**
+     * Creates an empty buffer.
+     *
+     * @param resume runs when a full buffer has been read, so that the channel is read again
+     */
     IncomingBytes(Runnable resume) {
         this.resume = resume;
     }
 
-    /** Takes what is there, which the peer said now; false if nothing more is wanted until it asks. */
+    /**
+     * Adds bytes that were just received.
+     *
+     * @return false if the buffer is full and the channel should not be read until {@code resume} runs
+     */
     synchronized boolean add(ByteBuffer from) {
-        if (truncated || (readingOn && waiting() >= MOST)) {
+        if (truncated || (readingBeyondLimit && unreadBytes() >= MAX_UNREAD_BYTES)) {
             truncated = true;
             return true;
         }
-        int more = from.remaining();
-        if (at == end) {
+        int added = from.remaining();
+        if (position == limit) {
             arrivedAt = System.nanoTime();
         }
-        if (end + more > bytes.length) {
-            byte[] larger = new byte[Math.max(FIRST, 2 * (end - at + more))];
-            System.arraycopy(bytes, at, larger, 0, end - at);
+        if (limit + added > bytes.length) {
+            byte[] larger = new byte[Math.max(INITIAL_BUFFER_BYTES, 2 * (limit - position + added))];
+            System.arraycopy(bytes, position, larger, 0, limit - position);
             bytes = larger;
-            end -= at;
-            at = 0;
+            limit -= position;
+            position = 0;
         }
-        from.get(bytes, end, more);
-        end += more;
-        full = !readingOn && waiting() >= MOST;
+        from.get(bytes, limit, added);
+        limit += added;
+        full = !readingBeyondLimit && unreadBytes() >= MAX_UNREAD_BYTES;
         notifyAll();
         return !full;
     }
 
     /**
-     * Whether the peer is read on however much is unread. What it sends beyond the bound is discarded then, and the
-     * feed ends with what it holds: see {@link #truncated}.
+     * Sets whether the peer is read beyond the limit on unread bytes. The bytes beyond it are then discarded, and the
+     * stream ends after the bytes in the buffer: see {@link #truncated}.
      */
-    synchronized void readOn(boolean on) {
-        readingOn = on;
-        if (on) {
-            wantMore();
+    synchronized void readBeyondLimit(boolean enabled) {
+        readingBeyondLimit = enabled;
+        if (enabled) {
+            resumeIfFull();
         }
     }
 
-    /** Whether bytes were discarded: what is unread is all that can still be read. */
+    /** Returns whether bytes were discarded: the stream ends after the unread bytes. */
     synchronized boolean truncated() {
         return truncated;
     }
 
-    /** Forgets what is unread; what comes from here on is thrown away by whoever brings it. */
+    /** Discards the unread bytes; the caller discards the ones received from now on. */
     synchronized void clear() {
-        at = 0;
-        end = 0;
-        bytes = NONE;
-        wantMore();
+        position = 0;
+        limit = 0;
+        bytes = EMPTY;
+        resumeIfFull();
     }
 
-    private void wantMore() {
+    private void resumeIfFull() {
         if (full) {
             full = false;
             resume.run();
         }
     }
 
-    /** Nothing more comes. */
+    /** Marks the end of the stream. */
     synchronized void end() {
         ended = true;
         notifyAll();
@@ -100,17 +108,17 @@
         return ended;
     }
 
-    synchronized int waiting() {
-        return end - at;
+    synchronized int unreadBytes() {
+        return limit - position;
     }
 
-    /** When the first of what is unread came, by {@link System#nanoTime}. */
+    /** Returns the time at which the first unread byte was received, by {@link System#nanoTime}. */
     synchronized long arrivedAt() {
         return arrivedAt;
     }
 
-    /** A read waits for so long, for ever if 0. */
-    synchronized void timeout(int millis) {
+    /** Sets the timeout of a read; 0 means no timeout. */
+    synchronized void setTimeoutMillis(int millis) {
         timeoutMillis = millis;
     }
 
@@ -122,31 +130,32 @@
 
     @Override
     public synchronized int read(byte[] to, int from, int length) throws InterruptedIOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         try {
-            while (at == end && !ended && !truncated && length > 0) {
-                long left = timeoutMillis == 0 ? 0 : TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime() + 999_999);
-                if (left < 0 || (left == 0 && timeoutMillis != 0)) {
-                    throw new SocketTimeoutException("nothing came in " + timeoutMillis + " ms");
+            while (position == limit && !ended && !truncated && length > 0) {
+                long remainingMillis = timeoutMillis == 0 ? 0
+                        : TimeUnit.NANOSECONDS.toMillis(deadline - System.nanoTime() + 999_999);
+                if (remainingMillis < 0 || (remainingMillis == 0 && timeoutMillis != 0)) {
+                    throw new SocketTimeoutException("no bytes received within " + timeoutMillis + " ms");
                 }
-                wait(left);
+                wait(remainingMillis);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new InterruptedIOException("told to stop reading");
+            throw new InterruptedIOException("interrupted while waiting for bytes");
         }
-        if (at == end) {
+        if (position == limit) {
             return length == 0 ? 0 : -1;
         }
-        int n = Math.min(length, end - at);
-        System.arraycopy(bytes, at, to, from, n);
-        at += n;
-        if (at == end) {
-            at = 0;
-            end = 0;
-            bytes = NONE;
-            wantMore();
+        int count = Math.min(length, limit - position);
+        System.arraycopy(bytes, position, to, from, count);
+        position += count;
+        if (position == limit) {
+            position = 0;
+            limit = 0;
+            bytes = EMPTY;
+            resumeIfFull();
         }
-        return n;
+        return count;
     }
 }
--- a/src/main/java/wallmoor/http/InheritedListener.java
+++ b/src/main/java/wallmoor/http/InheritedListener.java
@@ -9,9 +9,9 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A listening socket that the platform holds and passes to each process as descriptor 0. It is never closed here: the
- * queue of connections belongs to all processes that have it, and closing Java's channel of it would send standard
- * output and error to nowhere. So whoever stops accepting only ceases to ask; a selector is what can be woken for that.
+ * A listening socket that the platform owns and passes to each process as file descriptor 0. This class never closes
+ * it: all processes with the descriptor share the queue of connections, and closing Java's channel for it would discard
+ * standard output and error. To stop, a process only ceases to accept; a selector is used as it can be woken up.
  */
 public final class InheritedListener implements ConnectionAcceptor {
     private final ServerSocketChannel channel;
@@ -21,17 +21,17 @@
     private InheritedListener(ServerSocketChannel channel) throws IOException {
         this.channel = channel;
         selector = Selector.open();
-        channel.configureBlocking(false); // two processes are woken for one connection, and one of them gets none
+        channel.configureBlocking(false); // two processes may wake up for one connection
         channel.register(selector, SelectionKey.OP_ACCEPT);
     }
 
-    /** Takes the socket over; null where descriptor 0 is no listening TCP socket. */
+    /** Returns the inherited listener, or null if descriptor 0 is not a listening TCP socket. */
     public static InheritedListener take() throws IOException {
-        Channel held = System.inheritedChannel();
-        return held instanceof ServerSocketChannel listening ? of(listening) : null;
+        Channel inherited = System.inheritedChannel();
+        return inherited instanceof ServerSocketChannel listening ? of(listening) : null;
     }
 
-    /** The same of a socket that somebody else closes. */
+    /** Creates a listener for a socket that the caller closes. */
     public static InheritedListener of(ServerSocketChannel listening) throws IOException {
         return new InheritedListener(listening);
     }
--- a/src/main/java/wallmoor/http/Server.java
+++ b/src/main/java/wallmoor/http/Server.java
@@ -15,117 +15,126 @@
 import wallmoor.http.Connection.ConnectionState;
 
 /**
- * Serves HTTP/1.1: one thread watches the connections at rest, and a request is read, worked on and answered by one
- * thread of a pool, which blocks. A client that stops reading holds up its own only.
+ * An HTTP/1.1 server. One thread watches the idle connections; a blocking thread of a pool reads, handles and answers a
+ * request. A client that stops reading delays only its own connection.
  */
 public final class Server {
-    /** What a front does with a request, on a thread of its own. */
+    /** Handles requests, each on a thread of the pool. */
     public interface Handler {
-        /** Answers the request by one call of {@link HttpExchange#answer}. */
+        /** Answers a request by a single call of {@link HttpExchange#answer}. */
         void handle(HttpMessage request, HttpExchange exchange)
                 throws IOException, HttpProtocolException, InterruptedException;
     }
 
-    /** Longer than any hand-over. */
-    private static final long STAYING_MILLIS = 60_000;
-    private static final int TIDY_EVERY_MILLIS = 100;
-    /** Between two looks at who may make room. */
-    private static final long ROOM_MILLIS = 5;
-    /** Threads that have answered and are not yet back when their connection's next request comes. */
-    private static final int LATE_THREADS = 8;
-    /** A client that takes nothing of its answer for so long is given up. */
-    private static final long WRITE_MILLIS = 5_000;
+    /** The idle timeout while idle connections are kept; longer than any hand-over. */
+    private static final long KEPT_IDLE_MILLIS = 60_000;
+    private static final int WATCH_INTERVAL_MILLIS = 100;
+    /** The pause between two attempts to evict a connection. */
+    private static final long EVICTION_RETRY_MILLIS = 5;
+    /** Threads beyond the limit, as some have answered but are not released yet when the next request arrives. */
+    private static final int SPARE_THREADS = 8;
+    /** The maximum duration of a write, after which the connection is closed. */
+    private static final long MAX_WRITE_MILLIS = 5_000;
 
     private final String name;
-    private final ConnectionAcceptor listening;
-    private volatile int mostConnections;
+    private final ConnectionAcceptor acceptor;
+    private volatile int maxConnections;
     private final ConnectionTimeouts timeouts;
     private final Handler handler;
     private final Consumer<String> log;
-    private final ThreadPoolExecutor work;
+    private final ThreadPoolExecutor requestThreads;
     private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
-    private volatile boolean leaving;
-    /** Connections at rest stay, however long they have rested. */
-    private volatile boolean staying;
-    /** Connections may still come out of the listening socket's queue. */
+    private volatile boolean closingAfterAnswers;
+    /** Whether idle connections are kept open, with a longer timeout. */
+    private volatile boolean keepsIdleConnections;
+    /** Whether connections may still be accepted from the listening socket's queue. */
     private volatile boolean accepting;
 
-    /** Listens, unless the address is null; {@link #start} begins to serve. */
-    public Server(String name, InetSocketAddress listen, int mostConnections, int mostWork, Handler handler,
+    /**
+     * Creates a server with the timeouts {@link ConnectionTimeouts#SHORT}; {@link #start} begins to serve.
+     *
+     * @param listen         the address to listen on, or null to accept no connections
+     * @param maxConnections the maximum number of open connections
+     * @param maxRequests    the maximum number of requests handled at the same time
+     * @param log            receives a line for each failure of a connection or request
+     */
+    public Server(String name, InetSocketAddress listen, int maxConnections, int maxRequests, Handler handler,
             Consumer<String> log) throws IOException {
-        this(name, listen, mostConnections, mostWork, ConnectionTimeouts.SHORT, handler, log);
+        this(name, listen, maxConnections, maxRequests, ConnectionTimeouts.SHORT, handler, log);
     }
 
-    /** The same with other timeouts. */
-    public Server(String name, InetSocketAddress listen, int mostConnections, int mostWork, ConnectionTimeouts timeouts,
-            Handler handler, Consumer<String> log) throws IOException {
-        this(name, ConnectionAcceptor.at(listen), mostConnections, mostWork, timeouts, handler, log);
+    /** Creates a server with other timeouts. */
+    public Server(String name, InetSocketAddress listen, int maxConnections, int maxRequests,
+            ConnectionTimeouts timeouts, Handler handler, Consumer<String> log) throws IOException {
+        this(name, ConnectionAcceptor.at(listen), maxConnections, maxRequests, timeouts, handler, log);
     }
 
-    /** Serves the connections that come from here. */
-    public Server(String name, ConnectionAcceptor listening, int mostConnections, int mostWork,
+    /** Creates a server that accepts its connections from an acceptor. */
+    public Server(String name, ConnectionAcceptor acceptor, int maxConnections, int maxRequests,
             ConnectionTimeouts timeouts,
             Handler handler, Consumer<String> log) {
         this.name = name;
-        this.listening = listening;
+        this.acceptor = acceptor;
         this.timeouts = timeouts;
-        this.mostConnections = mostConnections;
+        this.maxConnections = maxConnections;
         this.handler = handler;
         this.log = log;
-        work = Threads.pool(name + "-query", mostWork + LATE_THREADS);
+        requestThreads = Threads.pool(name + "-query", maxRequests + SPARE_THREADS);
     }
 
-    /** Serves a connection that did not come by the address, with a thread that reads it: for a rehearsal. */
+    /** Serves a connection that was not accepted, with its own reading thread; used by rehearsals. */
     public void serve(Socket client) throws IOException {
-        var wire = new SocketConnection(client);
-        var connection = new Connection(this, wire);
+        var output = new SocketConnection(client);
+        var connection = new Connection(this, output);
         connections.add(connection);
-        Threads.start(name + "-client", () -> wire.read(connection));
+        Threads.start(name + "-client", () -> output.read(connection));
     }
 
-    /** Begins to take connections. */
+    /** Starts to accept connections. */
     public void start() {
         try {
-            var rest = new ConnectionSelector(name, log);
+            var selector = new ConnectionSelector(name, log);
             accepting = true;
-            Threads.start(name + "-accept", () -> accept(rest));
-            Threads.start(name + "-watch", this::watch);
+            Threads.start(name + "-accept", () -> accept(selector));
+            Threads.start(name + "-watch", this::closeExpired);
         } catch (IOException e) {
-            throw new UncheckedIOException("connections can't be watched: raise the limit of open files", e);
+            throw new UncheckedIOException("cannot open a selector for connections: raise the limit on open files", e);
         }
     }
 
     /**
-     * From now on connections between requests stay for as long as they may: nobody connects here any more, and whoever
-     * has a connection sends on it. One that is closed now costs its client that request, not a handshake.
+     * Keeps idle connections open from now on: new clients no longer connect to this server, and existing ones send on
+     * their connections. Closing one now would cost its client a request instead of a handshake.
      */
     public void keepIdleConnections() {
-        staying = true;
+        keepsIdleConnections = true;
     }
 
-    /** From now on each answer asks its client to leave, so that idle connections run dry. */
+    /** Closes each connection after its next answer, with {@code Connection: close}. */
     public void closeAfterAnswers() {
-        leaving = true;
+        closingAfterAnswers = true;
     }
 
-    /** Takes no more connections; those that there are go on. */
+    /** Stops accepting connections; existing ones are still served. */
     public void stopAccepting() throws IOException {
-        listening.stop();
+        acceptor.stop();
     }
 
-    /** From now on it holds so many connections at most; more that there are may stay until they rest. */
-    public void setMaxConnections(int most) {
-        mostConnections = most;
+    /** Sets the maximum number of connections; surplus ones stay open until they are idle or evicted. */
+    public void setMaxConnections(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
     /**
-     * Takes no more connections but those that wait already, ends idle ones gracefully, and waits for the answers to
-     * those at work.
+     * Accepts only the connections that are already queued, closes idle connections gracefully, and waits until the
+     * requests being handled are answered.
+     *
+     * @param millis the maximum time to wait
      */
     public void finish(long millis) throws IOException, InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-        listening.stop();
-        while ((accepting || !connections.isEmpty()) && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+        acceptor.stop();
+        while ((accepting || !connections.isEmpty()) && System.nanoTime() < deadline) {
             connections.forEach(c -> c.halfCloseIdle(0));
             connections.forEach(c -> c.halfCloseIf(ConnectionState.NEW, timeouts.evictSilent()));
             connections.forEach(c -> c.closeIf(ConnectionState.CLOSING, Connection.LINGER_MILLIS));
@@ -133,52 +142,52 @@
         }
     }
 
-    private void accept(ConnectionSelector rest) {
+    private void accept(ConnectionSelector selector) {
         while (accepting) {
             Connection connection = null;
             try {
-                ConnectionSelector.Over over = rest.over(listening.accept());
-                connection = new Connection(this, over);
-                while (connections.size() >= mostConnections) {
-                    makeRoom();
+                ConnectionSelector.ChannelOutput output = selector.output(acceptor.accept());
+                connection = new Connection(this, output);
+                while (connections.size() >= maxConnections) {
+                    evictOne();
                 }
                 connections.add(connection);
-                over.begin(connection);
+                output.startReading(connection);
             } catch (ClosedChannelException e) {
                 accepting = false;
             } catch (IOException | OutOfMemoryError e) {
                 if (connection != null) {
                     connection.close();
                 }
-                log.accept(name + " cannot accept: " + e);
+                log.accept("cannot accept connection: server=" + name + " error=" + e);
                 pause(5);
             }
         }
     }
 
     /**
-     * At the cap one is evicted, as {@link Eviction} says; with none such the accepting thread waits, and connects
-     * queue.
+     * Evicts the connection that {@link Eviction} chooses. If there is none, the accepting thread waits, and new
+     * connections remain in the accept queue.
      */
-    private void makeRoom() {
+    private void evictOne() {
         var oldest = new EnumMap<ConnectionState, Connection>(ConnectionState.class);
         for (Connection c : connections) {
-            oldest.merge(c.state(), c, (a, b) -> a.since() <= b.since() ? a : b);
+            oldest.merge(c.state(), c, (a, b) -> a.stateSince() <= b.stateSince() ? a : b);
         }
         long now = System.nanoTime();
-        var ages = new Eviction.OldestMillis(age(oldest, ConnectionState.CLOSING, now),
-                age(oldest, ConnectionState.IDLE_UNUSED, now),
-                age(oldest, ConnectionState.NEW, now), age(oldest, ConnectionState.IDLE, now),
-                age(oldest, ConnectionState.FIRST_REQUEST, now));
+        var ages = new Eviction.OldestMillis(ageMillis(oldest, ConnectionState.CLOSING, now),
+                ageMillis(oldest, ConnectionState.IDLE_UNUSED, now),
+                ageMillis(oldest, ConnectionState.NEW, now), ageMillis(oldest, ConnectionState.IDLE, now),
+                ageMillis(oldest, ConnectionState.FIRST_REQUEST, now));
         ConnectionState victim = Eviction.choose(ages, timeouts);
         if (victim == null || !oldest.get(victim).closeIf(victim, 0)) {
-            pause(ROOM_MILLIS);
+            pause(EVICTION_RETRY_MILLIS);
         }
     }
 
-    private static long age(EnumMap<ConnectionState, Connection> oldest, ConnectionState state, long now) {
+    private static long ageMillis(EnumMap<ConnectionState, Connection> oldest, ConnectionState state, long now) {
         Connection c = oldest.get(state);
-        return c == null ? -1 : TimeUnit.NANOSECONDS.toMillis(now - c.since());
+        return c == null ? -1 : TimeUnit.NANOSECONDS.toMillis(now - c.stateSince());
     }
 
     private static void pause(long millis) {
@@ -189,48 +198,49 @@
         }
     }
 
-    /** Closes what has had its time: nothing here waits for a client for ever. */
-    private void watch() {
+    /** Closes connections whose timeouts have expired, so that no client is waited for without a limit. */
+    private void closeExpired() {
         while (true) {
-            int held = connections.size();
-            long idle = held <= mostConnections / 8 ? timeouts.idleAtEase()
-                    : held <= mostConnections / 4 ? timeouts.idle() : timeouts.idlePressed();
+            int open = connections.size();
+            long idleMillis = open <= maxConnections / 8 ? timeouts.idleLowLoad()
+                    : open <= maxConnections / 4 ? timeouts.idle() : timeouts.idleHighLoad();
             long now = System.nanoTime();
-            connections.forEach(c -> c.tidy(now, WRITE_MILLIS, staying ? STAYING_MILLIS : idle));
+            connections.forEach(c -> c.closeExpired(now, MAX_WRITE_MILLIS,
+                    keepsIdleConnections ? KEPT_IDLE_MILLIS : idleMillis));
             try {
-                Thread.sleep(TIDY_EVERY_MILLIS);
+                Thread.sleep(WATCH_INTERVAL_MILLIS);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    // ---- for its connections ------------------------------------------------------------------------------
+    // ---- for the connections ------------------------------------------------------------------------------
 
     ConnectionTimeouts timeouts() {
         return timeouts;
     }
 
-    /** A thread is to serve what has begun to come; false if there is none left. */
-    boolean begin(Connection connection) {
+    /** Starts to serve a connection on a thread of the pool. Returns false if no thread is available. */
+    boolean startServing(Connection connection) {
         try {
-            work.execute(connection::serve);
+            requestThreads.execute(connection::serve);
             return true;
         } catch (RejectedExecutionException | OutOfMemoryError e) {
             return false;
         }
     }
 
-    void forget(Connection connection) {
+    void remove(Connection connection) {
         connections.remove(connection);
     }
 
     void connectionFailed(Throwable e) {
-        log.accept(name + " connection failed: " + e);
+        log.accept("connection failed: server=" + name + " error=" + e);
     }
 
-    boolean leaving() {
-        return leaving;
+    boolean isClosingAfterAnswers() {
+        return closingAfterAnswers;
     }
 
     Handler handler() {
@@ -238,6 +248,6 @@
     }
 
     void requestFailed(Exception e) {
-        log.accept(name + " request failed: " + e);
+        log.accept("request failed: server=" + name + " error=" + e);
     }
 }
--- a/src/main/java/wallmoor/http/SocketConnection.java
+++ b/src/main/java/wallmoor/http/SocketConnection.java
@@ -5,9 +5,9 @@
 import java.net.Socket;
 import java.nio.ByteBuffer;
 
-/** A connection that is no channel, such as one in memory: a thread of its own reads it. */
+/** A connection over a socket without a channel, such as an in-memory one, which a separate thread reads. */
 final class SocketConnection implements ConnectionOutput {
-    private static final int AT_ONCE = 2 * 1024;
+    private static final int READ_BUFFER_BYTES = 2 * 1024;
 
     private final Socket socket;
 
@@ -15,17 +15,17 @@
         this.socket = socket;
     }
 
-    /** Feeds the connection until its other end closes. It is trusted not to send more than is read. */
-    void read(Connection to) {
-        byte[] bytes = new byte[AT_ONCE];
+    /** Passes received bytes to a connection until the peer closes. The peer is trusted not to send too much. */
+    void read(Connection connection) {
+        byte[] bytes = new byte[READ_BUFFER_BYTES];
         try {
             InputStream in = socket.getInputStream();
-            for (int n = in.read(bytes); n >= 0; n = in.read(bytes)) {
-                to.received(ByteBuffer.wrap(bytes, 0, n));
+            for (int count = in.read(bytes); count >= 0; count = in.read(bytes)) {
+                connection.onReceived(ByteBuffer.wrap(bytes, 0, count));
             }
-            to.ended();
+            connection.onInputEnd();
         } catch (IOException e) {
-            to.ended();
+            connection.onInputEnd();
         }
     }
 
@@ -47,7 +47,7 @@
 
     @Override
     public void resume() {
-        // it never stops reading
+        // reading never pauses
     }
 
     @Override
--- a/src/main/java/wallmoor/http/Threads.java
+++ b/src/main/java/wallmoor/http/Threads.java
@@ -6,28 +6,32 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Platform threads with names and small stacks: hundreds of them must fit a small machine. */
+/** Creates platform threads with names and small stacks, so that hundreds of them fit on a small machine. */
 public final class Threads {
-    private static final long STACK = 192 * 1024;
+    private static final long STACK_BYTES = 192 * 1024;
 
     private Threads() {}
 
     /** Starts a daemon thread. */
     public static Thread start(String name, Runnable work) {
-        Thread thread = new Thread(null, work, name, STACK);
+        Thread thread = new Thread(null, work, name, STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
         return thread;
     }
 
-    /** A pool that grows to {@code most} threads and queues nothing: one task too many is rejected. */
-    public static ThreadPoolExecutor pool(String name, int most) {
+    /**
+     * Creates a pool of daemon threads that queues no tasks.
+     *
+     * @param maxThreads the maximum number of threads; a task that would need another one is rejected
+     */
+    public static ThreadPoolExecutor pool(String name, int maxThreads) {
         var count = new AtomicLong();
         ThreadFactory named = work -> {
-            Thread thread = new Thread(null, work, name + "-" + count.incrementAndGet(), STACK);
+            Thread thread = new Thread(null, work, name + "-" + count.incrementAndGet(), STACK_BYTES);
             thread.setDaemon(true);
             return thread;
         };
-        return new ThreadPoolExecutor(0, most, 20, TimeUnit.SECONDS, new SynchronousQueue<>(), named);
+        return new ThreadPoolExecutor(0, maxThreads, 20, TimeUnit.SECONDS, new SynchronousQueue<>(), named);
     }
 }
--- a/src/main/java/wallmoor/http/package-info.java
+++ b/src/main/java/wallmoor/http/package-info.java
@@ -1,4 +1,4 @@
 /**
- * HTTP/1.1: reading, writing, and the clients' connections from accept to close.
+ * HTTP/1.1: reading and writing messages, and serving client connections from accept to close.
  */
 package wallmoor.http;
--- a/src/main/java/wallmoor/platform/PlatformFront.java
+++ b/src/main/java/wallmoor/platform/PlatformFront.java
@@ -24,54 +24,55 @@
 import wallmoor.json.Json;
 import wallmoor.queries.QueryBody;
 
-/** The platform's front: queries by {@code POST /api}, readiness by {@code GET /-/ready}. */
+/** The platform's front: serves queries by {@code POST /api} and readiness by {@code GET /-/ready}. */
 public final class PlatformFront {
     private static final String QUERY_PATH = "/api";
     private static final String READY_PATH = "/-/ready";
-    /** Time kept back from the client's deadline for the answer's way and a busy machine. */
-    private static final long WIRE_MARGIN_MICROS = 10_000;
+    /** Subtracted from the client's deadline to allow for the transfer of the answer and a busy machine. */
+    private static final long TRANSFER_MARGIN_MICROS = 10_000;
 
-    /** The configuration of the start. */
+    /** The configuration at the start of the process. */
     private final LaunchConfig launch;
-    /** The configuration in force; a query keeps the one it was opened under. */
-    private final Supplier<LaunchConfig> current;
+    /** The current configuration; a query uses the one that was currentConfiguration when it was opened. */
+    private final Supplier<LaunchConfig> currentConfiguration;
     private final MonotonicClock clock;
     private final Gatherer gatherer;
     private final WorkerTransport workers;
     private final Logger log;
     private final Server server;
     private volatile boolean ready;
-    /** When the program ends, on the clock: an answer after that would never go out. */
-    private volatile long lastAnswerAt = Long.MAX_VALUE;
+    /** The time at which the process ends, on the clock: a later answer would never be sent. */
+    private volatile long shutdownAt = Long.MAX_VALUE;
 
     /**
-     * Makes the front and listens; nothing is answered before {@link #start}.
+     * Creates the front and binds its listening socket; requests are served only after {@link #start}.
      *
-     * @param current  the settings in force, asked for with each query
-     * @param gatherer takes the queries
-     * @param workers  where their parts go
-     * @param log      where faults of connections and requests go
+     * @param launch   the configuration at the start of the process
+     * @param currentConfiguration  supplies the current configuration for each query
+     * @param gatherer executes the queries
+     * @param workers  the transport of the queries' parts
+     * @param log      receives failures of connections and requests
      */
-    public PlatformFront(LaunchConfig launch, Supplier<LaunchConfig> current, MonotonicClock clock, Gatherer gatherer,
+    public PlatformFront(LaunchConfig launch, Supplier<LaunchConfig> currentConfiguration, MonotonicClock clock, Gatherer gatherer,
             WorkerTransport workers, Logger log) throws IOException {
-        this(launch, current, clock, gatherer, workers, log,
-                launch.inherited() ? inherited() : ConnectionAcceptor.at(launch.listen()));
+        this(launch, currentConfiguration, clock, gatherer, workers, log,
+                launch.inherited() ? inheritedListener() : ConnectionAcceptor.at(launch.listen()));
     }
 
-    private static ConnectionAcceptor inherited() throws IOException {
+    private static ConnectionAcceptor inheritedListener() throws IOException {
         ConnectionAcceptor listener = InheritedListener.take();
         if (listener == null) {
-            throw new ConfigException("ROUTER_INHERITED_FD", "ROUTER_INHERITED_FD names descriptor 0, which is no"
-                    + " listening TCP socket: start the program with the clients' socket there, or unset it");
+            throw new ConfigException("ROUTER_INHERITED_FD", "ROUTER_INHERITED_FD names descriptor 0, which is not"
+                    + " a listening TCP socket: start the program with the clients' socket there, or unset it");
         }
         return listener;
     }
 
-    /** A front that takes its connections from here; it serves what {@link #serve} is given as well. */
-    public PlatformFront(LaunchConfig launch, Supplier<LaunchConfig> current, MonotonicClock clock, Gatherer gatherer,
+    /** Creates a front that accepts its connections from an acceptor. */
+    public PlatformFront(LaunchConfig launch, Supplier<LaunchConfig> currentConfiguration, MonotonicClock clock, Gatherer gatherer,
             WorkerTransport workers, Logger log, ConnectionAcceptor acceptor) {
         this.launch = launch;
-        this.current = current;
+        this.currentConfiguration = currentConfiguration;
         this.clock = clock;
         this.gatherer = gatherer;
         this.workers = workers;
@@ -80,33 +81,36 @@
                 this::handle, log::info);
     }
 
-    /** Begins to serve. */
+    /** Starts to serve requests. */
     public void start() {
         server.start();
     }
 
-    /** Serves one connection alone. */
+    /** Serves a connection that was not accepted from the acceptor. */
     public void serve(Socket client) throws IOException {
         server.serve(client);
     }
 
-    /** So many processes share the connections that this gatherer may hold. */
+    /** Sets how many processes share the maximum number of client connections of this gatherer. */
     public void setProcessCount(int processes) {
         server.setMaxConnections(Math.max(1, launch.mostClients() / processes));
     }
 
-    /** Whether the platform may send clients here. */
+    /** Sets whether the platform may send clients to this process. */
     public void setReady(boolean ready) {
         this.ready = ready;
     }
 
     /**
-     * Shuts down gracefully: queries are taken through the hand-over, and all are answered. What comes from now on is
-     * answered before the end, whatever time its client has.
+     * Shuts down gracefully: accepts queries during the hand-over, and waits until all are answered. A query accepted
+     * from now on is answered before the end, even if its client would wait longer.
+     *
+     * @param handOverMillis the time during which queries are still accepted
+     * @param finishMillis   the maximum time to wait for the answers after that
      */
     public void shutDown(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
-        lastAnswerAt = clock.getAsLong() + TimeUnit.MILLISECONDS.toMicros(handOverMillis + finishMillis);
-        if (launch.inherited()) { // another process takes what connects; with each answer a client moves over to it
+        shutdownAt = clock.getAsLong() + TimeUnit.MILLISECONDS.toMicros(handOverMillis + finishMillis);
+        if (launch.inherited()) { // another process accepts new connections, and each answered client reconnects to it
             server.stopAccepting();
             server.closeAfterAnswers();
         } else {
@@ -117,7 +121,7 @@
         server.finish(finishMillis);
         int unanswered = gatherer.openQueries();
         if (unanswered > 0) {
-            log.info("left with {} queries not answered", unanswered);
+            log.info("shut down with unanswered queries: count={}", unanswered);
         }
     }
 
@@ -130,30 +134,30 @@
             exchange.markNotClientWork();
         }
         switch (path) {
-            case READY_PATH -> readiness(request, exchange);
+            case READY_PATH -> answerReadiness(request, exchange);
             case QUERY_PATH -> {
                 if (request.method().equals("POST")) {
-                    query(request, exchange);
+                    answerQuery(request, exchange);
                 } else {
-                    exchange.answer(405, "Allow: POST\r\n", QueryResponses.text("method not allowed"));
+                    exchange.answer(405, "Allow: POST\r\n", QueryResponses.textBody("method not allowed"));
                 }
             }
-            default -> exchange.answer(404, "", QueryResponses.text("no such path"));
+            default -> exchange.answer(404, "", QueryResponses.textBody("no such path"));
         }
     }
 
-    private void readiness(HttpMessage request, HttpExchange exchange) throws IOException {
+    private void answerReadiness(HttpMessage request, HttpExchange exchange) throws IOException {
         if (request.method().equals("GET") || request.method().equals("HEAD")) {
-            exchange.answer(ready ? 200 : 503, "", QueryResponses.text(ready ? "ready" : "not ready"));
+            exchange.answer(ready ? 200 : 503, "", QueryResponses.textBody(ready ? "ready" : "not ready"));
         } else {
-            exchange.answer(405, "Allow: GET, HEAD\r\n", QueryResponses.text("method not allowed"));
+            exchange.answer(405, "Allow: GET, HEAD\r\n", QueryResponses.textBody("method not allowed"));
         }
     }
 
-    private void query(HttpMessage request, HttpExchange exchange)
+    private void answerQuery(HttpMessage request, HttpExchange exchange)
             throws IOException, HttpProtocolException, InterruptedException {
         if (exchange.hasClientDisconnected()) {
-            return; // nobody waits for it: nothing is forwarded
+            return; // nobody waits for the answer
         }
         Query query = open(request);
         exchange.whenClientDisconnects(() -> gatherer.clientDisconnected(query));
@@ -161,28 +165,28 @@
     }
 
     private Query open(HttpMessage request) throws HttpProtocolException {
-        Json.Obj body = body(request);
-        String asked = body.text("q");
-        LaunchConfig inForce = current.get();
-        int queryClass = inForce.place(request.header("X-Class"));
+        Json.Obj body = parseBody(request);
+        String queryText = body.text("q");
+        LaunchConfig configuration = currentConfiguration.get();
+        int queryClass = configuration.place(request.header("X-Class"));
         String id = request.header("X-Request-Id");
-        if (asked == null || queryClass < 0 || id == null || !QueryHeaders.isRequestId(id)) {
+        if (queryText == null || queryClass < 0 || id == null || !QueryHeaders.isRequestId(id)) {
             throw new HttpProtocolException(400, "X-Request-Id, X-Class or q is absent or malformed");
         }
         long timeout = Math.min(QueryHeaders.timeoutMicros(request.header("X-Deadline")),
-                inForce.settings().classes().get(queryClass).clientTimeout());
-        long deadline = Math.min(clock.fromNanoTime(request.firstByteAt()) + timeout, lastAnswerAt)
-                - WIRE_MARGIN_MICROS;
+                configuration.settings().classes().get(queryClass).clientTimeout());
+        long deadline = Math.min(clock.fromNanoTime(request.firstByteAt()) + timeout, shutdownAt)
+                - TRANSFER_MARGIN_MICROS;
         boolean retry = "1".equals(request.header("X-Retry"));
-        Query query = gatherer.open(id, queryClass, deadline, retry, parts(body),
-                asked.getBytes(StandardCharsets.UTF_8));
+        Query query = gatherer.open(id, queryClass, deadline, retry, parseParts(body),
+                queryText.getBytes(StandardCharsets.UTF_8));
         if (query == null) {
             throw new HttpProtocolException(400, "X-Request-Id is in use");
         }
         return query;
     }
 
-    private static Json.Obj body(HttpMessage request) throws HttpProtocolException {
+    private static Json.Obj parseBody(HttpMessage request) throws HttpProtocolException {
         try {
             ByteSlice bytes = request.body();
             return Json.object(bytes.buffer(), bytes.from(), bytes.length());
@@ -191,7 +195,7 @@
         }
     }
 
-    private List<Query.PartRequest> parts(Json.Obj body) throws HttpProtocolException {
+    private List<Query.PartRequest> parseParts(Json.Obj body) throws HttpProtocolException {
         try {
             return QueryBody.parseParts(body, launch.settings().layout().shards());
         } catch (QueryBody.InvalidQueryBodyException e) {
--- a/src/main/java/wallmoor/platform/package-info.java
+++ b/src/main/java/wallmoor/platform/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The platform's front: queries by {@code POST /api}, answered through {@code core}.
+ * The platform's front: serves queries by {@code POST /api} through {@code core}.
  */
 package wallmoor.platform;
