--- a/src/main/java/wallmoor/http/Server.java
+++ b/src/main/java/wallmoor/http/Server.java
@@ -121,8 +121,8 @@
     }
 
     /** Sets the maximum number of connections; surplus ones stay open until they are idle or evicted. */
-    public void setMaxConnections(int maxConnections) {
-        this.maxConnections = maxConnections;
+    public void setMaxConnections(int limit) {
+        maxConnections = limit;
     }
 
     /**
--- a/src/main/java/wallmoor/platform/PlatformFront.java
+++ b/src/main/java/wallmoor/platform/PlatformFront.java
@@ -47,14 +47,14 @@
     /**
      * Creates the front and binds its listening socket; requests are served only after {@link #start}.
      *
-     * @param launch   the configuration at the start of the process
-     * @param currentConfiguration  supplies the current configuration for each query
-     * @param gatherer executes the queries
-     * @param workers  the transport of the queries' parts
-     * @param log      receives failures of connections and requests
+     * @param launch               the configuration at the start of the process
+     * @param currentConfiguration supplies the current configuration for each query
+     * @param gatherer             executes the queries
+     * @param workers              the transport of the queries' parts
+     * @param log                  receives failures of connections and requests
      */
-    public PlatformFront(LaunchConfig launch, Supplier<LaunchConfig> currentConfiguration, MonotonicClock clock, Gatherer gatherer,
-            WorkerTransport workers, Logger log) throws IOException {
+    public PlatformFront(LaunchConfig launch, Supplier<LaunchConfig> currentConfiguration, MonotonicClock clock,
+            Gatherer gatherer, WorkerTransport workers, Logger log) throws IOException {
         this(launch, currentConfiguration, clock, gatherer, workers, log,
                 launch.inherited() ? inheritedListener() : ConnectionAcceptor.at(launch.listen()));
     }
@@ -69,8 +69,8 @@
     }
 
     /** Creates a front that accepts its connections from an acceptor. */
-    public PlatformFront(LaunchConfig launch, Supplier<LaunchConfig> currentConfiguration, MonotonicClock clock, Gatherer gatherer,
-            WorkerTransport workers, Logger log, ConnectionAcceptor acceptor) {
+    public PlatformFront(LaunchConfig launch, Supplier<LaunchConfig> currentConfiguration, MonotonicClock clock,
+            Gatherer gatherer, WorkerTransport workers, Logger log, ConnectionAcceptor acceptor) {
         this.launch = launch;
         this.currentConfiguration = currentConfiguration;
         this.clock = clock;
--- a/src/main/java/wallmoor/platform/QueryHeaders.java
+++ b/src/main/java/wallmoor/platform/QueryHeaders.java
@@ -45,7 +45,8 @@
         int dot = value.indexOf('.');
         int unitIndex = value.length() - 1;
         int integerEnd = dot < 0 ? unitIndex : dot;
-        return (value.endsWith("m") || value.endsWith("u")) && areDigits(value, 0, integerEnd) && integerEnd <= MAX_INTEGER_DIGITS
+        return (value.endsWith("m") || value.endsWith("u")) && areDigits(value, 0, integerEnd)
+                && integerEnd <= MAX_INTEGER_DIGITS
                 && (dot < 0 || (areDigits(value, dot + 1, unitIndex) && unitIndex - dot - 1 <= MAX_FRACTION_DIGITS));
     }
 
--- a/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
+++ b/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
@@ -27,20 +27,20 @@
 import wallmoor.standin.RecordingLogger;
 
 /**
- * A gatherer with a hand-turned clock, real connections to workers whose moves a test makes, and gates in the way of
- * the connections' threads. The test's thread stands for the queries': it picks their steps and hands them on.
+ * A gatherer with a manual clock, real connections to workers that a test controls, and gates at which a test blocks
+ * the connections' executor. The test's thread acts for the queries' threads: it takes their steps and passes them on.
  */
 abstract class ConnectionPoolFixture {
-    static final int SAFE = 0;
+    static final int FREE = 0;
     static final int GUARDED = 1;
-    static final int ONCE = 2;
+    static final int SINGLE_SHOT = 2;
     static final long DEDUP_MICROS = 600_000;
     static final long GIVE_UP_MICROS = 2_000_000;
     static final long CONNECT_MICROS = 250_000;
-    private static final String CLASS = " Classes.%d.Aim=1000000 Classes.%d.GiveUp=2000000 Classes.%d.Worth=1"
+    private static final String CLASS_SETTINGS = " Classes.%d.Aim=1000000 Classes.%d.GiveUp=2000000 Classes.%d.Worth=1"
             + " Classes.%d.LateWorth=0.1 Classes.%d.Repeat=%s Classes.%d.DedupWindow=" + DEDUP_MICROS;
-    private static final String SETTINGS = "Classes.count=3" + classAt(0, "free") + classAt(1, "guarded")
-            + classAt(2, "single_shot") + " Domain.NeedByClass=1,1,1 Domain.FloorByClass=1,1,1 Domain.Reach=1"
+    private static final String SETTINGS = "Classes.count=3" + classSettings(0, "free") + classSettings(1, "guarded")
+            + classSettings(2, "single_shot") + " Domain.NeedByClass=1,1,1 Domain.FloorByClass=1,1,1 Domain.Reach=1"
             + " Domain.Sets=1 Domain.Slabs=4 Discovery=subscribe Instances=1 Position=0 Round=5000 Limits.MaxAttempts=4"
             + " Limits.MaxOpen=400 Limits.Cancelling=true Limits.RetryAfter=true Limits.MaxRetryAfter=2000000"
             + " Contract.DrainGrace=2000000 Contract.ColdShare=0.16 Contract.Cold=18000000 Contract.FallMultiple=2"
@@ -48,21 +48,21 @@
 
     final AtomicLong clock = new AtomicLong(1_000_000_000);
     final List<String> log = new java.util.concurrent.CopyOnWriteArrayList<>();
-    final LinkedBlockingQueue<GatedSocket> made = new LinkedBlockingQueue<>();
-    final ExecutorService threads = Executors.newCachedThreadPool();
+    final LinkedBlockingQueue<GatedSocket> createdSockets = new LinkedBlockingQueue<>();
+    final ExecutorService executor = Executors.newCachedThreadPool();
     private final List<AutoCloseable> opened = new ArrayList<>();
-    /** Where set, connections come with these gates as they are; else all gates are open. */
-    private GatedSocket next;
+    /** The socket of the next connection, or null for a new one with all gates open. */
+    private GatedSocket nextSocket;
     Gatherer gatherer;
-    WorkerConnectionPool links;
-    int streams = 100;
+    WorkerConnectionPool pool;
+    int maxInFlight = 100;
     int connectMillis = 5_000;
-    long retireNanos = TimeUnit.SECONDS.toNanos(30);
-    long silentNanos = TimeUnit.SECONDS.toNanos(30);
-    int mostConnections = 8;
+    long idleTimeoutNanos = TimeUnit.SECONDS.toNanos(30);
+    long silenceTimeoutNanos = TimeUnit.SECONDS.toNanos(30);
+    int maxConnections = 8;
 
-    private static String classAt(int place, String repeat) {
-        return CLASS.replace("%s", repeat).replace("%d", "" + place);
+    private static String classSettings(int index, String repeat) {
+        return CLASS_SETTINGS.replace("%s", repeat).replace("%d", "" + index);
     }
 
     @Before
@@ -77,12 +77,12 @@
 
     @After
     public void stopAll() throws Exception {
-        if (links != null) {
-            links.close();
+        if (pool != null) {
+            pool.close();
         }
-        threads.shutdownNow();
-        for (AutoCloseable o : opened) {
-            o.close();
+        executor.shutdownNow();
+        for (AutoCloseable closeable : opened) {
+            closeable.close();
         }
         assertTrue(log.toString(), log.stream().noneMatch(l -> l.contains("routing policy failed")));
     }
@@ -93,11 +93,11 @@
         return worker;
     }
 
-    /** Starts the links, with these workers in the list; they are named a, b and so on. */
+    /** Creates the pool, with these workers in the endpoint list; their ids are a, b and so on. */
     void start(ManualWorker... workers) {
-        links = new WorkerConnectionPool(gatherer,
-                new ConnectionLimits(streams, connectMillis, retireNanos, silentNanos,
-                        mostConnections, this::socket, (id, up) -> log.add("reach " + id + " " + up)));
+        pool = new WorkerConnectionPool(gatherer,
+                new ConnectionLimits(maxInFlight, connectMillis, idleTimeoutNanos, silenceTimeoutNanos,
+                        maxConnections, this::socket, (id, up) -> log.add("reach " + id + " " + up)));
         var members = new ArrayList<WorkerEndpoint>();
         for (int i = 0; i < workers.length; i++) {
             members.add(member(i, workers[i], WorkerEndpoint.EndpointState.SERVING));
@@ -105,69 +105,69 @@
         gatherer.control().start(members);
     }
 
-    static WorkerEndpoint member(int place, ManualWorker worker, WorkerEndpoint.EndpointState state) {
-        return new WorkerEndpoint("" + (char) ('a' + place), worker.address(), 0, 0, 0, state, 1, 0);
+    static WorkerEndpoint member(int index, ManualWorker worker, WorkerEndpoint.EndpointState state) {
+        return new WorkerEndpoint("" + (char) ('a' + index), worker.address(), 0, 0, 0, state, 1, 0);
     }
 
     private synchronized Socket socket() {
-        GatedSocket socket = next != null ? next : new GatedSocket();
-        next = null;
-        made.add(socket);
+        GatedSocket socket = nextSocket != null ? nextSocket : new GatedSocket();
+        nextSocket = null;
+        createdSockets.add(socket);
         return socket;
     }
 
-    /** The next connection's socket, with its gates to be set first. */
-    synchronized GatedSocket prepare() {
-        next = new GatedSocket();
-        return next;
+    /** Creates the next connection's socket, whose gates can be closed before it is used. */
+    synchronized GatedSocket prepareSocket() {
+        nextSocket = new GatedSocket();
+        return nextSocket;
     }
 
     Query open(String id, int queryClass) {
         Query query = gatherer.open(id, queryClass, clock.get() + GIVE_UP_MICROS, false,
                 List.of(new Query.PartRequest(0, 1, -1)), "c41e77d0".getBytes(StandardCharsets.ISO_8859_1));
-        assertTrue("taken", query != null);
+        assertTrue("query " + id + " accepted", query != null);
         return query;
     }
 
-    /** Picks a query's next step, which must come at once or by what other threads report. */
-    Step pick(Query query) throws Exception {
-        Future<Step> step = threads.submit(() -> gatherer.awaitStep(query));
+    /** Waits for a query's next step, which must be available or result from the reports of other executor. */
+    Step nextStep(Query query) throws Exception {
+        Future<Step> step = executor.submit(() -> gatherer.awaitStep(query));
         return step.get(15, TimeUnit.SECONDS);
     }
 
-    /** Picks a query's next step, a call, and hands it to the links. */
+    /** Takes a query's next step, a call, and passes it to the pool. */
     Step.Send send(Query query) throws Exception {
-        var send = (Step.Send) pick(query);
-        links.send(send);
+        var send = (Step.Send) nextStep(query);
+        pool.send(send);
         return send;
     }
 
-    /** Picks a query's next step, a call's end, and hands it to the links. */
+    /** Takes a query's next step, a cancellation, and passes it to the pool. */
     Step.Cancel cancel(Query query) throws Exception {
-        var cancel = (Step.Cancel) pick(query);
-        links.cancel(cancel);
+        var cancel = (Step.Cancel) nextStep(query);
+        pool.cancel(cancel);
         return cancel;
     }
 
-    /** Opens a query and hands its call to the links. */
-    Query sent(String id, int queryClass) throws Exception {
+    /** Opens a query and passes its call to the pool. */
+    Query openAndSend(String id, int queryClass) throws Exception {
         Query query = open(id, queryClass);
         send(query);
         return query;
     }
 
-    /** Lets the gatherer's clock go on in the steps that the sweeps need. */
-    void pass(long millis) throws Exception {
+    /** Advances the gatherer's clock in steps of 10 ms, with a tick after each. */
+    void advanceClock(long millis) throws Exception {
         for (long t = 0; t < millis; t += 10) {
             clock.addAndGet(10_000);
             gatherer.tick(0);
         }
     }
 
-    static void await(String what, BooleanSupplier came) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
-        while (!came.getAsBoolean()) {
-            assertTrue("did not come: " + what, System.nanoTime() < until);
+    static void await(String what, BooleanSupplier condition) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
+        while (!condition.getAsBoolean()) {
+            assertTrue("timed out waiting for: " + what, System.nanoTime() < deadline);
             Thread.sleep(2);
         }
     }
@@ -176,20 +176,20 @@
         assertTrue(frame, frame.matches("(?s)Q" + part.replace(".", "\\.") + " 0 d=\\d+ 8\nc41e77d0"));
     }
 
-    /** This part comes next on this connection, and its answer ends the query. */
+    /** Asserts that the next frame is the call of this part, answers it, and asserts that this completes the query. */
     void assertServed(Query query, String part, ManualWorker.Peer peer) throws Exception {
         assertCall(part, peer.frame());
         peer.answer(part, "ok");
-        assertTrue(pick(query) instanceof Step.Answer);
+        assertTrue(nextStep(query) instanceof Step.Answer);
     }
 
-    /** The time told in a call, in milliseconds. */
-    static long told(String frame) {
+    /** Returns the remaining time in a call, in milliseconds. */
+    static long remainingMillis(String frame) {
         return Long.parseLong(frame.replaceAll("(?s).* d=(\\d+) .*", "$1"));
     }
 
-    void assertNothingHeld() throws Exception {
-        await("an end of all queries", () -> gatherer.openQueriesAndParts() == 0);
+    void assertNoOpenQueries() throws Exception {
+        await("the end of all queries", () -> gatherer.openQueriesAndParts() == 0);
         assertEquals(0, gatherer.openQueries());
     }
 }
--- a/src/test/java/wallmoor/frames/Gate.java
+++ b/src/test/java/wallmoor/frames/Gate.java
@@ -4,50 +4,50 @@
 import java.util.concurrent.locks.Condition;
 import java.util.concurrent.locks.ReentrantLock;
 
-/** A place in a thread's way where a test holds it, and sees that it has come there. Open at first. */
+/** A gate at which a test blocks threads and waits for one to arrive. It is open at first. */
 final class Gate {
-    private static final long LONGEST_WAIT_NANOS = TimeUnit.SECONDS.toNanos(20);
+    private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(20);
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
-    private boolean shut;
-    private int held;
+    private boolean closed;
+    private int blockedThreads;
 
-    /** Holds who comes from now on. */
-    void shut() {
-        set(true);
+    /** Closes the gate: threads block at it from now on. */
+    void close() {
+        setClosed(true);
     }
 
-    /** Lets all go on. */
+    /** Opens the gate and releases all blocked threads. */
     void open() {
-        set(false);
+        setClosed(false);
     }
 
-    private void set(boolean to) {
+    private void setClosed(boolean isClosed) {
         lock.lock();
         try {
-            shut = to;
+            closed = isClosed;
             changed.signalAll();
         } finally {
             lock.unlock();
         }
     }
 
-    /** Who comes by; held while it is shut. */
+    /** Passes the gate; blocks while it is closed. */
     void pass() {
         lock.lock();
         try {
-            held++;
+            blockedThreads++;
             changed.signalAll();
             await(false);
-            held--;
+            blockedThreads--;
         } finally {
             lock.unlock();
         }
     }
 
-    /** Waits until somebody is held here. */
-    void awaitHeld() {
+    /** Waits until a thread is blocked at the gate. */
+    void awaitBlocked() {
         lock.lock();
         try {
             await(true);
@@ -56,14 +56,14 @@
         }
     }
 
-    private void await(boolean someoneHeld) {
-        long left = LONGEST_WAIT_NANOS;
-        while (someoneHeld ? held == 0 : shut) {
-            if (left <= 0) {
-                throw new IllegalStateException("nothing came for too long");
+    private void await(boolean forBlockedThread) {
+        long remainingNanos = MAX_WAIT_NANOS;
+        while (forBlockedThread ? blockedThreads == 0 : closed) {
+            if (remainingNanos <= 0) {
+                throw new IllegalStateException("timed out at a gate");
             }
             try {
-                left = changed.awaitNanos(left);
+                remainingNanos = changed.awaitNanos(remainingNanos);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw new IllegalStateException(e);
--- a/src/test/java/wallmoor/frames/GatedSocket.java
+++ b/src/test/java/wallmoor/frames/GatedSocket.java
@@ -8,15 +8,15 @@
 import java.net.Socket;
 import java.net.SocketAddress;
 
-/** A socket whose threads a test can hold: before and after its connect, before and after each write and each read. */
+/** A socket at which a test can block threads: before and after its connect and each write, and after each read. */
 final class GatedSocket extends Socket {
     final Gate beforeConnect = new Gate();
     final Gate afterConnect = new Gate();
     final Gate beforeWrite = new Gate();
     final Gate afterWrite = new Gate();
     final Gate afterRead = new Gate();
-    /** Of the next write only so many bytes go out, then it fails; -1: all. */
-    volatile int mostWritten = -1;
+    /** The number of bytes after which a write fails; -1 if writes do not fail. */
+    volatile int maxWrittenBytes = -1;
 
     @Override
     public void connect(SocketAddress to, int millis) throws IOException {
@@ -31,11 +31,11 @@
             @Override
             public void write(byte[] bytes) throws IOException {
                 beforeWrite.pass();
-                int most = mostWritten;
-                out.write(bytes, 0, most < 0 ? bytes.length : Math.min(most, bytes.length));
+                int maxBytes = maxWrittenBytes;
+                out.write(bytes, 0, maxBytes < 0 ? bytes.length : Math.min(maxBytes, bytes.length));
                 afterWrite.pass();
-                if (most >= 0) {
-                    throw new IOException("broken by the test");
+                if (maxBytes >= 0) {
+                    throw new IOException("write failed by the test");
                 }
             }
         };
@@ -45,10 +45,10 @@
     public InputStream getInputStream() throws IOException {
         return new FilterInputStream(super.getInputStream()) {
             @Override
-            public int read(byte[] to, int from, int most) throws IOException {
-                int n = super.read(to, from, most);
+            public int read(byte[] to, int from, int length) throws IOException {
+                int count = super.read(to, from, length);
                 afterRead.pass();
-                return n;
+                return count;
             }
         };
     }
--- a/src/test/java/wallmoor/frames/IdempotencyWindowTest.java
+++ b/src/test/java/wallmoor/frames/IdempotencyWindowTest.java
@@ -8,54 +8,57 @@
 import wallmoor.core.Query;
 import wallmoor.core.Step;
 
-/** A repeat that was decided inside its window and waits for a connection, to be written inside it or not at all. */
+/**
+ * Guards against a retry that is written after the idempotency window, where it could be executed twice: it is decided
+ * within the window, but has to wait for its connection.
+ */
 public class IdempotencyWindowTest extends ConnectionPoolFixture {
-    /** The module's margin: two of its rounds. */
+    /** The margin that the routing policy keeps from the end of the window: two of its rounds. */
     private static final long MARGIN_MICROS = 10_000;
 
     private final ManualWorker[] workers = new ManualWorker[2];
     private GatedSocket socket;
     private Query query;
-    private ManualWorker repeatedAt;
+    private ManualWorker retryWorker;
 
-    /** The first attempt is reset 300 ms after its decision, and the second one's connection is not up yet. */
+    /** Resets the first attempt 300 ms after its decision, and blocks the connect for the second one. */
     @Before
-    public void repeatOverASlowConnection() throws Exception {
+    public void retryOverSlowConnection() throws Exception {
         workers[0] = worker();
         workers[1] = worker();
         start(workers);
         query = open("q", GUARDED);
         Step.Send first = send(query);
-        int place = first.worker().id().charAt(0) - 'a';
-        ManualWorker.Peer peer = workers[place].accept();
+        int index = first.worker().id().charAt(0) - 'a';
+        ManualWorker.Peer peer = workers[index].accept();
         assertCall("q.0", peer.frame());
         clock.addAndGet(300_000);
         peer.reset();
-        socket = prepare();
-        socket.beforeConnect.shut();
+        socket = prepareSocket();
+        socket.beforeConnect.close();
         Step.Send second = send(query);
-        assertTrue("elsewhere", second.worker() != first.worker());
-        repeatedAt = workers[1 - place];
-        socket.beforeConnect.awaitHeld();
+        assertTrue("retry at another worker", second.worker() != first.worker());
+        retryWorker = workers[1 - index];
+        socket.beforeConnect.awaitBlocked();
     }
 
     @Test
-    public void aRepeatWhoseConnectionComesUpInsideTheWindowIsWritten() throws Exception {
+    public void writesRetryIfConnectionIsEstablishedWithinWindow() throws Exception {
         clock.addAndGet(DEDUP_MICROS - MARGIN_MICROS - 300_000 - 1);
         socket.beforeConnect.open();
-        ManualWorker.Peer peer = repeatedAt.accept();
+        ManualWorker.Peer peer = retryWorker.accept();
         assertServed(query, "q.0", peer);
-        assertNothingHeld();
+        assertNoOpenQueries();
     }
 
     @Test
-    public void aRepeatWhoseConnectionComesUpAfterTheWindowIsNotWritten() throws Exception {
+    public void doesNotWriteRetryIfConnectionIsEstablishedAfterWindow() throws Exception {
         clock.addAndGet(DEDUP_MICROS - MARGIN_MICROS - 300_000);
         socket.beforeConnect.open();
-        ManualWorker.Peer peer = repeatedAt.accept();
-        assertTrue("it may have run, and may not go again", pick(query) instanceof Step.Fail);
-        links.close();
+        ManualWorker.Peer peer = retryWorker.accept();
+        assertTrue("it may have run and must not be retried", nextStep(query) instanceof Step.Fail);
+        pool.close();
         assertEquals("nothing was written", "end", peer.frame());
-        assertNothingHeld();
+        assertNoOpenQueries();
     }
 }
--- a/src/test/java/wallmoor/frames/ManualWorker.java
+++ b/src/test/java/wallmoor/frames/ManualWorker.java
@@ -10,35 +10,35 @@
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 
-/** A worker on a loopback port that does nothing by itself: the test makes its every move. */
+/** A worker on a loopback port whose every action is triggered by the test. */
 final class ManualWorker implements AutoCloseable {
-    private static final int LONGEST_WAIT_MILLIS = 15_000;
+    private static final int MAX_WAIT_MILLIS = 15_000;
 
-    private final ServerSocket listening;
+    private final ServerSocket listener;
 
     ManualWorker() throws IOException {
-        listening = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        listening.setSoTimeout(LONGEST_WAIT_MILLIS);
+        listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        listener.setSoTimeout(MAX_WAIT_MILLIS);
     }
 
     String address() {
-        return "127.0.0.1:" + listening.getLocalPort();
+        return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** The next connection that was made. */
+    /** Accepts the next connection. */
     Peer accept() throws IOException {
-        Socket socket = listening.accept();
-        socket.setSoTimeout(LONGEST_WAIT_MILLIS);
+        Socket socket = listener.accept();
+        socket.setSoTimeout(MAX_WAIT_MILLIS);
         socket.setTcpNoDelay(true);
         return new Peer(socket);
     }
 
     @Override
     public void close() throws IOException {
-        listening.close();
+        listener.close();
     }
 
-    /** The worker's end of a connection. */
+    /** The worker's side of a connection. */
     static final class Peer implements AutoCloseable {
         final Socket socket;
         private final DataInputStream in;
@@ -48,7 +48,7 @@
             in = new DataInputStream(socket.getInputStream());
         }
 
-        /** The next frame from its letter on, or "end" where the connection has ended. */
+        /** Reads the next frame without its length; "end" if the connection has ended. */
         String frame() throws IOException {
             try {
                 byte[] frame = new byte[in.readInt()];
@@ -59,12 +59,12 @@
             }
         }
 
-        /** Answers a part. */
-        Peer answer(String part, String end) throws IOException {
-            return frame("A" + part + " " + end + " 7 -\nv" + part);
+        /** Answers a part with this result. */
+        Peer answer(String part, String result) throws IOException {
+            return frame("A" + part + " " + result + " 7 -\nv" + part);
         }
 
-        /** Writes a whole frame. */
+        /** Writes a complete frame. */
         Peer frame(String text) throws IOException {
             var bytes = new java.io.ByteArrayOutputStream();
             new DataOutputStream(bytes).writeInt(text.length());
@@ -72,7 +72,7 @@
             return bytes(bytes.toByteArray());
         }
 
-        /** Writes what is no whole frame. */
+        /** Writes raw bytes. */
         Peer bytes(byte... bytes) throws IOException {
             socket.getOutputStream().write(bytes);
             return this;
@@ -84,8 +84,8 @@
             socket.close();
         }
 
-        /** Says that nothing more comes from here. */
-        void finish() throws IOException {
+        /** Closes the output direction only. */
+        void shutdownOutput() throws IOException {
             socket.shutdownOutput();
         }
 
--- a/src/test/java/wallmoor/frames/SendPermissionAtWriteTest.java
+++ b/src/test/java/wallmoor/frames/SendPermissionAtWriteTest.java
@@ -10,140 +10,140 @@
 import wallmoor.core.Step;
 import wallmoor.core.WorkerEndpoint;
 
-/** What happens while a call waits for its connection's writer decides whether it is written. */
+/** Guards against a call that is written although it lost its permission while queued for its connection's writer. */
 public class SendPermissionAtWriteTest extends ConnectionPoolFixture {
     private ManualWorker worker;
     private GatedSocket socket;
     private Query first;
     private ManualWorker.Peer peer;
 
-    /** A connection whose writer stands still in the write of another query's call. */
+    /** Opens a connection and blocks its writer before the write of another query's call. */
     @Before
-    public void holdTheWriter() throws Exception {
+    public void blockWriter() throws Exception {
         worker = worker();
         start(worker);
-        socket = prepare();
-        socket.beforeWrite.shut();
-        first = sent("first", ONCE);
+        socket = prepareSocket();
+        socket.beforeWrite.close();
+        first = openAndSend("first", SINGLE_SHOT);
         peer = worker.accept();
-        socket.beforeWrite.awaitHeld();
+        socket.beforeWrite.awaitBlocked();
     }
 
-    private void goOn() throws Exception {
+    private void releaseWriter() throws Exception {
         socket.beforeWrite.open();
         assertCall("first.0", peer.frame());
     }
 
-    /** Another query's call is the next frame: the one before it was never written. */
+    /** Asserts that another query's call is the next frame: the call queued before it was never written. */
     private void assertNotWritten() throws Exception {
-        Query last = sent("last", SAFE);
+        Query last = openAndSend("last", FREE);
         assertServed(last, "last.0", peer);
     }
 
-    private void finishFirst() throws Exception {
+    private void answerFirst() throws Exception {
         peer.answer("first.0", "ok");
-        assertTrue(pick(first) instanceof Step.Answer);
-        assertNothingHeld();
+        assertTrue(nextStep(first) instanceof Step.Answer);
+        assertNoOpenQueries();
     }
 
     @Test
-    public void aClientThatLeavesWhileTheCallIsQueuedIsNotAskedFor() throws Exception {
-        Query query = sent("q", ONCE);
-        gatherer.clientDisconnected(query); // and its own thread does not run yet
-        goOn();
+    public void doesNotWriteQueuedCallAfterClientDisconnects() throws Exception {
+        Query query = openAndSend("q", SINGLE_SHOT);
+        gatherer.clientDisconnected(query); // while the thread of the query does not run
+        releaseWriter();
         assertNotWritten();
-        assertTrue("no end of what never began", pick(query) instanceof Step.ClientGone);
-        finishFirst();
+        assertTrue("no cancellation of an attempt that was not written", nextStep(query) instanceof Step.ClientGone);
+        answerFirst();
     }
 
     @Test
-    public void aClientThatLeavesAfterTheWriteHasItsAttemptCalledOff() throws Exception {
-        Query query = sent("q", ONCE);
-        goOn();
+    public void cancelsWrittenAttemptAfterClientDisconnects() throws Exception {
+        Query query = openAndSend("q", SINGLE_SHOT);
+        releaseWriter();
         assertCall("q.0", peer.frame());
         gatherer.clientDisconnected(query);
         cancel(query);
         assertEquals("Xq.0", peer.frame());
-        assertTrue(pick(query) instanceof Step.ClientGone);
-        finishFirst();
+        assertTrue(nextStep(query) instanceof Step.ClientGone);
+        answerFirst();
     }
 
     @Test
-    public void whatIsCalledOffWhileQueuedIsNotWrittenNorItsEnd() throws Exception {
-        Query query = sent("q", SAFE);
+    public void writesNeitherCallNorCancellationIfCancelledWhileQueued() throws Exception {
+        Query query = openAndSend("q", FREE);
         ManualWorker other = worker();
         gatherer.control().updateEndpoints(false, List.of(member(1, other, WorkerEndpoint.EndpointState.SERVING)));
-        pass(700); // late: the module calls it off, and the query's own thread does not run yet
-        goOn();
-        Step next = pick(query);
-        if (next instanceof Step.Cancel cancel) { // the writer has not come to it yet
-            links.cancel(cancel);
-            next = pick(query);
+        advanceClock(700); // late: the policy cancels the attempt, while the thread of the query does not run
+        releaseWriter();
+        Step next = nextStep(query);
+        if (next instanceof Step.Cancel cancel) { // the writer has not handled the call yet
+            pool.cancel(cancel);
+            next = nextStep(query);
         }
-        links.send((Step.Send) next);
+        pool.send((Step.Send) next);
         assertCall("q.0", other.accept().frame());
-        assertNothingElseWritten();
+        assertConnectionEndsWithoutFurtherFrames();
     }
 
     @Test
-    public void aDrainThatIsToldWhileTheCallIsQueuedHolds() throws Exception {
-        Query query = sent("q", ONCE);
+    public void doesNotWriteQueuedCallToWorkerThatStartsDraining() throws Exception {
+        Query query = openAndSend("q", SINGLE_SHOT);
         ManualWorker other = worker();
         gatherer.control().updateEndpoints(false, List.of(member(0, worker, WorkerEndpoint.EndpointState.DRAINING),
                 member(1, other, WorkerEndpoint.EndpointState.SERVING)));
-        goOn();
-        send(query); // it never ran: it goes again, though it may run once
+        releaseWriter();
+        send(query); // never written, so it is retried although it is single-shot
         assertCall("q.0", other.accept().frame());
-        assertNothingElseWritten();
+        assertConnectionEndsWithoutFurtherFrames();
     }
 
-    private void assertNothingElseWritten() throws Exception {
+    private void assertConnectionEndsWithoutFurtherFrames() throws Exception {
         peer.answer("first.0", "ok");
-        assertTrue(pick(first) instanceof Step.Answer);
-        links.close();
+        assertTrue(nextStep(first) instanceof Step.Answer);
+        pool.close();
         assertEquals("end", peer.frame());
     }
 
     @Test
-    public void aCallForAWorkerThatMovedIsNotWrittenToItsOldAddress() throws Exception {
-        Query query = sent("q", ONCE);
-        ManualWorker elsewhere = worker();
-        gatherer.control().updateEndpoints(false, List.of(member(0, elsewhere, WorkerEndpoint.EndpointState.SERVING)));
-        goOn();
-        send(query); // it never ran: it goes again, though it may run once
-        ManualWorker.Peer there = elsewhere.accept();
-        assertServed(query, "q.0", there);
-        finishFirst();
-        assertEquals("the old connection ends once nothing is out on it", "end", peer.frame());
+    public void doesNotWriteQueuedCallToFormerAddressOfWorker() throws Exception {
+        Query query = openAndSend("q", SINGLE_SHOT);
+        ManualWorker newAddress = worker();
+        gatherer.control().updateEndpoints(false, List.of(member(0, newAddress, WorkerEndpoint.EndpointState.SERVING)));
+        releaseWriter();
+        send(query); // never written, so it is retried although it is single-shot
+        ManualWorker.Peer newPeer = newAddress.accept();
+        assertServed(query, "q.0", newPeer);
+        answerFirst();
+        assertEquals("the old connection ends once nothing is in flight", "end", peer.frame());
     }
 
     @Test
-    public void aMoveThatIsToldAfterTheWriteLeavesTheAttemptWhereItIs() throws Exception {
-        Query query = sent("q", ONCE);
-        goOn();
+    public void acceptsAnswerFromFormerAddressIfCallWasWrittenBeforeChange() throws Exception {
+        Query query = openAndSend("q", SINGLE_SHOT);
+        releaseWriter();
         assertCall("q.0", peer.frame());
-        ManualWorker elsewhere = worker();
-        gatherer.control().updateEndpoints(false, List.of(member(0, elsewhere, WorkerEndpoint.EndpointState.SERVING)));
+        ManualWorker newAddress = worker();
+        gatherer.control().updateEndpoints(false, List.of(member(0, newAddress, WorkerEndpoint.EndpointState.SERVING)));
         peer.answer("q.0", "ok");
-        assertTrue(pick(query) instanceof Step.Answer);
-        finishFirst();
+        assertTrue(nextStep(query) instanceof Step.Answer);
+        answerFirst();
     }
 
     @Test
-    public void aCallWhoseTimeIsOverBeforeTheWriterComesToItIsNotWritten() throws Exception {
-        Query query = sent("q", ONCE);
-        clock.addAndGet(GIVE_UP_MICROS - 500); // less than the millisecond that could be told
-        goOn();
-        assertTrue("once the writer has come to it", pick(query) instanceof Step.FinalStep);
+    public void doesNotWriteQueuedCallAfterDeadline() throws Exception {
+        Query query = openAndSend("q", SINGLE_SHOT);
+        clock.addAndGet(GIVE_UP_MICROS - 500); // less than one millisecond is left, the least that a call can contain
+        releaseWriter();
+        assertTrue("the query ends once the writer handles the call", nextStep(query) instanceof Step.FinalStep);
         clock.addAndGet(-GIVE_UP_MICROS / 2);
         assertNotWritten();
     }
 
     @Test
-    public void theTimeToldIsWhatIsLeftWhenTheWriterComesToIt() throws Exception {
-        sent("q", ONCE);
-        clock.addAndGet(700_000); // while the writer was held up
-        goOn();
-        assertEquals((GIVE_UP_MICROS - 700_000) / 1000, told(peer.frame()));
+    public void writesTimeRemainingAtWrite() throws Exception {
+        openAndSend("q", SINGLE_SHOT);
+        clock.addAndGet(700_000); // while the writer is blocked
+        releaseWriter();
+        assertEquals((GIVE_UP_MICROS - 700_000) / 1000, remainingMillis(peer.frame()));
     }
 }
--- a/src/test/java/wallmoor/http/ConnectionCrossingsTest.java
+++ b/src/test/java/wallmoor/http/ConnectionCrossingsTest.java
@@ -18,18 +18,18 @@
 import wallmoor.http.Connection.ConnectionState;
 
 /**
- * Bytes that come in the very moment in which a connection is ended from here, in both orders: one side is held at a
- * barrier within its step, and the other has to wait for it.
+ * Tests races between received bytes and the server's close of a connection, in both orders: one side is blocked within
+ * its step, and the other has to wait for it.
  */
 public class ConnectionCrossingsTest {
     private static final byte[] REQUEST = "GET /one HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
     private static final long WAIT_SECONDS = 15;
 
-    /** What happened at the connection's outer side, in order. */
-    private final List<String> happened = Collections.synchronizedList(new ArrayList<>());
+    /** The calls to the connection's output and channel, in order. */
+    private final List<String> events = Collections.synchronizedList(new ArrayList<>());
     private final AtomicInteger handled = new AtomicInteger();
-    private final AtomicInteger leftBefore = new AtomicInteger();
-    private final CountDownLatch reached = new CountDownLatch(1);
+    private final AtomicInteger disconnectedBefore = new AtomicInteger();
+    private final CountDownLatch blocked = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
     private final Server server;
     private final Connection connection;
@@ -38,28 +38,28 @@
         server = new Server("test", ConnectionAcceptor.at(null), 4, 4, ConnectionTimeouts.SHORT,
                 (request, exchange) -> {
                     handled.incrementAndGet();
-                    leftBefore.addAndGet(exchange.hasClientDisconnected() ? 1 : 0);
+                    disconnectedBefore.addAndGet(exchange.hasClientDisconnected() ? 1 : 0);
                     exchange.answer(200, "", new byte[0]);
-                }, line -> happened.add("failed " + line));
-        connection = new Connection(server, new RecordingWire());
+                }, line -> events.add("failed " + line));
+        connection = new Connection(server, new RecordingOutput());
     }
 
-    /** A wire that notes what is done to it, and holds whoever shuts it where {@code held} says so. */
-    private final class RecordingWire implements ConnectionOutput {
+    /** An output that records its calls, and blocks in {@link #shutdownOutput} if {@link #blockedEvent} says so. */
+    private final class RecordingOutput implements ConnectionOutput {
         @Override
         public void write(byte[] bytes) {
-            happened.add("answer");
+            events.add("answer");
         }
 
         @Override
         public boolean offer(byte[] bytes) {
-            happened.add("offer");
+            events.add("offer");
             return true;
         }
 
         @Override
         public void shutdownOutput() {
-            hold("shutdown");
+            recordEvent("shutdown");
         }
 
         @Override
@@ -67,19 +67,19 @@
 
         @Override
         public void close() {
-            happened.add("close");
+            events.add("close");
         }
     }
 
-    private String held = "";
+    private String blockedEvent = "";
 
-    /** Notes this; where it is what is to be held, waits at the barrier first. */
-    private void hold(String what) {
-        if (what.equals(held)) {
-            reached.countDown();
+    /** Records an event; waits before that if it is the one to block. */
+    private void recordEvent(String event) {
+        if (event.equals(blockedEvent)) {
+            blocked.countDown();
             await(released);
         }
-        happened.add(what);
+        events.add(event);
     }
 
     private static void await(CountDownLatch latch) {
@@ -90,12 +90,12 @@
         }
     }
 
-    /** A channel that has one request, and holds whoever reads it where {@code held} says so. */
+    /** A channel with one request, which blocks its reader if {@link #blockedEvent} says so. */
     private ReadableByteChannel channel() {
         return new ReadableByteChannel() {
             @Override
             public int read(ByteBuffer to) {
-                hold("read");
+                recordEvent("read");
                 to.put(REQUEST);
                 return REQUEST.length;
             }
@@ -125,92 +125,92 @@
         return thread;
     }
 
-    /** Waits until this thread waits for a lock, or has ended. */
+    /** Waits until a thread is blocked on a lock or has ended. */
     private static void awaitBlockedOrEnded(Thread thread) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
         while (thread.getState() != Thread.State.BLOCKED && thread.getState() != Thread.State.TERMINATED) {
-            assertTrue("in time", System.nanoTime() < until);
+            assertTrue("in time", System.nanoTime() < deadline);
             Thread.sleep(1);
         }
     }
 
-    private void awaitState(ConnectionState wanted) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-        while (connection.state() != wanted) {
-            assertTrue("in time " + wanted, System.nanoTime() < until);
+    private void awaitState(ConnectionState expected) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        while (connection.state() != expected) {
+            assertTrue("in time " + expected, System.nanoTime() < deadline);
             Thread.sleep(1);
         }
     }
 
-    private void awaitHandled() throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
-        while (!happened.contains("answer")) {
-            assertTrue("answered in time", System.nanoTime() < until);
+    private void awaitAnswer() throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(WAIT_SECONDS);
+        while (!events.contains("answer")) {
+            assertTrue("answered in time", System.nanoTime() < deadline);
             Thread.sleep(1);
         }
     }
 
     private void becomeIdle() throws InterruptedException {
-        connection.received(ByteBuffer.wrap(REQUEST));
+        connection.onReceived(ByteBuffer.wrap(REQUEST));
         awaitState(ConnectionState.IDLE);
-        happened.clear();
+        events.clear();
         handled.set(0);
     }
 
-    /** The two sides of a crossing, the first held at its barrier until the second waits for it. */
-    private void cross(String heldStep, Runnable first, Runnable second) throws InterruptedException {
-        held = heldStep;
-        Thread holds = start(first);
-        await(reached);
-        Thread waits = start(second);
-        awaitBlockedOrEnded(waits);
+    /** Runs both sides of a race: blocks the first within its step until the second waits for it. */
+    private void race(String step, Runnable first, Runnable second) throws InterruptedException {
+        blockedEvent = step;
+        Thread blockedThread = start(first);
+        await(blocked);
+        Thread waitingThread = start(second);
+        awaitBlockedOrEnded(waitingThread);
         released.countDown();
-        holds.join(TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
-        waits.join(TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
+        blockedThread.join(TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
+        waitingThread.join(TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
     }
 
     @Test
-    public void whatIsReadAfterAnIdleConnectionWasShutIsDiscarded() throws Exception {
+    public void discardsBytesReadAfterIdleConnectionIsClosed() throws Exception {
         becomeIdle();
-        cross("shutdown", () -> connection.halfCloseIdle(0), this::readRequest);
-        assertEquals(List.of("shutdown", "read"), happened);
+        race("shutdown", () -> connection.halfCloseIdle(0), this::readRequest);
+        assertEquals(List.of("shutdown", "read"), events);
         assertEquals(ConnectionState.CLOSING, connection.state());
-        assertEquals("nothing is begun for it", 0, handled.get());
+        assertEquals("no request is started", 0, handled.get());
     }
 
     @Test
-    public void aRequestReadBeforeTheIdleCloseIsAnswered() throws Exception {
+    public void answersRequestReadBeforeIdleConnectionIsClosed() throws Exception {
         becomeIdle();
-        cross("read", this::readRequest, () -> connection.halfCloseIdle(0));
-        awaitHandled();
-        assertEquals("it may be ended once it is idle again", List.of("read", "answer"), happened.subList(0, 2));
+        race("read", this::readRequest, () -> connection.halfCloseIdle(0));
+        awaitAnswer();
+        assertEquals("it may be closed once it is idle again", List.of("read", "answer"), events.subList(0, 2));
         assertEquals(1, handled.get());
     }
 
     @Test
-    public void whatIsReadAfterANewConnectionWasShutIsDiscarded() throws Exception {
-        cross("shutdown", () -> connection.halfCloseIf(ConnectionState.NEW, 0), this::readRequest);
-        assertEquals(List.of("shutdown", "read"), happened);
+    public void discardsBytesReadAfterNewConnectionIsClosed() throws Exception {
+        race("shutdown", () -> connection.halfCloseIf(ConnectionState.NEW, 0), this::readRequest);
+        assertEquals(List.of("shutdown", "read"), events);
         assertEquals(0, handled.get());
     }
 
     @Test
-    public void aFirstRequestReadBeforeTheSilentConnectionIsEvictedIsAnswered() throws Exception {
+    public void answersFirstRequestReadBeforeSilentConnectionIsEvicted() throws Exception {
         var evicted = new AtomicInteger();
-        cross("read", this::readRequest, () -> evicted.addAndGet(connection.closeIf(ConnectionState.NEW, 0) ? 1 : 0));
+        race("read", this::readRequest, () -> evicted.addAndGet(connection.closeIf(ConnectionState.NEW, 0) ? 1 : 0));
         awaitState(ConnectionState.IDLE);
         assertEquals(0, evicted.get());
-        assertEquals(List.of("read", "answer"), happened);
+        assertEquals(List.of("read", "answer"), events);
     }
 
     @Test
-    public void aRequestWhoseClientClosesBeforeItIsBegunIsKnownToBeLeft() throws Exception {
-        connection.received(ByteBuffer.wrap(REQUEST, 0, 5)); // its reader waits for the rest
+    public void reportsDisconnectToHandlerIfClientClosesBeforeRequestIsHandled() throws Exception {
+        connection.onReceived(ByteBuffer.wrap(REQUEST, 0, 5)); // the reader waits for the rest
         var rest = new ReadableByteChannel() {
             @Override
-            public int read(ByteBuffer to) { // under the lock that its reader needs: it sees both or none
-                connection.received(ByteBuffer.wrap(REQUEST, 5, REQUEST.length - 5));
-                connection.ended();
+            public int read(ByteBuffer to) { // under the lock that the reader needs: it sees both events or none
+                connection.onReceived(ByteBuffer.wrap(REQUEST, 5, REQUEST.length - 5));
+                connection.onInputEnd();
                 return 0;
             }
 
@@ -225,14 +225,14 @@
         connection.readFrom(rest, ByteBuffer.allocate(1));
         awaitState(ConnectionState.CLOSED);
         assertEquals(1, handled.get());
-        assertEquals(1, leftBefore.get());
+        assertEquals(1, disconnectedBefore.get());
     }
 
     @Test
-    public void whoIsEvictedWithHalfARequestIsToldToComeAgain() {
-        connection.received(ByteBuffer.wrap("POST /api HT".getBytes(StandardCharsets.ISO_8859_1)));
+    public void offersRetryToClientEvictedWithIncompleteRequest() {
+        connection.onReceived(ByteBuffer.wrap("POST /api HT".getBytes(StandardCharsets.ISO_8859_1)));
         assertTrue(connection.closeIf(ConnectionState.FIRST_REQUEST, 0));
-        assertEquals(List.of("offer", "close"), happened);
+        assertEquals(List.of("offer", "close"), events);
         assertFalse(connection.closeIf(ConnectionState.FIRST_REQUEST, 0));
     }
 }
--- a/src/test/java/wallmoor/http/IncomingBytesTest.java
+++ b/src/test/java/wallmoor/http/IncomingBytesTest.java
@@ -13,51 +13,51 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.Test;
 
-/** Bytes between the thread that watches and the one that reads. */
+/** Tests the buffer between the selector thread and the thread that reads a request. */
 public class IncomingBytesTest {
     @Test
-    public void bytesComeInOrderAndWhoIsFullAsksOnceItWasRead() throws Exception {
+    public void readsBytesInOrderAndResumesFullBufferOnceItIsRead() throws Exception {
         for (long seed = 1; seed <= 200; seed++) {
             var random = new Random(seed);
-            var asked = new AtomicInteger();
-            var feed = new IncomingBytes(asked::incrementAndGet);
-            var in = new ByteArrayOutputStream();
-            var out = new ByteArrayOutputStream();
-            boolean wanted = true;
+            var resumeCount = new AtomicInteger();
+            var incoming = new IncomingBytes(resumeCount::incrementAndGet);
+            var written = new ByteArrayOutputStream();
+            var read = new ByteArrayOutputStream();
+            boolean wantsMore = true;
             for (int step = 0; step < 200; step++) {
-                if (wanted && random.nextBoolean()) {
-                    byte[] more = new byte[1 + random.nextInt(6_000)];
-                    random.nextBytes(more);
-                    in.writeBytes(more);
-                    wanted = feed.add(ByteBuffer.wrap(more));
-                    assertEquals(wanted, feed.waiting() < IncomingBytes.MOST);
-                } else if (feed.waiting() > 0) {
+                if (wantsMore && random.nextBoolean()) {
+                    byte[] bytes = new byte[1 + random.nextInt(6_000)];
+                    random.nextBytes(bytes);
+                    written.writeBytes(bytes);
+                    wantsMore = incoming.add(ByteBuffer.wrap(bytes));
+                    assertEquals(wantsMore, incoming.unreadBytes() < IncomingBytes.MAX_UNREAD_BYTES);
+                } else if (incoming.unreadBytes() > 0) {
                     byte[] to = new byte[1 + random.nextInt(9_000)];
-                    int before = asked.get();
-                    out.write(to, 0, feed.read(to, 0, to.length));
-                    assertEquals(!wanted && feed.waiting() == 0, asked.get() > before);
-                    wanted |= asked.get() > before;
+                    int countBefore = resumeCount.get();
+                    read.write(to, 0, incoming.read(to, 0, to.length));
+                    assertEquals(!wantsMore && incoming.unreadBytes() == 0, resumeCount.get() > countBefore);
+                    wantsMore |= resumeCount.get() > countBefore;
                 }
             }
-            feed.end();
-            out.writeBytes(feed.readAllBytes());
-            assertArrayEquals("seed " + seed, in.toByteArray(), out.toByteArray());
-            assertEquals(-1, feed.read());
+            incoming.end();
+            read.writeBytes(incoming.readAllBytes());
+            assertArrayEquals("seed " + seed, written.toByteArray(), read.toByteArray());
+            assertEquals(-1, incoming.read());
         }
     }
 
     @Test
-    public void aReadWaitsNoLongerThanItMayAndTheEndWakesIt() throws Exception {
-        var feed = new IncomingBytes(() -> {});
-        feed.timeout(20);
-        assertThrows(SocketTimeoutException.class, feed::read);
-        feed.timeout(0);
-        new Thread(feed::end).start();
-        assertEquals(-1, feed.read());
-        assertTrue(feed.ended());
-        feed.add(ByteBuffer.wrap(new byte[IncomingBytes.MOST]));
-        feed.clear();
-        assertEquals(0, feed.waiting());
-        assertFalse(feed.add(ByteBuffer.wrap(new byte[IncomingBytes.MOST])));
+    public void readTimesOutAndReturnsAtEndOfStream() throws Exception {
+        var incoming = new IncomingBytes(() -> {});
+        incoming.setTimeoutMillis(20);
+        assertThrows(SocketTimeoutException.class, incoming::read);
+        incoming.setTimeoutMillis(0);
+        new Thread(incoming::end).start();
+        assertEquals(-1, incoming.read());
+        assertTrue(incoming.ended());
+        incoming.add(ByteBuffer.wrap(new byte[IncomingBytes.MAX_UNREAD_BYTES]));
+        incoming.clear();
+        assertEquals(0, incoming.unreadBytes());
+        assertFalse(incoming.add(ByteBuffer.wrap(new byte[IncomingBytes.MAX_UNREAD_BYTES])));
     }
 }
--- a/src/test/java/wallmoor/http/ServerCrossingsTest.java
+++ b/src/test/java/wallmoor/http/ServerCrossingsTest.java
@@ -20,47 +20,48 @@
 import wallmoor.standin.Ports;
 
 /**
- * A server on loopback, its handler held at a barrier while clients leave, send on, wait in the queue or see it end.
+ * Tests a server on loopback whose handler is blocked while clients disconnect, pipeline requests, wait in the accept
+ * queue, or while the server shuts down.
  */
 public class ServerCrossingsTest {
     private static final long WAIT_SECONDS = 15;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> closeables = new ArrayList<>();
     private final CountDownLatch released = new CountDownLatch(1);
-    /** Targets of requests whose handling began, with "gone " before those whose client had left by then. */
-    private final BlockingQueue<String> begun = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> left = new LinkedBlockingQueue<>();
-    private final AtomicLong heldAt = new AtomicLong();
-    private final AtomicLong nextCameAt = new AtomicLong();
+    /** Targets of requests whose handling has begun, after "gone " if the client had already disconnected. */
+    private final BlockingQueue<String> startedTargets = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> disconnectedTargets = new LinkedBlockingQueue<>();
+    private final AtomicLong heldStartedAt = new AtomicLong();
+    private final AtomicLong nextFirstByteAt = new AtomicLong();
     private Server server;
     private int port;
 
-    private void start(int mostConnections) throws Exception {
+    private void start(int maxConnections) throws Exception {
         port = Ports.free();
-        server = new Server("test", new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), mostConnections, 8,
+        server = new Server("test", new InetSocketAddress(InetAddress.getByName("127.0.0.1"), port), maxConnections, 8,
                 this::handle, line -> {});
         server.start();
     }
 
-    /** Answers, but what is asked for as /held only once the test lets it go or its client has left. */
+    /** Answers a request; one for /held only once the test releases it, and not if its client disconnects before. */
     private void handle(HttpMessage request, HttpExchange exchange) throws IOException, InterruptedException {
         String target = request.target();
-        begun.add((exchange.hasClientDisconnected() ? "gone " : "") + target);
+        startedTargets.add((exchange.hasClientDisconnected() ? "gone " : "") + target);
         if (target.equals("/held")) {
-            heldAt.set(System.nanoTime());
-            var gone = new CountDownLatch(1);
+            heldStartedAt.set(System.nanoTime());
+            var disconnected = new CountDownLatch(1);
             exchange.whenClientDisconnects(() -> {
-                left.add(target);
-                gone.countDown();
+                disconnectedTargets.add(target);
+                disconnected.countDown();
             });
-            while (!released.await(1, TimeUnit.MILLISECONDS) && gone.getCount() > 0) {
-                // held
+            while (!released.await(1, TimeUnit.MILLISECONDS) && disconnected.getCount() > 0) {
+                // blocked until then
             }
-            if (gone.getCount() == 0) {
+            if (disconnected.getCount() == 0) {
                 return;
             }
         } else {
-            nextCameAt.set(request.firstByteAt());
+            nextFirstByteAt.set(request.firstByteAt());
         }
         exchange.answer(200, "", target.getBytes(StandardCharsets.ISO_8859_1));
     }
@@ -68,8 +69,8 @@
     @After
     public void stop() throws Exception {
         released.countDown();
-        for (AutoCloseable o : open) {
-            o.close();
+        for (AutoCloseable closeable : closeables) {
+            closeable.close();
         }
         server.finish(1_000);
     }
@@ -78,7 +79,7 @@
         var client = new Socket("127.0.0.1", port);
         client.setTcpNoDelay(true);
         client.setSoTimeout((int) TimeUnit.SECONDS.toMillis(WAIT_SECONDS));
-        open.add(client);
+        closeables.add(client);
         return client;
     }
 
@@ -102,87 +103,87 @@
         return line.toString().trim();
     }
 
-    /** A client that asked for what is held, sends this behind it and closes: it must be seen to have left. */
-    private void leavesBehind(String more) throws Exception {
+    /** Requests /held, sends more bytes, and closes: asserts that the disconnect is detected. */
+    private void assertDisconnectDetected(String more) throws Exception {
         start(8);
         try (Socket client = client()) {
             send(client, get("/held"));
-            assertEquals("/held", take(begun));
+            assertEquals("/held", take(startedTargets));
             send(client, more);
         }
-        assertEquals("/held", take(left));
+        assertEquals("/held", take(disconnectedTargets));
     }
 
     @Test
-    public void aCloseBehindHalfARequestIsSeenWhileTheOneBeforeIsAtWork() throws Exception {
-        leavesBehind("POST /api HT");
+    public void detectsCloseAfterIncompletePipelinedRequest() throws Exception {
+        assertDisconnectDetected("POST /api HT");
     }
 
     @Test
-    public void aCloseInTheMiddleOfThePipelinedBodyIsSeen() throws Exception {
-        leavesBehind("POST /api HTTP/1.1\r\nContent-Length: 500\r\n\r\n{\"shards\":[");
+    public void detectsCloseWithinPipelinedBody() throws Exception {
+        assertDisconnectDetected("POST /api HTTP/1.1\r\nContent-Length: 500\r\n\r\n{\"shards\":[");
     }
 
     @Test
-    public void aCloseBehindMoreThanIsKeptUnreadIsSeen() throws Exception {
-        leavesBehind(get("/more").repeat(20_000));
+    public void detectsCloseAfterMoreThanMaxUnreadBytes() throws Exception {
+        assertDisconnectDetected(get("/more").repeat(20_000));
         server.finish(WAIT_SECONDS * 1_000);
-        assertEquals("nothing is begun that came behind it", 0, begun.size());
+        assertEquals("no pipelined request is started", 0, startedTargets.size());
     }
 
     @Test
-    public void aWholeRequestBehindOneWhoseClientLeftIsNotBegun() throws Exception {
-        leavesBehind(get("/next"));
+    public void doesNotStartPipelinedRequestOfDisconnectedClient() throws Exception {
+        assertDisconnectDetected(get("/next"));
         server.finish(WAIT_SECONDS * 1_000);
-        assertEquals(0, begun.size());
+        assertEquals(0, startedTargets.size());
     }
 
     @Test
-    public void requestsPipelinedWithinTheBoundAreAllAnsweredAndTheConnectionEndsGracefullyBeyondIt() throws Exception {
+    public void answersPipelinedRequestsUpToLimitAndThenClosesGracefully() throws Exception {
         start(8);
         Socket client = client();
         String next = get("/next");
-        int many = 4 * IncomingBytes.MOST / next.length();
-        send(client, get("/held") + next.repeat(many));
-        assertEquals("/held", take(begun));
+        int requestCount = 4 * IncomingBytes.MAX_UNREAD_BYTES / next.length();
+        send(client, get("/held") + next.repeat(requestCount));
+        assertEquals("/held", take(startedTargets));
         released.countDown();
-        byte[] all = client.getInputStream().readAllBytes(); // up to a clean end: no reset takes an answer with it
+        byte[] all = client.getInputStream().readAllBytes(); // until a clean end: no answer is lost by a reset
         int answers = new String(all, StandardCharsets.ISO_8859_1).split("HTTP/1.1 200", -1).length - 1;
-        assertEquals("each that was begun is answered", begun.size() + 1, answers);
-        assertTrue(answers + " answers", answers > IncomingBytes.MOST / next.length());
+        assertEquals("each started request is answered", startedTargets.size() + 1, answers);
+        assertTrue(answers + " answers", answers > IncomingBytes.MAX_UNREAD_BYTES / next.length());
     }
 
     @Test
-    public void thePipelinedRequestsTimeCountsFromItsArrival() throws Exception {
+    public void countsTimeOfPipelinedRequestFromItsArrival() throws Exception {
         start(8);
         Socket client = client();
         send(client, get("/held") + get("/next"));
-        assertEquals("/held", take(begun));
-        long held = heldAt.get();
+        assertEquals("/held", take(startedTargets));
+        long heldAt = heldStartedAt.get();
         released.countDown();
-        assertEquals("/next", take(begun));
+        assertEquals("/next", take(startedTargets));
         assertEquals("HTTP/1.1 200 OK", status(client));
-        assertTrue("it came with the one before", nextCameAt.get() - held <= 0);
+        assertTrue("it arrived with the previous request", nextFirstByteAt.get() - heldAt <= 0);
     }
 
     @Test
-    public void anIdleConnectionIsEndedWithoutAResetThoughItsClientSendsOn() throws Exception {
+    public void closesIdleConnectionWithoutResetWhileClientStillSends() throws Exception {
         start(8);
         Socket client = client();
         send(client, get("/one"));
-        assertEquals("/one", take(begun));
+        assertEquals("/one", take(startedTargets));
         assertEquals("HTTP/1.1 200 OK", status(client));
         var finishing = new Thread(() -> finish(WAIT_SECONDS * 1_000));
         finishing.start();
-        client.getInputStream().readAllBytes(); // the rest of the answer, then its end
-        for (int i = 0; i < 10; i++) { // to a socket that was closed the second of these would fail
+        client.getInputStream().readAllBytes(); // the rest of the answer, until the end of the stream
+        for (int i = 0; i < 10; i++) { // the second write to a closed socket would fail
             send(client, get("/late"));
             Thread.sleep(5);
         }
         assertEquals(-1, client.getInputStream().read());
         client.close();
         finishing.join();
-        assertEquals("nothing that came after the shutdown is begun", 0, begun.size());
+        assertEquals("no request is started after the shutdown", 0, startedTargets.size());
     }
 
     private void finish(long millis) {
@@ -194,11 +195,11 @@
     }
 
     @Test
-    public void connectionsThatWaitedInTheQueueAreAnsweredAtTheEnd() throws Exception {
+    public void answersQueuedConnectionsDuringShutdown() throws Exception {
         start(1);
         Socket first = client();
         send(first, get("/held"));
-        assertEquals("/held", take(begun));
+        assertEquals("/held", take(startedTargets));
         var waiting = new ArrayList<Socket>();
         for (int i = 0; i < 5; i++) {
             waiting.add(client());
@@ -206,8 +207,8 @@
         }
         var finishing = new Thread(() -> finish(WAIT_SECONDS * 1_000));
         finishing.start();
-        while (finishing.getState() != Thread.State.TIMED_WAITING) { // it waits once it has stopped listening
-            assertTrue("the end has begun", finishing.isAlive());
+        while (finishing.getState() != Thread.State.TIMED_WAITING) { // it sleeps once it has stopped accepting
+            assertTrue("the shutdown is in progress", finishing.isAlive());
             Thread.sleep(1);
         }
         released.countDown();
