--- a/src/main/java/wallmoor/platform/PlatformFront.java
+++ b/src/main/java/wallmoor/platform/PlatformFront.java
@@ -33,7 +33,7 @@
 
     /** The configuration at the start of the process. */
     private final LaunchConfig launch;
-    /** The current configuration; a query uses the one that was currentConfiguration when it was opened. */
+    /** The current configuration; a query uses the one in effect when it was opened. */
     private final Supplier<LaunchConfig> currentConfiguration;
     private final MonotonicClock clock;
     private final Gatherer gatherer;
--- a/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
+++ b/src/test/java/wallmoor/frames/ConnectionPoolFixture.java
@@ -28,7 +28,7 @@
 
 /**
  * A gatherer with a manual clock, real connections to workers that a test controls, and gates at which a test blocks
- * the connections' executor. The test's thread acts for the queries' threads: it takes their steps and passes them on.
+ * the connections' threads. The test's thread acts for the queries' threads: it takes their steps and passes them on.
  */
 abstract class ConnectionPoolFixture {
     static final int FREE = 0;
@@ -129,7 +129,7 @@
         return query;
     }
 
-    /** Waits for a query's next step, which must be available or result from the reports of other executor. */
+    /** Waits for a query's next step, which must be available or result from the reports of other threads. */
     Step nextStep(Query query) throws Exception {
         Future<Step> step = executor.submit(() -> gatherer.awaitStep(query));
         return step.get(15, TimeUnit.SECONDS);
--- a/src/test/java/wallmoor/http/ConnectionCrossingsTest.java
+++ b/src/test/java/wallmoor/http/ConnectionCrossingsTest.java
@@ -44,7 +44,7 @@
         connection = new Connection(server, new RecordingOutput());
     }
 
-    /** An output that records its calls, and blocks in {@link #shutdownOutput} if {@link #blockedEvent} says so. */
+    /** An output that records its calls, and blocks in {@code shutdownOutput} if {@code blockedEvent} says so. */
     private final class RecordingOutput implements ConnectionOutput {
         @Override
         public void write(byte[] bytes) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /** A channel with one request, which blocks its reader if {@link #blockedEvent} says so. */
+    /** A channel with one request, which blocks its reader if {@code blockedEvent} says so. */
     private ReadableByteChannel channel() {
         return new ReadableByteChannel() {
             @Override
