--- a/src/main/java/wallmoor/cli/MaintenanceCommand.java
+++ b/src/main/java/wallmoor/cli/MaintenanceCommand.java
@@ -42,7 +42,7 @@
             System.err.println(e.getMessage());
             return Commands.USAGE;
         }
-        SchedulingResult answer = MaintenancePlanner.plan(whole.at(), whole.wishes(), whole.fleet(), whole.budgets());
+        SchedulingResult answer = MaintenancePlanner.plan(whole.at(), whole.requests(), whole.fleet(), whole.budgets());
         System.out.println(json ? json(whole.at(), answer) : text(whole.at(), answer));
         return answer instanceof SchedulingResult.Schedule ? 0 : NO_PLAN;
     }
--- a/src/main/java/wallmoor/cli/RebalanceStartCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceStartCommand.java
@@ -55,7 +55,7 @@
     @Override
     public Integer call() throws InterruptedException {
         try {
-            RebalancePlanInput input = RebalanceFile.readWhole(file);
+            RebalancePlanInput input = RebalanceFile.readPlanInput(file);
             return location.rules == null ? runInDirectory(input) : runByGatherers(input);
         } catch (ConfigException e) {
             System.err.println(e.getMessage());
@@ -86,7 +86,7 @@
     private int runByGatherers(RebalancePlanInput input)
             throws PlanStoreException, UnsuitableFileException, IncompatibleTargetException, InterruptedException {
         PlanControlClient client = location.client("start");
-        checkSettleTime(input.carrying(), client.termMillis(PlanLocation.WAIT_MILLIS));
+        checkSettleTime(input.migration(), client.termMillis(PlanLocation.WAIT_MILLIS));
         boolean active = false;
         while (!active) {
             PlanVersion latest = client.latest(PlanLocation.WAIT_MILLIS);
@@ -118,25 +118,25 @@
     /** The plan that the file asks for. What the present plan says of owners is newer than the file. */
     private static MigrationPlan wantedPlan(RebalancePlanInput input, MigrationPlan before, String holder,
             String remedy) throws UnsuitableFileException, IncompatibleTargetException {
-        int maxConcurrent = input.carrying().atOnce();
-        MigrationPlan initial = MigrationPlan.initial(input.fleet(), maxConcurrent);
+        int maxConcurrent = input.migration().atOnce();
+        MigrationPlan initial = MigrationPlan.initial(input.problem(), maxConcurrent);
         if (before == null) {
             return initial;
         }
         if (!before.owners().keySet().equals(initial.owners().keySet())) {
             throw new UnsuitableFileException(holder + " a plan of other blocks than this file; " + remedy);
         }
-        PlacementTarget target = PlacementTarget.of(input.fleet());
+        PlacementTarget target = PlacementTarget.of(input.problem());
         boolean unchanged = !before.stopped() && target.equals(before.target())
                 && before.maxConcurrent() == maxConcurrent;
         return unchanged ? before : before.retargeted(target, maxConcurrent);
     }
 
     private static int run(RebalancePlanInput input, PlanStore store) throws PlanStoreException, InterruptedException {
-        MigrationConfig config = input.carrying();
+        MigrationConfig config = input.migration();
         var settings = new MigrationSettings((long) (config.mbPerSecond() * BYTES_PER_MB),
                 config.chunkKb() * BYTES_PER_KB, micros(config.settleMillis()), micros(config.patienceMillis()),
-                micros(config.againMillis()));
+                micros(config.retryMillis()));
         var runner = new MigrationRunner(new MigrationCoordinator(settings), store, config.addresses());
         System.out.println(runner.run().name().toLowerCase(Locale.ROOT));
         return 0;
--- a/src/main/java/wallmoor/config/EdgeConfig.java
+++ b/src/main/java/wallmoor/config/EdgeConfig.java
@@ -8,24 +8,24 @@
  *
  * @param devices     the file of devices
  * @param http        where HTTP/1.1 is spoken, or null
- * @param mostClients connections by HTTP at most: each that waits has two threads
+ * @param maxHttpClients connections by HTTP at most: each that waits has two threads
  * @param coap        where CoAP is spoken, or null
- * @param grace       a query that may repeat is cancelled when nobody has waited for it for so long
- * @param retain      the outcome of such a query is kept for so long
- * @param window      the outcome of one that may not repeat is kept until its id is so old
- * @param skew        devices' clocks may be off by so much
+ * @param graceMillis       a query that may repeat is cancelled when nobody has waited for it for so long
+ * @param retainMillis      the outcome of such a query is kept for so long
+ * @param windowMillis      the outcome of one that may not repeat is kept until its id is so old
+ * @param skewMillis        devices' clocks may be off by so much
  * @param open        queries without an outcome at most
- * @param openEach    ... of one device
- * @param memory      bytes for outcomes and uploads
- * @param memoryEach  ... of one device
- * @param asks        asks a second that a device may go on making
- * @param burst       asks that it may make at once
- * @param returns     devices a second that are told to come back
+ * @param openPerDevice    ... of one device
+ * @param memoryBytes      bytes for outcomes and uploads
+ * @param memoryPerDeviceBytes  ... of one device
+ * @param requestsPerSecond        asks a second that a device may go on making
+ * @param requestBurst       asks that it may make at once
+ * @param returnsPerSecond     devices a second that are told to come back
  */
-public record EdgeConfig(Path devices, InetSocketAddress http, int mostClients, InetSocketAddress coap, long grace,
-        long retain, long window, long skew, int open, int openEach, long memory, long memoryEach, double asks,
-        int burst,
-        double returns) {
+public record EdgeConfig(Path devices, InetSocketAddress http, int maxHttpClients, InetSocketAddress coap,
+        long graceMillis, long retainMillis, long windowMillis, long skewMillis, int open, int openPerDevice,
+        long memoryBytes, long memoryPerDeviceBytes, double requestsPerSecond, int requestBurst,
+        double returnsPerSecond) {
     private static final long DAY = 86_400_000;
     private static final long MB = 1 << 20;
 
@@ -49,7 +49,7 @@
                 MB * at.whole("memory_mb", 64, 1, 16_384), MB * at.whole("memory_per_device_mb", 4, 1, 16_384),
                 at.decimal("asks_per_s", 5, 0.01, 10_000), at.whole("ask_burst", 40, 1, 10_000),
                 at.decimal("returns_per_s", 200, 0.1, 1_000_000));
-        if (config.memoryEach > config.memory) {
+        if (config.memoryPerDeviceBytes > config.memoryBytes) {
             at.fault("memory_per_device_mb", "is more than memory_mb");
         }
         at.end();
--- a/src/main/java/wallmoor/config/LaunchConfig.java
+++ b/src/main/java/wallmoor/config/LaunchConfig.java
@@ -22,17 +22,17 @@
  * @param kinds    the machine kinds' names, by index
  * @param classes  the classes' names, by place
  * @param admin    where operators call; null where they don't
- * @param vanished places of classes that were in force once; they take no query
+ * @param removedClasses places of classes that were in force once; they take no query
  * @param keys     the keys that the file has
- * @param inherited whether the clients' listening socket is descriptor 0, held by the platform, and never bound here
- * @param pushed   the settings say that lists come by themselves: changes count as told with no watch open
+ * @param isSocketInherited whether the clients' listening socket is descriptor 0, held by the platform, and never bound
+ *                 here
+ * @param isListPushed   the settings say that lists come by themselves: changes count as told with no watch open
  */
 public record LaunchConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
         RoutingSettings settings,
-        Json.Obj known, List<String> zones, List<String> kinds, List<String> classes, int sockets, int memory,
-        int streams,
-        long connIdleMillis, int connectMillis, InetSocketAddress admin, boolean inherited, Set<Integer> vanished,
-        Set<String> keys, boolean pushed) {
+        Json.Obj known, List<String> zones, List<String> kinds, List<String> classes, int sockets, int memoryMb,
+        int streamsPerConnection, long connIdleMillis, int connectMillis, InetSocketAddress admin,
+        boolean isSocketInherited, Set<Integer> removedClasses, Set<String> keys, boolean isListPushed) {
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int FEWEST_SOCKETS = 64;
     private static final int DEFAULT_MEMORY = 192;
@@ -57,25 +57,25 @@
      * for discovery and the program's own files; where these need more than that, clients get what is left. Honest
      * clients hold a third for requests; the rest is for rude ones.
      */
-    public int mostClients() {
-        int kept = mostWorkerConnections() + mostCallers() + FOR_DISCOVERY + DescriptorReserve.needed();
+    public int maxClientConnections() {
+        int kept = maxWorkerConnections() + maxAdminConnections() + FOR_DISCOVERY + DescriptorReserve.needed();
         int left = Math.max(Math.min(FEW_DESCRIPTORS, sockets) * 5 / 8, sockets - kept);
-        int byMemory = Math.max(FEWEST_CLIENTS, (memory - OWN_MEMORY) * CLIENTS_PER_MB);
+        int byMemory = Math.max(FEWEST_CLIENTS, (memoryMb - OWN_MEMORY) * CLIENTS_PER_MB);
         return Math.min(Math.min(sockets * 5 / 8, left), byMemory);
     }
 
     /** Connections to the operators' address at most: few people and a collector of figures ask. */
-    public int mostCallers() {
+    public int maxAdminConnections() {
         return Math.min(MOST_CALLERS, sockets / CALLERS_SHARE);
     }
 
     /** Connections to workers at most; where two processes may be this gatherer for a while, both fit the limit. */
-    public int mostWorkerConnections() {
-        return sockets / (inherited ? 6 : 4);
+    public int maxWorkerConnections() {
+        return sockets / (isSocketInherited ? 6 : 4);
     }
 
     /** The classes in force. */
-    public List<QueryClass> classesInForce() {
+    public List<QueryClass> activeClasses() {
         return placesInForce().mapToObj(settings.classes()::get).toList();
     }
 
@@ -140,20 +140,20 @@
     }
 
     /** The place of a class in force, or -1. */
-    public int place(String name) {
+    public int classIndex(String name) {
         return places().of(name);
     }
 
     private ClassIndexes places() {
-        return new ClassIndexes(classes, settings.classes(), vanished);
+        return new ClassIndexes(classes, settings.classes(), removedClasses);
     }
 
     private IntStream placesInForce() {
-        return IntStream.range(0, classes.size()).filter(place -> !vanished.contains(place));
+        return IntStream.range(0, classes.size()).filter(place -> !removedClasses.contains(place));
     }
 
     /** The names of the classes in force. */
-    public List<String> inForce() {
+    public List<String> activeClassNames() {
         return placesInForce().mapToObj(classes::get).toList();
     }
 
@@ -171,8 +171,9 @@
         ClassIndexes places = places().changedTo(file.classes, file.settings.classes());
         return new LaunchConfig(name, listen, file.discovery, seed, file.settings.withClasses(places.classes()), known,
                 zones,
-                kinds, places.names(), sockets, memory, streams, connIdleMillis, connectMillis, admin, inherited,
-                places.vanished(), file.keys, file.pushed);
+                kinds, places.names(), sockets, memoryMb, streamsPerConnection, connIdleMillis, connectMillis, admin,
+                isSocketInherited,
+                places.vanished(), file.keys, file.isListPushed);
     }
 
     /**
@@ -180,12 +181,12 @@
      *
      * @param held whether the listening socket is somebody else's
      */
-    public LaunchConfig on(InetSocketAddress address, InetSocketAddress list, InetSocketAddress operators,
+    public LaunchConfig withAddresses(InetSocketAddress address, InetSocketAddress list, InetSocketAddress operators,
             Json.Obj nodes,
             boolean held) {
-        return new LaunchConfig(name, address, list, seed, settings, nodes, zones, kinds, classes, sockets, memory,
-                streams,
-                connIdleMillis, connectMillis, operators, held, vanished, keys, pushed);
+        return new LaunchConfig(name, address, list, seed, settings, nodes, zones, kinds, classes, sockets, memoryMb,
+                streamsPerConnection,
+                connIdleMillis, connectMillis, operators, held, removedClasses, keys, isListPushed);
     }
 
     /** Whether the platform says that it holds the listening socket; it can do so as descriptor 0 alone. */
--- a/src/main/java/wallmoor/config/MaintenanceFile.java
+++ b/src/main/java/wallmoor/config/MaintenanceFile.java
@@ -45,7 +45,7 @@
      * @param at the time that is planned for, in milliseconds since 1970
      */
     public record MaintenancePlanInput(long at, FleetSnapshot fleet, Budgets budgets,
-            List<MaintenanceRequest> wishes) {}
+            List<MaintenanceRequest> requests) {}
 
     /**
      * Reads a file.
--- a/src/main/java/wallmoor/config/OgcConfig.java
+++ b/src/main/java/wallmoor/config/OgcConfig.java
@@ -37,13 +37,13 @@
             List<Integer> shards, List<String> properties) {
 
         /** The upstream collection that is a shard's share: the region block that its servers hold. */
-        public String upstream(int shard) {
+        public String upstreamCollection(int shard) {
             return source.replace(SHARD, "" + shard);
         }
 
         /** Where a feature server has a shard's features. */
-        public String items(int shard) {
-            return "/collections/" + upstream(shard) + "/items";
+        public String itemsPath(int shard) {
+            return "/collections/" + upstreamCollection(shard) + "/items";
         }
     }
 
--- a/src/main/java/wallmoor/config/OperatorConfig.java
+++ b/src/main/java/wallmoor/config/OperatorConfig.java
@@ -30,7 +30,7 @@
             "simulation", "figures", "metrics");
 
     /** Nodes of one source at most: a record of each takes about a kilobyte, so that all fit a small heap. */
-    public static final int MOST_NODES = 20_000;
+    public static final int MAX_NODES = 20_000;
     private static final int MOST_BYTES = 1 << 20;
     private static final int MOST_NAMES = 64;
     private static final long DAY_MILLIS = 86_400_000;
@@ -38,9 +38,9 @@
     /**
      * The node list by discovery's watch.
      *
-     * @param mostAge milliseconds that it stands when it can't be had; 0 for ever
+     * @param maxAgeMillis milliseconds that it stands when it can't be had; 0 for ever
      */
-    public record NodeList(boolean enabled, long mostAge) {}
+    public record NodeList(boolean enabled, long maxAgeMillis) {}
 
     /** A file of calendar nodes, in CSV or YAML. */
     public record InventoryFile(Path file) {}
@@ -55,34 +55,34 @@
     /**
      * DNS as a source. Times are milliseconds.
      *
-     * @param mostAge     how long the last good answer stands when no server gives one
-     * @param leastTtl    a shorter lifetime counts as this one
-     * @param mostTtl     a longer one as this
-     * @param timeout     for one try at one server
-     * @param mostRecords SRV records, and nodes, at most
-     * @param leaving     the share of the nodes that may leave within a step on DNS's word alone
+     * @param maxAgeMillis     how long the last good answer stands when no server gives one
+     * @param minTtlMillis    a shorter lifetime counts as this one
+     * @param maxTtlMillis     a longer one as this
+     * @param timeoutMillis for one try at one server
+     * @param maxRecords SRV records, and nodes, at most
+     * @param maxLeavingShare the share of the nodes that may leave within a step on DNS's word alone
      */
-    public record Dns(List<InetSocketAddress> servers, List<DnsName> names, long mostAge, long leastTtl, long mostTtl,
-            long timeout, int mostRecords, double leaving) {}
+    public record Dns(List<InetSocketAddress> servers, List<DnsName> names, long maxAgeMillis, long minTtlMillis,
+            long maxTtlMillis, long timeoutMillis, int maxRecords, double maxLeavingShare) {}
 
     /** The log: readable or JSON lines, and its levels by package. */
     public record LogConfig(boolean json, Map<String, String> levels) {}
 
     /** What holds without a file. */
-    public static OperatorConfig usual() {
+    public static OperatorConfig defaults() {
         return new OperatorConfig(new NodeList(true, 0), null, null, null, null, null, null, null,
                 new LogConfig(false, Map.of()));
     }
 
     /** Whether the node list is the only source of calendar nodes. */
-    public boolean listAlone() {
+    public boolean isListOnly() {
         return list.enabled() && inventory == null && dns == null;
     }
 
     /** Reads the file that the environment names, or gives what holds without one. */
     public static OperatorConfig read(Map<String, String> env, LaunchConfig launch) {
         String named = env.get("WALLMOOR_OPERATOR");
-        return named == null || named.isEmpty() ? usual() : read(Path.of(named), launch);
+        return named == null || named.isEmpty() ? defaults() : read(Path.of(named), launch);
     }
 
     /**
@@ -162,9 +162,9 @@
         }
         var dns = new Dns(servers, List.copyOf(names), at.time("most_age", 3_600_000, 1000, 30 * DAY_MILLIS),
                 at.time("least_ttl", 1000, 100, DAY_MILLIS), at.time("most_ttl", 300_000, 1000, DAY_MILLIS),
-                at.time("timeout", 1500, 50, 10_000), at.whole("most_records", 1000, 1, MOST_NODES),
+                at.time("timeout", 1500, 50, 10_000), at.whole("most_records", 1000, 1, MAX_NODES),
                 at.decimal("leaving", 0.2, 0.01, 1));
-        if (dns.leastTtl() > dns.mostTtl()) {
+        if (dns.minTtlMillis() > dns.maxTtlMillis()) {
             at.fault("least_ttl", "is longer than most_ttl");
         }
         at.end();
--- a/src/main/java/wallmoor/config/RebalanceFile.java
+++ b/src/main/java/wallmoor/config/RebalanceFile.java
@@ -37,10 +37,10 @@
      */
     public record MigrationConfig(Map<String, String> addresses, int atOnce, double mbPerSecond, int chunkKb,
             long settleMillis,
-            long longestQueryMillis, long patienceMillis, long againMillis) {}
+            long longestQueryMillis, long patienceMillis, long retryMillis) {}
 
     /** All that a file says. */
-    public record RebalancePlanInput(PlacementProblem fleet, MigrationConfig carrying) {}
+    public record RebalancePlanInput(PlacementProblem problem, MigrationConfig migration) {}
 
     /**
      * Reads a file.
@@ -48,7 +48,7 @@
      * @throws ConfigException with all faults in its message, one a line
      */
     public static PlacementProblem read(Path file) {
-        return readWhole(file).fleet();
+        return readPlanInput(file).problem();
     }
 
     /**
@@ -56,7 +56,7 @@
      *
      * @throws ConfigException with all faults in its message, one a line
      */
-    public static RebalancePlanInput readWhole(Path file) {
+    public static RebalancePlanInput readPlanInput(Path file) {
         var faults = new ArrayList<ConfigSection.Fault>();
         var root = new ConfigSection("", YamlFile.compose(file, MOST_BYTES), faults);
         int headroom = millionths(root, "headroom", PlacementProblem.MILLION - 1, 0);
@@ -72,7 +72,7 @@
         List<StorageNode> nodes = nodes(root, headroom, spread, addresses);
         List<BlockReplicas> blocks = blocks(root, nodes);
         ConfigSection carry = root.section("carry");
-        var carrying = new MigrationConfig(addresses, carry.whole("at_once", 2, 1, 1_000),
+        var migration = new MigrationConfig(addresses, carry.whole("at_once", 2, 1, 1_000),
                 carry.decimal("mb_per_s", 50, 0.001, 100_000),
                 carry.whole("chunk_kb", 1_024, 1, 65_536), carry.time("settle", 10_000, 0, DAY),
                 carry.time("longest_query", 5_000, 0, DAY), carry.time("patience", 60_000, 0, DAY),
@@ -80,7 +80,7 @@
         carry.end();
         root.end();
         YamlFile.refuse(file, faults);
-        return new RebalancePlanInput(new PlacementProblem(headroom, spread, level, nodes, blocks), carrying);
+        return new RebalancePlanInput(new PlacementProblem(headroom, spread, level, nodes, blocks), migration);
     }
 
     private static List<StorageNode> nodes(ConfigSection root, int headroom, FailureDomain spread,
--- a/src/main/java/wallmoor/config/SummariesConfig.java
+++ b/src/main/java/wallmoor/config/SummariesConfig.java
@@ -7,15 +7,16 @@
  * of queries by them. Off where the section is absent. Times are milliseconds.
  *
  * @param sites     hosts of the second front's inventory, by name
- * @param lifetime  for which a promise counts at most, whatever a site says
- * @param margin    by how much clocks may run apart within one lifetime
- * @param poll      between two askings of a server whether it is about to confirm rows that its summary excludes
- * @param share     of what is left out, asked all the same; with {@code perSecond} and {@code burst} its bounds
- * @param mostBytes of one summary
- * @param memory    bytes of all summaries as they were sent
+ * @param lifetimeMillis  for which a promise counts at most, whatever a site says
+ * @param marginMillis    by how much clocks may run apart within one lifetime
+ * @param pollMillis      between two askings of a server whether it is about to confirm rows that its summary excludes
+ * @param checkShare     of what is left out, asked all the same; with {@code checksPerSecond} and {@code checkBurst}
+ *                  its bounds
+ * @param maxSummaryBytes of one summary
+ * @param memoryBytes    bytes of all summaries as they were sent
  */
-public record SummariesConfig(Set<String> sites, long lifetime, long margin, long poll, double share, double perSecond,
-        int burst, int mostBytes, long memory) {
+public record SummariesConfig(Set<String> sites, long lifetimeMillis, long marginMillis, long pollMillis,
+        double checkShare, double checksPerSecond, int checkBurst, int maxSummaryBytes, long memoryBytes) {
     /** Blocks and their summaries' objects fit a small heap by so many sites. */
     private static final int MOST_SITES = 10_000;
     private static final int LEAST_BYTES = 1024;
--- a/src/main/java/wallmoor/discovery/DiscoveryWatch.java
+++ b/src/main/java/wallmoor/discovery/DiscoveryWatch.java
@@ -51,7 +51,7 @@
 
     private static WatchSettings settings(LaunchConfig launch) {
         var rules = launch.settings().rules();
-        return new WatchSettings(launch.pushed(), rules.pollWithin(), rules.drainGrace());
+        return new WatchSettings(launch.isListPushed(), rules.pollWithin(), rules.drainGrace());
     }
 
     @Override
--- a/src/main/java/wallmoor/dns/DnsSource.java
+++ b/src/main/java/wallmoor/dns/DnsSource.java
@@ -36,11 +36,12 @@
     /** The resolver for one configuration, with its cache. */
     private record Lookups(Dns dns, TtlPolicy ttls, ServiceResolver services) {
         static Lookups of(Dns dns) {
-            var ttls = new TtlPolicy(dns.leastTtl(), dns.mostTtl(), dns.mostAge());
-            var resolver = new StubResolver(dns.servers(), ttls, dns.timeout(), ANSWERS_PER_RECORD * dns.mostRecords(),
+            var ttls = new TtlPolicy(dns.minTtlMillis(), dns.maxTtlMillis(), dns.maxAgeMillis());
+            var resolver = new StubResolver(dns.servers(), ttls, dns.timeoutMillis(),
+                    ANSWERS_PER_RECORD * dns.maxRecords(),
                     OneTimeLookup::clock);
             return new Lookups(dns, ttls,
-                    new ServiceResolver(resolver, dns.mostRecords(), true, OneTimeLookup::clock));
+                    new ServiceResolver(resolver, dns.maxRecords(), true, OneTimeLookup::clock));
         }
     }
 
--- a/src/main/java/wallmoor/edge/EdgeRequest.java
+++ b/src/main/java/wallmoor/edge/EdgeRequest.java
@@ -33,7 +33,7 @@
             throw new InvalidQueryException(e.getMessage());
         }
         String name = body.text("class");
-        int queryClass = launch.place(name);
+        int queryClass = launch.classIndex(name);
         if (queryClass < 0) {
             throw new InvalidQueryException("class is absent or unknown: " + name);
         }
--- a/src/main/java/wallmoor/frames/ConnectionLimits.java
+++ b/src/main/java/wallmoor/frames/ConnectionLimits.java
@@ -31,8 +31,8 @@
         long workerTimeout = launch.connIdleMillis();
         long idleTimeout = Math.max(workerTimeout / 2, workerTimeout - IDLE_MARGIN_MILLIS);
         long silenceTimeout = TimeUnit.MICROSECONDS.toNanos(shortestObjective(launch)) / SILENCE_SHARE;
-        return new ConnectionLimits(launch.streams(), launch.connectMillis(),
-                TimeUnit.MILLISECONDS.toNanos(idleTimeout), silenceTimeout, launch.mostWorkerConnections(), sockets,
+        return new ConnectionLimits(launch.streamsPerConnection(), launch.connectMillis(),
+                TimeUnit.MILLISECONDS.toNanos(idleTimeout), silenceTimeout, launch.maxWorkerConnections(), sockets,
                 onConnectResult);
     }
 
--- a/src/main/java/wallmoor/ogc/FeatureServerDirectory.java
+++ b/src/main/java/wallmoor/ogc/FeatureServerDirectory.java
@@ -82,8 +82,8 @@
                 var here = new ArrayList<Site>();
                 for (int j = 0; j < config.layout().cellsPerShard(); j++) {
                     for (SourceEndpoint e : byCell.getOrDefault((shard + j) % config.layout().cells(), List.of())) {
-                        here.add(new Site(e.id(), c.upstream(shard)));
-                        blocks.computeIfAbsent(e, x -> new HashSet<>()).add(c.upstream(shard));
+                        here.add(new Site(e.id(), c.upstreamCollection(shard)));
+                        blocks.computeIfAbsent(e, x -> new HashSet<>()).add(c.upstreamCollection(shard));
                     }
                 }
                 shards.put(shard, List.copyOf(here));
@@ -112,7 +112,7 @@
         for (Pruning.PrunedShard cut : cuts.decision().probes()) {
             FeatureQuery.ShardFeatures share = shares.get(cut.shard());
             if (share != null && !share.features().isEmpty()) {
-                promises.probed(cut, new Site(share.serverId(), c.upstream(cut.shard())), share.epoch(),
+                promises.probed(cut, new Site(share.serverId(), c.upstreamCollection(cut.shard())), share.epoch(),
                         share.version(),
                         share.features().size());
             }
--- a/src/main/java/wallmoor/ogc/ShardPageReader.java
+++ b/src/main/java/wallmoor/ogc/ShardPageReader.java
@@ -48,7 +48,7 @@
 
     private FeatureQuery.ShardFeatures readFeature() throws IOException, HttpProtocolException, Json.Malformed,
             ServerRejectedException, SendNotPermittedException {
-        HttpMessage answer = get(query.collection().items(attempt.shard()) + "/" + query.featureId());
+        HttpMessage answer = get(query.collection().itemsPath(attempt.shard()) + "/" + query.featureId());
         if (answer.status() != 404) {
             ByteSlice body = answer.body();
             addFeature(Json.object(body.buffer(), body.from(), body.length()), body);
@@ -101,7 +101,7 @@
     }
 
     private String target(int offset) {
-        return query.collection().items(attempt.shard()) + "?limit=" + limit + "&offset=" + offset + query.query();
+        return query.collection().itemsPath(attempt.shard()) + "?limit=" + limit + "&offset=" + offset + query.query();
     }
 
     private void addFeatures(Json.Obj page, ByteSlice body) throws HttpProtocolException {
--- a/src/main/java/wallmoor/platform/PlatformFront.java
+++ b/src/main/java/wallmoor/platform/PlatformFront.java
@@ -55,7 +55,7 @@
     public PlatformFront(LaunchConfig launch, Supplier<LaunchConfig> current, MonotonicClock clock, Gatherer gatherer,
             WorkerTransport workers, Logger log) throws IOException {
         this(launch, current, clock, gatherer, workers, log,
-                launch.inherited() ? inherited() : ConnectionAcceptor.at(launch.listen()));
+                launch.isSocketInherited() ? inherited() : ConnectionAcceptor.at(launch.listen()));
     }
 
     private static ConnectionAcceptor inherited() throws IOException {
@@ -76,7 +76,8 @@
         this.gatherer = gatherer;
         this.workers = workers;
         this.log = log;
-        server = new Server("api", acceptor, launch.mostClients(), launch.mostClients(), ConnectionTimeouts.SHORT,
+        server = new Server("api", acceptor, launch.maxClientConnections(), launch.maxClientConnections(),
+                ConnectionTimeouts.SHORT,
                 this::handle, log::info);
     }
 
@@ -92,7 +93,7 @@
 
     /** So many processes share the connections that this gatherer may hold. */
     public void setProcessCount(int processes) {
-        server.limit(Math.max(1, launch.mostClients() / processes));
+        server.limit(Math.max(1, launch.maxClientConnections() / processes));
     }
 
     /** Whether the platform may send clients here. */
@@ -106,7 +107,8 @@
      */
     public void shutDown(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
         lastAnswerAt = clock.getAsLong() + TimeUnit.MILLISECONDS.toMicros(handOverMillis + finishMillis);
-        if (launch.inherited()) { // another process takes what connects; with each answer a client moves over to it
+        // another process takes what connects; with each answer a client moves over to it
+        if (launch.isSocketInherited()) {
             server.stopAccepting();
             server.leave();
         } else {
@@ -164,7 +166,7 @@
         Json.Obj body = body(request);
         String asked = body.text("q");
         LaunchConfig inForce = current.get();
-        int queryClass = inForce.place(request.header("X-Class"));
+        int queryClass = inForce.classIndex(request.header("X-Class"));
         String id = request.header("X-Request-Id");
         if (asked == null || queryClass < 0 || id == null || !QueryHeaders.isRequestId(id)) {
             throw new HttpProtocolException(400, "X-Request-Id, X-Class or q is absent or malformed");
--- a/src/main/java/wallmoor/pruning/LeaseRenewal.java
+++ b/src/main/java/wallmoor/pruning/LeaseRenewal.java
@@ -102,7 +102,7 @@
         gone.forEach(s -> visited.remove(s).call.close());
         for (SummaryLeases.SummaryServer s : servers) {
             visited.computeIfAbsent(s, x -> new ServerPollState(s, new SiteClient(s.name(), s.address(), gatherer,
-                    config.mostBytes()), now()));
+                    config.maxSummaryBytes()), now()));
         }
     }
 
@@ -119,7 +119,7 @@
                 log.info("summaries of {}: it answers again", name);
             }
             v.failures = 0;
-            v.nextAt = now() + config.poll();
+            v.nextAt = now() + config.pollMillis();
         } catch (IOException | HttpProtocolException | Json.Malformed | RuntimeException e) {
             v.call.close();
             long backoff = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << v.failures);
@@ -164,7 +164,7 @@
         }
         SiteMessage.SummaryLeaseGrant grant = v.call.requestLease(block, ticket);
         leases.acceptGrant(site, grant);
-        long lifetime = Math.min(grant.lifetime() / 1000, config.lifetime());
-        v.renewAt.put(block, now() + Math.max(config.poll(), lifetime / 2));
+        long lifetime = Math.min(grant.lifetime() / 1000, config.lifetimeMillis());
+        v.renewAt.put(block, now() + Math.max(config.pollMillis(), lifetime / 2));
     }
 }
--- a/src/main/java/wallmoor/pruning/SummaryLeases.java
+++ b/src/main/java/wallmoor/pruning/SummaryLeases.java
@@ -99,9 +99,10 @@
         byte[] drawn = new byte[8];
         random.nextBytes(drawn);
         cache = new SummaryCache(SummaryLimits.usual(),
-                new SummaryCache.CacheLimits(MAX_SITES, config.memory(), config.margin() * 1000),
+                new SummaryCache.CacheLimits(MAX_SITES, config.memoryBytes(), config.marginMillis() * 1000),
                 random.nextLong(1L << 58), this::logEvent);
-        pruning = new Pruning(cache, new Pruning.ProbeBudget(config.share(), config.perSecond(), config.burst()),
+        pruning = new Pruning(cache,
+                new Pruning.ProbeBudget(config.checkShare(), config.checksPerSecond(), config.checkBurst()),
                 new Random(random.nextLong()));
         renewal = new LeaseRenewal(this, config, gatherer + "-" + HexFormat.of().formatHex(drawn));
     }
@@ -170,7 +171,8 @@
 
     void acceptGrant(Site site, SiteMessage.SummaryLeaseGrant grant) {
         synchronized (control) {
-            long lifetime = Math.min(grant.lifetime(), config.lifetime() * 1000); // a shorter lease is always safe
+            // a shorter lease is always safe
+            long lifetime = Math.min(grant.lifetime(), config.lifetimeMillis() * 1000);
             cache.acceptGrant(clock.getAsLong(),
                     new SiteMessage.SummaryLeaseGrant(grant.ticket(), grant.summary(), lifetime));
             publish(site);
--- a/src/main/java/wallmoor/service/ArchiveTraining.java
+++ b/src/main/java/wallmoor/service/ArchiveTraining.java
@@ -44,7 +44,7 @@
             throws IOException, Json.Malformed {
         whole = "{\"revision\":41,\"complete\":true,\"members\":[" + members(asTold) + "]}";
         byte[] known = whole.getBytes(StandardCharsets.ISO_8859_1);
-        launch = asTold.on(clients, at(discovery), free(), Json.object(known, 0, known.length), held);
+        launch = asTold.withAddresses(clients, at(discovery), free(), Json.object(known, 0, known.length), held);
     }
 
     /**
--- a/src/main/java/wallmoor/service/CalendarNodes.java
+++ b/src/main/java/wallmoor/service/CalendarNodes.java
@@ -39,7 +39,7 @@
         gatherer = new Gatherer(launch.settings(), launch.classes(), launch.seed(), clock, log, figures);
         list = operator == null || !operator.list().enabled() ? null : new DiscoveryWatch(launch, gatherer);
         sources = operator == null ? null : Sources.of(operator, launch, clock, gatherer, list);
-        boolean listAlone = operator == null || operator.listAlone();
+        boolean listAlone = operator == null || operator.isListOnly();
         links = new WorkerConnectionPool(gatherer, ConnectionLimits.of(launch, sockets,
                 listAlone ? (id, up) -> {} : sources.membership()::reportConnection));
     }
--- a/src/main/java/wallmoor/service/EdgeService.java
+++ b/src/main/java/wallmoor/service/EdgeService.java
@@ -30,13 +30,15 @@
             throws IOException {
         this.config = config;
         devices = new Devices(config.devices());
-        var rules = new IdempotencyLimits(config.grace() * MICROS, config.retain() * MICROS, config.window() * MICROS,
-                config.skew() * MICROS, 60_000 * MICROS, config.openEach(), config.open(), Integer.MAX_VALUE,
-                config.memory(), config.memoryEach(), MOST_OUTCOME, config.asks(), config.burst(), config.returns(),
+        var rules = new IdempotencyLimits(config.graceMillis() * MICROS, config.retainMillis() * MICROS,
+                config.windowMillis() * MICROS,
+                config.skewMillis() * MICROS, 60_000 * MICROS, config.openPerDevice(), config.open(), Integer.MAX_VALUE,
+                config.memoryBytes(), config.memoryPerDeviceBytes(), MOST_OUTCOME, config.requestsPerSecond(),
+                config.requestBurst(), config.returnsPerSecond(),
                 1_000 * MICROS, 30_000 * MICROS);
         queries = new EdgeQueries(rules, current, nodes.gatherer(), nodes.workers(), clock);
         http = config.http() == null ? null
-                : new EdgeHttp(config.http(), config.mostClients(), current, queries, devices, log::info);
+                : new EdgeHttp(config.http(), config.maxHttpClients(), current, queries, devices, log::info);
         coap = config.coap() == null ? null : new EdgeCoap(config.coap(), current, queries, devices);
     }
 
--- a/src/main/java/wallmoor/service/EffectiveSettings.java
+++ b/src/main/java/wallmoor/service/EffectiveSettings.java
@@ -92,7 +92,7 @@
     private void publish(LaunchConfig config, ProcessQuota quota) {
         RoutingSettings all = AgreedLimits.lower(config.settings(), agreedRule.get());
         RoutingSettings own = AgreedLimits.withMaxOpen(all, quota.of(all.limits().maxInFlight()));
-        listener.onSettingsChanged(own, config.classes(), config.vanished());
+        listener.onSettingsChanged(own, config.classes(), config.removedClasses());
         if (!all.limits().equals(limits)) {
             limits = all.limits();
             LOG.info(STATE, "limits in force: open {}, attempts {}", limits.maxInFlight(), limits.maxAttempts());
--- a/src/main/java/wallmoor/service/Operations.java
+++ b/src/main/java/wallmoor/service/Operations.java
@@ -24,7 +24,7 @@
     Operations(LaunchConfig launch, Supplier<LaunchConfig> current, MonotonicClock clock, Gatherer gatherer,
             GathererMetrics figures,
             BooleanSupplier ready, Path shared) throws IOException {
-        address = new OperatorServer(launch.admin(), launch.mostCallers(), new OperatorControls() {
+        address = new OperatorServer(launch.admin(), launch.maxAdminConnections(), new OperatorControls() {
             @Override
             public boolean isReady() {
                 return ready.getAsBoolean();
@@ -33,7 +33,7 @@
             @Override
             public String metricsText() {
                 GathererControl.WorkerCounts known = gatherer.control().workerCounts();
-                return figures.render(current.get().inForce(), known.known(), known.excluded());
+                return figures.render(current.get().activeClassNames(), known.known(), known.excluded());
             }
 
             @Override
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -62,7 +62,8 @@
 
     /** Makes it; its fronts listen from now on, and answer from {@link #start} on. */
     public Service(LaunchConfig launch, OperatorConfig operator) throws IOException, Json.Malformed {
-        this(launch, operator, null, launch.inherited() || launch.admin() != null ? Operations.shared(launch) : null);
+        this(launch, operator, null,
+                launch.isSocketInherited() || launch.admin() != null ? Operations.shared(launch) : null);
     }
 
     /**
@@ -96,7 +97,7 @@
         });
         operations = launch.admin() == null ? null
                 : new Operations(launch, inForce::launch, clock, nodes.gatherer(), figures, () -> ready, shared);
-        beats = shared == null || !launch.inherited() ? null : new HeartbeatFiles(shared, clock, new Open(),
+        beats = shared == null || !launch.isSocketInherited() ? null : new HeartbeatFiles(shared, clock, new Open(),
                 this::together);
     }
 
@@ -150,7 +151,7 @@
         if (beats != null) {
             beats.start();
         }
-        if (launch.inherited()) { // from 2 s after it has said yes it is held to all that the list has told
+        if (launch.isSocketInherited()) { // from 2 s after it has said yes it is held to all that the list has told
             await();
         }
         platform.start();
@@ -215,7 +216,7 @@
                 features.reload(file.summaries());
             }
             taken = true;
-            log.info(STATE, "configuration read again, classes are {}, discovery is {}", changed.inForce(),
+            log.info(STATE, "configuration read again, classes are {}, discovery is {}", changed.activeClassNames(),
                     changed.discovery());
             if (!read.settings().layout().equals(launch.settings().layout())) {
                 log.warn("settings.Domain: another layout of shards holds from the next start");
@@ -251,7 +252,7 @@
         if (group != null) {
             group.leave();
         }
-        List<QueryClass> classes = inForce.launch().classesInForce();
+        List<QueryClass> classes = inForce.launch().activeClasses();
         long longest = classes.stream().mapToLong(QueryClass::clientTimeout).max().orElse(0) / 1000;
         long aim = classes.stream().mapToLong(QueryClass::latencyObjective).max().orElse(0) / 1000;
         long end = Math.min(LONGEST_MILLIS, longest) + HAND_OVER_MILLIS - LAST_MILLIS;
--- a/src/main/java/wallmoor/service/Sources.java
+++ b/src/main/java/wallmoor/service/Sources.java
@@ -41,13 +41,13 @@
         var services = new ArrayList<DnsSource>();
         if (list != null) {
             sources.add(list);
-            policies.add(new SourcePolicy(list.name(), true, operator.list().mostAge() * 1000,
-                    ALL, OperatorConfig.MOST_NODES));
+            policies.add(new SourcePolicy(list.name(), true, operator.list().maxAgeMillis() * 1000,
+                    ALL, OperatorConfig.MAX_NODES));
         }
         OperatorConfig.InventoryFile file = operator.inventory();
         if (file != null) {
             sources.add(new InventorySource(file.file(), launch.settings().layout(), launch.zones(), launch.kinds()));
-            policies.add(new SourcePolicy("inventory", true, 0, ALL, OperatorConfig.MOST_NODES));
+            policies.add(new SourcePolicy("inventory", true, 0, ALL, OperatorConfig.MAX_NODES));
         }
         Dns dns = operator.dns();
         if (dns != null) {
@@ -55,9 +55,9 @@
                 var source = new DnsSource(dns, name, launch);
                 sources.add(source);
                 services.add(source);
-                policies.add(new SourcePolicy(DnsSource.nameOf(name), false, dns.mostAge() * 1000,
-                        dns.leaving(),
-                        dns.mostRecords()));
+                policies.add(new SourcePolicy(DnsSource.nameOf(name), false, dns.maxAgeMillis() * 1000,
+                        dns.maxLeavingShare(),
+                        dns.maxRecords()));
             }
         }
         return new Sources(new EndpointUpdater(RegistryPolicy.of(List.copyOf(policies)), clock, gatherer, sources),
@@ -74,8 +74,9 @@
      */
     void reload(OperatorConfig changed) {
         Dns other = changed.dns();
-        if (other == null || dns == null || !other.names().equals(dns.names()) || other.mostAge() != dns.mostAge()
-                || other.leaving() != dns.leaving() || other.mostRecords() != dns.mostRecords()) {
+        if (other == null || dns == null || !other.names().equals(dns.names())
+                || other.maxAgeMillis() != dns.maxAgeMillis() || other.maxLeavingShare() != dns.maxLeavingShare()
+                || other.maxRecords() != dns.maxRecords()) {
             if (!Objects.equals(other, dns)) {
                 log.warn("of sources.dns only servers, timeout, least_ttl and most_ttl can change in service;"
                         + " the rest holds from the next start");
--- a/src/test/java/wallmoor/net/PruneSettingsTest.java
+++ b/src/test/java/wallmoor/net/PruneSettingsTest.java
@@ -44,8 +44,8 @@
     @Test
     public void faultsAreToldByKeyAndLine() throws Exception {
         var good = read(OGC + "summaries:\n  sites: [fs1, fs2]\n").summaries();
-        assertEquals(5000, good.lifetime());
-        assertEquals(16 << 20, good.memory());
+        assertEquals(5000, good.lifetimeMillis());
+        assertEquals(16 << 20, good.memoryBytes());
         String told = faults(OGC + "summaries:\n  sites: [fs1, fs1]\n  lifetim: 1s\n  poll: 4s\n  checks: {share: 2}\n"
                 + "  most_bytes: 12\n");
         for (String fault : new String[] {"line 7: summaries.sites: holds a host twice",
