--- a/src/main/java/wallmoor/config/ConfigSection.java
+++ b/src/main/java/wallmoor/config/ConfigSection.java
@@ -18,12 +18,12 @@
 import org.yaml.snakeyaml.nodes.Tag;
 
 /**
- * A mapping of the operators' file. Reading a key makes it known; {@link #end} faults those that nobody read. A fault
+ * A mapping of the operators' file. Reading a key makes it known; {@link #reportUnknownKeys} faults those that nobody read. A fault
  * is noted with its key's path and line, and reading goes on with the default, so that one reading finds all faults.
  */
 final class ConfigSection {
     /** Names stand in messages and log lines: a longer one is a mistake. */
-    private static final int LONGEST_ID = 200;
+    private static final int MAX_ID_LENGTH = 200;
     /** A fault of the file. */
     record Fault(int line, String key, String what) {
         @Override
@@ -33,8 +33,8 @@
     }
 
     /** A key this unlike a known one was not meant to be it. */
-    private static final int MOST_EDITS = 3;
-    private static final double SECONDS = 1000;
+    private static final int MAX_EDITS = 3;
+    private static final double MILLIS_PER_SECOND = 1000;
 
     private final String path;
     private final int line;
@@ -66,7 +66,7 @@
         return path.isEmpty() ? key : path + "." + key;
     }
 
-    void fault(String key, String what) {
+    void addFault(String key, String what) {
         faults.add(new Fault(lines.getOrDefault(key, line), path(key), what));
     }
 
@@ -93,7 +93,7 @@
         if (node instanceof SequenceNode s) {
             return s.getValue();
         }
-        fault(key, "is no list");
+        addFault(key, "is no list");
         return List.of();
     }
 
@@ -107,24 +107,24 @@
     }
 
     /** The same, where there must be one and may be so many; beyond that none is read. */
-    List<ConfigSection> some(String key, int most) {
+    List<ConfigSection> nonEmptySections(String key, int max) {
         List<ConfigSection> all = sections(key);
         if (all.isEmpty()) {
-            fault(key, "is absent or empty");
-        } else if (all.size() > most) {
-            fault(key, "holds more than " + most);
+            addFault(key, "is absent or empty");
+        } else if (all.size() > max) {
+            addFault(key, "holds more than " + max);
             return List.of();
         }
         return all;
     }
 
     /** Its {@code id}, which none before it in the same list has. */
-    String id(Set<String> seen) {
-        String id = required("id");
-        if (id.length() > LONGEST_ID) {
-            fault("id", "is longer than " + LONGEST_ID);
+    String uniqueId(Set<String> seen) {
+        String id = requiredText("id");
+        if (id.length() > MAX_ID_LENGTH) {
+            addFault("id", "is longer than " + MAX_ID_LENGTH);
         } else if (!id.isEmpty() && !seen.add(id)) {
-            fault("id", "stands twice: " + id);
+            addFault("id", "stands twice: " + id);
         }
         return id;
     }
@@ -142,8 +142,8 @@
         return all;
     }
 
-    String text(String key, String otherwise) {
-        return value(key, otherwise, Function.identity(), "is no text");
+    String text(String key, String defaultValue) {
+        return value(key, defaultValue, Function.identity(), "is no text");
     }
 
     /** An address that need not be there: null without it, or where it is none, which is a fault. */
@@ -160,93 +160,93 @@
         try {
             return LaunchConfig.address(key, text);
         } catch (ConfigException e) {
-            fault(key, fault + " ADDRESS:PORT: " + text);
+            addFault(key, fault + " ADDRESS:PORT: " + text);
             return null;
         }
     }
 
     /** A text that must be there; its absence is a fault, and gives an empty one. */
-    String required(String key) {
+    String requiredText(String key) {
         String text = text(key, null);
         if (text == null || text.isEmpty()) {
-            fault(key, "is absent or empty");
+            addFault(key, "is absent or empty");
             return "";
         }
         return text;
     }
 
-    boolean flag(String key, boolean otherwise) {
-        return value(key, otherwise, t -> switch (t) {
+    boolean flag(String key, boolean defaultValue) {
+        return value(key, defaultValue, t -> switch (t) {
             case "true" -> true;
             case "false" -> false;
             default -> throw new IllegalArgumentException();
         }, "is neither true nor false");
     }
 
-    int whole(String key, int otherwise, int least, int most) {
-        return value(key, otherwise, t -> {
+    int integer(String key, int defaultValue, int min, int max) {
+        return value(key, defaultValue, t -> {
             int n = Integer.parseInt(t);
-            if (n < least || n > most) {
+            if (n < min || n > max) {
                 throw new IllegalArgumentException();
             }
             return n;
-        }, "is no whole number from " + least + " to " + most);
+        }, "is no whole number from " + min + " to " + max);
     }
 
-    double decimal(String key, double otherwise, double least, double most) {
-        return value(key, otherwise, t -> {
+    double decimal(String key, double defaultValue, double min, double max) {
+        return value(key, defaultValue, t -> {
             double n = Double.parseDouble(t);
-            if (!(n >= least && n <= most)) {
+            if (!(n >= min && n <= max)) {
                 throw new IllegalArgumentException();
             }
             return n;
-        }, "is no number from " + least + " to " + most);
+        }, "is no number from " + min + " to " + max);
     }
 
     /** A time as a number and its unit: ms, s, m or h. Returns milliseconds. */
-    long time(String key, long otherwise, long least, long most) {
-        return value(key, otherwise, t -> {
+    long durationMillis(String key, long defaultValue, long min, long max) {
+        return value(key, defaultValue, t -> {
             String number = t.replaceAll("[a-z]+$", "");
             double unit = switch (t.substring(number.length())) {
                 case "ms" -> 1;
-                case "s" -> SECONDS;
-                case "m" -> 60 * SECONDS;
-                case "h" -> 3600 * SECONDS;
+                case "s" -> MILLIS_PER_SECOND;
+                case "m" -> 60 * MILLIS_PER_SECOND;
+                case "h" -> 3600 * MILLIS_PER_SECOND;
                 default -> throw new IllegalArgumentException();
             };
             long millis = Math.round(Double.parseDouble(number) * unit);
-            if (millis < least || millis > most) {
+            if (millis < min || millis > max) {
                 throw new IllegalArgumentException();
             }
             return millis;
-        }, "is no time from " + least + "ms to " + most + "ms (such as 500ms, 10s, 5m or 1h)");
+        }, "is no time from " + min + "ms to " + max + "ms (such as 500ms, 10s, 5m or 1h)");
     }
 
     /** A value that {@code parse} takes or refuses by an IllegalArgumentException. */
-    <T> T value(String key, T otherwise, Function<String, T> parse, String fault) {
+    <T> T value(String key, T defaultValue, Function<String, T> parse, String fault) {
         read.add(key);
         Node node = values.get(key);
         if (node == null) {
-            return otherwise;
+            return defaultValue;
         }
         try {
             if (node instanceof ScalarNode s && !s.getTag().equals(Tag.NULL)) {
                 return parse.apply(s.getValue());
             }
-            fault(key, fault);
+            addFault(key, fault);
         } catch (IllegalArgumentException e) {
-            fault(key, fault + ": " + ((ScalarNode) node).getValue());
+            addFault(key, fault + ": " + ((ScalarNode) node).getValue());
         }
-        return otherwise;
+        return defaultValue;
     }
 
     /** Faults the keys that were not read: each with the known one that is most like it. */
-    void end() {
+    void reportUnknownKeys() {
         for (String key : values.keySet()) {
             if (!read.contains(key)) {
-                var distance = new LevenshteinDistance(MOST_EDITS);
+                var distance = new LevenshteinDistance(MAX_EDITS);
                 String near = null;
-                int least = MOST_EDITS + 1;
+                int least = MAX_EDITS + 1;
                 for (String known : read) {
                     int d = distance.apply(key, known);
                     if (d >= 0 && (d < least || (d == least && known.compareTo(near) < 0))) {
@@ -254,7 +254,7 @@
                         near = known;
                     }
                 }
-                fault(key, "is unknown" + (near == null ? "" : "; did you mean " + near + "?"));
+                addFault(key, "is unknown" + (near == null ? "" : "; did you mean " + near + "?"));
             }
         }
     }
--- a/src/main/java/wallmoor/config/EdgeConfig.java
+++ b/src/main/java/wallmoor/config/EdgeConfig.java
@@ -26,33 +26,37 @@
         long graceMillis, long retainMillis, long windowMillis, long skewMillis, int open, int openPerDevice,
         long memoryBytes, long memoryPerDeviceBytes, double requestsPerSecond, int requestBurst,
         double returnsPerSecond) {
-    private static final long DAY = 86_400_000;
+    private static final long DAY_MILLIS = 86_400_000;
     private static final long MB = 1 << 20;
 
-    static EdgeConfig of(ConfigSection at, Path folder) {
-        boolean on = at.flag("enabled", true);
-        Path devices = folder.resolve(at.required("devices"));
-        ConfigSection http = at.section("http");
+    static EdgeConfig of(ConfigSection section, Path folder) {
+        boolean on = section.flag("enabled", true);
+        Path devices = folder.resolve(section.requiredText("devices"));
+        ConfigSection http = section.section("http");
         InetSocketAddress httpAt = http.address("listen");
-        int clients = http.whole("most_clients", 1000, 1, 20_000);
-        http.end();
-        ConfigSection coap = at.section("coap");
+        int clients = http.integer("most_clients", 1000, 1, 20_000);
+        http.reportUnknownKeys();
+        ConfigSection coap = section.section("coap");
         InetSocketAddress coapAt = coap.address("listen");
-        coap.end();
+        coap.reportUnknownKeys();
         if (httpAt == null && coapAt == null) {
-            at.fault("http", "neither http.listen nor coap.listen is there");
+            section.addFault("http", "neither http.listen nor coap.listen is there");
         }
-        int open = at.whole("open", 2000, 1, 20_000);
-        var config = new EdgeConfig(devices, httpAt, clients, coapAt, at.time("grace", 5_000, 0, 600_000),
-                at.time("retain", 600_000, 1_000, DAY), at.time("window", DAY, 1_000, 30 * DAY),
-                at.time("skew", 5_000, 0, 3_600_000), open, at.whole("open_per_device", Math.min(16, open), 1, open),
-                MB * at.whole("memory_mb", 64, 1, 16_384), MB * at.whole("memory_per_device_mb", 4, 1, 16_384),
-                at.decimal("asks_per_s", 5, 0.01, 10_000), at.whole("ask_burst", 40, 1, 10_000),
-                at.decimal("returns_per_s", 200, 0.1, 1_000_000));
+        int open = section.integer("open", 2000, 1, 20_000);
+        var config = new EdgeConfig(devices, httpAt, clients, coapAt,
+                section.durationMillis("grace", 5_000, 0, 600_000),
+                section.durationMillis("retain", 600_000, 1_000, DAY_MILLIS),
+                section.durationMillis("window", DAY_MILLIS, 1_000, 30 * DAY_MILLIS),
+                section.durationMillis("skew", 5_000, 0, 3_600_000), open,
+                section.integer("open_per_device", Math.min(16, open), 1, open),
+                MB * section.integer("memory_mb", 64, 1, 16_384),
+                MB * section.integer("memory_per_device_mb", 4, 1, 16_384),
+                section.decimal("asks_per_s", 5, 0.01, 10_000), section.integer("ask_burst", 40, 1, 10_000),
+                section.decimal("returns_per_s", 200, 0.1, 1_000_000));
         if (config.memoryPerDeviceBytes > config.memoryBytes) {
-            at.fault("memory_per_device_mb", "is more than memory_mb");
+            section.addFault("memory_per_device_mb", "is more than memory_mb");
         }
-        at.end();
+        section.reportUnknownKeys();
         return on ? config : null;
     }
 }
--- a/src/main/java/wallmoor/config/FleetConfig.java
+++ b/src/main/java/wallmoor/config/FleetConfig.java
@@ -17,31 +17,31 @@
  */
 public record FleetConfig(String installation, InetSocketAddress listen, String address, List<String> seeds, int size,
         long interval, InetSocketAddress control) {
-    private static final int MOST_SEEDS = 64;
-    private static final int MOST_MEMBERS = 10_000;
+    private static final int MAX_SEEDS = 64;
+    private static final int MAX_MEMBERS = 10_000;
 
-    static FleetConfig of(ConfigSection at, LaunchConfig launch) {
-        boolean on = at.flag("enabled", true);
-        String installation = at.required("installation");
+    static FleetConfig of(ConfigSection section, LaunchConfig launch) {
+        boolean on = section.flag("enabled", true);
+        String installation = section.requiredText("installation");
         if (!installation.isEmpty() && !installation.matches("[!-~]{1,64}")) {
-            at.fault("installation", "is no name of 1 to 64 letters: " + installation);
+            section.addFault("installation", "is no name of 1 to 64 letters: " + installation);
         }
-        at.required("listen");
-        InetSocketAddress listen = at.address("listen");
-        String address = at.text("address", at.text("listen", ""));
-        at.address("address");
-        List<String> seeds = at.texts("seeds");
-        at.addresses("seeds");
-        if (seeds.isEmpty() || seeds.size() > MOST_SEEDS) {
-            at.fault("seeds", "is absent, empty or holds more than " + MOST_SEEDS);
+        section.requiredText("listen");
+        InetSocketAddress listen = section.address("listen");
+        String address = section.text("address", section.text("listen", ""));
+        section.address("address");
+        List<String> seeds = section.texts("seeds");
+        section.addresses("seeds");
+        if (seeds.isEmpty() || seeds.size() > MAX_SEEDS) {
+            section.addFault("seeds", "is absent, empty or holds more than " + MAX_SEEDS);
         }
-        int size = at.whole("size", launch.settings().gatherers(), 1, MOST_MEMBERS);
-        long interval = at.time("interval", 1000, 50, 60_000);
-        InetSocketAddress control = at.address("control");
+        int size = section.integer("size", launch.settings().gatherers(), 1, MAX_MEMBERS);
+        long interval = section.durationMillis("interval", 1000, 50, 60_000);
+        InetSocketAddress control = section.address("control");
         if (control != null && !control.getAddress().isLoopbackAddress()) {
-            at.fault("control", "is no address of this machine alone: " + at.text("control", ""));
+            section.addFault("control", "is no address of this machine alone: " + section.text("control", ""));
         }
-        at.end();
+        section.reportUnknownKeys();
         return on ? new FleetConfig(installation, listen, address, List.copyOf(seeds), size, interval, control) : null;
     }
 }
--- a/src/main/java/wallmoor/config/MaintenanceFile.java
+++ b/src/main/java/wallmoor/config/MaintenanceFile.java
@@ -28,14 +28,14 @@
  */
 public final class MaintenanceFile {
     /** What plans were measured with. */
-    public static final int MOST_MACHINES = 10_000;
-    public static final int MOST_BLOCKS = 50_000;
+    public static final int MAX_MACHINES = 10_000;
+    public static final int MAX_BLOCKS = 50_000;
     /** Of so many blocks and machines, each in some 200 characters. */
-    private static final int MOST_BYTES = 16 << 20;
-    private static final long DAY = 86_400_000;
-    private static final long YEAR = 365 * DAY;
+    private static final int MAX_BYTES = 16 << 20;
+    private static final long DAY_MILLIS = 86_400_000;
+    private static final long YEAR_MILLIS = 365 * DAY_MILLIS;
     /** Capacities are summed in millionths; in any unit, 10,000 of them fit. */
-    private static final int MOST_CAPACITY = 100_000_000;
+    private static final int MAX_CAPACITY = 100_000_000;
 
     private MaintenanceFile() {}
 
@@ -54,10 +54,10 @@
      */
     public static MaintenancePlanInput read(Path file) {
         var faults = new ArrayList<ConfigSection.Fault>();
-        var root = new ConfigSection("", YamlFile.compose(file, MOST_BYTES), faults);
+        var root = new ConfigSection("", YamlFile.compose(file, MAX_BYTES), faults);
         long at = time(root, "at", -1);
         if (!root.has("at")) {
-            root.fault("at", "is absent: the time that is planned for");
+            root.addFault("at", "is absent: the time that is planned for");
         }
         List<Machine> machines = machines(root);
         Set<String> known = new HashSet<>();
@@ -66,27 +66,27 @@
         machines.forEach(m -> centres.add(m.centre()));
         Budgets budgets = budgets(root.section("budgets"), centres);
         if (!root.has("budgets")) {
-            root.fault("budgets", "is absent");
+            root.addFault("budgets", "is absent");
         }
         List<BlockHolders> blocks = blocks(root, known);
         List<MaintenanceRequest> wishes = wishes(root, known);
-        root.end();
-        YamlFile.refuse(file, faults);
+        root.reportUnknownKeys();
+        YamlFile.throwIfFaulty(file, faults);
         return new MaintenancePlanInput(at, new FleetSnapshot(machines, blocks, List.of(), 0, true, ""), budgets,
                 wishes);
     }
 
-    private static Budgets budgets(ConfigSection at, Set<String> known) {
-        int atOnce = at.whole("at_once", 1, 0, MOST_MACHINES);
-        ConfigSection in = at.section("centres");
+    private static Budgets budgets(ConfigSection section, Set<String> known) {
+        int atOnce = section.integer("at_once", 1, 0, MAX_MACHINES);
+        ConfigSection in = section.section("centres");
         Map<String, Integer> centres = new HashMap<>();
         for (String c : in.keys()) {
-            centres.put(c, in.whole(c, 1, 0, MOST_MACHINES));
+            centres.put(c, in.integer(c, 1, 0, MAX_MACHINES));
             if (!known.contains(c)) {
-                in.fault(c, "is no machine's centre");
+                in.addFault(c, "is no machine's centre");
             }
         }
-        int offset = at.value("offset", 0, t -> {
+        int offset = section.value("offset", 0, t -> {
             try {
                 return ZoneOffset.of(t).getTotalSeconds() / 60;
             } catch (java.time.DateTimeException e) {
@@ -94,21 +94,23 @@
             }
         }, "is no offset from UTC such as +05:00");
         var windows = new ArrayList<MaintenanceWindows.DailyWindow>();
-        for (String text : at.texts("hours")) {
+        for (String text : section.texts("hours")) {
             try {
                 String[] part = text.split("-", -1);
                 windows.add(new MaintenanceWindows.DailyWindow(minute(part[0]), minute(part[1])));
             } catch (DateTimeParseException | ArrayIndexOutOfBoundsException e) {
-                at.fault("hours", "holds what is no window such as 22:00-04:00: " + text);
+                section.addFault("hours", "holds what is no window such as 22:00-04:00: " + text);
             }
         }
-        var budgets = new Budgets(atOnce, centres, millionths(at, "capacity_kept", 0),
-                at.whole("gatherers_kept", 1, 0, MOST_MACHINES),
-                new MaintenanceWindows(windows, offset), at.time("cold", 18_000, 0, DAY),
-                millionths(at, "cold_share", 160_000),
-                at.time("warm_up", 30_000, 0, DAY), at.time("parts", 10_000, 0, DAY), at.time("drain", 600_000, 0, DAY),
-                at.time("late", 600_000, 0, DAY));
-        at.end();
+        var budgets = new Budgets(atOnce, centres, millionths(section, "capacity_kept", 0),
+                section.integer("gatherers_kept", 1, 0, MAX_MACHINES),
+                new MaintenanceWindows(windows, offset), section.durationMillis("cold", 18_000, 0, DAY_MILLIS),
+                millionths(section, "cold_share", 160_000),
+                section.durationMillis("warm_up", 30_000, 0, DAY_MILLIS),
+                section.durationMillis("parts", 10_000, 0, DAY_MILLIS),
+                section.durationMillis("drain", 600_000, 0, DAY_MILLIS),
+                section.durationMillis("late", 600_000, 0, DAY_MILLIS));
+        section.reportUnknownKeys();
         return budgets;
     }
 
@@ -120,23 +122,24 @@
     private static List<Machine> machines(ConfigSection root) {
         var all = new ArrayList<Machine>();
         Set<String> ids = new HashSet<>();
-        for (ConfigSection at : root.some("machines", MOST_MACHINES)) {
-            String id = at.id(ids);
-            MachineRole kind = at.value("kind", MachineRole.NODE, t -> switch (t) {
+        for (ConfigSection section : root.nonEmptySections("machines", MAX_MACHINES)) {
+            String id = section.uniqueId(ids);
+            MachineRole kind = section.value("kind", MachineRole.NODE, t -> switch (t) {
                 case "node" -> MachineRole.NODE;
                 case "gatherer" -> MachineRole.GATHERER;
                 default -> throw new IllegalArgumentException();
             }, "is neither node nor gatherer");
-            MachinePhase phase = at.value("phase", MachinePhase.SERVING, t -> switch (t) {
+            MachinePhase phase = section.value("phase", MachinePhase.SERVING, t -> switch (t) {
                 case "serving" -> MachinePhase.SERVING;
                 case "draining" -> MachinePhase.DRAINING;
                 case "away" -> MachinePhase.AWAY;
                 default -> throw new IllegalArgumentException();
             }, "is none of serving, draining and away");
-            all.add(new Machine(id, kind, at.required("centre"), at.whole("capacity", 1, 1, MOST_CAPACITY),
-                    at.flag("voter", false),
-                    phase, "", 0, at.time("served", YEAR, 0, YEAR)));
-            at.end();
+            all.add(new Machine(id, kind, section.requiredText("centre"),
+                    section.integer("capacity", 1, 1, MAX_CAPACITY),
+                    section.flag("voter", false),
+                    phase, "", 0, section.durationMillis("served", YEAR_MILLIS, 0, YEAR_MILLIS)));
+            section.reportUnknownKeys();
         }
         return all;
     }
@@ -145,18 +148,18 @@
         var blocks = new ArrayList<BlockHolders>();
         Set<String> ids = new HashSet<>();
         List<ConfigSection> all = root.sections("blocks");
-        if (all.size() > MOST_BLOCKS) {
-            root.fault("blocks", "holds more than " + MOST_BLOCKS);
+        if (all.size() > MAX_BLOCKS) {
+            root.addFault("blocks", "holds more than " + MAX_BLOCKS);
             return blocks;
         }
-        for (ConfigSection at : all) {
-            String id = at.id(ids);
-            List<String> on = at.texts("on");
+        for (ConfigSection section : all) {
+            String id = section.uniqueId(ids);
+            List<String> on = section.texts("on");
             if (on.isEmpty()) {
-                at.fault("on", "is absent or empty: who holds a whole and sound copy");
+                section.addFault("on", "is absent or empty: who holds a whole and sound copy");
             }
-            names(at, "on", on, known);
-            at.end();
+            names(section, "on", on, known);
+            section.reportUnknownKeys();
             blocks.add(new BlockHolders(id, on));
         }
         return blocks;
@@ -166,26 +169,26 @@
         var wishes = new ArrayList<MaintenanceRequest>();
         Set<String> ids = new HashSet<>();
         Set<String> machines = new HashSet<>();
-        for (ConfigSection at : root.some("wishes", MOST_MACHINES)) {
-            String id = at.id(ids);
-            String machine = at.required("machine");
+        for (ConfigSection section : root.nonEmptySections("wishes", MAX_MACHINES)) {
+            String id = section.uniqueId(ids);
+            String machine = section.requiredText("machine");
             if (!machine.isEmpty() && !known.contains(machine)) {
-                at.fault("machine", "is not there: " + machine);
+                section.addFault("machine", "is not there: " + machine);
             } else if (!machine.isEmpty() && !machines.add(machine)) {
-                at.fault("machine", "has a wish already: " + machine);
+                section.addFault("machine", "has a wish already: " + machine);
             }
-            if (!at.has("lasts")) {
-                at.fault("lasts", "is absent: how long the work takes");
+            if (!section.has("lasts")) {
+                section.addFault("lasts", "is absent: how long the work takes");
             }
-            long lasts = at.time("lasts", 1, 1, 7 * DAY);
-            long by = time(at, "by", MaintenanceRequest.NO_DEADLINE);
-            List<String> after = at.texts("after");
-            List<String> before = at.texts("before");
-            names(at, "after", after, known);
-            names(at, "before", before, known);
-            String who = at.required("who");
-            String reason = at.text("reason", "");
-            at.end();
+            long lasts = section.durationMillis("lasts", 1, 1, 7 * DAY_MILLIS);
+            long by = time(section, "by", MaintenanceRequest.NO_DEADLINE);
+            List<String> after = section.texts("after");
+            List<String> before = section.texts("before");
+            names(section, "after", after, known);
+            names(section, "before", before, known);
+            String who = section.requiredText("who");
+            String reason = section.text("reason", "");
+            section.reportUnknownKeys();
             if (!id.isEmpty() && !machine.isEmpty()) {
                 wishes.add(new MaintenanceRequest(id, machine, lasts, by, reason, who, new TreeSet<>(after),
                         new TreeSet<>(before)));
@@ -194,19 +197,19 @@
         return wishes;
     }
 
-    private static void names(ConfigSection at, String key, List<String> names, Set<String> known) {
+    private static void names(ConfigSection section, String key, List<String> names, Set<String> known) {
         Set<String> own = new HashSet<>();
         for (String name : names) {
             if (!known.contains(name)) {
-                at.fault(key, "names a machine that is not there: " + name);
+                section.addFault(key, "names a machine that is not there: " + name);
             } else if (!own.add(name)) {
-                at.fault(key, "names a machine twice: " + name);
+                section.addFault(key, "names a machine twice: " + name);
             }
         }
     }
 
-    private static long time(ConfigSection at, String key, long otherwise) {
-        return at.value(key, otherwise, t -> {
+    private static long time(ConfigSection section, String key, long defaultValue) {
+        return section.value(key, defaultValue, t -> {
             try {
                 return Instant.parse(t).toEpochMilli();
             } catch (DateTimeParseException | ArithmeticException e) {
@@ -215,8 +218,8 @@
         }, "is no time in UTC such as 2026-12-05T20:00:00Z");
     }
 
-    private static int millionths(ConfigSection at, String key, int otherwise) {
-        return at.value(key, otherwise, t -> {
+    private static int millionths(ConfigSection section, String key, int defaultValue) {
+        return section.value(key, defaultValue, t -> {
             try {
                 int n = new BigDecimal(t).movePointRight(6).intValueExact();
                 if (n < 0 || n > Budgets.MILLION) {
--- a/src/main/java/wallmoor/config/OgcConfig.java
+++ b/src/main/java/wallmoor/config/OgcConfig.java
@@ -19,12 +19,12 @@
         Map<String, Collection> collections) {
     private static final String SHARD = "{shard}";
     /** Shards and cells at most: one that is larger is a slip of the pen. */
-    private static final int MOST_SHARDS = 1_000_000;
+    private static final int MAX_SHARDS = 1_000_000;
     /** Parameters of the standard, or of what pages are asked by. */
     private static final Set<String> RESERVED = Set.of("limit", "offset", "bbox", "datetime", "cursor", "crs", "f",
             "filter");
     /** Each is a parameter of the API definition, and a query may have a condition on each. */
-    private static final int MOST_PROPERTIES = 32;
+    private static final int MAX_PROPERTIES = 32;
 
     /**
      * A collection of features, spread over shards.
@@ -48,71 +48,71 @@
     }
 
     /** The section {@code ogc}, or null where it is off; faults are noted in it. */
-    static OgcConfig of(ConfigSection at, Path folder, LaunchConfig launch) {
-        boolean on = at.flag("enabled", true);
+    static OgcConfig of(ConfigSection section, Path folder, LaunchConfig launch) {
+        boolean on = section.flag("enabled", true);
         ShardLayout site = launch.settings().layout();
-        var layout = new ShardLayout(at.whole("shards", site.shards(), 1, MOST_SHARDS),
-                at.whole("cells", site.cells(), 1, MOST_SHARDS),
-                at.whole("reach", site.cellsPerShard(), 1, MOST_SHARDS));
+        var layout = new ShardLayout(section.integer("shards", site.shards(), 1, MAX_SHARDS),
+                section.integer("cells", site.cells(), 1, MAX_SHARDS),
+                section.integer("reach", site.cellsPerShard(), 1, MAX_SHARDS));
         if (layout.cellsPerShard() > layout.cells()) {
-            at.fault("reach", "must be at most cells");
+            section.addFault("reach", "must be at most cells");
         }
         var collections = new LinkedHashMap<String, Collection>();
-        ConfigSection all = at.section("collections");
+        ConfigSection all = section.section("collections");
         for (String id : all.keys()) {
             if (!id.matches("[A-Za-z0-9_-]{1,64}")) {
-                all.fault(id, "is no name for a path");
+                all.addFault(id, "is no name for a path");
             }
             collections.put(id, collection(id, all.section(id), layout, launch));
         }
         if (collections.isEmpty()) {
-            at.fault("collections", "is absent or empty");
+            section.addFault("collections", "is absent or empty");
         }
-        String base = at.text("base", null);
+        String base = section.text("base", null);
         if (base != null && !base.matches("https?://[!-~]+[^/]")) {
-            at.fault("base", "is no URL without a slash at its end: " + base);
+            section.addFault("base", "is no URL without a slash at its end: " + base);
         }
-        at.required("listen");
-        InetSocketAddress listen = at.address("listen");
-        var config = new OgcConfig(listen, base, at.text("title", launch.name()),
-                folder.resolve(at.required("inventory")), layout, collections);
-        at.end();
+        section.requiredText("listen");
+        InetSocketAddress listen = section.address("listen");
+        var config = new OgcConfig(listen, base, section.text("title", launch.name()),
+                folder.resolve(section.requiredText("inventory")), layout, collections);
+        section.reportUnknownKeys();
         return on ? config : null;
     }
 
-    private static Collection collection(String id, ConfigSection at, ShardLayout layout, LaunchConfig launch) {
-        int queryClass = launch.classes().indexOf(at.required("class"));
+    private static Collection collection(String id, ConfigSection section, ShardLayout layout, LaunchConfig launch) {
+        int queryClass = launch.classes().indexOf(section.requiredText("class"));
         if (queryClass < 0) {
-            at.fault("class", "is not in the settings: " + at.text("class", ""));
+            section.addFault("class", "is not in the settings: " + section.text("class", ""));
         }
         var shards = new ArrayList<Integer>();
-        for (String text : at.texts("shards")) {
+        for (String text : section.texts("shards")) {
             if (!text.matches("[0-9]{1,6}") || Integer.parseInt(text) >= layout.shards()
                     || shards.contains(Integer.valueOf(text))) {
-                at.fault("shards", "holds no shard, or one twice: " + text);
+                section.addFault("shards", "holds no shard, or one twice: " + text);
             } else {
                 shards.add(Integer.valueOf(text));
             }
         }
         if (shards.isEmpty()) {
-            at.fault("shards", "is absent, empty or no list");
+            section.addFault("shards", "is absent, empty or no list");
         }
-        String source = at.text("source", id + "-" + SHARD);
+        String source = section.text("source", id + "-" + SHARD);
         if (!source.replace(SHARD, "").matches("[A-Za-z0-9._-]*") || (shards.size() > 1 && !source.contains(SHARD))) {
-            at.fault("source", "must be a name with " + SHARD + ": " + source);
+            section.addFault("source", "must be a name with " + SHARD + ": " + source);
         }
-        List<String> properties = at.texts("properties");
-        if (properties.size() > MOST_PROPERTIES || Set.copyOf(properties).size() < properties.size()) {
-            at.fault("properties", "holds more than " + MOST_PROPERTIES + ", or one twice");
+        List<String> properties = section.texts("properties");
+        if (properties.size() > MAX_PROPERTIES || Set.copyOf(properties).size() < properties.size()) {
+            section.addFault("properties", "holds more than " + MAX_PROPERTIES + ", or one twice");
         }
         for (String name : properties) {
             if (!name.matches("[A-Za-z_][A-Za-z0-9_.-]{0,63}") || RESERVED.contains(name)) {
-                at.fault("properties", "holds what can be no parameter of its own: " + name);
+                section.addFault("properties", "holds what can be no parameter of its own: " + name);
             }
         }
-        var made = new Collection(id, at.text("title", id), at.text("description", ""), source, queryClass,
+        var made = new Collection(id, section.text("title", id), section.text("description", ""), source, queryClass,
                 List.copyOf(shards), List.copyOf(properties));
-        at.end();
+        section.reportUnknownKeys();
         return made;
     }
 }
--- a/src/main/java/wallmoor/config/OperatorConfig.java
+++ b/src/main/java/wallmoor/config/OperatorConfig.java
@@ -31,8 +31,8 @@
 
     /** Nodes of one source at most: a record of each takes about a kilobyte, so that all fit a small heap. */
     public static final int MAX_NODES = 20_000;
-    private static final int MOST_BYTES = 1 << 20;
-    private static final int MOST_NAMES = 64;
+    private static final int MAX_BYTES = 1 << 20;
+    private static final int MAX_NAMES = 64;
     private static final long DAY_MILLIS = 86_400_000;
 
     /**
@@ -93,31 +93,31 @@
     public static OperatorConfig read(Path file, LaunchConfig launch) {
         var faults = new ArrayList<ConfigSection.Fault>();
         OperatorConfig operator = read(file, launch, faults);
-        YamlFile.refuse(file, faults);
+        YamlFile.throwIfFaulty(file, faults);
         return operator;
     }
 
     private static OperatorConfig read(Path file, LaunchConfig launch, List<ConfigSection.Fault> faults) {
-        var root = new ConfigSection("", YamlFile.compose(file, MOST_BYTES), faults);
+        var root = new ConfigSection("", YamlFile.compose(file, MAX_BYTES), faults);
         Path folder = file.toAbsolutePath().getParent();
         ConfigSection sources = root.section("sources");
         ConfigSection list = sources.section("list");
-        var nodeList = new NodeList(list.flag("enabled", true), list.time("most_age", 0, 0, 30 * DAY_MILLIS));
-        list.end();
+        var nodeList = new NodeList(list.flag("enabled", true), list.durationMillis("most_age", 0, 0, 30 * DAY_MILLIS));
+        list.reportUnknownKeys();
         InventoryFile inventory = null;
         if (sources.has("inventory")) {
-            ConfigSection at = sources.section("inventory");
-            boolean on = at.flag("enabled", true);
-            Path path = folder.resolve(at.required("file"));
-            at.end();
+            ConfigSection section = sources.section("inventory");
+            boolean on = section.flag("enabled", true);
+            Path path = folder.resolve(section.requiredText("file"));
+            section.reportUnknownKeys();
             inventory = on ? new InventoryFile(path) : null;
         }
         Dns dns = sources.has("dns") ? dns(sources.section("dns"), launch) : null;
         sources.section("inventory");
         sources.section("dns");
-        sources.end();
+        sources.reportUnknownKeys();
         if (!nodeList.enabled() && inventory == null && dns == null) {
-            root.fault("sources", "holds none that is enabled");
+            root.addFault("sources", "holds none that is enabled");
         }
         OgcConfig ogc = root.has("ogc") ? OgcConfig.of(root.section("ogc"), folder, launch) : null;
         root.section("ogc");
@@ -128,57 +128,60 @@
         SummariesConfig summaries = root.has("summaries") ? SummariesConfig.of(root.section("summaries")) : null;
         root.section("summaries");
         if (summaries != null && ogc == null) {
-            root.fault("summaries", "needs the section ogc, whose feature servers promise them");
+            root.addFault("summaries", "needs the section ogc, whose feature servers promise them");
         }
         RulesConfig rules = root.has("rules") ? RulesConfig.of(root.section("rules"), folder, launch) : null;
         root.section("rules");
         LogConfig logging = logging(root.section("logging"));
-        root.end();
+        root.reportUnknownKeys();
         return new OperatorConfig(nodeList, inventory, dns, ogc, edge, fleet, summaries, rules, logging);
     }
 
-    private static Dns dns(ConfigSection at, LaunchConfig launch) {
-        boolean on = at.flag("enabled", true);
-        List<InetSocketAddress> servers = at.addresses("servers");
+    private static Dns dns(ConfigSection section, LaunchConfig launch) {
+        boolean on = section.flag("enabled", true);
+        List<InetSocketAddress> servers = section.addresses("servers");
         if (servers.isEmpty()) {
-            at.fault("servers", "is absent, empty or holds no address: no system's resolver is asked instead");
+            section.addFault("servers", "is absent, empty or holds no address: no system's resolver is asked instead");
         }
         var names = new ArrayList<DnsName>();
         Set<String> seen = new HashSet<>();
-        for (ConfigSection item : at.sections("names")) {
-            String name = item.required("name");
-            int cell = item.whole("cell", -1, 0, launch.settings().layout().cells() - 1);
+        for (ConfigSection item : section.sections("names")) {
+            String name = item.requiredText("name");
+            int cell = item.integer("cell", -1, 0, launch.settings().layout().cells() - 1);
             if (!name.isEmpty() && (!name.matches("[!-~]{1,253}") || !seen.add(name))) {
-                item.fault("name", "is no name, or stands twice: " + name);
+                item.addFault("name", "is no name, or stands twice: " + name);
             }
-            item.end();
+            item.reportUnknownKeys();
             names.add(new DnsName(name, cell));
         }
-        if (names.size() > MOST_NAMES) {
-            at.fault("names", "holds more than " + MOST_NAMES + ": each has a thread of its own");
+        if (names.size() > MAX_NAMES) {
+            section.addFault("names", "holds more than " + MAX_NAMES + ": each has a thread of its own");
         }
         if (names.isEmpty()) {
-            at.fault("names", "is absent or empty");
+            section.addFault("names", "is absent or empty");
         }
-        var dns = new Dns(servers, List.copyOf(names), at.time("most_age", 3_600_000, 1000, 30 * DAY_MILLIS),
-                at.time("least_ttl", 1000, 100, DAY_MILLIS), at.time("most_ttl", 300_000, 1000, DAY_MILLIS),
-                at.time("timeout", 1500, 50, 10_000), at.whole("most_records", 1000, 1, MAX_NODES),
-                at.decimal("leaving", 0.2, 0.01, 1));
+        var dns = new Dns(servers, List.copyOf(names),
+                section.durationMillis("most_age", 3_600_000, 1000, 30 * DAY_MILLIS),
+                section.durationMillis("least_ttl", 1000, 100, DAY_MILLIS),
+                section.durationMillis("most_ttl", 300_000, 1000, DAY_MILLIS),
+                section.durationMillis("timeout", 1500, 50, 10_000),
+                section.integer("most_records", 1000, 1, MAX_NODES),
+                section.decimal("leaving", 0.2, 0.01, 1));
         if (dns.minTtlMillis() > dns.maxTtlMillis()) {
-            at.fault("least_ttl", "is longer than most_ttl");
+            section.addFault("least_ttl", "is longer than most_ttl");
         }
-        at.end();
+        section.reportUnknownKeys();
         return on ? dns : null;
     }
 
-    private static LogConfig logging(ConfigSection at) {
-        boolean json = at.value("format", false, t -> switch (t) {
+    private static LogConfig logging(ConfigSection section) {
+        boolean json = section.value("format", false, t -> switch (t) {
             case "text" -> false;
             case "json" -> true;
             default -> throw new IllegalArgumentException();
         }, "is neither text nor json");
         var levels = new LinkedHashMap<String, String>();
-        ConfigSection each = at.section("levels");
+        ConfigSection each = section.section("levels");
         for (String name : each.keys()) {
             String level = each.value(name, "INFO", t -> {
                 String upper = t.toUpperCase(java.util.Locale.ROOT);
@@ -189,7 +192,7 @@
             }, "is none of trace, debug, info, warn, error and off");
             levels.put(loggerName(name), level);
         }
-        at.end();
+        section.reportUnknownKeys();
         return new LogConfig(json, Map.copyOf(levels));
     }
 
--- a/src/main/java/wallmoor/config/RebalanceFile.java
+++ b/src/main/java/wallmoor/config/RebalanceFile.java
@@ -19,11 +19,11 @@
  */
 public final class RebalanceFile {
     /** What plans were measured with, several times over; a larger fleet is better planned in parts. */
-    public static final int MOST_NODES = 1_000;
-    public static final int MOST_BLOCKS = 50_000;
+    public static final int MAX_NODES = 1_000;
+    public static final int MAX_BLOCKS = 50_000;
     /** Of so many blocks, each in some 300 characters. */
-    private static final int MOST_BYTES = 16 << 20;
-    private static final long DAY = 86_400_000;
+    private static final int MAX_BYTES = 16 << 20;
+    private static final long DAY_MILLIS = 86_400_000;
 
     private RebalanceFile() {}
 
@@ -58,7 +58,7 @@
      */
     public static RebalancePlanInput readPlanInput(Path file) {
         var faults = new ArrayList<ConfigSection.Fault>();
-        var root = new ConfigSection("", YamlFile.compose(file, MOST_BYTES), faults);
+        var root = new ConfigSection("", YamlFile.compose(file, MAX_BYTES), faults);
         int headroom = millionths(root, "headroom", PlacementProblem.MILLION - 1, 0);
         FailureDomain spread = present(root, "spread") ? root.value("spread", FailureDomain.CELL, t -> switch (t) {
             case "cell" -> FailureDomain.CELL;
@@ -72,14 +72,15 @@
         List<StorageNode> nodes = nodes(root, headroom, spread, addresses);
         List<BlockReplicas> blocks = blocks(root, nodes);
         ConfigSection carry = root.section("carry");
-        var migration = new MigrationConfig(addresses, carry.whole("at_once", 2, 1, 1_000),
+        var migration = new MigrationConfig(addresses, carry.integer("at_once", 2, 1, 1_000),
                 carry.decimal("mb_per_s", 50, 0.001, 100_000),
-                carry.whole("chunk_kb", 1_024, 1, 65_536), carry.time("settle", 10_000, 0, DAY),
-                carry.time("longest_query", 5_000, 0, DAY), carry.time("patience", 60_000, 0, DAY),
-                carry.time("again", 1_000, 10, 60_000));
-        carry.end();
-        root.end();
-        YamlFile.refuse(file, faults);
+                carry.integer("chunk_kb", 1_024, 1, 65_536), carry.durationMillis("settle", 10_000, 0, DAY_MILLIS),
+                carry.durationMillis("longest_query", 5_000, 0, DAY_MILLIS),
+                carry.durationMillis("patience", 60_000, 0, DAY_MILLIS),
+                carry.durationMillis("again", 1_000, 10, 60_000));
+        carry.reportUnknownKeys();
+        root.reportUnknownKeys();
+        YamlFile.throwIfFaulty(file, faults);
         return new RebalancePlanInput(new PlacementProblem(headroom, spread, level, nodes, blocks), migration);
     }
 
@@ -87,19 +88,19 @@
             Map<String, String> addresses) {
         List<StorageNode> nodes = new ArrayList<>();
         Set<String> ids = new HashSet<>();
-        for (ConfigSection at : root.some("nodes", MOST_NODES)) {
-            String id = at.id(ids);
-            String cell = spread == FailureDomain.CELL ? at.required("cell") : at.text("cell", "");
-            long disk = megabytes(at, "disk_mb");
+        for (ConfigSection section : root.nonEmptySections("nodes", MAX_NODES)) {
+            String id = section.uniqueId(ids);
+            String cell = spread == FailureDomain.CELL ? section.requiredText("cell") : section.text("cell", "");
+            long disk = megabytes(section, "disk_mb");
             if (disk * (PlacementProblem.MILLION - headroom) < PlacementProblem.MILLION) {
-                at.fault("disk_mb", "has not a megabyte beside its headroom");
+                section.addFault("disk_mb", "has not a megabyte beside its headroom");
             }
-            nodes.add(new StorageNode(id, cell, disk, at.flag("drain", false)));
-            if (at.address("address") != null) {
-                addresses.put(id, at.text("address", ""));
+            nodes.add(new StorageNode(id, cell, disk, section.flag("drain", false)));
+            if (section.address("address") != null) {
+                addresses.put(id, section.text("address", ""));
             }
-            at.text("address", ""); // known, also where it is absent
-            at.end();
+            section.text("address", ""); // known, also where it is absent
+            section.reportUnknownKeys();
         }
         return nodes;
     }
@@ -109,42 +110,43 @@
         nodes.forEach(n -> known.add(n.id()));
         List<BlockReplicas> blocks = new ArrayList<>();
         Set<String> ids = new HashSet<>();
-        for (ConfigSection at : root.some("blocks", MOST_BLOCKS)) {
-            String id = at.id(ids);
-            long mb = megabytes(at, "mb");
-            List<String> on = at.texts("on");
+        for (ConfigSection section : root.nonEmptySections("blocks", MAX_BLOCKS)) {
+            String id = section.uniqueId(ids);
+            long mb = megabytes(section, "mb");
+            List<String> on = section.texts("on");
             if (on.isEmpty()) {
-                at.fault("on", "is absent or empty: a block without a whole copy can't be moved");
+                section.addFault("on", "is absent or empty: a block without a whole copy can't be moved");
             }
             Set<String> own = new HashSet<>();
             for (String node : on) {
                 if (!known.contains(node)) {
-                    at.fault("on", "names a node that is not there: " + node);
+                    section.addFault("on", "names a node that is not there: " + node);
                 } else if (!own.add(node)) {
-                    at.fault("on", "names a node twice: " + node);
+                    section.addFault("on", "names a node twice: " + node);
                 }
             }
-            at.end();
+            section.reportUnknownKeys();
             blocks.add(new BlockReplicas(id, mb, on));
         }
         return blocks;
     }
 
-    private static boolean present(ConfigSection at, String key) {
-        if (!at.has(key)) {
-            at.fault(key, "is absent");
+    private static boolean present(ConfigSection section, String key) {
+        if (!section.has(key)) {
+            section.addFault(key, "is absent");
         }
-        return at.has(key);
+        return section.has(key);
     }
 
-    private static long megabytes(ConfigSection at, String key) {
-        return present(at, key) ? at.whole(key, 1, 1, (int) PlacementProblem.MOST_MB) : at.whole(key, 1, 1, 1);
+    private static long megabytes(ConfigSection section, String key) {
+        return present(section, key) ? section.integer(key, 1, 1, (int) PlacementProblem.MOST_MB)
+                : section.integer(key, 1, 1, 1);
     }
 
     /** A share as millionths. */
-    private static int millionths(ConfigSection at, String key, int most, int otherwise) {
-        present(at, key);
-        return at.value(key, otherwise, t -> {
+    private static int millionths(ConfigSection section, String key, int most, int defaultValue) {
+        present(section, key);
+        return section.value(key, defaultValue, t -> {
             try {
                 int n = new BigDecimal(t).movePointRight(6).intValueExact();
                 if (n < 0 || n > most) {
--- a/src/main/java/wallmoor/config/RulesConfig.java
+++ b/src/main/java/wallmoor/config/RulesConfig.java
@@ -19,8 +19,8 @@
 public record RulesConfig(SortedMap<String, InetSocketAddress> voters, InetSocketAddress listen, long term,
         Path directory,
         InetSocketAddress control) {
-    private static final int FEW = 3;
-    private static final int MANY = 5;
+    private static final int SMALL_VOTER_COUNT = 3;
+    private static final int LARGE_VOTER_COUNT = 5;
     private static final long HOUR_MILLIS = 3_600_000;
 
     /** Keeps a copy that nobody changes. */
@@ -28,41 +28,41 @@
         voters = Collections.unmodifiableSortedMap(new TreeMap<>(voters));
     }
 
-    static RulesConfig of(ConfigSection at, Path folder, LaunchConfig launch) {
-        boolean on = at.flag("enabled", true);
-        ConfigSection named = at.section("voters");
-        SortedMap<String, InetSocketAddress> voters = voters(named);
-        if (named.keys().size() != FEW && named.keys().size() != MANY) {
-            at.fault("voters",
-                    "names " + named.keys().size() + " voters: it must be 3 or 5, each with its ADDRESS:PORT");
+    static RulesConfig of(ConfigSection section, Path folder, LaunchConfig launch) {
+        boolean on = section.flag("enabled", true);
+        ConfigSection voterSection = section.section("voters");
+        SortedMap<String, InetSocketAddress> voters = voters(voterSection);
+        if (voterSection.keys().size() != SMALL_VOTER_COUNT && voterSection.keys().size() != LARGE_VOTER_COUNT) {
+            section.addFault("voters",
+                    "names " + voterSection.keys().size() + " voters: it must be 3 or 5, each with its ADDRESS:PORT");
         }
-        boolean votes = named.keys().contains(launch.name());
-        InetSocketAddress listen = at.address("listen");
-        if (listen != null && !votes) {
-            at.fault("listen", "is set, but voters does not name this gatherer, " + launch.name());
+        boolean isVoter = voterSection.keys().contains(launch.name());
+        InetSocketAddress listen = section.address("listen");
+        if (listen != null && !isVoter) {
+            section.addFault("listen", "is set, but voters does not name this gatherer, " + launch.name());
         }
-        Path directory = at.has("directory") ? folder.resolve(at.required("directory")) : null;
-        if (votes && directory == null) {
-            at.fault("directory", "is absent: a voter that forgets what it voted breaks the promise");
+        Path directory = section.has("directory") ? folder.resolve(section.requiredText("directory")) : null;
+        if (isVoter && directory == null) {
+            section.addFault("directory", "is absent: a voter that forgets what it voted breaks the promise");
         }
-        InetSocketAddress control = at.address("control");
+        InetSocketAddress control = section.address("control");
         if (control != null && !control.getAddress().isLoopbackAddress()) {
-            at.fault("control", "is no address of this machine alone: " + at.text("control", ""));
+            section.addFault("control", "is no address of this machine alone: " + section.text("control", ""));
         }
-        long term = at.time("term", 5_000, 500, HOUR_MILLIS);
-        at.end();
+        long term = section.durationMillis("term", 5_000, 500, HOUR_MILLIS);
+        section.reportUnknownKeys();
         return on
-                ? new RulesConfig(voters, votes && listen == null ? voters.get(launch.name()) : listen, term, directory,
-                        control)
+                ? new RulesConfig(voters, isVoter && listen == null ? voters.get(launch.name()) : listen, term,
+                        directory, control)
                 : null;
     }
 
-    private static SortedMap<String, InetSocketAddress> voters(ConfigSection named) {
+    private static SortedMap<String, InetSocketAddress> voters(ConfigSection voterSection) {
         var voters = new TreeMap<String, InetSocketAddress>();
-        for (String name : named.keys()) {
-            InetSocketAddress address = named.address(name);
+        for (String name : voterSection.keys()) {
+            InetSocketAddress address = voterSection.address(name);
             if (!name.matches("[!-~]{1,64}")) {
-                named.fault(name, "is no name of 1 to 64 letters");
+                voterSection.addFault(name, "is no name of 1 to 64 letters");
             } else if (address != null) {
                 voters.put(name, address);
             }
--- a/src/main/java/wallmoor/config/SummariesConfig.java
+++ b/src/main/java/wallmoor/config/SummariesConfig.java
@@ -18,36 +18,37 @@
 public record SummariesConfig(Set<String> sites, long lifetimeMillis, long marginMillis, long pollMillis,
         double checkShare, double checksPerSecond, int checkBurst, int maxSummaryBytes, long memoryBytes) {
     /** Blocks and their summaries' objects fit a small heap by so many sites. */
-    private static final int MOST_SITES = 10_000;
-    private static final int LEAST_BYTES = 1024;
-    private static final int MOST_BYTES = 1 << 20;
+    private static final int MAX_SITES = 10_000;
+    private static final int MIN_BYTES = 1024;
+    private static final int MAX_BYTES = 1 << 20;
 
-    static SummariesConfig of(ConfigSection at) {
-        boolean on = at.flag("enabled", true);
-        var names = at.texts("sites");
+    static SummariesConfig of(ConfigSection section) {
+        boolean on = section.flag("enabled", true);
+        var names = section.texts("sites");
         Set<String> sites = Set.copyOf(names);
-        if (sites.isEmpty() || sites.size() > MOST_SITES) {
-            at.fault("sites", "is absent, empty or holds more than " + MOST_SITES + ": name hosts of ogc.inventory");
+        if (sites.isEmpty() || sites.size() > MAX_SITES) {
+            section.addFault("sites",
+                    "is absent, empty or holds more than " + MAX_SITES + ": name hosts of ogc.inventory");
         } else if (sites.size() < names.size()) {
-            at.fault("sites", "holds a host twice");
+            section.addFault("sites", "holds a host twice");
         }
-        long lifetime = at.time("lifetime", 5_000, 200, 600_000);
-        long margin = at.time("margin", 50, 1, 60_000);
-        long poll = at.time("poll", 100, 10, 60_000);
+        long lifetime = section.durationMillis("lifetime", 5_000, 200, 600_000);
+        long margin = section.durationMillis("margin", 50, 1, 60_000);
+        long poll = section.durationMillis("poll", 100, 10, 60_000);
         if (margin * 2 > lifetime) {
-            at.fault("margin", "is more than half of lifetime: no promise would count for long");
+            section.addFault("margin", "is more than half of lifetime: no promise would count for long");
         }
         if (poll * 2 > lifetime) {
-            at.fault("poll", "is more than half of lifetime: a promise would end before it is renewed");
+            section.addFault("poll", "is more than half of lifetime: a promise would end before it is renewed");
         }
-        ConfigSection checks = at.section("checks");
+        ConfigSection checks = section.section("checks");
         double share = checks.decimal("share", 0.01, 0, 1);
         double perSecond = checks.decimal("per_second", 10, 0, 100_000);
-        int burst = checks.whole("burst", 20, 0, 100_000);
-        checks.end();
-        int mostBytes = at.whole("most_bytes", 64 * 1024, LEAST_BYTES, MOST_BYTES);
-        int memory = at.whole("memory_mb", 16, 1, 1024);
-        at.end();
+        int burst = checks.integer("burst", 20, 0, 100_000);
+        checks.reportUnknownKeys();
+        int mostBytes = section.integer("most_bytes", 64 * 1024, MIN_BYTES, MAX_BYTES);
+        int memory = section.integer("memory_mb", 16, 1, 1024);
+        section.reportUnknownKeys();
         return on ? new SummariesConfig(sites, lifetime, margin, poll, share, perSecond, burst, mostBytes,
                 (long) memory << 20) : null;
     }
--- a/src/main/java/wallmoor/config/YamlFile.java
+++ b/src/main/java/wallmoor/config/YamlFile.java
@@ -43,7 +43,7 @@
      *
      * @throws ConfigException with all of them in its message, one a line
      */
-    static void refuse(Path file, List<ConfigSection.Fault> faults) {
+    static void throwIfFaulty(Path file, List<ConfigSection.Fault> faults) {
         if (!faults.isEmpty()) {
             var text = new StringBuilder();
             faults.stream().sorted((a, b) -> Integer.compare(a.line(), b.line()))
