--- a/src/main/java/wallmoor/config/ClassIndexes.java
+++ b/src/main/java/wallmoor/config/ClassIndexes.java
@@ -7,57 +7,58 @@
 import wallmoor.decision.QueryClass;
 
 /**
- * Where each class of query stands, over all settings of a process' life. A class keeps its place, so that what is
- * under way when settings change is never taken for another class; one that vanished leaves its place empty until it
- * returns.
+ * Assigns an index to each query class for the lifetime of the process, across all settings that are loaded. A class
+ * keeps its index, so that a query in flight while settings change is never attributed to another class. The index of a
+ * removed class stays reserved until the class returns.
  *
- * @param names    by place
- * @param classes  by place; of one that vanished, as it was last
- * @param vanished the places of classes that are not in force
+ * @param names   the class names by index
+ * @param classes the classes by index; for a removed class its last definition
+ * @param removed the indexes of the classes that the current settings don't have
  */
-record ClassIndexes(List<String> names, List<QueryClass> classes, Set<Integer> vanished) {
+record ClassIndexes(List<String> names, List<QueryClass> classes, Set<Integer> removed) {
     /**
-     * A place costs some hundred bytes for good; more names than this in one life are a fault in who writes the file.
+     * The maximum number of class names in the lifetime of a process. Each takes some hundred bytes until the process
+     * ends; more names point to a fault in the program that writes the file.
      */
-    static final int MOST = 256;
+    static final int MAX_CLASS_NAMES = 256;
 
-    /** The place of a class in force, or -1. */
+    /** Returns the index of an active class, or -1. */
     int of(String name) {
-        int place = names.indexOf(name);
-        return vanished.contains(place) ? -1 : place;
+        int index = names.indexOf(name);
+        return removed.contains(index) ? -1 : index;
     }
 
     /**
-     * With these classes in force and no others.
+     * Returns the indexes with exactly these classes active.
      *
-     * @throws ConfigException if they name one twice or would need too many places
+     * @throws ConfigException if a name occurs twice, or if there are too many names
      */
-    ClassIndexes changedTo(List<String> others, List<QueryClass> theirs) {
+    ClassIndexes changedTo(List<String> activeNames, List<QueryClass> activeClasses) {
         var allNames = new ArrayList<>(names);
         var allClasses = new ArrayList<>(classes);
-        var gone = new HashSet<Integer>();
-        for (int place = 0; place < names.size(); place++) {
-            gone.add(place);
+        var inactive = new HashSet<Integer>();
+        for (int index = 0; index < names.size(); index++) {
+            inactive.add(index);
         }
         var seen = new HashSet<String>();
-        for (int i = 0; i < others.size(); i++) {
-            if (!seen.add(others.get(i))) {
-                throw new ConfigException("Classes." + i + ".Name", "settings.Classes." + i + ".Name stands twice: "
-                        + others.get(i));
+        for (int i = 0; i < activeNames.size(); i++) {
+            if (!seen.add(activeNames.get(i))) {
+                throw new ConfigException("Classes." + i + ".Name", "settings.Classes." + i + ".Name is a duplicate: "
+                        + activeNames.get(i));
             }
-            int place = allNames.indexOf(others.get(i));
-            if (place < 0) {
-                place = allNames.size();
-                allNames.add(others.get(i));
-                allClasses.add(theirs.get(i));
+            int index = allNames.indexOf(activeNames.get(i));
+            if (index < 0) {
+                index = allNames.size();
+                allNames.add(activeNames.get(i));
+                allClasses.add(activeClasses.get(i));
             }
-            allClasses.set(place, theirs.get(i));
-            gone.remove(place);
+            allClasses.set(index, activeClasses.get(i));
+            inactive.remove(index);
         }
-        if (allNames.size() > MOST) {
-            throw new ConfigException("Classes", "settings.Classes: over " + MOST
-                    + " names of classes since the start; restart to forget those that are gone");
+        if (allNames.size() > MAX_CLASS_NAMES) {
+            throw new ConfigException("Classes", "settings.Classes: more than " + MAX_CLASS_NAMES
+                    + " class names since the process started; restart it to drop the removed classes");
         }
-        return new ClassIndexes(List.copyOf(allNames), List.copyOf(allClasses), Set.copyOf(gone));
+        return new ClassIndexes(List.copyOf(allNames), List.copyOf(allClasses), Set.copyOf(inactive));
     }
 }
--- a/src/main/java/wallmoor/config/ConfigurationKeys.java
+++ b/src/main/java/wallmoor/config/ConfigurationKeys.java
@@ -6,49 +6,51 @@
 import wallmoor.json.Json;
 
 /**
- * The keys that a configuration has, so that a file which lacks one that another has is known as incomplete. In a list
- * of objects, as of classes, a key counts where all have it. The list of nodes is left out: it is news, not settings.
+ * Collects the paths of the keys that a configuration has, to detect a file that lacks a key of another one. A key in
+ * a list of objects, such as the classes, counts if all the objects have it. The list of endpoints ({@code known}) is
+ * left out, because it is state and not a setting.
  */
 final class ConfigurationKeys {
     private ConfigurationKeys() {}
 
+    /** Returns the paths of the keys with a value; {@code *} stands for any index of a list. */
     static Set<String> of(Json.Obj config) {
         var found = new TreeSet<String>();
         config.members().forEach((name, value) -> {
             if (!name.equals("known") && value != null) {
                 found.add(name);
-                below(name, value, found);
+                addNested(name, value, found);
             }
         });
         return found;
     }
 
-    private static void below(String path, Object value, Set<String> to) {
+    private static void addNested(String path, Object value, Set<String> found) {
         if (value instanceof Json.Obj o) {
             o.members().forEach((name, inner) -> {
                 if (inner != null) {
-                    to.add(path + "." + name);
-                    below(path + "." + name, inner, to);
+                    found.add(path + "." + name);
+                    addNested(path + "." + name, inner, found);
                 }
             });
         } else if (value instanceof List<?> list && !list.isEmpty()
                 && list.stream().allMatch(Json.Obj.class::isInstance)) {
-            Set<String> all = null;
-            for (Object each : list) {
-                var own = new TreeSet<String>();
-                below(path + ".*", each, own);
-                if (all == null) {
-                    all = own;
+            Set<String> common = null;
+            for (Object item : list) {
+                var keys = new TreeSet<String>();
+                addNested(path + ".*", item, keys);
+                if (common == null) {
+                    common = keys;
                 } else {
-                    all.retainAll(own);
+                    common.retainAll(keys);
                 }
             }
-            to.addAll(all);
+            found.addAll(common);
         }
     }
 
-    /** The first key that is missing from these though the others have it, or null. */
-    static String missing(Set<String> from, Set<String> others) {
-        return others.stream().filter(k -> !from.contains(k)).findFirst().orElse(null);
+    /** Returns the first of the required keys that is not among {@code keys}, or null. */
+    static String missing(Set<String> keys, Set<String> required) {
+        return required.stream().filter(k -> !keys.contains(k)).findFirst().orElse(null);
     }
 }
--- a/src/main/java/wallmoor/config/DescriptorReserve.java
+++ b/src/main/java/wallmoor/config/DescriptorReserve.java
@@ -2,26 +2,26 @@
 
 import java.io.File;
 
-/** Descriptors that the program needs for itself, whoever connects: those it has open as it starts, and some more. */
+/** The file descriptors that the program needs besides connections: those open at its start, and some spare ones. */
 final class DescriptorReserve {
-    /** Where the system tells of the open ones; elsewhere {@link #USUAL} are assumed. */
-    private static final File OPEN = new File("/proc/self/fd");
-    private static final int USUAL = 32;
-    /** Libraries that are opened when they are first needed, files that are read again, and the watching of sockets. */
-    private static final int LATER = 32;
+    /** Lists the open descriptors on Linux; on other systems {@link #DEFAULT_OPEN} are assumed. */
+    private static final File OPEN_DESCRIPTORS = new File("/proc/self/fd");
+    private static final int DEFAULT_OPEN = 32;
+    /** Descriptors for libraries loaded on first use, files that are reloaded, and socket selectors. */
+    private static final int OPENED_LATER = 32;
 
     /** Counted once, before the first connection. */
     private static final int NEEDED = count();
 
     private DescriptorReserve() {}
 
-    /** So many are kept for the program itself. */
+    /** Returns how many descriptors are reserved for the program itself. */
     static int needed() {
         return NEEDED;
     }
 
     private static int count() {
-        String[] open = OPEN.list();
-        return (open == null ? USUAL : open.length) + LATER;
+        String[] open = OPEN_DESCRIPTORS.list();
+        return (open == null ? DEFAULT_OPEN : open.length) + OPENED_LATER;
     }
 }
--- a/src/main/java/wallmoor/config/FleetConfig.java
+++ b/src/main/java/wallmoor/config/FleetConfig.java
@@ -4,27 +4,29 @@
 import java.util.List;
 
 /**
- * The group of gatherers, section {@code fleet} of the operators' file. Off where the section is absent, and on the
- * platform, where gatherers share nothing.
+ * The section {@code fleet} of the operators' file: the group of gatherers. The group is disabled where the section is
+ * absent, and on the platform, where gatherers share nothing.
  *
- * @param installation groups of other names are strangers
- * @param listen       the datagram socket
- * @param address      where others reach it, as they are told
- * @param seeds        addresses to meet the others at; some may be gone
- * @param size         gatherers that there are meant to be
+ * @param installation the name of the group; messages of groups with other names are ignored
+ * @param listen       the address of the datagram socket
+ * @param address      the address that is announced to the other members
+ * @param seeds        addresses of members to join through; some of them may be unreachable
+ * @param size         the intended number of gatherers
  * @param interval     milliseconds between two probes
- * @param control      on loopback, where the command line asks what is held of whom; null where it may not
+ * @param control      the loopback address where the command line reads the member states; null where it is off
  */
 public record FleetConfig(String installation, InetSocketAddress listen, String address, List<String> seeds, int size,
         long interval, InetSocketAddress control) {
     private static final int MAX_SEEDS = 64;
     private static final int MAX_MEMBERS = 10_000;
 
+    /** Reads the section; returns null where it is disabled. Faults are recorded in the section. */
     static FleetConfig of(ConfigSection section, LaunchConfig launch) {
-        boolean on = section.flag("enabled", true);
+        boolean isEnabled = section.flag("enabled", true);
         String installation = section.requiredText("installation");
         if (!installation.isEmpty() && !installation.matches("[!-~]{1,64}")) {
-            section.addFault("installation", "is no name of 1 to 64 letters: " + installation);
+            section.addFault("installation",
+                    "must be 1 to 64 printable ASCII characters without spaces: " + installation);
         }
         section.requiredText("listen");
         InetSocketAddress listen = section.address("listen");
@@ -33,15 +35,17 @@
         List<String> seeds = section.texts("seeds");
         section.addresses("seeds");
         if (seeds.isEmpty() || seeds.size() > MAX_SEEDS) {
-            section.addFault("seeds", "is absent, empty or holds more than " + MAX_SEEDS);
+            section.addFault("seeds", "is absent, empty or has more than " + MAX_SEEDS + " items");
         }
         int size = section.integer("size", launch.settings().gatherers(), 1, MAX_MEMBERS);
         long interval = section.durationMillis("interval", 1000, 50, 60_000);
         InetSocketAddress control = section.address("control");
         if (control != null && !control.getAddress().isLoopbackAddress()) {
-            section.addFault("control", "is no address of this machine alone: " + section.text("control", ""));
+            section.addFault("control", "must be a loopback address, not " + section.text("control", ""));
         }
         section.reportUnknownKeys();
-        return on ? new FleetConfig(installation, listen, address, List.copyOf(seeds), size, interval, control) : null;
+        return isEnabled
+                ? new FleetConfig(installation, listen, address, List.copyOf(seeds), size, interval, control)
+                : null;
     }
 }
--- a/src/main/java/wallmoor/config/LaunchConfig.java
+++ b/src/main/java/wallmoor/config/LaunchConfig.java
@@ -14,72 +14,81 @@
 import wallmoor.json.Json;
 
 /**
- * What a real gatherer is started with: the JSON file that {@code ROUTER_CONFIG} names, with the environment's own
- * variables where the file lacks something. All of it is read, checked and given defaults here.
+ * The start-up configuration of a gatherer: the JSON file that {@code ROUTER_CONFIG} names, with environment variables
+ * for what the file lacks. This class reads and checks all of it, and supplies the defaults.
  *
- * @param known    the list of workers as last held, in discovery's form
- * @param zones    the zones' names, by index
- * @param kinds    the machine kinds' names, by index
- * @param classes  the classes' names, by place
- * @param admin    where operators call; null where they don't
- * @param removedClasses places of classes that were in force once; they take no query
- * @param keys     the keys that the file has
- * @param isSocketInherited whether the clients' listening socket is descriptor 0, held by the platform, and never bound
- *                 here
- * @param isListPushed   the settings say that lists come by themselves: changes count as told with no watch open
+ * @param discovery            the address of discovery
+ * @param seed                 the seed of the random numbers
+ * @param known                the last known list of workers, in discovery's format; null where the file has none
+ * @param zones                the names of the zones by index
+ * @param kinds                the names of the machine kinds by index
+ * @param classes              the names of the classes by index
+ * @param sockets              the maximum number of descriptors
+ * @param streamsPerConnection the maximum number of concurrent streams of a worker connection
+ * @param connIdleMillis       the idle time after which a worker connection is closed
+ * @param admin                the address of the operators' endpoint; null where there is none
+ * @param isSocketInherited    whether the platform passes the clients' listening socket as descriptor 0; it is
+ *                             not bound here then
+ * @param removedClasses       the indexes of classes that an earlier configuration had; they accept no query
+ * @param keys                 the paths of the keys that the file has
+ * @param isListPushed         whether the settings say that discovery sends lists on its own: changes count as
+ *                             announced even while no watch is open
  */
 public record LaunchConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
-        RoutingSettings settings,
-        Json.Obj known, List<String> zones, List<String> kinds, List<String> classes, int sockets, int memoryMb,
-        int streamsPerConnection, long connIdleMillis, int connectMillis, InetSocketAddress admin,
-        boolean isSocketInherited, Set<Integer> removedClasses, Set<String> keys, boolean isListPushed) {
+        RoutingSettings settings, Json.Obj known, List<String> zones, List<String> kinds, List<String> classes,
+        int sockets, int memoryMb, int streamsPerConnection, long connIdleMillis, int connectMillis,
+        InetSocketAddress admin, boolean isSocketInherited, Set<Integer> removedClasses, Set<String> keys, boolean isListPushed) {
     private static final int DEFAULT_SOCKETS = 1024;
-    private static final int FEWEST_SOCKETS = 64;
-    private static final int DEFAULT_MEMORY = 192;
-    private static final int FEWEST_MEMORY = 32;
-    /** What the program holds before its first connection (megabytes). */
-    private static final int OWN_MEMORY = 72;
-    /** Client connections that fit a megabyte, with the thread and the buffers that one at work has. */
+    private static final int MIN_SOCKETS = 64;
+    private static final int DEFAULT_MEMORY_MB = 192;
+    private static final int MIN_MEMORY_MB = 32;
+    /** The memory that the program uses before its first connection, in megabytes. */
+    private static final int OWN_MEMORY_MB = 72;
+    /** The number of client connections that fit a megabyte, each with the thread and the buffers of an active one. */
     private static final int CLIENTS_PER_MB = 3;
-    private static final int FEWEST_CLIENTS = 32;
-    /** Whatever else needs descriptors, clients get their share of so many: with fewer nothing can be promised. */
-    private static final int FEW_DESCRIPTORS = 64;
-    /** A watch that is being closed, the next one, and for each address a connection that waits for room. */
-    private static final int FOR_DISCOVERY = 4;
-    private static final int MOST_CALLERS = 32;
-    private static final int CALLERS_SHARE = 16;
-    /** No client waits longer than a day. */
-    private static final double MOST_MICROS = 86_400e6;
+    private static final int MIN_CLIENTS = 32;
+    /** Clients get their share of this many descriptors, whatever else needs some; with fewer there is no guarantee. */
+    private static final int MIN_SHARED_DESCRIPTORS = 64;
+    /** A watch that is closing, its successor, and a connection that waits to be accepted at each listening address. */
+    private static final int DISCOVERY_DESCRIPTORS = 4;
+    private static final int MAX_ADMIN_CONNECTIONS = 32;
+    private static final int SOCKETS_PER_ADMIN_CONNECTION = 16;
+    /** The longest time that a client waits: a day, in microseconds. */
+    private static final double MAX_WAIT_MICROS = 86_400e6;
     private static final String DIGITS = "0123456789";
 
     /**
-     * Client connections at most. Of the descriptors five in eight are for clients, two for workers and one is kept
-     * for discovery and the program's own files; where these need more than that, clients get what is left. Honest
-     * clients hold a third for requests; the rest is for rude ones.
+     * Returns the maximum number of client connections. Of eight descriptors, five are for clients, two for workers,
+     * and one for discovery and the program's own files; where these need more, clients get what is left. Well-behaved
+     * clients use a third of them for requests; the rest absorbs clients that misbehave.
      */
     public int maxClientConnections() {
-        int kept = maxWorkerConnections() + maxAdminConnections() + FOR_DISCOVERY + DescriptorReserve.needed();
-        int left = Math.max(Math.min(FEW_DESCRIPTORS, sockets) * 5 / 8, sockets - kept);
-        int byMemory = Math.max(FEWEST_CLIENTS, (memoryMb - OWN_MEMORY) * CLIENTS_PER_MB);
-        return Math.min(Math.min(sockets * 5 / 8, left), byMemory);
+        int reserved = maxWorkerConnections() + maxAdminConnections() + DISCOVERY_DESCRIPTORS
+                + DescriptorReserve.needed();
+        int byDescriptors = Math.max(Math.min(MIN_SHARED_DESCRIPTORS, sockets) * 5 / 8, sockets - reserved);
+        int byMemory = Math.max(MIN_CLIENTS, (memoryMb - OWN_MEMORY_MB) * CLIENTS_PER_MB);
+        return Math.min(Math.min(sockets * 5 / 8, byDescriptors), byMemory);
     }
 
-    /** Connections to the operators' address at most: few people and a collector of figures ask. */
+    /** Returns the maximum number of admin connections; only a few operators and a metrics collector use them. */
     public int maxAdminConnections() {
-        return Math.min(MOST_CALLERS, sockets / CALLERS_SHARE);
+        return Math.min(MAX_ADMIN_CONNECTIONS, sockets / SOCKETS_PER_ADMIN_CONNECTION);
     }
 
-    /** Connections to workers at most; where two processes may be this gatherer for a while, both fit the limit. */
+    /**
+     * Returns the maximum number of worker connections. Where two processes may run as this gatherer during a handover,
+     * both stay within the limit together.
+     */
     public int maxWorkerConnections() {
         return sockets / (isSocketInherited ? 6 : 4);
     }
 
-    /** The classes in force. */
+    /** Returns the active classes. */
     public List<QueryClass> activeClasses() {
-        return placesInForce().mapToObj(settings.classes()::get).toList();
+        return activeIndexes().mapToObj(settings.classes()::get).toList();
     }
 
-    /** Reads the configuration that the environment names. */
+    /** Reads the configuration file that the environment names. */
     public static LaunchConfig read(Map<String, String> env) {
         String file = env.get("ROUTER_CONFIG");
         if (file == null || file.isEmpty()) {
@@ -89,7 +98,7 @@
         try {
             text = Files.readAllBytes(Path.of(file));
         } catch (IOException | java.nio.file.InvalidPathException e) {
-            throw new ConfigException("ROUTER_CONFIG", "ROUTER_CONFIG can't be read: " + e.getMessage());
+            throw new ConfigException("ROUTER_CONFIG", "ROUTER_CONFIG cannot be read: " + e.getMessage());
         }
         try {
             return of(Json.object(text, 0, text.length), env);
@@ -98,20 +107,21 @@
         }
     }
 
+    /** Creates the configuration from the file's content. */
     private static LaunchConfig of(Json.Obj json, Map<String, String> env) {
         Json.Obj nested = object(json, "settings");
         Map<String, String> flat = SettingsFlattener.of(nested);
         RoutingSettings settings;
-        boolean pushed;
+        boolean isListPushed;
         try {
-            RoutingSettings told = new SettingsReader(flat).settings();
-            pushed = !told.watchOnRequest();
-            flat.put("Discovery", "subscribe"); // on sockets a list comes only to who opens a watch
-            if (told.limits().maxRetryAfter() <= 0) {
+            RoutingSettings asWritten = new SettingsReader(flat).settings();
+            isListPushed = !asWritten.watchOnRequest();
+            flat.put("Discovery", "subscribe"); // over sockets a list arrives only on an open watch
+            if (asWritten.limits().maxRetryAfter() <= 0) {
                 flat.put("Limits.MaxRetryAfter", "2000000");
             }
-            positive(flat, told.classes().size());
-            flat.put("Limits.RetryAfter", "true"); // HTTP can always carry it, and a client in doubt is told
+            checkPositive(flat, asWritten.classes().size());
+            flat.put("Limits.RetryAfter", "true"); // HTTP can always carry it, and it tells a client when to retry
             settings = new SettingsReader(flat).settings();
             wallmoor.decision.SettingsValidator.check(settings);
         } catch (ConfigException e) {
@@ -120,14 +130,16 @@
             throw new ConfigException("settings", e.getMessage());
         }
         Json.Obj limits = json.get("limits") instanceof Json.Obj o ? o : new Json.Obj();
-        int sockets = (int) bounded("limits.sockets", limits.number("sockets", DEFAULT_SOCKETS), FEWEST_SOCKETS);
-        int memory = (int) bounded("limits.memory_mb", limits.number("memory_mb", DEFAULT_MEMORY), FEWEST_MEMORY);
+        int sockets = (int) bounded("limits.sockets", limits.number("sockets", DEFAULT_SOCKETS), MIN_SOCKETS);
+        int memory = (int) bounded("limits.memory_mb", limits.number("memory_mb", DEFAULT_MEMORY_MB), MIN_MEMORY_MB);
         int streams = (int) bounded("settings.Limits.StreamsPerConn", decimal(flat, "Limits.StreamsPerConn", 100), 1);
         long idle = (long) bounded("settings.Limits.ConnIdle", decimal(flat, "Limits.ConnIdle", 15e6), 1) / 1000;
         long connect = settings.limits().connectTimeout() / 1000;
         String admin = textOr(json, "admin_addr", env.get("ROUTER_ADMIN_ADDR"));
-        boolean inherited = inherited(env);
-        if (inherited) { // two processes may be one gatherer for a while, and neither can ask the other in time
+        boolean isSocketInherited = isSocketInherited(env);
+        // During a handover two processes run as one gatherer and can't coordinate in time: each takes half
+        // of the minimum retry budget.
+        if (isSocketInherited) {
             settings = settings.withRetryBudgetMinimum(settings.rules().retryBudgetMinimum() / 2);
         }
         return new LaunchConfig(textOr(json, "name", env.getOrDefault("ROUTER_NAME", "gatherer")),
@@ -136,146 +148,148 @@
                 seed(json.get("seed")), settings, json.get("known") instanceof Json.Obj o ? o : null,
                 names(nested, "Dcs"), names(nested, "Kinds"), classNames(nested), sockets, memory, streams, idle,
                 connect > 0 ? (int) connect : 1000, admin == null ? null : address("admin_addr", admin),
-                inherited, Set.of(), ConfigurationKeys.of(json), pushed);
+                isSocketInherited, Set.of(), ConfigurationKeys.of(json), isListPushed);
     }
 
-    /** The place of a class in force, or -1. */
+    /** Returns the index of an active class, or -1. */
     public int classIndex(String name) {
-        return places().of(name);
+        return classIndexes().of(name);
     }
 
-    private ClassIndexes places() {
+    private ClassIndexes classIndexes() {
         return new ClassIndexes(classes, settings.classes(), removedClasses);
     }
 
-    private IntStream placesInForce() {
-        return IntStream.range(0, classes.size()).filter(place -> !removedClasses.contains(place));
+    private IntStream activeIndexes() {
+        return IntStream.range(0, classes.size()).filter(index -> !removedClasses.contains(index));
     }
 
-    /** The names of the classes in force. */
+    /** Returns the names of the active classes. */
     public List<String> activeClassNames() {
-        return placesInForce().mapToObj(classes::get).toList();
+        return activeIndexes().mapToObj(classes::get).toList();
     }
 
     /**
-     * This, as it goes on once a file was read again: with the settings and the discovery of that file, whose classes
-     * stand in the places that they had before.
+     * Returns this configuration with the settings and the discovery address of a reloaded file. Its classes keep the
+     * indexes that they have here.
      *
-     * @throws ConfigException if that file lacks a key that this one has
+     * @throws ConfigException if the reloaded file lacks a key that this one has
      */
-    public LaunchConfig changedTo(LaunchConfig file) {
-        String missing = ConfigurationKeys.missing(file.keys, keys);
+    public LaunchConfig changedTo(LaunchConfig reloaded) {
+        String missing = ConfigurationKeys.missing(reloaded.keys, keys);
         if (missing != null) {
-            throw new ConfigException(missing, missing + " is missing, and the configuration in force has it");
+            throw new ConfigException(missing, missing + " is missing, but the active configuration has it");
         }
-        ClassIndexes places = places().changedTo(file.classes, file.settings.classes());
-        return new LaunchConfig(name, listen, file.discovery, seed, file.settings.withClasses(places.classes()), known,
-                zones,
-                kinds, places.names(), sockets, memoryMb, streamsPerConnection, connIdleMillis, connectMillis, admin,
-                isSocketInherited,
-                places.vanished(), file.keys, file.isListPushed);
+        ClassIndexes indexes = classIndexes().changedTo(reloaded.classes, reloaded.settings.classes());
+        return new LaunchConfig(name, listen, reloaded.discovery, seed,
+                reloaded.settings.withClasses(indexes.classes()), known, zones,
+                kinds, indexes.names(), sockets, memoryMb, streamsPerConnection, connIdleMillis, connectMillis, admin,
+                isSocketInherited, indexes.removed(), reloaded.keys, reloaded.isListPushed);
     }
 
     /**
-     * This at other addresses, none of them the platform's, with other nodes known: for a rehearsal.
+     * Returns this configuration for a rehearsal: at addresses that are not the platform's, with other known nodes.
      *
-     * @param held whether the listening socket is somebody else's
+     * @param clientListen       the address for clients
+     * @param discoveryListen    the address of discovery
+     * @param adminListen        the operators' address
+     * @param nodes              the known nodes, in discovery's format
+     * @param hasInheritedSocket whether another process holds the listening socket
      */
-    public LaunchConfig withAddresses(InetSocketAddress address, InetSocketAddress list, InetSocketAddress operators,
-            Json.Obj nodes,
-            boolean held) {
-        return new LaunchConfig(name, address, list, seed, settings, nodes, zones, kinds, classes, sockets, memoryMb,
-                streamsPerConnection,
-                connIdleMillis, connectMillis, operators, held, removedClasses, keys, isListPushed);
+    public LaunchConfig withAddresses(InetSocketAddress clientListen, InetSocketAddress discoveryListen,
+            InetSocketAddress adminListen, Json.Obj nodes, boolean hasInheritedSocket) {
+        return new LaunchConfig(name, clientListen, discoveryListen, seed, settings, nodes, zones, kinds, classes,
+                sockets, memoryMb, streamsPerConnection, connIdleMillis, connectMillis, adminListen, hasInheritedSocket,
+                removedClasses, keys, isListPushed);
     }
 
-    /** Whether the platform says that it holds the listening socket; it can do so as descriptor 0 alone. */
-    private static boolean inherited(Map<String, String> env) {
+    /** Returns whether the platform passes the listening socket; it can do so only as descriptor 0. */
+    private static boolean isSocketInherited(Map<String, String> env) {
         String fd = env.getOrDefault("ROUTER_INHERITED_FD", "");
         if (!fd.isEmpty() && !fd.equals("0")) {
-            throw new ConfigException("ROUTER_INHERITED_FD", "ROUTER_INHERITED_FD must be 0, the one descriptor that"
-                    + " can be taken over, or absent: " + fd);
+            throw new ConfigException("ROUTER_INHERITED_FD", "ROUTER_INHERITED_FD must be 0, the only descriptor that"
+                    + " can be inherited, or unset: " + fd);
         }
         return !fd.isEmpty();
     }
 
-    /** The address in a text, as HOST:PORT. No name is looked up: there is no DNS. */
+    /** Parses an address of the form HOST:PORT. No name is resolved, as the platform has no DNS. */
     public static InetSocketAddress address(String key, String text) {
         if (text == null) {
             throw new ConfigException(key, key + " is absent");
         }
         int colon = text.lastIndexOf(':');
-        if (colon < 1 || text.length() > colon + 6 || !only(DIGITS, text, colon + 1, text.length())
+        if (colon < 1 || text.length() > colon + 6 || !hasOnly(DIGITS, text, colon + 1, text.length())
                 || !isHost(text.substring(0, colon))) {
             throw new ConfigException(key, key + " is not ADDRESS:PORT: " + text);
         }
         int port = Integer.parseInt(text.substring(colon + 1));
         if (port > 65535) {
-            throw new ConfigException(key, key + " has no such port: " + text);
+            throw new ConfigException(key, key + " has a port above 65535: " + text);
         }
         return new InetSocketAddress(text.substring(0, colon), port);
     }
 
-    /** Numbers with dots, brackets round those of IPv6, or this machine; no pattern, as that costs each start. */
+    /** Returns whether a host is an IP address (IPv6 in brackets) or localhost. A regex would slow down each start. */
     private static boolean isHost(String host) {
-        return host.equals("localhost") || only(DIGITS + ".", host, 0, host.length())
+        return host.equals("localhost") || hasOnly(DIGITS + ".", host, 0, host.length())
                 || (host.startsWith("[") && host.endsWith("]")
-                        && only(DIGITS + "abcdefABCDEF:.", host, 1, host.length() - 1));
+                        && hasOnly(DIGITS + "abcdefABCDEF:.", host, 1, host.length() - 1));
     }
 
-    /** Whether there is something between these places, and nothing but these signs. */
-    private static boolean only(String signs, String text, int from, int to) {
+    /** Returns whether the text from one index up to another is not empty and has only these characters. */
+    private static boolean hasOnly(String characters, String text, int from, int to) {
         for (int i = from; i < to; i++) {
-            if (signs.indexOf(text.charAt(i)) < 0) {
+            if (characters.indexOf(text.charAt(i)) < 0) {
                 return false;
             }
         }
         return from < to;
     }
 
-    private static Json.Obj object(Json.Obj in, String key) {
-        if (in.get(key) instanceof Json.Obj o) {
+    private static Json.Obj object(Json.Obj parent, String key) {
+        if (parent.get(key) instanceof Json.Obj o) {
             return o;
         }
-        throw new ConfigException(key, key + " is absent or no object");
+        throw new ConfigException(key, key + " is absent or not an object");
     }
 
-    private static String textOr(Json.Obj json, String key, String otherwise) {
+    private static String textOr(Json.Obj json, String key, String defaultValue) {
         String text = json.text(key);
-        return text != null ? text : otherwise;
+        return text != null ? text : defaultValue;
     }
 
-    private static double bounded(String key, double value, double least) {
-        if (!(value >= least && value <= 1e15)) {
-            throw new ConfigException(key, key + " must be at least " + (long) least + ": " + value);
+    private static double bounded(String key, double value, double min) {
+        if (!(value >= min && value <= 1e15)) {
+            throw new ConfigException(key, key + " must be at least " + (long) min + ": " + value);
         }
         return value;
     }
 
-    /** Deadlines and counts that nothing could be served by, named as in the file; the module would name its own. */
-    private static void positive(Map<String, String> flat, int classes) {
-        positive(flat, "Limits.MaxAttempts", Integer.MAX_VALUE);
-        positive(flat, "Limits.MaxOpen", Integer.MAX_VALUE);
+    /** Rejects times and counts below 1 by their keys in the file; the decision module would report its own names. */
+    private static void checkPositive(Map<String, String> flat, int classes) {
+        checkPositive(flat, "Limits.MaxAttempts", Integer.MAX_VALUE);
+        checkPositive(flat, "Limits.MaxOpen", Integer.MAX_VALUE);
         for (int i = 0; i < classes; i++) {
-            positive(flat, "Classes." + i + ".Aim", MOST_MICROS);
-            positive(flat, "Classes." + i + ".GiveUp", MOST_MICROS);
+            checkPositive(flat, "Classes." + i + ".Aim", MAX_WAIT_MICROS);
+            checkPositive(flat, "Classes." + i + ".GiveUp", MAX_WAIT_MICROS);
         }
     }
 
-    private static void positive(Map<String, String> flat, String path, double most) {
+    private static void checkPositive(Map<String, String> flat, String path, double max) {
         String text = flat.getOrDefault(path, "-");
-        double value = text.isEmpty() || text.equals("-") ? 1 : decimal(flat, path, 1); // absent: not for this
-        if (!(value >= 1 && value <= most)) {
+        double value = text.isEmpty() || text.equals("-") ? 1 : decimal(flat, path, 1); // absence is checked elsewhere
+        if (!(value >= 1 && value <= max)) {
             throw new ConfigException(path,
-                    "must have a number from 1 to " + (long) most + " at " + path + ": " + text);
+                    "must have a number from 1 to " + (long) max + " at " + path + ": " + text);
         }
     }
 
-    private static double decimal(Map<String, String> flat, String path, double otherwise) {
+    private static double decimal(Map<String, String> flat, String path, double defaultValue) {
         try {
-            return flat.containsKey(path) ? Double.parseDouble(flat.get(path)) : otherwise;
+            return flat.containsKey(path) ? Double.parseDouble(flat.get(path)) : defaultValue;
         } catch (NumberFormatException e) {
-            throw new ConfigException("settings." + path, "settings." + path + " is no number: " + flat.get(path));
+            throw new ConfigException("settings." + path, "settings." + path + " is not a number: " + flat.get(path));
         }
     }
 
@@ -284,7 +298,7 @@
             return seed instanceof Number n ? n.longValue()
                     : seed instanceof String s ? Long.parseUnsignedLong(s, 16) : System.nanoTime();
         } catch (NumberFormatException e) {
-            throw new ConfigException("seed", "seed is not hex: " + seed);
+            throw new ConfigException("seed", "seed is not a hexadecimal number: " + seed);
         }
     }
 
--- a/src/main/java/wallmoor/config/MaintenanceFile.java
+++ b/src/main/java/wallmoor/config/MaintenanceFile.java
@@ -23,24 +23,24 @@
 import wallmoor.maintenance.MaintenanceRequest;
 
 /**
- * The file that {@code maintenance plan} reads: the fleet, what the operators allow, and what is asked. It is YAML,
- * read and checked whole; every fault is told with its key's path and its line.
+ * The file that {@code maintenance plan} reads: the fleet, the operators' budgets, and the maintenance requests. It is
+ * YAML; it is read and checked completely, and each fault is reported with the path and the line of its key.
  */
 public final class MaintenanceFile {
-    /** What plans were measured with. */
+    /** The largest fleet for which planning was measured. */
     public static final int MAX_MACHINES = 10_000;
     public static final int MAX_BLOCKS = 50_000;
-    /** Of so many blocks and machines, each in some 200 characters. */
+    /** The maximum size of the file: that many blocks and machines, with some 200 characters for each. */
     private static final int MAX_BYTES = 16 << 20;
     private static final long DAY_MILLIS = 86_400_000;
     private static final long YEAR_MILLIS = 365 * DAY_MILLIS;
-    /** Capacities are summed in millionths; in any unit, 10,000 of them fit. */
+    /** Capacities, in whatever unit, are summed in millionths; the sum of 10,000 of them doesn't overflow. */
     private static final int MAX_CAPACITY = 100_000_000;
 
     private MaintenanceFile() {}
 
     /**
-     * All that a file says.
+     * The content of a file.
      *
      * @param at the time that is planned for, in milliseconds since 1970
      */
@@ -50,40 +50,40 @@
     /**
      * Reads a file.
      *
-     * @throws ConfigException with all faults in its message, one a line
+     * @throws ConfigException with all faults in its message, one per line
      */
     public static MaintenancePlanInput read(Path file) {
         var faults = new ArrayList<ConfigSection.Fault>();
         var root = new ConfigSection("", YamlFile.compose(file, MAX_BYTES), faults);
         long at = time(root, "at", -1);
         if (!root.has("at")) {
-            root.addFault("at", "is absent: the time that is planned for");
+            root.addFault("at", "is absent; it must give the time to plan for");
         }
         List<Machine> machines = machines(root);
-        Set<String> known = new HashSet<>();
-        machines.forEach(m -> known.add(m.id()));
+        Set<String> machineIds = new HashSet<>();
+        machines.forEach(m -> machineIds.add(m.id()));
         Set<String> centres = new HashSet<>();
         machines.forEach(m -> centres.add(m.centre()));
         Budgets budgets = budgets(root.section("budgets"), centres);
         if (!root.has("budgets")) {
             root.addFault("budgets", "is absent");
         }
-        List<BlockHolders> blocks = blocks(root, known);
-        List<MaintenanceRequest> wishes = wishes(root, known);
+        List<BlockHolders> blocks = blocks(root, machineIds);
+        List<MaintenanceRequest> requests = requests(root, machineIds);
         root.reportUnknownKeys();
         YamlFile.throwIfFaulty(file, faults);
         return new MaintenancePlanInput(at, new FleetSnapshot(machines, blocks, List.of(), 0, true, ""), budgets,
-                wishes);
+                requests);
     }
 
-    private static Budgets budgets(ConfigSection section, Set<String> known) {
+    private static Budgets budgets(ConfigSection section, Set<String> knownCentres) {
         int atOnce = section.integer("at_once", 1, 0, MAX_MACHINES);
-        ConfigSection in = section.section("centres");
+        ConfigSection centreSection = section.section("centres");
         Map<String, Integer> centres = new HashMap<>();
-        for (String c : in.keys()) {
-            centres.put(c, in.integer(c, 1, 0, MAX_MACHINES));
-            if (!known.contains(c)) {
-                in.addFault(c, "is no machine's centre");
+        for (String centre : centreSection.keys()) {
+            centres.put(centre, centreSection.integer(centre, 1, 0, MAX_MACHINES));
+            if (!knownCentres.contains(centre)) {
+                centreSection.addFault(centre, "is not the centre of any machine");
             }
         }
         int offset = section.value("offset", 0, t -> {
@@ -92,14 +92,14 @@
             } catch (java.time.DateTimeException e) {
                 throw new IllegalArgumentException(e);
             }
-        }, "is no offset from UTC such as +05:00");
+        }, "must be an offset from UTC such as +05:00");
         var windows = new ArrayList<MaintenanceWindows.DailyWindow>();
         for (String text : section.texts("hours")) {
             try {
-                String[] part = text.split("-", -1);
-                windows.add(new MaintenanceWindows.DailyWindow(minute(part[0]), minute(part[1])));
+                String[] ends = text.split("-", -1);
+                windows.add(new MaintenanceWindows.DailyWindow(minuteOfDay(ends[0]), minuteOfDay(ends[1])));
             } catch (DateTimeParseException | ArrayIndexOutOfBoundsException e) {
-                section.addFault("hours", "holds what is no window such as 22:00-04:00: " + text);
+                section.addFault("hours", "contains a value that is not a window such as 22:00-04:00: " + text);
             }
         }
         var budgets = new Budgets(atOnce, centres, millionths(section, "capacity_kept", 0),
@@ -114,9 +114,9 @@
         return budgets;
     }
 
-    private static int minute(String text) {
-        LocalTime t = LocalTime.parse(text.strip());
-        return t.getHour() * 60 + t.getMinute();
+    private static int minuteOfDay(String text) {
+        LocalTime time = LocalTime.parse(text.strip());
+        return time.getHour() * 60 + time.getMinute();
     }
 
     private static List<Machine> machines(ConfigSection root) {
@@ -124,18 +124,18 @@
         Set<String> ids = new HashSet<>();
         for (ConfigSection section : root.nonEmptySections("machines", MAX_MACHINES)) {
             String id = section.uniqueId(ids);
-            MachineRole kind = section.value("kind", MachineRole.NODE, t -> switch (t) {
+            MachineRole role = section.value("kind", MachineRole.NODE, t -> switch (t) {
                 case "node" -> MachineRole.NODE;
                 case "gatherer" -> MachineRole.GATHERER;
                 default -> throw new IllegalArgumentException();
-            }, "is neither node nor gatherer");
+            }, "must be node or gatherer");
             MachinePhase phase = section.value("phase", MachinePhase.SERVING, t -> switch (t) {
                 case "serving" -> MachinePhase.SERVING;
                 case "draining" -> MachinePhase.DRAINING;
                 case "away" -> MachinePhase.AWAY;
                 default -> throw new IllegalArgumentException();
-            }, "is none of serving, draining and away");
-            all.add(new Machine(id, kind, section.requiredText("centre"),
+            }, "must be serving, draining or away");
+            all.add(new Machine(id, role, section.requiredText("centre"),
                     section.integer("capacity", 1, 1, MAX_CAPACITY),
                     section.flag("voter", false),
                     phase, "", 0, section.durationMillis("served", YEAR_MILLIS, 0, YEAR_MILLIS)));
@@ -144,70 +144,72 @@
         return all;
     }
 
-    private static List<BlockHolders> blocks(ConfigSection root, Set<String> known) {
+    private static List<BlockHolders> blocks(ConfigSection root, Set<String> machineIds) {
         var blocks = new ArrayList<BlockHolders>();
         Set<String> ids = new HashSet<>();
         List<ConfigSection> all = root.sections("blocks");
         if (all.size() > MAX_BLOCKS) {
-            root.addFault("blocks", "holds more than " + MAX_BLOCKS);
+            root.addFault("blocks", "has more than " + MAX_BLOCKS + " items");
             return blocks;
         }
         for (ConfigSection section : all) {
             String id = section.uniqueId(ids);
-            List<String> on = section.texts("on");
-            if (on.isEmpty()) {
-                section.addFault("on", "is absent or empty: who holds a whole and sound copy");
+            List<String> holders = section.texts("on");
+            if (holders.isEmpty()) {
+                section.addFault("on", "is absent or empty; it must list the machines with a complete, intact copy");
             }
-            names(section, "on", on, known);
+            checkMachines(section, "on", holders, machineIds);
             section.reportUnknownKeys();
-            blocks.add(new BlockHolders(id, on));
+            blocks.add(new BlockHolders(id, holders));
         }
         return blocks;
     }
 
-    private static List<MaintenanceRequest> wishes(ConfigSection root, Set<String> known) {
-        var wishes = new ArrayList<MaintenanceRequest>();
+    private static List<MaintenanceRequest> requests(ConfigSection root, Set<String> machineIds) {
+        var requests = new ArrayList<MaintenanceRequest>();
         Set<String> ids = new HashSet<>();
-        Set<String> machines = new HashSet<>();
+        Set<String> requestedMachines = new HashSet<>();
         for (ConfigSection section : root.nonEmptySections("wishes", MAX_MACHINES)) {
             String id = section.uniqueId(ids);
             String machine = section.requiredText("machine");
-            if (!machine.isEmpty() && !known.contains(machine)) {
-                section.addFault("machine", "is not there: " + machine);
-            } else if (!machine.isEmpty() && !machines.add(machine)) {
-                section.addFault("machine", "has a wish already: " + machine);
+            if (!machine.isEmpty() && !machineIds.contains(machine)) {
+                section.addFault("machine", "is not in machines: " + machine);
+            } else if (!machine.isEmpty() && !requestedMachines.add(machine)) {
+                section.addFault("machine", "is in an earlier wish already: " + machine);
             }
             if (!section.has("lasts")) {
-                section.addFault("lasts", "is absent: how long the work takes");
+                section.addFault("lasts", "is absent; it must say how long the work takes");
             }
-            long lasts = section.durationMillis("lasts", 1, 1, 7 * DAY_MILLIS);
-            long by = time(section, "by", MaintenanceRequest.NO_DEADLINE);
+            long durationMillis = section.durationMillis("lasts", 1, 1, 7 * DAY_MILLIS);
+            long deadline = time(section, "by", MaintenanceRequest.NO_DEADLINE);
             List<String> after = section.texts("after");
             List<String> before = section.texts("before");
-            names(section, "after", after, known);
-            names(section, "before", before, known);
-            String who = section.requiredText("who");
+            checkMachines(section, "after", after, machineIds);
+            checkMachines(section, "before", before, machineIds);
+            String requester = section.requiredText("who");
             String reason = section.text("reason", "");
             section.reportUnknownKeys();
             if (!id.isEmpty() && !machine.isEmpty()) {
-                wishes.add(new MaintenanceRequest(id, machine, lasts, by, reason, who, new TreeSet<>(after),
-                        new TreeSet<>(before)));
+                requests.add(new MaintenanceRequest(id, machine, durationMillis, deadline, reason, requester,
+                        new TreeSet<>(after), new TreeSet<>(before)));
             }
         }
-        return wishes;
+        return requests;
     }
 
-    private static void names(ConfigSection section, String key, List<String> names, Set<String> known) {
-        Set<String> own = new HashSet<>();
+    /** Adds a fault for each name that is not a machine's id or occurs more than once. */
+    private static void checkMachines(ConfigSection section, String key, List<String> names, Set<String> machineIds) {
+        Set<String> seen = new HashSet<>();
         for (String name : names) {
-            if (!known.contains(name)) {
-                section.addFault(key, "names a machine that is not there: " + name);
-            } else if (!own.add(name)) {
+            if (!machineIds.contains(name)) {
+                section.addFault(key, "names a machine that is not in machines: " + name);
+            } else if (!seen.add(name)) {
                 section.addFault(key, "names a machine twice: " + name);
             }
         }
     }
 
+    /** Returns a point in time, in milliseconds since 1970. */
     private static long time(ConfigSection section, String key, long defaultValue) {
         return section.value(key, defaultValue, t -> {
             try {
@@ -215,20 +217,21 @@
             } catch (DateTimeParseException | ArithmeticException e) {
                 throw new IllegalArgumentException(e);
             }
-        }, "is no time in UTC such as 2026-12-05T20:00:00Z");
+        }, "must be a time in UTC such as 2026-12-05T20:00:00Z");
     }
 
+    /** Returns a share in millionths. */
     private static int millionths(ConfigSection section, String key, int defaultValue) {
         return section.value(key, defaultValue, t -> {
             try {
-                int n = new BigDecimal(t).movePointRight(6).intValueExact();
-                if (n < 0 || n > Budgets.MILLION) {
+                int millionths = new BigDecimal(t).movePointRight(6).intValueExact();
+                if (millionths < 0 || millionths > Budgets.MILLION) {
                     throw new IllegalArgumentException();
                 }
-                return n;
+                return millionths;
             } catch (ArithmeticException e) {
                 throw new IllegalArgumentException(e);
             }
-        }, "is no share from 0 to 1 with six decimals at most");
+        }, "must be a share from 0 to 1 with at most six decimals");
     }
 }
--- a/src/main/java/wallmoor/config/OgcConfig.java
+++ b/src/main/java/wallmoor/config/OgcConfig.java
@@ -10,74 +10,77 @@
 import wallmoor.decision.ShardLayout;
 
 /**
- * The second front's section of the operators' file: where it listens, its collections and its inventory.
+ * The section {@code ogc} of the operators' file: the front that serves features, its collections and its inventory.
  *
- * @param base      what links begin with, or null for the host that the client named
- * @param inventory the file of feature servers
+ * @param base        the URL that links begin with, or null to use the host that the client named
+ * @param title       the title of the landing page
+ * @param inventory   the file that lists the feature servers
+ * @param layout      the layout of the shards of the feature servers
+ * @param collections the collections by id
  */
 public record OgcConfig(InetSocketAddress listen, String base, String title, Path inventory, ShardLayout layout,
         Map<String, Collection> collections) {
-    private static final String SHARD = "{shard}";
-    /** Shards and cells at most: one that is larger is a slip of the pen. */
+    private static final String SHARD_PLACEHOLDER = "{shard}";
+    /** The maximum number of shards and of cells; a larger number is taken for a typing error. */
     private static final int MAX_SHARDS = 1_000_000;
-    /** Parameters of the standard, or of what pages are asked by. */
-    private static final Set<String> RESERVED = Set.of("limit", "offset", "bbox", "datetime", "cursor", "crs", "f",
-            "filter");
-    /** Each is a parameter of the API definition, and a query may have a condition on each. */
+    /** Query parameters of the OGC API standard and of paging; a property can't have such a name. */
+    private static final Set<String> RESERVED_PARAMETERS = Set.of("limit", "offset", "bbox", "datetime",
+            "cursor", "crs", "f", "filter");
+    /** Each property is a parameter of the API definition, and a query may have a condition on each. */
     private static final int MAX_PROPERTIES = 32;
 
     /**
      * A collection of features, spread over shards.
      *
-     * @param source     the upstream collection that is a shard's share, with {shard} for its number
-     * @param queryClass the index of the class whose rules its queries keep
-     * @param properties what clients may ask for by equality, as parameters of these names
+     * @param source     the name of the upstream collection of a shard, with {shard} for the number of the shard
+     * @param queryClass the index of the class of its queries
+     * @param properties the properties that clients may filter by equality, with query parameters of these names
      */
     public record Collection(String id, String title, String description, String source, int queryClass,
             List<Integer> shards, List<String> properties) {
 
-        /** The upstream collection that is a shard's share: the region block that its servers hold. */
+        /** Returns the name of the upstream collection of a shard: the region block that its servers hold. */
         public String upstreamCollection(int shard) {
-            return source.replace(SHARD, "" + shard);
+            return source.replace(SHARD_PLACEHOLDER, "" + shard);
         }
 
-        /** Where a feature server has a shard's features. */
+        /** Returns the path of a shard's features on a feature server. */
         public String itemsPath(int shard) {
             return "/collections/" + upstreamCollection(shard) + "/items";
         }
     }
 
-    /** The section {@code ogc}, or null where it is off; faults are noted in it. */
+    /** Reads the section; returns null where it is disabled. Faults are recorded in the section. */
     static OgcConfig of(ConfigSection section, Path folder, LaunchConfig launch) {
-        boolean on = section.flag("enabled", true);
-        ShardLayout site = launch.settings().layout();
-        var layout = new ShardLayout(section.integer("shards", site.shards(), 1, MAX_SHARDS),
-                section.integer("cells", site.cells(), 1, MAX_SHARDS),
-                section.integer("reach", site.cellsPerShard(), 1, MAX_SHARDS));
+        boolean isEnabled = section.flag("enabled", true);
+        ShardLayout defaults = launch.settings().layout();
+        var layout = new ShardLayout(section.integer("shards", defaults.shards(), 1, MAX_SHARDS),
+                section.integer("cells", defaults.cells(), 1, MAX_SHARDS),
+                section.integer("reach", defaults.cellsPerShard(), 1, MAX_SHARDS));
         if (layout.cellsPerShard() > layout.cells()) {
             section.addFault("reach", "must be at most cells");
         }
         var collections = new LinkedHashMap<String, Collection>();
-        ConfigSection all = section.section("collections");
-        for (String id : all.keys()) {
+        ConfigSection collectionsSection = section.section("collections");
+        for (String id : collectionsSection.keys()) {
             if (!id.matches("[A-Za-z0-9_-]{1,64}")) {
-                all.addFault(id, "is no name for a path");
+                collectionsSection.addFault(id, "must be 1 to 64 letters, digits, _ or -");
             }
-            collections.put(id, collection(id, all.section(id), layout, launch));
+            collections.put(id, collection(id, collectionsSection.section(id), layout, launch));
         }
         if (collections.isEmpty()) {
             section.addFault("collections", "is absent or empty");
         }
         String base = section.text("base", null);
         if (base != null && !base.matches("https?://[!-~]+[^/]")) {
-            section.addFault("base", "is no URL without a slash at its end: " + base);
+            section.addFault("base", "must be an HTTP URL without a slash at its end, not " + base);
         }
         section.requiredText("listen");
         InetSocketAddress listen = section.address("listen");
         var config = new OgcConfig(listen, base, section.text("title", launch.name()),
                 folder.resolve(section.requiredText("inventory")), layout, collections);
         section.reportUnknownKeys();
-        return on ? config : null;
+        return isEnabled ? config : null;
     }
 
     private static Collection collection(String id, ConfigSection section, ShardLayout layout, LaunchConfig launch) {
@@ -89,30 +92,31 @@
         for (String text : section.texts("shards")) {
             if (!text.matches("[0-9]{1,6}") || Integer.parseInt(text) >= layout.shards()
                     || shards.contains(Integer.valueOf(text))) {
-                section.addFault("shards", "holds no shard, or one twice: " + text);
+                section.addFault("shards", "contains an unknown or duplicate shard: " + text);
             } else {
                 shards.add(Integer.valueOf(text));
             }
         }
         if (shards.isEmpty()) {
-            section.addFault("shards", "is absent, empty or no list");
+            section.addFault("shards", "is absent, empty or not a list");
         }
-        String source = section.text("source", id + "-" + SHARD);
-        if (!source.replace(SHARD, "").matches("[A-Za-z0-9._-]*") || (shards.size() > 1 && !source.contains(SHARD))) {
-            section.addFault("source", "must be a name with " + SHARD + ": " + source);
+        String source = section.text("source", id + "-" + SHARD_PLACEHOLDER);
+        if (!source.replace(SHARD_PLACEHOLDER, "").matches("[A-Za-z0-9._-]*")
+                || (shards.size() > 1 && !source.contains(SHARD_PLACEHOLDER))) {
+            section.addFault("source", "must be a name with " + SHARD_PLACEHOLDER + ", not " + source);
         }
         List<String> properties = section.texts("properties");
         if (properties.size() > MAX_PROPERTIES || Set.copyOf(properties).size() < properties.size()) {
-            section.addFault("properties", "holds more than " + MAX_PROPERTIES + ", or one twice");
+            section.addFault("properties", "has more than " + MAX_PROPERTIES + " items or a duplicate");
         }
         for (String name : properties) {
-            if (!name.matches("[A-Za-z_][A-Za-z0-9_.-]{0,63}") || RESERVED.contains(name)) {
-                section.addFault("properties", "holds what can be no parameter of its own: " + name);
+            if (!name.matches("[A-Za-z_][A-Za-z0-9_.-]{0,63}") || RESERVED_PARAMETERS.contains(name)) {
+                section.addFault("properties", "contains a name that cannot be a query parameter: " + name);
             }
         }
-        var made = new Collection(id, section.text("title", id), section.text("description", ""), source, queryClass,
-                List.copyOf(shards), List.copyOf(properties));
+        var collection = new Collection(id, section.text("title", id), section.text("description", ""), source,
+                queryClass, List.copyOf(shards), List.copyOf(properties));
         section.reportUnknownKeys();
-        return made;
+        return collection;
     }
 }
--- a/src/main/java/wallmoor/config/OperatorConfig.java
+++ b/src/main/java/wallmoor/config/OperatorConfig.java
@@ -10,35 +10,37 @@
 import java.util.Set;
 
 /**
- * The operators' own file, for all that the platform does not set: sources of nodes, further fronts, logging. It is
- * YAML, read and checked whole; every fault is told with its key's path and its line. {@code WALLMOOR_OPERATOR} names
- * it. Where none is named the program is as the platform knows it, and nothing of this costs anything.
+ * The operators' file, for all settings that the platform does not have: sources of nodes, additional fronts, logging.
+ * It is YAML; it is read and checked completely, and each fault is reported with the path and the line of its key.
+ * {@code WALLMOOR_OPERATOR} names the file. Without one the program does only what the platform expects, at no
+ * additional cost.
  *
- * @param inventory a file of calendar nodes, or null
- * @param dns       null where DNS is not asked
- * @param ogc       the second front, or null where it is off
+ * @param list      the node list of discovery
+ * @param inventory the file of calendar nodes, or null
+ * @param dns       DNS as a source, or null where it is off
+ * @param ogc       the front that serves features, or null where it is off
  * @param edge      the front for devices, or null where it is off
  * @param fleet     the group of gatherers, or null where it is off
- * @param summaries what feature servers promise, or null where they are not asked
- * @param rules     what they agree on, or null where it is off
+ * @param summaries the use of feature servers' summaries, or null where it is off
+ * @param rules     the agreement on rules among the gatherers, or null where it is off
  */
 public record OperatorConfig(NodeList list, InventoryFile inventory, Dns dns, OgcConfig ogc, EdgeConfig edge,
         FleetConfig fleet, SummariesConfig summaries, RulesConfig rules, LogConfig logging) {
-    /** Packages by the name they had before, which operators' files may still have under {@code logging.levels}. */
+    /** New names of packages by their former names, which {@code logging.levels} may still have. */
     private static final Map<String, String> RENAMED_PACKAGES = Map.of("membership", "endpoints", "versions", "rules",
             "agreement", "consensus", "exchange", "idempotency", "moves", "migration", "prune", "pruning", "model",
             "simulation", "figures", "metrics");
 
-    /** Nodes of one source at most: a record of each takes about a kilobyte, so that all fit a small heap. */
+    /** The maximum number of nodes of one source. A node takes about a kilobyte, so that all fit a small heap. */
     public static final int MAX_NODES = 20_000;
     private static final int MAX_BYTES = 1 << 20;
     private static final int MAX_NAMES = 64;
     private static final long DAY_MILLIS = 86_400_000;
 
     /**
-     * The node list by discovery's watch.
+     * The node list that discovery's watch delivers.
      *
-     * @param maxAgeMillis milliseconds that it stands when it can't be had; 0 for ever
+     * @param maxAgeMillis how long the last list is used while discovery can't be reached; 0 is for ever
      */
     public record NodeList(boolean enabled, long maxAgeMillis) {}
 
@@ -48,47 +50,47 @@
     /**
      * A name that has SRV records.
      *
-     * @param cell the cell of all its nodes, or -1 where their TXT records tell
+     * @param cell the cell of all its nodes, or -1 if their TXT records give it
      */
     public record DnsName(String name, int cell) {}
 
     /**
-     * DNS as a source. Times are milliseconds.
+     * DNS as a source.
      *
-     * @param maxAgeMillis     how long the last good answer stands when no server gives one
-     * @param minTtlMillis    a shorter lifetime counts as this one
-     * @param maxTtlMillis     a longer one as this
-     * @param timeoutMillis for one try at one server
-     * @param maxRecords SRV records, and nodes, at most
-     * @param maxLeavingShare the share of the nodes that may leave within a step on DNS's word alone
+     * @param maxAgeMillis    how long the last good answer is used while no server gives one
+     * @param minTtlMillis    the minimum of a TTL; a shorter one is raised to it
+     * @param maxTtlMillis    the maximum of a TTL; a longer one is lowered to it
+     * @param timeoutMillis   the timeout of one attempt at one server
+     * @param maxRecords      the maximum number of SRV records, and of nodes
+     * @param maxLeavingShare the maximum share of the nodes that may leave in one step on the word of DNS alone
      */
     public record Dns(List<InetSocketAddress> servers, List<DnsName> names, long maxAgeMillis, long minTtlMillis,
             long maxTtlMillis, long timeoutMillis, int maxRecords, double maxLeavingShare) {}
 
-    /** The log: readable or JSON lines, and its levels by package. */
+    /** The log: text or JSON lines, and the levels by logger name. */
     public record LogConfig(boolean json, Map<String, String> levels) {}
 
-    /** What holds without a file. */
+    /** Returns the configuration that applies without a file. */
     public static OperatorConfig defaults() {
         return new OperatorConfig(new NodeList(true, 0), null, null, null, null, null, null, null,
                 new LogConfig(false, Map.of()));
     }
 
-    /** Whether the node list is the only source of calendar nodes. */
+    /** Returns whether the node list is the only source of calendar nodes. */
     public boolean isListOnly() {
         return list.enabled() && inventory == null && dns == null;
     }
 
-    /** Reads the file that the environment names, or gives what holds without one. */
+    /** Reads the file that the environment names, or returns the defaults where it names none. */
     public static OperatorConfig read(Map<String, String> env, LaunchConfig launch) {
-        String named = env.get("WALLMOOR_OPERATOR");
-        return named == null || named.isEmpty() ? defaults() : read(Path.of(named), launch);
+        String file = env.get("WALLMOOR_OPERATOR");
+        return file == null || file.isEmpty() ? defaults() : read(Path.of(file), launch);
     }
 
     /**
      * Reads a file.
      *
-     * @throws ConfigException with all faults in its message, one a line
+     * @throws ConfigException with all faults in its message, one per line
      */
     public static OperatorConfig read(Path file, LaunchConfig launch) {
         var faults = new ArrayList<ConfigSection.Fault>();
@@ -107,17 +109,17 @@
         InventoryFile inventory = null;
         if (sources.has("inventory")) {
             ConfigSection section = sources.section("inventory");
-            boolean on = section.flag("enabled", true);
+            boolean isEnabled = section.flag("enabled", true);
             Path path = folder.resolve(section.requiredText("file"));
             section.reportUnknownKeys();
-            inventory = on ? new InventoryFile(path) : null;
+            inventory = isEnabled ? new InventoryFile(path) : null;
         }
         Dns dns = sources.has("dns") ? dns(sources.section("dns"), launch) : null;
         sources.section("inventory");
         sources.section("dns");
         sources.reportUnknownKeys();
         if (!nodeList.enabled() && inventory == null && dns == null) {
-            root.addFault("sources", "holds none that is enabled");
+            root.addFault("sources", "has no enabled source");
         }
         OgcConfig ogc = root.has("ogc") ? OgcConfig.of(root.section("ogc"), folder, launch) : null;
         root.section("ogc");
@@ -128,7 +130,7 @@
         SummariesConfig summaries = root.has("summaries") ? SummariesConfig.of(root.section("summaries")) : null;
         root.section("summaries");
         if (summaries != null && ogc == null) {
-            root.addFault("summaries", "needs the section ogc, whose feature servers promise them");
+            root.addFault("summaries", "needs the section ogc, whose feature servers provide them");
         }
         RulesConfig rules = root.has("rules") ? RulesConfig.of(root.section("rules"), folder, launch) : null;
         root.section("rules");
@@ -138,10 +140,11 @@
     }
 
     private static Dns dns(ConfigSection section, LaunchConfig launch) {
-        boolean on = section.flag("enabled", true);
+        boolean isEnabled = section.flag("enabled", true);
         List<InetSocketAddress> servers = section.addresses("servers");
         if (servers.isEmpty()) {
-            section.addFault("servers", "is absent, empty or holds no address: no system's resolver is asked instead");
+            section.addFault("servers",
+                    "is absent, empty or has no valid address; the system's resolver is not used instead");
         }
         var names = new ArrayList<DnsName>();
         Set<String> seen = new HashSet<>();
@@ -149,13 +152,13 @@
             String name = item.requiredText("name");
             int cell = item.integer("cell", -1, 0, launch.settings().layout().cells() - 1);
             if (!name.isEmpty() && (!name.matches("[!-~]{1,253}") || !seen.add(name))) {
-                item.addFault("name", "is no name, or stands twice: " + name);
+                item.addFault("name", "is not a valid name, or a duplicate: " + name);
             }
             item.reportUnknownKeys();
             names.add(new DnsName(name, cell));
         }
         if (names.size() > MAX_NAMES) {
-            section.addFault("names", "holds more than " + MAX_NAMES + ": each has a thread of its own");
+            section.addFault("names", "has more than " + MAX_NAMES + " items; each has its own thread");
         }
         if (names.isEmpty()) {
             section.addFault("names", "is absent or empty");
@@ -171,32 +174,32 @@
             section.addFault("least_ttl", "is longer than most_ttl");
         }
         section.reportUnknownKeys();
-        return on ? dns : null;
+        return isEnabled ? dns : null;
     }
 
     private static LogConfig logging(ConfigSection section) {
-        boolean json = section.value("format", false, t -> switch (t) {
+        boolean isJson = section.value("format", false, t -> switch (t) {
             case "text" -> false;
             case "json" -> true;
             default -> throw new IllegalArgumentException();
-        }, "is neither text nor json");
+        }, "must be text or json");
         var levels = new LinkedHashMap<String, String>();
-        ConfigSection each = section.section("levels");
-        for (String name : each.keys()) {
-            String level = each.value(name, "INFO", t -> {
+        ConfigSection levelSection = section.section("levels");
+        for (String name : levelSection.keys()) {
+            String level = levelSection.value(name, "INFO", t -> {
                 String upper = t.toUpperCase(java.util.Locale.ROOT);
                 if (!Set.of("TRACE", "DEBUG", "INFO", "WARN", "ERROR", "OFF").contains(upper)) {
                     throw new IllegalArgumentException();
                 }
                 return upper;
-            }, "is none of trace, debug, info, warn, error and off");
+            }, "must be trace, debug, info, warn, error or off");
             levels.put(loggerName(name), level);
         }
         section.reportUnknownKeys();
-        return new LogConfig(json, Map.copyOf(levels));
+        return new LogConfig(isJson, Map.copyOf(levels));
     }
 
-    /** The logger that a key of {@code logging.levels} names; packages may be named as they were called before. */
+    /** Returns the name of the logger for a key of {@code logging.levels}; a former package name is replaced. */
     private static String loggerName(String key) {
         if (key.equals("root")) {
             return "ROOT";
--- a/src/main/java/wallmoor/config/RebalanceFile.java
+++ b/src/main/java/wallmoor/config/RebalanceFile.java
@@ -14,60 +14,60 @@
 import wallmoor.placement.StorageNode;
 
 /**
- * The file that {@code rebalance plan} reads: nodes, the blocks they hold, and what is asked of their placement. It is
- * YAML, read and checked whole; every fault is told with its key's path and its line.
+ * The file that {@code rebalance plan} reads: the nodes, the blocks they hold, and the constraints on the placement. It
+ * is YAML; it is read and checked completely, and each fault is reported with the path and the line of its key.
  */
 public final class RebalanceFile {
-    /** What plans were measured with, several times over; a larger fleet is better planned in parts. */
+    /** Several times the size for which planning was measured; a larger fleet is better planned in parts. */
     public static final int MAX_NODES = 1_000;
     public static final int MAX_BLOCKS = 50_000;
-    /** Of so many blocks, each in some 300 characters. */
+    /** The maximum size of the file: that many blocks, with some 300 characters for each. */
     private static final int MAX_BYTES = 16 << 20;
     private static final long DAY_MILLIS = 86_400_000;
 
     private RebalanceFile() {}
 
     /**
-     * How the moves of a file are carried out.
+     * Parameters of the migration: how the moves of a plan are carried out.
      *
-     * @param addresses of nodes, host:port; those without one can't be asked
-     * @param atOnce    moves at once
-     * @param longestQueryMillis a query ends within it; where gatherers agree on the plan, {@code settle} covers it and
-     *                  the term
+     * @param addresses          the addresses of the nodes by id, as host:port; a node without one can't be contacted
+     * @param atOnce             the maximum number of concurrent moves
+     * @param longestQueryMillis the longest duration of a query; where gatherers agree on the plan, {@code settle} must
+     *                           cover it and the term
+     * @param retryMillis        the delay before a request or a proposal is repeated
      */
     public record MigrationConfig(Map<String, String> addresses, int atOnce, double mbPerSecond, int chunkKb,
-            long settleMillis,
-            long longestQueryMillis, long patienceMillis, long retryMillis) {}
+            long settleMillis, long longestQueryMillis, long patienceMillis, long retryMillis) {}
 
-    /** All that a file says. */
+    /** The content of a file. */
     public record RebalancePlanInput(PlacementProblem problem, MigrationConfig migration) {}
 
     /**
      * Reads a file.
      *
-     * @throws ConfigException with all faults in its message, one a line
+     * @throws ConfigException with all faults in its message, one per line
      */
     public static PlacementProblem read(Path file) {
         return readPlanInput(file).problem();
     }
 
     /**
-     * Reads a file, with how its moves are carried out.
+     * Reads a file, with the parameters of the migration.
      *
-     * @throws ConfigException with all faults in its message, one a line
+     * @throws ConfigException with all faults in its message, one per line
      */
     public static RebalancePlanInput readPlanInput(Path file) {
         var faults = new ArrayList<ConfigSection.Fault>();
         var root = new ConfigSection("", YamlFile.compose(file, MAX_BYTES), faults);
         int headroom = millionths(root, "headroom", PlacementProblem.MILLION - 1, 0);
-        FailureDomain spread = present(root, "spread") ? root.value("spread", FailureDomain.CELL, t -> switch (t) {
+        FailureDomain spread = isPresent(root, "spread") ? root.value("spread", FailureDomain.CELL, t -> switch (t) {
             case "cell" -> FailureDomain.CELL;
             case "node" -> FailureDomain.NODE;
             default -> throw new IllegalArgumentException();
-        }, "is neither cell nor node") : FailureDomain.CELL;
+        }, "must be cell or node") : FailureDomain.CELL;
         int level = root.has("level") ? millionths(root, "level", PlacementProblem.MILLION, 0)
                 : PlacementProblem.NO_LEVEL;
-        root.text("level", ""); // known, also where it is absent
+        root.text("level", ""); // makes the key known where it is absent
         var addresses = new TreeMap<String, String>();
         List<StorageNode> nodes = nodes(root, headroom, spread, addresses);
         List<BlockReplicas> blocks = blocks(root, nodes);
@@ -93,45 +93,46 @@
             String cell = spread == FailureDomain.CELL ? section.requiredText("cell") : section.text("cell", "");
             long disk = megabytes(section, "disk_mb");
             if (disk * (PlacementProblem.MILLION - headroom) < PlacementProblem.MILLION) {
-                section.addFault("disk_mb", "has not a megabyte beside its headroom");
+                section.addFault("disk_mb", "leaves less than one megabyte besides the headroom");
             }
             nodes.add(new StorageNode(id, cell, disk, section.flag("drain", false)));
             if (section.address("address") != null) {
                 addresses.put(id, section.text("address", ""));
             }
-            section.text("address", ""); // known, also where it is absent
+            section.text("address", ""); // makes the key known where it is absent
             section.reportUnknownKeys();
         }
         return nodes;
     }
 
     private static List<BlockReplicas> blocks(ConfigSection root, List<StorageNode> nodes) {
-        Set<String> known = new HashSet<>();
-        nodes.forEach(n -> known.add(n.id()));
+        Set<String> nodeIds = new HashSet<>();
+        nodes.forEach(n -> nodeIds.add(n.id()));
         List<BlockReplicas> blocks = new ArrayList<>();
         Set<String> ids = new HashSet<>();
         for (ConfigSection section : root.nonEmptySections("blocks", MAX_BLOCKS)) {
             String id = section.uniqueId(ids);
             long mb = megabytes(section, "mb");
-            List<String> on = section.texts("on");
-            if (on.isEmpty()) {
-                section.addFault("on", "is absent or empty: a block without a whole copy can't be moved");
+            List<String> holders = section.texts("on");
+            if (holders.isEmpty()) {
+                section.addFault("on", "is absent or empty; a block without a complete copy can't be moved");
             }
-            Set<String> own = new HashSet<>();
-            for (String node : on) {
-                if (!known.contains(node)) {
-                    section.addFault("on", "names a node that is not there: " + node);
-                } else if (!own.add(node)) {
+            Set<String> seen = new HashSet<>();
+            for (String node : holders) {
+                if (!nodeIds.contains(node)) {
+                    section.addFault("on", "names a node that is not in nodes: " + node);
+                } else if (!seen.add(node)) {
                     section.addFault("on", "names a node twice: " + node);
                 }
             }
             section.reportUnknownKeys();
-            blocks.add(new BlockReplicas(id, mb, on));
+            blocks.add(new BlockReplicas(id, mb, holders));
         }
         return blocks;
     }
 
-    private static boolean present(ConfigSection section, String key) {
+    /** Returns whether a required key is there; its absence is a fault. */
+    private static boolean isPresent(ConfigSection section, String key) {
         if (!section.has(key)) {
             section.addFault(key, "is absent");
         }
@@ -139,24 +140,24 @@
     }
 
     private static long megabytes(ConfigSection section, String key) {
-        return present(section, key) ? section.integer(key, 1, 1, (int) PlacementProblem.MOST_MB)
+        return isPresent(section, key) ? section.integer(key, 1, 1, (int) PlacementProblem.MOST_MB)
                 : section.integer(key, 1, 1, 1);
     }
 
-    /** A share as millionths. */
-    private static int millionths(ConfigSection section, String key, int most, int defaultValue) {
-        present(section, key);
+    /** Returns a share in millionths. */
+    private static int millionths(ConfigSection section, String key, int max, int defaultValue) {
+        isPresent(section, key);
         return section.value(key, defaultValue, t -> {
             try {
-                int n = new BigDecimal(t).movePointRight(6).intValueExact();
-                if (n < 0 || n > most) {
+                int millionths = new BigDecimal(t).movePointRight(6).intValueExact();
+                if (millionths < 0 || millionths > max) {
                     throw new IllegalArgumentException();
                 }
-                return n;
+                return millionths;
             } catch (ArithmeticException e) {
                 throw new IllegalArgumentException(e);
             }
-        }, "is no share from 0 to " + BigDecimal.valueOf(most, 6).stripTrailingZeros().toPlainString()
-                + " with six decimals at most");
+        }, "must be a share from 0 to " + BigDecimal.valueOf(max, 6).stripTrailingZeros().toPlainString()
+                + " with at most six decimals");
     }
 }
--- a/src/main/java/wallmoor/config/RulesConfig.java
+++ b/src/main/java/wallmoor/config/RulesConfig.java
@@ -7,14 +7,15 @@
 import java.util.TreeMap;
 
 /**
- * What all gatherers agree on, section {@code rules} of the operators' file. Off where the section is absent, and on
- * the platform.
+ * The section {@code rules} of the operators' file: the agreement of all gatherers on rules. It is disabled where the
+ * section is absent, and on the platform.
  *
- * @param voters    where each voter is reached, by its name; 3 or 5, the same names everywhere
- * @param listen    of a voter, where it listens; null for any other gatherer
- * @param term      milliseconds: no two act on contradicting versions for longer; the same everywhere
- * @param directory what is kept over a restart; null where nothing is, which a voter must not
- * @param control   on loopback, where the command line asks and proposes; null where it may not
+ * @param voters    the addresses of the 3 or 5 voters by name; the names must be the same on all gatherers
+ * @param listen    the listening address of a voter; null for any other gatherer
+ * @param term      the longest time, in milliseconds, for which two gatherers may act on contradicting versions;
+ *                  must be the same on all gatherers
+ * @param directory the directory of the state that survives a restart; may be null, but not for a voter
+ * @param control   the loopback address where the command line queries and proposes; null where it is off
  */
 public record RulesConfig(SortedMap<String, InetSocketAddress> voters, InetSocketAddress listen, long term,
         Path directory,
@@ -23,18 +24,20 @@
     private static final int LARGE_VOTER_COUNT = 5;
     private static final long HOUR_MILLIS = 3_600_000;
 
-    /** Keeps a copy that nobody changes. */
+    /** Stores an immutable copy of the voters. */
     public RulesConfig {
         voters = Collections.unmodifiableSortedMap(new TreeMap<>(voters));
     }
 
+    /** Reads the section; returns null where it is disabled. Faults are recorded in the section. */
     static RulesConfig of(ConfigSection section, Path folder, LaunchConfig launch) {
-        boolean on = section.flag("enabled", true);
+        boolean isEnabled = section.flag("enabled", true);
         ConfigSection voterSection = section.section("voters");
         SortedMap<String, InetSocketAddress> voters = voters(voterSection);
         if (voterSection.keys().size() != SMALL_VOTER_COUNT && voterSection.keys().size() != LARGE_VOTER_COUNT) {
             section.addFault("voters",
-                    "names " + voterSection.keys().size() + " voters: it must be 3 or 5, each with its ADDRESS:PORT");
+                    "names " + voterSection.keys().size()
+                            + " voters, but must name 3 or 5, each with its ADDRESS:PORT");
         }
         boolean isVoter = voterSection.keys().contains(launch.name());
         InetSocketAddress listen = section.address("listen");
@@ -43,15 +46,15 @@
         }
         Path directory = section.has("directory") ? folder.resolve(section.requiredText("directory")) : null;
         if (isVoter && directory == null) {
-            section.addFault("directory", "is absent: a voter that forgets what it voted breaks the promise");
+            section.addFault("directory", "is absent; a voter must not forget its votes in a restart");
         }
         InetSocketAddress control = section.address("control");
         if (control != null && !control.getAddress().isLoopbackAddress()) {
-            section.addFault("control", "is no address of this machine alone: " + section.text("control", ""));
+            section.addFault("control", "must be a loopback address, not " + section.text("control", ""));
         }
         long term = section.durationMillis("term", 5_000, 500, HOUR_MILLIS);
         section.reportUnknownKeys();
-        return on
+        return isEnabled
                 ? new RulesConfig(voters, isVoter && listen == null ? voters.get(launch.name()) : listen, term,
                         directory, control)
                 : null;
@@ -62,7 +65,7 @@
         for (String name : voterSection.keys()) {
             InetSocketAddress address = voterSection.address(name);
             if (!name.matches("[!-~]{1,64}")) {
-                voterSection.addFault(name, "is no name of 1 to 64 letters");
+                voterSection.addFault(name, "must be 1 to 64 printable ASCII characters without spaces");
             } else if (address != null) {
                 voters.put(name, address);
             }
--- a/src/main/java/wallmoor/config/SettingsFlattener.java
+++ b/src/main/java/wallmoor/config/SettingsFlattener.java
@@ -6,10 +6,14 @@
 import java.util.StringJoiner;
 import wallmoor.json.Json;
 
-/** Flattens nested JSON to the paths of the simulator's START: plain lists joined by commas, other lists counted. */
+/**
+ * Flattens nested JSON to the paths of the simulator's START. The items of a list of scalars are joined by commas; a
+ * list of objects becomes a count and one path per index.
+ */
 final class SettingsFlattener {
     private SettingsFlattener() {}
 
+    /** Returns the values by path. */
     static Map<String, String> of(Json.Obj settings) {
         var pairs = new HashMap<String, String>();
         settings.members().forEach((name, value) -> put(pairs, name, value));
@@ -25,15 +29,15 @@
                 put(pairs, path + "." + i, list.get(i));
             }
         } else if (value instanceof List<?> list) {
-            var joined = new StringJoiner(","); // a collector would have the JDK spin classes at each start
-            list.forEach(v -> joined.add(plain(v)));
+            var joined = new StringJoiner(","); // a collector would make the JDK generate classes at each start
+            list.forEach(v -> joined.add(scalar(v)));
             pairs.put(path, joined.toString());
         } else if (value != null) {
-            pairs.put(path, plain(value));
+            pairs.put(path, scalar(value));
         }
     }
 
-    private static String plain(Object value) {
+    private static String scalar(Object value) {
         return value instanceof String s ? s.replace(' ', '_').replace(',', '_') : String.valueOf(value);
     }
 }
--- a/src/main/java/wallmoor/config/YamlFile.java
+++ b/src/main/java/wallmoor/config/YamlFile.java
@@ -10,38 +10,39 @@
 import org.yaml.snakeyaml.error.YAMLException;
 import org.yaml.snakeyaml.nodes.Node;
 
-/** A file of YAML as nodes that know their lines, and what is told of its faults. */
+/** Reads a YAML file as nodes with line numbers, and reports the faults found in it. */
 final class YamlFile {
     private YamlFile() {}
 
     /**
      * Reads a file.
      *
-     * @throws ConfigException where it can't be read, is larger than {@code mostBytes}, or is no YAML
+     * @throws ConfigException if the file can't be read, is larger than {@code maxBytes}, or is not valid YAML
      */
-    static Node compose(Path file, int mostBytes) {
+    static Node compose(Path file, int maxBytes) {
         try {
-            if (Files.size(file) > mostBytes) {
-                throw new ConfigException(file.toString(), file + " is larger than " + mostBytes + " bytes");
+            if (Files.size(file) > maxBytes) {
+                throw new ConfigException(file.toString(), file + " is larger than " + maxBytes + " bytes");
             }
             var options = new LoaderOptions();
-            options.setCodePointLimit(mostBytes);
+            options.setCodePointLimit(maxBytes);
             return new Yaml(options).compose(new java.io.StringReader(Files.readString(file)));
         } catch (IOException e) {
-            throw new ConfigException(file.toString(), file + " can't be read: " + e);
+            throw new ConfigException(file.toString(), file + " cannot be read: " + e);
         } catch (MarkedYAMLException e) {
             int line = e.getProblemMark() == null ? 0 : e.getProblemMark().getLine() + 1;
-            throw new ConfigException(file.toString(), file + ": line " + line + ": is no YAML: " + e.getProblem());
+            throw new ConfigException(file.toString(),
+                    file + ": line " + line + ": is not valid YAML: " + e.getProblem());
         } catch (YAMLException e) {
             throw new ConfigException(file.toString(),
-                    file + ": is no YAML: " + e.getMessage().replaceAll("\\s+", " "));
+                    file + ": is not valid YAML: " + e.getMessage().replaceAll("\\s+", " "));
         }
     }
 
     /**
-     * Ends well where there are no faults.
+     * Does nothing if there are no faults.
      *
-     * @throws ConfigException with all of them in its message, one a line
+     * @throws ConfigException with all faults in its message, one per line, in the order of the lines of the file
      */
     static void throwIfFaulty(Path file, List<ConfigSection.Fault> faults) {
         if (!faults.isEmpty()) {
--- a/src/main/java/wallmoor/config/package-info.java
+++ b/src/main/java/wallmoor/config/package-info.java
@@ -1,4 +1,4 @@
 /**
- * Every setting, read and checked in one place. A fault names its key; nothing is applied of a file that has one.
+ * Reads and checks all settings in one place. A fault names its key; a file with a fault is not applied at all.
  */
 package wallmoor.config;
--- a/src/main/java/wallmoor/log/LogbackProvider.java
+++ b/src/main/java/wallmoor/log/LogbackProvider.java
@@ -9,12 +9,12 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Logback without its search for a configuration: that search, and the messages it puts together about itself, are most
- * of what Logback costs a start (45 ms of processor time where the rest is 20). `Main` names this class to SLF4J.
+ * Provides Logback to SLF4J without its search for a configuration. That search, with Logback's own status messages,
+ * takes 45 ms of processor time at the start, and the rest of Logback 20 ms. {@code Main} names this class to SLF4J.
  */
 public final class LogbackProvider implements SLF4JServiceProvider {
-    /** The version of SLF4J's interface that this was written to. */
-    private static final String API = "2.0.99";
+    /** The version of the SLF4J API that this class implements. */
+    private static final String API_VERSION = "2.0.99";
 
     private final LoggerContext context = new LoggerContext();
     private final IMarkerFactory markers = new BasicMarkerFactory();
@@ -24,7 +24,7 @@
     public void initialize() {
         context.setName("default");
         context.setMDCAdapter(adapter);
-        Logging.begin(context);
+        Logging.configureDefaults(context);
         context.start();
     }
 
@@ -45,6 +45,6 @@
 
     @Override
     public String getRequestedApiVersion() {
-        return API;
+        return API_VERSION;
     }
 }
--- a/src/main/java/wallmoor/log/Logging.java
+++ b/src/main/java/wallmoor/log/Logging.java
@@ -19,25 +19,23 @@
 import wallmoor.config.OperatorConfig.LogConfig;
 
 /**
- * Sets Logback up, by code: its XML would cost a start the parser. Readable lines on standard error until a
- * configuration is applied, then as that says.
+ * Configures Logback in code, as an XML configuration would load a parser at each start. Writes text lines to standard
+ * error until a configuration is applied, and follows the configuration from then on.
  */
 public final class Logging extends ContextAwareBase implements Configurator {
-    /** Of lines of one form so many pass in ten seconds: a fault that repeats with each query must not be the load. */
-    private static final int MOST_ALIKE = 20;
-    private static final long PERIOD_MILLIS = 10_000;
+    /** The lines of one form that pass in a period, so that a fault that repeats with each query causes no load. */
+    private static final int MAX_SIMILAR_LINES = 20;
+    private static final long REPEAT_PERIOD_MILLIS = 10_000;
     /**
-     * The name of the marker of lines that are never held back: each says what holds from now on, so that without the
-     * last of them an old state would stand in the log as the present one.
+     * The name of the marker of lines that are never suppressed. Each reports a state that is valid from now on;
+     * without the last one, the log would show an outdated state as the current one.
      */
     public static final String STATE = "state";
-    /** Libraries that tell of each endpoint they open, and of each step of an election. */
-    private static final String[] TALKATIVE = {"org.eclipse.californium", "io.microraft"};
+    /** Libraries that log each endpoint they open, or each step of an election; their level is WARN by default. */
+    private static final String[] VERBOSE_LIBRARIES = {"org.eclipse.californium", "io.microraft"};
 
-    /**
-     * Readable lines. Logback's patterns would do, but reading one costs a start a tenth of a second on half a core.
-     */
-    private static final class ReadableLayout extends LayoutBase<ILoggingEvent> {
+    /** Formats text lines. A Logback pattern would do, but parsing one delays the start by 0.1 s on half a core. */
+    private static final class TextLayout extends LayoutBase<ILoggingEvent> {
         @Override
         public String doLayout(ILoggingEvent event) {
             String logger = event.getLoggerName();
@@ -52,9 +50,9 @@
         }
     }
 
-    /** Drops lines that repeat too often, whatever their numbers and names. */
+    /** Drops lines that repeat too often, no matter which numbers and names they contain. */
     private static final class RepeatFilter extends TurboFilter {
-        private final RepeatLimiter repeats = new RepeatLimiter(MOST_ALIKE, PERIOD_MILLIS);
+        private final RepeatLimiter limiter = new RepeatLimiter(MAX_SIMILAR_LINES, REPEAT_PERIOD_MILLIS);
 
         @Override
         public FilterReply decide(Marker marker, Logger logger, Level level, String format, Object[] params,
@@ -63,90 +61,91 @@
                     || !level.isGreaterOrEqual(logger.getEffectiveLevel())) {
                 return FilterReply.NEUTRAL;
             }
-            int held;
-            synchronized (repeats) {
-                held = repeats.pass(System.currentTimeMillis(), logger.getName() + form(format, params));
+            int suppressed;
+            synchronized (limiter) {
+                suppressed = limiter.pass(System.currentTimeMillis(), logger.getName() + form(format, params));
             }
-            if (held < 0) {
+            if (suppressed < 0) {
                 return FilterReply.DENY;
             }
-            if (held > 0) {
+            if (suppressed > 0) {
                 if (level.isGreaterOrEqual(Level.WARN)) {
-                    logger.warn("{} lines like the next were held back", held);
+                    logger.warn("lines like the next one were suppressed: count={}", suppressed);
                 } else {
-                    logger.info("{} lines like the next were held back", held);
+                    logger.info("lines like the next one were suppressed: count={}", suppressed);
                 }
             }
             return FilterReply.NEUTRAL;
         }
 
-        /** A line's form: its pattern, or where it has none its text without numbers. */
+        /** Returns the form of a line: its pattern, or its text with # for each number if it has no arguments. */
         private static String form(String format, Object[] params) {
             if (params != null) {
                 return format;
             }
             var form = new StringBuilder(format.length());
-            boolean number = false;
+            boolean isNumber = false;
             for (int i = 0; i < format.length(); i++) {
                 char c = format.charAt(i);
                 if (c < '0' || c > '9') {
                     form.append(c);
-                } else if (!number) {
+                } else if (!isNumber) {
                     form.append('#');
                 }
-                number = c >= '0' && c <= '9';
+                isNumber = c >= '0' && c <= '9';
             }
             return form.toString();
         }
     }
 
-    /** How Logback calls it, by its service file. */
+    /** Configures a context for Logback, which finds this class by its service file. */
     @Override
     public ExecutionStatus configure(LoggerContext context) {
-        begin(context);
+        configureDefaults(context);
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 
-    /** What holds until a configuration is applied. */
-    static void begin(LoggerContext context) {
-        var limit = new RepeatFilter();
-        limit.setContext(context);
-        limit.start();
-        context.addTurboFilter(limit);
-        setUp(context, false);
+    /** Sets the configuration that applies until {@link #apply} is called. */
+    static void configureDefaults(LoggerContext context) {
+        var filter = new RepeatFilter();
+        filter.setContext(context);
+        filter.start();
+        context.addTurboFilter(filter);
+        setAppender(context, false);
     }
 
-    /** Applies a configuration; what it does not name has the level INFO. */
+    /** Applies a configuration; loggers that it doesn't name get the level INFO. */
     public static void apply(LogConfig config) {
         var context = (LoggerContext) LoggerFactory.getILoggerFactory();
         if (config.json() != Boolean.TRUE.equals(context.getObject("json"))) {
-            setUp(context, config.json());
+            setAppender(context, config.json());
         }
         context.getLoggerList()
                 .forEach(l -> l.setLevel(l.getName().equals(Logger.ROOT_LOGGER_NAME) ? Level.INFO : null));
-        for (String library : TALKATIVE) {
+        for (String library : VERBOSE_LIBRARIES) {
             context.getLogger(library).setLevel(Level.WARN);
         }
         config.levels().forEach((name, level) -> context.getLogger(name).setLevel(Level.toLevel(level)));
     }
 
-    private static void setUp(LoggerContext context, boolean json) {
+    /** Replaces the appender of the root logger, and resets the levels to their defaults. */
+    private static void setAppender(LoggerContext context, boolean isJson) {
         Encoder<ILoggingEvent> encoder;
-        if (json) {
-            var lines = new JsonEncoder();
-            lines.setWithSequenceNumber(false);
-            lines.setWithContext(false);
-            lines.setWithNanoseconds(false);
-            lines.setWithFormattedMessage(true);
-            lines.setWithMessage(false);
-            encoder = lines;
+        if (isJson) {
+            var jsonEncoder = new JsonEncoder();
+            jsonEncoder.setWithSequenceNumber(false);
+            jsonEncoder.setWithContext(false);
+            jsonEncoder.setWithNanoseconds(false);
+            jsonEncoder.setWithFormattedMessage(true);
+            jsonEncoder.setWithMessage(false);
+            encoder = jsonEncoder;
         } else {
-            var layout = new ReadableLayout();
+            var layout = new TextLayout();
             layout.setContext(context);
             layout.start();
-            var lines = new LayoutWrappingEncoder<ILoggingEvent>();
-            lines.setLayout(layout);
-            encoder = lines;
+            var textEncoder = new LayoutWrappingEncoder<ILoggingEvent>();
+            textEncoder.setLayout(layout);
+            encoder = textEncoder;
         }
         encoder.setContext(context);
         encoder.start();
@@ -160,9 +159,9 @@
         root.detachAndStopAllAppenders();
         root.setLevel(Level.INFO);
         root.addAppender(appender);
-        for (String library : TALKATIVE) {
+        for (String library : VERBOSE_LIBRARIES) {
             context.getLogger(library).setLevel(Level.WARN);
         }
-        context.putObject("json", json);
+        context.putObject("json", isJson);
     }
 }
--- a/src/main/java/wallmoor/log/RepeatLimiter.java
+++ b/src/main/java/wallmoor/log/RepeatLimiter.java
@@ -4,50 +4,55 @@
 import java.util.Map;
 
 /**
- * Decides whether a line of the log is one too many: of lines of the same form so many pass in a period, and the first
- * of the next period tells how many did not. No clock: callers give the time. Not safe for threads.
+ * Limits the rate of similar log lines: a fixed number of lines of one form pass in a period, and the first line that
+ * passes in the next period gets the number of those that did not. Callers pass the time. Not thread-safe.
  */
 final class RepeatLimiter {
-    /** Forms kept at most; the one not seen for longest is forgotten, which at worst lets a few more lines pass. */
-    private static final int MOST_FORMS = 512;
+    /** The maximum number of forms; dropping the least recently used one at worst lets a few more lines pass. */
+    private static final int MAX_FORMS = 512;
 
     private static final class Form {
-        long since;
+        long periodStart;
         int passed;
-        int held;
+        int suppressed;
     }
 
-    private final int most;
-    private final long period;
+    private final int maxLines;
+    private final long periodMillis;
     private final Map<String, Form> forms = new LinkedHashMap<>(64, 0.75f, true);
 
-    /** Lets {@code most} lines of a form pass in a period of so many milliseconds. */
-    RepeatLimiter(int most, long period) {
-        this.most = most;
-        this.period = period;
+    /** Creates a limiter that lets {@code maxLines} lines of a form pass in each period. */
+    RepeatLimiter(int maxLines, long periodMillis) {
+        this.maxLines = maxLines;
+        this.periodMillis = periodMillis;
     }
 
-    /** What to do with a line of this form: -1 to drop it, else how many before it were dropped. */
+    /**
+     * Records a line of a form.
+     *
+     * @param now the time in milliseconds
+     * @return -1 if the line must be dropped, else how many lines of this form were dropped since the last that passed
+     */
     int pass(long now, String form) {
-        Form f = forms.computeIfAbsent(form, k -> {
-            var made = new Form();
-            made.since = now;
-            return made;
+        Form state = forms.computeIfAbsent(form, k -> {
+            var created = new Form();
+            created.periodStart = now;
+            return created;
         });
-        if (forms.size() > MOST_FORMS) {
+        if (forms.size() > MAX_FORMS) {
             forms.remove(forms.keySet().iterator().next());
         }
-        if (now - f.since >= period) {
-            f.since = now;
-            f.passed = 0;
+        if (now - state.periodStart >= periodMillis) {
+            state.periodStart = now;
+            state.passed = 0;
         }
-        if (f.passed >= most) {
-            f.held++;
+        if (state.passed >= maxLines) {
+            state.suppressed++;
             return -1;
         }
-        f.passed++;
-        int held = f.held;
-        f.held = 0;
-        return held;
+        state.passed++;
+        int suppressed = state.suppressed;
+        state.suppressed = 0;
+        return suppressed;
     }
 }
--- a/src/main/java/wallmoor/log/package-info.java
+++ b/src/main/java/wallmoor/log/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The log: Logback set up by code, its form and levels, and the limit on repeated lines.
+ * Logging: the configuration of Logback in code, the format and the levels, and the limit on repeated lines.
  */
 package wallmoor.log;
--- a/src/test/java/wallmoor/cli/MaintenanceTest.java
+++ b/src/test/java/wallmoor/cli/MaintenanceTest.java
@@ -62,21 +62,24 @@
                 "- {id: w3, machine: a, lasts: 5m, who: ali}");
         assertEquals(2, c.code());
         List<String> lines = c.err().lines().map(l -> l.replaceFirst(".*?: (line .*)", "$1")).toList();
-        for (String fault : List.of("line 1: at: is no time in UTC", "line 3: budgets.at_once: is no whole",
-                "line 4: budgets.centres.z: is no machine's centre", "line 5: budgets.capacity_kept: is no share",
-                "line 6: budgets.hours: holds what is no window", "line 7: budgets.offset: is no offset",
+        for (String fault : List.of("line 1: at: must be a time in UTC", "line 3: budgets.at_once: must be an integer",
+                "line 4: budgets.centres.z: is not the centre of any machine",
+                "line 5: budgets.capacity_kept: must be a share",
+                "line 6: budgets.hours: contains a value that is not a window",
+                "line 7: budgets.offset: must be an offset",
                 "line 8: budgets.cold_sahre: is unknown; did you mean cold_share?",
-                "line 10: machines.0.kind: is neither",
-                "line 11: machines.1.id: stands twice", "line 11: machines.1.phase: is none of",
+                "line 10: machines.0.kind: must be node or gatherer",
+                "line 11: machines.1.id: is a duplicate",
+                "line 11: machines.1.phase: must be serving, draining or away",
                 "line 12: machines.2.centre: is absent",
-                "line 14: blocks.0.on: is absent", "line 15: blocks.1.id: stands twice",
+                "line 14: blocks.0.on: is absent", "line 15: blocks.1.id: is a duplicate",
                 "line 15: blocks.1.on: names a machine twice",
-                "line 15: blocks.1.on: names a machine that is not there: q",
-                "line 17: wishes.0.machine: is not there: q",
-                "line 17: wishes.0.lasts: is no time", "line 18: wishes.1.lasts: is absent",
-                "line 18: wishes.1.by: is no time",
-                "line 18: wishes.1.after: names a machine that is not there", "line 18: wishes.1.who: is absent",
-                "line 19: wishes.2.machine: has a wish already: a")) {
+                "line 15: blocks.1.on: names a machine that is not in machines: q",
+                "line 17: wishes.0.machine: is not in machines: q",
+                "line 17: wishes.0.lasts: must be a duration", "line 18: wishes.1.lasts: is absent",
+                "line 18: wishes.1.by: must be a time in UTC",
+                "line 18: wishes.1.after: names a machine that is not in machines", "line 18: wishes.1.who: is absent",
+                "line 19: wishes.2.machine: is in an earlier wish already: a")) {
             assertTrue(fault + " in " + lines, lines.stream().anyMatch(l -> l.startsWith(fault)));
         }
         assertEquals(2, Console.run("maintenance", "plan", "no-such-file.yaml").code());
--- a/src/test/java/wallmoor/cli/RebalanceTest.java
+++ b/src/test/java/wallmoor/cli/RebalanceTest.java
@@ -48,15 +48,15 @@
                 "- plain");
         assertEquals(2, c.code());
         List<String> lines = c.err().lines().map(l -> l.replaceFirst(".*?: (line .*)", "$1")).toList();
-        for (String fault : List.of("line 1: headroom: is no share", "line 2: spread: is neither",
+        for (String fault : List.of("line 1: headroom: must be a share", "line 2: spread: must be cell or node",
                 "line 3: levle: is unknown; did you mean level?",
-                "line 5: nodes.0.disk_mb: is no whole", "line 6: nodes.1.id: stands twice",
-                "line 6: nodes.1.disk_mb: is no whole",
-                "line 6: nodes.1.drain: is neither", "line 7: nodes.2.cell: is absent",
-                "line 9: blocks.0.mb: is no whole",
-                "line 9: blocks.0.on: names a node twice", "line 10: blocks.1.id: stands twice",
-                "line 10: blocks.1.on: names a node that is not there: z", "line 11: blocks.2.mb: is absent",
-                "line 11: blocks.2.on: is absent or empty", "line 12: blocks.3: is no mapping")) {
+                "line 5: nodes.0.disk_mb: must be an integer", "line 6: nodes.1.id: is a duplicate",
+                "line 6: nodes.1.disk_mb: must be an integer",
+                "line 6: nodes.1.drain: must be true or false", "line 7: nodes.2.cell: is absent",
+                "line 9: blocks.0.mb: must be an integer",
+                "line 9: blocks.0.on: names a node twice", "line 10: blocks.1.id: is a duplicate",
+                "line 10: blocks.1.on: names a node that is not in nodes: z", "line 11: blocks.2.mb: is absent",
+                "line 11: blocks.2.on: is absent or empty", "line 12: blocks.3: must be a mapping")) {
             assertTrue(fault + " in " + lines, lines.stream().anyMatch(l -> l.startsWith(fault)));
         }
         assertEquals(2, plan("headroom: 0", "spread: node", "nodes: []", "blocks: {}").code());
--- a/src/test/java/wallmoor/cli/ResolveCommandTest.java
+++ b/src/test/java/wallmoor/cli/ResolveCommandTest.java
@@ -185,9 +185,11 @@
                 ogx: 1
                 """);
         assertEquals(2, run("check", "--config", "example/config.json", bad.toString()));
-        for (String said : new String[] {"line 3: sources.dns.servers: holds what is not ADDRESS:PORT: somewhere",
-            "line 4: sources.dns.name: is unknown; did you mean names?", "line 5: sources.dns.most_age: is no time",
-            "line 6: sources.list.enabled: is neither true nor false", "line 8: logging.levels.dns: is none of",
+        for (String said : new String[] {
+            "line 3: sources.dns.servers: contains a value that is not ADDRESS:PORT: somewhere",
+            "line 4: sources.dns.name: is unknown; did you mean names?",
+            "line 5: sources.dns.most_age: must be a duration",
+            "line 6: sources.list.enabled: must be true or false", "line 8: logging.levels.dns: must be trace",
             "line 9: ogx: is unknown; did you mean ogc?"}) {
             assertTrue(said + " in " + err, err.contains(said));
         }
--- a/src/test/java/wallmoor/config/BrokenFileTest.java
+++ b/src/test/java/wallmoor/config/BrokenFileTest.java
@@ -13,13 +13,13 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** Each kind of broken file in {@code ROUTER_CONFIG} is refused by the key at fault. */
+/** Each kind of broken file in {@code ROUTER_CONFIG} is rejected with the name of the faulty key. */
 public class BrokenFileTest {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
-    /** What stands in the sound file, what stands there instead, and the key that must be named. */
-    private static final String[][] FAULTS = {
+    /** A text in the valid file, its faulty replacement, and the key that the error must name. */
+    private static final String[][] FAULTY_REPLACEMENTS = {
         {"\"MaxAttempts\": 4", "\"MaxAttempts\": 0", "settings.Limits.MaxAttempts"},
         {"\"MaxAttempts\": 4", "\"MaxAttempts\": -3", "settings.Limits.MaxAttempts"},
         {"\"MaxAttempts\": 4", "\"MaxAttempts\": 1.5", "settings.Limits.MaxAttempts"},
@@ -42,7 +42,7 @@
         {"\"discovery\": \"", "\"discovery\": \"nowhere:", "discovery"},
     };
 
-    private String fault(String text) throws Exception {
+    private String rejectionOf(String text) throws Exception {
         Path file = folder.newFile().toPath();
         Files.writeString(file, text);
         var e = assertThrows(text, ConfigException.class,
@@ -51,42 +51,42 @@
     }
 
     @Test
-    public void eachFaultIsNamedByItsKey() throws Exception {
-        String sound = Files.readString(Path.of("example/config.json"));
-        List<String> wrong = new ArrayList<>();
-        for (String[] f : FAULTS) {
-            assertTrue(f[0], sound.contains(f[0]));
+    public void namesTheKeyOfEachFault() throws Exception {
+        String valid = Files.readString(Path.of("example/config.json"));
+        List<String> failures = new ArrayList<>();
+        for (String[] replacement : FAULTY_REPLACEMENTS) {
+            assertTrue(replacement[0], valid.contains(replacement[0]));
             try {
-                String said = fault(sound.replace(f[0], f[1]));
-                if (!said.startsWith(f[2])) {
-                    wrong.add(f[1] + " -> " + said);
+                String message = rejectionOf(valid.replace(replacement[0], replacement[1]));
+                if (!message.startsWith(replacement[2])) {
+                    failures.add(replacement[1] + " -> " + message);
                 }
             } catch (AssertionError e) {
-                wrong.add(f[1] + " -> taken");
+                failures.add(replacement[1] + " -> accepted");
             }
         }
         for (String key : List.of("Aim", "GiveUp")) {
             for (String bad : List.of("0", "-1", "null", "\"soon\"", "[]", "1.5")) {
-                String text = sound.replaceFirst("\"" + key + "\": *[0-9]+", "\"" + key + "\": " + bad);
+                String text = valid.replaceFirst("\"" + key + "\": *[0-9]+", "\"" + key + "\": " + bad);
                 try {
-                    String said = fault(text);
-                    if (!said.startsWith("settings.Classes.0." + key)) {
-                        wrong.add(key + " " + bad + " -> " + said);
+                    String message = rejectionOf(text);
+                    if (!message.startsWith("settings.Classes.0." + key)) {
+                        failures.add(key + " " + bad + " -> " + message);
                     }
                 } catch (AssertionError e) {
-                    wrong.add(key + " " + bad + " -> taken");
+                    failures.add(key + " " + bad + " -> accepted");
                 }
             }
         }
-        assertEquals(String.join("\n", wrong), 0, wrong.size());
+        assertEquals(String.join("\n", failures), 0, failures.size());
     }
 
     @Test
-    public void whatIsNoFileOfSettingsIsNamedAsTheFile() throws Exception {
-        String sound = Files.readString(Path.of("example/config.json"));
-        for (String text : List.of("", " \n", "[]", "null", sound.substring(0, sound.length() / 2), sound + "}",
+    public void namesRouterConfigWhenTheFileIsUnreadableOrNotJson() throws Exception {
+        String valid = Files.readString(Path.of("example/config.json"));
+        for (String text : List.of("", " \n", "[]", "null", valid.substring(0, valid.length() / 2), valid + "}",
                 "\u0000\u0001\u0002", "name: yaml")) {
-            assertTrue(text, fault(text).startsWith("ROUTER_CONFIG"));
+            assertTrue(text, rejectionOf(text).startsWith("ROUTER_CONFIG"));
         }
         for (String path : List.of(folder.getRoot().toString(), folder.getRoot() + "/none", "")) {
             var e = assertThrows(ConfigException.class, () -> LaunchConfig.read(Map.of("ROUTER_CONFIG", path)));
--- a/src/test/java/wallmoor/config/ClassIndexesTest.java
+++ b/src/test/java/wallmoor/config/ClassIndexesTest.java
@@ -18,53 +18,55 @@
 import wallmoor.decision.QueryClass;
 import wallmoor.json.Json;
 
-/** Places of classes over settings that change, and files that lack a key. */
+/** Indexes of classes while settings change, and detection of files that lack a key. */
 public class ClassIndexesTest {
-    private static QueryClass kind(double worth) {
+    private static QueryClass queryClass(double worth) {
         return new QueryClass(worth, 0, 1_000, 0, 2_000, Idempotency.IDEMPOTENT, 0, 1, 1, 0, 0);
     }
 
-    private static ClassIndexes none() {
+    private static ClassIndexes empty() {
         return new ClassIndexes(List.of(), List.of(), Set.of());
     }
 
-    /** Whatever comes and goes: a name never moves, and those in force are exactly the last file's, as it has them. */
+    /** A name never changes its index, and the active classes are exactly those of the last file. */
     @Property
-    void aClassKeepsItsPlace(@ForAll @Size(max = 12) List<@Size(max = 5) List<@IntRange(max = 6) Integer>> files) {
-        ClassIndexes places = none();
-        var first = new HashMap<String, Integer>();
+    void classKeepsItsIndexWhileSettingsChange(
+            @ForAll @Size(max = 12) List<@Size(max = 5) List<@IntRange(max = 6) Integer>> files) {
+        ClassIndexes indexes = empty();
+        var firstIndexes = new HashMap<String, Integer>();
         double worth = 0;
         for (List<Integer> file : files) {
             var names = new TreeSet<String>();
             file.forEach(n -> names.add("c" + n));
-            var kinds = new ArrayList<QueryClass>();
+            var classes = new ArrayList<QueryClass>();
             for (String ignored : names) {
-                kinds.add(kind(++worth));
+                classes.add(queryClass(++worth));
             }
-            places = places.changedTo(List.copyOf(names), kinds);
+            indexes = indexes.changedTo(List.copyOf(names), classes);
             int i = 0;
             for (String name : names) {
-                int place = places.of(name);
-                assertEquals(first.computeIfAbsent(name, n -> place).intValue(), place);
-                assertEquals(kinds.get(i++), places.classes().get(place));
+                int index = indexes.of(name);
+                assertEquals(firstIndexes.computeIfAbsent(name, n -> index).intValue(), index);
+                assertEquals(classes.get(i++), indexes.classes().get(index));
             }
-            assertEquals(names.size(), places.names().size() - places.vanished().size());
-            assertTrue(places.vanished().stream().map(places.names()::get).noneMatch(names::contains));
+            assertEquals(names.size(), indexes.names().size() - indexes.removed().size());
+            assertTrue(indexes.removed().stream().map(indexes.names()::get).noneMatch(names::contains));
         }
     }
 
     @Test
-    public void whatCantBePlacedIsRefusedWhole() {
-        ClassIndexes one = none().changedTo(List.of("a"), List.of(kind(1)));
-        assertThrows(ConfigException.class, () -> one.changedTo(List.of("b", "b"), List.of(kind(1), kind(2))));
+    public void rejectsDuplicateNamesAndTooManyNames() {
+        ClassIndexes one = empty().changedTo(List.of("a"), List.of(queryClass(1)));
+        assertThrows(ConfigException.class,
+                () -> one.changedTo(List.of("b", "b"), List.of(queryClass(1), queryClass(2))));
         ClassIndexes many = one;
-        for (int i = 1; i < ClassIndexes.MOST; i++) {
-            many = many.changedTo(List.of("n" + i), List.of(kind(1)));
+        for (int i = 1; i < ClassIndexes.MAX_CLASS_NAMES; i++) {
+            many = many.changedTo(List.of("n" + i), List.of(queryClass(1)));
         }
         ClassIndexes full = many;
-        var e = assertThrows(ConfigException.class, () -> full.changedTo(List.of("more"), List.of(kind(1))));
+        var e = assertThrows(ConfigException.class, () -> full.changedTo(List.of("more"), List.of(queryClass(1))));
         assertTrue(e.getMessage(), e.getMessage().contains("restart"));
-        assertEquals(0, full.changedTo(List.of("a"), List.of(kind(3))).of("a"));
+        assertEquals(0, full.changedTo(List.of("a"), List.of(queryClass(3))).of("a"));
     }
 
     private static Set<String> keys(String json) throws Json.Malformed {
@@ -73,21 +75,21 @@
     }
 
     @Test
-    public void aFileThatLacksAKeyIsIncomplete() throws Exception {
-        Set<String> force = keys(
+    public void findsTheFirstMissingKeyOfAFile() throws Exception {
+        Set<String> active = keys(
                 "{\"name\":\"n\",\"known\":{\"revision\":1},\"settings\":{\"Limits\":{\"MaxAttempts\":4,\"MaxOpen\":9},"
                         + "\"Classes\":[{\"Name\":\"a\",\"GiveUp\":1},{\"Name\":\"b\",\"GiveUp\":1,"
                         + "\"DedupWindow\":5}],\"Dcs\":[\"x\"]}}");
-        String sound = "{\"name\":\"n\",\"settings\":{\"Limits\":{\"MaxAttempts\":2,\"MaxOpen\":9,\"New\":1},"
+        String complete = "{\"name\":\"n\",\"settings\":{\"Limits\":{\"MaxAttempts\":2,\"MaxOpen\":9,\"New\":1},"
                 + "\"Classes\":[{\"Name\":\"c\",\"GiveUp\":7}],\"Dcs\":[]}}";
-        assertEquals(null, ConfigurationKeys.missing(keys(sound), force));
+        assertEquals(null, ConfigurationKeys.missing(keys(complete), active));
         assertEquals("settings.Limits.MaxOpen",
-                ConfigurationKeys.missing(keys(sound.replace(",\"MaxOpen\":9", "")), force));
+                ConfigurationKeys.missing(keys(complete.replace(",\"MaxOpen\":9", "")), active));
         assertEquals("settings.Classes.*.GiveUp",
-                ConfigurationKeys.missing(keys(sound.replace(",\"GiveUp\":7", "")), force));
+                ConfigurationKeys.missing(keys(complete.replace(",\"GiveUp\":7", "")), active));
         assertEquals("settings.Limits.MaxAttempts",
-                ConfigurationKeys.missing(keys(sound.replace("\"MaxAttempts\":2", "\"MaxAttempts\":null")), force));
-        assertEquals("name", ConfigurationKeys.missing(keys(sound.replace("\"name\":\"n\",", "")), force));
-        assertEquals("settings.Dcs", ConfigurationKeys.missing(keys(sound.replace(",\"Dcs\":[]", "")), force));
+                ConfigurationKeys.missing(keys(complete.replace("\"MaxAttempts\":2", "\"MaxAttempts\":null")), active));
+        assertEquals("name", ConfigurationKeys.missing(keys(complete.replace("\"name\":\"n\",", "")), active));
+        assertEquals("settings.Dcs", ConfigurationKeys.missing(keys(complete.replace(",\"Dcs\":[]", "")), active));
     }
 }
--- a/src/test/java/wallmoor/net/PruneSettingsTest.java
+++ b/src/test/java/wallmoor/net/PruneSettingsTest.java
@@ -48,14 +48,15 @@
         assertEquals(16 << 20, good.memoryBytes());
         String told = faults(OGC + "summaries:\n  sites: [fs1, fs1]\n  lifetim: 1s\n  poll: 4s\n  checks: {share: 2}\n"
                 + "  most_bytes: 12\n");
-        for (String fault : new String[] {"line 7: summaries.sites: holds a host twice",
+        for (String fault : new String[] {"line 7: summaries.sites: names a host twice",
             "line 8: summaries.lifetim: is unknown; did you mean lifetime?",
             "line 9: summaries.poll: is more than half",
-            "line 10: summaries.checks.share: is no number", "line 11: summaries.most_bytes: is no whole number"}) {
+            "line 10: summaries.checks.share: must be a number", "line 11: summaries.most_bytes: must be an integer"}) {
             assertTrue(told, told.contains(fault));
         }
         assertTrue(faults("summaries: {sites: [a]}\n").contains("line 1: summaries: needs the section ogc"));
-        assertTrue(faults(OGC.replace("[city]", "[bbox]")).contains("properties: holds what can be no parameter"));
+        assertTrue(faults(OGC.replace("[city]", "[bbox]"))
+                .contains("properties: contains a name that cannot be a query parameter"));
         assertEquals(null, read(OGC + "summaries: {enabled: false, sites: [fs1]}\n").summaries());
     }
 
