--- a/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
+++ b/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
@@ -39,10 +39,10 @@
     /** Sites with a promise that lasts. */
     @Setup(Level.Trial)
     public void fill() {
-        known = new SummaryCache(SummaryLimits.usual(), SummaryCache.CacheLimits.usual(), 0, e -> {});
+        known = new SummaryCache(SummaryLimits.defaults(), SummaryCache.CacheLimits.defaults(), 0, e -> {});
         long sent = 0;
         for (int i = MADE.size(); i < sites; i++) {
-            MADE.add(Rentals.summary(SummaryLimits.usual(), i, ROWS));
+            MADE.add(Rentals.summary(SummaryLimits.defaults(), i, ROWS));
         }
         all = MADE.subList(0, sites);
         for (int i = 0; i < sites; i++) {
@@ -105,7 +105,7 @@
         Conditions c = condition("city=city-" + next() / 2);
         int out = 0;
         for (Summary s : all) {
-            out += s.excludes(c) != null ? 1 : 0;
+            out += s.exclusionReason(c) != null ? 1 : 0;
         }
         return out;
     }
--- a/src/main/java/wallmoor/config/LaunchConfig.java
+++ b/src/main/java/wallmoor/config/LaunchConfig.java
@@ -37,7 +37,8 @@
 public record LaunchConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed,
         RoutingSettings settings, Json.Obj known, List<String> zones, List<String> kinds, List<String> classes,
         int sockets, int memoryMb, int streamsPerConnection, long connIdleMillis, int connectMillis,
-        InetSocketAddress admin, boolean isSocketInherited, Set<Integer> removedClasses, Set<String> keys, boolean isListPushed) {
+        InetSocketAddress admin, boolean isSocketInherited, Set<Integer> removedClasses, Set<String> keys,
+        boolean isListPushed) {
     private static final int DEFAULT_SOCKETS = 1024;
     private static final int MIN_SOCKETS = 64;
     private static final int DEFAULT_MEMORY_MB = 192;
--- a/src/main/java/wallmoor/config/RebalanceFile.java
+++ b/src/main/java/wallmoor/config/RebalanceFile.java
@@ -140,7 +140,7 @@
     }
 
     private static long megabytes(ConfigSection section, String key) {
-        return isPresent(section, key) ? section.integer(key, 1, 1, (int) PlacementProblem.MOST_MB)
+        return isPresent(section, key) ? section.integer(key, 1, 1, (int) PlacementProblem.MAX_MB)
                 : section.integer(key, 1, 1, 1);
     }
 
