--- a/src/main/java/wallmoor/frames/ConnectionLimits.java
+++ b/src/main/java/wallmoor/frames/ConnectionLimits.java
@@ -38,8 +38,8 @@
         long idleTimeoutMillis = Math.max(workerTimeoutMillis / 2, workerTimeoutMillis - IDLE_MARGIN_MILLIS);
         long silenceTimeoutNanos = TimeUnit.MICROSECONDS.toNanos(shortestObjectiveMicros(launch))
                 / SILENCE_TIMEOUT_DIVISOR;
-        return new ConnectionLimits(launch.streams(), launch.connectMillis(),
-                TimeUnit.MILLISECONDS.toNanos(idleTimeoutMillis), silenceTimeoutNanos, launch.mostWorkerConnections(),
+        return new ConnectionLimits(launch.streamsPerConnection(), launch.connectMillis(),
+                TimeUnit.MILLISECONDS.toNanos(idleTimeoutMillis), silenceTimeoutNanos, launch.maxWorkerConnections(),
                 sockets, onConnectResult);
     }
 
--- a/src/main/java/wallmoor/platform/PlatformFront.java
+++ b/src/main/java/wallmoor/platform/PlatformFront.java
@@ -56,7 +56,7 @@
     public PlatformFront(LaunchConfig launch, Supplier<LaunchConfig> currentConfiguration, MonotonicClock clock,
             Gatherer gatherer, WorkerTransport workers, Logger log) throws IOException {
         this(launch, currentConfiguration, clock, gatherer, workers, log,
-                launch.inherited() ? inheritedListener() : ConnectionAcceptor.at(launch.listen()));
+                launch.isSocketInherited() ? inheritedListener() : ConnectionAcceptor.at(launch.listen()));
     }
 
     private static ConnectionAcceptor inheritedListener() throws IOException {
@@ -77,7 +77,8 @@
         this.gatherer = gatherer;
         this.workers = workers;
         this.log = log;
-        server = new Server("api", acceptor, launch.mostClients(), launch.mostClients(), ConnectionTimeouts.SHORT,
+        server = new Server("api", acceptor, launch.maxClientConnections(), launch.maxClientConnections(),
+                ConnectionTimeouts.SHORT,
                 this::handle, log::info);
     }
 
@@ -93,7 +94,7 @@
 
     /** Sets how many processes share the maximum number of client connections of this gatherer. */
     public void setProcessCount(int processes) {
-        server.setMaxConnections(Math.max(1, launch.mostClients() / processes));
+        server.setMaxConnections(Math.max(1, launch.maxClientConnections() / processes));
     }
 
     /** Sets whether the platform may send clients to this process. */
@@ -110,7 +111,7 @@
      */
     public void shutDown(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
         shutdownAt = clock.getAsLong() + TimeUnit.MILLISECONDS.toMicros(handOverMillis + finishMillis);
-        if (launch.inherited()) { // another process accepts new connections, and each answered client reconnects to it
+        if (launch.isSocketInherited()) { // another process accepts new connections, and each answered client reconnects to it
             server.stopAccepting();
             server.closeAfterAnswers();
         } else {
@@ -168,7 +169,7 @@
         Json.Obj body = parseBody(request);
         String queryText = body.text("q");
         LaunchConfig configuration = currentConfiguration.get();
-        int queryClass = configuration.place(request.header("X-Class"));
+        int queryClass = configuration.classIndex(request.header("X-Class"));
         String id = request.header("X-Request-Id");
         if (queryText == null || queryClass < 0 || id == null || !QueryHeaders.isRequestId(id)) {
             throw new HttpProtocolException(400, "X-Request-Id, X-Class or q is absent or malformed");
