--- a/src/main/java/wallmoor/cli/MaintenanceCommand.java
+++ b/src/main/java/wallmoor/cli/MaintenanceCommand.java
@@ -43,7 +43,7 @@
             System.err.println(e.getMessage());
             return Commands.USAGE_ERROR;
         }
-        SchedulingResult result = MaintenancePlanner.plan(input.at(), input.wishes(), input.fleet(), input.budgets());
+        SchedulingResult result = MaintenancePlanner.plan(input.at(), input.requests(), input.fleet(), input.budgets());
         System.out.println(json ? json(input.at(), result) : text(input.at(), result));
         return result instanceof SchedulingResult.Schedule ? 0 : NO_PLAN;
     }
--- a/src/main/java/wallmoor/cli/RebalanceStartCommand.java
+++ b/src/main/java/wallmoor/cli/RebalanceStartCommand.java
@@ -56,7 +56,7 @@
     @Override
     public Integer call() throws InterruptedException {
         try {
-            RebalancePlanInput input = RebalanceFile.readWhole(file);
+            RebalancePlanInput input = RebalanceFile.readPlanInput(file);
             return location.controlAddresses == null ? runInDirectory(input) : runByGatherers(input);
         } catch (ConfigException e) {
             System.err.println(e.getMessage());
@@ -89,7 +89,7 @@
     private int runByGatherers(RebalancePlanInput input)
             throws PlanStoreException, UnsuitableFileException, IncompatibleTargetException, InterruptedException {
         PlanControlClient client = location.client("start");
-        checkSettleTime(input.carrying(), client.termMillis(PlanLocation.LEADER_WAIT_MILLIS));
+        checkSettleTime(input.migration(), client.termMillis(PlanLocation.LEADER_WAIT_MILLIS));
         boolean isActive = false;
         while (!isActive) {
             PlanVersion latest = client.latest(PlanLocation.LEADER_WAIT_MILLIS);
@@ -129,8 +129,8 @@
      */
     private static MigrationPlan requiredPlan(RebalancePlanInput input, MigrationPlan current, String holder,
             String remedy) throws UnsuitableFileException, IncompatibleTargetException {
-        int maxConcurrent = input.carrying().atOnce();
-        MigrationPlan initial = MigrationPlan.initial(input.fleet(), maxConcurrent);
+        int maxConcurrent = input.migration().atOnce();
+        MigrationPlan initial = MigrationPlan.initial(input.problem(), maxConcurrent);
         if (current == null) {
             return initial;
         }
@@ -138,17 +138,17 @@
             throw new UnsuitableFileException(
                     holder + " a plan whose blocks differ from those of this file; " + remedy);
         }
-        PlacementTarget target = PlacementTarget.of(input.fleet());
+        PlacementTarget target = PlacementTarget.of(input.problem());
         boolean isUnchanged = !current.stopped() && target.equals(current.target())
                 && current.maxConcurrent() == maxConcurrent;
         return isUnchanged ? current : current.retargeted(target, maxConcurrent);
     }
 
     private static int run(RebalancePlanInput input, PlanStore store) throws PlanStoreException, InterruptedException {
-        MigrationConfig config = input.carrying();
+        MigrationConfig config = input.migration();
         var settings = new MigrationSettings((long) (config.mbPerSecond() * BYTES_PER_MB),
                 config.chunkKb() * BYTES_PER_KB, micros(config.settleMillis()), micros(config.patienceMillis()),
-                micros(config.againMillis()));
+                micros(config.retryMillis()));
         var runner = new MigrationRunner(new MigrationCoordinator(settings), store, config.addresses());
         System.out.println(runner.run().name().toLowerCase(Locale.ROOT));
         return 0;
--- a/src/main/java/wallmoor/ogc/FetchConnection.java
+++ b/src/main/java/wallmoor/ogc/FetchConnection.java
@@ -116,7 +116,7 @@
         }
         HttpMessage response = connection.in().answer(timeoutMillis, true);
         requireStatus(response.status(), first, target);
-        needsReconnect = !response.keep();
+        needsReconnect = !response.keepAlive();
         return response;
     }
 
--- a/src/main/java/wallmoor/ogc/ShardPageReader.java
+++ b/src/main/java/wallmoor/ogc/ShardPageReader.java
@@ -48,7 +48,7 @@
 
     private FeatureQuery.ShardFeatures readFeature() throws IOException, HttpProtocolException, Json.Malformed,
             ServerRejectedException, SendNotPermittedException {
-        HttpMessage response = get(query.collection().items(attempt.shard()) + "/" + query.featureId());
+        HttpMessage response = get(query.collection().itemsPath(attempt.shard()) + "/" + query.featureId());
         if (response.status() != 404) {
             ByteSlice body = response.body();
             addFeature(Json.object(body.buffer(), body.from(), body.length()), body);
@@ -101,7 +101,7 @@
     }
 
     private String pageTarget(int offset) {
-        return query.collection().items(attempt.shard()) + "?limit=" + limit + "&offset=" + offset
+        return query.collection().itemsPath(attempt.shard()) + "?limit=" + limit + "&offset=" + offset
                 + query.filterQuery();
     }
 
--- a/src/main/java/wallmoor/pruning/LeaseRenewal.java
+++ b/src/main/java/wallmoor/pruning/LeaseRenewal.java
@@ -102,7 +102,7 @@
         removed.forEach(s -> pollStates.remove(s).client.close());
         for (SummaryLeases.SummaryServer s : servers) {
             pollStates.computeIfAbsent(s, key -> new ServerPollState(s, new SiteClient(s.name(), s.address(), gatherer,
-                    config.mostBytes()), now()));
+                    config.maxSummaryBytes()), now()));
         }
     }
 
@@ -119,7 +119,7 @@
                 log.info("summary lease renewal recovered: server={}", name);
             }
             state.failures = 0;
-            state.nextAt = now() + config.poll();
+            state.nextAt = now() + config.pollMillis();
         } catch (IOException | HttpProtocolException | Json.Malformed | RuntimeException e) {
             state.client.close();
             long backoff = Math.min(MAX_BACKOFF_MILLIS, INITIAL_BACKOFF_MILLIS << state.failures);
@@ -166,7 +166,7 @@
         }
         SiteMessage.SummaryLeaseGrant grant = state.client.requestLease(block, ticket);
         leases.acceptGrant(site, grant);
-        long lifetime = Math.min(grant.lifetime() / 1000, config.lifetime());
-        state.renewAt.put(block, now() + Math.max(config.poll(), lifetime / 2));
+        long lifetime = Math.min(grant.lifetime() / 1000, config.lifetimeMillis());
+        state.renewAt.put(block, now() + Math.max(config.pollMillis(), lifetime / 2));
     }
 }
