--- a/src/test/java/wallmoor/upgrade/SharedQuotaTest.java
+++ b/src/test/java/wallmoor/upgrade/SharedQuotaTest.java
@@ -12,114 +12,115 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.Test;
 
-/** What two processes may hold together of one bound, whenever each of them signs and looks. */
+/** The sum of two processes' use of a shared limit, whenever each of them publishes and updates. */
 public class SharedQuotaTest {
-    private static final int ALL = 60;
+    private static final int LIMIT = 60;
 
-    /** A process as it runs: it signs what it claimed at its last look, then looks at what the other has signed. */
+    /** A process that alternately publishes the claim of its last update, and updates with the other's heartbeat. */
     private static final class Model {
-        final SharedQuota part = new SharedQuota();
-        int held;
-        boolean leaving;
-        boolean signing = true;
-        ProcessHeartbeat signed;
+        final SharedQuota shared = new SharedQuota();
+        int inUse;
+        boolean draining;
+        boolean publishesNext = true;
+        ProcessHeartbeat published;
 
-        /** The one or the other, in turn. */
-        void signOrLook(Model other) {
-            if (signing) {
-                sign();
+        /** Publishes or updates, in turn. */
+        void publishOrUpdate(Model other) {
+            if (publishesNext) {
+                publish();
             } else {
-                look(other);
+                update(other);
             }
-            signing = !signing;
+            publishesNext = !publishesNext;
         }
 
-        void sign() {
-            signed = new ProcessHeartbeat(toString(), 0, part.claim(), leaving);
+        void publish() {
+            published = new ProcessHeartbeat(toString(), 0, shared.claim(), draining);
         }
 
-        void look(Model other) {
-            part.update(ALL, held, leaving, other == null || other.signed == null ? List.of() : List.of(other.signed));
+        void update(Model other) {
+            shared.update(LIMIT, inUse, draining,
+                    other == null || other.published == null ? List.of() : List.of(other.published));
         }
 
-        void take(int some) {
-            held = Math.max(held, Math.min(held + some, part.quota()));
+        void use(int amount) {
+            inUse = Math.max(inUse, Math.min(inUse + amount, shared.quota()));
         }
     }
 
     /**
-     * Whatever they take and end in between, the old one alone at first and leaving at last: never more than the bound.
+     * Runs random steps of use, release, publication and update; the old process is alone first and drains at the end.
      */
     @Property
-    void twoNeverHoldMoreThanTheBound(@ForAll @Size(max = 60) List<@IntRange(max = 5 * ALL - 1) Integer> steps,
-            @ForAll @IntRange(max = 60) int begins, @ForAll @IntRange(max = 60) int leaves) {
+    void twoProcessesNeverExceedTheLimit(@ForAll @Size(max = 60) List<@IntRange(max = 5 * LIMIT - 1) Integer> steps,
+            @ForAll @IntRange(max = 60) int newStartStep, @ForAll @IntRange(max = 60) int drainStep) {
         var old = new Model();
         var fresh = new Model();
-        alone(old);
+        runAlone(old);
         for (int i = 0; i < steps.size(); i++) {
-            old.leaving = i > begins && i > leaves;
-            Model one = steps.get(i) % 2 == 0 || i < begins ? old : fresh;
+            old.draining = i > newStartStep && i > drainStep;
+            Model process = steps.get(i) % 2 == 0 || i < newStartStep ? old : fresh;
             int amount = steps.get(i) / 5;
             switch (steps.get(i) % 5) {
-                case 0, 1 -> one.take(amount);
-                case 2 -> one.held = Math.max(0, one.held - amount);
-                default -> one.signOrLook(one == old ? fresh : old);
+                case 0, 1 -> process.use(amount);
+                case 2 -> process.inUse = Math.max(0, process.inUse - amount);
+                default -> process.publishOrUpdate(process == old ? fresh : old);
             }
-            assertTrue(old.held + " and " + fresh.held, old.held + fresh.held <= ALL);
+            assertTrue(old.inUse + " and " + fresh.inUse, old.inUse + fresh.inUse <= LIMIT);
         }
     }
 
     @Test
-    public void bothComeToTheHalfAndWhatTheOneThatLeavesDoesNotNeedIsTheOthers() {
+    public void bothReachHalfAndTheServingOneTakesWhatTheDrainingOneReleases() {
         var old = new Model();
         var fresh = new Model();
-        alone(old);
-        old.take(50);
-        fresh.sign();
-        fresh.look(old);
-        assertEquals(0, fresh.part.quota());
-        assertFalse(fresh.part.isEnoughToStart(ALL, List.of(old.signed)));
-        both(old, fresh);
-        assertEquals("50 are held until they end", 10, fresh.part.quota());
-        old.held = 4;
-        both(old, fresh);
-        assertEquals(List.of(30, 30), List.of(old.part.quota(), fresh.part.quota()));
-        assertTrue(fresh.part.isEnoughToStart(ALL, List.of(old.signed)));
-        old.leaving = true;
-        both(old, fresh);
-        assertEquals(List.of(8, 52), List.of(old.part.quota(), fresh.part.quota()));
-        alone(fresh);
-        old.leaving = false;
-        both(old, fresh);
-        fresh.look(null);
-        fresh.sign();
-        fresh.look(null);
-        assertEquals("it stood still, and counted as gone", ALL, fresh.part.quota());
-        old.look(fresh);
-        assertTrue("and wakes", old.part.quota() > 0);
-        both(old, fresh);
-        assertTrue(old.part.quota() + fresh.part.quota() <= ALL);
-        var earlier = new ArrayList<>(
+        runAlone(old);
+        old.use(50);
+        fresh.publish();
+        fresh.update(old);
+        assertEquals(0, fresh.shared.quota());
+        assertFalse(fresh.shared.isEnoughToStart(LIMIT, List.of(old.published)));
+        runBoth(old, fresh);
+        assertEquals("50 are in use until they end", 10, fresh.shared.quota());
+        old.inUse = 4;
+        runBoth(old, fresh);
+        assertEquals(List.of(30, 30), List.of(old.shared.quota(), fresh.shared.quota()));
+        assertTrue(fresh.shared.isEnoughToStart(LIMIT, List.of(old.published)));
+        old.draining = true;
+        runBoth(old, fresh);
+        assertEquals(List.of(8, 52), List.of(old.shared.quota(), fresh.shared.quota()));
+        runAlone(fresh);
+        old.draining = false;
+        runBoth(old, fresh);
+        fresh.update(null);
+        fresh.publish();
+        fresh.update(null);
+        assertEquals("the old one hung and was considered dead", LIMIT, fresh.shared.quota());
+        old.update(fresh);
+        assertTrue("the old one resumes", old.shared.quota() > 0);
+        runBoth(old, fresh);
+        assertTrue(old.shared.quota() + fresh.shared.quota() <= LIMIT);
+        var earlierVersion = new ArrayList<>(
                 List.of(new ProcessHeartbeat("of before", 0, ProcessHeartbeat.UNKNOWN_CLAIM, false)));
-        alone(fresh);
-        fresh.part.update(ALL, 0, false, earlier);
-        assertEquals("one that tells nothing is owed its half", 30, fresh.part.quota());
+        runAlone(fresh);
+        fresh.shared.update(LIMIT, 0, false, earlierVersion);
+        assertEquals("half is reserved for a process of unknown claim", 30, fresh.shared.quota());
     }
 
-    private static void alone(Model one) {
-        one.look(null);
-        one.sign();
-        one.look(null);
-        one.sign();
-        assertEquals(ALL, one.part.quota());
+    private static void runAlone(Model process) {
+        process.update(null);
+        process.publish();
+        process.update(null);
+        process.publish();
+        assertEquals(LIMIT, process.shared.quota());
     }
 
-    private static void both(Model old, Model fresh) {
+    private static void runBoth(Model old, Model fresh) {
         for (int i = 0; i < 40; i++) {
-            old.sign();
-            old.look(fresh);
-            fresh.sign();
-            fresh.look(old);
+            old.publish();
+            old.update(fresh);
+            fresh.publish();
+            fresh.update(old);
         }
     }
 }
