--- a/src/main/java/wallmoor/service/CalendarNodes.java
+++ b/src/main/java/wallmoor/service/CalendarNodes.java
@@ -41,7 +41,7 @@
         sources = operator == null ? null : Sources.of(operator, launch, clock, gatherer, nodeList);
         boolean isListOnlySource = operator == null || operator.listAlone();
         connections = new WorkerConnectionPool(gatherer, ConnectionLimits.of(launch, sockets,
-                isListOnlySource ? (id, up) -> {} : sources.membership()::reportConnection));
+                isListOnlySource ? (id, up) -> {} : sources.endpointUpdater()::reportConnection));
     }
 
     /** Returns the nodes that the configured sources name. */
@@ -76,13 +76,13 @@
         return connections;
     }
 
-    EndpointUpdater membership() {
-        return sources.membership();
+    EndpointUpdater endpointUpdater() {
+        return sources.endpointUpdater();
     }
 
     /** Begins to watch the sources and to run the gatherer's timers. */
     void start() {
-        membership().start();
+        endpointUpdater().start();
         timers = Threads.start("timers", gatherer::runTimers);
     }
 
--- a/src/main/java/wallmoor/service/EndpointPreview.java
+++ b/src/main/java/wallmoor/service/EndpointPreview.java
@@ -29,9 +29,9 @@
         var nodes = CalendarNodes.of(launch, new MonotonicClock(), operator, new GathererMetrics());
         try {
             nodes.start();
-            boolean isSynchronized = nodes.membership().awaitSync(millis);
+            boolean isSynchronized = nodes.endpointUpdater().awaitSync(millis);
             Thread.sleep(SETTLE_MILLIS);
-            return new EndpointPreview(nodes.membership().endpointStatuses(), nodes.membership().sourceStatuses(),
+            return new EndpointPreview(nodes.endpointUpdater().endpointStatuses(), nodes.endpointUpdater().sourceStatuses(),
                     isSynchronized);
         } finally {
             nodes.close();
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -193,7 +193,7 @@
     private void awaitTakeOver() {
         try {
             long startNanos = System.nanoTime();
-            nodes.membership().awaitSync(MAX_START_WAIT_MILLIS);
+            nodes.endpointUpdater().awaitSync(MAX_START_WAIT_MILLIS);
             if (heartbeats != null) { // an older process releases quota before this one accepts queries
                 heartbeats.awaitCapacity(MAX_START_WAIT_MILLIS
                         - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
@@ -204,8 +204,8 @@
     }
 
     /** Returns the component that holds the endpoints in use, with their sources and states. */
-    public EndpointUpdater membership() {
-        return nodes.membership();
+    public EndpointUpdater endpointUpdater() {
+        return nodes.endpointUpdater();
     }
 
     /**
--- a/src/main/java/wallmoor/service/Sources.java
+++ b/src/main/java/wallmoor/service/Sources.java
@@ -69,7 +69,7 @@
                 dnsSources, dns);
     }
 
-    EndpointUpdater membership() {
+    EndpointUpdater endpointUpdater() {
         return updater;
     }
 
--- a/src/main/java/wallmoor/service/WarmUp.java
+++ b/src/main/java/wallmoor/service/WarmUp.java
@@ -98,11 +98,11 @@
             var entries = List.of(
                     new SourceEndpoint("a", "127.0.0.1:1", 0, 0, 0, WorkerEndpoint.EndpointState.SERVING, 1, 0, 0),
                     new SourceEndpoint("b", "127.0.0.1:2", 0, 0, 0, WorkerEndpoint.EndpointState.DRAINING, 1, 0, 0));
-            nodes.membership().apply(new WatchEvent.EndpointSnapshot("list", "1", entries, true));
-            nodes.membership().apply(new WatchEvent.EndpointSnapshot("list", "2", entries.subList(0, 1), true));
-            nodes.membership().apply(new WatchEvent.EndpointDelta("list", "3", entries));
-            nodes.membership().apply(new WatchEvent.EndpointsUnchanged("list"));
-            nodes.membership().apply(new WatchEvent.SourceFailure("list", "rehearsed"));
+            nodes.endpointUpdater().apply(new WatchEvent.EndpointSnapshot("list", "1", entries, true));
+            nodes.endpointUpdater().apply(new WatchEvent.EndpointSnapshot("list", "2", entries.subList(0, 1), true));
+            nodes.endpointUpdater().apply(new WatchEvent.EndpointDelta("list", "3", entries));
+            nodes.endpointUpdater().apply(new WatchEvent.EndpointsUnchanged("list"));
+            nodes.endpointUpdater().apply(new WatchEvent.SourceFailure("list", "rehearsed"));
         } catch (wallmoor.json.Json.Malformed | RuntimeException e) {
             // the archive lacks some classes, which slows a start slightly
         } finally {
--- a/src/main/java/wallmoor/upgrade/LiveProcesses.java
+++ b/src/main/java/wallmoor/upgrade/LiveProcesses.java
@@ -15,7 +15,7 @@
     public static final long SHARED_HEARTBEAT_INTERVAL_MICROS = 50_000;
     /** A process without a heartbeat for this time has exited, or hangs and uses nothing that must be counted. */
     public static final long LIVENESS_TIMEOUT_MICROS = 1_500_000;
-    /** The claim of a killed process expires after this time, as its successor waits for it. Four heartbeats long. */
+    /** The claim of a killed process expires after this time, as its successor waits for it: four intervals. */
     public static final long CLAIM_TIMEOUT_MICROS = 1_000_000;
     /** The heartbeat file of a killed process may be deleted after this time. */
     public static final long STALE_FILE_MICROS = 60_000_000;
--- a/src/test/java/wallmoor/TurnedRecordsTest.java
+++ b/src/test/java/wallmoor/TurnedRecordsTest.java
@@ -35,8 +35,8 @@
     }
 
     /**
-     * Returns the classes that the build rewrote: those of lambdas, and records. Initializes them, which fails for a class
-     * that doesn't verify.
+     * Returns the classes that the build rewrote: those of lambdas, and records. Initializes them, which fails for a
+     * class that doesn't verify.
      */
     private static List<Class<?>> loadRewrittenClasses() throws Exception {
         Path root = Path.of("target/classes");
@@ -93,7 +93,8 @@
             other[index] = value(types[index], 2);
             try {
                 assertEquals(type.getName() + "." + components[i].getName(),
-                        Objects.equals(other[index], value(types[index], 1)), original.equals(constructor.newInstance(other)));
+                        Objects.equals(other[index], value(types[index], 1)),
+                        original.equals(constructor.newInstance(other)));
             } catch (InvocationTargetException e) {
                 // the constructor rejects the test values
             }
