--- a/src/main/java/wallmoor/cli/MembersCommand.java
+++ b/src/main/java/wallmoor/cli/MembersCommand.java
@@ -34,11 +34,11 @@
         try {
             LaunchConfig launch = files.launch();
             OperatorConfig operator = files.operator(launch);
-            EndpointPreview look = EndpointPreview.at(launch, operator, 1000L * Math.max(1, Math.min(600, seconds)));
+            EndpointPreview look = EndpointPreview.poll(launch, operator, 1000L * Math.max(1, Math.min(600, seconds)));
             look.nodes().forEach(this::print);
             look.sources().forEach(s -> System.err.println(s.source() + ": " + s.endpoints() + " nodes, "
                     + (s.pendingRemoval() > 0 ? s.pendingRemoval() + " of them doubted, " : "") + s.state()));
-            return look.allSourcesHeard() ? 0 : NO_ANSWER;
+            return look.allSourcesAnswered() ? 0 : NO_ANSWER;
         } catch (ConfigException | Json.Malformed e) {
             System.err.println("wallmoor: " + e.getMessage());
             return Commands.USAGE;
--- a/src/main/java/wallmoor/service/EndpointPreview.java
+++ b/src/main/java/wallmoor/service/EndpointPreview.java
@@ -12,10 +12,10 @@
 /**
  * The endpoints that a gatherer would use if it were started now; a command prints them.
  *
- * @param allSourcesHeard whether every source has answered
+ * @param allSourcesAnswered whether every source has answered
  */
 public record EndpointPreview(List<EndpointStatus> nodes, List<SourceStatus> sources,
-        boolean allSourcesHeard) {
+        boolean allSourcesAnswered) {
     /** The time to apply the changes of the sources' first answers. */
     private static final long SETTLE_MILLIS = 100;
 
@@ -24,7 +24,7 @@
      *
      * @throws Json.Malformed if the configuration's last known list is malformed
      */
-    public static EndpointPreview at(LaunchConfig launch, OperatorConfig operator, long millis)
+    public static EndpointPreview poll(LaunchConfig launch, OperatorConfig operator, long millis)
             throws Json.Malformed, InterruptedException {
         var nodes = CalendarNodes.of(launch, new MonotonicClock(), operator, new GathererMetrics());
         try {
