--- a/src/main/java/wallmoor/service/EndpointPreview.java
+++ b/src/main/java/wallmoor/service/EndpointPreview.java
@@ -31,8 +31,8 @@
             nodes.start();
             boolean isSynchronized = nodes.endpointUpdater().awaitSync(millis);
             Thread.sleep(SETTLE_MILLIS);
-            return new EndpointPreview(nodes.endpointUpdater().endpointStatuses(), nodes.endpointUpdater().sourceStatuses(),
-                    isSynchronized);
+            return new EndpointPreview(nodes.endpointUpdater().endpointStatuses(),
+                    nodes.endpointUpdater().sourceStatuses(), isSynchronized);
         } finally {
             nodes.close();
         }
