--- a/src/main/java/wallmoor/upgrade/HeartbeatFiles.java
+++ b/src/main/java/wallmoor/upgrade/HeartbeatFiles.java
@@ -103,7 +103,7 @@
             updateQuota(LiveProcesses.others(own, now, all, LiveProcesses.CLAIM_TIMEOUT_MICROS));
             updatePosition(LiveProcesses.position(own, now, all));
         } catch (IOException e) {
-            onFault(now, e);
+            onPollFailure(now, e);
         }
     }
 
@@ -128,7 +128,7 @@
         }
     }
 
-    private void onFault(long now, IOException e) {
+    private void onPollFailure(long now, IOException e) {
         // by now the others no longer see this process either
         if (lastSuccessMicros == 0 || now - lastSuccessMicros >= LiveProcesses.LIVENESS_TIMEOUT_MICROS) {
             updateQuota(List.of());
