--- a/src/main/java/wallmoor/Main.java
+++ b/src/main/java/wallmoor/Main.java
@@ -99,7 +99,7 @@
             System.err.println("wallmoor: " + e.getMessage());
             System.exit(2);
         } catch (IOException e) {
-            System.err.println("wallmoor: cannot start: " + e.getMessage());
+            System.err.println("wallmoor: cannot listen: " + e.getMessage());
             System.exit(2);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
