--- a/src/main/java/wallmoor/cli/MembersCommand.java
+++ b/src/main/java/wallmoor/cli/MembersCommand.java
@@ -35,14 +35,14 @@
         try {
             LaunchConfig launch = files.readLaunchConfig();
             OperatorConfig operator = files.readOperatorConfig(launch);
-            EndpointPreview preview = EndpointPreview.at(launch, operator,
+            EndpointPreview preview = EndpointPreview.poll(launch, operator,
                     1000L * Math.max(1, Math.min(600, waitSeconds)));
             preview.nodes().forEach(this::print);
             preview.sources().forEach(source -> System.err.println(source.source() + ": " + source.endpoints()
                     + " nodes, "
                     + (source.pendingRemoval() > 0 ? source.pendingRemoval() + " of them pending removal, " : "")
                     + source.state()));
-            return preview.allSourcesHeard() ? 0 : NO_ANSWER;
+            return preview.allSourcesAnswered() ? 0 : NO_ANSWER;
         } catch (ConfigException | Json.Malformed e) {
             System.err.println("wallmoor: " + e.getMessage());
             return Commands.USAGE_ERROR;
