--- a/src/bench/java/wallmoor/net/DrainTime.java
+++ b/src/bench/java/wallmoor/net/DrainTime.java
@@ -95,7 +95,7 @@
             try (var program = new Program(discovery.port(), "", operator)) {
                 Program.await("a watch", () -> discovery.count("GET /api/targets?stream=1") == 1);
                 Thread.sleep(200);
-                discovery.say(list(1, a, "SERVING", b, "SERVING"));
+                discovery.send(list(1, a, "SERVING", b, "SERVING"));
                 Thread.sleep(300);
                 var over = new AtomicBoolean();
                 var load = new ArrayList<Thread>();
@@ -121,7 +121,7 @@
         lie(lie, dns, a, b);
         Thread.sleep(random.nextInt(400));
         long told = System.nanoTime();
-        discovery.say(
+        discovery.send(
                 list(2 * run + 2, a, drained == a ? "DRAINING" : "SERVING", b, drained == b ? "DRAINING" : "SERVING"));
         Thread.sleep(300);
         if (lie.equals("comes and goes")) {
@@ -131,17 +131,17 @@
         }
         Thread.sleep(400);
         times.recordValue(Math.max(0, (drained.lastFrame.get() - told) / 1000));
-        dns.fail(DnsServer.Fault.NONE);
+        dns.setFault(DnsServer.Fault.NONE);
         lie("names it", dns, a, b);
-        discovery.say(list(2 * run + 3, a, "SERVING", b, "SERVING"));
+        discovery.send(list(2 * run + 3, a, "SERVING", b, "SERVING"));
         Thread.sleep(200 + random.nextInt(100));
     }
 
     private static void lie(String how, DnsServer dns, Node a, Node b) {
         switch (how) {
             case "renames it" -> dns.service(SERVICE, 0, a.target("x1"), b.target("x2"));
-            case "fails" -> dns.fail(DnsServer.Fault.SERVFAIL);
-            case "is silent" -> dns.fail(DnsServer.Fault.SILENT);
+            case "fails" -> dns.setFault(DnsServer.Fault.SERVFAIL);
+            case "is silent" -> dns.setFault(DnsServer.Fault.SILENT);
             case "drops all" -> dns.set(SERVICE, Type.SRV);
             default -> dns.service(SERVICE, 0, a.target("w1"), b.target("w2"));
         }
--- a/src/bench/java/wallmoor/net/RulesStorm.java
+++ b/src/bench/java/wallmoor/net/RulesStorm.java
@@ -161,8 +161,8 @@
         }
 
         @Override
-        public void poor(boolean on) {
-            links.poor(on); // of connections: nothing
+        public void degradeDatagrams(boolean on) {
+            links.degradeDatagrams(on); // of connections: nothing
         }
     }
 }
--- a/src/test/java/wallmoor/cli/ResolveCommandTest.java
+++ b/src/test/java/wallmoor/cli/ResolveCommandTest.java
@@ -80,7 +80,7 @@
             {Fault.TRUNCATED_NO_TCP, 4, "truncated, and over TCP"}, {Fault.TRUNCATED_SILENT_TCP, 4, "over TCP"},
             {Fault.HALF_TCP, 4, "half an answer"}};
         for (Object[] testCase : cases) {
-            dns.fail((Fault) testCase[0]);
+            dns.setFault((Fault) testCase[0]);
             long startNanos = System.nanoTime();
             assertEquals(testCase[0] + ": " + err, testCase[1], resolve(SERVICE));
             assertTrue(testCase[0] + ": " + err, err.contains((String) testCase[2]));
@@ -92,7 +92,7 @@
     public void exitsWithNoRecordsCodeIfServiceIsAbsent() {
         assertEquals(3, resolve("_none._tcp.fleet.example"));
         assertTrue(err, err.contains("NXDOMAIN"));
-        dns.absences(false, "_empty._tcp.fleet.example");
+        dns.setNegativeAnswers(false, "_empty._tcp.fleet.example");
         assertEquals(3, resolve("_empty._tcp.fleet.example"));
         assertTrue(err, err.contains("NODATA"));
         dns.set(SERVICE, Type.SRV, DnsServer.srv(SERVICE, 60, 0, 0, 0, "."));
@@ -119,7 +119,7 @@
         try (var workingServer = new DnsServer()) {
             workingServer.service(SERVICE, 0, "n1.example:9001:10:60:cell=0");
             for (Fault fault : new Fault[] {Fault.SERVFAIL, Fault.GARBAGE, Fault.TRUNCATED_NO_TCP}) {
-                dns.fail(fault);
+                dns.setFault(fault);
                 assertEquals(0, run("resolve", "--server", "127.0.0.1:" + dns.port(), "--server", "127.0.0.1:"
                         + workingServer.port(), SERVICE));
                 assertEquals(out, 1, out.lines().count());
@@ -157,7 +157,7 @@
                         "{\"node\":\"n2.example:9002/127.0.0.1\",\"address\":\"127.0.0.1:9002\",\"cell\":1,\"size\":0.8"
                                 + ",\"state\":\"SERVING\",\"cause\":\"named by dns " + SERVICE + " at look-up 1\"}"));
         assertTrue("tier 20 is on standby: " + out, out.contains("stands by in tier 20: tier 10 serves cell 1"));
-        dns.fail(Fault.SILENT);
+        dns.setFault(Fault.SILENT);
         command[6] = "1";
         assertEquals("a source did not report", 4, run(command));
         assertTrue(err, err.contains("dns " + SERVICE + ": 0 nodes, no report yet: "));
--- a/src/test/java/wallmoor/lab/Network.java
+++ b/src/test/java/wallmoor/lab/Network.java
@@ -38,7 +38,7 @@
     }
 
     /** Makes all datagrams late and a fifth of them lost, or takes that back once. Connections lose nothing by it. */
-    public void poor(boolean on) {
+    public void degradeDatagrams(boolean on) {
         poor += on ? 1 : -1;
         if (datagrams != null) {
             datagrams.loss = poor > 0 ? LOSS : 0;
--- a/src/test/java/wallmoor/lab/Script.java
+++ b/src/test/java/wallmoor/lab/Script.java
@@ -49,7 +49,7 @@
         void cut(int from, int to, boolean on);
 
         /** Whether links are poor. */
-        void poor(boolean on);
+        void degradeDatagrams(boolean on);
     }
 
     private static final int LEAST_MILLIS = 300;
@@ -127,7 +127,7 @@
                 }
             }
             case ONE_LINK -> target.cut(f.who, other, on);
-            case POOR -> target.poor(on);
+            case POOR -> target.degradeDatagrams(on);
             default -> {
                 for (int i = 0; i < count; i++) {
                     if (i != f.who && f.kind != Kind.DEAF) {
--- a/src/test/java/wallmoor/net/DescriptorsTest.java
+++ b/src/test/java/wallmoor/net/DescriptorsTest.java
@@ -135,7 +135,7 @@
                 descriptors();
             }
         });
-        discovery.away = true;
+        discovery.resetsConnections = true;
         discovery.reset();
         for (int i = 0; i < CROWD; i++) {
             crowd(port, i % 3 == 0 ? "" : i % 3 == 1 ? "POST /api HT" : Client.query("c" + i, "all", 1900, 0));
@@ -146,7 +146,7 @@
 
         discovery.opening = "{\"revision\":50,\"complete\":true,\"members\":[" + first.member("a", 0, "DRAINING") + ","
                 + second.member("b", 0, "SERVING") + "]}";
-        discovery.away = false;
+        discovery.resetsConnections = false;
         Program.await("the list is heard", () -> admin.figure("workers_known") == 2);
         serves("by a worker never connected to before", 0);
         Program.await("it is the new one's", () -> second.count("Q") > 0);
--- a/src/test/java/wallmoor/net/DiskFleet.java
+++ b/src/test/java/wallmoor/net/DiskFleet.java
@@ -247,7 +247,8 @@
         } else {
             Thread.sleep(random.nextInt((int) QUERY_MILLIS / 2));
             for (String node : owners) {
-                long from = (long) DiskNode.HEAD + random.nextInt(bytes - DiskNode.HEAD - DiskNode.PIECE);
+                long from = (long) DiskNode.HEAD_BYTES
+                        + random.nextInt(bytes - DiskNode.HEAD_BYTES - DiskNode.PIECE_BYTES);
                 var answer = get(node, "/read?block=" + block + "&from=" + from);
                 if (System.nanoTime() - opened > QUERY_MILLIS * 1_000_000) {
                     late.incrementAndGet(); // a query's life is over: it has its answer without this one
@@ -257,7 +258,7 @@
                     continue;
                 }
                 if (answer.statusCode() != 200
-                        || !Arrays.equals(answer.body(), DiskNode.content(block, from, DiskNode.PIECE))) {
+                        || !Arrays.equals(answer.body(), DiskNode.content(block, from, DiskNode.PIECE_BYTES))) {
                     faults.add("version " + known.number() + " says that " + node + " holds " + block + ": "
                             + answer.statusCode());
                 }
@@ -273,7 +274,7 @@
     long read(Random random, MigrationPlan map) throws IOException, InterruptedException {
         String block = "" + "vwxyz".charAt(random.nextInt(5));
         var owners = new ArrayList<>(map.owners().get(block));
-        long from = (long) DiskNode.HEAD + random.nextInt(bytes - DiskNode.HEAD - DiskNode.PIECE);
+        long from = (long) DiskNode.HEAD_BYTES + random.nextInt(bytes - DiskNode.HEAD_BYTES - DiskNode.PIECE_BYTES);
         long begun = System.nanoTime();
         var answer = get(owners.get(random.nextInt(owners.size())), "/read?block=" + block + "&from=" + from);
         return answer.statusCode() == 200 ? System.nanoTime() - begun : -1;
@@ -331,14 +332,14 @@
         var whole = new HashMap<String, Integer>();
         var writes = new HashMap<String, Set<Long>>();
         for (String id : HOLDS.keySet()) {
-            for (var e : DiskNode.holds(dir.resolve(id)).entrySet()) {
+            for (var e : DiskNode.readReplicas(dir.resolve(id)).entrySet()) {
                 if (e.getValue().state() == ReplicaRecord.ReplicaState.OWNER) {
                     whole.merge(e.getKey(), 1, Integer::sum);
                     byte[] data = Files.readAllBytes(dir.resolve(id).resolve(e.getKey() + ".data"));
                     byte[] first = DiskNode.content(e.getKey(), 0, bytes);
                     assertTrue(id + " " + e.getKey(),
-                            Arrays.equals(data, DiskNode.HEAD, bytes, first, DiskNode.HEAD, bytes));
-                    var slots = java.nio.ByteBuffer.wrap(data, 0, DiskNode.HEAD);
+                            Arrays.equals(data, DiskNode.HEAD_BYTES, bytes, first, DiskNode.HEAD_BYTES, bytes));
+                    var slots = java.nio.ByteBuffer.wrap(data, 0, DiskNode.HEAD_BYTES);
                     for (int i = 0; i < DiskNode.SLOTS; i++) {
                         writes.computeIfAbsent(e.getKey(), b -> new HashSet<>()).add(slots.getLong());
                     }
--- a/src/test/java/wallmoor/net/GroupLabTest.java
+++ b/src/test/java/wallmoor/net/GroupLabTest.java
@@ -151,8 +151,8 @@
         }
 
         @Override
-        public void poor(boolean on) {
-            network.poor(on);
+        public void degradeDatagrams(boolean on) {
+            network.degradeDatagrams(on);
         }
 
         String lastSaid() {
--- a/src/test/java/wallmoor/net/GroupTest.java
+++ b/src/test/java/wallmoor/net/GroupTest.java
@@ -149,7 +149,7 @@
         relay.cut = (from, to) -> false;
         relay.filter = (sender, to, datagram) -> false;
         relay.loss = 0;
-        relay.again = 0;
+        relay.duplicateShare = 0;
         relay.delayMillis = 0;
         for (Member m : MEMBERS) {
             if (m.process == null || !m.process.isAlive()) {
@@ -332,7 +332,7 @@
     @Test
     public void lateAndRepeatedDatagramsAndAFlappingLinkRemoveNobody() throws Exception {
         relay.delayMillis = 50;
-        relay.again = 0.3;
+        relay.duplicateShare = 0.3;
         relay.cut = (from, to) -> (from == 2 || to == 2)
                 && System.nanoTime() / 1_000_000 / (5 * INTERVAL_MILLIS) % 2 == 0;
         Thread.sleep(LONG_MILLIS);
--- a/src/test/java/wallmoor/net/HandOverTest.java
+++ b/src/test/java/wallmoor/net/HandOverTest.java
@@ -66,7 +66,7 @@
         HeldSocket.Run old = start("old", 200);
         try (var load = new SteadyLoad(socket.port, 6, 30, List.of("all"), 0, 1)) {
             awaitUsed("in use before", 0);
-            discovery.away = true;
+            discovery.resetsConnections = true;
             discovery.reset();
             HeldSocket.Run next = start("next", 200);
             assertEquals("the list as last known", 4, next.admin().figure("workers_known"));
@@ -75,13 +75,13 @@
             Program.await("served by the new one alone", () -> served(next) > before + 20);
             awaitUsed("by the list as last known", 0);
             discovery.opening = "{\"revision\":50,\"complete\":true,\"members\":[" + members("DRAINING") + "]}";
-            discovery.away = false;
+            discovery.resetsConnections = false;
             Thread.sleep(OBEYED_MILLIS);
             assertLeftOut("told at its return, and the grace is over", 0);
             long then = served(next);
             Program.await("served by the others", () -> served(next) > then + 20);
             load.stop();
-            assertEquals(load.strange.toString(), 0, load.strange.size());
+            assertEquals(load.unexpectedAnswers.toString(), 0, load.unexpectedAnswers.size());
             assertEquals("answered once each: " + load.counts(), load.all.size(), load.count(200));
         }
     }
@@ -126,7 +126,7 @@
                     && refused.stream().allMatch(a -> a.until() > stopped && a.from() < woken));
             assertTrue("lost with the old one are the connections it had: " + lost, lost.size() <= 12
                     && lost.stream().allMatch(a -> a.from() < told || a.fault().startsWith("kept")));
-            assertEquals("none came twice", 0, load.strange.size() + twice());
+            assertEquals("none came twice", 0, load.unexpectedAnswers.size() + twice());
             assertTrue(next.runs());
         }
     }
--- a/src/test/java/wallmoor/net/ListTermsTest.java
+++ b/src/test/java/wallmoor/net/ListTermsTest.java
@@ -83,7 +83,7 @@
 
     /** The drain is made now, and counts as told after so long. */
     private void drainCountsAfter(long millis) throws InterruptedException {
-        discovery.missed = drain();
+        discovery.changesSinceIndex = drain();
         long sent = drained.count("Q");
         Thread.sleep(millis + GRACE + SLACK);
         long before = drained.count("Q");
@@ -97,14 +97,14 @@
     @Test
     public void aWatchFallsSilentThenAWorkerDrains() throws Exception {
         start("subscribe");
-        discovery.hush("");
+        discovery.silenceOpenWatches("");
         drainCountsAfter(TERM);
     }
 
     @Test
     public void aWatchFallsSilentInTheMiddleOfALineThatTellsTheDrain() throws Exception {
         start("subscribe");
-        discovery.hush(drain().substring(0, 60));
+        discovery.silenceOpenWatches(drain().substring(0, 60));
         drainCountsAfter(TERM);
     }
 
@@ -112,7 +112,7 @@
     public void aWatchTellsTheDrainIndentedOverManyLines() throws Exception {
         start("subscribe");
         // counts as it is written
-        discovery.say(drain().replace(",", ",\r\n\n  ").replace("[", "[\n").replace("}]", "}\n]\n"));
+        discovery.send(drain().replace(",", ",\r\n\n  ").replace("[", "[\n").replace("}]", "}\n]\n"));
         drainCountsAfter(0);
         assertEquals("on the first watch", 1, discovery.count("GET /api/targets"));
     }
@@ -127,10 +127,10 @@
     @Test
     public void discoveryIsAwayAndAWorkerDrainsAtItsReturn() throws Exception {
         start("automatic");
-        discovery.away = true;
+        discovery.resetsConnections = true;
         discovery.reset();
         Thread.sleep(5_000); // by then the module waits for 2 to 6 s
-        discovery.away = false;
+        discovery.resetsConnections = false;
         drainCountsAfter(0);
     }
 }
--- a/src/test/java/wallmoor/net/LongLifeTest.java
+++ b/src/test/java/wallmoor/net/LongLifeTest.java
@@ -53,7 +53,7 @@
             entries.add(worker.member("g" + generation + "-" + i, i % 2, phase));
         }
         for (int i = 0; i < MEMBERS; i += 50) { // a line of the watch holds 64 KiB at most
-            discovery.say("{\"revision\":" + ++revision + ",\"complete\":false,\"members\":["
+            discovery.send("{\"revision\":" + ++revision + ",\"complete\":false,\"members\":["
                     + String.join(",", entries.subList(i, i + 50)) + "]}");
         }
     }
--- a/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
+++ b/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
@@ -126,7 +126,7 @@
     private long filling() throws IOException {
         long bytes = 0;
         for (String node : fleet.ports.keySet()) {
-            for (ReplicaRecord h : DiskNode.holds(fleet.dir.resolve(node)).values()) {
+            for (ReplicaRecord h : DiskNode.readReplicas(fleet.dir.resolve(node)).values()) {
                 bytes += h.state() == ReplicaRecord.ReplicaState.FILLING
                         ? h.sizeBytes() - (long) h.missingChunks().size() * h.chunkBytes() : 0;
             }
@@ -179,7 +179,7 @@
             assertEquals(said(), 0, p.exitValue());
         }
         fleet.judge();
-        for (ReplicaRecord h : DiskNode.holds(fleet.dir.resolve("a")).values()) {
+        for (ReplicaRecord h : DiskNode.readReplicas(fleet.dir.resolve("a")).values()) {
             assertEquals(ReplicaRecord.ReplicaState.ABSENT, h.state());
         }
         assertTrue(rebalance(3, "status").out().startsWith("finished"));
--- a/src/test/java/wallmoor/net/MigrationProcessTest.java
+++ b/src/test/java/wallmoor/net/MigrationProcessTest.java
@@ -68,8 +68,8 @@
                 Thread.sleep(random.nextInt(300));
                 fleet.start(node);
             } else if (which == 1) { // a request or its answer is lost, and so is what a node was fetching
-                fleet.relay.lose(DiskFleet.CARRIER, random.nextInt(3));
-                fleet.relay.lose(0, 1 + random.nextInt(2));
+                fleet.relay.resetLinks(DiskFleet.CARRIER, random.nextInt(3));
+                fleet.relay.resetLinks(0, 1 + random.nextInt(2));
                 fleet.relay.fault(0, 1 + random.nextInt(2), TcpRelay.Fault.STALLED);
                 Thread.sleep(200);
                 fleet.relay.heal();
@@ -86,7 +86,7 @@
 
     /** What still lies on the node that drains. */
     private List<String> left() throws Exception {
-        return wallmoor.standin.DiskNode.holds(dir("a")).entrySet().stream()
+        return wallmoor.standin.DiskNode.readReplicas(dir("a")).entrySet().stream()
                 .filter(e -> e.getValue().state() != ReplicaRecord.ReplicaState.ABSENT).map(Map.Entry::getKey).toList();
     }
 
--- a/src/test/java/wallmoor/net/PlatformTest.java
+++ b/src/test/java/wallmoor/net/PlatformTest.java
@@ -194,7 +194,7 @@
         start(one.member("a", 0, "SERVING"), other.member("b", 0, "SERVING"));
         Program.await("a watch", () -> discovery.count("GET /api/targets?stream=1&index=41") == 1);
         Thread.sleep(100); // the watch is in the stand-in's hands a little after its request line is
-        discovery.say("{\"revision\":43,\"complete\":false,\"members\":[" + one.member("a", 0, "DRAINING") + "]}");
+        discovery.send("{\"revision\":43,\"complete\":false,\"members\":[" + one.member("a", 0, "DRAINING") + "]}");
         Thread.sleep(1500);
         long before = one.count("Q");
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/wallmoor/net/ReloadCrossingsTest.java
+++ b/src/test/java/wallmoor/net/ReloadCrossingsTest.java
@@ -131,7 +131,7 @@
                 int ok = taken;
                 int bad = failed;
                 String phase = i % 2 == 0 ? "DRAINING" : "SERVING";
-                var drains = new Thread(() -> discovery.say("{\"revision\":" + (50 + ok + bad)
+                var drains = new Thread(() -> discovery.send("{\"revision\":" + (50 + ok + bad)
                         + ",\"complete\":false,\"members\":[" + first.member("a", 0, phase) + "]}"));
                 drains.start();
                 run.reload(file);
@@ -139,7 +139,7 @@
                 Program.await("read " + ok + " " + bad, () -> isReload(run, ok, bad));
             }
             load.stop();
-            assertEquals(List.of(), List.copyOf(load.strange));
+            assertEquals(List.of(), List.copyOf(load.unexpectedAnswers));
             assertEquals("all were answered: " + load.counts(), 0, load.broken(0, System.nanoTime()).size());
             assertFiguresAreWhatClientsGot(run, load.counts());
         }
@@ -162,7 +162,7 @@
                 run.reload(with(fewer, "\"MaxAttempts\":4", "\"MaxAttempts\":1"));
                 Program.await("taken", () -> isReload(run, 1, 0));
             } else {
-                discovery.say(drain);
+                discovery.send(drain);
                 Thread.sleep(2_000 / 10); // the grace is ten times as long
             }
         }
--- a/src/test/java/wallmoor/net/SourcesTest.java
+++ b/src/test/java/wallmoor/net/SourcesTest.java
@@ -141,15 +141,15 @@
         try (var load = new Load(0)) {
             Program.await("both used", () -> a.count("Q") > 5 && b.count("Q") > 5);
             // the list has its own name for the machine that DNS calls w1, and both go on naming it
-            discovery.say(
+            discovery.send(
                     "{\"revision\":43,\"complete\":false,\"members\":[" + a.member("s-5be2", 0, "DRAINING") + "]}");
             Thread.sleep(2000);
             long before = a.count("Q");
             long look = dns.seen.size();
             Program.await("DNS heard again, still naming it", () -> dns.seen.size() > look + 3);
             assertEquals(before, a.count("Q"));
-            discovery
-                    .say("{\"revision\":44,\"complete\":false,\"members\":[" + a.member("s-5be2", 0, "DELETED") + "]}");
+            discovery.send(
+                    "{\"revision\":44,\"complete\":false,\"members\":[" + a.member("s-5be2", 0, "DELETED") + "]}");
             Thread.sleep(1500);
             assertEquals("a record that outlives its node", before, a.count("Q"));
             assertEquals("no query lost", 0, load.failed.get());
@@ -167,7 +167,7 @@
         start("1h", "0.2");
         awaitServing("w1", "w2");
         try (var load = new Load(0)) {
-            dns.absences(true, null);
+            dns.setNegativeAnswers(true, null);
             dns.set(SERVICE, Type.SRV);
             Program.await("several empty answers", () -> dns.seen.stream().filter(s -> s.endsWith("SRV")).count() > 6);
             assertEquals(0, load.failed.get());
@@ -215,7 +215,7 @@
         start("2s", "1");
         awaitServing("w1");
         try (var load = new Load(0)) {
-            dns.fail(DnsServer.Fault.SERVFAIL);
+            dns.setFault(DnsServer.Fault.SERVFAIL);
             Program.await("told why", () -> logged("SERVFAIL"));
             assertEquals("the last good news stands", 0, load.failed.get());
             Program.await("left", () -> logged(
@@ -224,7 +224,7 @@
         long begun = System.nanoTime();
         assertEquals("refused at once, not kept waiting", 503, Client.post(program.port, "r", "all", 1900, 0).status);
         assertTrue(System.nanoTime() - begun < TimeUnit.SECONDS.toNanos(1));
-        dns.fail(DnsServer.Fault.NONE);
+        dns.setFault(DnsServer.Fault.NONE);
         Program.await("served again", () -> {
             try {
                 return Client.post(program.port, "s" + System.nanoTime(), "all", 1900, 0).status == 200;
@@ -243,7 +243,7 @@
         open.add(program);
         Program.await("a watch", () -> discovery.count("GET /api/targets?stream=1") == 1);
         Thread.sleep(100);
-        discovery.say("{\"revision\":43,\"complete\":false,\"members\":[" + a.member("a", 0, "DRAINING") + "]}");
+        discovery.send("{\"revision\":43,\"complete\":false,\"members\":[" + a.member("a", 0, "DRAINING") + "]}");
         Program.await("the change", () -> logged("DRAINING"));
         var json = new com.fasterxml.jackson.databind.ObjectMapper();
         for (String line : List.copyOf(program.log)) {
--- a/src/test/java/wallmoor/net/StandIn.java
+++ b/src/test/java/wallmoor/net/StandIn.java
@@ -160,9 +160,9 @@
         /** Watches on which nothing more is said; those opened later are as ever. */
         private final List<Socket> hushed = Collections.synchronizedList(new ArrayList<>());
         /** Down: connections are reset. */
-        volatile boolean away;
+        volatile boolean resetsConnections;
         /** The first line of a new watch: what changed since; none if empty. */
-        volatile String missed = "";
+        volatile String changesSinceIndex = "";
         /** The whole list, where that is asked for. */
         volatile String list = "{}";
         /** What each watch begins with, or nothing. */
@@ -172,7 +172,7 @@
 
         @Override
         void serve(Socket peer) throws IOException, InterruptedException {
-            if (away) {
+            if (resetsConnections) {
                 peer.setSoLinger(true, 0);
                 return;
             }
@@ -188,8 +188,8 @@
                 write(peer, opening + "\n");
             }
             watches.add(peer);
-            if (!missed.isEmpty()) {
-                write(peer, missed + "\n");
+            if (!changesSinceIndex.isEmpty()) {
+                write(peer, changesSinceIndex + "\n");
             }
             while (true) {
                 Thread.sleep(500);
@@ -199,7 +199,7 @@
             }
         }
 
-        void say(String json) {
+        void send(String json) {
             for (Socket watch : List.copyOf(watches)) {
                 try {
                     write(watch, json + "\n");
@@ -210,7 +210,7 @@
         }
 
         /** All watches open now fall silent, after so much of a line. */
-        void hush(String half) throws IOException {
+        void silenceOpenWatches(String half) throws IOException {
             hushed.addAll(watches);
             for (Socket watch : List.copyOf(half.isEmpty() ? List.of() : watches)) {
                 watch.getOutputStream().write((Integer.toHexString(2 * half.length()) + "\r\n" + half).getBytes(UTF_8));
--- a/src/test/java/wallmoor/net/SteadyLoad.java
+++ b/src/test/java/wallmoor/net/SteadyLoad.java
@@ -19,7 +19,7 @@
 
     final ConcurrentLinkedQueue<Asked> all = new ConcurrentLinkedQueue<>();
     /** Answers that were not to the query asked, or came beside one. */
-    final ConcurrentLinkedQueue<String> strange = new ConcurrentLinkedQueue<>();
+    final ConcurrentLinkedQueue<String> unexpectedAnswers = new ConcurrentLinkedQueue<>();
     private final AtomicInteger numbers = new AtomicInteger();
     private final List<Thread> threads = new ArrayList<>();
     private final int port;
@@ -70,7 +70,7 @@
             all.add(new Asked(id, queryClass, answer.status, "", from, System.nanoTime()));
             if ((answer.status == 200 && !answer.body.contains("\"doc\":\"v" + id + "."))
                     || client.socket.getInputStream().available() > 0) {
-                strange.add(id + ": " + answer.head + answer.body);
+                unexpectedAnswers.add(id + ": " + answer.head + answer.body);
             }
             if (!"close".equalsIgnoreCase(answer.header("Connection"))) {
                 return client;
--- a/src/test/java/wallmoor/net/UpgradeTest.java
+++ b/src/test/java/wallmoor/net/UpgradeTest.java
@@ -116,7 +116,7 @@
             assertEquals("refused, failed or late: " + load.counts(), load.all.size(),
                     load.count(200) + load.broken(begun, System.nanoTime()).size());
             assertTrue("few asked: " + load.counts(), load.all.size() > 500);
-            assertTrue(load.strange.toString(), load.strange.isEmpty());
+            assertTrue(load.unexpectedAnswers.toString(), load.unexpectedAnswers.isEmpty());
             assertEquals(Map.of(), runTwice("once"));
             assertTrue(third.runs());
         }
@@ -130,7 +130,7 @@
                 .collect(Collectors.joining(","));
         discovery.opening = "{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + others
                 + (phase.equals("DELETED") ? "" : "," + entry) + "]}";
-        discovery.say("{\"revision\":" + revision + ",\"complete\":false,\"members\":[" + entry + "]}");
+        discovery.send("{\"revision\":" + revision + ",\"complete\":false,\"members\":[" + entry + "]}");
     }
 
     @Test(timeout = 90_000)
--- a/src/test/java/wallmoor/standin/DiskNode.java
+++ b/src/test/java/wallmoor/standin/DiskNode.java
@@ -46,8 +46,8 @@
 public final class DiskNode {
     /** What runs once is written into the head of a block: a number of eight bytes by its remainder. */
     public static final int SLOTS = 64;
-    public static final int HEAD = SLOTS * 8;
-    public static final int PIECE = 16_384;
+    public static final int HEAD_BYTES = SLOTS * 8;
+    public static final int PIECE_BYTES = 16_384;
     private static final int THREADS = 16;
     /** A query that waits so long for the disk suffers. */
     private static final double SUFFERS_MILLIS = 20;
@@ -105,7 +105,7 @@
         byte[] bytes = new byte[length];
         for (int i = 0; i < length; i++) {
             long at = from + i;
-            bytes[i] = at < HEAD ? 0 : (byte) ((at * 0x9e3779b97f4a7c15L + block.hashCode() * 31L) >>> 40);
+            bytes[i] = at < HEAD_BYTES ? 0 : (byte) ((at * 0x9e3779b97f4a7c15L + block.hashCode() * 31L) >>> 40);
         }
         return bytes;
     }
@@ -153,7 +153,7 @@
 
     private byte[] piece(String block, long from) {
         try {
-            return read(block, from, PIECE);
+            return read(block, from, PIECE_BYTES);
         } catch (IOException e) {
             return new byte[0]; // dropped meanwhile: refused
         }
@@ -326,7 +326,7 @@
     }
 
     /** Blocks by what a directory holds of them, for who looks after the node has ended. */
-    public static Map<String, ReplicaRecord> holds(Path dir) throws IOException {
+    public static Map<String, ReplicaRecord> readReplicas(Path dir) throws IOException {
         var all = new TreeMap<String, ReplicaRecord>();
         try (var files = Files.list(dir)) {
             for (Path f : files.filter(f -> f.toString().endsWith(".held")).toList()) {
--- a/src/test/java/wallmoor/standin/DnsServer.java
+++ b/src/test/java/wallmoor/standin/DnsServer.java
@@ -80,12 +80,12 @@
     }
 
     /** From now on it does this. */
-    public void fail(Fault with) {
+    public void setFault(Fault with) {
         fault = with;
     }
 
     /** Whether absences come with an SOA record; a name that exists without records is NODATA, not NXDOMAIN. */
-    public void absences(boolean withSoa, String nameThatExists) {
+    public void setNegativeAnswers(boolean withSoa, String nameThatExists) {
         soa = withSoa;
         existing = nameThatExists == null ? null : name(nameThatExists);
     }
--- a/src/test/java/wallmoor/standin/GroupRelay.java
+++ b/src/test/java/wallmoor/standin/GroupRelay.java
@@ -39,7 +39,7 @@
     /** Each datagram is on its way for up to so long, so that they overtake each other. */
     public volatile int delayMillis;
     /** So many of them come again, up to a second later. */
-    public volatile double again;
+    public volatile double duplicateShare;
     private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor(work -> {
         var thread = new Thread(work, "relay-later");
         thread.setDaemon(true);
@@ -95,7 +95,7 @@
                 new InetSocketAddress(loopback, ports.get(to)));
         synchronized (random) {
             pass(in, on, delayMillis == 0 ? 0 : random.nextInt(delayMillis));
-            if (random.nextDouble() < again) {
+            if (random.nextDouble() < duplicateShare) {
                 pass(in, on, random.nextInt(1_000));
             }
         }
--- a/src/test/java/wallmoor/standin/TcpRelay.java
+++ b/src/test/java/wallmoor/standin/TcpRelay.java
@@ -164,7 +164,7 @@
     }
 
     /** Resets all links between two processes, whoever opened them; returns their number. */
-    public int lose(int one, int other) {
+    public int resetLinks(int one, int other) {
         return onLinks(one, other, link -> {
             drop(link);
             lost.incrementAndGet();
@@ -174,7 +174,7 @@
     /**
      * Resets the end of {@code told} of all its links with another, which hears nothing of it; returns their number.
      */
-    public int loseHalf(int told, int untold) {
+    public int resetOneEnd(int told, int untold) {
         return onLinks(told, untold, link -> {
             boolean opener = link.up.pair.from == told;
             reset(opener ? link.near : link.far);
--- a/src/test/java/wallmoor/standin/TcpRelayTest.java
+++ b/src/test/java/wallmoor/standin/TcpRelayTest.java
@@ -118,12 +118,12 @@
     @Test
     public void linksAreLostAtBothEndsOrAtOne() throws IOException {
         open();
-        assertEquals(1, relay.loseHalf(0, 1));
+        assertEquals(1, relay.resetOneEnd(0, 1));
         assertThrows(IOException.class, () -> opener.getInputStream().read());
         silent(answerer);
         open();
         assertEquals(2, relay.links());
-        assertEquals("the half one is not lost again", 1, relay.lose(1, 0));
+        assertEquals("the half one is not lost again", 1, relay.resetLinks(1, 0));
         assertThrows(IOException.class, () -> opener.getInputStream().read());
         assertThrows(IOException.class, () -> answerer.getInputStream().read());
     }
