--- a/src/test/java/wallmoor/net/ScriptedDiscovery.java
+++ b/src/test/java/wallmoor/net/ScriptedDiscovery.java
@@ -11,11 +11,11 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A discovery that does nothing by itself: each call waits until the test says what comes next on it. So a test holds
- * one side of a crossing for as long as the other needs.
+ * A discovery service that sends nothing by itself: each connection waits until the test writes to it. A test can
+ * thereby order two concurrent events.
  */
 final class ScriptedDiscovery implements AutoCloseable {
-    private static final int PATIENCE_MILLIS = 15_000;
+    private static final int TIMEOUT_MILLIS = 15_000;
 
     private final ServerSocket socket;
     private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
@@ -28,7 +28,7 @@
                     calls.add(new Call(socket.accept()));
                 }
             } catch (IOException e) {
-                // the test is over
+                // the socket is closed: the test has ended
             }
         });
         accepting.setDaemon(true);
@@ -39,16 +39,16 @@
         return socket.getLocalPort();
     }
 
-    /** The next call, which must come. */
+    /** Returns the next connection; fails where none is opened within {@link #TIMEOUT_MILLIS}. */
     Call call() throws InterruptedException {
-        Call call = call(PATIENCE_MILLIS);
+        Call call = call(TIMEOUT_MILLIS);
         if (call == null) {
-            throw new AssertionError("no call came");
+            throw new AssertionError("no connection to discovery within " + TIMEOUT_MILLIS + " ms");
         }
         return call;
     }
 
-    /** The next call, or null where none comes in time. */
+    /** Returns the next connection, or null where none is opened within this time. */
     Call call(long millis) throws InterruptedException {
         return calls.poll(millis, TimeUnit.MILLISECONDS);
     }
@@ -61,40 +61,41 @@
         }
     }
 
-    /** One connection. */
+    /** One connection of a client, with its request. */
     static final class Call implements AutoCloseable {
-        final long at = System.nanoTime();
+        /** When the connection was accepted, in nanoseconds of {@link System#nanoTime}. */
+        final long acceptedAt = System.nanoTime();
         private final Socket peer;
 
         Call(Socket peer) throws IOException {
             this.peer = peer;
             peer.setTcpNoDelay(true);
-            peer.setSoTimeout(PATIENCE_MILLIS);
+            peer.setSoTimeout(TIMEOUT_MILLIS);
         }
 
-        /** The target of the next request on it. */
+        /** Reads the next request and returns its target. */
         String target() throws IOException {
             return Client.head(peer.getInputStream()).split(" ")[1];
         }
 
-        /** Bytes as they are. */
+        /** Writes this text without framing. */
         Call raw(String text) throws IOException {
             peer.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
             return this;
         }
 
-        /** A whole answer with a length. */
+        /** Writes a complete response with a Content-Length. */
         Call answer(int status, String body) throws IOException {
             return raw("HTTP/1.1 " + status + " Status\r\nContent-Length: "
                     + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n" + body);
         }
 
-        /** The head of a watch. */
+        /** Writes the response head of a watch. */
         Call open() throws IOException {
             return raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         }
 
-        /** A chunk of a watch, without a line end of its own. */
+        /** Writes this text as one chunk; no line end is appended. */
         Call chunk(String text) throws IOException {
             return raw(chunkOf(text));
         }
@@ -103,16 +104,16 @@
             return Integer.toHexString(text.getBytes(StandardCharsets.UTF_8).length) + "\r\n" + text + "\r\n";
         }
 
-        /** The same, where whoever watched may have left. */
-        void chunkInVain(String text) {
+        /** Writes this text as one chunk; does nothing where the client has closed the connection. */
+        void tryChunk(String text) {
             try {
                 chunk(text);
             } catch (IOException e) {
-                // it has left
+                // the client has closed the connection
             }
         }
 
-        /** The watch ends as it should. */
+        /** Writes the last chunk, which ends the watch in an orderly way. */
         void end() throws IOException {
             raw("0\r\n\r\n");
         }
@@ -122,12 +123,12 @@
             peer.close();
         }
 
-        /** Waits until whoever called has closed it. */
-        void awaitLeft() throws IOException {
+        /** Reads until the client has closed the connection. */
+        void awaitClosed() throws IOException {
             try {
                 peer.getInputStream().transferTo(OutputStream.nullOutputStream());
             } catch (java.net.SocketException e) {
-                // left with something unread
+                // the client closed it with unread bytes, which resets it
             }
         }
 
--- a/src/test/java/wallmoor/net/SourcesTest.java
+++ b/src/test/java/wallmoor/net/SourcesTest.java
@@ -19,7 +19,10 @@
 import org.xbill.DNS.Type;
 import wallmoor.standin.DnsServer;
 
-/** The real program with several sources of nodes that disagree, fail or lie, while queries are out. */
+/**
+ * Tests the real program under load with two sources of workers, the list and DNS, that contradict each other, fail or
+ * report workers that have gone.
+ */
 public class SourcesTest {
     private static final String SERVICE = "_calendar._tcp.fleet.example";
 
@@ -32,7 +35,7 @@
     private Path operator;
 
     @Before
-    public void standIns() throws Exception {
+    public void startStandIns() throws Exception {
         discovery = new StandIn.Discovery();
         dns = new DnsServer();
         open.add(discovery);
@@ -46,7 +49,7 @@
         }
     }
 
-    /** One that takes a few milliseconds, so that several queries need several nodes. */
+    /** Starts a worker that takes 4 ms for a part, so that concurrent queries use several workers. */
     private StandIn.Worker worker() throws IOException {
         var worker = new StandIn.Worker(id -> {
             try {
@@ -60,21 +63,21 @@
         return worker;
     }
 
-    private void start(String age, String leaving) throws Exception {
+    private void start(String maxAge, String maxLeavingShare) throws Exception {
         operator = folder.newFile("operator.yaml").toPath();
-        write(dns.port(), age, leaving);
+        write(dns.port(), maxAge, maxLeavingShare);
         program = new Program(discovery.port(), "", operator);
         open.add(program);
     }
 
-    private void write(int port, String age, String leaving) throws IOException {
+    private void write(int port, String maxAge, String maxLeavingShare) throws IOException {
         Files.writeString(operator, "sources:\n  dns:\n    servers: [\"127.0.0.1:" + port + "\"]\n    names: [{name: "
-                + SERVICE + "}]\n    least_ttl: 200ms\n    most_ttl: 1s\n    timeout: 200ms\n    most_age: " + age
-                + "\n    leaving: " + leaving + "\n");
+                + SERVICE + "}]\n    least_ttl: 200ms\n    most_ttl: 1s\n    timeout: 200ms\n    most_age: " + maxAge
+                + "\n    leaving: " + maxLeavingShare + "\n");
     }
 
-    private static String target(String host, StandIn at, int cell, String id) {
-        return host + ".example:" + at.port() + ":0:1:cell=" + cell + ",id=" + id;
+    private static String target(String host, StandIn server, int cell, String id) {
+        return host + ".example:" + server.port() + ":0:1:cell=" + cell + ",id=" + id;
     }
 
     private void awaitServing(String... ids) throws InterruptedException {
@@ -90,13 +93,13 @@
     }
 
     /**
-     * Queries until it is closed, several at once, as one alone would stay with one node; counts those not answered
-     * whole.
+     * Sends queries on six threads until it is closed, because a single client would stay with one worker; counts the
+     * queries that failed.
      */
     private final class Load implements AutoCloseable {
-        final AtomicInteger asked = new AtomicInteger();
+        final AtomicInteger sent = new AtomicInteger();
         final AtomicInteger failed = new AtomicInteger();
-        private final AtomicBoolean over = new AtomicBoolean();
+        private final AtomicBoolean stopped = new AtomicBoolean();
         private final List<Thread> threads = new ArrayList<>();
 
         Load(int... shards) {
@@ -107,9 +110,9 @@
         }
 
         private void load(int... shards) {
-            while (!over.get()) {
+            while (!stopped.get()) {
                 try {
-                    int status = Client.post(program.port, "l" + asked.incrementAndGet(), "all", 1900, shards).status;
+                    int status = Client.post(program.port, "l" + sent.incrementAndGet(), "all", 1900, shards).status;
                     failed.addAndGet(status == 200 ? 0 : 1);
                 } catch (IOException e) {
                     failed.incrementAndGet();
@@ -119,7 +122,7 @@
 
         @Override
         public void close() {
-            over.set(true);
+            stopped.set(true);
             try {
                 for (Thread t : threads) {
                     t.join(10_000);
@@ -131,7 +134,7 @@
     }
 
     @Test
-    public void aNodeThatTheListDrainsGetsNothingNewWhateverDnsSays() throws Exception {
+    public void sendsNothingToAWorkerDrainedByTheListWhileDnsStillNamesIt() throws Exception {
         var a = worker();
         var b = worker();
         dns.service(SERVICE, 0, target("n1", a, 0, "w1"), target("n2", b, 0, "w2"));
@@ -140,18 +143,18 @@
         Program.await("a watch", () -> discovery.count("GET /api/targets?stream=1") == 1);
         try (var load = new Load(0)) {
             Program.await("both used", () -> a.count("Q") > 5 && b.count("Q") > 5);
-            // the list has its own name for the machine that DNS calls w1, and both go on naming it
+            // the list names the same address s-5be2 that DNS names w1
             discovery.send(
                     "{\"revision\":43,\"complete\":false,\"members\":[" + a.member("s-5be2", 0, "DRAINING") + "]}");
             Thread.sleep(2000);
-            long before = a.count("Q");
-            long look = dns.seen.size();
-            Program.await("DNS heard again, still naming it", () -> dns.seen.size() > look + 3);
-            assertEquals(before, a.count("Q"));
+            long partsBefore = a.count("Q");
+            long lookups = dns.seen.size();
+            Program.await("DNS was queried again and still names w1", () -> dns.seen.size() > lookups + 3);
+            assertEquals(partsBefore, a.count("Q"));
             discovery.send(
                     "{\"revision\":44,\"complete\":false,\"members\":[" + a.member("s-5be2", 0, "DELETED") + "]}");
             Thread.sleep(1500);
-            assertEquals("a record that outlives its node", before, a.count("Q"));
+            assertEquals("DNS still names a worker that left the list", partsBefore, a.count("Q"));
             assertEquals("no query lost", 0, load.failed.get());
         }
         assertTrue(logged(
@@ -160,7 +163,7 @@
     }
 
     @Test
-    public void whenDnsDropsAllTheFleetGoesOn() throws Exception {
+    public void keepsServingWhenDnsAnswersWithoutAnyRecord() throws Exception {
         var a = worker();
         var b = worker();
         dns.service(SERVICE, 0, target("n1", a, 0, "w1"), target("n2", b, 0, "w2"));
@@ -178,7 +181,7 @@
     }
 
     @Test
-    public void aRecordThatOutlivesItsNodeHoldsNoTrafficAndAMovedNameIsAnotherNode() throws Exception {
+    public void suppressesAnUnreachableWorkerAndReplacesOneWhoseNameMoved() throws Exception {
         var a = worker();
         var b = worker();
         var c = worker();
@@ -189,19 +192,19 @@
         start("1h", "0.2");
         awaitServing("w1", "w2", "w3", "w4");
         try (var load = new Load(0, 1)) {
-            Program.await("held out", () -> logged("node=w4 state=DRAINING cause=suppressed: connections failed"));
-            // the name n2 is given to a node of the other cell, at another address
+            Program.await("w4 suppressed", () -> logged("node=w4 state=DRAINING cause=suppressed: connections failed"));
+            // the host name n2 now belongs to a worker of the other cell, at another address
             var moved = worker();
             dns.service(SERVICE, 0, target("n1", a, 0, "w1"), target("n2", moved, 1, "w9"), target("n3", c, 1, "w3"));
             awaitServing("w9");
-            Program.await("the old one gone", () -> logged("node=w2 state=DRAINING"));
-            Program.await("the new one used", () -> moved.count("Q") > 3);
+            Program.await("the old worker drains", () -> logged("node=w2 state=DRAINING"));
+            Program.await("the new worker is used", () -> moved.count("Q") > 3);
             Thread.sleep(300);
-            long before = b.count("Q");
+            long partsBefore = b.count("Q");
             Thread.sleep(500);
-            assertEquals(before, b.count("Q"));
+            assertEquals(partsBefore, b.count("Q"));
             synchronized (moved.seen) {
-                assertTrue("no part for a shard it does not hold", moved.seen.stream().filter(s -> s.startsWith("Q"))
+                assertTrue("received a part of a foreign shard", moved.seen.stream().filter(s -> s.startsWith("Q"))
                         .allMatch(s -> s.split(" ")[1].equals("1")));
             }
             assertEquals(0, load.failed.get());
@@ -209,20 +212,20 @@
     }
 
     @Test
-    public void whenAllServersFailForLongerThanTheMostAgeItsNodesLeaveAndComeBack() throws Exception {
+    public void dropsWorkersAfterMaxAgeOfDnsFailuresAndRestoresThem() throws Exception {
         var a = worker();
         dns.service(SERVICE, 0, target("n1", a, 0, "w1"));
         start("2s", "1");
         awaitServing("w1");
         try (var load = new Load(0)) {
             dns.setFault(DnsServer.Fault.SERVFAIL);
-            Program.await("told why", () -> logged("SERVFAIL"));
-            assertEquals("the last good news stands", 0, load.failed.get());
-            Program.await("left", () -> logged(
+            Program.await("the cause is logged", () -> logged("SERVFAIL"));
+            assertEquals("the last valid answer stays in use", 0, load.failed.get());
+            Program.await("w1 drains after max age", () -> logged(
                     "node=w1 state=DRAINING cause=no report from dns " + SERVICE + " for more than 2 s"));
         }
         long begun = System.nanoTime();
-        assertEquals("refused at once, not kept waiting", 503, Client.post(program.port, "r", "all", 1900, 0).status);
+        assertEquals("rejected without waiting", 503, Client.post(program.port, "r", "all", 1900, 0).status);
         assertTrue(System.nanoTime() - begun < TimeUnit.SECONDS.toNanos(1));
         dns.setFault(DnsServer.Fault.NONE);
         Program.await("served again", () -> {
@@ -235,7 +238,7 @@
     }
 
     @Test
-    public void theLogIsJsonLinesWhereThatIsSet() throws Exception {
+    public void logsJsonLinesWithTheSetLevels() throws Exception {
         operator = folder.newFile("operator.yaml").toPath();
         Files.writeString(operator, "logging: {format: json, levels: {service: warn}}\n");
         var a = worker();
@@ -249,20 +252,20 @@
         for (String line : List.copyOf(program.log)) {
             var event = json.readTree(line);
             assertTrue(line, event.has("timestamp") && event.has("level") && event.has("formattedMessage"));
-            assertTrue("below its level: " + line, !event.get("loggerName").asText().contains("Service"));
+            assertTrue("below the set level: " + line, !event.get("loggerName").asText().contains("Service"));
         }
-        assertTrue("what is said of a node is there by name", logged("\"node\":\"a\""));
+        assertTrue("the worker is a field of the event", logged("\"node\":\"a\""));
     }
 
     @Test
-    public void theOperatorsFileIsReadAgainAndAFaultyOneChangesNothing() throws Exception {
+    public void reloadsTheOperatorFileAndKeepsTheOldSettingsOnAnError() throws Exception {
         var a = worker();
         dns.service(SERVICE, 0, target("n1", a, 0, "w1"));
         start("1h", "0.2");
         awaitServing("w1");
         Files.writeString(operator, "sources:\n  dsn: {}\n");
         program.hangUp();
-        Program.await("the fault", () -> logged("line 2: sources.dsn: is unknown; did you mean dns?"));
+        Program.await("the error is logged", () -> logged("line 2: sources.dsn: is unknown; did you mean dns?"));
         assertEquals(200, Client.post(program.port, "q1", "all", 1900, 0).status);
         try (var other = new DnsServer()) {
             other.service(SERVICE, 0, target("n1", a, 0, "w1"), target("n2", worker(), 0, "w2"));
--- a/src/test/java/wallmoor/net/StandIn.java
+++ b/src/test/java/wallmoor/net/StandIn.java
@@ -16,9 +16,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** A small server on a free port, a thread a connection; it writes down what came, in order. */
+/** A server on a free port of loopback with a thread for each connection; it records what it receives, in order. */
 abstract class StandIn implements AutoCloseable {
-    /** What came, over all stand-ins of a test: their order tells which came first. */
+    /** The received requests, and {@code open} and {@code closed} for each connection, in order of arrival. */
     final List<String> seen = Collections.synchronizedList(new ArrayList<>());
     final ServerSocket socket;
 
@@ -48,7 +48,7 @@
             try {
                 work.run();
             } catch (IOException | InterruptedException e) {
-                // the test is over, or the peer has gone
+                // the test has ended, or the peer has closed the connection
             }
         });
         thread.setDaemon(true);
@@ -77,7 +77,11 @@
         socket.close();
     }
 
-    /** A worker: {@code answer} turns a part's id into END, or into null for silence, or "break" or "garbage". */
+    /**
+     * A worker. {@code answer} maps a part's id to the END of its answer, to null for no answer, or to a fault:
+     * {@code break} closes the connection, {@code garbage} sends an unknown frame, {@code stranger} answers under
+     * another id, {@code short} sends an incomplete frame, {@code twice} sends the answer two times.
+     */
     static final class Worker extends StandIn {
         private static final ScheduledExecutorService LATER = Executors.newSingleThreadScheduledExecutor(work -> {
             var thread = new Thread(work, "late-answers");
@@ -85,11 +89,11 @@
             return thread;
         });
         final Function<String, String> answer;
-        /** What stands behind each value. */
+        /** A text that is appended to each value. */
         volatile String value = "";
-        /** How long each answer is kept back, by the part's id; where that is 0 the next part waits for the answer. */
+        /** The delay of an answer by the part's id; at 0 the answer is written before the next part is read. */
         volatile java.util.function.ToLongFunction<String> delayMillis = id -> 0;
-        /** Told what each part carries, as its frame has come. */
+        /** Called with the payload of each part when its frame has been read. */
         volatile java.util.function.Consumer<String> onPart = text -> {};
 
         Worker(Function<String, String> answer) throws IOException {
@@ -116,30 +120,30 @@
                 if (end == null) {
                     continue;
                 }
-                long after = delayMillis.applyAsLong(id);
-                if (after == 0) {
+                long delay = delayMillis.applyAsLong(id);
+                if (delay == 0) {
                     reply(peer, id, end);
                 } else {
                     var unused = LATER.schedule(() -> {
                         reply(peer, id, end);
                         return null;
-                    }, after, TimeUnit.MILLISECONDS);
+                    }, delay, TimeUnit.MILLISECONDS);
                 }
             }
         }
 
-        private void reply(Socket peer, String asked, String how) throws IOException {
-            String end = how;
-            String id = asked;
-            if ("stranger".equals(end)) { // spoilt: the right form, but another's id
+        private void reply(Socket peer, String partId, String outcome) throws IOException {
+            String end = outcome;
+            String id = partId;
+            if ("stranger".equals(end)) { // a valid answer with the id of no part
                 id = "not-" + id;
                 end = "ok";
             }
             byte[] reply = ("garbage".equals(end) ? "?"
-                    : "A" + id + " " + end.replace("twice", "ok") + " 7 -\nv" + asked + value)
+                    : "A" + id + " " + end.replace("twice", "ok") + " 7 -\nv" + partId + value)
                     .getBytes(StandardCharsets.ISO_8859_1);
             var out = new java.io.ByteArrayOutputStream();
-            if ("short".equals(end)) { // its length says more than comes
+            if ("short".equals(end)) { // the length prefix announces more bytes than follow
                 out.write(new byte[] {0, 0, 9, 9, 'A'});
                 end = "none";
             }
@@ -153,19 +157,19 @@
         }
     }
 
-    /** Discovery: its watches send what {@link #say} is given, and nothing else where {@link #silent}. */
+    /** A discovery service. Its watches carry the objects of {@link #send}, and heartbeats unless {@link #silent}. */
     static final class Discovery extends StandIn {
         private final List<Socket> watches = Collections.synchronizedList(new ArrayList<>());
         volatile boolean silent;
-        /** Watches on which nothing more is said; those opened later are as ever. */
-        private final List<Socket> hushed = Collections.synchronizedList(new ArrayList<>());
-        /** Down: connections are reset. */
+        /** Watches that get no more heartbeats; those opened later do get them. */
+        private final List<Socket> silencedWatches = Collections.synchronizedList(new ArrayList<>());
+        /** Resets each new connection, as a service that is down would. */
         volatile boolean resetsConnections;
-        /** The first line of a new watch: what changed since; none if empty. */
+        /** Sent on a new watch after {@link #opening}: the changes since the requested index; none if empty. */
         volatile String changesSinceIndex = "";
-        /** The whole list, where that is asked for. */
+        /** The response to a request for the complete list. */
         volatile String list = "{}";
-        /** What each watch begins with, or nothing. */
+        /** The first object of a new watch; none if empty. */
         volatile String opening = "";
 
         Discovery() throws IOException {}
@@ -193,31 +197,33 @@
             }
             while (true) {
                 Thread.sleep(500);
-                if (!silent && !hushed.contains(peer)) {
+                if (!silent && !silencedWatches.contains(peer)) {
                     write(peer, "\n");
                 }
             }
         }
 
+        /** Sends an object on all open watches. */
         void send(String json) {
             for (Socket watch : List.copyOf(watches)) {
                 try {
                     write(watch, json + "\n");
                 } catch (IOException e) {
-                    watches.remove(watch); // who watched has gone
+                    watches.remove(watch); // the client has closed the watch
                 }
             }
         }
 
-        /** All watches open now fall silent, after so much of a line. */
-        void silenceOpenWatches(String half) throws IOException {
-            hushed.addAll(watches);
-            for (Socket watch : List.copyOf(half.isEmpty() ? List.of() : watches)) {
-                watch.getOutputStream().write((Integer.toHexString(2 * half.length()) + "\r\n" + half).getBytes(UTF_8));
+        /** Sends the beginning of a chunk on all open watches, unless it is empty, and no heartbeat after it. */
+        void silenceOpenWatches(String beginning) throws IOException {
+            silencedWatches.addAll(watches);
+            for (Socket watch : List.copyOf(beginning.isEmpty() ? List.of() : watches)) {
+                watch.getOutputStream()
+                        .write((Integer.toHexString(2 * beginning.length()) + "\r\n" + beginning).getBytes(UTF_8));
             }
         }
 
-        /** All watches open now are reset. */
+        /** Resets all open watches. */
         void reset() throws IOException {
             for (Socket watch : List.copyOf(watches)) {
                 watch.setSoLinger(true, 0);
@@ -232,8 +238,8 @@
     }
 
     /**
-     * A feature server: {@code answer} turns a target into a body, a status, or null for silence. A body after "!" has
-     * no length, and ends where the connection does.
+     * A feature server: {@code answer} maps a target to a body, a status, or null for no answer. A body that begins
+     * with "!" is sent without a Content-Length and ends with the connection.
      */
     static final class FeatureServer extends StandIn {
         final Function<String, String> answer;
@@ -255,9 +261,9 @@
                     peer.getOutputStream().write(("HTTP/1.1 200 OK\r\n\r\n" + body.substring(1)).getBytes(UTF_8));
                     return;
                 }
-                boolean status = body.matches("[0-9]{3}");
-                byte[] bytes = (status ? "{}" : body).getBytes(StandardCharsets.UTF_8);
-                peer.getOutputStream().write(("HTTP/1.1 " + (status ? body : "200") + " Status\r\nContent-Type: "
+                boolean isStatus = body.matches("[0-9]{3}");
+                byte[] bytes = (isStatus ? "{}" : body).getBytes(StandardCharsets.UTF_8);
+                peer.getOutputStream().write(("HTTP/1.1 " + (isStatus ? body : "200") + " Status\r\nContent-Type: "
                         + "application/geo+json\r\nContent-Length: " + bytes.length + "\r\n\r\n").getBytes(UTF_8));
                 peer.getOutputStream().write(bytes);
             }
--- a/src/test/java/wallmoor/net/StartCrossingsTest.java
+++ b/src/test/java/wallmoor/net/StartCrossingsTest.java
@@ -20,13 +20,16 @@
 import org.junit.rules.TemporaryFolder;
 import wallmoor.standin.Ports;
 
-/** Signals and a discovery that is of no help while the real program starts. */
+/**
+ * Tests the start of the real program: signals that arrive during it, a discovery service that refuses connections or
+ * never answers, and the graceful shutdown.
+ */
 public class StartCrossingsTest {
-    /** The platform's terms for a restart; a start here takes a second or two. */
+    /** The time in which the platform expects a restarted process to be ready. */
     private static final long READY_MILLIS = 10_000;
     private static final long SETTLE_MILLIS = 300;
-    /** The longest time that a client of {@link Program#SETTINGS} waits, and 0.7 s. */
-    private static final long LEAVE_MILLIS = 2_700;
+    /** The longest client timeout in {@link Program#SETTINGS}, and 0.7 s. */
+    private static final long SHUTDOWN_MILLIS = 2_700;
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -38,7 +41,7 @@
     private int port;
 
     @Before
-    public void standIns() throws Exception {
+    public void startStandIns() throws Exception {
         worker = new StandIn.Worker(id -> "ok");
         open.add(worker);
         discovery = new StandIn.Discovery();
@@ -54,8 +57,9 @@
         }
     }
 
-    private String config(int list) {
-        return Program.withAdmin(Program.config("t", Program.SEED, port, list, worker.member("a", 0, "SERVING"), 1024),
+    private String config(int discoveryPort) {
+        return Program.withAdmin(
+                Program.config("t", Program.SEED, port, discoveryPort, worker.member("a", 0, "SERVING"), 1024),
                 admin.port());
     }
 
@@ -71,140 +75,144 @@
         return process;
     }
 
-    private Process start(int list) throws IOException {
-        return start(Files.writeString(folder.newFile().toPath(), config(list)), null);
+    private Process start(int discoveryPort) throws IOException {
+        return start(Files.writeString(folder.newFile().toPath(), config(discoveryPort)), null);
     }
 
-    /** Answers all calls that wait at this socket, and those that come, by a watch on which nothing has changed. */
-    private void tellAll(ServerSocket held) {
+    /** Answers each waiting and later connection of this socket with a watch that carries one heartbeat. */
+    private void answerWatches(ServerSocket server) {
         try {
             while (true) {
-                Socket call = held.accept();
+                Socket call = server.accept();
                 open.add(call);
                 call.getOutputStream()
                         .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n".getBytes(UTF_8));
             }
         } catch (IOException e) {
-            // the test is over
+            // the socket is closed: the test has ended
         }
     }
 
-    /** A port where connects are taken and nothing is ever said. */
-    private int silentDiscovery() throws IOException {
+    /** Returns a port on which connections are established and never answered. */
+    private int unresponsiveDiscovery() throws IOException {
         var socket = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         open.add(socket);
         return socket.getLocalPort();
     }
 
-    /** The file is read, then replaced and SIGHUP sent, and only then the start goes on: held up by the second file. */
+    /**
+     * Guards against a SIGHUP that is lost when it arrives after the configuration file was read and before the
+     * gatherer runs. The operator's file is a FIFO, which blocks the start at that point.
+     */
     @Test(timeout = 60_000)
-    public void aHangUpBetweenTheFilesReadingAndTheGathererIsObeyed() throws Exception {
+    public void reloadsOnAHangUpBetweenReadingTheFileAndStartingTheGatherer() throws Exception {
         Path config = Files.writeString(folder.newFile("config.json").toPath(), config(silentDiscovery()));
         Path fifo = folder.getRoot().toPath().resolve("operator.yaml");
         assertEquals(0, new ProcessBuilder("mkfifo", fifo.toString()).start().waitFor());
         Process process = start(config, fifo);
-        try (var held = Files.newOutputStream(fifo)) { // opened here once it is opened there: the first file is read
+        try (var writer = Files.newOutputStream(fifo)) { // blocks until the program opens it, after the first file
             Files.writeString(config, config(discovery.port()));
             Program.signal(process, "HUP");
             Thread.sleep(SETTLE_MILLIS);
-            held.write("logging: {}\n".getBytes(UTF_8));
+            writer.write("logging: {}\n".getBytes(UTF_8));
         }
-        var again = new Thread(() -> {
+        var secondWrite = new Thread(() -> {
             try {
-                Files.writeString(fifo, "logging: {}\n"); // each reading of the file waits for one writing
+                Files.writeString(fifo, "logging: {}\n"); // a reload reads the FIFO again and blocks until this write
             } catch (IOException e) {
-                // it is not read again
+                // the program does not read it again
             }
         });
-        again.setDaemon(true);
-        again.start();
-        Program.await("the discovery of the new file is asked: " + log, () -> discovery.count("GET /api/targets") > 0);
+        secondWrite.setDaemon(true);
+        secondWrite.start();
+        Program.await("request to the new discovery: " + log, () -> discovery.count("GET /api/targets") > 0);
         Program.await("ready", admin::ready);
     }
 
-    private void readyWithin(long millis, Process process) throws Exception {
+    private void assertReadyWithin(long millis, Process process) throws Exception {
         long begun = System.nanoTime();
         Program.await("ready", admin::ready);
         long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
         assertTrue("ready after " + took + " ms", took < millis);
-        assertEquals("by the list as last known", 200, Client.post(port, "q", "all", 1900, 0).status);
+        assertEquals("by the list of the configuration file", 200, Client.post(port, "q", "all", 1900, 0).status);
         assertTrue(process.isAlive());
     }
 
     @Test(timeout = 60_000)
-    public void isReadyThoughDiscoveryRefuses() throws Exception {
-        readyWithin(READY_MILLIS, start(Ports.free()));
+    public void isReadyWhenDiscoveryRefusesConnections() throws Exception {
+        assertReadyWithin(READY_MILLIS, start(Ports.free()));
     }
 
     @Test(timeout = 60_000)
-    public void isReadyThoughDiscoverySaysNothing() throws Exception {
-        readyWithin(READY_MILLIS, start(silentDiscovery()));
+    public void isReadyWhenDiscoveryDoesNotAnswer() throws Exception {
+        assertReadyWithin(READY_MILLIS, start(unresponsiveDiscovery()));
     }
 
     @Test(timeout = 60_000)
-    public void isReadyBesideNobodyOnAnInheritedSocketThoughDiscoverySaysNothing() throws Exception {
+    public void isReadyAloneOnAnInheritedSocketWhenDiscoveryDoesNotAnswer() throws Exception {
         var socket = new HeldSocket();
         open.add(0, socket);
         HeldSocket.Run run = socket.start(folder.newFolder("tmp").toPath(),
                 Program.config("t", Program.SEED, socket.port,
-                        silentDiscovery(), worker.member("a", 0, "SERVING"), 1024));
+                        unresponsiveDiscovery(), worker.member("a", 0, "SERVING"), 1024));
         long took = run.awaitReady();
         assertTrue("ready after " + took + " ms", took < READY_MILLIS);
         assertEquals(200, Client.post(socket.port, "q", "all", 1900, 0).status);
     }
 
     /**
-     * It waits for the list, is told to leave, and then the list comes: its yes would bring clients to one that ends.
+     * Guards against a process that reports ready after SIGTERM, which would bring clients to a process that ends. It
+     * gets SIGTERM while it waits for the list, and the list afterwards.
      */
     @Test(timeout = 60_000)
-    public void toldToLeaveBeforeItIsReadyItNeverSaysYes() throws Exception {
+    public void neverReportsReadyAfterSigtermDuringTheStart() throws Exception {
         var socket = new HeldSocket();
         open.add(0, socket);
-        var held = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-        open.add(held);
+        var delayedDiscovery = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
+        open.add(delayedDiscovery);
         HeldSocket.Run run = socket.start(folder.newFolder("tmp").toPath(),
                 Program.config("t", Program.SEED, socket.port,
-                        held.getLocalPort(), worker.member("a", 0, "SERVING"), 1024));
-        Program.await("operators are answered", () -> {
+                        delayedDiscovery.getLocalPort(), worker.member("a", 0, "SERVING"), 1024));
+        Program.await("the operators' port answers", () -> {
             try {
                 return Client.get(run.admin().port(), "/_vars").status == 200;
             } catch (IOException e) {
                 return false;
             }
         });
-        assertFalse("not heard from the list", run.admin().ready());
+        assertFalse("ready before the list arrived", run.admin().ready());
         run.signal("TERM");
-        Program.await("told", () -> run.said().contains("told to leave"));
-        var discoveryAtLast = new Thread(() -> tellAll(held));
-        discoveryAtLast.setDaemon(true);
-        discoveryAtLast.start();
+        Program.await("shutdown logged", () -> run.said().contains("told to leave"));
+        var discoveryAnswers = new Thread(() -> answerWatches(delayedDiscovery));
+        discoveryAnswers.setDaemon(true);
+        discoveryAnswers.start();
         while (run.runs()) {
-            assertFalse("on its way out it says yes", run.admin().ready());
+            assertFalse("ready during the shutdown", run.admin().ready());
             Thread.sleep(20);
         }
         run.end().get(1, TimeUnit.SECONDS);
     }
 
     @Test(timeout = 60_000)
-    public void aSecondSignalToLeaveChangesNothing() throws Exception {
+    public void ignoresASecondSigtermDuringTheShutdown() throws Exception {
         worker.delayMillis = id -> id.startsWith("under-way") ? 400 : 0;
         Process process = start(discovery.port());
         Program.await("ready", admin::ready);
         try (var client = new Client(port)) {
-            for (int i = 0; i < 5; i++) { // a first answer alone would be the measure of all
+            for (int i = 0; i < 5; i++) { // one answer alone would decide the expected response time
                 assertEquals(200, client.send(Client.query("w" + i, "all", 1900, 0)).answer().status);
             }
             client.send(Client.query("under-way", "all", 1900, 0));
-            Program.await("out", () -> worker.count("Qunder-way") == 1);
+            Program.await("the part is sent", () -> worker.count("Qunder-way") == 1);
             Program.signal(process, "TERM");
-            Program.await("told", () -> log.stream().anyMatch(l -> l.contains("told to leave")));
+            Program.await("shutdown logged", () -> log.stream().anyMatch(l -> l.contains("told to leave")));
             Program.signal(process, "TERM");
             Program.signal(process, "HUP");
             assertEquals(200, client.answer().status);
             var later = client.send(Client.query("later", "all", 1900, 0)).answer();
-            assertEquals("clients go on on what they have: " + later.head, 200, later.status);
+            assertEquals("an open connection is still served: " + later.head, 200, later.status);
         }
-        assertTrue(process.waitFor(LEAVE_MILLIS + 1_000, TimeUnit.MILLISECONDS));
-        assertEquals("told to leave once", 1, log.stream().filter(l -> l.contains("told to leave")).count());
+        assertTrue(process.waitFor(SHUTDOWN_MILLIS + 1_000, TimeUnit.MILLISECONDS));
+        assertEquals("shutdowns logged", 1, log.stream().filter(l -> l.contains("told to leave")).count());
     }
 }
--- a/src/test/java/wallmoor/net/StartTest.java
+++ b/src/test/java/wallmoor/net/StartTest.java
@@ -20,44 +20,43 @@
 import wallmoor.standin.Ports;
 
 /**
- * What a start takes from the archive of classes, by the very lines of deploy/balancer.toml. No time is looked at: a
- * class that the archive lacks, or a lambda that is linked as the program runs, is what makes a start slow.
+ * Tests that a start loads its classes from the class-data archive, with the build and run commands of
+ * deploy/balancer.toml. Guards against slow starts, which come from classes that the archive lacks and from lambdas
+ * that are linked at run time; no time is measured.
  */
 public class StartTest {
-    /**
-     * The JDK links a form or two of its own as it makes the first socket, and gives it no name that an archive takes.
-     */
-    private static final int MOST_OUTSIDE = 5;
-    /** Lambdas of the JDK's own classes, which the build can't turn into classes. */
-    private static final int MOST_LAMBDAS = 20;
+    /** The JDK links one or two lambda forms for its first socket, whose classes no archive can hold. */
+    private static final int MAX_CLASSES_OUTSIDE_ARCHIVE = 5;
+    /** Lambdas in the JDK's own classes, which the build can't turn into classes. */
+    private static final int MAX_JDK_LAMBDAS = 20;
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
 
     @Test
-    public void aStartTakesAllItNeedsFromTheArchiveThatTheBuildMakes() throws Exception {
+    public void loadsAllClassesOfAStartFromTheArchiveOfTheBuild() throws Exception {
         Path root = folder.getRoot().toPath();
-        repository(root);
-        String build = line("build");
+        createBuildDirectory(root);
+        String build = command("build");
         assertTrue(build, build.startsWith("mvn -q -DskipTests package && "));
-        Process making = sh(root, build.substring(build.indexOf("&& ") + 3), null, null);
-        List<String> said = new ArrayList<>();
-        Program.read(making, said);
-        assertTrue(making.waitFor(60, TimeUnit.SECONDS));
-        assertEquals(said.toString(), 0, making.exitValue());
-        assertTrue(said.toString(), said.stream().noneMatch(l -> l.contains("slower")));
+        Process buildProcess = sh(root, build.substring(build.indexOf("&& ") + 3), null, null);
+        List<String> output = new ArrayList<>();
+        Program.read(buildProcess, output);
+        assertTrue(buildProcess.waitFor(60, TimeUnit.SECONDS));
+        assertEquals(output.toString(), 0, buildProcess.exitValue());
+        assertTrue(output.toString(), output.stream().noneMatch(l -> l.contains("slower")));
         assertTrue(Files.size(root.resolve("target/wallmoor.jsa")) > 0);
 
         Path log = root.resolve("classes");
         List<String> loaded;
-        try (var discovery = new StandIn.Discovery(); var node = new StandIn.Worker(id -> "ok")) {
+        try (var discovery = new StandIn.Discovery(); var worker = new StandIn.Worker(id -> "ok")) {
             int port = Ports.free();
             Path config = Files.writeString(root.resolve("config.json"), Program.config("t", Program.SEED, port,
-                    discovery.port(), node.member("a", 0, "SERVING"), 1024));
-            Process process = sh(root, line("run"), config, "-Xlog:class+load:file=" + log);
+                    discovery.port(), worker.member("a", 0, "SERVING"), 1024));
+            Process process = sh(root, command("run"), config, "-Xlog:class+load:file=" + log);
             try {
                 Program.read(process, new ArrayList<>());
-                Program.await("ready", () -> ready(port));
+                Program.await("ready", () -> isReady(port));
                 for (int i = 0; i < 30; i++) {
                     assertEquals(200, Client.post(port, "q" + i, "all", 1900, 0).status);
                 }
@@ -68,16 +67,16 @@
         }
         List<String> outside = loaded.stream().filter(l -> !l.contains("source: shared objects file")).toList();
         List<String> lambdas = loaded.stream().filter(l -> l.contains("$$Lambda")).toList();
-        assertTrue("the archive is used",
+        assertTrue("classes from the archive",
                 loaded.stream().filter(l -> l.contains("shared objects file (top)")).count() > 300);
         assertEquals("own classes not in the archive", List.of(),
                 outside.stream().filter(l -> l.contains(" wallmoor.")).toList());
-        assertTrue(outside.toString(), outside.size() <= MOST_OUTSIDE);
+        assertTrue(outside.toString(), outside.size() <= MAX_CLASSES_OUTSIDE_ARCHIVE);
         assertEquals("own lambdas", List.of(), lambdas.stream().filter(l -> l.contains(" wallmoor.")).toList());
-        assertTrue(lambdas.toString(), lambdas.size() <= MOST_LAMBDAS);
+        assertTrue(lambdas.toString(), lambdas.size() <= MAX_JDK_LAMBDAS);
     }
 
-    private static boolean ready(int port) {
+    private static boolean isReady(int port) {
         try {
             return Client.get(port, "/-/ready").status == 200;
         } catch (IOException e) {
@@ -85,8 +84,8 @@
         }
     }
 
-    /** A directory as it is after Maven has run: the jar, its libraries, the example. */
-    private static void repository(Path root) throws IOException {
+    /** Creates the directory that Maven's package phase leaves: the jar, its libraries and the example. */
+    private static void createBuildDirectory(Path root) throws IOException {
         Path lib = Files.createDirectories(root.resolve("target/lib"));
         var names = new StringBuilder();
         for (String entry : System.getProperty("java.class.path").split(":")) {
@@ -112,17 +111,17 @@
         Files.createSymbolicLink(root.resolve("example"), Path.of("example").toAbsolutePath());
     }
 
-    /** A line of the platform's file. */
-    private static String line(String key) throws IOException {
+    /** Returns the command under this key of the platform's file. */
+    private static String command(String key) throws IOException {
         return Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(l -> l.startsWith(key + " = "))
                 .map(l -> l.substring(l.indexOf('"') + 1, l.lastIndexOf('"'))).findFirst().orElseThrow();
     }
 
-    private static Process sh(Path in, String line, Path config, String options) throws IOException {
-        var builder = new ProcessBuilder("/bin/sh", "-c", line).directory(in.toFile());
+    private static Process sh(Path directory, String command, Path config, String javaOptions) throws IOException {
+        var builder = new ProcessBuilder("/bin/sh", "-c", command).directory(directory.toFile());
         if (config != null) {
             builder.environment().put("ROUTER_CONFIG", config.toString());
-            builder.environment().put("_JAVA_OPTIONS", options); // the only ones that come after those of the line
+            builder.environment().put("_JAVA_OPTIONS", javaOptions); // applied after the command's own options
         }
         return builder.start();
     }
--- a/src/test/java/wallmoor/net/SteadyLoad.java
+++ b/src/test/java/wallmoor/net/SteadyLoad.java
@@ -10,46 +10,57 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Clients that ask one query after another, each on a connection that it keeps until it is told to close it. What came
- * of every query is kept; one whose connection was refused, or broke before a whole answer, is not asked again.
+ * Clients that send one query after another, each on a connection that it reuses until the server asks to close it. The
+ * result of every query is recorded; a query whose connection was refused or broke is not retried.
  */
 final class SteadyLoad implements AutoCloseable {
-    /** What came of a query: {@code status} is -1 where no whole answer came, and {@code fault} says why. */
-    record Asked(String id, String queryClass, int status, String fault, long from, long until) {}
+    /**
+     * The result of a query.
+     *
+     * @param status the status, or -1 without a complete response
+     * @param fault  why there was none; begins with {@code kept} on a reused connection and {@code new} on a new one
+     * @param from   when it was sent, and {@code until} when it ended, in nanoseconds of {@link System#nanoTime}
+     */
+    record QueryResult(String id, String queryClass, int status, String fault, long from, long until) {}
 
-    final ConcurrentLinkedQueue<Asked> all = new ConcurrentLinkedQueue<>();
-    /** Answers that were not to the query asked, or came beside one. */
+    final ConcurrentLinkedQueue<QueryResult> all = new ConcurrentLinkedQueue<>();
+    /** Responses to another query than the one that was sent, or followed by excess bytes. */
     final ConcurrentLinkedQueue<String> unexpectedAnswers = new ConcurrentLinkedQueue<>();
-    private final AtomicInteger numbers = new AtomicInteger();
+    private final AtomicInteger nextNumber = new AtomicInteger();
     private final List<Thread> threads = new ArrayList<>();
     private final int port;
-    private final long pause;
+    private final long pauseMillis;
     private final List<String> classes;
     private final int[] shards;
-    private volatile boolean over;
+    private volatile boolean stopped;
 
-    /** So many clients, each with so long a pause after an answer. Query classes are asked in turn. */
+    /**
+     * Starts the clients.
+     *
+     * @param pauseMillis the pause of a client after each result
+     * @param classes     the query classes, used in turn
+     */
     SteadyLoad(int port, int clients, long pauseMillis, List<String> classes, int... shards) {
         this.port = port;
-        this.pause = pauseMillis;
+        this.pauseMillis = pauseMillis;
         this.classes = classes;
         this.shards = shards;
         for (int i = 0; i < clients; i++) {
-            long first = pauseMillis * i / clients;
-            threads.add(new Thread(() -> run(first)));
+            long initialDelayMillis = pauseMillis * i / clients;
+            threads.add(new Thread(() -> run(initialDelayMillis)));
         }
         threads.forEach(Thread::start);
     }
 
-    private void run(long first) {
+    private void run(long initialDelayMillis) {
         Client client = null;
         try {
-            Thread.sleep(first);
-            while (!over) {
-                int number = numbers.getAndIncrement();
+            Thread.sleep(initialDelayMillis);
+            while (!stopped) {
+                int number = nextNumber.getAndIncrement();
                 String queryClass = classes.get(number % classes.size());
-                client = ask(client, queryClass + "-" + number, queryClass);
-                Thread.sleep(pause);
+                client = query(client, queryClass + "-" + number, queryClass);
+                Thread.sleep(pauseMillis);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -58,16 +69,16 @@
         }
     }
 
-    /** Asks, and returns the connection to go on with, or null. */
-    private Client ask(Client kept, String id, String queryClass) {
-        Client client = kept;
+    /** Sends a query and returns the connection for the next one, or null where a new one is needed. */
+    private Client query(Client reused, String id, String queryClass) {
+        Client client = reused;
         long from = System.nanoTime();
         try {
             if (client == null) {
                 client = new Client(port);
             }
             var answer = client.send(Client.query(id, queryClass, 1900, shards)).answer();
-            all.add(new Asked(id, queryClass, answer.status, "", from, System.nanoTime()));
+            all.add(new QueryResult(id, queryClass, answer.status, "", from, System.nanoTime()));
             if ((answer.status == 200 && !answer.body.contains("\"doc\":\"v" + id + "."))
                     || client.socket.getInputStream().available() > 0) {
                 unexpectedAnswers.add(id + ": " + answer.head + answer.body);
@@ -76,7 +87,8 @@
                 return client;
             }
         } catch (IOException e) {
-            all.add(new Asked(id, queryClass, -1, (kept == null ? "new: " : "kept: ") + e, from, System.nanoTime()));
+            all.add(new QueryResult(id, queryClass, -1, (reused == null ? "new: " : "kept: ") + e, from,
+                    System.nanoTime()));
         }
         close(client);
         return null;
@@ -88,16 +100,16 @@
                 client.close();
             }
         } catch (IOException e) {
-            // it is closed as far as it can be
+            // nothing more can be done to close it
         }
     }
 
-    /** Queries that met a refused, reset or unread connection and were under way in this time. */
-    List<Asked> broken(long from, long until) {
+    /** Returns the queries in flight in this time that got no complete response. */
+    List<QueryResult> broken(long from, long until) {
         return all.stream().filter(a -> a.status < 0 && a.until >= from && a.from <= until).toList();
     }
 
-    /** How many ended with which status, by class: {@code all 200}. */
+    /** Returns the number of results by class and status, such as {@code all 200}. */
     Map<String, Integer> counts() {
         var counts = new TreeMap<String, Integer>();
         all.forEach(a -> counts.merge(a.queryClass + " " + a.status, 1, Integer::sum));
@@ -113,9 +125,9 @@
         stop();
     }
 
-    /** Asks no more, and waits for the answers to what was asked. */
+    /** Stops sending and waits for the responses to the queries in flight. */
     void stop() {
-        over = true;
+        stopped = true;
         try {
             for (Thread t : threads) {
                 t.join(TimeUnit.SECONDS.toMillis(20));
--- a/src/test/java/wallmoor/net/Storm.java
+++ b/src/test/java/wallmoor/net/Storm.java
@@ -30,13 +30,23 @@
 import wallmoor.standin.Ports;
 
 /**
- * Many devices with queries of all classes over links that break, at the real program; runs are counted at the stand-in
- * node by what each query carries. Beside it the plain front, asked by the same devices over the same links.
+ * A load test of the real program: many devices send queries of all classes over unreliable links, to the edge or, for
+ * comparison, to the plain front. The stand-in worker counts the runs of each query by its payload.
  */
 final class Storm implements AutoCloseable {
     private static final String[] CLASSES = {"any", "all", "once"};
 
-    /** What came of it. */
+    /**
+     * The results of all queries.
+     *
+     * @param notLearnt     queries whose device did not learn their outcome
+     * @param holdsRun      queries of class {@code once} that ran
+     * @param holdsRunTwice queries of class {@code once} that ran more than once
+     * @param bodiesDiffer  queries whose repeated request got another body
+     * @param linksCut      TCP links that were cut
+     * @param datagramsLost datagrams that were dropped
+     * @param millis        the time to each query's result, in ascending order
+     */
     record Tally(int asked, int answered, int refused, int failed, int notLearnt, int holdsRun, int holdsRunTwice,
             int bodiesDiffer, int linksCut, int datagramsLost, long[] millis) {
         long percentile(double share) {
@@ -45,7 +55,7 @@
     }
 
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
-    private final StandIn.Worker node;
+    private final StandIn.Worker worker;
     private final StandIn.Discovery discovery = new StandIn.Discovery();
     private final Program program;
     private final int http;
@@ -54,7 +64,7 @@
 
     Storm(int devices) throws Exception {
         this.devices = devices;
-        node = new StandIn.Worker(id -> {
+        worker = new StandIn.Worker(id -> {
             try {
                 Thread.sleep(5);
             } catch (InterruptedException e) {
@@ -62,7 +72,7 @@
             }
             return "ok";
         });
-        node.onPart = text -> runs.computeIfAbsent(text, t -> new AtomicInteger()).incrementAndGet();
+        worker.onPart = text -> runs.computeIfAbsent(text, t -> new AtomicInteger()).incrementAndGet();
         Path folder = Files.createTempDirectory("storm");
         var rows = new StringBuilder("device,sha256\n");
         for (int d = 0; d < devices; d++) {
@@ -77,7 +87,7 @@
         Files.writeString(operator,
                 "edge:\n  devices: devices.csv\n  http: {listen: 127.0.0.1:" + http + "}\n  coap: {listen: 127.0.0.1:"
                         + coap + "}\n  skew: 50ms\n  asks_per_s: 100\n  ask_burst: 1000\n  open_per_device: 32\n");
-        program = new Program(discovery.port(), node.member("a", 0, "SERVING"), operator);
+        program = new Program(discovery.port(), worker.member("a", 0, "SERVING"), operator);
         Thread.sleep(150);
     }
 
@@ -85,7 +95,7 @@
         return "d" + device + ".secret" + device;
     }
 
-    /** A fate by the share of links that break: cut on either way, or gone silent. */
+    /** Draws what befalls each link: this share breaks, by a reset in either direction or by going silent. */
     private static LinkProxy.Script fates(double share) {
         return (number, random) -> random.nextDouble() >= share ? Fate.GOOD : switch (random.nextInt(8)) {
             case 0, 1, 2 -> new Fate(random.nextInt(600), -1, 0, 0, false);
@@ -94,15 +104,20 @@
         };
     }
 
-    /** Over the edge, half the devices on HTTP and half on CoAP. */
+    /**
+     * Sends the queries to the edge, half of the devices over HTTP and half over CoAP.
+     *
+     * @param share  the share of links that break
+     * @param atOnce devices that run concurrently
+     */
     Tally edge(int queriesEach, double share, long seed, int atOnce) throws Exception {
-        var tally = new ConcurrentLinkedQueue<ClientResult>();
+        var results = new ConcurrentLinkedQueue<ClientResult>();
         var millis = new ConcurrentLinkedQueue<Long>();
         var differ = new AtomicInteger();
         runs.clear();
         try (var links = new LinkProxy(http, seed, fates(share));
                 var datagrams = new DatagramProxy(coap, seed, share / 2, share / 3, share / 3)) {
-            each(atOnce, d -> {
+            runDevices(atOnce, d -> {
                 var random = new Random((seed * 7919 + d) * 0x9E3779B97F4A7C15L);
                 try (var overCoap = d % 2 == 0 ? null
                         : new CoapDevice(URI.create("coap://127.0.0.1:" + datagrams.port()),
@@ -110,47 +125,48 @@
                     var overHttp = new HttpDevice(URI.create("http://127.0.0.1:" + links.port()), token(d), d % 4 == 0,
                             true,
                             Duration.ofSeconds(3), line -> {});
-                    var straight = new HttpDevice(URI.create("http://127.0.0.1:" + http), token(d), false, true,
+                    var reliable = new HttpDevice(URI.create("http://127.0.0.1:" + http), token(d), false, true,
                             Duration.ofSeconds(5), line -> {});
                     for (int q = 0; q < queriesEach; q++) {
                         String id = Generators.timeBasedEpochGenerator().generate().toString();
                         byte[] query = query(CLASSES[random.nextInt(3)], d, q);
                         long begun = System.nanoTime();
-                        var pace = new RetryBackoff(50, 1000, TimeUnit.NANOSECONDS.toMillis(begun) + 60_000);
-                        ClientResult r = overCoap != null ? overCoap.ask(id, query, pace)
-                                : overHttp.ask(id, query, pace);
+                        var backoff = new RetryBackoff(50, 1000, TimeUnit.NANOSECONDS.toMillis(begun) + 60_000);
+                        ClientResult result = overCoap != null ? overCoap.ask(id, query, backoff)
+                                : overHttp.ask(id, query, backoff);
                         millis.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun));
-                        tally.add(r);
-                        if (r.kind() != ClientResult.ClientResultKind.NOT_LEARNT
-                                && !Arrays.equals(r.body(), straight.ask(id, null, pace).body())) {
+                        results.add(result);
+                        if (result.kind() != ClientResult.ClientResultKind.NOT_LEARNT
+                                && !Arrays.equals(result.body(), reliable.ask(id, null, backoff).body())) {
                             differ.incrementAndGet();
                         }
                     }
                 }
             });
-            return tally(tally, millis, differ.get(), links.cuts.get(), datagrams.lost.get());
+            return tally(results, millis, differ.get(), links.cuts.get(), datagrams.lost.get());
         }
     }
 
-    /** Over the plain front, as a client that knows no better: a query whose link broke is asked again, three times. */
+    /** Sends the queries to the plain front, as a client with a simple retry: up to three after a broken link. */
     Tally plain(int queriesEach, double share, long seed, int atOnce) throws Exception {
-        var tally = new ConcurrentLinkedQueue<ClientResult>();
+        var results = new ConcurrentLinkedQueue<ClientResult>();
         var millis = new ConcurrentLinkedQueue<Long>();
         runs.clear();
         try (var links = new LinkProxy(program.port, seed, fates(share))) {
-            each(atOnce, d -> {
+            runDevices(atOnce, d -> {
                 var random = new Random((seed * 7919 + d) * 0x9E3779B97F4A7C15L);
                 for (int q = 0; q < queriesEach; q++) {
                     String queryClass = CLASSES[random.nextInt(3)];
                     long begun = System.nanoTime();
                     ClientResult.ClientResultKind kind = ClientResult.ClientResultKind.NOT_LEARNT;
-                    for (int tries = 0; tries < 4 && kind == ClientResult.ClientResultKind.NOT_LEARNT; tries++) {
+                    for (int attempt = 0; attempt < 4 && kind == ClientResult.ClientResultKind.NOT_LEARNT; attempt++) {
                         try (var client = new Client(links.port())) {
                             client.socket.setSoTimeout(3000);
                             String body = new String(query(queryClass, d, q), UTF_8);
                             int status = client
-                                    .send("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + d + "-" + q + "-" + tries
-                                            + "\r\nX-Class: " + queryClass + "\r\nX-Deadline: 1900m\r\nContent-Length: "
+                                    .send("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + d + "-" + q + "-"
+                                            + attempt + "\r\nX-Class: " + queryClass
+                                            + "\r\nX-Deadline: 1900m\r\nContent-Length: "
                                             + body.length()
                                             + "\r\n\r\n" + body)
                                     .answer().status;
@@ -158,18 +174,18 @@
                                     : status == 503 ? ClientResult.ClientResultKind.REFUSED
                                             : ClientResult.ClientResultKind.FAILED_MAY_HAVE_RUN;
                         } catch (IOException e) {
-                            // the link broke: what became of it is not known
+                            // the link broke: the outcome is unknown
                         }
                     }
                     millis.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun));
-                    tally.add(new ClientResult(kind, new byte[0], 0));
+                    results.add(new ClientResult(kind, new byte[0], 0));
                 }
             });
-            return tally(tally, millis, 0, links.cuts.get(), 0);
+            return tally(results, millis, 0, links.cuts.get(), 0);
         }
     }
 
-    /** What a query carries names its device and number, and whether it is a hold. */
+    /** Returns a query whose payload names its class, its device and its number. */
     private static byte[] query(String queryClass, int device, int number) {
         return ("{\"class\":\"" + queryClass
                 + "\",\"deadline_ms\":1900,\"shards\":[{\"shard\":0,\"weight\":1}],\"q\":\"" + queryClass
@@ -177,28 +193,28 @@
     }
 
     private interface Work {
-        void of(int device) throws Exception;
+        void run(int device) throws Exception;
     }
 
-    private void each(int atOnce, Work work) throws Exception {
+    private void runDevices(int atOnce, Work work) throws Exception {
         ExecutorService threads = Executors.newFixedThreadPool(atOnce);
-        var fault = new ConcurrentLinkedQueue<Exception>();
+        var failures = new ConcurrentLinkedQueue<Exception>();
         for (int d = 0; d < devices; d++) {
             int device = d;
             threads.execute(() -> {
                 try {
-                    work.of(device);
+                    work.run(device);
                 } catch (Exception e) {
-                    fault.add(e);
+                    failures.add(e);
                 }
             });
         }
         threads.shutdown();
         if (!threads.awaitTermination(30, TimeUnit.MINUTES)) {
-            throw new IllegalStateException("devices did not come to an end");
+            throw new IllegalStateException("the devices did not finish within 30 minutes");
         }
-        if (!fault.isEmpty()) {
-            throw fault.peek();
+        if (!failures.isEmpty()) {
+            throw failures.peek();
         }
     }
 
@@ -222,7 +238,7 @@
     @Override
     public void close() throws IOException {
         program.close();
-        node.close();
+        worker.close();
         discovery.close();
     }
 }
--- a/src/test/java/wallmoor/net/StormTest.java
+++ b/src/test/java/wallmoor/net/StormTest.java
@@ -5,15 +5,15 @@
 
 import org.junit.Test;
 
-/** The short form of the storm: the long one, with five hundred devices, stands among the benchmarks. */
+/** Runs {@link Storm} with 16 devices; the benchmark EdgeStorm runs it with 500. */
 public class StormTest {
     @Test
-    public void noHoldRunsTwiceAndEveryDeviceLearnsItsOutcome() throws Exception {
+    public void runsNoHoldTwiceAndReportsEveryOutcomeOverUnreliableLinks() throws Exception {
         try (var storm = new Storm(16)) {
             Storm.Tally t = storm.edge(6, 0.3, 42, 16);
             String all = t.toString();
             assertEquals(all, 96, t.asked());
-            assertTrue("links broke: " + all, t.linksCut() > 5 && t.datagramsLost() > 5);
+            assertTrue("too few links broke: " + all, t.linksCut() > 5 && t.datagramsLost() > 5);
             assertEquals(all, 0, t.notLearnt());
             assertEquals(all, 0, t.holdsRunTwice());
             assertEquals(all, 0, t.bodiesDiffer());
--- a/src/test/java/wallmoor/net/WatchEndsTest.java
+++ b/src/test/java/wallmoor/net/WatchEndsTest.java
@@ -17,129 +17,129 @@
 import wallmoor.discovery.DiscoveryWatch;
 import wallmoor.endpoints.WatchEvent;
 
-/** What follows the end of a watch, and calls that fail. */
+/** Tests the requests that follow the end of a watch and failed requests. */
 public class WatchEndsTest extends WatchFixture {
-    /** From call to call where calls fail. */
+    /** The longest time between failed requests. */
     private static final long PERIOD_MILLIS = 2_500;
     private static final long SLACK_MILLIS = 500;
 
     // ---- the end of a watch -------------------------------------------------------------------------------
 
     @Test
-    public void aWatchEndsInPlaceOfTellingAndTheNextCallGetsTheWholeList() throws Exception {
-        var call = watched();
+    public void resumesFromItsRevisionWhenWatchesEndWithoutAnObject() throws Exception {
+        var call = openWatch();
         call.end();
         var next = discovery.call();
-        assertEquals(from(41), next.target());
-        next.open().end(); // again
+        assertEquals(watchTarget(41), next.target());
+        next.open().end(); // the second watch ends without an object, too
         next = discovery.call();
-        assertEquals(from(41), next.target());
-        next.open().chunk(whole(43, member("b", SERVING)) + "\n");
+        assertEquals(watchTarget(41), next.target());
+        next.open().chunk(completeList(43, member("b", SERVING)) + "\n");
         awaitDrained(a);
         awaitListed(1);
     }
 
-    /** Whether the reset comes before the object was read or after: it is taken, or asked for again. */
+    /** The reset may arrive before or after the object was read: the object is applied, or requested again. */
     @Test
-    public void aResetCrossesADrain() throws Exception {
-        var call = watched();
+    public void losesNoDrainWhenTheWatchIsReset() throws Exception {
+        var call = openWatch();
         call.chunk(changes(43, member("a", DRAINING)));
         call.reset();
         var next = discovery.call();
-        if (next.target().equals(from(43))) {
+        if (next.target().equals(watchTarget(43))) {
             assertFalse(a.isServing());
             next.open();
         } else {
             next.open().chunk(changes(43, member("a", DRAINING)));
             awaitDrained(a);
         }
-        next.reset(); // and one before it
+        next.reset(); // a reset before the next object
         next = discovery.call();
-        assertEquals(from(43), next.target());
+        assertEquals(watchTarget(43), next.target());
         next.open().chunk(changes(44, member("b", DRAINING)));
         awaitDrained(b);
     }
 
-    /** What could not be taken in is asked for again. */
+    /** Guards against a lost update: an update that could not be applied is requested again. */
     @Test
-    public void aRevisionIsHeldOnlyOnceItsNewsWasTakenIn() throws Exception {
+    public void advancesItsRevisionOnlyAfterTheUpdateWasApplied() throws Exception {
         LaunchConfig launch = launch(discovery.port(), "subscribe");
         gatherer = new Gatherer(launch.settings(), launch.seed(), new MonotonicClock(), NOPLogger.NOP_LOGGER);
         watch = new DiscoveryWatch(launch, gatherer);
-        var fails = new AtomicInteger(1);
-        var taken = new ArrayList<WatchEvent>();
+        var failuresLeft = new AtomicInteger(1);
+        var applied = new ArrayList<WatchEvent>();
         gatherer.control().start(List.of());
         timers = new Thread(gatherer::runTimers);
         timers.setDaemon(true);
         timers.start();
-        watch.start(news -> {
-            if (news instanceof WatchEvent.SourceFailure) {
-                throw new IllegalStateException("as well");
+        watch.start(event -> {
+            if (event instanceof WatchEvent.SourceFailure) {
+                throw new IllegalStateException("the listener fails on failure events, too");
             }
-            if (news instanceof WatchEvent.EndpointDelta && fails.getAndDecrement() > 0) {
-                throw new IllegalStateException("a fault of the program's own");
+            if (event instanceof WatchEvent.EndpointDelta && failuresLeft.getAndDecrement() > 0) {
+                throw new IllegalStateException("the listener fails on the first update");
             }
-            synchronized (taken) {
-                taken.add(news);
+            synchronized (applied) {
+                applied.add(event);
             }
         });
-        opened(discovery.call(), 41).chunk(changes(43, member("a", DRAINING)));
+        openWatch(discovery.call(), 41).chunk(changes(43, member("a", DRAINING)));
         var next = discovery.call();
-        assertEquals(from(41), next.target());
+        assertEquals(watchTarget(41), next.target());
         next.open().chunk(changes(43, member("a", DRAINING)));
-        Program.await("the news", () -> {
-            synchronized (taken) {
-                return taken.stream().anyMatch(n -> n instanceof WatchEvent.EndpointDelta);
+        Program.await("the update", () -> {
+            synchronized (applied) {
+                return applied.stream().anyMatch(n -> n instanceof WatchEvent.EndpointDelta);
             }
         });
     }
 
-    // ---- calls that fail ----------------------------------------------------------------------------------
+    // ---- failed requests ----------------------------------------------------------------------------------
 
     @Test
-    public void theListIsAskedForAtOnceAtTheStartAndSoonAgain() throws Exception {
-        for (String way : List.of("subscribe", "automatic")) {
-            start(way);
-            var call = discovery.call(AT_ONCE_MILLIS);
-            assertNotNull("asked at once", call);
+    public void requestsTheListImmediatelyAtTheStartAndSoonAfterAFailure() throws Exception {
+        for (String mode : List.of("subscribe", "automatic")) {
+            start(mode);
+            var call = discovery.call(IMMEDIATE_MILLIS);
+            assertNotNull("an immediate request", call);
             call.target();
             call.answer(503, "");
-            assertNotNull("and soon again", discovery.call(AT_ONCE_MILLIS));
+            assertNotNull("a retry soon after", discovery.call(IMMEDIATE_MILLIS));
             end();
             begin();
         }
     }
 
-    /** However many calls have failed: the next comes within 2.5 s, so that 6 s are kept. */
+    /** A request follows within 2.5 s however many have failed, so that a change is applied within 6 s. */
     @Test
-    public void afterManyRefusalsTheNextCallComesWithinItsPeriod() throws Exception {
+    public void retriesWithinThePeriodAfterManyFailures() throws Exception {
         start("subscribe");
-        var call = refusedFor(7, discovery);
-        opened(call, 41).chunk(changes(43, member("a", DRAINING)));
+        var call = failCalls(7, discovery);
+        openWatch(call, 41).chunk(changes(43, member("a", DRAINING)));
         awaitDrained(a);
     }
 
-    /** A watch ends, discovery moves, and the new one refuses: the same period holds there. */
+    /** The watch ends, discovery moves, and requests to the new address fail: the same period applies. */
     @Test
-    public void afterAMoveRefusalsAreFollowedWithinTheirPeriod() throws Exception {
-        watched().end();
-        ScriptedDiscovery other = scripted();
+    public void retriesWithinThePeriodAfterAMove() throws Exception {
+        openWatch().end();
+        ScriptedDiscovery other = startDiscovery();
         watch.reload(launch(other.port(), "subscribe"));
-        var call = refusedFor(6, other);
+        var call = failCalls(6, other);
         assertEquals(LIST, call.target());
-        call.answer(200, whole(43, member("b", SERVING)));
+        call.answer(200, completeList(43, member("b", SERVING)));
         awaitDrained(a);
     }
 
-    /** Refuses so many calls, each of which must come in time; the next one after them. */
-    private static ScriptedDiscovery.Call refusedFor(int calls, ScriptedDiscovery by) throws Exception {
-        var call = by.call();
+    /** Answers so many requests with 503, checks that each comes within the period, and returns the next one. */
+    private static ScriptedDiscovery.Call failCalls(int calls, ScriptedDiscovery server) throws Exception {
+        var call = server.call();
         for (int i = 0; i < calls; i++) {
             call.target();
             call.answer(503, "");
-            var next = by.call();
-            long millis = TimeUnit.NANOSECONDS.toMillis(next.at - call.at);
-            assertTrue("call " + i + " after " + millis + " ms", millis <= PERIOD_MILLIS + SLACK_MILLIS);
+            var next = server.call();
+            long millis = TimeUnit.NANOSECONDS.toMillis(next.acceptedAt - call.acceptedAt);
+            assertTrue("request " + i + " after " + millis + " ms", millis <= PERIOD_MILLIS + SLACK_MILLIS);
             call = next;
         }
         return call;
--- a/src/test/java/wallmoor/net/WatchFixture.java
+++ b/src/test/java/wallmoor/net/WatchFixture.java
@@ -27,18 +27,18 @@
 import wallmoor.sources.EndpointUpdater;
 
 /**
- * The list's watch over loopback: discovery does what the test says, when it says so, and holds each call until then.
- * Workers a and b hold a cell each and are known from the start.
+ * Runs the watch of the list against a {@link ScriptedDiscovery}. Workers a and b hold a cell each and are known from
+ * the start.
  */
 abstract class WatchFixture {
     static final String LIST = "/api/targets";
     static final String SERVING = "SERVING";
     static final String DRAINING = "DRAINING";
-    /** Asked at once, on a slow machine. */
-    static final long AT_ONCE_MILLIS = 1_500;
+    /** The bound for an immediate request, with room for a loaded machine. */
+    static final long IMMEDIATE_MILLIS = 1_500;
 
     private final List<AutoCloseable> open = new ArrayList<>();
-    private final Set<Thread> before = new HashSet<>(Thread.getAllStackTraces().keySet());
+    private final Set<Thread> threadsBefore = new HashSet<>(Thread.getAllStackTraces().keySet());
     private final AtomicInteger queries = new AtomicInteger();
     ScriptedDiscovery discovery;
     Gatherer gatherer;
@@ -49,14 +49,14 @@
 
     @Before
     public void begin() throws Exception {
-        discovery = scripted();
+        discovery = startDiscovery();
     }
 
     @After
     public void end() throws Exception {
-        // the watch asks for ever: it must not come upon another test's discovery
+        // the watch never stops by itself: its retries could reach the discovery of another test
         Thread.getAllStackTraces().keySet().stream()
-                .filter(t -> t.getName().equals("discovery") && !before.contains(t)).forEach(Thread::interrupt);
+                .filter(t -> t.getName().equals("discovery") && !threadsBefore.contains(t)).forEach(Thread::interrupt);
         for (AutoCloseable o : open) {
             o.close();
         }
@@ -65,18 +65,18 @@
         }
     }
 
-    ScriptedDiscovery scripted() throws IOException {
-        var made = new ScriptedDiscovery();
-        open.add(made);
-        return made;
+    ScriptedDiscovery startDiscovery() throws IOException {
+        var started = new ScriptedDiscovery();
+        open.add(started);
+        return started;
     }
 
-    static LaunchConfig launch(int port, String way) throws IOException {
+    static LaunchConfig launch(int port, String mode) throws IOException {
         Path file = Files.createTempFile("wallmoor", ".json");
         file.toFile().deleteOnExit();
         String known = member("a", SERVING) + "," + member("b", SERVING);
         Files.writeString(file, Program.config("t", Program.SEED, 1, port, known, 64)
-                .replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"" + way + "\""));
+                .replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"" + mode + "\""));
         return LaunchConfig.read(Map.of("ROUTER_CONFIG", file.toString()));
     }
 
@@ -94,7 +94,7 @@
         return object(revision, false, members);
     }
 
-    static String whole(int revision, String... members) {
+    static String completeList(int revision, String... members) {
         return object(revision, true, members);
     }
 
@@ -103,13 +103,13 @@
                 + String.join(",", members) + "]}";
     }
 
-    static String from(int revision) {
+    static String watchTarget(int revision) {
         return LIST + "?stream=1&index=" + revision;
     }
 
-    /** Starts the gatherer; its first call is to be taken from the discovery. */
-    void start(String way) throws Exception {
-        LaunchConfig launch = launch(discovery.port(), way);
+    /** Starts the gatherer and its watch; the first request is not read. */
+    void start(String mode) throws Exception {
+        LaunchConfig launch = launch(discovery.port(), mode);
         var clock = new MonotonicClock();
         gatherer = new Gatherer(launch.settings(), launch.seed(), clock, NOPLogger.NOP_LOGGER);
         watch = new DiscoveryWatch(launch, gatherer);
@@ -118,24 +118,25 @@
         timers.start();
         var list = new SourcePolicy("list", true, 0, 1, 1000);
         new EndpointUpdater(RegistryPolicy.of(List.of(list)), clock, gatherer, List.of(watch)).start();
-        a = assigned(0);
-        b = assigned(1);
+        a = assignedWorker(0);
+        b = assignedWorker(1);
         assertTrue(a.id().equals("a") && b.id().equals("b") && a.isServing() && b.isServing());
     }
 
-    /** A watch that has been opened and has spoken. */
-    ScriptedDiscovery.Call watched() throws Exception {
+    /** Starts the gatherer and returns its watch, open and with one heartbeat sent. */
+    ScriptedDiscovery.Call openWatch() throws Exception {
         start("subscribe");
-        return opened(discovery.call(), 41);
+        return openWatch(discovery.call(), 41);
     }
 
-    static ScriptedDiscovery.Call opened(ScriptedDiscovery.Call call, int revision) throws IOException {
-        assertEquals(from(revision), call.target());
+    /** Checks that the request is a watch from this revision, opens it and sends a heartbeat. */
+    static ScriptedDiscovery.Call openWatch(ScriptedDiscovery.Call call, int revision) throws IOException {
+        assertEquals(watchTarget(revision), call.target());
         return call.open().chunk("\n");
     }
 
-    /** Who is given a part of this shard now; null for nobody. */
-    Worker assigned(int shard) throws InterruptedException {
+    /** Returns the worker that a part of this shard is assigned to now, or null for none. */
+    Worker assignedWorker(int shard) throws InterruptedException {
         Query query = gatherer.open("q" + queries.incrementAndGet(), 1, gatherer.now() + 300_000, false,
                 List.of(new Query.PartRequest(shard, 1, -1)), null);
         Step step = gatherer.awaitStep(query);
@@ -148,6 +149,6 @@
     }
 
     void awaitListed(int count) throws InterruptedException {
-        Program.await(count + " nodes listed", () -> gatherer.control().workerCounts().known() == count);
+        Program.await(count + " workers listed", () -> gatherer.control().workerCounts().known() == count);
     }
 }
--- a/src/test/java/wallmoor/standin/DatagramProxy.java
+++ b/src/test/java/wallmoor/standin/DatagramProxy.java
@@ -15,41 +15,50 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** A poor link for UDP: it loses, doubles and reorders datagrams by a seed, and may give a device another address. */
+/** A UDP proxy that drops, duplicates and delays datagrams at random, and can rebind as a NAT does. */
 public final class DatagramProxy implements AutoCloseable {
-    private final DatagramSocket near;
-    private final InetSocketAddress to;
+    private final DatagramSocket deviceSocket;
+    private final InetSocketAddress server;
     private final Random random;
     private final double loss;
     private final double twice;
     private final double late;
-    private final Map<InetSocketAddress, DatagramSocket> far = new ConcurrentHashMap<>();
-    private final ScheduledExecutorService later = Executors.newScheduledThreadPool(1, r -> {
+    private final Map<InetSocketAddress, DatagramSocket> serverSockets = new ConcurrentHashMap<>();
+    private final ScheduledExecutorService delayed = Executors.newScheduledThreadPool(1, r -> {
         var t = new Thread(r, "datagram-later");
         t.setDaemon(true);
         return t;
     });
+    /** The number of datagrams that were dropped. */
     public final AtomicInteger lost = new AtomicInteger();
+    /** The bytes of all datagrams in both directions, dropped ones included. */
     public final AtomicLong bytes = new AtomicLong();
 
-    /** Loses, doubles and holds back these shares of the datagrams, both ways. */
+    /**
+     * Starts a proxy to this port of loopback.
+     *
+     * @param loss  the share of datagrams that are dropped, in both directions
+     * @param twice the share that are sent twice
+     * @param late  the share that are delayed by 30 ms
+     */
     public DatagramProxy(int port, long seed, double loss, double twice, double late) throws IOException {
-        near = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-        to = new InetSocketAddress("127.0.0.1", port);
+        deviceSocket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
+        server = new InetSocketAddress("127.0.0.1", port);
         random = new Random(seed);
         this.loss = loss;
         this.twice = twice;
         this.late = late;
-        start(this::up);
+        start(this::relayToServer);
     }
 
+    /** Returns the port that devices send to. */
     public int port() {
-        return near.getLocalPort();
+        return deviceSocket.getLocalPort();
     }
 
-    /** As a NAT that has forgotten: from now on every device comes from another address. */
+    /** Gives every device a new source port, as a NAT does that has lost its mappings. */
     public void rebind() {
-        far.clear(); // the old ones go on being read, as answers on their way would
+        serverSockets.clear(); // the old sockets stay open: answers to them still reach the devices
     }
 
     private interface Work {
@@ -68,65 +77,65 @@
         thread.start();
     }
 
-    private void up() throws IOException {
+    private void relayToServer() throws IOException {
         while (true) {
             var packet = new DatagramPacket(new byte[2048], 2048);
-            near.receive(packet);
+            deviceSocket.receive(packet);
             var device = (InetSocketAddress) packet.getSocketAddress();
-            DatagramSocket out = far.get(device);
+            DatagramSocket out = serverSockets.get(device);
             if (out == null) {
-                DatagramSocket made = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-                far.put(device, made);
-                out = made;
-                start(() -> down(made, device));
+                DatagramSocket created = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
+                serverSockets.put(device, created);
+                out = created;
+                start(() -> relayToDevice(created, device));
             }
-            DatagramSocket through = out;
-            pass(packet, to, through);
+            DatagramSocket socket = out;
+            relay(packet, server, socket);
         }
     }
 
-    private void down(DatagramSocket from, InetSocketAddress device) throws IOException {
+    private void relayToDevice(DatagramSocket from, InetSocketAddress device) throws IOException {
         while (true) {
             var packet = new DatagramPacket(new byte[2048], 2048);
             from.receive(packet);
-            pass(packet, device, near);
+            relay(packet, device, deviceSocket);
         }
     }
 
-    private void pass(DatagramPacket packet, InetSocketAddress whereTo, DatagramSocket through) throws IOException {
+    private void relay(DatagramPacket packet, InetSocketAddress target, DatagramSocket socket) throws IOException {
         byte[] data = Arrays.copyOf(packet.getData(), packet.getLength());
-        double draw;
-        double draw2;
+        double lossDraw;
+        double otherDraw;
         synchronized (random) {
-            draw = random.nextDouble();
-            draw2 = random.nextDouble();
+            lossDraw = random.nextDouble();
+            otherDraw = random.nextDouble();
         }
         bytes.addAndGet(data.length);
-        if (draw < loss) {
+        if (lossDraw < loss) {
             lost.incrementAndGet();
             return;
         }
-        var copy = new DatagramPacket(data, data.length, whereTo);
-        if (draw2 < late) {
-            var unused = later.schedule(() -> {
+        var copy = new DatagramPacket(data, data.length, target);
+        if (otherDraw < late) {
+            var unused = delayed.schedule(() -> {
                 try {
-                    through.send(copy);
+                    socket.send(copy);
                 } catch (IOException e) {
                     // closed
                 }
             }, 30, TimeUnit.MILLISECONDS);
         } else {
-            through.send(copy);
+            socket.send(copy);
         }
-        if (draw2 > 1 - twice) {
-            through.send(copy);
+        if (otherDraw > 1 - twice) {
+            socket.send(copy);
         }
     }
 
     @Override
     public void close() {
-        near.close();
-        far.values().forEach(DatagramSocket::close);
-        later.shutdownNow();
+        deviceSocket.close();
+        serverSockets.values().forEach(DatagramSocket::close);
+        delayed.shutdownNow();
     }
 }
--- a/src/test/java/wallmoor/standin/GroupRelay.java
+++ b/src/test/java/wallmoor/standin/GroupRelay.java
@@ -17,69 +17,73 @@
 import java.util.function.BiPredicate;
 
 /**
- * The network between the members of a group: each is reached at a port of the relay's, and who sends is told by the
- * port that a datagram comes from. What {@link #cut} says is dropped, each way of each pair apart; of the rest a share.
+ * A relay for the datagrams between the members of a group. Each member is reached at a port of the relay; the source
+ * port of a datagram identifies its sender. Datagrams of the pairs and directions that {@link #cut} names are dropped,
+ * and of all others the share {@link #loss}.
  */
 public final class GroupRelay implements AutoCloseable {
-    /** Loses datagrams by what they hold. */
+    /** Selects datagrams to drop by their content. */
     public interface Filter {
+        /** Returns true for a datagram to drop; the members are named by index. */
         boolean loses(int from, int to, byte[] datagram);
     }
 
     private final InetAddress loopback = InetAddress.getByName("127.0.0.1");
-    private final List<DatagramSocket> near;
+    private final List<DatagramSocket> sockets;
     private final List<Integer> ports;
     private final Map<Integer, Integer> members = new ConcurrentHashMap<>();
     private final Random random;
-    /** From whom to whom nothing goes, by number. */
+    /** The directions in which all datagrams are dropped, by the indexes of sender and receiver. */
     public volatile BiPredicate<Integer, Integer> cut = (from, to) -> false;
+    /** The share of datagrams that are dropped at random. */
     public volatile double loss;
-    /** What is lost by what it holds. */
+    /** The datagrams that are dropped by their content. */
     public volatile Filter filter = (from, to, datagram) -> false;
-    /** Each datagram is on its way for up to so long, so that they overtake each other. */
+    /** The exclusive bound of the random delay of each datagram, or 0; it reorders datagrams. */
     public volatile int delayMillis;
-    /** So many of them come again, up to a second later. */
+    /** The share of datagrams that are sent twice, the second time up to 1 s later. */
     public volatile double duplicateShare;
-    private final ScheduledExecutorService later = Executors.newSingleThreadScheduledExecutor(work -> {
+    private final ScheduledExecutorService delayed = Executors.newSingleThreadScheduledExecutor(work -> {
         var thread = new Thread(work, "relay-later");
         thread.setDaemon(true);
         return thread;
     });
+    /** The number of datagrams that were dropped or failed to be sent. */
     public final AtomicLong dropped = new AtomicLong();
 
-    /** A relay to members that listen at these ports. */
+    /** Starts a relay to members that listen at these ports of loopback. */
     public GroupRelay(List<Integer> ports, long seed) throws IOException {
         this.ports = ports;
         random = new Random(seed);
-        near = new java.util.ArrayList<>();
+        sockets = new java.util.ArrayList<>();
         for (int i = 0; i < ports.size(); i++) {
             members.put(ports.get(i), i);
             var socket = new DatagramSocket(0, loopback);
-            near.add(socket);
+            sockets.add(socket);
             int to = i;
-            var thread = new Thread(() -> pass(socket, to), "relay-" + i);
+            var thread = new Thread(() -> relay(socket, to), "relay-" + i);
             thread.setDaemon(true);
             thread.start();
         }
     }
 
-    /** The address at which the others reach a member. */
+    /** Returns the address at which the others reach a member. */
     public String address(int member) {
-        return "127.0.0.1:" + near.get(member).getLocalPort();
+        return "127.0.0.1:" + sockets.get(member).getLocalPort();
     }
 
-    private void pass(DatagramSocket in, int to) {
+    private void relay(DatagramSocket in, int to) {
         byte[] buffer = new byte[4096];
         while (!in.isClosed()) {
             try {
-                one(in, to, buffer);
+                relayOne(in, to, buffer);
             } catch (IOException e) {
-                dropped.incrementAndGet(); // it is closed, or the system had no room for one: no reason to pass no more
+                dropped.incrementAndGet(); // closed, or the system's buffers are full: the relay goes on
             }
         }
     }
 
-    private void one(DatagramSocket in, int to, byte[] buffer) throws IOException {
+    private void relayOne(DatagramSocket in, int to, byte[] buffer) throws IOException {
         var packet = new DatagramPacket(buffer, buffer.length);
         in.receive(packet);
         Integer from = members.get(packet.getPort());
@@ -91,33 +95,33 @@
             dropped.incrementAndGet();
             return;
         }
-        var on = new DatagramPacket(Arrays.copyOf(buffer, packet.getLength()), packet.getLength(),
+        var copy = new DatagramPacket(Arrays.copyOf(buffer, packet.getLength()), packet.getLength(),
                 new InetSocketAddress(loopback, ports.get(to)));
         synchronized (random) {
-            pass(in, on, delayMillis == 0 ? 0 : random.nextInt(delayMillis));
+            send(in, copy, delayMillis == 0 ? 0 : random.nextInt(delayMillis));
             if (random.nextDouble() < duplicateShare) {
-                pass(in, on, random.nextInt(1_000));
+                send(in, copy, random.nextInt(1_000));
             }
         }
     }
 
-    private void pass(DatagramSocket through, DatagramPacket on, int millis) throws IOException {
-        if (millis == 0) {
-            through.send(on);
+    private void send(DatagramSocket socket, DatagramPacket packet, int delay) throws IOException {
+        if (delay == 0) {
+            socket.send(packet);
             return;
         }
-        var unused = later.schedule(() -> {
+        var unused = delayed.schedule(() -> {
             try {
-                through.send(on);
+                socket.send(packet);
             } catch (IOException e) {
-                dropped.incrementAndGet(); // closed meanwhile
+                dropped.incrementAndGet(); // the relay was closed meanwhile
             }
-        }, millis, TimeUnit.MILLISECONDS);
+        }, delay, TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void close() {
-        later.shutdownNow();
-        near.forEach(DatagramSocket::close);
+        delayed.shutdownNow();
+        sockets.forEach(DatagramSocket::close);
     }
 }
--- a/src/test/java/wallmoor/standin/LinkProxy.java
+++ b/src/test/java/wallmoor/standin/LinkProxy.java
@@ -13,50 +13,51 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/**
- * A poor link for TCP: by its script it cuts a connection after so many bytes, holds bytes back, trickles or goes dead.
- */
+/** A TCP proxy that, by a script, resets a connection after some bytes, delays bytes, splits them, or goes silent. */
 public final class LinkProxy implements AutoCloseable {
     /**
-     * What becomes of a connection.
+     * What befalls a connection.
      *
-     * @param cutUp      it is reset after so many bytes of the device's; -1 never
-     * @param cutDown    ... or so many of the answer's
-     * @param delay      milliseconds that each piece is held back
-     * @param trickle    bytes that go on at once, or 0 for all
-     * @param halfOpen   in place of a reset, nothing is said and nothing goes on
+     * @param cutUp      the number of the device's bytes after which it is cut, or -1 for never
+     * @param cutDown    the number of the program's bytes after which it is cut, or -1 for never
+     * @param delay      the delay of each piece in milliseconds
+     * @param trickle    the largest piece in bytes, or 0 for the size of the buffer
+     * @param halfOpen   a cut leaves both ends open and relays nothing more in that direction, in place of a reset
      */
     public record Fate(int cutUp, int cutDown, int delay, int trickle, boolean halfOpen) {
         public static final Fate GOOD = new Fate(-1, -1, 0, 0, false);
     }
 
-    /** Decides the fate of the connection of this number, from 0. */
+    /** Decides what befalls each connection. */
     public interface Script {
+        /** Returns the fate of a connection by its number, which counts from 0. */
         Fate of(int number, Random random);
     }
 
     private final ServerSocket server;
-    private final InetSocketAddress to;
-    private final AtomicInteger numbers = new AtomicInteger();
+    private final InetSocketAddress program;
+    private final AtomicInteger nextNumber = new AtomicInteger();
     private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-    /** Bytes that went up and down. */
+    /** The bytes relayed in both directions. */
     public final AtomicLong bytes = new AtomicLong();
-    /** Connections that were cut. */
+    /** The number of cuts. */
     public final AtomicInteger cuts = new AtomicInteger();
 
+    /** Starts a proxy to this port of loopback. */
     public LinkProxy(int port, long seed, Script script) throws IOException {
         server = new ServerSocket(0, 200, InetAddress.getByName("127.0.0.1"));
-        to = new InetSocketAddress("127.0.0.1", port);
+        program = new InetSocketAddress("127.0.0.1", port);
         start(() -> {
             while (true) {
                 Socket device = server.accept();
-                int number = numbers.getAndIncrement();
-                start(() -> connection(device,
+                int number = nextNumber.getAndIncrement();
+                start(() -> relay(device,
                         script.of(number, new Random((seed * 31 + number) * 0x9E3779B97F4A7C15L))));
             }
         });
     }
 
+    /** Returns the port that devices connect to. */
     public int port() {
         return server.getLocalPort();
     }
@@ -70,56 +71,56 @@
             try {
                 work.run();
             } catch (Exception e) {
-                // the link is gone
+                // the link is closed
             }
         }, "link", 128 * 1024);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void connection(Socket device, Fate fate) throws Exception {
+    private void relay(Socket device, Fate fate) throws Exception {
         open.add(device);
-        var program = new Socket();
-        open.add(program);
-        program.connect(to, 2000);
-        program.setTcpNoDelay(true);
+        var upstream = new Socket();
+        open.add(upstream);
+        upstream.connect(program, 2000);
+        upstream.setTcpNoDelay(true);
         device.setTcpNoDelay(true);
-        start(() -> pump(program, device, fate, fate.cutDown()));
-        pump(device, program, fate, fate.cutUp());
+        start(() -> pump(upstream, device, fate, fate.cutDown()));
+        pump(device, upstream, fate, fate.cutUp());
     }
 
-    private void pump(Socket from, Socket into, Fate fate, int cut) throws Exception {
+    private void pump(Socket from, Socket into, Fate fate, int cutBytes) throws Exception {
         byte[] buffer = new byte[4096];
-        int passed = 0;
+        int relayed = 0;
         try {
             InputStream in = from.getInputStream();
             OutputStream out = into.getOutputStream();
             while (true) {
-                int most = fate.trickle() > 0 ? fate.trickle() : buffer.length;
-                if (cut >= 0) {
-                    most = Math.min(most, Math.max(1, cut - passed));
+                int maxBytes = fate.trickle() > 0 ? fate.trickle() : buffer.length;
+                if (cutBytes >= 0) {
+                    maxBytes = Math.min(maxBytes, Math.max(1, cutBytes - relayed));
                 }
-                if (cut >= 0 && passed >= cut) {
+                if (cutBytes >= 0 && relayed >= cutBytes) {
                     cuts.incrementAndGet();
                     if (fate.halfOpen()) {
-                        return; // both ends stay open, and silent
+                        return; // both ends stay open and get no more bytes
                     }
                     break;
                 }
-                int n = in.read(buffer, 0, most);
-                if (n < 0) {
+                int count = in.read(buffer, 0, maxBytes);
+                if (count < 0) {
                     into.shutdownOutput();
                     return;
                 }
                 if (fate.delay() > 0) {
                     Thread.sleep(fate.delay());
                 }
-                out.write(buffer, 0, n);
-                passed += n;
-                bytes.addAndGet(n);
+                out.write(buffer, 0, count);
+                relayed += count;
+                bytes.addAndGet(count);
             }
         } catch (IOException e) {
-            // reset: so is the other end
+            // one end was reset: the other end is reset below
         }
         for (Socket s : new Socket[] {from, into}) {
             s.setSoLinger(true, 0);
--- a/src/test/java/wallmoor/standin/RecordingLogger.java
+++ b/src/test/java/wallmoor/standin/RecordingLogger.java
@@ -9,15 +9,15 @@
 import org.slf4j.helpers.MessageFormatter;
 
 /**
- * A logger whose lines a test reads: formatted as the program's log has them, each with its stack trace. As in the
- * program's default configuration, the levels below INFO are off.
+ * A logger that gives its formatted messages to a test, with the stack trace of a thrown exception. As in the program's
+ * default configuration, the levels below INFO are off.
  */
 public final class RecordingLogger extends LegacyAbstractLogger {
     private static final long serialVersionUID = 1L;
 
     private final transient Consumer<String> lines;
 
-    /** Gives each line to {@code lines}; what that throws comes out of the call that logs. */
+    /** Gives each message to {@code lines}; an exception of that consumer reaches the caller that logs. */
     public RecordingLogger(Consumer<String> lines) {
         this.lines = lines;
         name = "recording";
