--- a/src/test/java/wallmoor/lab/Network.java
+++ b/src/test/java/wallmoor/lab/Network.java
@@ -6,43 +6,43 @@
 import wallmoor.standin.TcpRelay;
 
 /**
- * The cuts of a script on both relays at once: what is cut for datagrams is cut for connections. Each cut is counted,
- * as faults may share a way.
+ * Applies the network faults of a script to the relays of datagrams and of connections alike. Cuts of a direction are
+ * counted, because several faults may cut the same one.
  */
 public final class Network {
-    private record Way(int from, int to) {}
+    private record Direction(int from, int to) {}
 
-    private static final double LOSS = 0.2;
-    private static final int LATE_MILLIS = 40;
+    private static final double LOSS_SHARE = 0.2;
+    private static final int MAX_DELAY_MILLIS = 40;
 
-    private final Map<Way, Integer> cuts = new ConcurrentHashMap<>();
+    private final Map<Direction, Integer> cuts = new ConcurrentHashMap<>();
     private final GroupRelay datagrams;
     private final TcpRelay links;
-    private int poor;
+    private int degradations;
 
-    /** Either may be null. */
+    /** Applies faults to these relays, either of which may be null. */
     public Network(GroupRelay datagrams, TcpRelay links) {
         this.datagrams = datagrams;
         this.links = links;
         if (datagrams != null) {
-            datagrams.cut = (from, to) -> cuts.getOrDefault(new Way(from, to), 0) > 0;
+            datagrams.cut = (from, to) -> cuts.getOrDefault(new Direction(from, to), 0) > 0;
         }
     }
 
-    /** Cuts a way, or takes one cut back. */
+    /** Adds a cut of the direction between two processes, or removes one. */
     public void cut(int from, int to, boolean on) {
-        int now = cuts.merge(new Way(from, to), on ? 1 : -1, Integer::sum);
+        int remaining = cuts.merge(new Direction(from, to), on ? 1 : -1, Integer::sum);
         if (links != null) {
-            links.fault(from, to, now > 0 ? TcpRelay.Fault.CUT : TcpRelay.Fault.NONE);
+            links.fault(from, to, remaining > 0 ? TcpRelay.Fault.CUT : TcpRelay.Fault.NONE);
         }
     }
 
-    /** Makes all datagrams late and a fifth of them lost, or takes that back once. Connections lose nothing by it. */
+    /** Delays all datagrams and drops a fifth of them, or undoes that once. Connections are not affected. */
     public void degradeDatagrams(boolean on) {
-        poor += on ? 1 : -1;
+        degradations += on ? 1 : -1;
         if (datagrams != null) {
-            datagrams.loss = poor > 0 ? LOSS : 0;
-            datagrams.delayMillis = poor > 0 ? LATE_MILLIS : 0;
+            datagrams.loss = degradations > 0 ? LOSS_SHARE : 0;
+            datagrams.delayMillis = degradations > 0 ? MAX_DELAY_MILLIS : 0;
         }
     }
 }
--- a/src/test/java/wallmoor/lab/Script.java
+++ b/src/test/java/wallmoor/lab/Script.java
@@ -8,33 +8,40 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Faults for a group of real processes, drawn from a seed: the same seed gives the same faults at the same times. It
- * must not know what the processes say or decide. At most a minority is dead, paused or cut off at once, so that
- * something must go on; whoever is struck is made whole by the end.
+ * Faults for a group of real processes, drawn from a seed: the same seed gives the same faults at the same times,
+ * whatever the processes do. At any time only a minority is affected, so that the majority must make progress; all
+ * faults end within the script.
  */
 public final class Script {
-    /** What strikes. */
+    /** A kind of fault. */
     public enum Kind {
-        /** It stands still (SIGSTOP), and goes on. */
+        /** The process is stopped (SIGSTOP) and continued. */
         PAUSE,
-        /** It is killed, and started anew. */
+        /** The process is killed and started again. */
         KILL,
-        /** Nothing passes between it and all others. */
+        /** Cuts both directions between the process and all others. */
         CUT_OFF,
-        /** Nothing passes from it to the others. */
-        UNHEARD,
-        /** Nothing passes to it from the others. */
-        DEAF,
-        /** Nothing passes from it to one other. */
+        /** Cuts the direction from the process to all others. */
+        OUTBOUND_CUT,
+        /** Cuts the direction from all others to the process. */
+        INBOUND_CUT,
+        /** Cuts the direction from the process to one other. */
         ONE_LINK,
-        /** A share of what passes is late or lost, between all. */
-        POOR
+        /** Delays and drops datagrams between all processes. */
+        DEGRADED
     }
 
-    /** One fault: who, from when and for how long, in milliseconds. */
+    /**
+     * A fault.
+     *
+     * @param who       the index of the process
+     * @param other     selects the other process of {@link Kind#ONE_LINK}: its distance from the one after {@code who}
+     * @param atMillis  when it begins, after the start of the script
+     * @param forMillis how long it lasts
+     */
     public record Fault(Kind kind, int who, int other, int atMillis, int forMillis) {}
 
-    /** What a script strikes. Called by one thread. */
+    /** The processes and the network that a script affects. Called by one thread. */
     public interface Target {
         /** Sends a process a signal, by its name without SIG. */
         void signal(int who, String name) throws Exception;
@@ -42,33 +49,39 @@
         /** Kills a process for good. */
         void kill(int who) throws Exception;
 
-        /** Starts a process that was killed, with nothing or all that it kept. */
+        /** Starts a process that was killed, with or without its stored data. */
         void start(int who) throws Exception;
 
-        /** Whether all between two processes, this way, is lost. */
+        /** Sets whether the direction from one process to another is cut. */
         void cut(int from, int to, boolean on);
 
-        /** Whether links are poor. */
+        /** Sets whether datagrams are delayed and dropped. */
         void degradeDatagrams(boolean on);
     }
 
-    private static final int LEAST_MILLIS = 300;
+    private static final int MIN_FAULT_MILLIS = 300;
 
-    private final int count;
+    private final int processes;
     private final List<Fault> faults = new ArrayList<>();
 
-    /** Draws so many faults, begun and over within this time. Those of one process don't overlap. */
-    public Script(int count, int number, int millis, long seed) {
-        this.count = count;
+    /**
+     * Draws the faults. Those of one process don't overlap.
+     *
+     * @param processes the number of processes
+     * @param number    the number of faults
+     * @param millis    the time within which all faults begin and end
+     */
+    public Script(int processes, int number, int millis, long seed) {
+        this.processes = processes;
         var random = new Random(seed);
         while (faults.size() < number) {
-            int length = LEAST_MILLIS + random.nextInt(millis / 3);
-            var next = new Fault(Kind.values()[random.nextInt(Kind.values().length)], random.nextInt(count),
-                    random.nextInt(count - 1),
+            int length = MIN_FAULT_MILLIS + random.nextInt(millis / 3);
+            var next = new Fault(Kind.values()[random.nextInt(Kind.values().length)], random.nextInt(processes),
+                    random.nextInt(processes - 1),
                     random.nextInt(millis - length), length);
-            Set<Integer> beside = new HashSet<>();
-            faults.stream().filter(f -> overlap(f, next)).forEach(f -> beside.add(f.who));
-            if (!beside.contains(next.who) && 2 * (beside.size() + 1) < count) {
+            Set<Integer> concurrent = new HashSet<>();
+            faults.stream().filter(f -> overlap(f, next)).forEach(f -> concurrent.add(f.who));
+            if (!concurrent.contains(next.who) && 2 * (concurrent.size() + 1) < processes) {
                 faults.add(next);
             }
         }
@@ -79,12 +92,12 @@
         return a.atMillis < b.atMillis + b.forMillis && b.atMillis < a.atMillis + a.forMillis;
     }
 
-    /** The faults, in order. */
+    /** Returns the faults in order of their begin. */
     public List<Fault> faults() {
         return List.copyOf(faults);
     }
 
-    /** Plays it: returns once the last fault is over and all is whole, even where a step fails. */
+    /** Applies the faults at their times and returns once all have ended; ends open faults where a step fails. */
     public void play(Target target) throws Exception {
         record Step(int at, Fault fault, boolean on) {}
         var steps = new ArrayList<Step>();
@@ -94,29 +107,29 @@
         });
         steps.sort(java.util.Comparator.comparingInt(Step::at));
         long begun = System.nanoTime();
-        var done = new HashSet<Fault>();
+        var active = new HashSet<Fault>();
         try {
             for (Step step : steps) {
-                long left = TimeUnit.MILLISECONDS.toNanos(step.at) - (System.nanoTime() - begun);
-                if (left > 0) {
-                    TimeUnit.NANOSECONDS.sleep(left);
+                long remainingNanos = TimeUnit.MILLISECONDS.toNanos(step.at) - (System.nanoTime() - begun);
+                if (remainingNanos > 0) {
+                    TimeUnit.NANOSECONDS.sleep(remainingNanos);
                 }
                 if (step.on) {
-                    done.add(step.fault);
+                    active.add(step.fault);
                 } else {
-                    done.remove(step.fault);
+                    active.remove(step.fault);
                 }
-                strike(target, step.fault, step.on);
+                apply(target, step.fault, step.on);
             }
         } finally {
-            for (Fault fault : done) {
-                strike(target, fault, false);
+            for (Fault fault : active) {
+                apply(target, fault, false);
             }
         }
     }
 
-    private void strike(Target target, Fault f, boolean on) throws Exception {
-        int other = (f.who + 1 + f.other) % count;
+    private void apply(Target target, Fault f, boolean on) throws Exception {
+        int other = (f.who + 1 + f.other) % processes;
         switch (f.kind) {
             case PAUSE -> target.signal(f.who, on ? "STOP" : "CONT");
             case KILL -> {
@@ -127,13 +140,13 @@
                 }
             }
             case ONE_LINK -> target.cut(f.who, other, on);
-            case POOR -> target.degradeDatagrams(on);
+            case DEGRADED -> target.degradeDatagrams(on);
             default -> {
-                for (int i = 0; i < count; i++) {
-                    if (i != f.who && f.kind != Kind.DEAF) {
+                for (int i = 0; i < processes; i++) {
+                    if (i != f.who && f.kind != Kind.INBOUND_CUT) {
                         target.cut(f.who, i, on);
                     }
-                    if (i != f.who && f.kind != Kind.UNHEARD) {
+                    if (i != f.who && f.kind != Kind.OUTBOUND_CUT) {
                         target.cut(i, f.who, on);
                     }
                 }
--- a/src/test/java/wallmoor/lab/package-info.java
+++ b/src/test/java/wallmoor/lab/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Real processes struck by a seeded script, a network of relays between them, and apart from both a judge of what each
- * said it acted on, and when.
+ * Fault injection for real processes: a seeded script of faults, the relays that cut their network, and an independent
+ * history of what each process reported to act on, which finds contradictions.
  */
 package wallmoor.lab;
--- a/src/test/java/wallmoor/standin/CapturedWarnings.java
+++ b/src/test/java/wallmoor/standin/CapturedWarnings.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import org.slf4j.LoggerFactory;
 
-/** The lines at warn or error of a package's loggers, from when this is made until it is closed. Any thread. */
+/** Captures the warnings and errors of a package's loggers until it is closed. Thread-safe. */
 public final class CapturedWarnings implements AutoCloseable {
     private final Logger logger;
     private final List<String> messages = new CopyOnWriteArrayList<>();
@@ -21,7 +21,7 @@
         }
     };
 
-    /** Of the loggers below a name. */
+    /** Captures what this logger and those below it write. */
     public CapturedWarnings(String loggerName) {
         logger = (Logger) LoggerFactory.getLogger(loggerName);
         appender.setContext(logger.getLoggerContext());
@@ -29,7 +29,7 @@
         logger.addAppender(appender);
     }
 
-    /** The lines so far, as they were formatted. */
+    /** Returns a copy of the formatted messages so far. */
     public List<String> messages() {
         return List.copyOf(messages);
     }
--- a/src/test/java/wallmoor/standin/DiskNode.java
+++ b/src/test/java/wallmoor/standin/DiskNode.java
@@ -36,31 +36,39 @@
 import wallmoor.migration.http.MigrationCodec;
 
 /**
- * A stand-in for a node with a disk: blocks are files of a directory, requests about moves come by HTTP, and simple
- * parts are run by the version of the map. {@code DIR PORT DISK_MB DISK_MB_PER_S [BLOCK:BYTES:MB]...}. In the
- * directory, {@code peers} names the other nodes, a line {@code id host:port} each; {@code other} is what else fills
- * the disk, in megabytes; a file {@code flip} spoils the next chunk, and with {@code careless} it never says that
- * queries suffer; {@code journal} tells what was kept and run. Killed, it loses nothing but its memory: what it keeps
- * is not forced to the disk, so a loss of power is not played.
+ * A stand-in for a storage node. Blocks are files in a directory; migration requests, reads and writes arrive by HTTP.
+ * Its arguments are {@code DIR PORT DISK_MB DISK_MB_PER_S [BLOCK:BYTES:MB]...}. Files in the directory control it:
+ *
+ * <ul>
+ * <li>{@code peers}: the other nodes, one {@code id host:port} in a line
+ * <li>{@code other}: the megabytes of the disk that other data uses
+ * <li>{@code flip}: corrupts the next chunk that is fetched
+ * <li>{@code careless}: makes it always report a load of 0
+ * <li>{@code journal}: written by the node, its state changes and the non-idempotent parts that it ran
+ * </ul>
+ *
+ * <p>Its files survive SIGKILL. They are not forced to the disk, so a power failure is not simulated.
  */
 public final class DiskNode {
-    /** What runs once is written into the head of a block: a number of eight bytes by its remainder. */
+    /** The slots of eight bytes at the head of a block; a non-idempotent part writes its id to slot id % SLOTS. */
     public static final int SLOTS = 64;
+    /** The size of a block's head. */
     public static final int HEAD_BYTES = SLOTS * 8;
+    /** The size of the answer to a read. */
     public static final int PIECE_BYTES = 16_384;
     private static final int THREADS = 16;
-    /** A query that waits so long for the disk suffers. */
-    private static final double SUFFERS_MILLIS = 20;
+    /** The average time of a read at which the node reports a load of one half. */
+    private static final double HALF_LOAD_READ_MILLIS = 20;
 
     private final Path dir;
     private final long diskMb;
     private final double bytesPerMilli;
-    private final Map<String, ReplicaRecord> held = new ConcurrentHashMap<>();
+    private final Map<String, ReplicaRecord> replicas = new ConcurrentHashMap<>();
     private final Map<String, Object> locks = new ConcurrentHashMap<>();
     private final HttpClient client = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(1)).build();
     private final Object disk = new Object();
-    private double waited;
-    private final Object accounts = new Object();
+    private double averageReadMillis;
+    private final Object loadLock = new Object();
 
     private DiskNode(Path dir, long diskMb, double mbPerSecond) {
         this.dir = dir;
@@ -68,99 +76,106 @@
         bytesPerMilli = mbPerSecond * 1_000;
     }
 
-    /** Runs one until it is killed. */
+    /** Runs a node until it is killed. */
     public static void main(String[] args) throws IOException {
-        System.setProperty("sun.net.httpserver.nodelay", "true"); // else each answer waits 40 ms for an acknowledgement
+        System.setProperty("sun.net.httpserver.nodelay", "true"); // else each answer waits 40 ms for an ACK
         Path dir = Files.createDirectories(Path.of(args[0]));
         var node = new DiskNode(dir, Long.parseLong(args[2]), Double.parseDouble(args[3]));
         if (!Files.exists(dir.resolve("journal"))) {
             for (int i = 4; i < args.length; i++) {
-                String[] b = args[i].split(":");
-                Files.write(dir.resolve(b[0] + ".data"), content(b[0], 0, Integer.parseInt(b[1])));
-                node.keep(b[0], ReplicaRecord.owned(Long.parseLong(b[1]), Long.parseLong(b[2])));
+                String[] fields = args[i].split(":");
+                Files.write(dir.resolve(fields[0] + ".data"), content(fields[0], 0, Integer.parseInt(fields[1])));
+                node.store(fields[0], ReplicaRecord.owned(Long.parseLong(fields[1]), Long.parseLong(fields[2])));
             }
             node.journal("began", "-", "");
         }
         try (var files = Files.list(dir)) {
-            for (Path f : files.filter(f -> f.toString().endsWith(".held")).toList()) {
-                node.held.put(f.getFileName().toString().replace(".held", ""),
-                        MigrationCodec.decodeReplica(Files.readAllBytes(f)));
+            for (Path file : files.filter(f -> f.toString().endsWith(".held")).toList()) {
+                node.replicas.put(file.getFileName().toString().replace(".held", ""),
+                        MigrationCodec.decodeReplica(Files.readAllBytes(file)));
             }
         }
         var server = HttpServer
                 .create(new InetSocketAddress(InetAddress.getLoopbackAddress(), Integer.parseInt(args[1])), 50);
         server.setExecutor(Executors.newFixedThreadPool(THREADS));
-        server.createContext("/", x -> {
-            try (x) {
-                node.serve(x);
+        server.createContext("/", exchange -> {
+            try (exchange) {
+                node.serve(exchange);
             } catch (RuntimeException e) {
-                x.sendResponseHeaders(400, -1);
+                exchange.sendResponseHeaders(400, -1);
             }
         });
         server.start();
     }
 
-    /** What a block holds at first: the same on every node. */
+    /** Returns the initial content of a block, which is the same on every node. */
     public static byte[] content(String block, long from, int length) {
         byte[] bytes = new byte[length];
         for (int i = 0; i < length; i++) {
-            long at = from + i;
-            bytes[i] = at < HEAD_BYTES ? 0 : (byte) ((at * 0x9e3779b97f4a7c15L + block.hashCode() * 31L) >>> 40);
+            long offset = from + i;
+            bytes[i] = offset < HEAD_BYTES ? 0
+                    : (byte) ((offset * 0x9e3779b97f4a7c15L + block.hashCode() * 31L) >>> 40);
         }
         return bytes;
     }
 
-    private void serve(HttpExchange x) throws IOException {
-        var q = new HashMap<String, String>();
-        if (x.getRequestURI().getQuery() != null) {
-            for (String part : x.getRequestURI().getQuery().split("&")) {
-                q.put(part.split("=")[0], part.split("=")[1]);
+    private void serve(HttpExchange exchange) throws IOException {
+        var parameters = new HashMap<String, String>();
+        if (exchange.getRequestURI().getQuery() != null) {
+            for (String pair : exchange.getRequestURI().getQuery().split("&")) {
+                parameters.put(pair.split("=")[0], pair.split("=")[1]);
             }
         }
-        String block = q.getOrDefault("block", "");
-        switch (x.getRequestURI().getPath()) {
+        String block = parameters.getOrDefault("block", "");
+        switch (exchange.getRequestURI().getPath()) {
             case "/moves" -> {
-                MigrationCodec.RequestMessage r = MigrationCodec.decodeRequest(x.getRequestBody().readAllBytes());
-                reply(x, 200, MigrationCodec.encode(ask(r)).getBytes(StandardCharsets.UTF_8));
+                MigrationCodec.RequestMessage message = MigrationCodec
+                        .decodeRequest(exchange.getRequestBody().readAllBytes());
+                reply(exchange, 200, MigrationCodec.encode(handle(message)).getBytes(StandardCharsets.UTF_8));
             }
             case "/chunk" -> {
                 synchronized (lock(block)) {
-                    boolean whole = of(block).isComplete();
-                    reply(x, whole ? 200 : 409,
-                            whole ? read(block, Long.parseLong(q.get("from")), Integer.parseInt(q.get("length")))
+                    boolean isComplete = replica(block).isComplete();
+                    reply(exchange, isComplete ? 200 : 409,
+                            isComplete
+                                    ? read(block, Long.parseLong(parameters.get("from")),
+                                            Integer.parseInt(parameters.get("length")))
                                     : new byte[0]);
                 }
             }
             case "/read" -> {
                 long begun = System.nanoTime();
-                byte[] piece = of(block).servesReads() ? piece(block, Long.parseLong(q.get("from"))) : new byte[0];
-                synchronized (accounts) {
-                    waited += ((System.nanoTime() - begun) / 1e6 - waited) / 8;
+                byte[] piece = replica(block).servesReads() ? piece(block, Long.parseLong(parameters.get("from")))
+                        : new byte[0];
+                synchronized (loadLock) {
+                    averageReadMillis += ((System.nanoTime() - begun) / 1e6 - averageReadMillis) / 8;
                 }
-                reply(x, piece.length > 0 ? 200 : 409, piece);
+                reply(exchange, piece.length > 0 ? 200 : 409, piece);
             }
             case "/once" ->
-                reply(x, once(block, Long.parseLong(q.get("version")), Long.parseLong(q.get("id"))) ? 200 : 409,
+                reply(exchange,
+                        runOnce(block, Long.parseLong(parameters.get("version")), Long.parseLong(parameters.get("id")))
+                                ? 200 : 409,
                         new byte[0]);
-            default -> reply(x, 404, new byte[0]);
+            default -> reply(exchange, 404, new byte[0]);
         }
     }
 
-    private static void reply(HttpExchange x, int status, byte[] body) throws IOException {
-        x.sendResponseHeaders(status, body.length == 0 ? -1 : body.length);
-        x.getResponseBody().write(body);
+    private static void reply(HttpExchange exchange, int status, byte[] body) throws IOException {
+        exchange.sendResponseHeaders(status, body.length == 0 ? -1 : body.length);
+        exchange.getResponseBody().write(body);
     }
 
     private byte[] piece(String block, long from) {
         try {
             return read(block, from, PIECE_BYTES);
         } catch (IOException e) {
-            return new byte[0]; // dropped meanwhile: refused
+            return new byte[0]; // the block was dropped meanwhile: answered with 409
         }
     }
 
-    /** The disk does one thing at a time, as fast as it is. */
-    private void disk(long bytes) {
+    /** Waits for as long as the disk takes for these bytes; it serves one request at a time. */
+    private void occupyDisk(long bytes) {
         synchronized (disk) {
             try {
                 long micros = (long) (bytes / bytesPerMilli * 1_000);
@@ -176,25 +191,26 @@
             byte[] bytes = new byte[(int) Math.max(0, Math.min(length, file.length() - from))];
             file.seek(from);
             file.readFully(bytes);
-            disk(bytes.length);
+            occupyDisk(bytes.length);
             return bytes;
         }
     }
 
-    private void write(String block, long at, byte[] bytes) throws IOException {
-        disk(bytes.length);
+    private void write(String block, long offset, byte[] bytes) throws IOException {
+        occupyDisk(bytes.length);
         try (var file = new RandomAccessFile(dir.resolve(block + ".data").toFile(), "rw")) {
-            file.seek(at);
+            file.seek(offset);
             file.write(bytes);
         }
     }
 
-    private boolean once(String block, long version, long id) throws IOException {
+    /** Runs a non-idempotent part; returns false where this version of the map must not run it here. */
+    private boolean runOnce(String block, long version, long id) throws IOException {
         synchronized (lock(block)) {
-            ReplicaRecord h = of(block);
-            if (!h.servesNonIdempotent(version)) {
-                if (!h.afterRejecting(version).equals(h)) {
-                    keep(block, h.afterRejecting(version)); // the proof that it never ran: it never will
+            ReplicaRecord replica = replica(block);
+            if (!replica.servesNonIdempotent(version)) {
+                if (!replica.afterRejecting(version).equals(replica)) {
+                    store(block, replica.afterRejecting(version)); // ensures that a rejected part never runs later
                 }
                 return false;
             }
@@ -204,64 +220,68 @@
         }
     }
 
-    private ReplicaResponse ask(MigrationCodec.RequestMessage r) throws IOException {
-        String block = r.block();
-        if (r.request() instanceof ReplicaRequest.ListReplicas) {
-            return said(ResponseCode.OK, ReplicaRecord.NONE, List.of(), held);
+    private ReplicaResponse handle(MigrationCodec.RequestMessage message) throws IOException {
+        String block = message.block();
+        if (message.request() instanceof ReplicaRequest.ListReplicas) {
+            return response(ResponseCode.OK, ReplicaRecord.NONE, List.of(), replicas);
         }
-        ReplicaStateMachine.Transition ruling;
-        List<String> sums = List.of();
+        ReplicaStateMachine.Transition transition;
+        List<String> checksums = List.of();
         synchronized (lock(block)) {
-            ruling = ReplicaStateMachine.handle(of(block), r.fencingToken(), r.request(), room(),
-                    () -> sums(block, of(block).chunkBytes()));
-            keep(block, ruling.replica());
-            if (ruling.code() == ResponseCode.OK && r.request() instanceof ReplicaRequest.ComputeChecksums s) {
-                sums = sums(block, s.chunkBytes());
-            } else if (ruling.code() == ResponseCode.OK && r.request() instanceof ReplicaRequest.Fence f) {
-                sums = sums(block, f.chunkBytes());
+            transition = ReplicaStateMachine.handle(replica(block), message.fencingToken(), message.request(),
+                    diskSpace(), () -> checksums(block, replica(block).chunkBytes()));
+            store(block, transition.replica());
+            if (transition.code() == ResponseCode.OK
+                    && message.request() instanceof ReplicaRequest.ComputeChecksums request) {
+                checksums = checksums(block, request.chunkBytes());
+            } else if (transition.code() == ResponseCode.OK
+                    && message.request() instanceof ReplicaRequest.Fence request) {
+                checksums = checksums(block, request.chunkBytes());
             }
         }
-        if (ruling.code() == ResponseCode.OK && r.request() instanceof ReplicaRequest.FetchChunk p) {
-            ReplicaRecord h = ruling.replica();
-            byte[] chunk = fetch(p.source(), block, (long) p.chunkIndex() * h.chunkBytes(), h.chunkBytes());
+        if (transition.code() == ResponseCode.OK && message.request() instanceof ReplicaRequest.FetchChunk request) {
+            ReplicaRecord replica = transition.replica();
+            byte[] chunk = fetch(request.source(), block, (long) request.chunkIndex() * replica.chunkBytes(),
+                    replica.chunkBytes());
             if (chunk == null) {
-                return said(ResponseCode.NO_SOURCE, h, sums, Map.of());
+                return response(ResponseCode.NO_SOURCE, replica, checksums, Map.of());
             }
             if (Files.deleteIfExists(dir.resolve("flip"))) {
                 chunk[chunk.length / 2] ^= 4;
-                journal("flipped", block, "" + p.chunkIndex());
+                journal("flipped", block, "" + request.chunkIndex());
             }
             synchronized (lock(block)) {
-                ruling = ReplicaStateMachine.handleFetchedChunk(of(block), r.fencingToken(), p.chunkIndex(), room(),
-                        p.limitMb());
-                if (ruling.code() == ResponseCode.OK) {
-                    write(block, (long) p.chunkIndex() * h.chunkBytes(), chunk);
+                transition = ReplicaStateMachine.handleFetchedChunk(replica(block), message.fencingToken(),
+                        request.chunkIndex(), diskSpace(), request.limitMb());
+                if (transition.code() == ResponseCode.OK) {
+                    write(block, (long) request.chunkIndex() * replica.chunkBytes(), chunk);
                 }
-                keep(block, ruling.replica());
+                store(block, transition.replica());
             }
         }
-        return said(ruling.code(), ruling.replica(), sums, Map.of());
+        return response(transition.code(), transition.replica(), checksums, Map.of());
     }
 
-    private ReplicaResponse said(ResponseCode verdict, ReplicaRecord h, List<String> sums,
-            Map<String, ReplicaRecord> holds) throws IOException {
+    private ReplicaResponse response(ResponseCode code, ReplicaRecord replica, List<String> checksums,
+            Map<String, ReplicaRecord> listed) throws IOException {
         double load;
-        synchronized (accounts) {
-            load = Files.exists(dir.resolve("careless")) ? 0 : Math.min(1, waited / SUFFERS_MILLIS / 2);
-            waited *= 0.98; // nobody asks: nobody suffers
+        synchronized (loadLock) {
+            load = Files.exists(dir.resolve("careless")) ? 0
+                    : Math.min(1, averageReadMillis / HALF_LOAD_READ_MILLIS / 2);
+            averageReadMillis *= 0.98; // decays without reads
         }
-        return new ReplicaResponse(verdict, h, room(), sums, load, holds);
+        return new ReplicaResponse(code, replica, diskSpace(), checksums, load, listed);
     }
 
-    private byte[] fetch(String from, String block, long at, int length) throws IOException {
-        String address = Files.readAllLines(dir.resolve("peers")).stream().filter(l -> l.startsWith(from + " "))
+    private byte[] fetch(String source, String block, long offset, int length) throws IOException {
+        String address = Files.readAllLines(dir.resolve("peers")).stream().filter(l -> l.startsWith(source + " "))
                 .findFirst().orElse("- 127.0.0.1:1").split(" ")[1];
         try {
-            var response = client.send(
-                    HttpRequest.newBuilder(URI.create("http://" + address + "/chunk?block=" + block + "&from=" + at
+            var answer = client.send(
+                    HttpRequest.newBuilder(URI.create("http://" + address + "/chunk?block=" + block + "&from=" + offset
                             + "&length=" + length)).timeout(Duration.ofSeconds(5)).build(),
                     HttpResponse.BodyHandlers.ofByteArray());
-            return response.statusCode() == 200 && response.body().length > 0 ? response.body() : null;
+            return answer.statusCode() == 200 && answer.body().length > 0 ? answer.body() : null;
         } catch (IOException e) {
             return null;
         } catch (InterruptedException e) {
@@ -270,70 +290,71 @@
         }
     }
 
-    private List<String> sums(String block, int chunk) {
-        var sums = new ArrayList<String>();
+    private List<String> checksums(String block, int chunkBytes) {
+        var checksums = new ArrayList<String>();
         try {
             Path file = dir.resolve(block + ".data");
             byte[] all = Files.exists(file) ? Files.readAllBytes(file) : new byte[0];
-            for (int at = 0; at < all.length; at += chunk) {
+            for (int offset = 0; offset < all.length; offset += chunkBytes) {
                 MessageDigest sha = MessageDigest.getInstance("SHA-256");
-                sha.update(all, at, Math.min(chunk, all.length - at));
-                sums.add(HexFormat.of().formatHex(sha.digest()));
+                sha.update(all, offset, Math.min(chunkBytes, all.length - offset));
+                checksums.add(HexFormat.of().formatHex(sha.digest()));
             }
         } catch (IOException | NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
-        return sums;
+        return checksums;
     }
 
     private Object lock(String block) {
         return locks.computeIfAbsent(block, b -> new Object());
     }
 
-    private ReplicaRecord of(String block) {
-        return held.getOrDefault(block, ReplicaRecord.NONE);
+    private ReplicaRecord replica(String block) {
+        return replicas.getOrDefault(block, ReplicaRecord.NONE);
     }
 
-    private DiskSpace room() throws IOException {
+    private DiskSpace diskSpace() throws IOException {
         Path other = dir.resolve("other");
         return new DiskSpace(diskMb, Files.exists(other) ? Long.parseLong(Files.readString(other).strip()) : 0,
-                held.values().stream().mapToLong(ReplicaRecord::reservedMb).sum());
+                replicas.values().stream().mapToLong(ReplicaRecord::reservedMb).sum());
     }
 
-    /** Under the block's lock. What is said is kept first. */
-    private void keep(String block, ReplicaRecord next) throws IOException {
-        ReplicaRecord was = of(block);
-        if (next.equals(was)) {
+    /** Stores a replica's state before it is reported. The caller holds the block's lock. */
+    private void store(String block, ReplicaRecord next) throws IOException {
+        ReplicaRecord previous = replica(block);
+        if (next.equals(previous)) {
             return;
         }
-        Path fresh = dir.resolve(block + ".tmp");
-        Files.writeString(fresh, MigrationCodec.encode(next));
-        Files.move(fresh, dir.resolve(block + ".held"), StandardCopyOption.ATOMIC_MOVE);
-        held.put(block, next);
+        Path temporary = dir.resolve(block + ".tmp");
+        Files.writeString(temporary, MigrationCodec.encode(next));
+        Files.move(temporary, dir.resolve(block + ".held"), StandardCopyOption.ATOMIC_MOVE);
+        replicas.put(block, next);
         if (next.state() == ReplicaState.ABSENT) {
             Files.deleteIfExists(dir.resolve(block + ".data"));
         }
-        if (was.state() != next.state()) {
-            long mb = held.values().stream().mapToLong(ReplicaRecord::reservedMb).sum();
-            journal("is", block, next.state() + " " + mb + " " + room().otherMb() + " " + next.fencingToken());
+        if (previous.state() != next.state()) {
+            long reservedMb = replicas.values().stream().mapToLong(ReplicaRecord::reservedMb).sum();
+            journal("is", block,
+                    next.state() + " " + reservedMb + " " + diskSpace().otherMb() + " " + next.fencingToken());
         }
     }
 
-    private synchronized void journal(String what, String block, String more) throws IOException {
+    private synchronized void journal(String event, String block, String details) throws IOException {
         Files.writeString(dir.resolve("journal"),
-                System.currentTimeMillis() + " " + what + " " + block + " " + more + "\n",
+                System.currentTimeMillis() + " " + event + " " + block + " " + details + "\n",
                 StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
 
-    /** Blocks by what a directory holds of them, for who looks after the node has ended. */
+    /** Reads the replicas by block from the directory of a node that has ended. */
     public static Map<String, ReplicaRecord> readReplicas(Path dir) throws IOException {
-        var all = new TreeMap<String, ReplicaRecord>();
+        var stored = new TreeMap<String, ReplicaRecord>();
         try (var files = Files.list(dir)) {
-            for (Path f : files.filter(f -> f.toString().endsWith(".held")).toList()) {
-                all.put(f.getFileName().toString().replace(".held", ""),
-                        MigrationCodec.decodeReplica(Files.readAllBytes(f)));
+            for (Path file : files.filter(f -> f.toString().endsWith(".held")).toList()) {
+                stored.put(file.getFileName().toString().replace(".held", ""),
+                        MigrationCodec.decodeReplica(Files.readAllBytes(file)));
             }
         }
-        return all;
+        return stored;
     }
 }
--- a/src/test/java/wallmoor/standin/DnsServer.java
+++ b/src/test/java/wallmoor/standin/DnsServer.java
@@ -30,9 +30,9 @@
 import org.xbill.DNS.TXTRecord;
 import org.xbill.DNS.Type;
 
-/** A scripted DNS server on loopback, UDP and TCP on one port, from RFC 1035: it answers from a zone, or at fault. */
+/** A DNS server (RFC 1035) on loopback, with UDP and TCP on one port, that answers from a zone or by a set fault. */
 public final class DnsServer implements AutoCloseable {
-    /** What it does wrong. */
+    /** A fault of the answers. */
     public enum Fault {
         NONE, SILENT, SERVFAIL, REFUSED, WRONG_ID, WRONG_QUESTION, OTHER_PORT, GARBAGE, POINTER_LOOP, TRUNCATED,
         TRUNCATED_SILENT_TCP, TRUNCATED_NO_TCP, HALF_TCP, FORMERR_ON_EDNS
@@ -41,11 +41,11 @@
     private final DatagramSocket udp;
     private final ServerSocket tcp;
     private final Map<String, List<Record>> zone = new ConcurrentHashMap<>();
-    /** What was asked, as "udp NAME TYPE". */
+    /** The queries received, as {@code udp NAME TYPE} or {@code tcp NAME TYPE}. */
     public final List<String> seen = new CopyOnWriteArrayList<>();
     private volatile Fault fault = Fault.NONE;
-    private volatile boolean soa = true;
-    private volatile Name existing;
+    private volatile boolean hasSoa = true;
+    private volatile Name nodataName;
 
     /** Starts on a free port. */
     public DnsServer() throws IOException {
@@ -56,7 +56,7 @@
             stream = new ServerSocket(0, 50, loopback);
             try {
                 datagrams = new DatagramSocket(stream.getLocalPort(), loopback);
-            } catch (IOException e) { // that port is another's for UDP
+            } catch (IOException e) { // another socket has this port for UDP
                 stream.close();
                 if (i == 20) {
                     throw e;
@@ -65,68 +65,82 @@
         }
         tcp = stream;
         udp = datagrams;
-        start("dns-udp", this::datagrams);
-        start("dns-tcp", this::streams);
+        start("dns-udp", this::serveUdp);
+        start("dns-tcp", this::serveTcp);
     }
 
-    /** Where it listens. */
+    /** Returns the port that it listens on. */
     public int port() {
         return udp.getLocalPort();
     }
 
-    /** As an address. */
+    /** Returns the address that it listens on. */
     public InetSocketAddress address() {
         return new InetSocketAddress("127.0.0.1", port());
     }
 
-    /** From now on it does this. */
-    public void setFault(Fault with) {
-        fault = with;
+    /** Sets the fault of all later answers. */
+    public void setFault(Fault next) {
+        fault = next;
     }
 
-    /** Whether absences come with an SOA record; a name that exists without records is NODATA, not NXDOMAIN. */
+    /**
+     * Sets the form of negative answers.
+     *
+     * @param withSoa        whether they carry an SOA record
+     * @param nameThatExists a name without records, answered with NODATA and not NXDOMAIN; null for none
+     */
     public void setNegativeAnswers(boolean withSoa, String nameThatExists) {
-        soa = withSoa;
-        existing = nameThatExists == null ? null : name(nameThatExists);
+        hasSoa = withSoa;
+        nodataName = nameThatExists == null ? null : name(nameThatExists);
     }
 
-    /** Replaces the records of a name and type; none removes them. */
+    /** Replaces the records of a name and type; removes them where none are given. */
     public void set(String name, int type, Record... records) {
         zone.put(key(name(name), type), List.of(records));
     }
 
-    /** Replaces a service's records by these and gives each target an address and a text record. */
+    /**
+     * Replaces a service's records and gives each target an address and a text record.
+     *
+     * @param targets each of the form {@code HOST:PORT:PRIORITY:WEIGHT:TEXT,TEXT}
+     */
     public void service(String service, long ttl, String... targets) {
         var records = new ArrayList<Record>();
-        for (String t : targets) { // HOST:PORT:PRIORITY:WEIGHT:TEXT,TEXT
-            String[] p = t.split(":", 5);
+        for (String target : targets) {
+            String[] fields = target.split(":", 5);
             records.add(
-                    srv(service, ttl, Integer.parseInt(p[2]), Integer.parseInt(p[3]), Integer.parseInt(p[1]), p[0]));
-            set(p[0], Type.A, a(p[0], ttl, "127.0.0.1"));
-            set(p[0], Type.TXT, new TXTRecord(name(p[0]), DClass.IN, ttl, List.of(p[4].split(","))));
+                    srv(service, ttl, Integer.parseInt(fields[2]), Integer.parseInt(fields[3]),
+                            Integer.parseInt(fields[1]), fields[0]));
+            set(fields[0], Type.A, a(fields[0], ttl, "127.0.0.1"));
+            set(fields[0], Type.TXT, new TXTRecord(name(fields[0]), DClass.IN, ttl, List.of(fields[4].split(","))));
         }
         set(service, Type.SRV, records.toArray(Record[]::new));
     }
 
+    /** Returns an SRV record. */
     public static SRVRecord srv(String service, long ttl, int priority, int weight, int port, String target) {
         return new SRVRecord(name(service), DClass.IN, ttl, priority, weight, port, name(target));
     }
 
+    /** Returns an A record. */
     public static ARecord a(String name, long ttl, String address) {
-        return new ARecord(name(name), DClass.IN, ttl, bytes(address));
+        return new ARecord(name(name), DClass.IN, ttl, parse(address));
     }
 
+    /** Returns an AAAA record. */
     public static AAAARecord aaaa(String name, long ttl, String address) {
-        return new AAAARecord(name(name), DClass.IN, ttl, bytes(address));
+        return new AAAARecord(name(name), DClass.IN, ttl, parse(address));
     }
 
+    /** Returns a CNAME record with a TTL of 60 s. */
     public static CNAMERecord cname(String name, String target) {
         return new CNAMERecord(name(name), DClass.IN, 60, name(target));
     }
 
-    private static InetAddress bytes(String address) {
+    private static InetAddress parse(String address) {
         try {
-            return InetAddress.getByName(address); // a literal: nothing is looked up
+            return InetAddress.getByName(address); // an address literal causes no lookup
         } catch (IOException e) {
             throw new IllegalArgumentException(e);
         }
@@ -149,7 +163,7 @@
             try {
                 work.run();
             } catch (IOException e) {
-                // closed
+                // the server is closed
             }
         }, name);
         thread.setDaemon(true);
@@ -160,41 +174,41 @@
         void run() throws IOException;
     }
 
-    private void datagrams() throws IOException {
+    private void serveUdp() throws IOException {
         while (true) {
             var packet = new DatagramPacket(new byte[2048], 2048);
             udp.receive(packet);
-            byte[] answer = answer(java.util.Arrays.copyOf(packet.getData(), packet.getLength()), false);
-            if (answer == null) {
+            byte[] response = answer(java.util.Arrays.copyOf(packet.getData(), packet.getLength()), false);
+            if (response == null) {
                 continue;
             }
             if (fault == Fault.OTHER_PORT) {
                 try (var other = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-                    other.send(new DatagramPacket(answer, answer.length, packet.getSocketAddress()));
+                    other.send(new DatagramPacket(response, response.length, packet.getSocketAddress()));
                 }
             } else {
-                udp.send(new DatagramPacket(answer, answer.length, packet.getSocketAddress()));
+                udp.send(new DatagramPacket(response, response.length, packet.getSocketAddress()));
             }
         }
     }
 
-    private void streams() throws IOException {
+    private void serveTcp() throws IOException {
         while (true) {
             Socket peer = tcp.accept();
             start("dns-tcp-one", () -> {
                 try (peer) {
                     var in = new DataInputStream(peer.getInputStream());
-                    byte[] answer = answer(in.readNBytes(in.readUnsignedShort()), true);
+                    byte[] response = answer(in.readNBytes(in.readUnsignedShort()), true);
                     if (fault == Fault.TRUNCATED_NO_TCP) {
                         return;
                     }
                     if (fault == Fault.TRUNCATED_SILENT_TCP) {
                         in.read();
                     }
-                    byte[] framed = new byte[2 + answer.length];
-                    framed[0] = (byte) (answer.length >>> 8);
-                    framed[1] = (byte) answer.length;
-                    System.arraycopy(answer, 0, framed, 2, answer.length);
+                    byte[] framed = new byte[2 + response.length];
+                    framed[0] = (byte) (response.length >>> 8);
+                    framed[1] = (byte) response.length;
+                    System.arraycopy(response, 0, framed, 2, response.length);
                     peer.getOutputStream().write(framed, 0,
                             fault == Fault.HALF_TCP ? framed.length / 2 : framed.length);
                 }
@@ -238,12 +252,12 @@
                 }
             }
             default -> {
-                // the fault shows further down, or not in the answer
+                // other faults are applied below or by the caller
             }
         }
-        boolean cut = fault.name().startsWith("TRUNCATED") || fault == Fault.HALF_TCP;
-        fill(answer, question);
-        if (!overTcp && (cut || answer.toWire().length > 1232)) {
+        boolean isTruncated = fault.name().startsWith("TRUNCATED") || fault == Fault.HALF_TCP;
+        addRecords(answer, question);
+        if (!overTcp && (isTruncated || answer.toWire().length > 1232)) {
             var empty = new Message(answer.getHeader().getID());
             empty.getHeader().setFlag(Flags.QR);
             empty.getHeader().setFlag(Flags.TC);
@@ -253,25 +267,25 @@
         return answer.toWire(65535);
     }
 
-    private void fill(Message answer, Record question) {
-        Name at = question.getName();
-        for (int i = 0; i < 4; i++) { // a server follows aliases as far as it cares to
-            List<Record> records = zone.getOrDefault(key(at, question.getType()), List.of());
+    private void addRecords(Message answer, Record question) {
+        Name current = question.getName();
+        for (int i = 0; i < 4; i++) { // follows at most four aliases
+            List<Record> records = zone.getOrDefault(key(current, question.getType()), List.of());
             records.forEach(r -> answer.addRecord(r, Section.ANSWER));
-            List<Record> alias = zone.getOrDefault(key(at, Type.CNAME), List.of());
+            List<Record> alias = zone.getOrDefault(key(current, Type.CNAME), List.of());
             if (!records.isEmpty() || alias.isEmpty()) {
                 break;
             }
             answer.addRecord(alias.get(0), Section.ANSWER);
-            at = ((CNAMERecord) alias.get(0)).getTarget();
+            current = ((CNAMERecord) alias.get(0)).getTarget();
         }
-        Name last = at;
+        Name last = current;
         if (answer.getSection(Section.ANSWER).isEmpty()) {
-            boolean known = last.equals(existing)
+            boolean exists = last.equals(nodataName)
                     || zone.entrySet().stream().anyMatch(e -> !e.getValue().isEmpty() && e.getKey().startsWith(
                             last.toString().toLowerCase(Locale.ROOT) + " "));
-            answer.getHeader().setRcode(known ? Rcode.NOERROR : Rcode.NXDOMAIN);
-            if (soa) {
+            answer.getHeader().setRcode(exists ? Rcode.NOERROR : Rcode.NXDOMAIN);
+            if (hasSoa) {
                 answer.addRecord(
                         new SOARecord(name("example"), DClass.IN, 1, name("ns.example"), name("hostmaster.example"),
                                 1, 1, 1, 1, 1),
--- a/src/test/java/wallmoor/standin/LogCapture.java
+++ b/src/test/java/wallmoor/standin/LogCapture.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import org.slf4j.LoggerFactory;
 
-/** The lines that the loggers of one package write, in order, from when it is made until it is closed. */
+/** Captures the messages of a package's loggers, in order, until it is closed. */
 public final class LogCapture implements AutoCloseable {
     private final Queue<String> lines = new ConcurrentLinkedQueue<>();
     private final Logger logger;
@@ -19,7 +19,7 @@
         }
     };
 
-    /** Captures what the loggers below this name write, such as {@code wallmoor.operator}. */
+    /** Captures what this logger and those below it write, such as {@code wallmoor.operator}. */
     public LogCapture(String loggerName) {
         logger = (Logger) LoggerFactory.getLogger(loggerName);
         appender.setContext(logger.getLoggerContext());
@@ -27,7 +27,7 @@
         logger.addAppender(appender);
     }
 
-    /** The lines so far; a copy. */
+    /** Returns a copy of the formatted messages so far. */
     public List<String> lines() {
         return List.copyOf(lines);
     }
--- a/src/test/java/wallmoor/standin/Ports.java
+++ b/src/test/java/wallmoor/standin/Ports.java
@@ -11,39 +11,40 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Ports of loopback that are free, each given once: one that is free now may be another's that has not bound it yet.
- * All are below those that the system gives to connections by itself: a relay's many would take one that a process is
- * about to listen on. Each JVM that runs tests has a stretch of its own.
+ * Allocates free ports, each only once, because a free port may belong to a process that has not bound it yet. All are
+ * below the ephemeral ports, which the system gives to the many connections of a relay. Each JVM that runs tests has a
+ * range of its own.
  */
 public final class Ports {
-    private static final int LOWEST = 10_000;
-    /** Linux gives connections 32,768 and above where nobody says otherwise. */
-    private static final int STRETCH = 5_500;
-    private static final int STRETCHES = 4;
-    private static final int FIRST = LOWEST
-            + STRETCH * Math.floorMod(Integer.getInteger("wallmoor.fork", 0), STRETCHES);
-    private static final int TRIES = 2_000;
-    private static final Set<Integer> GIVEN = ConcurrentHashMap.newKeySet();
+    private static final int LOWEST_PORT = 10_000;
+    /** The ranges end at 32,000; Linux takes ephemeral ports from 32,768 on by default. */
+    private static final int RANGE_SIZE = 5_500;
+    private static final int RANGES = 4;
+    private static final int FIRST_PORT = LOWEST_PORT
+            + RANGE_SIZE * Math.floorMod(Integer.getInteger("wallmoor.fork", 0), RANGES);
+    private static final int MAX_TRIES = 2_000;
+    private static final Set<Integer> ALLOCATED = ConcurrentHashMap.newKeySet();
 
     private Ports() {}
 
-    /** A port that neither datagrams nor connections, ended ones that still wait included, have taken. */
+    /** Returns a port that is free for UDP and TCP; one with connections in TIME_WAIT is not free. */
     public static int free() throws IOException {
-        for (int tries = 0; tries < TRIES; tries++) {
-            int port = FIRST + ThreadLocalRandom.current().nextInt(STRETCH);
-            if (GIVEN.add(port)) {
+        for (int tries = 0; tries < MAX_TRIES; tries++) {
+            int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(RANGE_SIZE);
+            if (ALLOCATED.add(port)) {
                 try (var connections = new ServerSocket(port)) {
                     new DatagramSocket(connections.getLocalPort(), InetAddress.getLoopbackAddress()).close();
                     return port;
                 } catch (BindException e) {
-                    // another's: the next is tried
+                    // in use: another port is tried
                 }
             }
         }
-        throw new BindException("none of " + STRETCH + " ports from " + FIRST + " on is free");
+        throw new BindException("no free port found from " + FIRST_PORT + " to " + (FIRST_PORT + RANGE_SIZE - 1)
+                + " in " + MAX_TRIES + " tries");
     }
 
-    /** An address with a port for connections. */
+    /** Returns a loopback address with a free port. */
     public static InetSocketAddress freeAddress() throws IOException {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), free());
     }
--- a/src/test/java/wallmoor/standin/TcpRelay.java
+++ b/src/test/java/wallmoor/standin/TcpRelay.java
@@ -22,28 +22,29 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The network for connections between processes: for each ordered pair a port of loopback, at which the one reaches the
- * other. Faults are set while it runs, for each way of each pair apart. One thread does it all; what a way holds is
- * bounded, and beyond that its sender waits as it would with a full window.
+ * A relay for TCP connections between processes: for each ordered pair of processes it has a port of loopback, at which
+ * the first reaches the second. Faults are set while it runs, for each direction of each pair. A single thread relays
+ * all links; each direction has a bounded buffer, beyond which its sender waits as with a full window.
  */
 public final class TcpRelay implements AutoCloseable {
-    /** Bytes held on a way: about a window, so that a sender can't take a stalled link for one that is read. */
-    private static final int MOST_HELD = 64 * 1024;
-    /** Links at once; more are refused. A group of ten with three links for each pair has 270. */
-    private static final int MOST_LINKS = 512;
-    private static final int PIECE = 8 * 1024;
-    private static final int CONTROL_SECONDS = 10;
-    /** What is late goes on within this. */
+    /** The buffer of a direction: about a TCP window, so that the sender on a stalled link soon blocks. */
+    private static final int MAX_BUFFERED_BYTES = 64 * 1024;
+    /** Open links; more are refused. A group of ten processes with three links for each ordered pair has 270. */
+    private static final int MAX_LINKS = 512;
+    private static final int PIECE_BYTES = 8 * 1024;
+    private static final int TASK_TIMEOUT_SECONDS = 10;
+    /** The interval at which buffered bytes are checked for being due. */
     private static final int TICK_MILLIS = 2;
 
     /**
-     * What befalls bytes from one process to another, whichever of them opened the link.
+     * A fault of the bytes from one process to another, whichever of them opened the link.
      *
-     * @param cut         nothing is taken or passed on; what is held goes on once it is over, as TCP sends again. While
-     *                    either way is cut no link comes about: it is accepted, and reaches nobody
-     * @param stalled     bytes are taken, up to the bound, and not passed on
-     * @param delayMillis each piece is held back for so long
-     * @param quietEnds   that the sender closed, was reset or died is not told: the other's end stays half open
+     * @param cut         nothing is read or written; buffered bytes are written once the fault ends, as TCP would
+     *                    retransmit. While either direction is cut, a new link is accepted but not connected to its
+     *                    target
+     * @param stalled     bytes are read, up to the bound, and not written
+     * @param delayMillis the delay of each piece
+     * @param quietEnds   a close or reset of the sender's end is not relayed: the receiver's end stays half open
      */
     public record Fault(boolean cut, boolean stalled, int delayMillis, boolean quietEnds) {
         public static final Fault NONE = new Fault(false, false, 0, false);
@@ -51,7 +52,7 @@
         public static final Fault STALLED = new Fault(false, true, 0, false);
         public static final Fault QUIET_ENDS = new Fault(false, false, 0, true);
 
-        /** Only late. */
+        /** Returns a fault that only delays bytes. */
         public static Fault late(int millis) {
             return new Fault(false, false, millis, false);
         }
@@ -61,15 +62,17 @@
 
     private record Piece(ByteBuffer bytes, long due) {}
 
-    /** One way of a link. */
-    private final class Way {
+    /** One direction of a link. */
+    private final class Direction {
         final Pair pair;
-        final Queue<Piece> held = new ArrayDeque<>();
+        final Queue<Piece> buffered = new ArrayDeque<>();
         int bytes;
+        /** Whether the sender has closed its end. */
         boolean ended;
-        boolean told;
+        /** Whether the end was relayed to the receiver, or never will be. */
+        boolean endRelayed;
 
-        Way(int from, int to) {
+        Direction(int from, int to) {
             pair = new Pair(from, to);
         }
 
@@ -77,24 +80,24 @@
             return faults.getOrDefault(pair, Fault.NONE);
         }
 
-        boolean wantsRead() {
-            return !ended && bytes < MOST_HELD && !fault().cut();
+        boolean canRead() {
+            return !ended && bytes < MAX_BUFFERED_BYTES && !fault().cut();
         }
 
-        boolean isHeldUp() {
+        boolean isBlocked() {
             return fault().cut() || fault().stalled();
         }
     }
 
     private final class Link {
-        final Way up;
-        final Way down;
+        final Direction up;
+        final Direction down;
         SocketChannel near;
         SocketChannel far;
 
         Link(Pair pair, SocketChannel near) {
-            up = new Way(pair.from, pair.to);
-            down = new Way(pair.to, pair.from);
+            up = new Direction(pair.from, pair.to);
+            down = new Direction(pair.to, pair.from);
             this.near = near;
         }
     }
@@ -105,15 +108,16 @@
     private final Map<Pair, ServerSocketChannel> near = new ConcurrentHashMap<>();
     private final Map<Pair, Fault> faults = new ConcurrentHashMap<>();
     private final Set<Pair> refused = ConcurrentHashMap.newKeySet();
-    private final Queue<Runnable> asked = new ConcurrentLinkedQueue<>();
+    private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
     private final List<Link> links = new ArrayList<>();
     private final Thread thread;
     private volatile boolean closed;
-    /** Bytes passed on, and links that were reset by a fault or refused. */
-    public final AtomicLong passed = new AtomicLong();
-    public final AtomicLong lost = new AtomicLong();
+    /** The number of bytes written to receivers. */
+    public final AtomicLong relayedBytes = new AtomicLong();
+    /** The number of links that were reset by a fault or refused. */
+    public final AtomicLong resetCount = new AtomicLong();
 
-    /** A relay between processes that listen, or will, at these ports; a process is named by its place among them. */
+    /** Starts a relay between processes that listen at these ports, now or later; a process is named by its index. */
     public TcpRelay(List<Integer> ports) throws IOException {
         this.ports = List.copyOf(ports);
         for (int from = 0; from < ports.size(); from++) {
@@ -126,28 +130,28 @@
                 }
             }
         }
-        thread = new Thread(this::work, "tcp-relay");
+        thread = new Thread(this::run, "tcp-relay");
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** The port at which one process reaches another. */
+    /** Returns the port at which one process reaches another. */
     public int port(int from, int to) {
         return near.get(new Pair(from, to)).socket().getLocalPort();
     }
 
-    /** The address at which one process reaches another. */
+    /** Returns the address at which one process reaches another. */
     public String address(int from, int to) {
         return "127.0.0.1:" + port(from, to);
     }
 
-    /** Sets what befalls bytes from one to another from now on, on links that are open as well. */
+    /** Sets the fault of the bytes from one process to another, on open and new links. */
     public void fault(int from, int to, Fault fault) {
         faults.put(new Pair(from, to), fault);
         selector.wakeup();
     }
 
-    /** Whether new links that the one opens to the other are reset at once; those that are open stay. */
+    /** Sets whether new links from one process to another are reset at once; open links stay. */
     public void refuse(int from, int to, boolean on) {
         if (on) {
             refused.add(new Pair(from, to));
@@ -156,39 +160,42 @@
         }
     }
 
-    /** Ends all faults; what was held goes on. Links that were lost stay lost. */
+    /** Ends all faults; buffered bytes are then written. Links that were reset stay closed. */
     public void heal() {
         refused.clear();
         faults.clear();
         selector.wakeup();
     }
 
-    /** Resets all links between two processes, whoever opened them; returns their number. */
+    /** Resets all links between two processes, whichever opened them; returns their number. */
     public int resetLinks(int one, int other) {
         return onLinks(one, other, link -> {
-            drop(link);
-            lost.incrementAndGet();
+            closeLink(link);
+            resetCount.incrementAndGet();
         });
     }
 
     /**
-     * Resets the end of {@code told} of all its links with another, which hears nothing of it; returns their number.
+     * Resets one process' ends of all its links with another, whose ends stay half open; returns the number of links.
+     *
+     * @param process the process whose ends are reset
+     * @param other   the process whose ends stay open
      */
-    public int resetOneEnd(int told, int untold) {
-        return onLinks(told, untold, link -> {
-            boolean opener = link.up.pair.from == told;
+    public int resetOneEnd(int process, int other) {
+        return onLinks(process, other, link -> {
+            boolean opener = link.up.pair.from == process;
             reset(opener ? link.near : link.far);
             link.near = opener ? null : link.near;
             link.far = opener ? link.far : null;
             (opener ? link.up : link.down).ended = true;
-            (opener ? link.up : link.down).told = true; // never to be told
-            lost.incrementAndGet();
+            (opener ? link.up : link.down).endRelayed = true; // is never relayed
+            resetCount.incrementAndGet();
         });
     }
 
-    /** Links that are open now. */
+    /** Returns the number of open links, half-open ones included. */
     public int links() {
-        return call(links::size);
+        return callOnRelayThread(links::size);
     }
 
     @Override
@@ -196,7 +203,7 @@
         closed = true;
         selector.wakeup();
         try {
-            thread.join(TimeUnit.SECONDS.toMillis(CONTROL_SECONDS));
+            thread.join(TimeUnit.SECONDS.toMillis(TASK_TIMEOUT_SECONDS));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -204,27 +211,28 @@
 
     // ---- on the relay's thread ----------------------------------------------------------------------------
 
-    private int onLinks(int one, int other, java.util.function.Consumer<Link> act) {
-        return call(() -> {
+    private int onLinks(int one, int other, java.util.function.Consumer<Link> action) {
+        return callOnRelayThread(() -> {
             List<Link> between = links.stream().filter(l -> (l.near != null && l.far != null)
                     && (l.up.pair.equals(new Pair(one, other)) || l.up.pair.equals(new Pair(other, one)))).toList();
-            between.forEach(act);
+            between.forEach(action);
             return between.size();
         });
     }
 
-    private <T> T call(java.util.function.Supplier<T> work) {
+    private <T> T callOnRelayThread(java.util.function.Supplier<T> work) {
         var done = new CompletableFuture<T>();
-        asked.add(() -> done.complete(work.get()));
+        tasks.add(() -> done.complete(work.get()));
         selector.wakeup();
-        return done.orTimeout(CONTROL_SECONDS, TimeUnit.SECONDS).join();
+        return done.orTimeout(TASK_TIMEOUT_SECONDS, TimeUnit.SECONDS).join();
     }
 
-    private void work() {
+    private void run() {
         try {
             while (!closed) {
-                boolean late = links.stream().anyMatch(l -> !l.up.held.isEmpty() || !l.down.held.isEmpty());
-                if (late) {
+                boolean isBuffering = links.stream()
+                        .anyMatch(l -> !l.up.buffered.isEmpty() || !l.down.buffered.isEmpty());
+                if (isBuffering) {
                     selector.select(TICK_MILLIS);
                 } else {
                     selector.select();
@@ -235,15 +243,15 @@
                     }
                 }
                 selector.selectedKeys().clear();
-                for (Runnable work = asked.poll(); work != null; work = asked.poll()) {
-                    work.run();
+                for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
+                    task.run();
                 }
-                List.copyOf(links).forEach(this::step);
+                List.copyOf(links).forEach(this::advance);
             }
         } catch (IOException e) {
-            throw new java.io.UncheckedIOException(e); // of the selector itself: a test must see it
+            throw new java.io.UncheckedIOException(e); // the selector failed: the relay can't go on
         } finally {
-            List.copyOf(links).forEach(this::drop);
+            List.copyOf(links).forEach(this::closeLink);
             near.values().forEach(TcpRelay::reset);
             reset(selector);
         }
@@ -254,9 +262,9 @@
         if (opener == null) {
             return;
         }
-        if (refused.contains(pair) || links.size() >= MOST_LINKS) {
+        if (refused.contains(pair) || links.size() >= MAX_LINKS) {
             reset(opener);
-            lost.incrementAndGet();
+            resetCount.incrementAndGet();
             return;
         }
         opener.configureBlocking(false);
@@ -265,11 +273,11 @@
         links.add(new Link(pair, opener));
     }
 
-    private void step(Link link) {
+    private void advance(Link link) {
         try {
             if (link.far == null && !link.down.ended) {
                 if (link.up.fault().cut() || link.down.fault().cut()) {
-                    return; // no handshake gets through
+                    return; // no connection is established
                 }
                 link.far = SocketChannel.open();
                 link.far.configureBlocking(false);
@@ -280,84 +288,88 @@
             if (link.far != null && !link.far.isConnected() && !link.far.finishConnect()) {
                 return;
             }
-        } catch (IOException e) { // nobody listens there
-            drop(link);
+        } catch (IOException e) { // the target does not listen
+            closeLink(link);
             return;
         }
-        pass(link, link.up, true);
-        pass(link, link.down, false);
-        if ((link.up.ended && link.up.told && link.down.ended && link.down.told)
+        relay(link, link.up, true);
+        relay(link, link.down, false);
+        if ((link.up.ended && link.up.endRelayed && link.down.ended && link.down.endRelayed)
                 || (link.near == null && link.far == null)) {
-            drop(link);
+            closeLink(link);
             return;
         }
-        watch(link.near, link.up, link.down);
-        watch(link.far, link.down, link.up);
+        setInterest(link.near, link.up, link.down);
+        setInterest(link.far, link.down, link.up);
     }
 
-    /** Reads of its sender and writes to its receiver what may go on. */
-    private void pass(Link link, Way way, boolean up) {
+    /** Reads from the sender and writes to the receiver what the fault of this direction allows. */
+    private void relay(Link link, Direction direction, boolean up) {
         long now = System.nanoTime();
         try {
             SocketChannel from = up ? link.near : link.far;
-            while (from != null && way.wantsRead()) {
-                ByteBuffer piece = ByteBuffer.allocate(PIECE);
+            while (from != null && direction.canRead()) {
+                ByteBuffer piece = ByteBuffer.allocate(PIECE_BYTES);
                 int read = from.read(piece);
                 if (read <= 0) {
-                    way.ended = read < 0;
+                    direction.ended = read < 0;
                     break;
                 }
-                way.bytes += read;
-                way.held.add(new Piece(piece.flip(), now + TimeUnit.MILLISECONDS.toNanos(way.fault().delayMillis())));
+                direction.bytes += read;
+                direction.buffered.add(new Piece(piece.flip(),
+                        now + TimeUnit.MILLISECONDS.toNanos(direction.fault().delayMillis())));
             }
         } catch (IOException e) {
-            ended(link, way, up);
+            handleReset(link, direction, up);
         }
         try {
             SocketChannel to = up ? link.far : link.near;
-            while (to != null && !way.isHeldUp() && !way.held.isEmpty() && way.held.peek().due - now <= 0) {
-                ByteBuffer piece = way.held.peek().bytes;
-                int wrote = to.write(piece);
-                way.bytes -= wrote;
-                passed.addAndGet(wrote);
+            while (to != null && !direction.isBlocked() && !direction.buffered.isEmpty()
+                    && direction.buffered.peek().due - now <= 0) {
+                ByteBuffer piece = direction.buffered.peek().bytes;
+                int written = to.write(piece);
+                direction.bytes -= written;
+                relayedBytes.addAndGet(written);
                 if (piece.hasRemaining()) {
                     break;
                 }
-                way.held.remove();
+                direction.buffered.remove();
             }
-            if (way.ended && !way.told && way.held.isEmpty() && !way.isHeldUp() && !way.fault().quietEnds()) {
-                way.told = true;
+            if (direction.ended && !direction.endRelayed && direction.buffered.isEmpty() && !direction.isBlocked()
+                    && !direction.fault().quietEnds()) {
+                direction.endRelayed = true;
                 if (to != null) {
                     to.shutdownOutput();
                 }
             }
         } catch (IOException e) {
-            ended(link, up ? link.down : link.up, !up);
+            handleReset(link, up ? link.down : link.up, !up);
         }
     }
 
-    /** An end was reset, or its process died: the other is reset too, or hears nothing. */
-    private void ended(Link link, Way way, boolean up) {
-        if (!way.fault().quietEnds()) {
-            drop(link);
+    /** Handles an end that was reset or whose process died: resets the other end, or leaves it half open. */
+    private void handleReset(Link link, Direction direction, boolean up) {
+        if (!direction.fault().quietEnds()) {
+            closeLink(link);
             return;
         }
-        way.ended = true;
-        way.told = true;
+        direction.ended = true;
+        direction.endRelayed = true;
         reset(up ? link.near : link.far);
         link.near = up ? null : link.near;
         link.far = up ? link.far : null;
     }
 
-    private void watch(SocketChannel end, Way out, Way in) {
+    private void setInterest(SocketChannel end, Direction out, Direction in) {
         SelectionKey key = end == null ? null : end.keyFor(selector);
         if (key != null && key.isValid()) {
-            boolean full = !in.held.isEmpty() && !in.isHeldUp() && in.held.peek().due - System.nanoTime() <= 0;
-            key.interestOps((out.wantsRead() ? SelectionKey.OP_READ : 0) | (full ? SelectionKey.OP_WRITE : 0));
+            boolean hasDueBytes = !in.buffered.isEmpty() && !in.isBlocked()
+                    && in.buffered.peek().due - System.nanoTime() <= 0;
+            key.interestOps((out.canRead() ? SelectionKey.OP_READ : 0) | (hasDueBytes ? SelectionKey.OP_WRITE : 0));
         }
     }
 
-    private void drop(Link link) {
+    private void closeLink(Link link) {
         links.remove(link);
         reset(link.near);
         reset(link.far);
@@ -365,16 +377,16 @@
         link.far = null;
     }
 
-    private static void reset(AutoCloseable what) {
+    private static void reset(AutoCloseable resource) {
         try {
-            if (what instanceof SocketChannel end && end.isOpen()) {
+            if (resource instanceof SocketChannel end && end.isOpen()) {
                 end.setOption(StandardSocketOptions.SO_LINGER, 0);
             }
-            if (what != null) {
-                what.close();
+            if (resource != null) {
+                resource.close();
             }
         } catch (Exception e) {
-            // it was gone already
+            // it is closed already
         }
     }
 }
--- a/src/test/java/wallmoor/standin/TcpRelayTest.java
+++ b/src/test/java/wallmoor/standin/TcpRelayTest.java
@@ -75,7 +75,7 @@
         assertArrives(answerer, opener, 8);
         try (var late = new Socket("127.0.0.1", relay.port(0, 1))) {
             secondServer.setSoTimeout(SILENCE_MILLIS);
-            assertThrows(SocketTimeoutException.class, () -> secondServer.accept()); // no new link while a direction is cut
+            assertThrows(SocketTimeoutException.class, () -> secondServer.accept()); // no link through a cut
             secondServer.setSoTimeout(TIMEOUT_MILLIS);
             relay.heal();
             assertEquals(7, answerer.getInputStream().read());
--- a/src/test/java/wallmoor/verify/KnownFailures.java
+++ b/src/test/java/wallmoor/verify/KnownFailures.java
@@ -31,15 +31,20 @@
             .compile("(?<test>\\S+#(?:(?!: ).)+): (?<intermittent>intermittent \\((?:seed|load) [^()]+\\): )?"
                     + "(?!intermittent)(?<cause>.+); issue (?<issue>\\d+)");
 
-    /** What the listed tests came to, a line each, and the reasons why the build fails, if any. */
+    /**
+     * The result of a comparison.
+     *
+     * @param known    the outcome of each listed test, a line each
+     * @param problems the reasons why the build fails
+     */
     record Verdict(List<String> known, List<String> problems) {}
 
     private KnownFailures() {}
 
     /**
-     * Prints the known failures and ends with exit code 1 if anything else is wrong.
+     * Prints the known failures and the problems, and exits with code 1 if there is a problem.
      *
-     * @param args the list, the directory of Surefire's reports, and when the build began: older reports are left out
+     * @param args the list, the directory of Surefire's reports, and when the build began: older reports are ignored
      */
     public static void main(String[] args) throws IOException {
         List<String> lines = Files.readAllLines(Path.of(args[0]));
@@ -52,7 +57,7 @@
         }
     }
 
-    /** Decides on the list's lines and the outcome of each test that was run. */
+    /** Compares the lines of the list with the outcome of each test that was run. */
     static Verdict judge(List<String> lines, Map<String, TestOutcome> outcomes) {
         var known = new ArrayList<String>();
         var problems = new ArrayList<String>();
--- a/src/test/java/wallmoor/verify/KnownFailuresTest.java
+++ b/src/test/java/wallmoor/verify/KnownFailuresTest.java
@@ -14,7 +14,7 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** What the list of known failures lets pass, and what it doesn't. */
+/** Tests which outcomes the list of known failures accepts, and the reading of Surefire's reports. */
 public class KnownFailuresTest {
     private static final String TEST = "wallmoor.net.SomeTest#method";
     private static final String LINE = TEST + ": closes too early; issue 30";
@@ -25,14 +25,14 @@
     public final TemporaryFolder folder = new TemporaryFolder();
 
     @Test
-    public void aListedTestMayFailAndIsNamed() {
+    public void acceptsAndPrintsTheFailureOfAListedTest() {
         var verdict = KnownFailures.judge(List.of(LINE), Map.of(TEST, TestOutcome.FAILED));
         assertEquals(List.of("known failure: " + LINE), verdict.known());
         assertEquals(List.of(), verdict.problems());
     }
 
     @Test
-    public void aListedTestThatPassesIsAProblem() {
+    public void rejectsAListedTestThatPasses() {
         assertProblem("passes, so its line has to go", List.of(LINE), Map.of(TEST, TestOutcome.PASSED));
     }
 
@@ -72,19 +72,19 @@
     }
 
     @Test
-    public void aNameOfNoTestIsAProblem() {
+    public void rejectsAListedTestThatWasNotRun() {
         assertProblem("no such test was run", List.of(LINE), Map.of(TEST + "s", TestOutcome.PASSED));
         assertProblem("no such test was run", List.of(LINE), Map.of(TEST, TestOutcome.SKIPPED));
     }
 
     @Test
-    public void anUnlistedFailureIsAProblem() {
+    public void rejectsAnUnlistedFailure() {
         assertProblem("not listed", List.of(LINE),
                 Map.of(TEST, TestOutcome.FAILED, "wallmoor.net.SomeTest#other", TestOutcome.FAILED));
     }
 
     @Test
-    public void moreThanThreeLinesAreAProblem() {
+    public void rejectsMoreThanThreeLines() {
         var lines = List.of("a.T#a: c; issue 1", "a.T#b: c; issue 1", "a.T#c: c; issue 1", "a.T#d: c; issue 1");
         var outcomes = Map.of("a.T#a", TestOutcome.FAILED, "a.T#b", TestOutcome.FAILED, "a.T#c", TestOutcome.FAILED,
                 "a.T#d", TestOutcome.FAILED);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    public void aLineWithoutCauseOrIssueIsAProblem() {
+    public void rejectsALineWithoutCauseOrIssue() {
         for (String line : List.of(TEST, TEST + ": closes too early", TEST + "; issue 30", "",
                 "SomeTest: closes; issue 30")) {
             var problems = KnownFailures.judge(List.of(line), Map.of()).problems();
@@ -104,7 +104,7 @@
     }
 
     @Test
-    public void oneFailedAttemptIsAFailureInReports() throws IOException {
+    public void readsATestWithOneFailedAttemptAsFailed() throws IOException {
         report("TEST-a.T.xml", START, "<testcase name='passes' classname='a.T'/>"
                 + "<testcase name='fails' classname='a.T'><failure/><rerunFailure/></testcase>"
                 + "<testcase name='throws' classname='a.T'><error/></testcase>"
--- a/src/test/java/wallmoor/verify/SurefireReports.java
+++ b/src/test/java/wallmoor/verify/SurefireReports.java
@@ -16,13 +16,13 @@
 
 /** Reads the XML reports that Surefire writes, one for each test class. */
 final class SurefireReports {
-    /** Each of these children of a test case tells of a failed attempt; all but the first two come with reruns only. */
+    /** The elements of a test case that stand for a failed attempt; all but the first two occur with reruns only. */
     private static final List<String> FAILURES = List.of("failure", "error", "flakyFailure", "flakyError",
             "rerunFailure", "rerunError");
 
     private SurefireReports() {}
 
-    /** The outcome of each test, by {@code class#method}, of the reports written at {@code since} or later. */
+    /** Returns the outcome of each test by {@code class#method}, from the reports written at {@code since} or later. */
     static Map<String, TestOutcome> read(Path directory, Instant since) throws IOException {
         var outcomes = new HashMap<String, TestOutcome>();
         try (DirectoryStream<Path> reports = Files.newDirectoryStream(directory, "TEST-*.xml")) {
@@ -41,7 +41,7 @@
             cases = DocumentBuilderFactory.newInstance().newDocumentBuilder().parse(report.toFile())
                     .getElementsByTagName("testcase");
         } catch (ParserConfigurationException | SAXException e) {
-            throw new IOException(report + ": not a report", e);
+            throw new IOException(report + ": not a Surefire report in XML", e);
         }
         for (int i = 0; i < cases.getLength(); i++) {
             var test = (Element) cases.item(i);
@@ -50,7 +50,7 @@
         }
     }
 
-    /** One failed attempt is a failure, whatever a rerun (asked for on the command line) came to. */
+    /** Returns FAILED if any attempt failed, even where a rerun, which the command line may request, passed. */
     private static TestOutcome outcomeOf(Element test) {
         if (FAILURES.stream().anyMatch(child -> has(test, child))) {
             return TestOutcome.FAILED;
--- a/src/test/java/wallmoor/verify/TestOutcome.java
+++ b/src/test/java/wallmoor/verify/TestOutcome.java
@@ -1,11 +1,11 @@
 package wallmoor.verify;
 
-/** How a test ended; in rising order of what counts where several have the same name. */
+/** The outcome of a test. Where several have the same name, the last of these constants counts. */
 enum TestOutcome {
-    /** Not run: ignored, or an assumption did not hold. */
+    /** Not run: ignored, or an assumption failed. */
     SKIPPED,
     /** Passed without a failed attempt. */
     PASSED,
-    /** Failed, be it once of several attempts. */
+    /** At least one attempt failed. */
     FAILED
 }
