--- a/src/bench/java/wallmoor/net/MigrationServiceBenchmark.java
+++ b/src/bench/java/wallmoor/net/MigrationServiceBenchmark.java
@@ -36,10 +36,10 @@
         var dir = Files.createTempDirectory("wallmoor-moves");
         try (var fleet = new DiskFleet(dir, 20)) {
             fleet.startAll(careless);
-            fleet.carry(mbPerSecond == 0 ? 1 : mbPerSecond);
+            fleet.startCoordinator(mbPerSecond == 0 ? 1 : mbPerSecond);
             Program.await("moving", () -> fleet.status().contains("\"phase\":\"moving\""));
             if (mbPerSecond == 0) {
-                fleet.carrier.destroyForcibly().onExit().join();
+                fleet.coordinator.destroyForcibly().onExit().join();
             }
             var over = new AtomicBoolean();
             List<Long> took = Collections.synchronizedList(new ArrayList<>());
@@ -69,7 +69,8 @@
             }
             long begun = System.nanoTime();
             threads.forEach(Thread::start);
-            boolean ended = mbPerSecond > 0 && fleet.carrier.waitFor(SECONDS, java.util.concurrent.TimeUnit.SECONDS);
+            boolean ended = mbPerSecond > 0
+                    && fleet.coordinator.waitFor(SECONDS, java.util.concurrent.TimeUnit.SECONDS);
             if (mbPerSecond == 0) {
                 Thread.sleep(SECONDS * 1_000L);
             }
--- a/src/test/java/wallmoor/net/Admin.java
+++ b/src/test/java/wallmoor/net/Admin.java
@@ -43,7 +43,7 @@
     }
 
     /** Says detach or attach of a worker; the status. */
-    int say(String word, String worker) throws IOException {
+    int putWorkerAction(String word, String worker) throws IOException {
         try (var client = new Client(port)) {
             return client.send("PUT /_workers/" + word + " HTTP/1.1\r\nHost: localhost\r\nContent-Length: "
                     + worker.length() + "\r\n\r\n" + worker).answer().status;
--- a/src/test/java/wallmoor/net/DiskFleet.java
+++ b/src/test/java/wallmoor/net/DiskFleet.java
@@ -49,17 +49,17 @@
     private static final long QUERY_MILLIS = 200;
 
     /** What a client goes by; where it is not sure, a node may refuse it. */
-    record Known(long number, MigrationPlan state, boolean sure) {}
+    record KnownPlan(long number, MigrationPlan state, boolean sure) {}
 
     /** How a client learns that; null where there is nothing yet. */
-    interface Maps {
-        Known read(Random random) throws IOException, PlanStoreException;
+    interface PlanSource {
+        KnownPlan read(Random random) throws IOException, PlanStoreException;
     }
 
     /** Between the nodes, and from who carries out to them; clients come without it. */
     final TcpRelay relay;
     /** The place at the relay of who carries out. */
-    static final int CARRIER = 3;
+    static final int COORDINATOR_INDEX = 3;
     private final int scale;
     private final int bytes;
     final Path dir;
@@ -75,8 +75,8 @@
     private final Map<Long, String> ran = new ConcurrentHashMap<>();
     private final AtomicLong ids = new AtomicLong(1_000);
     private final HttpClient client = HttpClient.newBuilder().connectTimeout(Duration.ofMillis(500)).build();
-    Process carrier;
-    Maps maps = this::byDirectory;
+    Process coordinator;
+    PlanSource planSource = this::byDirectory;
     /** An old owner keeps its copy for so long. */
     long settleMillis = 2 * QUERY_MILLIS;
     private volatile boolean over;
@@ -154,13 +154,13 @@
     }
 
     /** Starts who carries out, at so many megabytes a second. */
-    void carry(double mbPerSecond) throws IOException {
-        describe(mbPerSecond);
-        carrier = carry(log, "--dir", plan.toString());
+    void startCoordinator(double mbPerSecond) throws IOException {
+        writeFleetFile(mbPerSecond);
+        coordinator = startCoordinator(log, "--dir", plan.toString());
     }
 
     /** Starts who carries out what was described last, by a plan that is kept there. */
-    Process carry(List<String> to, String... where) throws IOException {
+    Process startCoordinator(List<String> to, String... where) throws IOException {
         var command = new ArrayList<>(java("wallmoor.Main"));
         command.addAll(List.of("rebalance", "start", file.toString()));
         command.addAll(List.of(where));
@@ -170,13 +170,13 @@
     }
 
     /** Writes the file that is carried out. */
-    void describe(double mbPerSecond) throws IOException {
+    void writeFleetFile(double mbPerSecond) throws IOException {
         var text = new StringBuilder("headroom: 0.1\nspread: node\ncarry: {mb_per_s: " + mbPerSecond
                 + ", chunk_kb: 100, settle: "
                 + settleMillis + "ms, longest_query: " + QUERY_MILLIS + "ms, patience: 800ms, again: 100ms}\nnodes:\n");
         ports.forEach((id, port) -> text.append("- {id: ").append(id).append(", disk_mb: ").append(DISK * scale)
                 .append(", drain: ").append(id.equals("a"))
-                .append(", address: '").append(relay.address(CARRIER, place(id))).append("'}\n"));
+                .append(", address: '").append(relay.address(COORDINATOR_INDEX, place(id))).append("'}\n"));
         text.append("blocks:\n");
         for (String b : "vwxyz".split("")) {
             text.append("- {id: ").append(b).append(", mb: " + MB * scale + ", on: ").append(HOLDS.entrySet().stream()
@@ -185,7 +185,7 @@
         Files.writeString(file, text);
     }
 
-    void say(String wish) {
+    void sendOperatorCommand(String wish) {
         assertEquals(0, Console.run("rebalance", wish, "--dir", plan.toString()).code());
     }
 
@@ -221,14 +221,14 @@
         }
     }
 
-    private Known byDirectory(Random random) throws PlanStoreException {
+    private KnownPlan byDirectory(Random random) throws PlanStoreException {
         var document = new DirectoryPlanStore(plan).read();
-        return document == null ? null : new Known(document.version(), PlanDocuments.decode(document), true);
+        return document == null ? null : new KnownPlan(document.version(), PlanDocuments.decode(document), true);
     }
 
     private void query(Random random) throws IOException, InterruptedException, PlanStoreException {
         long opened = System.nanoTime();
-        Known known = maps.read(random);
+        KnownPlan known = planSource.read(random);
         String block = "" + "vwxyz".charAt(random.nextInt(5));
         if (known == null) {
             return;
@@ -280,7 +280,7 @@
     }
 
     /** Stops the clients and holds the nodes' own records against the rules. */
-    void judge() throws Exception {
+    void verifyInvariants() throws Exception {
         over = true;
         for (Thread t : clients) {
             t.join(5_000);
@@ -361,8 +361,8 @@
     @Override
     public void close() {
         over = true;
-        if (carrier != null) {
-            carrier.destroyForcibly().onExit().join();
+        if (coordinator != null) {
+            coordinator.destroyForcibly().onExit().join();
         }
         nodes.values().forEach(p -> p.destroyForcibly().onExit().join());
         try {
--- a/src/test/java/wallmoor/net/HandOverTest.java
+++ b/src/test/java/wallmoor/net/HandOverTest.java
@@ -97,7 +97,7 @@
             Program.await("both serve", () -> servedByAnyone(old) > 10 && servedByAnyone(next) > 10);
             long stopped = System.nanoTime();
             old.signal("STOP");
-            assertEquals(2, next.admin().say("detach", "w1") / 100);
+            assertEquals(2, next.admin().putWorkerAction("detach", "w1") / 100);
             Thread.sleep(GONE_MILLIS);
             old.signal("CONT");
             Thread.sleep(SETTLE_MILLIS);
@@ -105,7 +105,7 @@
             long woken = System.nanoTime();
             assertEquals("all were answered: " + load.counts(), 0, load.broken(0, woken).size());
             old.signal("TERM");
-            Program.await("told", () -> old.said().contains("told to leave"));
+            Program.await("told", () -> old.logText().contains("told to leave"));
             Thread.sleep(SETTLE_MILLIS / 3); // it takes no connection by then, and has not ended
             long told = System.nanoTime();
             old.signal("STOP");
@@ -117,7 +117,7 @@
             long then = served(next);
             Program.await("the new one serves on", () -> served(next) > then + 50);
             assertLeftOut("with the new one alone", 1);
-            assertEquals(2, next.admin().say("attach", "w1") / 100);
+            assertEquals(2, next.admin().putWorkerAction("attach", "w1") / 100);
             awaitUsed("called back", 1);
             load.stop();
             var lost = load.broken(0, System.nanoTime());
@@ -127,7 +127,7 @@
             assertTrue("lost with the old one are the connections it had: " + lost, lost.size() <= 12
                     && lost.stream().allMatch(a -> a.from() < told || a.fault().startsWith("kept")));
             assertEquals("none came twice", 0, load.strange.size() + twice());
-            assertTrue(next.runs());
+            assertTrue(next.isRunning());
         }
     }
 
--- a/src/test/java/wallmoor/net/HeldSocket.java
+++ b/src/test/java/wallmoor/net/HeldSocket.java
@@ -127,7 +127,7 @@
             signal("HUP");
         }
 
-        boolean runs() {
+        boolean isRunning() {
             return !end.isDone();
         }
 
@@ -137,15 +137,15 @@
             try {
                 Program.await("a yes", () -> end.isDone() || admin.ready());
             } catch (AssertionError e) {
-                throw new AssertionError(e.getMessage() + "; its log: " + said(), e);
+                throw new AssertionError(e.getMessage() + "; its log: " + logText(), e);
             }
             if (end.isDone()) {
-                throw new AssertionError("ended with " + end.join() + ": " + said());
+                throw new AssertionError("ended with " + end.join() + ": " + logText());
             }
             return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
         }
 
-        String said() {
+        String logText() {
             try {
                 return Files.readString(log);
             } catch (IOException e) {
--- a/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
+++ b/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
@@ -52,7 +52,7 @@
     public void start() throws Exception {
         fleet = new DiskFleet(folder.newFolder().toPath(), 1);
         fleet.settleMillis = TERM_MILLIS + LONGEST_QUERY;
-        fleet.maps = this::byGatherer;
+        fleet.planSource = this::byGatherer;
         group = new RulesGroup(folder.newFolder().toPath(), 4, RulesGroup.VOTERS, TERM_MILLIS, "plan", n -> "");
         fleet.startAll(true);
         fleet.clients(2);
@@ -68,7 +68,7 @@
     }
 
     /** As one that routes by the plan would: what it goes by now, careful where a version waits to act. */
-    private DiskFleet.Known byGatherer(Random random) throws IOException {
+    private DiskFleet.KnownPlan byGatherer(Random random) throws IOException {
         try (var asker = new Socket("127.0.0.1", group.all.get(random.nextInt(4)).control)) {
             asker.setSoTimeout(2_000);
             asker.getOutputStream().write("{\"do\":\"show\",\"name\":\"plan\"}\n".getBytes(StandardCharsets.US_ASCII));
@@ -76,7 +76,7 @@
             Json.Obj o = Json.object(said, 0, said.length);
             boolean leased = o.number("lease_ms", 0) > 0;
             return o.text("basis").equals("none") || !leased ? null
-                    : new DiskFleet.Known((long) o.number("from", 0),
+                    : new DiskFleet.KnownPlan((long) o.number("from", 0),
                             MigrationPlan.decode(DocumentSchemas.PLAN.parse(o.text("body"))),
                             leased);
         } catch (Json.Malformed e) {
@@ -99,7 +99,7 @@
     }
 
     private Process mover(List<String> log, int... gatherers) throws IOException {
-        Process p = fleet.carry(log, at(gatherers));
+        Process p = fleet.startCoordinator(log, at(gatherers));
         movers.add(p);
         return p;
     }
@@ -136,7 +136,7 @@
 
     @Test
     public void twoAuthorsReachTheGoalWhileTheyAndTheVotersLeadersAreKilledAndCutOff() throws Exception {
-        fleet.describe(3);
+        fleet.writeFleetFile(3);
         refusedBeforeAnythingMoves();
         Process a = mover(logOfA, 0, 1);
         Process b = mover(logOfB, 2, 1);
@@ -178,7 +178,7 @@
             assertTrue(said(), p.waitFor(60, TimeUnit.SECONDS));
             assertEquals(said(), 0, p.exitValue());
         }
-        fleet.judge();
+        fleet.verifyInvariants();
         for (ReplicaRecord h : DiskNode.holds(fleet.dir.resolve("a")).values()) {
             assertEquals(ReplicaRecord.ReplicaState.ABSENT, h.state());
         }
--- a/src/test/java/wallmoor/net/MigrationProcessTest.java
+++ b/src/test/java/wallmoor/net/MigrationProcessTest.java
@@ -49,17 +49,17 @@
     }
 
     private void finished() throws Exception {
-        assertTrue(fleet.status(), fleet.carrier.waitFor(60, TimeUnit.SECONDS));
-        assertEquals(fleet.log.toString(), 0, fleet.carrier.exitValue());
-        fleet.judge();
+        assertTrue(fleet.status(), fleet.coordinator.waitFor(60, TimeUnit.SECONDS));
+        assertEquals(fleet.log.toString(), 0, fleet.coordinator.exitValue());
+        fleet.verifyInvariants();
     }
 
     @Test
     public void movesEndWhoeverIsKilledWhenever() throws Exception {
         var random = new Random(5);
         int kills = 0;
-        fleet.carry(6);
-        while (fleet.carrier.isAlive() && kills < 8) {
+        fleet.startCoordinator(6);
+        while (fleet.coordinator.isAlive() && kills < 8) {
             Thread.sleep(300 + random.nextInt(300));
             int which = random.nextInt(4);
             if (which == 0) {
@@ -68,14 +68,14 @@
                 Thread.sleep(random.nextInt(300));
                 fleet.start(node);
             } else if (which == 1) { // a request or its answer is lost, and so is what a node was fetching
-                fleet.relay.lose(DiskFleet.CARRIER, random.nextInt(3));
+                fleet.relay.lose(DiskFleet.COORDINATOR_INDEX, random.nextInt(3));
                 fleet.relay.lose(0, 1 + random.nextInt(2));
                 fleet.relay.fault(0, 1 + random.nextInt(2), TcpRelay.Fault.STALLED);
                 Thread.sleep(200);
                 fleet.relay.heal();
-            } else if (fleet.carrier.isAlive()) {
-                fleet.carrier.destroyForcibly().onExit().join();
-                fleet.carry(6);
+            } else if (fleet.coordinator.isAlive()) {
+                fleet.coordinator.destroyForcibly().onExit().join();
+                fleet.startCoordinator(6);
             }
             kills++;
         }
@@ -94,7 +94,7 @@
     public void aFlippedByteIsCopiedAgainAndAFullDiskMakesAnotherPlan() throws Exception {
         Files.writeString(dir("b").resolve("flip"), "");
         Files.writeString(dir("c").resolve("flip"), "");
-        fleet.carry(5); // slow enough for a look at every copy on its way
+        fleet.startCoordinator(5); // slow enough for a look at every copy on its way
         var target = new String[1];
         Program.await("copying", () -> {
             Matcher copying = COPY_ON_ITS_WAY.matcher(fleet.status());
@@ -112,9 +112,9 @@
 
     @Test
     public void pausedStoppedAndResumedBesideASecondOneAndASourceThatIsGone() throws Exception {
-        fleet.carry(3);
+        fleet.startCoordinator(3);
         Program.await("copying", () -> fleet.status().contains("\"stage\":\"copy\""));
-        fleet.say("pause");
+        fleet.sendOperatorCommand("pause");
         Program.await("paused", () -> fleet.status().contains("\"phase\":\"paused\""));
         String there = copied();
         Thread.sleep(600);
@@ -126,14 +126,14 @@
         assertEquals(second.err(), 1, second.code());
         assertTrue(second.err(), second.err().contains("another process carries this plan out"));
         fleet.kill("a"); // the source, half-way: its moves are given up, and planned again when it is there
-        fleet.say("resume");
+        fleet.sendOperatorCommand("resume");
         Program.await("given up", () -> fleet.status().contains("does not get it from a"));
         fleet.start("a");
         Program.await("copying again", () -> fleet.status().contains("\"stage\":\"copy\""));
-        fleet.say("stop");
-        Program.await("stopped", () -> !fleet.carrier.isAlive());
+        fleet.sendOperatorCommand("stop");
+        Program.await("stopped", () -> !fleet.coordinator.isAlive());
         assertTrue(fleet.status(), fleet.status().contains("\"phase\":\"stopped\""));
-        fleet.judge();
+        fleet.verifyInvariants();
         Path kept = folder.newFolder().toPath().resolve("plan");
         byte[] plan = Files.readAllBytes(fleet.plan.resolve("plan"));
         byte[] half = Arrays.copyOf(plan, plan.length - 7);
@@ -144,7 +144,7 @@
         assertArrayEquals(half, Files.readAllBytes(kept));
         assertEquals(2, Console.run("rebalance", "pause", "--dir", "no-such").code());
         assertEquals(2, Console.run("rebalance", "status", "--dir", "no-such").code());
-        fleet.carry(50);
+        fleet.startCoordinator(50);
         finished();
         assertTrue(left().isEmpty());
     }
--- a/src/test/java/wallmoor/net/NewSettingsTest.java
+++ b/src/test/java/wallmoor/net/NewSettingsTest.java
@@ -92,12 +92,12 @@
         assertTrue("more lines of one form would be held back by the log", broken.size() < 20);
         int failed = 0;
         for (var entry : broken.entrySet()) {
-            int told = run.said().length();
+            int told = run.logText().length();
             run.reload(entry.getKey());
             long count = ++failed;
             String file = entry.getValue() + " in " + entry.getKey();
             Program.await("turned down: " + file, () -> run.admin().figure("reloads_failed") == count);
-            String said = run.said().substring(told);
+            String said = run.logText().substring(told);
             assertTrue(said + " names " + file, said.toLowerCase(Locale.ROOT)
                     .contains(entry.getValue().toLowerCase(Locale.ROOT)));
             assertEquals(file, 200, ask("old" + count, "any"));
--- a/src/test/java/wallmoor/net/OperatorsTest.java
+++ b/src/test/java/wallmoor/net/OperatorsTest.java
@@ -139,7 +139,7 @@
     public void whateverStandsWhereTheBansAreKeptHarmsNothing() throws Exception {
         Path temporary = folder.newFolder().toPath();
         HeldSocket.Run run = start(temporary);
-        assertEquals(2, run.admin().say("detach", "w1") / 100);
+        assertEquals(2, run.admin().putWorkerAction("detach", "w1") / 100);
         Path kept = kept(temporary);
         byte[] good = Files.readAllBytes(kept);
         byte[] torn = java.util.Arrays.copyOf(good, good.length / 2);
@@ -154,7 +154,7 @@
             run.end().get(5, TimeUnit.SECONDS);
             run = start(temporary); // and one that begins with it
             assertUsed("another's word changes nothing", run, other, true);
-            assertEquals(2, run.admin().say("detach", "w1") / 100);
+            assertEquals(2, run.admin().putWorkerAction("detach", "w1") / 100);
             assertUsed("a ban can be said again", run, one, false);
         }
         assertTrue("the file is whole again, or another is there", kept(temporary).toFile().length() > 0);
@@ -164,7 +164,8 @@
         assertUsed("and holds in the next process", next, one, false);
         Files.delete(kept(temporary));
         Files.createDirectory(kept);
-        assertEquals("what can't be kept holds here all the same", 2, next.admin().say("attach", "w1") / 100);
+        assertEquals("what can't be kept holds here all the same", 2,
+                next.admin().putWorkerAction("attach", "w1") / 100);
         assertUsed("called back", next, one, true);
     }
 
@@ -196,9 +197,9 @@
                 assertEquals(what, before, worker.count("Q"));
             }
             load.stop();
-            assertEquals("all served: " + load.counts() + run.said(), load.all.size(), load.count(200));
+            assertEquals("all served: " + load.counts() + run.logText(), load.all.size(), load.count(200));
             assertFalse(load.all.isEmpty());
         }
-        assertTrue(run.runs());
+        assertTrue(run.isRunning());
     }
 }
--- a/src/test/java/wallmoor/net/ReloadCrossingsTest.java
+++ b/src/test/java/wallmoor/net/ReloadCrossingsTest.java
@@ -239,18 +239,18 @@
         HeldSocket.Run next = socket.start(temporary, config);
         String renamed = with(config, "\"Name\":\"any\"", "\"Name\":\"fresh\"");
         Files.writeString(next.file(), renamed); // read at its start or after its signal, whichever comes first
-        Program.await("it has begun", () -> !next.said().isEmpty() || next.admin().ready());
+        Program.await("it has begun", () -> !next.logText().isEmpty() || next.admin().ready());
         next.signal("HUP");
         next.awaitReady();
         old.signal("TERM");
-        Program.await("told", () -> old.said().contains("told to leave"));
+        Program.await("told", () -> old.logText().contains("told to leave"));
         old.reload(renamed);
-        Program.await("read on its way out", () -> old.said().contains("configuration read again"));
+        Program.await("read on its way out", () -> old.logText().contains("configuration read again"));
         assertEquals(200, Client.post(socket.port, "f", "fresh", 1900, 0).status);
         release.countDown();
         assertEquals("taken by the old one before", 200, held.answer().status);
         old.end().get(10, TimeUnit.SECONDS);
         assertEquals(200, Client.post(socket.port, "g", "fresh", 1900, 0).status);
-        assertTrue(next.runs());
+        assertTrue(next.isRunning());
     }
 }
--- a/src/test/java/wallmoor/net/StartCrossingsTest.java
+++ b/src/test/java/wallmoor/net/StartCrossingsTest.java
@@ -174,11 +174,11 @@
         });
         assertFalse("not heard from the list", run.admin().ready());
         run.signal("TERM");
-        Program.await("told", () -> run.said().contains("told to leave"));
+        Program.await("told", () -> run.logText().contains("told to leave"));
         var discoveryAtLast = new Thread(() -> tellAll(held));
         discoveryAtLast.setDaemon(true);
         discoveryAtLast.start();
-        while (run.runs()) {
+        while (run.isRunning()) {
             assertFalse("on its way out it says yes", run.admin().ready());
             Thread.sleep(20);
         }
--- a/src/test/java/wallmoor/net/UpgradeTest.java
+++ b/src/test/java/wallmoor/net/UpgradeTest.java
@@ -52,11 +52,11 @@
         HeldSocket.Run next = start(name);
         long took = next.awaitReady();
         assertTrue("a yes after " + took + " ms", took < READY_MILLIS);
-        assertTrue("only the old process may exit", old.runs());
+        assertTrue("only the old process may exit", old.isRunning());
         String last = Client.query("last-" + name, "all", 1900, 0);
         old.signal("TERM");
         long told = System.nanoTime();
-        Program.await("told", () -> old.said().contains("told to leave"));
+        Program.await("told", () -> old.logText().contains("told to leave"));
         Thread.sleep(PAUSE_MILLIS / 2); // with answers and connections of its own still out
         if (heldUpMillis > 0) {
             old.signal("STOP");
@@ -75,12 +75,13 @@
         var answer = resting.answer();
         assertEquals("a connection that rested is served, and told to close", 200, answer.status);
         assertEquals("close", answer.header("Connection"));
-        while (old.runs() && System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(LEAVE_MILLIS + heldUpMillis)) {
+        while (old.isRunning()
+                && System.nanoTime() - told < TimeUnit.MILLISECONDS.toNanos(LEAVE_MILLIS + heldUpMillis)) {
             Thread.sleep(20);
         }
         old.signal("KILL");
         old.end().get(5, TimeUnit.SECONDS);
-        assertTrue("only the old process may exit: " + next.said(), next.runs());
+        assertTrue("only the old process may exit: " + next.logText(), next.isRunning());
         return next;
     }
 
@@ -118,7 +119,7 @@
             assertTrue("few asked: " + load.counts(), load.all.size() > 500);
             assertTrue(load.strange.toString(), load.strange.isEmpty());
             assertEquals(Map.of(), runTwice("once"));
-            assertTrue(third.runs());
+            assertTrue(third.isRunning());
         }
     }
 
@@ -140,9 +141,9 @@
         try (var load = new SteadyLoad(socket.port, 6, 30, List.of("all"), 0, 1)) {
             awaitUsed("in use before", 0);
             awaitUsed("in use before", 1);
-            assertEquals("never listed", 4, old.admin().say("detach", "w9") / 100);
-            assertEquals(2, old.admin().say("detach", "w0") / 100);
-            assertEquals("said twice", 2, old.admin().say("detach", "w0") / 100);
+            assertEquals("never listed", 4, old.admin().putWorkerAction("detach", "w9") / 100);
+            assertEquals(2, old.admin().putWorkerAction("detach", "w0") / 100);
+            assertEquals("said twice", 2, old.admin().putWorkerAction("detach", "w0") / 100);
             assertLeftOut("detached", 0);
             list(42, 0, "DELETED", 0);
             assertLeftOut("it left the list", 0);
@@ -156,19 +157,19 @@
             next.awaitReady();
             Program.await("served by both", () -> servedByAnyone(next) > 5);
             assertLeftOut("said to the old one, beside the new one", 0);
-            assertEquals(2, next.admin().say("detach", "w1") / 100);
+            assertEquals(2, next.admin().putWorkerAction("detach", "w1") / 100);
             Thread.sleep(GRACE_MILLIS);
             long before = servedByAnyone(old);
             assertLeftOut("said to the new one, beside the old one", 1);
             Program.await("the old one serves on", () -> servedByAnyone(old) > before);
-            assertEquals(2, old.admin().say("attach", "w1") / 100);
+            assertEquals(2, old.admin().putWorkerAction("attach", "w1") / 100);
             old.signal("TERM");
             old.end().get(10, TimeUnit.SECONDS);
             awaitUsed("called back at the old one, used by the new one", 1);
             assertLeftOut("with the new one alone", 0);
             list(44, 0, "SERVING", System.currentTimeMillis());
             assertLeftOut("restarted once more", 0);
-            assertEquals(2, next.admin().say("attach", "w0") / 100);
+            assertEquals(2, next.admin().putWorkerAction("attach", "w0") / 100);
             awaitUsed("called back", 0);
             load.stop();
             assertEquals("none lost: " + load.counts(), load.all.size(), load.count(200));
