--- a/src/test/java/wallmoor/net/Client.java
+++ b/src/test/java/wallmoor/net/Client.java
@@ -8,9 +8,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** A client on a raw socket, so that a test can send what no library would. */
+/** An HTTP client on a raw socket, with which a test can send requests that no HTTP library would send. */
 final class Client implements AutoCloseable {
-    /** An answer. */
+    /** An HTTP response. {@code head} is the status line and the headers. */
     static final class Answer {
         int status;
         String head;
@@ -74,18 +74,18 @@
         int length = Integer.parseInt(answer.header("Content-Length"));
         answer.body = new String(in.readNBytes(length), StandardCharsets.UTF_8);
         if (answer.body.getBytes(StandardCharsets.UTF_8).length < length) {
-            throw new EOFException("half an answer");
+            throw new EOFException("connection closed before all " + length + " bytes of the body were received");
         }
         return answer;
     }
 
-    /** Reads up to the empty line. */
+    /** Reads the status line and the headers, up to and including the empty line. */
     static String head(InputStream in) throws IOException {
         var head = new ByteArrayOutputStream();
         while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
             int c = in.read();
             if (c < 0) {
-                throw new EOFException("closed");
+                throw new EOFException("connection closed after " + head.size() + " bytes of the head");
             }
             head.write(c);
         }
