--- a/src/test/java/wallmoor/net/DiskFleet.java
+++ b/src/test/java/wallmoor/net/DiskFleet.java
@@ -35,30 +35,38 @@
 import wallmoor.standin.TcpRelay;
 
 /**
- * Three nodes with disks, who carries out, and clients, as processes and threads of a test; and what is to hold of
- * them.
+ * Three nodes with disks and a migration coordinator as processes, and clients as threads of a test. Checks that no
+ * block is lost or served wrongly while blocks move.
  */
 final class DiskFleet implements AutoCloseable {
-    /** Of a block, in megabytes, and of each node's disk and what of it is no headroom, where the scale is 1. */
-    private static final int MB = 3;
-    private static final int DISK = 20;
-    private static final int USABLE = 18;
-    private static final Map<String, List<String>> HOLDS = new TreeMap<>(
+    /** The size of a block at scale 1. */
+    private static final int BLOCK_MB = 3;
+    /** The size of a node's disk at scale 1. */
+    private static final int DISK_MB = 20;
+    /** The part of a node's disk that blocks may fill at scale 1; the rest is headroom. */
+    private static final int USABLE_MB = 18;
+    private static final Map<String, List<String>> INITIAL_BLOCKS = new TreeMap<>(
             Map.of("a", List.of("x", "y", "z"), "b", List.of("w"),
                     "c", List.of("x", "v")));
     private static final long QUERY_MILLIS = 200;
 
-    /** What a client goes by; where it is not sure, a node may refuse it. */
+    /**
+     * A plan that a client follows.
+     *
+     * @param number the version of the plan
+     * @param sure   false if the plan may be out of date, so that a node may refuse a read
+     */
     record KnownPlan(long number, MigrationPlan state, boolean sure) {}
 
-    /** How a client learns that; null where there is nothing yet. */
+    /** Where a client gets its plan from. */
     interface PlanSource {
+        /** Returns the plan, or null if there is none yet. */
         KnownPlan read(Random random) throws IOException, PlanStoreException;
     }
 
-    /** Between the nodes, and from who carries out to them; clients come without it. */
+    /** Carries the connections among the nodes and from the coordinator to them. Clients connect to nodes directly. */
     final TcpRelay relay;
-    /** The place at the relay of who carries out. */
+    /** The index of the coordinator at the relay. */
     static final int COORDINATOR_INDEX = 3;
     private final int scale;
     private final int bytes;
@@ -67,44 +75,49 @@
     final Path plan;
     final List<String> log = Collections.synchronizedList(new ArrayList<>());
     final Map<String, Integer> ports = new TreeMap<>();
-    final AtomicInteger reads = new AtomicInteger();
-    final AtomicLong late = new AtomicLong();
+    final AtomicInteger completedReads = new AtomicInteger();
+    final AtomicLong lateReads = new AtomicLong();
     private final Map<String, Process> nodes = new ConcurrentHashMap<>();
     private final List<String> faults = Collections.synchronizedList(new ArrayList<>());
-    /** Parts that run once, of which a node has said so. */
-    private final Map<Long, String> ran = new ConcurrentHashMap<>();
+    /** Parts that may run only once and whose run a node has confirmed: the part's id and the node. */
+    private final Map<Long, String> confirmed = new ConcurrentHashMap<>();
     private final AtomicLong ids = new AtomicLong(1_000);
     private final HttpClient client = HttpClient.newBuilder().connectTimeout(Duration.ofMillis(500)).build();
     Process coordinator;
     PlanSource planSource = this::byDirectory;
-    /** An old owner keeps its copy for so long. */
+    /** How long an old owner keeps its copy after a move. */
     long settleMillis = 2 * QUERY_MILLIS;
-    private volatile boolean over;
+    private volatile boolean stopped;
     private final List<Thread> clients = new ArrayList<>();
 
-    /** In this directory; blocks and disks are so many times as large as the smallest. */
+    /**
+     * Prepares the directories and the relay; starts nothing.
+     *
+     * @param scale the factor by which blocks and disks are larger than at scale 1
+     */
     DiskFleet(Path dir, int scale) throws IOException {
         this.dir = dir;
         this.scale = scale;
-        bytes = MB * scale * 1_000_000;
+        bytes = BLOCK_MB * scale * 1_000_000;
         plan = dir.resolve("plan-dir");
         file = dir.resolve("fleet.yaml");
-        for (String id : HOLDS.keySet()) {
+        for (String id : INITIAL_BLOCKS.keySet()) {
             ports.put(id, Ports.free());
         }
         var all = new ArrayList<>(ports.values());
-        all.add(Ports.free()); // of who carries out, whom nobody calls
+        all.add(Ports.free()); // the coordinator, which nobody connects to
         relay = new TcpRelay(all);
-        for (String id : HOLDS.keySet()) {
+        for (String id : INITIAL_BLOCKS.keySet()) {
             var peers = new StringBuilder();
-            HOLDS.keySet().stream().filter(to -> !to.equals(id)).forEach(
-                    to -> peers.append(to).append(' ').append(relay.address(place(id), place(to))).append('\n'));
+            INITIAL_BLOCKS.keySet().stream().filter(to -> !to.equals(id)).forEach(
+                    to -> peers.append(to).append(' ').append(relay.address(relayIndex(id), relayIndex(to)))
+                            .append('\n'));
             Files.writeString(Files.createDirectories(dir.resolve(id)).resolve("peers"), peers);
         }
     }
 
-    /** A node's place at the relay. */
-    static int place(String id) {
+    /** Returns the index of a node at the relay. */
+    static int relayIndex(String id) {
         return "abc".indexOf(id);
     }
 
@@ -113,34 +126,38 @@
                 "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), main);
     }
 
-    /** Starts all nodes; {@code careless} ones never say that queries suffer, as they do on a busy machine. */
+    /**
+     * Starts all nodes and waits until they answer.
+     *
+     * @param careless true if nodes never report that queries are slowed down, which on a busy machine they would
+     */
     void startAll(boolean careless) throws Exception {
-        for (String id : HOLDS.keySet()) {
+        for (String id : INITIAL_BLOCKS.keySet()) {
             if (careless) {
                 Files.writeString(dir.resolve(id).resolve("careless"), "");
             }
             launch(id);
         }
-        for (String id : HOLDS.keySet()) {
-            ready(id);
+        for (String id : INITIAL_BLOCKS.keySet()) {
+            awaitReady(id);
         }
     }
 
     void start(String id) throws Exception {
         launch(id);
-        ready(id);
+        awaitReady(id);
     }
 
     private void launch(String id) throws IOException {
         var command = new ArrayList<>(java(DiskNode.class.getName()));
-        command.addAll(List.of(dir.resolve(id).toString(), "" + ports.get(id), "" + DISK * scale, "200"));
-        HOLDS.get(id).forEach(b -> command.add(b + ":" + bytes + ":" + MB * scale));
+        command.addAll(List.of(dir.resolve(id).toString(), "" + ports.get(id), "" + DISK_MB * scale, "200"));
+        INITIAL_BLOCKS.get(id).forEach(b -> command.add(b + ":" + bytes + ":" + BLOCK_MB * scale));
         nodes.put(id, new ProcessBuilder(command).redirectErrorStream(true)
                 .redirectOutput(dir.resolve(id + ".out").toFile()).start());
     }
 
-    private void ready(String id) throws InterruptedException {
-        Program.await(id, () -> {
+    private void awaitReady(String id) throws InterruptedException {
+        Program.await("node " + id + " answers", () -> {
             try {
                 return get(id, "/").statusCode() == 404;
             } catch (IOException | InterruptedException e) {
@@ -153,45 +170,53 @@
         nodes.remove(id).destroyForcibly().onExit().join();
     }
 
-    /** Starts who carries out, at so many megabytes a second. */
+    /** Writes the fleet file and starts the coordinator, with the plan in the directory {@link #plan}. */
     void startCoordinator(double mbPerSecond) throws IOException {
         writeFleetFile(mbPerSecond);
         coordinator = startCoordinator(log, "--dir", plan.toString());
     }
 
-    /** Starts who carries out what was described last, by a plan that is kept there. */
-    Process startCoordinator(List<String> to, String... where) throws IOException {
+    /**
+     * Starts a coordinator on the fleet file that was written last.
+     *
+     * @param lines   receives the lines of its log
+     * @param options where the plan is stored, as options of the command
+     */
+    Process startCoordinator(List<String> lines, String... options) throws IOException {
         var command = new ArrayList<>(java("wallmoor.Main"));
         command.addAll(List.of("rebalance", "start", file.toString()));
-        command.addAll(List.of(where));
+        command.addAll(List.of(options));
         Process started = new ProcessBuilder(command).start();
-        Program.read(started, to);
+        Program.read(started, lines);
         return started;
     }
 
-    /** Writes the file that is carried out. */
+    /** Writes the file that describes the nodes and blocks to the coordinator. */
     void writeFleetFile(double mbPerSecond) throws IOException {
         var text = new StringBuilder("headroom: 0.1\nspread: node\ncarry: {mb_per_s: " + mbPerSecond
                 + ", chunk_kb: 100, settle: "
                 + settleMillis + "ms, longest_query: " + QUERY_MILLIS + "ms, patience: 800ms, again: 100ms}\nnodes:\n");
-        ports.forEach((id, port) -> text.append("- {id: ").append(id).append(", disk_mb: ").append(DISK * scale)
+        ports.forEach((id, port) -> text.append("- {id: ").append(id).append(", disk_mb: ").append(DISK_MB * scale)
                 .append(", drain: ").append(id.equals("a"))
-                .append(", address: '").append(relay.address(COORDINATOR_INDEX, place(id))).append("'}\n"));
+                .append(", address: '").append(relay.address(COORDINATOR_INDEX, relayIndex(id))).append("'}\n"));
         text.append("blocks:\n");
         for (String b : "vwxyz".split("")) {
-            text.append("- {id: ").append(b).append(", mb: " + MB * scale + ", on: ").append(HOLDS.entrySet().stream()
-                    .filter(e -> e.getValue().contains(b)).map(Map.Entry::getKey).toList()).append("}\n");
+            text.append("- {id: ").append(b).append(", mb: " + BLOCK_MB * scale + ", on: ")
+                    .append(INITIAL_BLOCKS.entrySet().stream()
+                            .filter(e -> e.getValue().contains(b)).map(Map.Entry::getKey).toList())
+                    .append("}\n");
         }
         Files.writeString(file, text);
     }
 
-    void sendOperatorCommand(String wish) {
-        assertEquals(0, Console.run("rebalance", wish, "--dir", plan.toString()).code());
+    void sendOperatorCommand(String command) {
+        assertEquals(0, Console.run("rebalance", command, "--dir", plan.toString()).code());
     }
 
+    /** Returns the progress that the coordinator wrote last, or an empty text if there is none. */
     String status() {
-        String s = new DirectoryPlanStore(plan).readProgress();
-        return s == null ? "" : s;
+        String status = new DirectoryPlanStore(plan).readProgress();
+        return status == null ? "" : status;
     }
 
     private HttpResponse<byte[]> get(String node, String target) throws IOException, InterruptedException {
@@ -199,17 +224,17 @@
                 .timeout(Duration.ofSeconds(2)).build(), HttpResponse.BodyHandlers.ofByteArray());
     }
 
-    /** Clients that read and ask for what runs once, by the plan as it is on the disk when a query is opened. */
+    /** Starts clients that read blocks and send parts that may run only once, each query by the plan at its start. */
     void clients(int count) {
         for (int i = 0; i < count; i++) {
             var random = new Random(i);
             Thread t = new Thread(() -> {
-                while (!over) {
+                while (!stopped) {
                     try {
                         query(random);
                         Thread.sleep(3);
                     } catch (IOException e) {
-                        // the node is away: nobody says that it was whole there
+                        // the node is not reachable, so nothing is known about its blocks
                     } catch (InterruptedException | PlanStoreException e) {
                         faults.add("client: " + e);
                     }
@@ -227,7 +252,7 @@
     }
 
     private void query(Random random) throws IOException, InterruptedException, PlanStoreException {
-        long opened = System.nanoTime();
+        long startedNanos = System.nanoTime();
         KnownPlan known = planSource.read(random);
         String block = "" + "vwxyz".charAt(random.nextInt(5));
         if (known == null) {
@@ -237,10 +262,10 @@
         Collections.shuffle(owners, random);
         if (random.nextInt(4) == 0) {
             long id = ids.incrementAndGet();
-            for (String node : owners) { // refused with proof that it never ran: the next owner is asked
+            for (String node : owners) { // a refusal proves that the part did not run, so the next owner is tried
                 if (get(node, "/once?block=" + block + "&version=" + known.number() + "&id=" + id)
                         .statusCode() == 200) {
-                    ran.put(id, node);
+                    confirmed.put(id, node);
                     return;
                 }
             }
@@ -249,8 +274,8 @@
             for (String node : owners) {
                 long from = (long) DiskNode.HEAD + random.nextInt(bytes - DiskNode.HEAD - DiskNode.PIECE);
                 var answer = get(node, "/read?block=" + block + "&from=" + from);
-                if (System.nanoTime() - opened > QUERY_MILLIS * 1_000_000) {
-                    late.incrementAndGet(); // a query's life is over: it has its answer without this one
+                if (System.nanoTime() - startedNanos > QUERY_MILLIS * 1_000_000) {
+                    lateReads.incrementAndGet(); // past its deadline the query has its answer without this read
                     return;
                 }
                 if (answer.statusCode() != 200 && !known.sure()) {
@@ -258,86 +283,91 @@
                 }
                 if (answer.statusCode() != 200
                         || !Arrays.equals(answer.body(), DiskNode.content(block, from, DiskNode.PIECE))) {
-                    faults.add("version " + known.number() + " says that " + node + " holds " + block + ": "
-                            + answer.statusCode());
+                    faults.add("node " + node + " does not serve block " + block + " as plan version " + known.number()
+                            + " says: status " + answer.statusCode());
                 }
-                reads.incrementAndGet();
+                completedReads.incrementAndGet();
             }
         }
     }
 
     /**
-     * Reads once from an owner, whoever that is now; returns how long it took, in nanoseconds, or -1 where it was not
-     * whole.
+     * Reads once from an owner of a random block in this plan. Returns the duration in nanoseconds, or -1 if the read
+     * failed.
      */
-    long read(Random random, MigrationPlan map) throws IOException, InterruptedException {
+    long read(Random random, MigrationPlan current) throws IOException, InterruptedException {
         String block = "" + "vwxyz".charAt(random.nextInt(5));
-        var owners = new ArrayList<>(map.owners().get(block));
+        var owners = new ArrayList<>(current.owners().get(block));
         long from = (long) DiskNode.HEAD + random.nextInt(bytes - DiskNode.HEAD - DiskNode.PIECE);
-        long begun = System.nanoTime();
+        long startedNanos = System.nanoTime();
         var answer = get(owners.get(random.nextInt(owners.size())), "/read?block=" + block + "&from=" + from);
-        return answer.statusCode() == 200 ? System.nanoTime() - begun : -1;
+        return answer.statusCode() == 200 ? System.nanoTime() - startedNanos : -1;
     }
 
-    /** Stops the clients and holds the nodes' own records against the rules. */
+    /**
+     * Stops the clients, checks the nodes' journals and data, and starts two clients again. No part may run twice, no
+     * block may have more owners or fewer copies than at the start, no disk may be filled beyond its headroom, and no
+     * write may be lost.
+     */
     void verifyInvariants() throws Exception {
-        over = true;
+        stopped = true;
         for (Thread t : clients) {
             t.join(5_000);
         }
         clients.clear();
-        over = false;
+        stopped = false;
         assertEquals(List.of(), List.copyOf(faults));
-        assertTrue("" + reads, reads.get() > 20);
-        record Line(long at, String node, String what, String block, String more) {}
-        var lines = new ArrayList<Line>();
-        for (String id : HOLDS.keySet()) {
+        assertTrue("reads: " + completedReads, completedReads.get() > 20);
+        record JournalLine(long at, String node, String event, String block, String details) {}
+        var lines = new ArrayList<JournalLine>();
+        for (String id : INITIAL_BLOCKS.keySet()) {
             for (String l : Files.readAllLines(dir.resolve(id).resolve("journal"))) {
-                String[] p = l.split(" ", 4);
-                lines.add(new Line(Long.parseLong(p[0]), id, p[1], p[2], p[3]));
+                String[] fields = l.split(" ", 4);
+                lines.add(new JournalLine(Long.parseLong(fields[0]), id, fields[1], fields[2], fields[3]));
             }
         }
-        lines.sort(java.util.Comparator.comparingLong(Line::at));
+        lines.sort(java.util.Comparator.comparingLong(JournalLine::at));
         var journal = new HashMap<Long, String>();
         var owners = new HashMap<String, Set<String>>();
         var copies = new HashMap<String, Set<String>>();
-        for (Line l : lines) {
-            if (l.what().equals("ran")) {
-                String before = journal.put(Long.parseLong(l.more()), l.node());
-                assertEquals("part " + l.more() + " ran twice", null, before);
-            } else if (l.what().equals("is")) {
-                String[] more = l.more().split(" ");
-                var on = owners.computeIfAbsent(l.block(), b -> new HashSet<>());
-                if (more[0].equals("OWNER")) {
-                    on.add(l.node());
+        for (JournalLine line : lines) {
+            if (line.event().equals("ran")) {
+                String nodeBefore = journal.put(Long.parseLong(line.details()), line.node());
+                assertEquals("part " + line.details() + " ran twice", null, nodeBefore);
+            } else if (line.event().equals("is")) {
+                String[] details = line.details().split(" ");
+                var ownersNow = owners.computeIfAbsent(line.block(), b -> new HashSet<>());
+                if (details[0].equals("OWNER")) {
+                    ownersNow.add(line.node());
                 } else {
-                    on.remove(l.node());
+                    ownersNow.remove(line.node());
                 }
-                var left = copies.computeIfAbsent(l.block(), b -> new HashSet<>());
-                boolean dropped = !Set.of("OWNER", "SEALED", "FENCED").contains(more[0]);
-                if (dropped && left.remove(l.node())) {
-                    assertTrue(l + " leaves " + left,
-                            left.size() >= HOLDS.values().stream().filter(h -> h.contains(l.block())).count());
+                var copiesNow = copies.computeIfAbsent(line.block(), b -> new HashSet<>());
+                boolean dropped = !Set.of("OWNER", "SEALED", "FENCED").contains(details[0]);
+                if (dropped && copiesNow.remove(line.node())) {
+                    assertTrue(line + " leaves copies only on " + copiesNow,
+                            copiesNow.size() >= INITIAL_BLOCKS.values().stream().filter(h -> h.contains(line.block()))
+                                    .count());
                 } else if (!dropped) {
-                    left.add(l.node());
+                    copiesNow.add(line.node());
                 }
-                long begin = HOLDS.values().stream().filter(h -> h.contains(l.block())).count();
-                assertTrue(l + " beside " + on, on.size() <= begin);
-                assertTrue(l.toString(), !more[0].equals("FILLING")
-                        || Long.parseLong(more[1]) + Long.parseLong(more[2]) <= (long) USABLE * scale);
+                long ownersAtStart = INITIAL_BLOCKS.values().stream().filter(h -> h.contains(line.block())).count();
+                assertTrue(line + ": owners " + ownersNow, ownersNow.size() <= ownersAtStart);
+                assertTrue(line.toString(), !details[0].equals("FILLING")
+                        || Long.parseLong(details[1]) + Long.parseLong(details[2]) <= (long) USABLE_MB * scale);
             }
         }
-        ran.forEach((id, node) -> assertEquals("part " + id, node, journal.get(id)));
-        var whole = new HashMap<String, Integer>();
+        confirmed.forEach((id, node) -> assertEquals("node that ran part " + id, node, journal.get(id)));
+        var completeCopies = new HashMap<String, Integer>();
         var writes = new HashMap<String, Set<Long>>();
-        for (String id : HOLDS.keySet()) {
+        for (String id : INITIAL_BLOCKS.keySet()) {
             for (var e : DiskNode.holds(dir.resolve(id)).entrySet()) {
                 if (e.getValue().state() == ReplicaRecord.ReplicaState.OWNER) {
-                    whole.merge(e.getKey(), 1, Integer::sum);
+                    completeCopies.merge(e.getKey(), 1, Integer::sum);
                     byte[] data = Files.readAllBytes(dir.resolve(id).resolve(e.getKey() + ".data"));
-                    byte[] first = DiskNode.content(e.getKey(), 0, bytes);
-                    assertTrue(id + " " + e.getKey(),
-                            Arrays.equals(data, DiskNode.HEAD, bytes, first, DiskNode.HEAD, bytes));
+                    byte[] expected = DiskNode.content(e.getKey(), 0, bytes);
+                    assertTrue("content of block " + e.getKey() + " on node " + id,
+                            Arrays.equals(data, DiskNode.HEAD, bytes, expected, DiskNode.HEAD, bytes));
                     var slots = java.nio.ByteBuffer.wrap(data, 0, DiskNode.HEAD);
                     for (int i = 0; i < DiskNode.SLOTS; i++) {
                         writes.computeIfAbsent(e.getKey(), b -> new HashSet<>()).add(slots.getLong());
@@ -346,21 +376,22 @@
             }
         }
         for (String b : "vwxyz".split("")) {
-            assertEquals(b, HOLDS.values().stream().filter(h -> h.contains(b)).count(),
-                    (long) whole.getOrDefault(b, 0));
+            assertEquals("copies of block " + b, INITIAL_BLOCKS.values().stream().filter(h -> h.contains(b)).count(),
+                    (long) completeCopies.getOrDefault(b, 0));
         }
-        // the last part that ran in each slot of a block with one copy is still there
+        // for blocks with one copy, the last part that ran in each slot must still be stored
         var last = new HashMap<String, Long>();
-        lines.stream().filter(l -> l.what().equals("ran") && !l.block().equals("x"))
-                .forEach(l -> last.put(l.block() + " " + Long.parseLong(l.more()) % DiskNode.SLOTS,
-                        Long.parseLong(l.more())));
-        last.forEach((slot, id) -> assertTrue(slot + " lost part " + id, writes.get(slot.split(" ")[0]).contains(id)));
+        lines.stream().filter(l -> l.event().equals("ran") && !l.block().equals("x"))
+                .forEach(l -> last.put(l.block() + " " + Long.parseLong(l.details()) % DiskNode.SLOTS,
+                        Long.parseLong(l.details())));
+        last.forEach((slot, id) -> assertTrue("block and slot " + slot + " lost part " + id,
+                writes.get(slot.split(" ")[0]).contains(id)));
         clients(2);
     }
 
     @Override
     public void close() {
-        over = true;
+        stopped = true;
         if (coordinator != null) {
             coordinator.destroyForcibly().onExit().join();
         }
@@ -368,7 +399,7 @@
         try {
             relay.close();
         } catch (IOException e) {
-            log.add("relay: " + e);
+            log.add("cannot close the relay: " + e);
         }
     }
 }
