--- a/src/test/java/wallmoor/net/DiskFleet.java
+++ b/src/test/java/wallmoor/net/DiskFleet.java
@@ -225,7 +225,7 @@
     }
 
     /** Starts clients that read blocks and send parts that may run only once, each query by the plan at its start. */
-    void clients(int count) {
+    void startClients(int count) {
         for (int i = 0; i < count; i++) {
             var random = new Random(i);
             Thread t = new Thread(() -> {
@@ -386,7 +386,7 @@
                         Long.parseLong(l.details())));
         last.forEach((slot, id) -> assertTrue("block and slot " + slot + " lost part " + id,
                 writes.get(slot.split(" ")[0]).contains(id)));
-        clients(2);
+        startClients(2);
     }
 
     @Override
--- a/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
+++ b/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
@@ -55,7 +55,7 @@
         fleet.planSource = this::byGatherer;
         group = new RulesGroup(folder.newFolder().toPath(), 4, RulesGroup.VOTERS, TERM_MILLIS, "plan", n -> "");
         fleet.startAll(true);
-        fleet.clients(2);
+        fleet.startClients(2);
     }
 
     @After
--- a/src/test/java/wallmoor/net/MigrationProcessTest.java
+++ b/src/test/java/wallmoor/net/MigrationProcessTest.java
@@ -36,7 +36,7 @@
     public void start() throws Exception {
         fleet = new DiskFleet(folder.newFolder().toPath(), 1);
         fleet.startAll(true);
-        fleet.clients(2);
+        fleet.startClients(2);
     }
 
     @After
