--- a/src/test/java/wallmoor/net/EdgeCoapTest.java
+++ b/src/test/java/wallmoor/net/EdgeCoapTest.java
@@ -24,13 +24,16 @@
 import org.junit.Test;
 import wallmoor.standin.DatagramProxy;
 
-/** The edge asked over CoAP, by a client that was not written here, and over both wires at once. */
+/**
+ * Guards against parts that run twice and against answers that differ between the protocols: queries come over CoAP by
+ * a third-party client, over a lossy link, and over CoAP and HTTP at the same time.
+ */
 public class EdgeCoapTest extends EdgeFixture {
-    private CoapClient coap(int port, String id, String more) throws Exception {
-        return coap(port, id, more, true);
+    private CoapClient coap(int port, String id, String parameters) throws Exception {
+        return coap(port, id, parameters, true);
     }
 
-    private CoapClient coap(int port, String id, String more, boolean blockwise) throws Exception {
+    private CoapClient coap(int port, String id, String parameters, boolean blockwise) throws Exception {
         Configuration config = Configuration.createStandardWithoutFile();
         config.set(CoapConfig.ACK_TIMEOUT, 200, TimeUnit.MILLISECONDS);
         config.set(CoapConfig.MAX_RETRANSMIT, 8);
@@ -41,14 +44,15 @@
         }
         var endpoint = CoapEndpoint.builder().setConfiguration(config).build();
         endpoint.start();
-        var client = new CoapClient("coap://127.0.0.1:" + port + "/queries/" + id + "?token=" + token("d1") + more);
+        var client = new CoapClient(
+                "coap://127.0.0.1:" + port + "/queries/" + id + "?token=" + token("d1") + parameters);
         client.setEndpoint(endpoint).setTimeout(15_000L);
         open.add(endpoint::destroy);
         return client;
     }
 
-    /** As a device does: what is challenged is asked again with the challenge's Echo. */
-    private static CoapResponse ask(CoapClient client, java.util.function.Supplier<Request> request) throws Exception {
+    /** Sends a request as a device does: after a challenge it repeats the request with the Echo of the challenge. */
+    private static CoapResponse send(CoapClient client, java.util.function.Supplier<Request> request) throws Exception {
         CoapResponse response = client.advanced(request.get());
         for (int i = 0; i < 3 && response != null && response.getCode() == ResponseCode.UNAUTHORIZED; i++) {
             byte[] echo = null;
@@ -73,7 +77,7 @@
     }
 
     @Test
-    public void coapAsksInBlocksOverABadLinkAndHttpHasTheSameAnswer() throws Exception {
+    public void returnsSameAnswerOverHttpAfterBlockwiseCoapOverLossyLink() throws Exception {
         start(id -> {
             sleep(40);
             return "ok";
@@ -82,53 +86,54 @@
         byte[] json = body("once", "q".repeat(700), 0).getBytes(UTF_8);
         byte[] cbor = new CBORMapper().writeValueAsBytes(new ObjectMapper().readTree(json));
         try (var link = new DatagramProxy(coapPort, 7, 0.1, 0.2, 0.2)) {
-            CoapResponse taken = ask(coap(link.port(), id, ""), () -> put(cbor, MediaTypeRegistry.APPLICATION_CBOR));
-            assertTrue("" + taken, taken != null && taken.isSuccess());
-            link.rebind(); // a NAT that has forgotten: the device comes from elsewhere
-            CoapResponse got = ask(coap(link.port(), id, "&wait=10"), Request::newGet);
+            CoapResponse accepted = send(coap(link.port(), id, ""),
+                    () -> put(cbor, MediaTypeRegistry.APPLICATION_CBOR));
+            assertTrue("" + accepted, accepted != null && accepted.isSuccess());
+            link.rebind(); // as after a lost NAT entry, the device comes from another port
+            CoapResponse got = send(coap(link.port(), id, "&wait=10"), Request::newGet);
             assertTrue("" + got, got != null && got.getCode() == ResponseCode.CONTENT);
             assertTrue(got.getResponseText(), got.getResponseText().startsWith("{\"outcome\":\"answered\""));
-            assertArrayEquals("over the other wire", got.getPayload(), put(httpPort, id, json).body());
-            CoapResponse packed = ask(coap(link.port(), id, ""), () -> {
+            assertArrayEquals("same answer over HTTP", got.getPayload(), put(httpPort, id, json).body());
+            CoapResponse packed = send(coap(link.port(), id, ""), () -> {
                 Request get = Request.newGet();
                 get.getOptions().setAccept(MediaTypeRegistry.APPLICATION_CBOR);
                 return get;
             });
             assertEquals(new ObjectMapper().readTree(got.getPayload()), new CBORMapper().readTree(packed.getPayload()));
-            assertTrue("the link was bad: " + link.lost.get(), link.lost.get() > 0);
+            assertTrue("datagrams lost by the link: " + link.lost.get(), link.lost.get() > 0);
         }
-        assertEquals("no datagram that came twice ran it twice", 1, parts(""));
+        assertEquals("parts run, although datagrams came twice", 1, parts(""));
     }
 
     @Test
-    public void coapRefusesWhatItMust() throws Exception {
+    public void refusesInvalidCoapRequestsByTheirResponseCodes() throws Exception {
         start(id -> "ok");
         String id = id();
         byte[] json = body("once", "q", 0).getBytes(UTF_8);
         CoapResponse challenged = coap(coapPort, id, "").advanced(put(json, MediaTypeRegistry.APPLICATION_JSON));
-        assertEquals("an address that has proven nothing", ResponseCode.UNAUTHORIZED, challenged.getCode());
+        assertEquals("the address is not verified yet", ResponseCode.UNAUTHORIZED, challenged.getCode());
         assertEquals(0, challenged.getPayloadSize());
         assertEquals(0, parts(""));
         var client = coap(coapPort, id, "");
-        assertEquals(ResponseCode.CREATED, ask(client, () -> put(json, MediaTypeRegistry.APPLICATION_JSON)).getCode());
-        assertEquals(ResponseCode.CHANGED, ask(client, () -> put(json, MediaTypeRegistry.APPLICATION_JSON)).getCode());
-        assertEquals(ResponseCode.CONFLICT, ask(client, () -> put(body("once", "other", 0).getBytes(UTF_8),
+        assertEquals(ResponseCode.CREATED, send(client, () -> put(json, MediaTypeRegistry.APPLICATION_JSON)).getCode());
+        assertEquals(ResponseCode.CHANGED, send(client, () -> put(json, MediaTypeRegistry.APPLICATION_JSON)).getCode());
+        assertEquals(ResponseCode.CONFLICT, send(client, () -> put(body("once", "other", 0).getBytes(UTF_8),
                 MediaTypeRegistry.APPLICATION_JSON)).getCode());
-        assertEquals(ResponseCode.BAD_REQUEST, ask(coap(coapPort, id(), ""), () -> put(new byte[] {1, 2},
+        assertEquals(ResponseCode.BAD_REQUEST, send(coap(coapPort, id(), ""), () -> put(new byte[] {1, 2},
                 MediaTypeRegistry.APPLICATION_CBOR)).getCode());
-        assertEquals(ResponseCode.NOT_FOUND, ask(coap(coapPort, id(), ""), Request::newGet).getCode());
+        assertEquals(ResponseCode.NOT_FOUND, send(coap(coapPort, id(), ""), Request::newGet).getCode());
         String fresh = id();
-        assertEquals("a block in the middle, first", ResponseCode.REQUEST_ENTITY_INCOMPLETE,
-                ask(coap(coapPort, fresh, "", false), () -> {
-                    Request r = put(new byte[64], MediaTypeRegistry.APPLICATION_JSON);
-                    r.getOptions().setBlock1(2, true, 3);
-                    return r;
+        assertEquals("the first block received is not the first of the body", ResponseCode.REQUEST_ENTITY_INCOMPLETE,
+                send(coap(coapPort, fresh, "", false), () -> {
+                    Request block = put(new byte[64], MediaTypeRegistry.APPLICATION_JSON);
+                    block.getOptions().setBlock1(2, true, 3);
+                    return block;
                 }).getCode());
         assertEquals(1, parts(""));
     }
 
     @Test
-    public void askedTwiceInParallelOverBothWiresItRunsOnce() throws Exception {
+    public void runsQueryOnceWhenSentOverCoapAndHttpAtTheSameTime() throws Exception {
         start(id -> {
             sleep(100);
             return "ok";
@@ -139,20 +144,20 @@
             long before = parts("");
             var overCoap = CompletableFuture.supplyAsync(() -> {
                 try {
-                    ask(coap(coapPort, id, ""), () -> put(json, MediaTypeRegistry.APPLICATION_JSON));
-                    return ask(coap(coapPort, id, "&wait=10"), Request::newGet).getPayload();
+                    send(coap(coapPort, id, ""), () -> put(json, MediaTypeRegistry.APPLICATION_JSON));
+                    return send(coap(coapPort, id, "&wait=10"), Request::newGet).getPayload();
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
                 }
             });
-            var one = http.sendAsync(
+            var firstHttp = http.sendAsync(
                     request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(json)).build(),
                     BodyHandlers.ofByteArray());
-            var two = http.sendAsync(
+            var secondHttp = http.sendAsync(
                     request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(json)).build(),
                     BodyHandlers.ofByteArray());
-            assertArrayEquals(one.get(10, TimeUnit.SECONDS).body(), two.get(10, TimeUnit.SECONDS).body());
-            assertArrayEquals(one.get().body(), overCoap.get(10, TimeUnit.SECONDS));
+            assertArrayEquals(firstHttp.get(10, TimeUnit.SECONDS).body(), secondHttp.get(10, TimeUnit.SECONDS).body());
+            assertArrayEquals(firstHttp.get().body(), overCoap.get(10, TimeUnit.SECONDS));
             assertEquals(before + 1, parts(""));
         }
     }
--- a/src/test/java/wallmoor/net/EdgeCommandTest.java
+++ b/src/test/java/wallmoor/net/EdgeCommandTest.java
@@ -8,47 +8,47 @@
 import java.util.List;
 import org.junit.Test;
 
-/** The edge asked by the command line. */
+/** Tests the device commands of the command line against the edge of the real program. */
 public class EdgeCommandTest extends EdgeFixture {
-    private static String said;
+    private static String output;
 
-    private static int command(String... args) {
+    private static int run(String... args) {
         var console = wallmoor.cli.Console.run(args);
-        said = console.out().trim();
+        output = console.out().trim();
         return console.code();
     }
 
     @Test
-    public void aPersonAddsADeviceAndAsksByTheCommandLine() throws Exception {
+    public void addsDeviceSendsQueriesAndRevokesDeviceByCommandLine() throws Exception {
         start(id -> "ok");
-        assertEquals(0, command("devices", "add", "--file", devices.toString(), "counter"));
+        assertEquals(0, run("devices", "add", "--file", devices.toString(), "counter"));
         Path token = folder.newFile("token").toPath();
-        Files.writeString(token, said + "\n");
-        assertEquals("there already", 2, command("devices", "add", "--file", devices.toString(), "counter"));
-        assertEquals(0, command("devices", "list", "--file", devices.toString()));
-        assertEquals(List.of("d1", "d2", "counter"), said.lines().toList());
-        Program.await("known",
-                () -> command("device", "outcome", "--edge", "http://127.0.0.1:" + httpPort, "--token-file",
+        Files.writeString(token, output + "\n");
+        assertEquals("device exists already", 2, run("devices", "add", "--file", devices.toString(), "counter"));
+        assertEquals(0, run("devices", "list", "--file", devices.toString()));
+        assertEquals(List.of("d1", "d2", "counter"), output.lines().toList());
+        Program.await("the edge accepts the new device",
+                () -> run("device", "outcome", "--edge", "http://127.0.0.1:" + httpPort, "--token-file",
                         token.toString(), "--patience", "1", id()) != 2);
         String id = id();
-        String[] ask = {"device", "ask", "--edge", "http://127.0.0.1:" + httpPort, "--token-file", token.toString(),
-            "--class",
+        String[] askCommand = {"device", "ask", "--edge", "http://127.0.0.1:" + httpPort, "--token-file",
+            token.toString(), "--class",
             "once", "--shards", "0", "--id", id, "lhr"};
-        assertEquals(0, command(ask));
-        String first = said;
+        assertEquals(0, run(askCommand));
+        String first = output;
         assertTrue(first, first.startsWith("{\"outcome\":\"answered\",\"complete\":true"));
-        ask[3] = "coap://127.0.0.1:" + coapPort;
-        assertEquals(0, command(ask));
-        assertEquals(first, said);
+        askCommand[3] = "coap://127.0.0.1:" + coapPort;
+        assertEquals(0, run(askCommand));
+        assertEquals(first, output);
         assertEquals(1, parts(""));
-        ask[ask.length - 1] = "other";
-        assertEquals("a conflict", 2, command(ask));
-        ask[ask.length - 1] = "lhr";
-        ask[9] = "1";
-        ask[11] = id();
-        assertEquals("refused: nobody holds it", 6, command(ask));
-        assertEquals(0, command("devices", "revoke", "--file", devices.toString(), "counter"));
-        ask[3] = "http://127.0.0.1:" + httpPort;
-        Program.await("refused", () -> command(ask) == 2);
+        askCommand[askCommand.length - 1] = "other";
+        assertEquals("conflicts with the query sent under this id", 2, run(askCommand));
+        askCommand[askCommand.length - 1] = "lhr";
+        askCommand[9] = "1";
+        askCommand[11] = id();
+        assertEquals("refused: no worker holds shard 1", 6, run(askCommand));
+        assertEquals(0, run("devices", "revoke", "--file", devices.toString(), "counter"));
+        askCommand[3] = "http://127.0.0.1:" + httpPort;
+        Program.await("the revoked device is refused", () -> run(askCommand) == 2);
     }
 }
--- a/src/test/java/wallmoor/net/EdgeFixture.java
+++ b/src/test/java/wallmoor/net/EdgeFixture.java
@@ -21,7 +21,7 @@
 import wallmoor.edge.EdgeRequest;
 import wallmoor.standin.Ports;
 
-/** The edge of the real program, for clients that were not written here, over links that break. */
+/** Starts the real program with an edge, one stand-in worker and two devices, and sends requests by HTTP. */
 abstract class EdgeFixture {
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -29,7 +29,7 @@
     final HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(5)).build();
     Program program;
-    StandIn.Worker node;
+    StandIn.Worker worker;
     Path devices;
     int httpPort;
     int coapPort;
@@ -38,9 +38,15 @@
         start(answer, "");
     }
 
-    void start(Function<String, String> answer, String more) throws Exception {
-        node = new StandIn.Worker(answer);
-        open.add(node);
+    /**
+     * Starts the worker, discovery and the program.
+     *
+     * @param answer      what the worker answers to a part, by the part's id; null for no answer
+     * @param moreOptions lines that are added to the operator's file
+     */
+    void start(Function<String, String> answer, String moreOptions) throws Exception {
+        worker = new StandIn.Worker(answer);
+        open.add(worker);
         var discovery = new StandIn.Discovery();
         open.add(discovery);
         devices = folder.newFile("devices.csv").toPath();
@@ -51,12 +57,13 @@
         Files.writeString(operator, "edge:\n  devices: devices.csv\n  http: {listen: 127.0.0.1:" + httpPort
                 + "}\n  coap: {listen: 127.0.0.1:" + coapPort
                 + "}\n  skew: 50ms\n  asks_per_s: 1000\n  ask_burst: 5000\n"
-                + "  grace: 500ms\n" + more);
-        program = new Program(discovery.port(), node.member("a", 0, "SERVING"), operator);
+                + "  grace: 500ms\n" + moreOptions);
+        program = new Program(discovery.port(), worker.member("a", 0, "SERVING"), operator);
         open.add(program);
-        Thread.sleep(150); // ids of the first moments may be older than the start, by the clocks' slack
+        Thread.sleep(150); // the edge refuses ids dated before its start, and clock skew may make the first ids look so
     }
 
+    /** Returns a device's line of the devices file. */
     static String row(String device) {
         return device + "," + HexFormat.of().formatHex(EdgeRequest.sha256(token(device).getBytes(UTF_8))) + "\n";
     }
@@ -65,6 +72,7 @@
         return device + ".secret-of-" + device;
     }
 
+    /** Returns a new id that contains the current time. */
     static String id() {
         return Generators.timeBasedEpochGenerator().generate().toString();
     }
@@ -84,21 +92,24 @@
     }
 
     HttpResponse<byte[]> put(int port, String id, byte[] body, String... headers) throws Exception {
-        var r = request(port, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(body));
-        return http.send((headers.length == 0 ? r : r.headers(headers)).build(), BodyHandlers.ofByteArray());
+        var builder = request(port, "d1", id).PUT(HttpRequest.BodyPublishers.ofByteArray(body));
+        return http.send((headers.length == 0 ? builder : builder.headers(headers)).build(),
+                BodyHandlers.ofByteArray());
     }
 
     HttpResponse<byte[]> get(int port, String id, String... headers) throws Exception {
-        var r = request(port, "d1", id).GET();
-        return http.send((headers.length == 0 ? r : r.headers(headers)).build(), BodyHandlers.ofByteArray());
+        var builder = request(port, "d1", id).GET();
+        return http.send((headers.length == 0 ? builder : builder.headers(headers)).build(),
+                BodyHandlers.ofByteArray());
     }
 
-    static String text(HttpResponse<byte[]> r) {
-        return new String(r.body(), UTF_8);
+    static String text(HttpResponse<byte[]> response) {
+        return new String(response.body(), UTF_8);
     }
 
-    long parts(String start) {
-        return node.count(start.isEmpty() ? "Q" : start);
+    /** Returns how many messages with this prefix the worker has received; an empty prefix counts parts. */
+    long parts(String prefix) {
+        return worker.count(prefix.isEmpty() ? "Q" : prefix);
     }
 
     static void sleep(long millis) {
--- a/src/test/java/wallmoor/net/EdgeTest.java
+++ b/src/test/java/wallmoor/net/EdgeTest.java
@@ -22,10 +22,13 @@
 import wallmoor.standin.LinkProxy;
 import wallmoor.standin.LinkProxy.Fate;
 
-/** The edge of the real program, asked over HTTP by a client that was not written here, over links that break. */
+/**
+ * Guards against queries of a device that run twice or lose their outcome. The edge of the real program gets them by
+ * HTTP from a third-party client, over links that break at chosen bytes.
+ */
 public class EdgeTest extends EdgeFixture {
     @Test
-    public void aQueryAskedAgainHasTheSameAnswerAndRanOnce() throws Exception {
+    public void returnsSameAnswerAndRunsOnceWhenQueryIsRepeated() throws Exception {
         start(id -> "ok");
         String id = id();
         var first = put(id, body("once", "q", 0));
@@ -45,7 +48,7 @@
         assertEquals("application/problem+json", other.headers().firstValue("Content-Type").orElse(""));
         assertEquals(404, get(httpPort, id()).statusCode());
         assertEquals("an id without a date", 400, put("mine", body("once", "q", 0)).statusCode());
-        assertEquals("does for what may repeat", 200, put("mine", body("all", "q", 0)).statusCode());
+        assertEquals("is allowed for a repeatable class", 200, put("mine", body("all", "q", 0)).statusCode());
         assertEquals(400, put(id(), body("nobody", "q", 0)).statusCode());
         assertEquals(400, put(id(), "{").statusCode());
         assertEquals(400, put(id(), body("all", "q", 0).replace("1900", "0")).statusCode());
@@ -53,7 +56,7 @@
     }
 
     @Test
-    public void oneDeviceNeitherReadsNorDisturbsAnothersAndARevokedOneIsRefused() throws Exception {
+    public void separatesQueriesOfDevicesAndRefusesRevokedDevices() throws Exception {
         start(id -> "ok");
         String id = id();
         assertEquals(200, put(id, body("once", "q", 0)).statusCode());
@@ -63,19 +66,21 @@
                 BodyHandlers.ofString());
         assertEquals("the same id of another device is another query", 200, d2.statusCode());
         for (String token : new String[] {"", "d1.wrong", "nobody.secret", "d1"}) {
-            var r = http.send(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + httpPort + "/queries/" + id))
-                    .header("Authorization", "Bearer " + token).build(), BodyHandlers.ofString());
-            assertEquals(token, 401, r.statusCode());
+            var response = http.send(
+                    HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + httpPort + "/queries/" + id))
+                            .header("Authorization", "Bearer " + token).build(),
+                    BodyHandlers.ofString());
+            assertEquals("token '" + token + "'", 401, response.statusCode());
         }
         Files.writeString(devices, "device,sha256\n" + row("d2") + "d3,short\n");
-        Program.await("the fault named", () -> {
+        Program.await("the fault of the devices file is logged", () -> {
             synchronized (program.log) {
                 return program.log.stream().anyMatch(l -> l.contains("devices.csv line 3: is not DEVICE,SHA256"));
             }
         });
-        assertEquals("the last good file stands", 200, get(httpPort, id).statusCode());
+        assertEquals("the last valid file stays in force", 200, get(httpPort, id).statusCode());
         Files.writeString(devices, "device,sha256\n" + row("d2"));
-        Program.await("refused", () -> {
+        Program.await("the revoked device is refused", () -> {
             try {
                 return get(httpPort, id).statusCode() == 401;
             } catch (Exception e) {
@@ -85,20 +90,20 @@
     }
 
     @Test
-    public void aHoldRunsOnceAndItsDeviceLearnsTheOutcomeWhereverTheLinkBreaks() throws Exception {
+    public void runsQueryOnceAndDeliversItsOutcomeWhereverTheLinkBreaks() throws Exception {
         start(id -> {
             sleep(60);
             return "ok";
         });
         byte[] query = body("once", "q", 0).getBytes(UTF_8);
-        String good = id();
-        byte[] expected = put(httpPort, good, query).body();
-        int upBytes = 700;
+        String idOverIntactLink = id();
+        byte[] expected = put(httpPort, idOverIntactLink, query).body();
+        int requestBytes = 700;
         var fates = new ArrayList<Fate>();
-        for (int cut = 0; cut <= upBytes; cut += 100) { // before the last byte up, after it, while the part is out
+        for (int cut = 0; cut <= requestBytes; cut += 100) { // during the request, after it, and while the part is out
             fates.add(new Fate(cut, -1, 0, 0, false));
         }
-        for (int cut = 0; cut <= 320; cut += 64) { // before any byte of the answer, and at every 64
+        for (int cut = 0; cut <= 320; cut += 64) { // before the first byte of the answer and after each 64 bytes
             fates.add(new Fate(-1, cut, 0, 0, false));
         }
         fates.add(new Fate(-1, 100, 0, 0, true));
@@ -110,33 +115,33 @@
                 byte[] got = null;
                 for (int tries = 0; got == null && tries < 5; tries++) {
                     try {
-                        var fresh = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-                        var r = fresh.send(request(proxy.port(), "d1", id).timeout(Duration.ofSeconds(2))
+                        var newClient = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+                        var response = newClient.send(request(proxy.port(), "d1", id).timeout(Duration.ofSeconds(2))
                                 .PUT(HttpRequest.BodyPublishers.ofByteArray(query)).build(),
                                 BodyHandlers.ofByteArray());
-                        got = r.statusCode() == 200 ? r.body() : null;
+                        got = response.statusCode() == 200 ? response.body() : null;
                     } catch (IOException e) {
-                        // the link broke: ask again under the same id
+                        // the link broke: the query is repeated under the same id
                     }
                 }
-                // the part's id stands in its value, and ids are of one length
-                assertEquals("the outcome, whole: " + fate, expected.length, got == null ? -1 : got.length);
-                assertEquals(fate + ": the part ran once", before + 1, parts(""));
+                // answers differ only by the part's id in its value, and all ids have the same length
+                assertEquals("length of the answer: " + fate, expected.length, got == null ? -1 : got.length);
+                assertEquals(fate + ": parts run", before + 1, parts(""));
             }
         }
     }
 
     @Test
-    public void anAnswerThatBrokeOffGoesOnWhereItDid() throws Exception {
+    public void resumesInterruptedAnswersWithRangeRequests() throws Exception {
         String large = "x".repeat(20_000);
         start(id -> "ok");
-        node.value = large;
+        worker.value = large;
         String id = id();
-        byte[] whole = put(id, body("once", "q", 0)).body();
-        assertTrue("" + whole.length, whole.length > 20_000);
+        byte[] complete = put(id, body("once", "q", 0)).body();
+        assertTrue("" + complete.length, complete.length > 20_000);
         var got = new ByteArrayOutputStream();
         String etag = null;
-        for (int n = 0; got.size() < whole.length; n++) {
+        for (int n = 0; got.size() < complete.length; n++) {
             int cut = 3000 + 64 * n;
             try (var proxy = new LinkProxy(httpPort, 1, (c, r) -> new Fate(-1, cut, 0, 0, false));
                     var client = new Client(proxy.port())) {
@@ -148,42 +153,42 @@
                 assertTrue(head, head.startsWith(etag == null ? "HTTP/1.1 200" : "HTTP/1.1 206"));
                 etag = head.replaceAll("(?s).*ETag: (\\S+)\r\n.*", "$1");
                 try {
-                    for (int b = 0; b >= 0 && got.size() < whole.length;) {
+                    for (int b = 0; b >= 0 && got.size() < complete.length;) {
                         b = client.socket.getInputStream().read();
                         if (b >= 0) {
                             got.write(b);
                         }
                     }
                 } catch (IOException e) {
-                    // broke off
+                    // the link broke: the next request asks for the rest
                 }
             }
         }
-        assertArrayEquals(whole, got.toByteArray());
-        assertEquals(416, get(httpPort, id, "Range", "bytes=" + whole.length + "-").statusCode());
-        assertEquals("a stale version: all of it", 200,
+        assertArrayEquals(complete, got.toByteArray());
+        assertEquals(416, get(httpPort, id, "Range", "bytes=" + complete.length + "-").statusCode());
+        assertEquals("If-Range names another version: the complete answer", 200,
                 get(httpPort, id, "Range", "bytes=5-", "If-Range", "\"old\"").statusCode());
-        assertArrayEquals(Arrays.copyOfRange(whole, whole.length - 7, whole.length),
+        assertArrayEquals(Arrays.copyOfRange(complete, complete.length - 7, complete.length),
                 get(httpPort, id, "Range", "bytes=-7").body());
         for (String coding : new String[] {"gzip", "zstd"}) {
             var packed = get(httpPort, id, "Accept-Encoding", coding);
             assertEquals(coding, packed.headers().firstValue("Content-Encoding").orElse(""));
-            assertTrue(packed.body().length < whole.length / 10);
+            assertTrue(packed.body().length < complete.length / 10);
             assertNotEquals(etag, packed.headers().firstValue("ETag").orElse(""));
             var rest = get(httpPort, id, "Accept-Encoding", coding, "Range", "bytes=20-", "If-Range",
                     packed.headers().firstValue("ETag").orElse(""));
             assertArrayEquals(Arrays.copyOfRange(packed.body(), 20, packed.body().length), rest.body());
         }
         assertEquals(1, parts(""));
-        node.value = "x".repeat(40_000);
+        worker.value = "x".repeat(40_000);
         var tooLarge = put(id(), body("once", "q", 0, 2));
-        assertEquals("no room was set aside for it", 502, tooLarge.statusCode());
+        assertEquals("the answers together exceed the limit", 502, tooLarge.statusCode());
         assertTrue(text(tooLarge),
                 text(tooLarge).contains("\"ran\":\"maybe\"") && text(tooLarge).contains("65536 bytes"));
     }
 
     @Test
-    public void aBodyMayComePackedAndInPiecesAndABombIsRefused() throws Exception {
+    public void acceptsCompressedAndPartialBodiesAndRefusesCompressionBombs() throws Exception {
         start(id -> "ok");
         byte[] plain = body("once", "q".repeat(3000), 0).getBytes(UTF_8);
         var packed = new ByteArrayOutputStream();
@@ -197,7 +202,7 @@
         assertEquals(400,
                 put(httpPort, id(), Arrays.copyOf(zstd, zstd.length - 5), "Content-Encoding", "zstd").statusCode());
         byte[] bomb = com.github.luben.zstd.Zstd.compress(new byte[50_000_000]);
-        assertEquals("its window alone is too large", 400,
+        assertEquals("the compression window is larger than allowed", 400,
                 put(httpPort, id(), bomb, "Content-Encoding", "zstd").statusCode());
         packed.reset();
         try (var gzip = new GZIPOutputStream(packed)) {
@@ -207,11 +212,11 @@
         String id = id();
         for (int from = 0; from < plain.length; from += 1000) {
             int to = Math.min(plain.length, from + 1000);
-            for (int twice = 0; twice < 2 && to < plain.length; twice++) { // its answer was lost: the piece comes again
-                var r = put(httpPort, id, Arrays.copyOfRange(plain, from, to), "Content-Range",
+            for (int twice = 0; twice < 2 && to < plain.length; twice++) { // repeated, as after a lost answer
+                var response = put(httpPort, id, Arrays.copyOfRange(plain, from, to), "Content-Range",
                         "bytes " + from + "-" + (to - 1) + "/" + plain.length);
-                assertEquals(202, r.statusCode());
-                assertEquals("" + to, r.headers().firstValue("Upload-Offset").orElse(""));
+                assertEquals(202, response.statusCode());
+                assertEquals("" + to, response.headers().firstValue("Upload-Offset").orElse(""));
             }
             if (to == plain.length) {
                 assertEquals("" + from, get(httpPort, id).headers().firstValue("Upload-Offset").orElse(""));
@@ -224,7 +229,7 @@
     }
 
     @Test
-    public void whatMayRepeatIsCalledOffWhenNobodyWaitsAndAHoldIsNot() throws Exception {
+    public void cancelsOnlyRepeatableQueriesWhenTheirClientDisconnects() throws Exception {
         start(id -> null);
         for (String c : new String[] {"all", "once"}) {
             try (var client = new Client(httpPort)) {
@@ -232,19 +237,19 @@
                 client.send("PUT /queries/" + id() + " HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer " + token("d1")
                         + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
                 long sent = c.equals("all") ? 1 : 2;
-                Program.await("the part", () -> parts("") >= sent);
+                Program.await("the part is sent", () -> parts("") >= sent);
             }
         }
-        Program.await("the end of the one", () -> node.count("X") >= 1);
-        long ends = node.count("X");
-        assertEquals(1, ends);
+        Program.await("the repeatable query is cancelled", () -> worker.count("X") >= 1);
+        long cancelled = worker.count("X");
+        assertEquals(1, cancelled);
         Thread.sleep(400);
-        assertEquals("the hold goes on", 1, node.count("X"));
-        Program.await("until its time is up", () -> node.count("X") == 2);
+        assertEquals("cancelled parts: a query of class once continues", 1, worker.count("X"));
+        Program.await("the query of class once is cancelled at its deadline", () -> worker.count("X") == 2);
     }
 
     @Test
-    public void outcomesAreHonestAndPendingOnesAreTold() throws Exception {
+    public void reportsPendingFailedAndRefusedQueriesAsSuch() throws Exception {
         start(id -> id.endsWith(".2") ? "busy" : id.endsWith(".0") ? null : "err");
         String id = id();
         var pending = put(id, body("once", "silent", 0), "Prefer", "wait=0");
@@ -253,7 +258,8 @@
         var failed = get(httpPort, id, "Prefer", "wait=10");
         assertEquals(502, failed.statusCode());
         assertTrue(text(failed), text(failed).contains("\"outcome\":\"failed\",\"ran\":\"maybe\""));
-        assertArrayEquals("the same ever after", failed.body(), put(id, body("once", "silent", 0)).body());
+        assertArrayEquals("a repeated query gets the same outcome", failed.body(),
+                put(id, body("once", "silent", 0)).body());
         var refused = put(id(), body("once", "nobody holds it", 1));
         assertEquals(503, refused.statusCode());
         assertTrue(text(refused), text(refused).contains("\"outcome\":\"refused\",\"ran\":\"never\""));
@@ -261,19 +267,19 @@
     }
 
     @Test
-    public void sigtermEndsNothingThatIsHalfDelivered() throws Exception {
+    public void deliversOutcomesOfRunningQueriesAfterSigterm() throws Exception {
         start(id -> {
             sleep(300);
             return "ok";
         });
         String id = id();
-        var asked = http
+        var response = http
                 .sendAsync(request(httpPort, "d1", id).PUT(HttpRequest.BodyPublishers.ofString(body("once", "q", 0)))
                         .build(), BodyHandlers.ofByteArray());
-        Program.await("the part", () -> parts("") == 1);
+        Program.await("the part is sent", () -> parts("") == 1);
         program.process.toHandle().destroy();
-        assertEquals(200, asked.get(10, TimeUnit.SECONDS).statusCode());
-        assertEquals("asked again on the way out", 200, get(httpPort, id).statusCode());
+        assertEquals(200, response.get(10, TimeUnit.SECONDS).statusCode());
+        assertEquals("read again during the shutdown", 200, get(httpPort, id).statusCode());
         assertTrue(program.process.waitFor(10, TimeUnit.SECONDS));
     }
 }
