--- a/src/test/java/wallmoor/net/FeaturesTest.java
+++ b/src/test/java/wallmoor/net/FeaturesTest.java
@@ -23,7 +23,8 @@
 import wallmoor.standin.Ports;
 
 /**
- * The second front of the real program, with stand-in feature servers: cell 0 holds shards 0 and 2, cell 1 the others.
+ * Tests the OGC API Features front of the real program with stand-in feature servers. Cell 0 holds shards 0 and 2,
+ * cell 1 the others.
  */
 public class FeaturesTest {
     @Rule
@@ -39,13 +40,13 @@
         return server;
     }
 
-    /** Serves {@code total} features, two a page however many are asked for. */
+    /** Answers as a server with {@code total} features, at most two per page whatever limit is requested. */
     private static Function<String, String> pages(String name, int total) {
         return target -> {
-            Matcher one = Pattern.compile("/collections/([\\w-]+)/items/([^?]+)").matcher(target);
-            if (one.matches()) {
-                String id = one.group(2);
-                return id.startsWith(one.group(1).replaceAll(".*-", name) + "-") ? feature(id) : "404";
+            Matcher item = Pattern.compile("/collections/([\\w-]+)/items/([^?]+)").matcher(target);
+            if (item.matches()) {
+                String id = item.group(2);
+                return id.startsWith(item.group(1).replaceAll(".*-", name) + "-") ? feature(id) : "404";
             }
             String shard = target.replaceAll(".*-([0-9]+)/items.*", name + "$1");
             int limit = Math.min(2, number(target, "limit"));
@@ -92,7 +93,8 @@
         open.add(program);
     }
 
-    private static String group(Object... hosts) {
+    /** Returns an inventory of these servers. Each server is followed by its settings, such as {@code cell: 0}. */
+    private static String inventoryOf(Object... hosts) {
         var yaml = new StringBuilder("feature_servers:\n  vars: {zone: east, ansible_host: 127.0.0.1}\n  hosts:\n");
         for (int i = 0; i < hosts.length; i += 2) {
             yaml.append("    fs").append(i / 2).append(": {port: ").append(((StandIn) hosts[i]).port()).append(", ")
@@ -114,6 +116,7 @@
         return ids;
     }
 
+    /** Returns the target of the page's next link, or null if it has none. */
     private static String next(String body) {
         Matcher m = Pattern.compile("\"href\":\"http://localhost([^\"]*)\",\"rel\":\"next\"").matcher(body);
         return m.find() ? m.group(1) : null;
@@ -127,10 +130,10 @@
     }
 
     @Test
-    public void theStandardsResourcesAreThereAndPagesHoldEachFeatureOnce() throws Exception {
+    public void servesResourcesOfTheStandardAndEachFeatureOnceInPages() throws Exception {
         var a = server(pages("a", 7));
         var b = server(pages("b", 3));
-        start(group(a, "cell: 0", b, "cell: 1"));
+        start(inventoryOf(a, "cell: 0", b, "cell: 1"));
         assertTrue(get("/").body.contains("\"rel\":\"service-desc\""));
         assertTrue(get("/conformance").body.contains("ogcapi-features-1/1.0/conf/core"));
         assertTrue(get("/api").body.contains("/collections/branches/items/{featureId}"));
@@ -144,7 +147,7 @@
             assertEquals("application/geo+json", page.header("Content-Type"));
             assertTrue(page.body, page.body.contains("\"numberReturned\":" + ids(page.body).size() + ","));
             assertTrue(page.body, page.body.contains("\"timeStamp\":\"20") && page.body.contains("\"complete\":true"));
-            assertTrue("coordinates as they came", page.body.contains("[67.0300,24.81]"));
+            assertTrue("coordinates as the server wrote them", page.body.contains("[67.0300,24.81]"));
             assertTrue(ids(page.body).size() <= 4);
             seen.addAll(ids(page.body));
             target = next(page.body);
@@ -157,13 +160,13 @@
         assertEquals(200, one.status);
         assertTrue(one.body, one.body.contains("\"id\":\"b1-1\"") && one.body.contains("\"rel\":\"collection\""));
         assertEquals(404, get("/collections/branches/items/c-1").status);
-        assertEquals("not found only when all shards said so", 404, get("/collections/quotes/items/c-1").status);
+        assertEquals("not found only if no shard has the feature", 404, get("/collections/quotes/items/c-1").status);
         assertEquals(200, get("/collections/quotes/items/b1-1").status);
     }
 
     @Test
-    public void unknownAndInvalidParametersAreTheClientsFault() throws Exception {
-        start(group(server(pages("a", 1)), "cell: 0"));
+    public void answersUnknownAndInvalidParametersWithStatus400() throws Exception {
+        start(inventoryOf(server(pages("a", 1)), "cell: 0"));
         for (String bad : new String[] {"limit=0", "limit=x", "bbox=1,2,3", "bbox=1,9,3,4", "datetime=soon",
             "datetime=2026-02-01T00:00:00Z/2026-01-01T00:00:00Z", "colour=red", "limit=1&limit=2", "cursor=9.1",
             "bbox=%zz"}) {
@@ -178,17 +181,17 @@
     }
 
     @Test
-    public void aPageWhosePartFailsIsWholeOrSaysThatItIsNot() throws Exception {
+    public void namesMissingShardsOrFailsWhenAPartFails() throws Exception {
         var broken = new AtomicBoolean(true);
         Function<String, String> good = pages("a", 5);
-        // fails where its second page is asked for: by then the part may have run
+        // fails at the request for its second page, when the part may already have run
         var bad = server(t -> broken.get() && number(t, "offset") == 2 ? "503" : good.apply(t));
-        start(group(bad, "cell: 0", server(pages("b", 1)), "cell: 1"));
-        assertEquals("below the floor", 502, get("/collections/branches/items").status);
+        start(inventoryOf(bad, "cell: 0", server(pages("b", 1)), "cell: 1"));
+        assertEquals("fewer parts than the class requires", 502, get("/collections/branches/items").status);
         long before = bad.count("/collections/holds-0/items?limit=10&offset=2");
-        assertEquals("the class may not repeat", 502, get("/collections/holds/items").status);
+        assertEquals("the class does not allow repeats", 502, get("/collections/holds/items").status);
         assertEquals(before + 1, bad.count("/collections/holds-0/items?limit=10&offset=2"));
-        // any half of the parts will do: the page says what it lacks, and the next link brings it
+        // half of the parts is enough here: the page names the missing shard, and its next link requests that shard
         Program.await("a page without shard 0", () -> {
             try {
                 var page = get("/collections/quotes/items");
@@ -199,7 +202,7 @@
             }
         });
         broken.set(false);
-        Program.await("the rest", () -> {
+        Program.await("the features of shard 0", () -> {
             try {
                 return ids(get("/collections/quotes/items?limit=9&cursor=0.0").body).size() == 5;
             } catch (IOException e) {
@@ -209,89 +212,90 @@
     }
 
     @Test
-    public void aFailedPartGoesToAnotherHolderWithAllItsPages() throws Exception {
+    public void repeatsAllPagesOfAFailedPartAtAnotherServer() throws Exception {
         var failed = new AtomicBoolean();
         Function<String, String> good = pages("a", 4);
         Function<String, String> firstFails = t -> number(t, "offset") == 2 && failed.compareAndSet(false, true)
                 ? "{\"type\":\"Feat" : good.apply(t);
         var one = server(firstFails);
         var other = server(firstFails);
-        start(group(one, "cell: 0", other, "cell: 0", server(pages("b", 0)), "cell: 1"));
+        start(inventoryOf(one, "cell: 0", other, "cell: 0", server(pages("b", 0)), "cell: 1"));
         assertEquals(List.of("a0-0", "a0-1", "a0-2", "a0-3"), ids(get("/collections/holders/items").body));
-        assertEquals("each had the first page", 2, one.count("/") / 2 + other.count("/") / 2);
+        assertEquals("each server is asked for the first page", 2, one.count("/") / 2 + other.count("/") / 2);
         assertTrue(one.count("/") > 0 && other.count("/") > 0);
     }
 
     @Test
-    public void aServerThatNeverRepliesCostsNoAnswer() throws Exception {
+    public void answersThroughAnotherServerWhenOneNeverReplies() throws Exception {
         var stuck = new AtomicBoolean();
         Function<String, String> good = pages("a", 2);
         Function<String, String> firstHangs = t -> stuck.compareAndSet(false, true) ? null : good.apply(t);
         var one = server(firstHangs);
         var other = server(firstHangs);
-        start(group(one, "cell: 0", other, "cell: 0", server(pages("b", 0)), "cell: 1"));
+        start(inventoryOf(one, "cell: 0", other, "cell: 0", server(pages("b", 0)), "cell: 1"));
         var page = get("/collections/holders/items");
         assertEquals(page.body, 200, page.status);
         assertEquals(List.of("a0-0", "a0-1"), ids(page.body));
         assertEquals(1, one.count("/"));
         assertEquals(1, other.count("/"));
-        Program.await("the first is let go", () -> one.count("closed") + other.count("closed") > 0);
+        Program.await("the connection to the silent server is closed",
+                () -> one.count("closed") + other.count("closed") > 0);
     }
 
     @Test
-    public void theDeadlineIsMetWhereNobodyReplies() throws Exception {
+    public void answersAtTheDeadlineWhenNoServerReplies() throws Exception {
         var stuck = server(t -> null);
-        start(group(stuck, "cell: 0"));
+        start(inventoryOf(stuck, "cell: 0"));
         long sent = System.nanoTime();
         assertEquals(504, get("/collections/holds/items").status);
         assertTrue(System.nanoTime() - sent < TimeUnit.MILLISECONDS.toNanos(2070));
-        assertEquals("may not repeat", 1, stuck.count("/"));
-        Program.await("it is let go", () -> stuck.count("closed") == 1);
-        var refused = get("/collections/branches/items"); // nobody holds shard 1: not even begun in vain
+        assertEquals("the class does not allow repeats", 1, stuck.count("/"));
+        Program.await("the connection to the silent server is closed", () -> stuck.count("closed") == 1);
+        var refused = get("/collections/branches/items"); // no server holds shard 1, so no part is started in vain
         assertTrue("" + refused.status, refused.status == 503 || refused.status == 502 || refused.status == 504);
         assertTrue(refused.header("Retry-After"), Integer.parseInt(refused.header("Retry-After")) > 0);
     }
 
     @Test
-    public void aClientThatLeavesLetsTheServersGo() throws Exception {
+    public void closesServerConnectionsWhenTheClientDisconnects() throws Exception {
         var stuck = server(t -> null);
-        start(group(stuck, "cell: 0"));
+        start(inventoryOf(stuck, "cell: 0"));
         try (var client = new Client(port)) {
             client.send("GET /collections/holds/items HTTP/1.1\r\nHost: h\r\n\r\n");
-            Program.await("the part", () -> stuck.count("/") == 1);
+            Program.await("the part is sent", () -> stuck.count("/") == 1);
         }
         long left = System.nanoTime();
-        Program.await("it is let go", () -> stuck.count("closed") == 1);
+        Program.await("the connection to the server is closed", () -> stuck.count("closed") == 1);
         assertTrue("before the deadline", System.nanoTime() - left < TimeUnit.MILLISECONDS.toNanos(1500));
     }
 
     @Test
-    public void aDrainInTheInventoryHoldsAndABadRowIsNamed() throws Exception {
+    public void drainsServerByInventoryAndNamesInvalidRows() throws Exception {
         var slow = new AtomicBoolean();
-        var working = new AtomicReference<String>();
-        var one = server(t -> work(slow, working, "fs1", t));
-        var other = server(t -> work(slow, working, "fs2", t));
+        var busyServer = new AtomicReference<String>();
+        var one = server(t -> work(slow, busyServer, "fs1", t));
+        var other = server(t -> work(slow, busyServer, "fs2", t));
         String header = "host,address,zone,cell,state\n";
         String rows = "fs1,127.0.0.1:" + one.port() + ",east,0,serving\nfs2,127.0.0.1:" + other.port()
                 + ",west,0,serving\n";
         start("hosts.csv", header + rows);
         assertEquals(200, get("/collections/holds/items").status);
         Files.writeString(inventory, header + rows + "fs3,127.0.0.1:1,east,zero,serving\n");
-        Program.await("the row's name", () -> List.copyOf(program.log).stream()
+        Program.await("the invalid row is logged", () -> List.copyOf(program.log).stream()
                 .anyMatch(l -> l.contains("hosts.csv") && l.contains("fs3") && l.contains("cell")));
-        assertEquals("the last good list stands", 200, get("/collections/holds/items").status);
-        // one drains while it is at work on a part: it finishes that, and gets nothing new
+        assertEquals("the last valid inventory stays in force", 200, get("/collections/holds/items").status);
+        // a server that starts to drain during a part finishes that part and gets no new ones
         slow.set(true);
-        var atWork = new Client(port).send("GET /collections/holds/items HTTP/1.1\r\nHost: h\r\n\r\n");
-        Program.await("a part at work", () -> working.get() != null);
-        Files.writeString(inventory, header + rows.replaceFirst(working.get() + "(.*)serving", working.get()
+        var busyClient = new Client(port).send("GET /collections/holds/items HTTP/1.1\r\nHost: h\r\n\r\n");
+        Program.await("a part is running", () -> busyServer.get() != null);
+        Files.writeString(inventory, header + rows.replaceFirst(busyServer.get() + "(.*)serving", busyServer.get()
                 + "$1draining"));
-        Thread.sleep(700); // it has been told
+        Thread.sleep(700); // by now the program has read the inventory
         slow.set(false);
-        assertEquals(List.of("a0-0"), ids(atWork.answer().body));
-        atWork.close();
+        assertEquals(List.of("a0-0"), ids(busyClient.answer().body));
+        busyClient.close();
         Thread.sleep(1300);
-        StandIn drained = working.get().equals("fs1") ? one : other;
+        StandIn drained = busyServer.get().equals("fs1") ? one : other;
         long before = drained.count("/");
         for (int i = 0; i < 10; i++) {
             assertEquals(200, get("/collections/holds/items").status);
@@ -300,9 +304,9 @@
         assertFalse(one.seen.isEmpty() && other.seen.isEmpty());
     }
 
-    private static String work(AtomicBoolean slow, AtomicReference<String> working, String name, String target) {
+    private static String work(AtomicBoolean slow, AtomicReference<String> busyServer, String name, String target) {
         for (int i = 0; slow.get() && i < 1000; i++) {
-            working.set(name);
+            busyServer.set(name);
             try {
                 Thread.sleep(10);
             } catch (InterruptedException e) {
@@ -313,7 +317,7 @@
     }
 
     @Test
-    public void aPageTooLargeForABodyIsAskedForInSmallerOnes() throws Exception {
+    public void requestsSmallerPagesWhenAPageExceedsTheBodyLimit() throws Exception {
         String filler = "x".repeat(9000);
         var big = server(t -> {
             int from = number(t, "offset");
@@ -326,12 +330,12 @@
             return "{\"type\":\"FeatureCollection\",\"links\":[" + next + "],\"features\":["
                     + String.join(",", page) + "]}";
         });
-        start(group(big, "cell: 0", server(pages("b", 0)), "cell: 1"));
+        start(inventoryOf(big, "cell: 0", server(pages("b", 0)), "cell: 1"));
         var seen = new ArrayList<String>();
         for (String target = "/collections/holders/items?limit=40"; target != null;) {
             var page = get(target);
             assertEquals(page.body, 200, page.status);
-            assertTrue("a body's bound holds for our answers too", page.body.length() <= 64 * 1024);
+            assertTrue("the limit of a body applies also to the front's own answers", page.body.length() <= 64 * 1024);
             seen.addAll(ids(page.body));
             target = next(page.body);
         }
@@ -340,10 +344,10 @@
     }
 
     @Test
-    public void aBodyMayEndWithItsConnection() throws Exception {
+    public void acceptsBodiesThatEndWithTheConnection() throws Exception {
         String page = "{\"type\":\"FeatureCollection\",\"features\":[" + feature("a0-0").replace("3}", "3,\"x\":\""
-                + "x".repeat(30_000) + "\"}") + "]}"; // many times what is read at once
-        start(group(server(t -> "!" + page), "cell: 0"));
+                + "x".repeat(30_000) + "\"}") + "]}"; // many times the size of one read
+        start(inventoryOf(server(t -> "!" + page), "cell: 0"));
         for (int i = 0; i < 3; i++) {
             var answer = get("/collections/holds/items");
             assertEquals(answer.body, 200, answer.status);
@@ -352,7 +356,7 @@
     }
 
     @Test
-    public void aBadFileOfTheFrontNamesItsKey() throws Exception {
+    public void namesLineAndKeyOfInvalidSettings() throws Exception {
         Path config = folder.newFile("bad.yaml").toPath();
         Files.writeString(config, """
                 ogc:
@@ -364,10 +368,10 @@
         Process process = Program.launch("{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":"
                 + Program.SETTINGS + "}", config);
         assertTrue(process.waitFor(15, TimeUnit.SECONDS));
-        String said = new String(process.getErrorStream().readAllBytes(), UTF_8);
-        assertEquals(said, 2, process.exitValue());
-        assertTrue(said, said.contains("line 4: ogc.colections: is unknown; did you mean collections?"));
-        assertTrue("all faults at once: " + said,
-                said.contains("line 5: ogc.collections.x.class: is not in the settings"));
+        String errors = new String(process.getErrorStream().readAllBytes(), UTF_8);
+        assertEquals(errors, 2, process.exitValue());
+        assertTrue(errors, errors.contains("line 4: ogc.colections: is unknown; did you mean collections?"));
+        assertTrue("all faults are reported at once: " + errors,
+                errors.contains("line 5: ogc.collections.x.class: is not in the settings"));
     }
 }
--- a/src/test/java/wallmoor/net/HandOverTest.java
+++ b/src/test/java/wallmoor/net/HandOverTest.java
@@ -13,28 +13,29 @@
 import org.junit.Test;
 
 /**
- * The real program upgraded on one socket while something else is wrong: discovery, the old process, too much to hold.
+ * Guards against lost queries, forgotten bans and exceeded limits when a new process takes over the listening socket
+ * while discovery is down, the old process is paused and killed, or clients send more than the limit allows.
  */
 public class HandOverTest extends HeldFleet {
-    private static final long READY_MILLIS = 2 * 6_000;
-    /** A drain that is told at discovery's return: the settings' grace, and a second for a slow machine. */
-    private static final long OBEYED_MILLIS = 2_000 + 1_000;
-    /** Without a sign for so long a process counts as gone. */
-    private static final long GONE_MILLIS = 1_500;
+    private static final long MAX_READY_MILLIS = 2 * 6_000;
+    /** The time until a drain is in force after discovery returns: the drain grace and a second for a slow machine. */
+    private static final long DRAIN_MILLIS = 2_000 + 1_000;
+    /** The time without a sign of life after which a process counts as gone. */
+    private static final long PROCESS_TIMEOUT_MILLIS = 1_500;
     private static final long SETTLE_MILLIS = 600;
-    /** Of the limit each query takes two: itself and its one part. */
-    private static final int MOST_QUERIES = 15;
+    /** The most queries at once. Each uses two of the limit of open work: the query and its one part. */
+    private static final int MAX_QUERIES = 15;
     private static final long ANSWER_MILLIS = 300;
 
-    private final Queue<Long> arrivals = new ConcurrentLinkedQueue<>();
+    private final Queue<Long> partArrivals = new ConcurrentLinkedQueue<>();
 
     public HandOverTest() {
         super(40);
     }
 
     @Before
-    public void note() {
-        workers.forEach(w -> w.onPart = text -> arrivals.add(System.nanoTime()));
+    public void recordArrivals() {
+        workers.forEach(w -> w.onPart = text -> partArrivals.add(System.nanoTime()));
     }
 
     private String members(String phaseOfFirst) {
@@ -46,8 +47,8 @@
         HeldSocket.Run run = socket.start(temporary, Program.config(name, Program.SEED + name.hashCode(), socket.port,
                 discovery.port(), members("SERVING"), 1024).replace("\"MaxOpen\":60", "\"MaxOpen\":" + maxOpen)
                 .replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"automatic\""));
-        long took = run.awaitReady();
-        assertTrue("a yes after " + took + " ms", took < READY_MILLIS);
+        long readyMillis = run.awaitReady();
+        assertTrue("ready after " + readyMillis + " ms", readyMillis < MAX_READY_MILLIS);
         return run;
     }
 
@@ -60,121 +61,131 @@
         return run.admin().figure("served.all");
     }
 
-    /** The new process is handed no list: it serves by the one it was started with until discovery is back. */
+    /** The new process inherits no discovery list: it uses the one in its configuration until discovery is back. */
     @Test(timeout = 60_000)
-    public void discoveryIsDownOverAnUpgradeAndTellsADrainAtItsReturn() throws Exception {
+    public void servesFromConfiguredListDuringUpgradeWithoutDiscovery() throws Exception {
         HeldSocket.Run old = start("old", 200);
         try (var load = new SteadyLoad(socket.port, 6, 30, List.of("all"), 0, 1)) {
-            awaitUsed("in use before", 0);
+            awaitUsed("worker 0 is used before the upgrade", 0);
             discovery.away = true;
             discovery.reset();
             HeldSocket.Run next = start("next", 200);
-            assertEquals("the list as last known", 4, next.admin().figure("workers_known"));
+            assertEquals("workers of the configured list", 4, next.admin().figure("workers_known"));
             end(old);
             long before = served(next);
-            Program.await("served by the new one alone", () -> served(next) > before + 20);
-            awaitUsed("by the list as last known", 0);
+            Program.await("the new process serves alone", () -> served(next) > before + 20);
+            awaitUsed("worker 0 is used by the new process", 0);
             discovery.opening = "{\"revision\":50,\"complete\":true,\"members\":[" + members("DRAINING") + "]}";
             discovery.away = false;
-            Thread.sleep(OBEYED_MILLIS);
-            assertLeftOut("told at its return, and the grace is over", 0);
+            Thread.sleep(DRAIN_MILLIS);
+            assertLeftOut("parts of worker 0 after discovery reported its drain", 0);
             long then = served(next);
-            Program.await("served by the others", () -> served(next) > then + 20);
+            Program.await("the other workers serve", () -> served(next) > then + 20);
             load.stop();
             assertEquals(load.strange.toString(), 0, load.strange.size());
-            assertEquals("answered once each: " + load.counts(), load.all.size(), load.count(200));
+            assertEquals("queries answered with 200: " + load.counts(), load.all.size(), load.count(200));
         }
     }
 
     /**
-     * It stands still, wakes, is told to leave, stands still again and is killed: its own clients alone lose a thing.
+     * The old process is paused, resumed, asked to terminate, paused again and killed. Only queries on its own
+     * connections may be lost.
      */
     @Test(timeout = 60_000)
-    public void theOldProcessIsPausedHalfWayAndKilledAndABanHolds() throws Exception {
+    public void keepsBansAndOtherQueriesWhenOldProcessIsPausedAndKilled() throws Exception {
         HeldSocket.Run old = start("old", 400);
         try (var load = new SteadyLoad(socket.port, 12, 30, List.of("all", "once"), 0, 1)) {
             HeldSocket.Run next = start("next", 400);
-            Program.await("both serve", () -> servedByAnyone(old) > 10 && servedByAnyone(next) > 10);
-            long stopped = System.nanoTime();
+            Program.await("both processes serve", () -> servedByAnyone(old) > 10 && servedByAnyone(next) > 10);
+            long paused = System.nanoTime();
             old.signal("STOP");
             assertEquals(2, next.admin().putWorkerAction("detach", "w1") / 100);
-            Thread.sleep(GONE_MILLIS);
+            Thread.sleep(PROCESS_TIMEOUT_MILLIS);
             old.signal("CONT");
             Thread.sleep(SETTLE_MILLIS);
-            assertLeftOut("said while the other stood still", 1);
-            long woken = System.nanoTime();
-            assertEquals("all were answered: " + load.counts(), 0, load.broken(0, woken).size());
+            assertLeftOut("parts of worker 1, detached while the old process was paused", 1);
+            long resumed = System.nanoTime();
+            assertEquals("unanswered queries: " + load.counts(), 0, load.broken(0, resumed).size());
             old.signal("TERM");
-            Program.await("told", () -> old.logText().contains("told to leave"));
-            Thread.sleep(SETTLE_MILLIS / 3); // it takes no connection by then, and has not ended
-            long told = System.nanoTime();
+            Program.await("the old process logs its termination", () -> old.logText().contains("told to leave"));
+            Thread.sleep(SETTLE_MILLIS / 3); // by then it accepts no connections and has not ended
+            long terminating = System.nanoTime();
             old.signal("STOP");
             long before = served(next);
-            Program.await("the new one serves", () -> servedByAnyone(next) > before + 20);
-            assertLeftOut("the old one stands still", 1);
+            Program.await("the new process serves", () -> servedByAnyone(next) > before + 20);
+            assertLeftOut("parts of worker 1 while the old process is paused again", 1);
             old.signal("KILL");
             old.end().get(5, TimeUnit.SECONDS);
             long then = served(next);
-            Program.await("the new one serves on", () -> served(next) > then + 50);
-            assertLeftOut("with the new one alone", 1);
+            Program.await("the new process continues to serve", () -> served(next) > then + 50);
+            assertLeftOut("parts of worker 1 after the old process was killed", 1);
             assertEquals(2, next.admin().putWorkerAction("attach", "w1") / 100);
-            awaitUsed("called back", 1);
+            awaitUsed("worker 1 is used after attach", 1);
             load.stop();
             var lost = load.broken(0, System.nanoTime());
             var refused = load.all.stream().filter(a -> a.status() > 0 && a.status() != 200).toList();
-            assertTrue("served, but for what the old one held as it stood still: " + refused, refused.size() <= 12
-                    && refused.stream().allMatch(a -> a.until() > stopped && a.from() < woken));
-            assertTrue("lost with the old one are the connections it had: " + lost, lost.size() <= 12
-                    && lost.stream().allMatch(a -> a.from() < told || a.fault().startsWith("kept")));
-            assertEquals("none came twice", 0, load.strange.size() + twice());
+            assertTrue("refused queries, allowed only while the old process was paused: " + refused,
+                    refused.size() <= 12
+                            && refused.stream().allMatch(a -> a.until() > paused && a.from() < resumed));
+            assertTrue("lost queries, allowed only on connections of the old process: " + lost, lost.size() <= 12
+                    && lost.stream().allMatch(a -> a.from() < terminating || a.fault().startsWith("kept")));
+            assertEquals("parts or answers that came twice", 0, load.strange.size() + countRepeatedParts());
             assertTrue(next.isRunning());
         }
     }
 
-    /** How many parts that may not be repeated came to workers more than once. */
-    private long twice() {
+    /** Returns how many parts of class once the workers received more than once. */
+    private long countRepeatedParts() {
         return workers.stream().flatMap(w -> List.copyOf(w.seen).stream()).filter(s -> s.startsWith("Qonce"))
                 .collect(Collectors.groupingBy(s -> s.split(" ")[0], Collectors.counting())).values().stream()
                 .filter(n -> n > 1).count();
     }
 
-    /** Most parts that workers held at once; each is out for {@link #ANSWER_MILLIS} at least. */
-    private int most(long from) {
-        List<Long> times = arrivals.stream().filter(t -> t >= from).sorted().toList();
-        int most = 0;
+    /**
+     * Returns the most parts that arrived within {@link #ANSWER_MILLIS}, which workers take at least for a part, and
+     * so a lower bound of the most parts in work at once.
+     */
+    private int maxPartsAtOnce(long from) {
+        List<Long> times = partArrivals.stream().filter(t -> t >= from).sorted().toList();
+        int max = 0;
         int first = 0;
         for (int i = 0; i < times.size(); i++) {
             while (times.get(i) - times.get(first) >= TimeUnit.MILLISECONDS.toNanos(ANSWER_MILLIS)) {
                 first++;
             }
-            most = Math.max(most, i - first + 1);
+            max = Math.max(max, i - first + 1);
         }
-        return most;
+        return max;
     }
 
     /**
-     * More ask at once than both may hold: as one, as two, and as the new one alone they hold what the settings allow.
+     * Clients send more queries at once than the limit allows. The old process alone, both processes together, and the
+     * new process alone must each stay within the limit.
      */
     @Test(timeout = 60_000)
-    public void twoProcessesHoldNoMoreTogetherThanTheSettingsAllow() throws Exception {
+    public void processesOnOneSocketShareTheLimitOfOpenQueries() throws Exception {
         workers.forEach(w -> w.delayMillis = id -> ANSWER_MILLIS);
-        HeldSocket.Run old = start("old", 2 * MOST_QUERIES);
-        try (var load = new SteadyLoad(socket.port, 3 * MOST_QUERIES, 100, List.of("all"), 0)) {
-            Program.await("all that one may hold", () -> most(0) > MOST_QUERIES * 2 / 3);
-            HeldSocket.Run next = start("next", 2 * MOST_QUERIES);
-            long both = System.nanoTime();
-            var more = new SteadyLoad(socket.port, 3 * MOST_QUERIES, 100, List.of("all"), 0); // either takes some
-            open.add(0, more);
+        HeldSocket.Run old = start("old", 2 * MAX_QUERIES);
+        try (var load = new SteadyLoad(socket.port, 3 * MAX_QUERIES, 100, List.of("all"), 0)) {
+            Program.await("the old process uses most of the limit", () -> maxPartsAtOnce(0) > MAX_QUERIES * 2 / 3);
+            HeldSocket.Run next = start("next", 2 * MAX_QUERIES);
+            long bothServing = System.nanoTime();
+            // its connections are new, so either process may accept them
+            var moreLoad = new SteadyLoad(socket.port, 3 * MAX_QUERIES, 100, List.of("all"), 0);
+            open.add(0, moreLoad);
             long before = served(old);
-            Program.await("both serve", () -> served(old) > before + 20 && served(next) > 20);
-            assertTrue("two: " + most(both), most(both) > MOST_QUERIES / 2);
+            Program.await("both processes serve", () -> served(old) > before + 20 && served(next) > 20);
+            assertTrue("parts at once with two processes: " + maxPartsAtOnce(bothServing),
+                    maxPartsAtOnce(bothServing) > MAX_QUERIES / 2);
             end(old);
-            long alone = System.nanoTime();
-            Program.await("the new one holds more than a half", () -> most(alone) > MOST_QUERIES * 2 / 3);
+            long newAlone = System.nanoTime();
+            Program.await("the new process uses more than half of the limit",
+                    () -> maxPartsAtOnce(newAlone) > MAX_QUERIES * 2 / 3);
             load.stop();
-            more.stop();
-            assertTrue("too few asked for it to matter: " + load.counts(), load.count(503) > 50);
+            moreLoad.stop();
+            assertTrue("refused queries, too few to show that the limit was reached: " + load.counts(),
+                    load.count(503) > 50);
         }
-        assertTrue("at once: " + most(0), most(0) <= MOST_QUERIES);
+        assertTrue("parts at once: " + maxPartsAtOnce(0), maxPartsAtOnce(0) <= MAX_QUERIES);
     }
 }
--- a/src/test/java/wallmoor/net/HangUpTest.java
+++ b/src/test/java/wallmoor/net/HangUpTest.java
@@ -8,10 +8,10 @@
 import org.junit.Test;
 import wallmoor.standin.Ports;
 
-/** A process that was started with SIGHUP ignored can't be told to read its configuration again, and says so. */
+/** Guards against a reload by SIGHUP that has no effect unnoticed, because the process started with SIGHUP ignored. */
 public class HangUpTest {
     @Test
-    public void whoIsStartedWithTheSignalIgnoredSaysSo() throws Exception {
+    public void warnsAtStartIfSighupIsIgnored() throws Exception {
         var config = java.nio.file.Files.createTempFile("wallmoor", ".json");
         java.nio.file.Files.writeString(config, Program.config("t", Program.SEED, Ports.free(), Ports.free(), "", 128));
         var command = new ArrayList<>(List.of("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
@@ -22,10 +22,10 @@
         List<String> log = Collections.synchronizedList(new ArrayList<>());
         Program.read(process, log);
         try {
-            Program.await("the warning", () -> log.stream().anyMatch(l -> l.contains("SIGHUP is ignored")));
+            Program.await("the warning is logged", () -> log.stream().anyMatch(l -> l.contains("SIGHUP is ignored")));
             Program.signal(process, "HUP");
-            Program.await("serving", () -> log.stream().anyMatch(l -> l.contains("serving as t")));
-            assertTrue("it goes on", process.isAlive());
+            Program.await("the program serves", () -> log.stream().anyMatch(l -> l.contains("serving as t")));
+            assertTrue("process still runs after SIGHUP", process.isAlive());
         } finally {
             process.destroyForcibly().waitFor();
             java.nio.file.Files.delete(config);
--- a/src/test/java/wallmoor/net/HeldFleet.java
+++ b/src/test/java/wallmoor/net/HeldFleet.java
@@ -11,12 +11,10 @@
 import org.junit.Rule;
 import org.junit.rules.TemporaryFolder;
 
-/**
- * Four workers, a list, and the listening socket that one process of a gatherer inherits after another: of its tests.
- */
+/** Four workers, discovery, and the listening socket that successive processes of a gatherer inherit. */
 abstract class HeldFleet {
     private static final int WORKERS = 4;
-    private static final long WATCHED_MILLIS = 500;
+    private static final long OBSERVE_MILLIS = 500;
 
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
@@ -25,22 +23,26 @@
     StandIn.Discovery discovery;
     HeldSocket socket;
     Path temporary;
-    private final int delayMillis;
+    private final int maxExtraDelayMillis;
 
-    /** Workers take 5 ms to answer a part, and less than so many more. */
-    HeldFleet(int delayMillis) {
-        this.delayMillis = delayMillis;
+    /**
+     * Sets how long the workers take for a part.
+     *
+     * @param maxExtraDelayMillis the exclusive bound of the delay that is added to 5 ms
+     */
+    HeldFleet(int maxExtraDelayMillis) {
+        this.maxExtraDelayMillis = maxExtraDelayMillis;
     }
 
     @Before
-    public void standIns() throws Exception {
+    public void startStandIns() throws Exception {
         socket = new HeldSocket();
-        open.add(socket); // ended first, and before what it talks to
+        open.add(socket); // first, so that the processes end before the servers they connect to
         discovery = new StandIn.Discovery();
         open.add(discovery);
         for (int i = 0; i < WORKERS; i++) {
             var worker = new StandIn.Worker(id -> "ok");
-            worker.delayMillis = id -> 5 + Math.floorMod(id.hashCode(), delayMillis);
+            worker.delayMillis = id -> 5 + Math.floorMod(id.hashCode(), maxExtraDelayMillis);
             workers.add(worker);
             open.add(worker);
         }
@@ -49,31 +51,35 @@
 
     @After
     public void stop() throws Exception {
-        for (AutoCloseable o : open) {
-            o.close();
+        for (AutoCloseable resource : open) {
+            resource.close();
         }
     }
 
+    /** Returns the worker's entry of the discovery list. */
     final String member(int worker, String phase) {
         return workers.get(worker).member("w" + worker, worker % 2, phase);
     }
 
+    /** Returns how many parts the worker has received. */
     final long parts(int worker) {
         return workers.get(worker).count("Q");
     }
 
+    /** Checks for a while that the worker receives no parts. */
     final void assertLeftOut(String when, int worker) throws Exception {
         long before = parts(worker);
-        Thread.sleep(WATCHED_MILLIS);
+        Thread.sleep(OBSERVE_MILLIS);
         assertEquals(when, before, parts(worker));
     }
 
+    /** Waits until the worker receives another part. */
     final void awaitUsed(String when, int worker) throws Exception {
         long before = parts(worker);
         Program.await(when, () -> parts(worker) > before);
     }
 
-    /** What a process served, after one query over a new connection, which any process may take. */
+    /** Sends a query over a new connection, which any process may accept, and returns how many this one has served. */
     final long servedByAnyone(HeldSocket.Run run) {
         try {
             Client.post(socket.port, "s" + System.nanoTime(), "all", 1900, 0, 1);
--- a/src/test/java/wallmoor/net/HeldSocket.java
+++ b/src/test/java/wallmoor/net/HeldSocket.java
@@ -19,11 +19,11 @@
 
 /**
  * Holds the clients' listening socket as the platform does: each process that it starts inherits it as descriptor 0.
- * Java can hand no socket to a child, so a few lines of Perl hold it and fork. When the test ends, in whatever way,
- * their input ends, and they end what they have started and is still there.
+ * Java cannot pass a socket to a child process, so a Perl script holds the socket and forks. When the test ends for
+ * any reason, the input of the script ends, and the script kills the processes that still run.
  */
 final class HeldSocket implements AutoCloseable {
-    private static final String HOLDER = """
+    private static final String HOLDER_SCRIPT = """
             use Socket; use POSIX ':sys_wait_h';
             my $s;
             socket($s, PF_INET, SOCK_STREAM, 0) && setsockopt($s, SOL_SOCKET, SO_REUSEADDR, 1)
@@ -51,21 +51,21 @@
 
     final int port;
     private final Process holder;
-    private int count;
-    private final Writer orders;
+    private int startCount;
+    private final Writer commands;
     private final LinkedBlockingQueue<Integer> started = new LinkedBlockingQueue<>();
     private final Map<Integer, CompletableFuture<Integer>> ends = new ConcurrentHashMap<>();
 
     HeldSocket() throws IOException {
-        holder = new ProcessBuilder("perl", "-e", HOLDER).redirectError(ProcessBuilder.Redirect.INHERIT).start();
-        orders = holder.outputWriter();
-        var told = new BufferedReader(new InputStreamReader(holder.getInputStream(), UTF_8));
-        port = Integer.parseInt(String.valueOf(told.readLine()).replace("port ", ""));
-        var reader = new Thread(() -> told.lines().map(l -> l.split(" ")).forEach(w -> {
-            if (w[0].equals("started")) {
-                started.add(Integer.parseInt(w[1]));
+        holder = new ProcessBuilder("perl", "-e", HOLDER_SCRIPT).redirectError(ProcessBuilder.Redirect.INHERIT).start();
+        commands = holder.outputWriter();
+        var events = new BufferedReader(new InputStreamReader(holder.getInputStream(), UTF_8));
+        port = Integer.parseInt(String.valueOf(events.readLine()).replace("port ", ""));
+        var reader = new Thread(() -> events.lines().map(l -> l.split(" ")).forEach(words -> {
+            if (words[0].equals("started")) {
+                started.add(Integer.parseInt(words[1]));
             } else {
-                end(Integer.parseInt(w[1])).complete(Integer.parseInt(w[2]));
+                end(Integer.parseInt(words[1])).complete(Integer.parseInt(words[2]));
             }
         }));
         reader.setDaemon(true);
@@ -77,10 +77,10 @@
     }
 
     /**
-     * Starts the program on the socket with an operators' address of its own, and does not wait for it.
+     * Starts the program on the socket with its own operator port, and does not wait until it is ready.
      *
-     * @param temporary the directory that $TMPDIR names
-     * @param config    as {@link Program#config} makes it
+     * @param temporary the value of TMPDIR for the process
+     * @param config    the configuration, as from {@link Program#config}
      */
     synchronized Run start(Path temporary, String config) throws Exception {
         int admin = Ports.free();
@@ -88,40 +88,44 @@
         Path log = Files.createTempFile("wallmoor", ".log");
         file.toFile().deleteOnExit();
         log.toFile().deleteOnExit();
-        var words = new ArrayList<>(List.of(log.toString(), "env", "ROUTER_INHERITED_FD=0", "TMPDIR=" + temporary,
+        var arguments = new ArrayList<>(List.of(log.toString(), "env", "ROUTER_INHERITED_FD=0", "TMPDIR=" + temporary,
                 "ROUTER_CONFIG=" + file));
-        if (count++ % 2 == 0) { // the first one's address stands in the file, the next one's in the environment
+        if (startCount++ % 2 == 0) { // alternates between the two ways to set the operator address: file, environment
             Files.writeString(file, Program.withAdmin(config, admin));
         } else {
             Files.writeString(file, config);
-            words.add("ROUTER_ADMIN_ADDR=127.0.0.1:" + admin);
+            arguments.add("ROUTER_ADMIN_ADDR=127.0.0.1:" + admin);
         }
-        words.addAll(Program.command());
-        orders.write(String.join("\t", words) + "\n");
-        orders.flush();
+        arguments.addAll(Program.command());
+        commands.write(String.join("\t", arguments) + "\n");
+        commands.flush();
         Integer pid = started.poll(10, TimeUnit.SECONDS);
         if (pid == null) {
-            throw new IllegalStateException("the holder of the socket starts nothing");
+            throw new IllegalStateException("the holder of the socket started no process within 10 s");
         }
         return new Run(pid, file, log, new Admin(admin), end(pid));
     }
 
     @Override
     public void close() throws IOException {
-        orders.close();
+        commands.close();
         holder.onExit().join();
     }
 
-    /** A process on the socket. {@code end} is its wait status once it has ended. */
+    /**
+     * A process on the socket.
+     *
+     * @param end completed with the wait status of the process when it ends
+     */
     record Run(int pid, Path file, Path log, Admin admin, CompletableFuture<Integer> end) {
-        /** Sends a signal, by its name without SIG, unless it has ended. */
+        /** Sends a signal, named without SIG, unless the process has ended. */
         void signal(String name) throws Exception {
             if (!end.isDone()) {
                 new ProcessBuilder("kill", "-" + name, "" + pid).start().waitFor();
             }
         }
 
-        /** Puts another configuration in the place of its own, and says so by SIGHUP. */
+        /** Replaces the configuration of the process and sends SIGHUP. */
         void reload(String config) throws Exception {
             Files.writeString(file, config.isEmpty() ? config : Program.withAdmin(config, admin.port()));
             signal("HUP");
@@ -131,20 +135,21 @@
             return !end.isDone();
         }
 
-        /** Waits for its yes on the operators' address; how long that took, in milliseconds. */
+        /** Waits until the readiness check succeeds, and returns the duration in milliseconds. */
         long awaitReady() throws Exception {
-            long begun = System.nanoTime();
+            long startedNanos = System.nanoTime();
             try {
-                Program.await("a yes", () -> end.isDone() || admin.ready());
+                Program.await("the process is ready", () -> end.isDone() || admin.ready());
             } catch (AssertionError e) {
                 throw new AssertionError(e.getMessage() + "; its log: " + logText(), e);
             }
             if (end.isDone()) {
-                throw new AssertionError("ended with " + end.join() + ": " + logText());
+                throw new AssertionError("process " + pid + " ended with wait status " + end.join() + ": " + logText());
             }
-            return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
+            return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
         }
 
+        /** Returns all that the process has written to its output and error streams. */
         String logText() {
             try {
                 return Files.readString(log);
