--- a/src/main/java/wallmoor/adapter/ActionWriter.java
+++ b/src/main/java/wallmoor/adapter/ActionWriter.java
@@ -3,7 +3,7 @@
 import java.util.HexFormat;
 import wallmoor.decision.RoutingActions;
 
-/** Writes the actions of one gatherer's routing policy as lines of the simulator's wire. */
+/** Writes the actions of one gatherer's routing policy as lines of the simulator's wire protocol. */
 final class ActionWriter implements RoutingActions {
     private static final int ALL_GATHERERS = -1;
 
@@ -19,14 +19,14 @@
         out.write(gatherer, line);
     }
 
-    /** Tells the simulator of an exception that the policy threw. */
-    void writeBug(RuntimeException thrown) {
-        write("BUG " + String.valueOf(thrown).replaceAll("\\s+", " "));
+    /** Reports an exception that the policy threw to the simulator. */
+    void writeBug(RuntimeException exception) {
+        write("BUG " + String.valueOf(exception).replaceAll("\\s+", " "));
     }
 
     @Override
     public void startAttempt(String part, String worker, long giveUpAfter, long beginWithin) {
-        write("ASSIGN " + part + " " + worker + " " + giveUpAfter); // in the simulator an attempt begins at once
+        write("ASSIGN " + part + " " + worker + " " + giveUpAfter); // the simulator begins an attempt at once
     }
 
     @Override
@@ -50,8 +50,8 @@
     }
 
     @Override
-    public void scheduleTimer(long in, String token) {
-        write("SLEEP " + in + " " + token);
+    public void scheduleTimer(long delay, String token) {
+        write("SLEEP " + delay + " " + token);
     }
 
     @Override
--- a/src/main/java/wallmoor/adapter/EventReader.java
+++ b/src/main/java/wallmoor/adapter/EventReader.java
@@ -14,7 +14,7 @@
 import wallmoor.decision.WorkerListKind;
 import wallmoor.decision.WorkerStatus;
 
-/** Reads lines of the simulator's wire as events, and gives them to the routing policy that they are for. */
+/** Reads lines of the simulator's wire protocol as events and delivers them to a gatherer's routing policy. */
 final class EventReader {
     private static final Map<String, AttemptEndReason> END_REASONS = Map.of("ok", AttemptEndReason.OK, "error",
             AttemptEndReason.ERROR, "full", AttemptEndReason.REJECTED, "timeout", AttemptEndReason.TIMEOUT,
@@ -24,57 +24,58 @@
             WorkerStatus.DRAINING, "removed", WorkerStatus.REMOVED);
     private static final Map<String, WorkerListKind> LIST_KINDS = Map.of("patch", WorkerListKind.CHANGES, "whole",
             WorkerListKind.COMPLETE, "stale_copy", WorkerListKind.CACHED, "broken", WorkerListKind.WATCH_FAILED);
-    /** Bits of a query's attributes. */
+    /** The bit of a query's attributes that says that the work hint is valid. */
     private static final int HINT_BIT = 1;
+    /** The bit of a query's attributes that says that the client marks it as a retry. */
     private static final int RETRY_BIT = 2;
 
-    /** The worker lists that the simulator has given, by the number under which events name them. */
-    private final Map<Integer, List<WorkerListEntry>> inventories = new HashMap<>();
+    /** The worker lists that the simulator has sent, by the number with which events refer to them. */
+    private final Map<Integer, List<WorkerListEntry>> workerLists = new HashMap<>();
 
-    /** An entry of a worker list. */
-    static WorkerListEntry entry(MessageLine item) {
+    /** Reads an entry of a worker list. */
+    static WorkerListEntry readEntry(MessageLine item) {
         return new WorkerListEntry(item.text("Leaf"), item.intOr("Hall", 0), item.intOr("ClassOfHost", 0),
                 item.intValue("Position"), item.keyword("StageState", STATUSES), item.doubleOr("Size", 1),
                 item.timeOrAbsent("UpSince"));
     }
 
-    /** Keeps a worker list for later events; one of the same number before it is forgotten. */
+    /** Stores a worker list for later events; replaces an earlier list of the same number. */
     void addInventory(int number, List<WorkerListEntry> entries) {
-        inventories.put(number, List.copyOf(entries));
+        workerLists.put(number, List.copyOf(entries));
     }
 
-    /** Gives the event of this line to a gatherer's policy. */
+    /** Delivers the event of a line to a gatherer's policy. */
     void deliver(MessageLine line, HostedGatherer gatherer, long now) {
         RoutingPolicy policy = gatherer.policy();
         switch (line.name) {
-            case "PEERS_KNOWN" -> workerList(line, policy, now);
-            case "INCOMING" -> arrival(line, policy, now);
-            case "RESOLVED" -> attemptEnd(line, gatherer, now);
+            case "PEERS_KNOWN" -> deliverWorkerList(line, policy, now);
+            case "INCOMING" -> deliverArrival(line, policy, now);
+            case "RESOLVED" -> deliverAttemptEnd(line, gatherer, now);
             case "HANGUP" -> policy.onClientDisconnected(now, line.text("Ticket"));
             case "WAKE" -> policy.onTimer(now, line.text("Nonce"));
             case "SAMPLED" -> {} // the policy sends no health checks
-            case "PEER" -> peerMessage(line, policy, now);
+            case "PEER" -> deliverPeerMessage(line, policy, now);
             case "FLOWING" -> {} // no query class streams its answers
-            default -> throw line.malformed("name", "is no known message");
+            default -> throw line.malformed("name", "is not a known message: " + line.name);
         }
     }
 
-    private void workerList(MessageLine line, RoutingPolicy policy, long now) {
+    private void deliverWorkerList(MessageLine line, RoutingPolicy policy, long now) {
         WorkerListKind kind = line.keyword("Form", LIST_KINDS);
-        line.optional("Gen");
+        line.optionalText("Gen");
         int number = line.intOr("Sheet", 0);
-        List<WorkerListEntry> entries = kind == WorkerListKind.WATCH_FAILED ? List.of() : inventories.get(number);
+        List<WorkerListEntry> entries = kind == WorkerListKind.WATCH_FAILED ? List.of() : workerLists.get(number);
         if (entries == null) {
-            throw line.malformed("Sheet", "names no INVENTORY: " + number);
+            throw line.malformed("Sheet", "refers to an unknown INVENTORY: " + number);
         }
         policy.onWorkerList(now, kind, entries);
     }
 
-    private static void arrival(MessageLine line, RoutingPolicy policy, long now) {
+    private static void deliverArrival(MessageLine line, RoutingPolicy policy, long now) {
         String id = line.text("Ticket");
         int queryClass = line.intOr("Priority", 0);
         int tenant = line.intOr("Realm", 0);
-        String key = line.optional("PartitionKey");
+        String key = line.optionalText("PartitionKey");
         long deadline = line.longValue("Deadline");
         long hint = line.longOr("WorkHint", Absent.VALUE);
         long number = line.longValue("Query");
@@ -93,21 +94,21 @@
         }
     }
 
-    private static void attemptEnd(MessageLine line, HostedGatherer gatherer, long now) {
+    private static void deliverAttemptEnd(MessageLine line, HostedGatherer gatherer, long now) {
         var ended = new AttemptEnded(line.text("Ticket"), line.intValue("Shot"), line.text("Leaf"),
                 line.keyword("How", END_REASONS), line.longOr("CostTime", 0), line.flag("Complete"),
                 line.loadReport("Load", gatherer.columns()));
         gatherer.policy().onAttemptEnded(now, ended);
     }
 
-    private static void peerMessage(MessageLine line, RoutingPolicy policy, long now) {
+    private static void deliverPeerMessage(MessageLine line, RoutingPolicy policy, long now) {
         int sender = line.intValue("Neighbour");
-        String hex = line.optional("Contents");
+        String hex = line.optionalText("Contents");
         byte[] contents;
         try {
             contents = hex == null ? new byte[0] : HexFormat.of().parseHex(hex);
         } catch (IllegalArgumentException e) {
-            throw line.malformed("Contents", "is not hex: " + hex);
+            throw line.malformed("Contents", "is not hexadecimal: " + hex);
         }
         policy.onPeerMessage(now, sender, contents);
     }
--- a/src/main/java/wallmoor/adapter/HostedGatherer.java
+++ b/src/main/java/wallmoor/adapter/HostedGatherer.java
@@ -5,9 +5,9 @@
 import wallmoor.decision.RoutingPolicy;
 
 /**
- * One gatherer that the simulator runs here.
+ * A gatherer of the simulator whose routing policy runs in this process.
  *
- * @param number  by which the simulator names it
- * @param columns what each column of a load report is
+ * @param number  the simulator's number of the gatherer
+ * @param columns the metric of each column of a load report
  */
 record HostedGatherer(int number, RoutingPolicy policy, List<LoadMetric> columns) {}
--- a/src/main/java/wallmoor/adapter/MessageLine.java
+++ b/src/main/java/wallmoor/adapter/MessageLine.java
@@ -7,36 +7,36 @@
 import wallmoor.decision.Absent;
 import wallmoor.decision.LoadMetric;
 
-/** One line of the wire: a message's name and its values, taken in order. */
+/** A line of the wire protocol: a message's name and its values, which are read in order. */
 final class MessageLine {
-    /** Stands for a value that was not given. */
+    /** The text of an absent value. */
     static final String ABSENT = "-";
 
     final String name;
-    private final long number;
+    private final long lineNumber;
     private final String[] values;
-    private int next = 1;
+    private int nextIndex = 1;
 
-    MessageLine(long number, String text) {
-        this.number = number;
+    MessageLine(long lineNumber, String text) {
+        this.lineNumber = lineNumber;
         values = text.split(" ", -1);
         name = values[0];
     }
 
     String text(String field) {
-        String value = optional(field);
+        String value = optionalText(field);
         if (value == null) {
             throw malformed(field, "is absent");
         }
         return value;
     }
 
-    /** The next value, or null where it is absent. */
-    String optional(String field) {
-        if (next >= values.length) {
+    /** Returns the next value, or null if it is absent. */
+    String optionalText(String field) {
+        if (nextIndex >= values.length) {
             throw malformed(field, "is missing");
         }
-        String value = values[next++];
+        String value = values[nextIndex++];
         if (value.isEmpty()) {
             throw malformed(field, "is empty");
         }
@@ -47,9 +47,9 @@
         return longValue(field, text(field));
     }
 
-    long longOr(String field, long otherwise) {
-        String value = optional(field);
-        return value == null ? otherwise : longValue(field, value);
+    long longOr(String field, long defaultValue) {
+        String value = optionalText(field);
+        return value == null ? defaultValue : longValue(field, value);
     }
 
     int intValue(String field) {
@@ -60,14 +60,14 @@
         return (int) value;
     }
 
-    int intOr(String field, int otherwise) {
-        return (int) longOr(field, otherwise);
+    int intOr(String field, int defaultValue) {
+        return (int) longOr(field, defaultValue);
     }
 
-    double doubleOr(String field, double otherwise) {
-        String value = optional(field);
+    double doubleOr(String field, double defaultValue) {
+        String value = optionalText(field);
         try {
-            return value == null ? otherwise : Double.parseDouble(value);
+            return value == null ? defaultValue : Double.parseDouble(value);
         } catch (NumberFormatException e) {
             throw malformed(field, "is not a number: " + value);
         }
@@ -81,62 +81,62 @@
         return value.equals("1");
     }
 
-    /** A value from a table of wire words. */
-    <T> T keyword(String field, Map<String, T> words) {
+    /** Returns the constant that the next value names. */
+    <T> T keyword(String field, Map<String, T> constants) {
         String value = text(field);
-        T found = words.get(value);
-        if (found == null) {
-            throw malformed(field, "is unknown: " + value);
+        T constant = constants.get(value);
+        if (constant == null) {
+            throw malformed(field, "has an unknown value: " + value);
         }
-        return found;
+        return constant;
     }
 
-    /** A load report, in the order of the columns; empty where none came. */
+    /** Returns the load report of the next value by metric; empty if it is absent. */
     Map<LoadMetric, Double> loadReport(String field, List<LoadMetric> columns) {
-        var figures = new EnumMap<LoadMetric, Double>(LoadMetric.class);
-        String row = optional(field);
+        var report = new EnumMap<LoadMetric, Double>(LoadMetric.class);
+        String row = optionalText(field);
         if (row == null) {
-            return figures;
+            return report;
         }
         String[] cells = row.split(",", -1);
         for (int i = 0; i < Math.min(cells.length, columns.size()); i++) {
             if (!cells[i].isEmpty() && !cells[i].equals(ABSENT)) {
                 try {
-                    figures.put(columns.get(i), Double.parseDouble(cells[i]));
+                    report.put(columns.get(i), Double.parseDouble(cells[i]));
                 } catch (NumberFormatException e) {
-                    throw malformed(field, "is not a load report: " + row);
+                    throw malformed(field, "has a column that is not a number: " + row);
                 }
             }
         }
-        return figures;
+        return report;
     }
 
-    /** The values not yet taken, as path=value pairs. */
+    /** Returns the values not yet read, which are path=value pairs. */
     Map<String, String> remainingPairs(String field) {
         var pairs = new HashMap<String, String>();
-        for (; next < values.length; next++) {
-            int equals = values[next].indexOf('=');
+        for (; nextIndex < values.length; nextIndex++) {
+            int equals = values[nextIndex].indexOf('=');
             if (equals < 1) {
-                throw malformed(field, "has no path=value pair in: " + values[next]);
+                throw malformed(field, "has an entry that is not path=value: " + values[nextIndex]);
             }
-            pairs.put(values[next].substring(0, equals), values[next].substring(equals + 1));
+            pairs.put(values[nextIndex].substring(0, equals), values[nextIndex].substring(equals + 1));
         }
         return pairs;
     }
 
-    WireFormatException malformed(String field, String what) {
-        return new WireFormatException("line " + number + ": " + name + " field " + field + " " + what);
+    WireFormatException malformed(String field, String problem) {
+        return new WireFormatException("line " + lineNumber + ": " + name + " field " + field + " " + problem);
     }
 
     private long longValue(String field, String value) {
         try {
             return Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw malformed(field, "is not a whole number: " + value);
+            throw malformed(field, "is not an integer: " + value);
         }
     }
 
-    /** The wire's absent time is absent or 0. */
+    /** Returns the next value as a time; an absent or non-positive value is {@link Absent#VALUE}. */
     long timeOrAbsent(String field) {
         long value = longOr(field, 0);
         return value <= 0 ? Absent.VALUE : value;
--- a/src/main/java/wallmoor/adapter/SimulatorAdapter.java
+++ b/src/main/java/wallmoor/adapter/SimulatorAdapter.java
@@ -15,8 +15,9 @@
 import wallmoor.decision.WorkerListEntry;
 
 /**
- * Hosts the routing policies of many gatherers in one process and speaks the simulator's wire for them. It decides
- * nothing. Events come in batches, each of one moment; the policies decide at its end. Single-threaded.
+ * Hosts the routing policies of many gatherers in one process and connects them to the simulator by its wire protocol.
+ * It makes no decisions. Events come in batches, each for one time; the policies decide at the end of a batch. Not
+ * thread-safe.
  */
 public final class SimulatorAdapter {
     private static final int NO_GATHERER = -1;
@@ -26,16 +27,20 @@
     private final WireOutput out;
     private final EventReader events = new EventReader();
     private final Map<Integer, HostedGatherer> gatherers = new HashMap<>();
-    /** The gatherers that had an event in this batch, in the order of their first one. */
-    private final Set<Integer> withEvents = new LinkedHashSet<>();
+    /** The gatherers with an event in this batch, in the order of their first one. */
+    private final Set<Integer> gatherersWithEvents = new LinkedHashSet<>();
     private long lineNumber;
-    /** The time of the batch: microseconds of the simulator's clock. */
+    /** The time of the batch in microseconds of the simulator's clock. */
     private long now;
     private String round;
-    /** The gatherer that events are for. */
-    private int current = NO_GATHERER;
+    /** The number of the gatherer that receives the next events. */
+    private int currentGatherer = NO_GATHERER;
 
-    /** Makes an adapter; stack traces of a policy that fails go to {@code err}. */
+    /**
+     * Creates an adapter.
+     *
+     * @param err receives the stack traces of exceptions that policies throw
+     */
     public SimulatorAdapter(BufferedReader in, PrintWriter out, PrintStream err) {
         this.in = in;
         this.out = new WireOutput(out);
@@ -43,101 +48,101 @@
     }
 
     /**
-     * Answers batches until the input ends.
+     * Handles batches until the input ends.
      *
-     * @throws WireFormatException if a line can't be read
+     * @throws WireFormatException if a line is malformed
      */
     public void run() throws IOException {
-        for (MessageLine line = read(); line != null; line = read()) {
+        for (MessageLine line = readLine(); line != null; line = readLine()) {
             if (line.name.equals("GO")) {
                 endBatch();
             } else if (!line.name.isEmpty()) {
-                handleGuarded(line);
+                handleAndReportBugs(line);
             }
         }
     }
 
-    private MessageLine read() throws IOException {
+    private MessageLine readLine() throws IOException {
         String text = in.readLine();
         lineNumber++;
         return text == null ? null : new MessageLine(lineNumber, text);
     }
 
-    /** Handles a line; what a policy throws is told to the simulator and ends nothing. */
-    private void handleGuarded(MessageLine line) throws IOException {
+    /** Handles a line. An exception that a policy throws is reported to the simulator, and the run goes on. */
+    private void handleAndReportBugs(MessageLine line) throws IOException {
         try {
             handle(line);
         } catch (WireFormatException e) {
             throw e;
         } catch (RuntimeException e) {
-            reportBug(current, e);
+            reportBug(currentGatherer, e);
         }
     }
 
     private void handle(MessageLine line) throws IOException {
         switch (line.name) {
             case "TURN" -> beginBatch(line);
-            case "SWITCH_TO" -> current = line.intValue("I");
-            case "INVENTORY" -> inventory(line);
+            case "SWITCH_TO" -> currentGatherer = line.intValue("I");
+            case "INVENTORY" -> readInventory(line);
             case "CRASH_NOW" -> {
-                gatherers.remove(current);
-                withEvents.remove(current);
+                gatherers.remove(currentGatherer);
+                gatherersWithEvents.remove(currentGatherer);
             }
-            case "START" -> start(line);
-            default -> event(line);
+            case "START" -> startGatherer(line);
+            default -> deliverEvent(line);
         }
     }
 
     private void beginBatch(MessageLine line) {
         now = line.longValue("AtTime");
         round = line.text("round");
-        withEvents.clear();
-        current = NO_GATHERER;
+        gatherersWithEvents.clear();
+        currentGatherer = NO_GATHERER;
         out.beginBatch();
     }
 
-    private void inventory(MessageLine line) throws IOException {
+    private void readInventory(MessageLine line) throws IOException {
         int number = line.intValue("Sheet");
         int count = line.intValue("Elements");
         var entries = new ArrayList<WorkerListEntry>();
         for (int i = 0; i < count; i++) {
-            MessageLine item = read();
+            MessageLine item = readLine();
             if (item == null || !item.name.equals("ITEM")) {
-                throw line.malformed("Elements", "promises " + count + " ITEM lines, found " + i);
+                throw line.malformed("Elements", "is " + count + ", but only " + i + " ITEM lines follow");
             }
-            entries.add(EventReader.entry(item));
+            entries.add(EventReader.readEntry(item));
         }
         events.addInventory(number, entries);
     }
 
-    private void start(MessageLine line) {
+    private void startGatherer(MessageLine line) {
         long seed = line.longValue("Prng");
         var reader = new SettingsReader(line.remainingPairs("Params"));
         HostedGatherer gatherer;
         try {
-            var policy = new RoutingPolicy(reader.settings(), seed, new ActionWriter(out, current));
-            gatherer = new HostedGatherer(current, policy, reader.columns());
+            var policy = new RoutingPolicy(reader.settings(), seed, new ActionWriter(out, currentGatherer));
+            gatherer = new HostedGatherer(currentGatherer, policy, reader.columns());
         } catch (ConfigException e) {
             throw line.malformed("Params", e.getMessage());
         } catch (IllegalArgumentException | NullPointerException e) {
             throw line.malformed("Params", "is refused: " + e.getMessage());
         }
-        gatherers.put(current, gatherer);
-        withEvents.add(current);
+        gatherers.put(currentGatherer, gatherer);
+        gatherersWithEvents.add(currentGatherer);
         gatherer.policy().onStart(now);
     }
 
-    /** An event for the current gatherer; one that crashed gets none. */
-    private void event(MessageLine line) {
-        HostedGatherer gatherer = gatherers.get(current);
+    /** Delivers an event to the current gatherer, unless it has crashed or was not started. */
+    private void deliverEvent(MessageLine line) {
+        HostedGatherer gatherer = gatherers.get(currentGatherer);
         if (gatherer != null) {
-            withEvents.add(current);
+            gatherersWithEvents.add(currentGatherer);
             events.deliver(line, gatherer, now);
         }
     }
 
     private void endBatch() {
-        for (int number : withEvents) {
+        for (int number : gatherersWithEvents) {
             HostedGatherer gatherer = gatherers.get(number);
             if (gatherer != null) {
                 try {
@@ -150,8 +155,8 @@
         out.endBatch(round);
     }
 
-    private void reportBug(int number, RuntimeException thrown) {
-        thrown.printStackTrace(err);
-        new ActionWriter(out, number).writeBug(thrown);
+    private void reportBug(int gatherer, RuntimeException exception) {
+        exception.printStackTrace(err);
+        new ActionWriter(out, gatherer).writeBug(exception);
     }
 }
--- a/src/main/java/wallmoor/adapter/WireFormatException.java
+++ b/src/main/java/wallmoor/adapter/WireFormatException.java
@@ -1,6 +1,6 @@
 package wallmoor.adapter;
 
-/** A line that can't be read. Its message names the line and the field. */
+/** Thrown when a line of the wire protocol is malformed. Its message names the line and the field. */
 public final class WireFormatException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/wallmoor/adapter/WireOutput.java
+++ b/src/main/java/wallmoor/adapter/WireOutput.java
@@ -2,32 +2,32 @@
 
 import java.io.PrintWriter;
 
-/** Writes the replies to a batch: a line names the gatherer that speaks wherever another one spoke before. */
+/** Writes the replies to a batch. A SOURCE line comes before each run of lines from the same gatherer. */
 final class WireOutput {
-    private static final int NOBODY = -1;
+    private static final int NO_GATHERER = -1;
 
     private final PrintWriter out;
-    private int speaker = NOBODY;
+    private int lastGatherer = NO_GATHERER;
 
     WireOutput(PrintWriter out) {
         this.out = out;
     }
 
-    /** A batch begins: nobody has spoken in it. */
+    /** Begins a batch, in which no gatherer has written a line yet. */
     void beginBatch() {
-        speaker = NOBODY;
+        lastGatherer = NO_GATHERER;
     }
 
-    /** Writes a line of a gatherer. */
+    /** Writes a line from a gatherer. */
     void write(int gatherer, String line) {
-        if (speaker != gatherer) {
-            speaker = gatherer;
+        if (lastGatherer != gatherer) {
+            lastGatherer = gatherer;
             out.print("SOURCE " + gatherer + "\n");
         }
         out.print(line + "\n");
     }
 
-    /** Ends the batch of this round and sends all of it. */
+    /** Ends the batch of a round and flushes the replies. */
     void endBatch(String round) {
         out.print("OK " + round + "\n");
         out.flush();
--- a/src/main/java/wallmoor/adapter/package-info.java
+++ b/src/main/java/wallmoor/adapter/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Hosts decision modules on the simulator's wire, on standard streams. It reads lines into events and writes actions as
- * lines; it decides nothing.
+ * Connects routing policies to the simulator by its wire protocol on standard input and output: reads events from lines
+ * and writes actions as lines. Makes no decisions.
  */
 package wallmoor.adapter;
--- a/src/main/java/wallmoor/json/Json.java
+++ b/src/main/java/wallmoor/json/Json.java
@@ -7,72 +7,74 @@
 import java.util.Map;
 
 /**
- * A small JSON reader on the JDK alone. It reads a slice of a buffer once, into maps, lists, texts, numbers ({@link
- * Long} or {@link Double}), booleans and null. An object knows where it stood, so that it can be passed on as it came.
+ * A small JSON reader without dependencies. It reads a slice of a buffer in one pass into {@link Obj objects}, lists,
+ * strings, numbers ({@link Long} or {@link Double}), booleans and null. An object knows its byte range, so that it can
+ * be forwarded unchanged.
  */
 public final class Json {
-    /** Deeper nesting is refused: the threads that read have small stacks. */
-    private static final int DEEPEST = 64;
+    /** Deeper nesting is rejected, because the threads that parse have small stacks. */
+    private static final int MAX_DEPTH = 64;
 
-    private final byte[] text;
+    private final byte[] buffer;
     private final int end;
-    private int at;
+    /** The index of the next byte to read. */
+    private int position;
 
-    private Json(byte[] text, int from, int length) {
-        this.text = text;
-        this.at = from;
+    private Json(byte[] buffer, int from, int length) {
+        this.buffer = buffer;
+        this.position = from;
         this.end = from + length;
     }
 
-    /** An object and its place in the text. */
+    /** A JSON object and the byte ranges of itself and its members in the buffer. */
     public static final class Obj {
         private final Map<String, Object> members = new LinkedHashMap<>();
         private final Map<String, int[]> places = new LinkedHashMap<>();
         private int start;
         private int end;
 
-        /** A member, or null where it is absent. */
+        /** Returns the value of a member, or null if it is absent or null. */
         public Object get(String name) {
             return members.get(name);
         }
 
-        /** All members, in order. */
+        /** Returns all members in the order of the text. */
         public Map<String, Object> members() {
             return members;
         }
 
-        /** Where each member's value begins in the text, and where it ends. */
+        /** Returns by member name the start of its value in the buffer and the end, which is exclusive. */
         public Map<String, int[]> places() {
             return places;
         }
 
-        /** Where its opening brace stands. */
+        /** Returns the index of the opening brace in the buffer. */
         public int start() {
             return start;
         }
 
-        /** Where the text after it begins. */
+        /** Returns the index after the closing brace in the buffer. */
         public int end() {
             return end;
         }
 
-        /** A text, or null where it is absent or something else. */
+        /** Returns a string member, or null if it is absent or of another type. */
         public String text(String name) {
             return get(name) instanceof String s ? s : null;
         }
 
-        /** A number, or the other where it is absent or something else. */
-        public double number(String name, double otherwise) {
-            return get(name) instanceof Number n ? n.doubleValue() : otherwise;
+        /** Returns a number member, or the default if it is absent or of another type. */
+        public double number(String name, double defaultValue) {
+            return get(name) instanceof Number n ? n.doubleValue() : defaultValue;
         }
 
-        /** A list, or null where it is absent or something else. */
+        /** Returns an array member, or null if it is absent or of another type. */
         public List<?> list(String name) {
             return get(name) instanceof List<?> l ? l : null;
         }
     }
 
-    /** Text that is not JSON. */
+    /** Thrown for text that is not valid JSON. */
     public static final class Malformed extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -81,152 +83,155 @@
         }
     }
 
-    /** Reads one value that fills the slice. */
-    public static Object parse(byte[] text, int from, int length) throws Malformed {
-        var reader = new Json(text, from, length);
+    /** Parses a slice that consists of one value. */
+    public static Object parse(byte[] buffer, int from, int length) throws Malformed {
+        var reader = new Json(buffer, from, length);
         Object value = reader.value(0);
         if (reader.peek() >= 0) {
-            throw reader.bad("more after the value");
+            throw reader.malformed("unexpected content after the value");
         }
         return value;
     }
 
-    /** Reads an object that fills the slice. */
-    public static Obj object(byte[] text, int from, int length) throws Malformed {
-        if (parse(text, from, length) instanceof Obj o) {
+    /** Parses a slice that consists of one object. */
+    public static Obj object(byte[] buffer, int from, int length) throws Malformed {
+        if (parse(buffer, from, length) instanceof Obj o) {
             return o;
         }
-        throw new Malformed("not an object");
+        throw new Malformed("JSON: the value is not an object");
     }
 
-    /** Appends a text as JSON, with its quotes. */
-    public static void quote(StringBuilder to, String s) {
-        to.append('"');
+    /** Appends a string as a quoted and escaped JSON string. */
+    public static void quote(StringBuilder target, String s) {
+        target.append('"');
         for (int i = 0; i < s.length(); i++) {
             char c = s.charAt(i);
             if (c == '"' || c == '\\') {
-                to.append('\\').append(c);
+                target.append('\\').append(c);
             } else if (c < ' ') {
-                to.append(String.format("\\u%04x", (int) c));
+                target.append(String.format("\\u%04x", (int) c));
             } else {
-                to.append(c);
+                target.append(c);
             }
         }
-        to.append('"');
+        target.append('"');
     }
 
     private Object value(int depth) throws Malformed {
-        if (depth > DEEPEST) {
-            throw bad("nested too deeply");
+        if (depth > MAX_DEPTH) {
+            throw malformed("nested deeper than " + MAX_DEPTH + " levels");
         }
         int c = peek();
         return switch (c) {
             case '{' -> object(depth);
             case '[' -> list(depth);
             case '"' -> string();
-            case 't' -> word("true", true);
-            case 'f' -> word("false", false);
-            case 'n' -> word("null", null);
+            case 't' -> literal("true", true);
+            case 'f' -> literal("false", false);
+            case 'n' -> literal("null", null);
             default -> number();
         };
     }
 
     private Obj object(int depth) throws Malformed {
         var object = new Obj();
-        object.start = at++;
+        object.start = position++;
         if (peek() == '}') {
-            at++;
+            position++;
         } else {
             do {
                 if (peek() != '"') {
-                    throw bad("a name is missing");
+                    throw malformed("a member name is missing");
                 }
                 String name = string();
                 expect(':');
                 peek();
-                int from = at;
+                int from = position;
                 object.members.put(name, value(depth + 1));
-                object.places.put(name, new int[] {from, at});
-            } while (another('}'));
+                object.places.put(name, new int[] {from, position});
+            } while (hasNextElement('}'));
         }
-        object.end = at;
+        object.end = position;
         return object;
     }
 
     private List<Object> list(int depth) throws Malformed {
         var list = new ArrayList<Object>();
-        at++;
+        position++;
         if (peek() == ']') {
-            at++;
+            position++;
             return list;
         }
         do {
             list.add(value(depth + 1));
-        } while (another(']'));
+        } while (hasNextElement(']'));
         return list;
     }
 
-    /** Whether a comma follows; else the closing sign must. */
-    private boolean another(char close) throws Malformed {
+    /** Consumes a comma and returns true, or consumes the closing bracket and returns false. */
+    private boolean hasNextElement(char close) throws Malformed {
         int c = peek();
         if (c != ',' && c != close) {
-            throw bad("',' or '" + close + "' is missing");
+            throw malformed("',' or '" + close + "' is missing");
         }
-        at++;
+        position++;
         return c == ',';
     }
 
     private void expect(char c) throws Malformed {
         if (peek() != c) {
-            throw bad("'" + c + "' is missing");
+            throw malformed("'" + c + "' is missing");
         }
-        at++;
+        position++;
     }
 
-    private Object word(String word, Object value) throws Malformed {
-        for (int i = 0; i < word.length(); i++) {
-            if (at + i >= end || text[at + i] != word.charAt(i)) {
-                throw bad("an unknown word");
+    private Object literal(String literal, Object value) throws Malformed {
+        for (int i = 0; i < literal.length(); i++) {
+            if (position + i >= end || buffer[position + i] != literal.charAt(i)) {
+                throw malformed("unknown literal, expected " + literal);
             }
         }
-        at += word.length();
+        position += literal.length();
         return value;
     }
 
     private Object number() throws Malformed {
-        int from = at;
-        boolean whole = true;
-        while (at < end && "+-.0123456789eE".indexOf(text[at]) >= 0) {
-            whole &= text[at] != '.' && text[at] != 'e' && text[at] != 'E';
-            at++;
+        int from = position;
+        boolean isInteger = true;
+        while (position < end && "+-.0123456789eE".indexOf(buffer[position]) >= 0) {
+            isInteger &= buffer[position] != '.' && buffer[position] != 'e' && buffer[position] != 'E';
+            position++;
         }
-        String digits = new String(text, from, at - from, StandardCharsets.ISO_8859_1);
+        String digits = new String(buffer, from, position - from, StandardCharsets.ISO_8859_1);
         if (!isNumber(digits)) {
-            throw bad("not a value");
+            throw malformed("not a JSON value");
         }
-        if (whole && digits.length() <= 18) {
+        if (isInteger && digits.length() <= 18) {
             return Long.parseLong(digits);
         }
         return Double.parseDouble(digits);
     }
 
-    /** {@code -?(0|[1-9][0-9]*)(\.[0-9]+)?([eE][+-]?[0-9]+)?}, without the pattern that each start would make. */
+    /**
+     * Returns whether a text matches {@code -?(0|[1-9][0-9]*)(\.[0-9]+)?([eE][+-]?[0-9]+)?}. It is checked by hand, so
+     * that the program does not compile a pattern at each start.
+     */
     static boolean isNumber(String s) {
         int from = s.startsWith("-") ? 1 : 0;
-        int i = pastDigits(s, from);
+        int i = skipDigits(s, from);
         if (i == from || (i > from + 1 && s.charAt(from) == '0')) {
             return false;
         }
         if (i < s.length() && s.charAt(i) == '.') {
             from = i + 1;
-            i = pastDigits(s, from);
+            i = skipDigits(s, from);
             if (i == from) {
                 return false;
             }
         }
         if (i < s.length() && (s.charAt(i) == 'e' || s.charAt(i) == 'E')) {
             from = i + (i + 1 < s.length() && (s.charAt(i + 1) == '+' || s.charAt(i + 1) == '-') ? 2 : 1);
-            i = pastDigits(s, from);
+            i = skipDigits(s, from);
             if (i == from) {
                 return false;
             }
@@ -234,7 +239,7 @@
         return i == s.length();
     }
 
-    private static int pastDigits(String s, int from) {
+    private static int skipDigits(String s, int from) {
         int i = from;
         while (i < s.length() && s.charAt(i) >= '0' && s.charAt(i) <= '9') {
             i++;
@@ -243,69 +248,72 @@
     }
 
     private String string() throws Malformed {
-        int from = ++at;
-        while (at < end && text[at] != '"' && text[at] != '\\' && (text[at] & 0xff) >= ' ') {
-            at++;
+        int from = ++position;
+        while (position < end && buffer[position] != '"' && buffer[position] != '\\'
+                && (buffer[position] & 0xff) >= ' ') {
+            position++;
         }
-        if (at < end && text[at] == '"') {
-            return new String(text, from, at++ - from, StandardCharsets.UTF_8);
+        if (position < end && buffer[position] == '"') {
+            return new String(buffer, from, position++ - from, StandardCharsets.UTF_8);
         }
-        var made = new java.io.ByteArrayOutputStream();
-        made.write(text, from, at - from);
+        var decoded = new java.io.ByteArrayOutputStream();
+        decoded.write(buffer, from, position - from);
         while (true) {
-            if (at >= end || (text[at] & 0xff) < ' ') {
-                throw bad("a text is not closed");
+            if (position >= end || (buffer[position] & 0xff) < ' ') {
+                throw malformed("unterminated string");
             }
-            byte c = text[at++];
+            byte c = buffer[position++];
             if (c == '"') {
-                return made.toString(StandardCharsets.UTF_8);
+                return decoded.toString(StandardCharsets.UTF_8);
             }
             if (c == '\\') {
-                made.writeBytes(escaped().getBytes(StandardCharsets.UTF_8));
+                decoded.writeBytes(escapeSequence().getBytes(StandardCharsets.UTF_8));
             } else {
-                made.write(c);
+                decoded.write(c);
             }
         }
     }
 
-    private String escaped() throws Malformed {
-        int c = at < end ? text[at++] : -1;
-        int plain = "\"\\/bfnrt".indexOf(c);
-        if (plain >= 0 && c >= 0) {
-            return "\"\\/\b\f\n\r\t".substring(plain, plain + 1);
+    private String escapeSequence() throws Malformed {
+        int c = position < end ? buffer[position++] : -1;
+        int simple = "\"\\/bfnrt".indexOf(c);
+        if (simple >= 0 && c >= 0) {
+            return "\"\\/\b\f\n\r\t".substring(simple, simple + 1);
         }
         if (c != 'u') {
-            throw bad("an unknown escape");
+            throw malformed("unknown escape sequence");
         }
-        char unit = unit();
-        if (Character.isHighSurrogate(unit) && at + 1 < end && text[at] == '\\' && text[at + 1] == 'u') {
-            at += 2;
-            return new String(new char[] {unit, unit()});
+        char unit = codeUnit();
+        if (Character.isHighSurrogate(unit) && position + 1 < end && buffer[position] == '\\'
+                && buffer[position + 1] == 'u') {
+            position += 2;
+            return new String(new char[] {unit, codeUnit()});
         }
         return String.valueOf(unit);
     }
 
-    private char unit() throws Malformed {
+    private char codeUnit() throws Malformed {
         int unit = 0;
         for (int i = 0; i < 4; i++) {
-            int digit = at < end ? Character.digit(text[at++], 16) : -1;
+            int digit = position < end ? Character.digit(buffer[position++], 16) : -1;
             if (digit < 0) {
-                throw bad("an escape is cut short");
+                throw malformed("a Unicode escape needs 4 hexadecimal digits");
             }
             unit = unit << 4 | digit;
         }
         return (char) unit;
     }
 
-    /** The next byte that is not white space, or -1 at the end. */
+    /** Skips white space and returns the next byte without consuming it, or -1 at the end. */
     private int peek() {
-        while (at < end && (text[at] == ' ' || text[at] == '\n' || text[at] == '\r' || text[at] == '\t')) {
-            at++;
+        while (position < end && (buffer[position] == ' ' || buffer[position] == '\n' || buffer[position] == '\r'
+                || buffer[position] == '\t')) {
+            position++;
         }
-        return at < end ? text[at] & 0xff : -1;
+        return position < end ? buffer[position] & 0xff : -1;
     }
 
-    private Malformed bad(String what) {
-        return new Malformed("JSON: " + what + " at byte " + at);
+    private Malformed malformed(String problem) {
+        return new Malformed("JSON: " + problem + " at byte " + position);
     }
 }
--- a/src/main/java/wallmoor/json/package-info.java
+++ b/src/main/java/wallmoor/json/package-info.java
@@ -1,4 +1,4 @@
 /**
- * A small JSON reader on the JDK alone.
+ * A small JSON reader without dependencies.
  */
 package wallmoor.json;
