--- a/src/main/java/wallmoor/json/Json.java
+++ b/src/main/java/wallmoor/json/Json.java
@@ -29,7 +29,7 @@
     /** A JSON object and the byte ranges of itself and its members in the buffer. */
     public static final class Obj {
         private final Map<String, Object> members = new LinkedHashMap<>();
-        private final Map<String, int[]> places = new LinkedHashMap<>();
+        private final Map<String, int[]> memberRanges = new LinkedHashMap<>();
         private int start;
         private int end;
 
@@ -44,8 +44,8 @@
         }
 
         /** Returns by member name the start of its value in the buffer and the end, which is exclusive. */
-        public Map<String, int[]> places() {
-            return places;
+        public Map<String, int[]> memberRanges() {
+            return memberRanges;
         }
 
         /** Returns the index of the opening brace in the buffer. */
@@ -148,7 +148,7 @@
                 peek();
                 int from = position;
                 object.members.put(name, value(depth + 1));
-                object.places.put(name, new int[] {from, position});
+                object.memberRanges.put(name, new int[] {from, position});
             } while (hasNextElement('}'));
         }
         object.end = position;
--- a/src/main/java/wallmoor/ogc/FeatureHandler.java
+++ b/src/main/java/wallmoor/ogc/FeatureHandler.java
@@ -73,7 +73,7 @@
         var document = new ByteArrayOutputStream(feature.length + LINKS_BYTES);
         document.writeBytes(bytes("{" + links.member()));
         try {
-            Json.object(feature, 0, feature.length).places().forEach((name, range) -> {
+            Json.object(feature, 0, feature.length).memberRanges().forEach((name, range) -> {
                 if (!name.equals("links")) {
                     var key = new StringBuilder(",");
                     Json.quote(key, name);
