--- a/src/main/java/wallmoor/Main.java
+++ b/src/main/java/wallmoor/Main.java
@@ -108,7 +108,7 @@
     /** A signal before there is a gatherer is kept for it: the files that it was made by may be those of before. */
     private static void onHangUp() {
         try {
-            boolean heard = HangUp.runs(() -> {
+            boolean heard = HangUp.register(() -> {
                 hungUp = true; // first: whoever sets the gatherer looks here after that
                 Service told = service;
                 if (told != null) {
--- a/src/signals/java/wallmoor/signals/HangUp.java
+++ b/src/signals/java/wallmoor/signals/HangUp.java
@@ -20,7 +20,7 @@
      *
      * @return whether it will be: where the process was started with SIGHUP ignored, as by nohup, it stays so
      */
-    public static boolean runs(Runnable action) {
+    public static boolean register(Runnable action) {
         return Signal.handle(new Signal("HUP"), new HangUp(action)) != SignalHandler.SIG_IGN;
     }
 
