--- a/src/main/java/wallmoor/simulation/GroupSimulation.java
+++ b/src/main/java/wallmoor/simulation/GroupSimulation.java
@@ -17,39 +17,40 @@
 import wallmoor.peers.MembershipProtocol;
 
 /**
- * A group of the real protocol's members on one clock and a network of its own, in one thread: a discrete-event
- * simulation in which the same seed and the same faults give the same run. Never used by {@code serve}. It must not
- * know how the protocol decides. Times are microseconds.
+ * A single-threaded discrete-event simulation of a group whose members run the real membership protocol, with one clock
+ * and a simulated network. The same seed and faults give the same run. It does not depend on how the protocol decides,
+ * and {@code serve} never uses it. Times are microseconds.
  */
 public final class GroupSimulation {
-    /** What the network does to a message. */
+    /** Decides the delay or loss of each message in the network. */
     public interface NetworkLink {
-        /** Microseconds that it is on its way; negative where it is lost. */
+        /** Returns the delay of a message in microseconds; negative if it is lost. */
         long delay(int from, int to, long now, RandomGenerator random);
     }
 
-    /** What the network loses by its content. */
+    /** Decides which messages the network loses because of their content. */
     public interface MessageFilter {
-        /** Whether this message gets lost, whatever the link does. */
+        /** Returns whether a message is lost, regardless of the link. */
         boolean loses(int from, int to, GroupMessage message);
     }
 
-    /** A network that loses nothing and takes from one to five milliseconds. */
+    /** A network without loss, with delays from one to five milliseconds. */
     public static final NetworkLink RELIABLE = (from, to, now, random) -> 1_000 + random.nextLong(4_000);
 
-    /** Makes the protocol of a member that starts. */
+    /** Creates the protocol instance of a member that starts. */
     public interface ProtocolFactory {
-        /** The parameters are those of {@link GroupMembership#GroupMembership}. */
-        MembershipProtocol make(String name, String address, long bootId, List<String> seeds,
+        /** Creates an instance; the parameters are those of {@link GroupMembership#GroupMembership}. */
+        MembershipProtocol create(String name, String address, long bootId, List<String> seeds,
                 MembershipParameters parameters, long seed, MembershipProtocol.Output output);
     }
 
     /**
-     * Something that happens at a time.
+     * An event that is scheduled for a time.
      *
-     * @param order   of events at the same time
-     * @param process the member's process that it is for, or {@link #ANY_PROCESS}
-     * @param message that arrives, or null for a tick
+     * @param order   the rank among events at the same time
+     * @param to      the number of the member that receives it
+     * @param process the process of the member that receives it, or {@link #ANY_PROCESS}
+     * @param message the message that arrives, or null for a tick
      */
     private record ScheduledEvent(long at, long order, int to, int process, GroupMessage message)
             implements
@@ -62,13 +63,13 @@
 
     private final class SimulatedMember implements MembershipProtocol.Output {
         private final int number;
-        /** Counts its processes, one after another. */
+        /** The number of the member's current process; each start and each kill increments it. */
         private int process;
         private boolean isUp;
         private long pausedUntil;
         private MembershipProtocol protocol;
-        /** What came while it was paused: it is read, late, as a socket's buffer would be. */
-        private final List<GroupMessage> unread = new ArrayList<>();
+        /** The messages that arrived during a pause; they are read after it, as from a socket's buffer. */
+        private final List<GroupMessage> unreadMessages = new ArrayList<>();
         private long viewChanges;
 
         SimulatedMember(int number) {
@@ -79,7 +80,7 @@
         public void send(String address, GroupMessage message) {
             int to = number(address);
             sent++;
-            bytes += sizes.applyAsLong(message);
+            bytes += messageSizes.applyAsLong(message);
             boolean isLost = to >= members.length || filter.loses(number, to, message);
             long delay = isLost ? LOST : link.delay(number, to, now, random);
             if (delay >= 0) {
@@ -106,17 +107,17 @@
     private NetworkLink link = RELIABLE;
     private MessageFilter filter = (from, to, message) -> false;
     private long now;
-    private long scheduled;
+    private long scheduledCount;
     private long sent;
     private long bytes;
-    private ToLongFunction<GroupMessage> sizes = m -> 0;
+    private ToLongFunction<GroupMessage> messageSizes = m -> 0;
 
-    /** So many members, none of them started; the first two are everybody's seeds. */
+    /** Creates a simulation of members that are not started; the first two are the seeds of all. */
     public GroupSimulation(int count, MembershipParameters parameters, long seed) {
         this(count, parameters, seed, GroupMembership::new);
     }
 
-    /** The same with another protocol. */
+    /** Creates a simulation as the other constructor does, with another protocol. */
     public GroupSimulation(int count, MembershipParameters parameters, long seed, ProtocolFactory factory) {
         this.parameters = parameters;
         this.factory = factory;
@@ -125,61 +126,61 @@
     }
 
     private void schedule(long at, int to, int process, GroupMessage message) {
-        scheduled++;
-        events.add(new ScheduledEvent(at, scheduled, to, process, message));
+        scheduledCount++;
+        events.add(new ScheduledEvent(at, scheduledCount, to, process, message));
     }
 
-    /** What the network does from now on. */
-    public void setLink(NetworkLink next) {
-        link = next;
+    /** Sets the delay and loss of messages from now on. */
+    public void setLink(NetworkLink newLink) {
+        link = newLink;
     }
 
-    /** What the network loses by its content from now on. */
-    public void setFilter(MessageFilter next) {
-        filter = next;
+    /** Sets which messages are lost because of their content from now on. */
+    public void setFilter(MessageFilter newFilter) {
+        filter = newFilter;
     }
 
-    /** Starts a member with nothing kept. */
+    /** Starts a new process of a member, without any state of an earlier one. */
     public void start(int number) {
         SimulatedMember member = members[number];
         member.process++;
         member.isUp = true;
         member.pausedUntil = 0;
-        member.unread.clear();
-        member.protocol = factory.make(name(number), address(number), now + member.process, SEEDS, parameters,
+        member.unreadMessages.clear();
+        member.protocol = factory.create(name(number), address(number), now + member.process, SEEDS, parameters,
                 random.nextLong(), member);
         member.protocol.onStart(now);
         schedule(now + random.nextLong(parameters.tickInterval()), number, member.process, null);
     }
 
-    /** Starts all of them at once. */
+    /** Starts all members at once. */
     public void startAll() {
         IntStream.range(0, members.length).forEach(this::start);
     }
 
-    /** Kills a member: it says nothing more, and nothing of it is kept. */
+    /** Kills a member's process: it sends nothing more, and its state is lost. */
     public void kill(int number) {
         members[number].isUp = false;
         members[number].process++;
     }
 
-    /** A member is paused for so long. */
+    /** Pauses a member for a time. */
     public void pause(int number, long micros) {
         members[number].pausedUntil = now + micros;
     }
 
-    /** A member leaves with notice. */
+    /** Makes a member leave the group with an announcement. */
     public void leave(int number) {
         members[number].protocol.leave(now);
         kill(number);
     }
 
-    /** Hands a member a message that was made elsewhere, now. */
+    /** Delivers a message that was created outside the simulation to a member now. */
     public void deliver(int number, GroupMessage message) {
         members[number].protocol.onMessage(now, message);
     }
 
-    /** Lets time pass. */
+    /** Runs the simulation for a time. */
     public void run(long micros) {
         long end = now + micros;
         while (!events.isEmpty() && events.peek().at <= end) {
@@ -197,41 +198,41 @@
     private void handle(SimulatedMember member, ScheduledEvent event) {
         boolean isPaused = now < member.pausedUntil;
         if (isPaused && event.message != null) {
-            member.unread.add(event.message);
+            member.unreadMessages.add(event.message);
         } else if (isPaused) {
             schedule(member.pausedUntil, event.to, event.process, null);
         } else if (event.message != null) {
             member.protocol.onMessage(now, event.message);
         } else {
-            member.protocol.onTick(now); // a process that wakes notices that before it reads
-            List<GroupMessage> late = List.copyOf(member.unread);
-            member.unread.clear();
-            late.forEach(message -> member.protocol.onMessage(now, message));
+            member.protocol.onTick(now); // a resumed process notices its pause before it reads messages
+            List<GroupMessage> lateMessages = List.copyOf(member.unreadMessages);
+            member.unreadMessages.clear();
+            lateMessages.forEach(message -> member.protocol.onMessage(now, message));
             schedule(now + parameters.tickInterval(), event.to, event.process, null);
         }
     }
 
-    /** Messages sent so far, lost ones included. */
+    /** Returns the number of messages sent so far, lost ones included. */
     public long sent() {
         return sent;
     }
 
-    /** What a message takes on its way; until then nothing is counted. */
+    /** Sets the size of a message in bytes; {@link #bytes} counts from then on. */
     public void measureSizes(ToLongFunction<GroupMessage> size) {
-        sizes = size;
+        messageSizes = size;
     }
 
-    /** Bytes sent since they were measured, lost ones included. */
+    /** Returns the bytes sent since {@link #measureSizes}, lost messages included. */
     public long bytes() {
         return bytes;
     }
 
-    /** How often a member's view has changed since its start, over all its processes. */
+    /** Returns the number of changes of a member's view, over all its processes. */
     public long viewChanges(int number) {
         return members[number].viewChanges;
     }
 
-    /** The name of a member. */
+    /** Returns the name of a member. */
     public static String name(int number) {
         return "m" + number;
     }
@@ -240,44 +241,44 @@
         return "a" + number;
     }
 
-    /** The number of the member that has this name, or this address. */
-    public static int number(String name) {
-        return Integer.parseInt(name.substring(1));
+    /** Returns the number of the member with a name or an address. */
+    public static int number(String nameOrAddress) {
+        return Integer.parseInt(nameOrAddress.substring(1));
     }
 
-    /** A member's view. */
+    /** Returns a member's view of the group. */
     public GroupView view(int number) {
         return members[number].protocol.view();
     }
 
-    /** The members that a member holds to be in this state, by name. */
+    /** Returns the names of the members that are in a state according to a member's view. */
     public List<String> membersIn(int number, GroupView.MemberState state) {
         return view(number).members().stream().filter(m -> m.state() == state).map(GroupView.Member::name).toList();
     }
 
-    /** Whether all that are up hold the same members alive in the same incarnations, and nobody else. */
+    /** Returns whether the views of all running members hold exactly these members alive, with equal incarnations. */
     public boolean hasConverged() {
-        Map<String, Long> agreed = null;
+        Map<String, Long> commonIncarnations = null;
         for (SimulatedMember member : members) {
             if (!member.isUp) {
                 continue;
             }
-            Map<String, Long> incarnations = incarnationsOfAllUp(member.protocol.view());
-            if (incarnations == null || (agreed != null && !agreed.equals(incarnations))) {
+            Map<String, Long> incarnations = incarnationsOfMembersUp(member.protocol.view());
+            if (incarnations == null || (commonIncarnations != null && !commonIncarnations.equals(incarnations))) {
                 return false;
             }
-            agreed = incarnations;
+            commonIncarnations = incarnations;
         }
         return true;
     }
 
-    /** Incarnations by name, or null where the view does not hold just those alive that are up. */
-    private Map<String, Long> incarnationsOfAllUp(GroupView view) {
+    /** Returns incarnations by name, or null unless the view holds exactly the running members alive. */
+    private Map<String, Long> incarnationsOfMembersUp(GroupView view) {
         var incarnations = new HashMap<String, Long>();
-        for (GroupView.Member seen : view.members()) {
-            if (seen.state() == GroupView.MemberState.ALIVE && members[number(seen.name())].isUp) {
-                incarnations.put(seen.name(), seen.incarnation());
-            } else if (seen.isPresent()) {
+        for (GroupView.Member other : view.members()) {
+            if (other.state() == GroupView.MemberState.ALIVE && members[number(other.name())].isUp) {
+                incarnations.put(other.name(), other.incarnation());
+            } else if (other.isPresent()) {
                 return null;
             }
         }
@@ -285,15 +286,15 @@
         return incarnations.size() == up ? incarnations : null;
     }
 
-    /** Runs until all agree, for at most so long; the time it took, or -1. */
-    public long runUntilConverged(long most) {
-        long begun = now;
-        while (now - begun < most) {
+    /** Runs until {@link #hasConverged}, for at most {@code maxMicros}; returns the time that it took, or -1. */
+    public long runUntilConverged(long maxMicros) {
+        long startedAt = now;
+        while (now - startedAt < maxMicros) {
             if (hasConverged()) {
-                return now - begun;
+                return now - startedAt;
             }
             run(parameters.tickInterval());
         }
-        return hasConverged() ? now - begun : NOT_CONVERGED;
+        return hasConverged() ? now - startedAt : NOT_CONVERGED;
     }
 }
--- a/src/main/java/wallmoor/simulation/InvariantChecker.java
+++ b/src/main/java/wallmoor/simulation/InvariantChecker.java
@@ -6,45 +6,48 @@
 import java.util.TreeMap;
 
 /**
- * Checks a history of acts against the promise of the rules, apart from what made the history (as Jepsen's checkers).
- * An actor acts on an active version in full, and respects the restrictions of all versions up to a latest one. For
- * each version there is a first time at which somebody respects it, a first at which somebody acts on it in full, and a
- * last at which somebody acts who does not respect it. Times are microseconds of one clock.
+ * Checks a history of acts against the guarantee of the rules, independently of the code that produced the history, as
+ * Jepsen's checkers do. An actor acts on an active version in full and respects the restrictions of all versions up to
+ * its latest one. For each version there is a first time at which an actor respects it, a first time at which an actor
+ * acts on it in full, and a last time at which an actor acts without respecting it. Times are microseconds of one
+ * clock.
  */
 public final class InvariantChecker {
     private record OngoingAct(long activeVersion, long latestVersion, long from, long until) {}
 
     private final TreeMap<Long, Long> firstRespected = new TreeMap<>();
     private final TreeMap<Long, Long> firstActive = new TreeMap<>();
-    /** By latest version respected, when somebody last acted so. */
+    /** By latest version respected, the last time at which an actor with that latest version acted. */
     private final TreeMap<Long, Long> lastActed = new TreeMap<>();
-    private final Map<Integer, OngoingAct> ongoing = new HashMap<>();
+    private final Map<Integer, OngoingAct> ongoingActs = new HashMap<>();
     private long totalActing;
 
     /**
-     * From this time on an actor acts so, until {@code until} or until another call for it.
+     * Records that an actor acts on a version from a time, until {@code until} or until the next call for the actor.
      *
-     * @param activeVersion the version it acts on in full; 0 for none
-     * @param latestVersion the latest version it respects
-     * @param until         when it stops by itself
+     * @param actor         the number of the actor
+     * @param at            the time from which it acts
+     * @param activeVersion the version that it acts on in full; 0 for none
+     * @param latestVersion the latest version that it respects
+     * @param until         the time at which it stops without another call
      */
-    public void startedActing(int who, long at, long activeVersion, long latestVersion, long until) {
-        OngoingAct before = ongoing.get(who);
-        if (before != null && before.activeVersion == activeVersion && before.latestVersion == latestVersion
-                && before.until == until) {
+    public void startedActing(int actor, long at, long activeVersion, long latestVersion, long until) {
+        OngoingAct previous = ongoingActs.get(actor);
+        if (previous != null && previous.activeVersion == activeVersion && previous.latestVersion == latestVersion
+                && previous.until == until) {
             return;
         }
-        stoppedActing(who, at);
+        stoppedActing(actor, at);
         if (until > at) {
-            ongoing.put(who, new OngoingAct(activeVersion, latestVersion, at, until));
+            ongoingActs.put(actor, new OngoingAct(activeVersion, latestVersion, at, until));
             firstRespected.merge(latestVersion, at, Math::min);
             firstActive.merge(activeVersion, at, Math::min);
         }
     }
 
-    /** From this time on the actor does not act. */
-    public void stoppedActing(int who, long at) {
-        OngoingAct act = ongoing.remove(who);
+    /** Records that an actor does not act from a time on. */
+    public void stoppedActing(int actor, long at) {
+        OngoingAct act = ongoingActs.remove(actor);
         if (act != null) {
             long end = Math.min(at, act.until);
             lastActed.merge(act.latestVersion, end, Math::max);
@@ -54,27 +57,27 @@
 
     /** Ends the history: all actors stop. */
     public void end(long at) {
-        for (int who : Map.copyOf(ongoing).keySet()) {
-            stoppedActing(who, at);
+        for (int actor : Map.copyOf(ongoingActs).keySet()) {
+            stoppedActing(actor, at);
         }
     }
 
-    /** Returns for how long all actors together have acted; after {@link #end}. */
+    /** Returns the sum of the times for which actors have acted. To be called after {@link #end}. */
     public long totalActing() {
         return totalActing;
     }
 
     /**
-     * Returns for how long at most somebody acted without respecting a version that another respected already; after
-     * {@link #end}. 0 or less means never.
+     * Returns the longest time for which an actor acted without respecting a version that another actor respected
+     * already; 0 or less means never. To be called after {@link #end}.
      */
     public long longestContradiction() {
         return longestAfter(firstRespected);
     }
 
     /**
-     * Returns for how long at most somebody acted without respecting a version that another acted on in full; after
-     * {@link #end}. 0 or less means never.
+     * Returns the longest time for which an actor acted without respecting a version that another actor acted on in
+     * full already; 0 or less means never. To be called after {@link #end}.
      */
     public long longestOverlap() {
         return longestAfter(firstActive);
@@ -83,7 +86,7 @@
     private long longestAfter(NavigableMap<Long, Long> firstTimes) {
         long longest = Long.MIN_VALUE;
         long earliest = Long.MAX_VALUE;
-        // who respects a later version respects this one too, so the first time of this and all later ones counts
+        // an actor that respects a later version respects this one too: take the earliest of this and later versions
         for (long version : firstTimes.descendingKeySet()) {
             earliest = Math.min(earliest, firstTimes.get(version));
             for (long end : lastActed.headMap(version, false).values()) {
--- a/src/main/java/wallmoor/simulation/RuleSimulation.java
+++ b/src/main/java/wallmoor/simulation/RuleSimulation.java
@@ -17,12 +17,12 @@
 import wallmoor.rules.VersionChain;
 
 /**
- * Simulation of gatherers that agree on one document, {@link #NAME}, with the real deciders of {@code wallmoor.rules};
- * the first few nodes are voters as well. It owns what survives a process, which is each node's simulated disk, and
- * reports what nodes act on to an {@link InvariantChecker}. Times are microseconds.
+ * A simulation of gatherers that agree on one document, {@link #NAME}, with the real state machines of
+ * {@code wallmoor.rules}; the first nodes are voters as well. It owns each node's simulated disk, which survives the
+ * node's processes, and reports to an {@link InvariantChecker} which versions nodes act on. Times are microseconds.
  */
 public final class RuleSimulation implements SimulatedCluster.ProcessListener {
-    /** Name of the document. */
+    /** The name of the document. */
     public static final String NAME = "settings";
 
     private final LeaseTiming timing;
@@ -34,32 +34,32 @@
     private final InvariantChecker checker = new InvariantChecker();
     private final SimulatedGatherer[] gatherers;
     private final SimulatedVoter[] voters;
-    /** By node, the versions on its disk. */
+    /** By node, the versions on its simulated disk. */
     private final List<List<VersionChain>> storedVersions = new ArrayList<>();
-    /** By voter, how many entries of the log are on its disk. */
-    private final int[] storedEntries;
-    /** Follows the log itself, ahead of every voter. */
-    private final RuleStateMachine decided;
-    private int decidedEntries;
+    /** By voter, the number of log entries on its simulated disk. */
+    private final int[] storedEntryCounts;
+    /** Applies all committed entries of the log, including those that no voter has applied yet. */
+    private final RuleStateMachine committedState;
+    private int appliedEntryCount;
     private long rejections;
     private long denials;
 
     /**
      * Creates a simulation in which no process runs yet.
      *
-     * @param tick      microseconds between two ticks of a process
-     * @param lateShare share of the log's notices that take up to three seconds
+     * @param tickMicros microseconds between two ticks of a process
+     * @param lateShare  the share of the log's notices that take up to three seconds
      */
-    public RuleSimulation(int voterCount, int nodes, LeaseTiming timing, long tick, double lateShare, long seed) {
+    public RuleSimulation(int voterCount, int nodes, LeaseTiming timing, long tickMicros, double lateShare, long seed) {
         this.timing = timing;
         this.voterCount = voterCount;
         voterNames = IntStream.range(0, voterCount).mapToObj(RuleSimulation::nameOf).toList();
-        cluster = new SimulatedCluster(nodes, tick, seed, this);
+        cluster = new SimulatedCluster(nodes, tickMicros, seed, this);
         log = new SimulatedLog(cluster, voterCount, lateShare);
         gatherers = new SimulatedGatherer[nodes];
         voters = new SimulatedVoter[voterCount];
-        storedEntries = new int[voterCount];
-        decided = new RuleStateMachine(voterNames);
+        storedEntryCounts = new int[voterCount];
+        committedState = new RuleStateMachine(voterNames);
         IntStream.range(0, nodes).forEach(node -> storedVersions.add(List.of()));
     }
 
@@ -71,12 +71,12 @@
         return Integer.parseInt(name.substring(1));
     }
 
-    /** Returns the processes' clocks and network. */
+    /** Returns the simulated processes, clocks and network. */
     public SimulatedCluster cluster() {
         return cluster;
     }
 
-    /** Returns what checks the nodes' acts. */
+    /** Returns the checker of the nodes' acts. */
     public InvariantChecker checker() {
         return checker;
     }
@@ -109,12 +109,12 @@
         storedVersions.set(node, versions);
     }
 
-    int storedEntries(int voter) {
-        return storedEntries[voter];
+    int storedEntryCount(int voter) {
+        return storedEntryCounts[voter];
     }
 
-    void storeEntries(int voter, int count) {
-        storedEntries[voter] = count;
+    void storeEntryCount(int voter, int count) {
+        storedEntryCounts[voter] = count;
     }
 
     void countRejection() {
@@ -125,7 +125,7 @@
         denials++;
     }
 
-    /** Starts a node's process, or ends it and starts another. */
+    /** Starts a node's process, after ending the one that runs. */
     public void start(int node) {
         cluster.start(node, incarnation -> {
             if (node >= voterCount) {
@@ -144,19 +144,19 @@
         IntStream.range(0, gatherers.length).forEach(this::start);
     }
 
-    /** Loses the versions on a node's disk; to be called before the node is started again. */
+    /** Erases the versions on a node's disk. To be called before the node is restarted. */
     public void loseStoredVersions(int node) {
         storedVersions.set(node, List.of());
     }
 
-    /** Has a voter stand for election. */
+    /** Makes a voter stand for election. */
     public void elect(int voter) {
         if (cluster.isRunning(voter) && log.elect(voter)) {
             voters[voter].onElected(cluster.localTime(voter, cluster.now()));
         }
     }
 
-    /** Has a voter that believes it leads propose a version on the latest that it knows; false if there is none. */
+    /** Makes a voter that believes it leads propose a successor of its latest version; false if there is none. */
     public boolean propose(String body, String fallback) {
         for (int voter = 0; voter < voterCount; voter++) {
             if (cluster.isRunning(voter) && log.believesItLeads(voter)) {
@@ -170,26 +170,26 @@
         return false;
     }
 
-    /** Returns the rule in effect at a node now. */
+    /** Returns the rule in effect at a node at the current time. */
     public EffectiveRule effectiveRule(int node) {
         return gatherers[node].holder().snapshot().effectiveRule(cluster.localTime(node, cluster.now()), NAME);
     }
 
-    /** Returns the latest accepted version by the log itself, or 0. */
+    /** Returns the latest version that the committed entries of the log accept, or 0. */
     public long latestAccepted() {
-        for (; decidedEntries < log.entries().size(); decidedEntries++) {
-            decided.apply(log.entries().get(decidedEntries));
+        for (; appliedEntryCount < log.entries().size(); appliedEntryCount++) {
+            committedState.apply(log.entries().get(appliedEntryCount));
         }
-        RuleDocument latest = decided.latestAccepted(NAME);
+        RuleDocument latest = committedState.latestAccepted(NAME);
         return latest == null ? 0 : latest.version();
     }
 
-    /** Returns how many proposals were rejected, counted at each voter. */
+    /** Returns the number of rejected proposals, counted once for each voter. */
     public long rejections() {
         return rejections;
     }
 
-    /** Returns how many lease requests were denied. */
+    /** Returns the number of denied lease requests. */
     public long denials() {
         return denials;
     }
--- a/src/main/java/wallmoor/simulation/SimulatedCluster.java
+++ b/src/main/java/wallmoor/simulation/SimulatedCluster.java
@@ -9,41 +9,45 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * Discrete-event simulation of processes of any kind in one thread: one true time, a clock for each node that may drift
- * from it, and a network. The same seed and faults give the same run. It knows nothing of what its processes decide,
- * and {@code serve} never uses it. Times are microseconds.
+ * A single-threaded discrete-event simulation of processes of any kind: one true time, a clock for each node that may
+ * drift from it, and a network. The same seed and faults give the same run. It does not depend on the logic of its
+ * processes, and {@code serve} never uses it. Times are microseconds.
  */
 public final class SimulatedCluster {
-    /** A node's process. Times are those of its own clock. */
+    /** A node's process. Its times are those of the node's own clock. */
     public interface SimulatedProcess {
-        /** A message has come. */
+        /** Handles a message that arrives. */
         void onMessage(long now, int from, Object message);
 
-        /** Time has passed. */
+        /** Handles a tick, which comes at a regular interval. */
         void onTick(long now);
     }
 
     /** Observes processes, at true times. */
     public interface ProcessListener {
-        /** The process has handled an event at this time, and runs on. */
+        /** Called when a process has started, has handled an event, or is about to handle the events of a pause. */
         void onStep(int node, long at);
 
-        /** The process is paused or has ended from this time on. */
+        /** Called when a process has been paused or has ended. */
         void onStopped(int node, long at);
     }
 
-    /** {@code order} keeps events of one time in the order in which they were scheduled. */
+    /**
+     * An event that is scheduled for a true time.
+     *
+     * @param order the rank among events of the same time, which is the order of scheduling
+     */
     private record QueuedEvent(long at, long order, int to, int incarnation, int from, Object message) {}
 
     private static final class SimulatedHost {
         SimulatedProcess process;
         int incarnation;
-        boolean up;
+        boolean isUp;
         double clockRate = 1;
         long clockOffset;
         long pausedUntil = Long.MIN_VALUE;
-        /** What came while the process was paused. */
-        final List<QueuedEvent> unread = new ArrayList<>();
+        /** The events that arrived while the process was paused. */
+        final List<QueuedEvent> unreadEvents = new ArrayList<>();
     }
 
     private static final int ANY_INCARNATION = -1;
@@ -57,12 +61,12 @@
     private final ProcessListener listener;
     private GroupSimulation.NetworkLink link = GroupSimulation.RELIABLE;
     private long now;
-    private long eventCount;
+    private long scheduledCount;
 
     /**
      * Creates hosts without processes.
      *
-     * @param tickMicros between two ticks of a process
+     * @param tickMicros microseconds between two ticks of a process
      */
     public SimulatedCluster(int hostCount, long tickMicros, long seed, ProcessListener listener) {
         this.tickMicros = tickMicros;
@@ -84,69 +88,70 @@
         return random;
     }
 
-    /** Sets what the network does with each message from now on. */
-    public void setLink(GroupSimulation.NetworkLink next) {
-        link = next;
+    /** Sets the delay and loss of messages from now on. */
+    public void setLink(GroupSimulation.NetworkLink newLink) {
+        link = newLink;
     }
 
-    /** Sets the rate of a node's clock and what it shows at true time 0; to be called before the node's first start. */
+    /** Sets the rate of a node's clock and its time at true time 0. To be called before the node's first start. */
     public void setClock(int node, double rate, long offset) {
         hosts[node].clockRate = rate;
         hosts[node].clockOffset = offset;
     }
 
-    /** Returns what a node's clock shows at a true time. */
+    /** Returns the time of a node's clock at a true time. */
     public long localTime(int node, long at) {
         return hosts[node].clockOffset + (long) (at * hosts[node].clockRate);
     }
 
-    /** Returns the latest true time at which a node's clock shows this. */
+    /** Returns the latest true time that corresponds to a time of a node's clock. */
     public long latestTrueTime(int node, long local) {
         return (long) Math.ceil((local - hosts[node].clockOffset) / hosts[node].clockRate);
     }
 
-    /** Starts a process on a node, after ending the one there. The factory gets the process's incarnation. */
+    /** Starts a process on a node, after ending the one that runs. The factory receives the process's incarnation. */
     public void start(int node, IntFunction<SimulatedProcess> factory) {
         SimulatedHost host = hosts[node];
         kill(node);
         host.incarnation++;
-        host.up = true;
+        host.isUp = true;
         host.pausedUntil = Long.MIN_VALUE;
-        host.unread.clear();
+        host.unreadEvents.clear();
         host.process = factory.apply(host.incarnation);
         schedule(now + 1 + random.nextLong(tickMicros), node, host.incarnation, node, TICK);
         listener.onStep(node, now);
     }
 
-    /** Ends a process; what was on its way to it is lost. */
+    /** Ends a process. Messages that arrive before the next start are lost. */
     public void kill(int node) {
-        if (hosts[node].up) {
-            hosts[node].up = false;
+        if (hosts[node].isUp) {
+            hosts[node].isUp = false;
             listener.onStopped(node, now);
         }
     }
 
-    /** Pauses a process for so long; its clock goes on. */
+    /** Pauses a process for a time; its clock goes on. */
     public void pause(int node, long micros) {
         SimulatedHost host = hosts[node];
-        if (host.up) {
+        if (host.isUp) {
             host.pausedUntil = Math.max(host.pausedUntil, now + micros);
             listener.onStopped(node, now);
-            schedule(host.pausedUntil, node, host.incarnation, node, null); // wakes it
+            // an event without a message resumes the process
+            schedule(host.pausedUntil, node, host.incarnation, node, null);
         }
     }
 
-    /** Returns whether there is a process that has not ended; it may be paused. */
+    /** Returns whether a node has a process; it may be paused. */
     public boolean isUp(int node) {
-        return hosts[node].up;
+        return hosts[node].isUp;
     }
 
-    /** Returns whether there is a process that is not paused. */
+    /** Returns whether a node has a process that is not paused. */
     public boolean isRunning(int node) {
-        return hosts[node].up && now >= hosts[node].pausedUntil;
+        return hosts[node].isUp && now >= hosts[node].pausedUntil;
     }
 
-    /** Returns whether a message would get through now. */
+    /** Returns whether the network would deliver a message now; draws a random delay or loss for it. */
     public boolean reaches(int from, int to) {
         return from == to || link.delay(from, to, now, random) >= 0;
     }
@@ -159,16 +164,16 @@
         }
     }
 
-    /** Delivers a message to a process after a time, past the network; it is lost if the process ends. */
+    /** Delivers a message to a process after a time, without the network. It is lost if the process ends before. */
     public void deliverLater(int node, long micros, Object message) {
         schedule(now + micros, node, hosts[node].incarnation, node, message);
     }
 
     private void schedule(long at, int to, int incarnation, int from, Object message) {
-        events.add(new QueuedEvent(at, ++eventCount, to, incarnation, from, message));
+        events.add(new QueuedEvent(at, ++scheduledCount, to, incarnation, from, message));
     }
 
-    /** Runs the simulation for so long. */
+    /** Runs the simulation for a time. */
     public void run(long micros) {
         long end = now + micros;
         while (!events.isEmpty() && events.peek().at <= end) {
@@ -180,29 +185,29 @@
     }
 
     private void deliver(SimulatedHost host, QueuedEvent event) {
-        if (!host.up || (event.incarnation != ANY_INCARNATION && event.incarnation != host.incarnation)) {
+        if (!host.isUp || (event.incarnation != ANY_INCARNATION && event.incarnation != host.incarnation)) {
             return;
         }
         if (now < host.pausedUntil) {
-            host.unread.add(event);
-        } else if (host.unread.isEmpty()) {
+            host.unreadEvents.add(event);
+        } else if (host.unreadEvents.isEmpty()) {
             handle(host, event);
         } else {
-            host.unread.add(event);
-            wake(host, event.to);
+            host.unreadEvents.add(event);
+            resume(host, event.to);
         }
     }
 
-    /** Handles what came during a pause, in an order that is drawn, as threads of a real process would have it. */
-    private void wake(SimulatedHost host, int node) {
-        List<QueuedEvent> late = List.copyOf(host.unread);
-        host.unread.clear();
-        listener.onStep(node, now); // it may act before it hears of anything
+    /** Handles the events of a pause in a random order, as the threads of a real process may. */
+    private void resume(SimulatedHost host, int node) {
+        List<QueuedEvent> pausedEvents = List.copyOf(host.unreadEvents);
+        host.unreadEvents.clear();
+        listener.onStep(node, now); // the process may act before it handles an event
         if (random.nextBoolean()) {
-            late.stream().filter(event -> event.message == TICK).forEach(event -> handle(host, event));
-            late.stream().filter(event -> event.message != TICK).forEach(event -> handle(host, event));
+            pausedEvents.stream().filter(event -> event.message == TICK).forEach(event -> handle(host, event));
+            pausedEvents.stream().filter(event -> event.message != TICK).forEach(event -> handle(host, event));
         } else {
-            late.forEach(event -> handle(host, event));
+            pausedEvents.forEach(event -> handle(host, event));
         }
     }
 
--- a/src/main/java/wallmoor/simulation/SimulatedGatherer.java
+++ b/src/main/java/wallmoor/simulation/SimulatedGatherer.java
@@ -6,13 +6,14 @@
 import wallmoor.rules.LeaseMessage.LeaseRequest;
 import wallmoor.rules.LeaseMessage.VersionUpdate;
 
-/** A simulated gatherer: the real {@link LeaseHolder}, its simulated disk, and the voter it takes for the leader. */
+/** A simulated gatherer: the real {@link LeaseHolder}, its simulated disk, and the voter that it presumes to lead. */
 final class SimulatedGatherer implements SimulatedCluster.SimulatedProcess {
     private final RuleSimulation simulation;
     private final int node;
     private final LeaseHolder holder;
     private int presumedLeader;
-    private boolean answered = true;
+    /** Whether the presumed leader has answered the last lease request. */
+    private boolean isAnswered = true;
 
     SimulatedGatherer(RuleSimulation simulation, int node, int incarnation) {
         this.simulation = simulation;
@@ -29,7 +30,7 @@
     public void onMessage(long now, int from, Object message) {
         LeaseRequest request = null;
         if (message instanceof LeaseGrant grant) {
-            answered = true;
+            isAnswered = true;
             presumedLeader = from;
             request = holder.onGrant(now, grant);
         } else if (message instanceof VersionUpdate update) {
@@ -46,7 +47,7 @@
     @Override
     public void onTick(long now) {
         LeaseRequest request = holder.onTick(now);
-        if (request != null && !answered) { // since the last renewal
+        if (request != null && !isAnswered) { // no answer to the last request: try the next voter
             presumedLeader = (presumedLeader + 1) % simulation.voterCount();
         }
         send(request);
@@ -54,7 +55,7 @@
 
     private void send(LeaseRequest request) {
         if (request != null) {
-            answered = false;
+            isAnswered = false;
             simulation.cluster().send(node, presumedLeader, request);
         }
     }
--- a/src/main/java/wallmoor/simulation/SimulatedVoter.java
+++ b/src/main/java/wallmoor/simulation/SimulatedVoter.java
@@ -13,12 +13,12 @@
 
 /**
  * A simulated voter, which is a gatherer as well: the real {@link RuleStateMachine} and {@link LeaseTable} on a
- * {@link SimulatedLog}. It stands for election where it has heard no leader for a while. Times are microseconds of its
- * own clock.
+ * {@link SimulatedLog}. It stands for election when it has received no heartbeat of a leader for a while. Times are
+ * microseconds of its own clock.
  */
 final class SimulatedVoter implements SimulatedCluster.SimulatedProcess, LeaseTable.Actions {
-    private static final long ELECTION_TIMEOUT = 1_000_000;
-    private static final long VERDICT_INTERVAL = ELECTION_TIMEOUT / 2;
+    private static final long ELECTION_TIMEOUT_MICROS = 1_000_000;
+    private static final long VERDICT_INTERVAL_MICROS = ELECTION_TIMEOUT_MICROS / 2;
 
     private final RuleSimulation simulation;
     private final SimulatedCluster cluster;
@@ -27,8 +27,8 @@
     private final SimulatedGatherer gatherer;
     private final RuleStateMachine stateMachine;
     private final LeaseTable leases;
-    private int applied;
-    private long leaderHeardAt;
+    private int appliedCount;
+    private long lastHeartbeatAt;
     private long verdictSentAt;
 
     SimulatedVoter(RuleSimulation simulation, int node, int incarnation) {
@@ -39,8 +39,8 @@
         gatherer = new SimulatedGatherer(simulation, node, incarnation);
         stateMachine = new RuleStateMachine(simulation.voterNames());
         leases = new LeaseTable(RuleSimulation.nameOf(node), incarnation, simulation.timing(), stateMachine, this);
-        leaderHeardAt = cluster.localTime(node, cluster.now());
-        apply(leaderHeardAt, simulation.storedEntries(node));
+        lastHeartbeatAt = cluster.localTime(node, cluster.now());
+        apply(lastHeartbeatAt, simulation.storedEntryCount(node));
     }
 
     SimulatedGatherer gatherer() {
@@ -51,7 +51,7 @@
         return stateMachine;
     }
 
-    /** It has won an election, with all entries of the log. */
+    /** Handles the voter's election; an elected voter knows all entries of the log. */
     void onElected(long now) {
         apply(now, log.entries().size());
         leases.onElectionChanged(now, true);
@@ -87,14 +87,15 @@
 
     @Override
     public void onTick(long now) {
-        int heard = log.heardFromLeader(node);
+        int leaderEntryCount = log.receiveHeartbeat(node);
         leases.onElectionChanged(now, log.believesItLeads(node));
-        if (heard >= 0) {
-            leaderHeardAt = now;
-            apply(now, heard);
-        } else if (now - leaderHeardAt > ELECTION_TIMEOUT + cluster.random().nextLong(ELECTION_TIMEOUT)) {
+        if (leaderEntryCount >= 0) {
+            lastHeartbeatAt = now;
+            apply(now, leaderEntryCount);
+        } else if (now - lastHeartbeatAt > ELECTION_TIMEOUT_MICROS
+                + cluster.random().nextLong(ELECTION_TIMEOUT_MICROS)) {
             simulation.elect(node);
-            leaderHeardAt = now;
+            lastHeartbeatAt = now;
         }
         sendVerdict(now);
         leases.onTick(now);
@@ -103,7 +104,7 @@
 
     private void sendVerdict(long now) {
         RuleDocument pending = stateMachine.pending(RuleSimulation.NAME);
-        if (pending != null && now - verdictSentAt > VERDICT_INTERVAL) {
+        if (pending != null && now - verdictSentAt > VERDICT_INTERVAL_MICROS) {
             verdictSentAt = now;
             LogEntry verdict = DocumentSchemas.verdict(RuleSimulation.nameOf(node), simulation.schemas(), pending);
             IntStream.range(0, simulation.voterCount()).forEach(voter -> cluster.send(node, voter, verdict));
@@ -111,8 +112,8 @@
     }
 
     private void apply(long now, long upTo) {
-        for (; applied < upTo; applied++) {
-            List<RuleEvent> events = stateMachine.apply(log.entries().get(applied));
+        for (; appliedCount < upTo; appliedCount++) {
+            List<RuleEvent> events = stateMachine.apply(log.entries().get(appliedCount));
             leases.onApplied(now, events);
             for (RuleEvent event : events) {
                 if (event instanceof RuleEvent.VersionPending) {
@@ -122,7 +123,7 @@
                 }
             }
         }
-        simulation.storeEntries(node, applied);
+        simulation.storeEntryCount(node, appliedCount);
     }
 
     @Override
--- a/src/signals/java/wallmoor/signals/HangUp.java
+++ b/src/signals/java/wallmoor/signals/HangUp.java
@@ -4,9 +4,9 @@
 import sun.misc.SignalHandler;
 
 /**
- * SIGHUP, which unhandled would end the program. The platform's only API for signals is one that the compiler warns of
- * whatever it is told. So this is compiled by itself, where warnings are no errors: a proxy made as the program runs
- * would need no such thing, but costs each start a twelfth of its processor time.
+ * A handler of SIGHUP, whose default action ends the program. The compiler warns of the JDK's only API for signals, and
+ * the warning can't be suppressed; therefore this class is compiled in a step of its own, in which warnings are not
+ * errors. A dynamic proxy would avoid that step, but takes a twelfth of the processor time of each start.
  */
 public final class HangUp implements SignalHandler {
     private final Runnable action;
@@ -16,9 +16,10 @@
     }
 
     /**
-     * From now on this is run at each SIGHUP, on a thread of its own; fails where the signal is not to be had.
+     * Registers an action that runs at each SIGHUP, on a thread of its own.
      *
-     * @return whether it will be: where the process was started with SIGHUP ignored, as by nohup, it stays so
+     * @return whether the action will run; it won't if the process was started with SIGHUP ignored, as by nohup
+     * @throws IllegalArgumentException if the signal can't be handled on this platform
      */
     public static boolean register(Runnable action) {
         return Signal.handle(new Signal("HUP"), new HangUp(action)) != SignalHandler.SIG_IGN;
--- a/src/signals/java/wallmoor/signals/package-info.java
+++ b/src/signals/java/wallmoor/signals/package-info.java
@@ -1,4 +1,5 @@
 /**
- * SIGHUP, compiled by itself, as the compiler warns of the API whatever it is told.
+ * The handler of SIGHUP. It is compiled in a step of its own, because the compiler's warning of the signal API can't be
+ * suppressed.
  */
 package wallmoor.signals;
