--- a/src/build/java/Unlambda.java
+++ b/src/build/java/Unlambda.java
@@ -17,68 +17,70 @@
 import org.objectweb.asm.Type;
 
 /**
- * A step of the build: turns each lambda and method reference of the compiled classes into a small class of its own,
- * and writes out what records have by themselves.
+ * A step of the build that replaces each lambda and method reference of the compiled classes with a small class of its
+ * own, and each implicit equals, hashCode and toString of a record with plain bytecode.
  *
- * <p>As javac leaves them, each is linked where it is first met: some hundred calls in the interpreter, whatever the
- * archive of classes holds; a record's equals is put together from a dozen classes made on the spot, which no archive
- * takes at all. Classes come from the archive at a tenth of that. Nothing else of the program changes: the
- * new classes are members of the same nest, so that they may call what is private, and those that capture nothing have
- * one instance, as before.
+ * <p>It shortens the start of the program. javac compiles these to invokedynamic instructions, which are linked at their
+ * first execution: that takes about a hundred calls in the interpreter, even with an archive of classes, and a record's
+ * equals needs a dozen classes that are generated at run time, which no archive can hold. Loading a class from the
+ * archive takes a tenth of that time. The behaviour of the program stays the same: the new classes are members of the
+ * same nest, so that they can call private methods, and those that capture nothing have a single instance, as before.
  *
- * <p>Arguments: the directory of classes, then the packages below it that are left as they are, as they take no part in
- * serving. Classes that were turned before are left alone. Run from source; ASM must be on the class path.
+ * <p>Arguments: the directory of classes, then the packages below it to leave unchanged, because serving doesn't use
+ * them. Classes that were transformed before are left unchanged. Run from source; ASM must be on the class path.
  */
 public final class Unlambda implements Opcodes {
     private static final String FACTORY = "java/lang/invoke/LambdaMetafactory";
     private static final String RECORDS = "java/lang/runtime/ObjectMethods";
-    /** Between the name of a class and the number of a lambda in it. */
-    private static final String MARK = "$$L";
+    /** The separator between the name of a class and the number of a lambda in it. */
+    private static final String LAMBDA_INFIX = "$$L";
 
     private final Path root;
-    /** New members of nests, by the nest's host. */
-    private final Map<String, List<String>> members = new HashMap<>();
-    private final Map<String, byte[]> written = new TreeMap<>();
+    /** New nest members by the name of their nest host. */
+    private final Map<String, List<String>> newNestMembers = new HashMap<>();
+    /** Class files to write, by class name. */
+    private final Map<String, byte[]> classFiles = new TreeMap<>();
 
     private Unlambda(Path root) {
         this.root = root;
     }
 
-    /** Runs it. */
+    /** Transforms the classes in a directory. */
     public static void main(String[] args) throws IOException {
-        var run = new Unlambda(Path.of(args[0]));
-        List<Path> all;
-        try (Stream<Path> files = Files.walk(run.root)) {
-            all = files.filter(f -> f.toString().endsWith(".class")).sorted().toList();
+        var step = new Unlambda(Path.of(args[0]));
+        List<Path> classPaths;
+        try (Stream<Path> files = Files.walk(step.root)) {
+            classPaths = files.filter(path -> path.toString().endsWith(".class")).sorted().toList();
         }
-        for (Path file : all) {
-            String name = run.root.relativize(file).toString().replace('\\', '/');
-            if (Stream.of(args).skip(1).noneMatch(left -> name.startsWith(left + "/"))) {
-                run.turn(file);
+        for (Path file : classPaths) {
+            String name = step.root.relativize(file).toString().replace('\\', '/');
+            if (Stream.of(args).skip(1).noneMatch(excluded -> name.startsWith(excluded + "/"))) {
+                step.transform(file);
             }
         }
-        for (var host : run.members.entrySet()) {
-            run.join(host.getKey(), host.getValue());
+        for (var host : step.newNestMembers.entrySet()) {
+            step.addNestMembers(host.getKey(), host.getValue());
         }
-        for (var made : run.written.entrySet()) {
-            Files.write(run.root.resolve(made.getKey() + ".class"), made.getValue());
+        for (var entry : step.classFiles.entrySet()) {
+            Files.write(step.root.resolve(entry.getKey() + ".class"), entry.getValue());
         }
     }
 
-    private void turn(Path file) throws IOException {
+    private void transform(Path file) throws IOException {
         var reader = new ClassReader(Files.readAllBytes(file));
         var writer = new ClassWriter(0);
-        var turning = new Turning(writer);
-        reader.accept(turning, 0);
-        if (turning.count > 0 || !turning.records.isEmpty()) {
-            written.put(reader.getClassName(), writer.toByteArray());
+        var replacer = new LambdaReplacer(writer);
+        reader.accept(replacer, 0);
+        if (replacer.lambdaCount > 0 || !replacer.recordMethods.isEmpty()) {
+            classFiles.put(reader.getClassName(), writer.toByteArray());
         }
     }
 
-    /** Adds members to a nest, whose host lists them. */
-    private void join(String host, List<String> added) throws IOException {
-        byte[] before = written.get(host);
-        var reader = new ClassReader(before != null ? before : Files.readAllBytes(root.resolve(host + ".class")));
+    /** Adds members to the nest of a host, whose class file lists them. */
+    private void addNestMembers(String host, List<String> added) throws IOException {
+        byte[] transformed = classFiles.get(host);
+        var reader = new ClassReader(
+                transformed != null ? transformed : Files.readAllBytes(root.resolve(host + ".class")));
         var writer = new ClassWriter(0);
         reader.accept(new ClassVisitor(ASM9, writer) {
             @Override
@@ -87,31 +89,31 @@
                 super.visitEnd();
             }
         }, 0);
-        written.put(host, writer.toByteArray());
+        classFiles.put(host, writer.toByteArray());
     }
 
-    /** Passes a class on, with a call in the place of each lambda. */
-    private final class Turning extends ClassVisitor {
+    /** Copies a class and replaces each invokedynamic instruction of a lambda or a record with a static call. */
+    private final class LambdaReplacer extends ClassVisitor {
         private String name;
         private String nest;
-        private int count;
-        private final List<OfRecord> records = new ArrayList<>();
+        private int lambdaCount;
+        private final List<RecordMethod> recordMethods = new ArrayList<>();
 
-        Turning(ClassVisitor next) {
+        LambdaReplacer(ClassVisitor next) {
             super(ASM9, next);
         }
 
         @Override
-        public void visit(int version, int access, String itsName, String signature, String parent,
+        public void visit(int version, int access, String className, String signature, String parent,
                 String[] interfaces) {
-            name = itsName;
-            nest = itsName;
-            super.visit(version, access, itsName, signature, parent, interfaces);
+            name = className;
+            nest = className;
+            super.visit(version, access, className, signature, parent, interfaces);
         }
 
         @Override
         public void visitEnd() {
-            records.forEach(r -> r.write(cv));
+            recordMethods.forEach(method -> method.write(cv));
             super.visitEnd();
         }
 
@@ -126,19 +128,21 @@
                 String[] thrown) {
             return new MethodVisitor(ASM9, super.visitMethod(access, method, descriptor, signature, thrown)) {
                 @Override
-                public void visitInvokeDynamicInsn(String called, String shape, Handle bootstrap, Object... with) {
+                public void visitInvokeDynamicInsn(String called, String type, Handle bootstrap, Object... arguments) {
                     if (bootstrap.getOwner().equals(FACTORY) && bootstrap.getName().equals("metafactory")) {
-                        String made = name + MARK + count++;
-                        members.computeIfAbsent(nest, n -> new ArrayList<>()).add(made);
-                        written.put(made, new Lambda(made, nest, called, Type.getMethodType(shape), (Type) with[0],
-                                (Handle) with[1], (Type) with[2]).bytes());
-                        visitMethodInsn(INVOKESTATIC, made, "of", shape, false);
+                        String lambdaClass = name + LAMBDA_INFIX + lambdaCount++;
+                        newNestMembers.computeIfAbsent(nest, n -> new ArrayList<>()).add(lambdaClass);
+                        classFiles.put(lambdaClass, new Lambda(lambdaClass, nest, called, Type.getMethodType(type),
+                                (Type) arguments[0], (Handle) arguments[1], (Type) arguments[2]).toClassFile());
+                        visitMethodInsn(INVOKESTATIC, lambdaClass, "of", type, false);
                     } else if (bootstrap.getOwner().equals(RECORDS)) {
-                        records.add(new OfRecord(called, shape, (Type) with[0], ((String) with[1]).split(";"),
-                                List.of(with).subList(2, with.length).stream().map(Handle.class::cast).toList()));
-                        visitMethodInsn(INVOKESTATIC, name, OfRecord.PREFIX + called, shape, false);
+                        recordMethods.add(new RecordMethod(called, type, (Type) arguments[0],
+                                ((String) arguments[1]).split(";"),
+                                List.of(arguments).subList(2, arguments.length).stream().map(Handle.class::cast)
+                                        .toList()));
+                        visitMethodInsn(INVOKESTATIC, name, RecordMethod.PREFIX + called, type, false);
                     } else {
-                        super.visitInvokeDynamicInsn(called, shape, bootstrap, with);
+                        super.visitInvokeDynamicInsn(called, type, bootstrap, arguments);
                     }
                 }
             };
@@ -146,283 +150,285 @@
     }
 
     /**
-     * What a record has without writing it, as javac leaves it to be put together as the program runs.
+     * A method of a record that javac compiles to an invokedynamic instruction.
      *
-     * @param called equals, hashCode or toString
-     * @param shape  takes the record, and for equals anything
-     * @param fields the record's components, in order
+     * @param method     the method's name: equals, hashCode or toString
+     * @param descriptor the descriptor, whose parameters are the record and, for equals, an object
+     * @param fields     the record's components, in order
      */
-    private record OfRecord(String called, String shape, Type record, String[] names, List<Handle> fields) {
+    private record RecordMethod(String method, String descriptor, Type record, String[] names, List<Handle> fields) {
         static final String PREFIX = "record$";
-        private static final int MOST_STACK = 6;
+        private static final int MAX_STACK = 6;
 
         void write(ClassVisitor writer) {
-            MethodVisitor to = writer.visitMethod(ACC_PRIVATE | ACC_STATIC | ACC_SYNTHETIC, PREFIX + called, shape,
+            MethodVisitor mv = writer.visitMethod(ACC_PRIVATE | ACC_STATIC | ACC_SYNTHETIC, PREFIX + method, descriptor,
                     null, null);
-            to.visitCode();
-            switch (called) {
-                case "equals" -> equal(to);
-                case "hashCode" -> hash(to);
-                default -> text(to);
+            mv.visitCode();
+            switch (method) {
+                case "equals" -> writeEquals(mv);
+                case "hashCode" -> writeHashCode(mv);
+                default -> writeToString(mv);
             }
-            to.visitMaxs(MOST_STACK, called.equals("equals") ? 2 : 1);
-            to.visitEnd();
+            mv.visitMaxs(MAX_STACK, method.equals("equals") ? 2 : 1);
+            mv.visitEnd();
         }
 
-        private void get(MethodVisitor to, int from, Handle field) {
-            to.visitVarInsn(ALOAD, from);
-            if (from > 0) {
-                to.visitTypeInsn(CHECKCAST, record.getInternalName());
+        private void loadField(MethodVisitor mv, int local, Handle field) {
+            mv.visitVarInsn(ALOAD, local);
+            if (local > 0) {
+                mv.visitTypeInsn(CHECKCAST, record.getInternalName());
             }
-            to.visitFieldInsn(GETFIELD, field.getOwner(), field.getName(), field.getDesc());
+            mv.visitFieldInsn(GETFIELD, field.getOwner(), field.getName(), field.getDesc());
         }
 
-        private void equal(MethodVisitor to) {
-            var differ = new Label();
-            var other = new Label();
-            to.visitVarInsn(ALOAD, 0);
-            to.visitVarInsn(ALOAD, 1);
-            to.visitJumpInsn(IF_ACMPNE, other);
-            to.visitInsn(ICONST_1);
-            to.visitInsn(IRETURN);
-            to.visitLabel(other);
-            to.visitFrame(F_SAME, 0, null, 0, null);
-            to.visitVarInsn(ALOAD, 1);
-            to.visitTypeInsn(INSTANCEOF, record.getInternalName());
-            to.visitJumpInsn(IFEQ, differ);
+        private void writeEquals(MethodVisitor mv) {
+            var notEqual = new Label();
+            var notSame = new Label();
+            mv.visitVarInsn(ALOAD, 0);
+            mv.visitVarInsn(ALOAD, 1);
+            mv.visitJumpInsn(IF_ACMPNE, notSame);
+            mv.visitInsn(ICONST_1);
+            mv.visitInsn(IRETURN);
+            mv.visitLabel(notSame);
+            mv.visitFrame(F_SAME, 0, null, 0, null);
+            mv.visitVarInsn(ALOAD, 1);
+            mv.visitTypeInsn(INSTANCEOF, record.getInternalName());
+            mv.visitJumpInsn(IFEQ, notEqual);
             for (Handle field : fields) {
-                get(to, 0, field);
-                get(to, 1, field);
+                loadField(mv, 0, field);
+                loadField(mv, 1, field);
                 Type type = Type.getType(field.getDesc());
-                if (!Lambda.primitive(type)) {
-                    to.visitMethodInsn(INVOKESTATIC, "java/util/Objects", "equals",
+                if (!Lambda.isPrimitive(type)) {
+                    mv.visitMethodInsn(INVOKESTATIC, "java/util/Objects", "equals",
                             "(Ljava/lang/Object;Ljava/lang/Object;)Z", false);
-                    to.visitJumpInsn(IFEQ, differ);
+                    mv.visitJumpInsn(IFEQ, notEqual);
                 } else if (type.getSort() <= Type.INT) {
-                    to.visitJumpInsn(IF_ICMPNE, differ);
-                } else { // as the JDK compares them: what is no number equals itself
-                    to.visitMethodInsn(INVOKESTATIC, Lambda.box(type), "compare", "(" + type + type + ")I", false);
-                    to.visitJumpInsn(IFNE, differ);
+                    mv.visitJumpInsn(IF_ICMPNE, notEqual);
+                } else { // by compare, as the JDK does it: a NaN equals itself
+                    mv.visitMethodInsn(INVOKESTATIC, Lambda.boxOf(type), "compare", "(" + type + type + ")I", false);
+                    mv.visitJumpInsn(IFNE, notEqual);
                 }
             }
-            to.visitInsn(ICONST_1);
-            to.visitInsn(IRETURN);
-            to.visitLabel(differ);
-            to.visitFrame(F_SAME, 0, null, 0, null);
-            to.visitInsn(ICONST_0);
-            to.visitInsn(IRETURN);
+            mv.visitInsn(ICONST_1);
+            mv.visitInsn(IRETURN);
+            mv.visitLabel(notEqual);
+            mv.visitFrame(F_SAME, 0, null, 0, null);
+            mv.visitInsn(ICONST_0);
+            mv.visitInsn(IRETURN);
         }
 
-        private void hash(MethodVisitor to) {
-            to.visitInsn(ICONST_0);
+        private void writeHashCode(MethodVisitor mv) {
+            mv.visitInsn(ICONST_0);
             for (Handle field : fields) {
-                to.visitIntInsn(BIPUSH, 31);
-                to.visitInsn(IMUL);
-                get(to, 0, field);
+                mv.visitIntInsn(BIPUSH, 31);
+                mv.visitInsn(IMUL);
+                loadField(mv, 0, field);
                 Type type = Type.getType(field.getDesc());
-                boolean number = Lambda.primitive(type);
-                to.visitMethodInsn(INVOKESTATIC, number ? Lambda.box(type) : "java/util/Objects", "hashCode",
-                        "(" + (number ? type.getDescriptor() : "Ljava/lang/Object;") + ")I", false);
-                to.visitInsn(IADD);
+                boolean isPrimitive = Lambda.isPrimitive(type);
+                mv.visitMethodInsn(INVOKESTATIC, isPrimitive ? Lambda.boxOf(type) : "java/util/Objects", "hashCode",
+                        "(" + (isPrimitive ? type.getDescriptor() : "Ljava/lang/Object;") + ")I", false);
+                mv.visitInsn(IADD);
             }
-            to.visitInsn(IRETURN);
+            mv.visitInsn(IRETURN);
         }
 
-        private void text(MethodVisitor to) {
+        private void writeToString(MethodVisitor mv) {
             String builder = "java/lang/StringBuilder";
-            String simple = record.getInternalName().substring(record.getInternalName().lastIndexOf('/') + 1);
-            to.visitTypeInsn(NEW, builder);
-            to.visitInsn(DUP);
-            to.visitLdcInsn(simple.substring(simple.lastIndexOf('$') + 1).replaceFirst("^[0-9]+", "") + "[");
-            to.visitMethodInsn(INVOKESPECIAL, builder, "<init>", "(Ljava/lang/String;)V", false);
+            String simpleName = record.getInternalName().substring(record.getInternalName().lastIndexOf('/') + 1);
+            mv.visitTypeInsn(NEW, builder);
+            mv.visitInsn(DUP);
+            mv.visitLdcInsn(simpleName.substring(simpleName.lastIndexOf('$') + 1).replaceFirst("^[0-9]+", "") + "[");
+            mv.visitMethodInsn(INVOKESPECIAL, builder, "<init>", "(Ljava/lang/String;)V", false);
             for (int i = 0; i < fields.size(); i++) {
-                to.visitLdcInsn((i == 0 ? "" : ", ") + names[i] + "=");
-                to.visitMethodInsn(INVOKEVIRTUAL, builder, "append", "(Ljava/lang/String;)L" + builder + ";", false);
-                get(to, 0, fields.get(i));
+                mv.visitLdcInsn((i == 0 ? "" : ", ") + names[i] + "=");
+                mv.visitMethodInsn(INVOKEVIRTUAL, builder, "append", "(Ljava/lang/String;)L" + builder + ";", false);
+                loadField(mv, 0, fields.get(i));
                 Type type = Type.getType(fields.get(i).getDesc());
-                String as = !Lambda.primitive(type) ? "Ljava/lang/Object;"
+                String parameter = !Lambda.isPrimitive(type) ? "Ljava/lang/Object;"
                         : type.getSort() == Type.BYTE || type.getSort() == Type.SHORT ? "I" : type.getDescriptor();
-                to.visitMethodInsn(INVOKEVIRTUAL, builder, "append", "(" + as + ")L" + builder + ";", false);
+                mv.visitMethodInsn(INVOKEVIRTUAL, builder, "append", "(" + parameter + ")L" + builder + ";", false);
             }
-            to.visitLdcInsn("]");
-            to.visitMethodInsn(INVOKEVIRTUAL, builder, "append", "(Ljava/lang/String;)L" + builder + ";", false);
-            to.visitMethodInsn(INVOKEVIRTUAL, builder, "toString", "()Ljava/lang/String;", false);
-            to.visitInsn(ARETURN);
+            mv.visitLdcInsn("]");
+            mv.visitMethodInsn(INVOKEVIRTUAL, builder, "append", "(Ljava/lang/String;)L" + builder + ";", false);
+            mv.visitMethodInsn(INVOKEVIRTUAL, builder, "toString", "()Ljava/lang/String;", false);
+            mv.visitInsn(ARETURN);
         }
     }
 
     /**
-     * A class for one lambda.
+     * The class that replaces a lambda or method reference.
      *
-     * @param method  the interface's one method, by its name
-     * @param shape   what is captured, and the interface
-     * @param erased  the method's type as the interface has it
-     * @param calls   what it does
-     * @param precise the method's type as it is used here
+     * @param method       the name of the interface's single method
+     * @param factoryType  the type of the factory, from the captured values to the interface
+     * @param erased       the method's erased type, which the interface declares
+     * @param target       the method that the lambda calls
+     * @param instantiated the method's type with the type arguments of this lambda
      */
-    private record Lambda(String name, String nest, String method, Type shape, Type erased, Handle calls,
-            Type precise) {
-        byte[] bytes() {
+    private record Lambda(String name, String nest, String method, Type factoryType, Type erased, Handle target,
+            Type instantiated) {
+        byte[] toClassFile() {
             var writer = new ClassWriter(ClassWriter.COMPUTE_MAXS);
             writer.visit(V17, ACC_FINAL | ACC_SUPER | ACC_SYNTHETIC, name, null, "java/lang/Object",
-                    new String[] {shape.getReturnType().getInternalName()});
+                    new String[] {factoryType.getReturnType().getInternalName()});
             writer.visitNestHost(nest);
-            Type[] captured = shape.getArgumentTypes();
+            Type[] captured = factoryType.getArgumentTypes();
             for (int i = 0; i < captured.length; i++) {
                 writer.visitField(ACC_PRIVATE | ACC_FINAL, "c" + i, captured[i].getDescriptor(), null, null).visitEnd();
             }
-            constructor(writer, captured);
-            factory(writer, captured);
-            act(writer, captured);
+            writeConstructor(writer, captured);
+            writeFactory(writer, captured);
+            writeMethod(writer, captured);
             writer.visitEnd();
             return writer.toByteArray();
         }
 
-        private void constructor(ClassWriter writer, Type[] captured) {
-            MethodVisitor to = writer.visitMethod(ACC_PRIVATE, "<init>",
+        private void writeConstructor(ClassWriter writer, Type[] captured) {
+            MethodVisitor mv = writer.visitMethod(ACC_PRIVATE, "<init>",
                     Type.getMethodDescriptor(Type.VOID_TYPE, captured),
                     null, null);
-            to.visitCode();
-            to.visitVarInsn(ALOAD, 0);
-            to.visitMethodInsn(INVOKESPECIAL, "java/lang/Object", "<init>", "()V", false);
-            int at = 1;
+            mv.visitCode();
+            mv.visitVarInsn(ALOAD, 0);
+            mv.visitMethodInsn(INVOKESPECIAL, "java/lang/Object", "<init>", "()V", false);
+            int local = 1;
             for (int i = 0; i < captured.length; i++) {
-                to.visitVarInsn(ALOAD, 0);
-                to.visitVarInsn(captured[i].getOpcode(ILOAD), at);
-                to.visitFieldInsn(PUTFIELD, name, "c" + i, captured[i].getDescriptor());
-                at += captured[i].getSize();
+                mv.visitVarInsn(ALOAD, 0);
+                mv.visitVarInsn(captured[i].getOpcode(ILOAD), local);
+                mv.visitFieldInsn(PUTFIELD, name, "c" + i, captured[i].getDescriptor());
+                local += captured[i].getSize();
             }
-            end(to, RETURN);
+            finish(mv, RETURN);
         }
 
-        /** {@code of} makes one; where nothing is captured there is one for all. */
-        private void factory(ClassWriter writer, Type[] captured) {
+        /** Writes {@code of}, which creates an instance, or returns the single instance if nothing is captured. */
+        private void writeFactory(ClassWriter writer, Type[] captured) {
             String self = "L" + name + ";";
             if (captured.length == 0) {
                 writer.visitField(ACC_PRIVATE | ACC_STATIC | ACC_FINAL, "ONE", self, null, null).visitEnd();
-                MethodVisitor once = writer.visitMethod(ACC_STATIC, "<clinit>", "()V", null, null);
-                once.visitCode();
-                make(once, captured);
-                once.visitFieldInsn(PUTSTATIC, name, "ONE", self);
-                end(once, RETURN);
+                MethodVisitor initializer = writer.visitMethod(ACC_STATIC, "<clinit>", "()V", null, null);
+                initializer.visitCode();
+                instantiate(initializer, captured);
+                initializer.visitFieldInsn(PUTSTATIC, name, "ONE", self);
+                finish(initializer, RETURN);
             }
-            MethodVisitor to = writer.visitMethod(ACC_STATIC, "of", shape.getDescriptor(), null, null);
-            to.visitCode();
+            MethodVisitor mv = writer.visitMethod(ACC_STATIC, "of", factoryType.getDescriptor(), null, null);
+            mv.visitCode();
             if (captured.length == 0) {
-                to.visitFieldInsn(GETSTATIC, name, "ONE", self);
+                mv.visitFieldInsn(GETSTATIC, name, "ONE", self);
             } else {
-                make(to, captured);
+                instantiate(mv, captured);
             }
-            end(to, ARETURN);
+            finish(mv, ARETURN);
         }
 
-        private void make(MethodVisitor to, Type[] captured) {
-            to.visitTypeInsn(NEW, name);
-            to.visitInsn(DUP);
-            int at = 0;
+        private void instantiate(MethodVisitor mv, Type[] captured) {
+            mv.visitTypeInsn(NEW, name);
+            mv.visitInsn(DUP);
+            int local = 0;
             for (Type type : captured) {
-                to.visitVarInsn(type.getOpcode(ILOAD), at);
-                at += type.getSize();
+                mv.visitVarInsn(type.getOpcode(ILOAD), local);
+                local += type.getSize();
             }
-            to.visitMethodInsn(INVOKESPECIAL, name, "<init>", Type.getMethodDescriptor(Type.VOID_TYPE, captured),
+            mv.visitMethodInsn(INVOKESPECIAL, name, "<init>", Type.getMethodDescriptor(Type.VOID_TYPE, captured),
                     false);
         }
 
-        /** The interface's method: what was captured and what it is given go on to what it calls. */
-        private void act(ClassWriter writer, Type[] captured) {
-            MethodVisitor to = writer.visitMethod(ACC_PUBLIC, method, erased.getDescriptor(), null, null);
-            to.visitCode();
-            boolean makes = calls.getTag() == H_NEWINVOKESPECIAL;
-            if (makes) {
-                to.visitTypeInsn(NEW, calls.getOwner());
-                to.visitInsn(DUP);
+        /** Writes the interface's method, which calls the target with the captured values and its own arguments. */
+        private void writeMethod(ClassWriter writer, Type[] captured) {
+            MethodVisitor mv = writer.visitMethod(ACC_PUBLIC, method, erased.getDescriptor(), null, null);
+            mv.visitCode();
+            boolean isConstructor = target.getTag() == H_NEWINVOKESPECIAL;
+            if (isConstructor) {
+                mv.visitTypeInsn(NEW, target.getOwner());
+                mv.visitInsn(DUP);
             }
-            var wanted = new ArrayList<Type>();
-            if (calls.getTag() != H_INVOKESTATIC && !makes) {
-                wanted.add(Type.getObjectType(calls.getOwner()));
+            var targetTypes = new ArrayList<Type>();
+            if (target.getTag() != H_INVOKESTATIC && !isConstructor) {
+                targetTypes.add(Type.getObjectType(target.getOwner()));
             }
-            wanted.addAll(List.of(Type.getArgumentTypes(calls.getDesc())));
+            targetTypes.addAll(List.of(Type.getArgumentTypes(target.getDesc())));
             for (int i = 0; i < captured.length; i++) {
-                to.visitVarInsn(ALOAD, 0);
-                to.visitFieldInsn(GETFIELD, name, "c" + i, captured[i].getDescriptor());
-                adapt(to, captured[i], wanted.get(i));
+                mv.visitVarInsn(ALOAD, 0);
+                mv.visitFieldInsn(GETFIELD, name, "c" + i, captured[i].getDescriptor());
+                convert(mv, captured[i], targetTypes.get(i));
             }
-            Type[] given = erased.getArgumentTypes();
-            int at = 1;
-            for (int i = 0; i < given.length; i++) {
-                to.visitVarInsn(given[i].getOpcode(ILOAD), at);
-                at += given[i].getSize();
-                adapt(to, given[i], precise.getArgumentTypes()[i]);
-                adapt(to, precise.getArgumentTypes()[i], wanted.get(captured.length + i));
+            Type[] argumentTypes = erased.getArgumentTypes();
+            int local = 1;
+            for (int i = 0; i < argumentTypes.length; i++) {
+                mv.visitVarInsn(argumentTypes[i].getOpcode(ILOAD), local);
+                local += argumentTypes[i].getSize();
+                convert(mv, argumentTypes[i], instantiated.getArgumentTypes()[i]);
+                convert(mv, instantiated.getArgumentTypes()[i], targetTypes.get(captured.length + i));
             }
-            int how = switch (calls.getTag()) {
+            int invocation = switch (target.getTag()) {
                 case H_INVOKESTATIC -> INVOKESTATIC;
                 case H_NEWINVOKESPECIAL -> INVOKESPECIAL;
-                default -> calls.isInterface() ? INVOKEINTERFACE : INVOKEVIRTUAL;
+                default -> target.isInterface() ? INVOKEINTERFACE : INVOKEVIRTUAL;
             };
-            to.visitMethodInsn(how, calls.getOwner(), calls.getName(), calls.getDesc(), calls.isInterface());
-            Type came = makes ? Type.getObjectType(calls.getOwner()) : Type.getReturnType(calls.getDesc());
-            Type due = erased.getReturnType();
-            if (due.getSort() == Type.VOID) {
-                if (came.getSize() > 0) {
-                    to.visitInsn(came.getSize() == 2 ? POP2 : POP);
+            mv.visitMethodInsn(invocation, target.getOwner(), target.getName(), target.getDesc(), target.isInterface());
+            Type returned = isConstructor
+                    ? Type.getObjectType(target.getOwner())
+                    : Type.getReturnType(target.getDesc());
+            Type expected = erased.getReturnType();
+            if (expected.getSort() == Type.VOID) {
+                if (returned.getSize() > 0) {
+                    mv.visitInsn(returned.getSize() == 2 ? POP2 : POP);
                 }
             } else {
-                adapt(to, came, precise.getReturnType());
-                adapt(to, precise.getReturnType(), due);
+                convert(mv, returned, instantiated.getReturnType());
+                convert(mv, instantiated.getReturnType(), expected);
             }
-            end(to, due.getOpcode(IRETURN));
+            finish(mv, expected.getOpcode(IRETURN));
         }
 
-        private static void end(MethodVisitor to, int with) {
-            to.visitInsn(with);
-            to.visitMaxs(0, 0);
-            to.visitEnd();
+        private static void finish(MethodVisitor mv, int returnOpcode) {
+            mv.visitInsn(returnOpcode);
+            mv.visitMaxs(0, 0);
+            mv.visitEnd();
         }
 
-        /** The conversions that a call allows: casts, boxes, widening of numbers. */
-        private static void adapt(MethodVisitor to, Type from, Type into) {
+        /** Writes a conversion that a method call allows: a cast, boxing, unboxing or a widening of a number. */
+        private static void convert(MethodVisitor mv, Type from, Type into) {
             if (from.equals(into)) {
                 return;
             }
-            if (primitive(from) && primitive(into)) {
-                widen(to, from, into);
-            } else if (primitive(from)) {
-                to.visitMethodInsn(INVOKESTATIC, box(from), "valueOf", "(" + from + ")L" + box(from) + ";", false);
-            } else if (primitive(into)) {
+            if (isPrimitive(from) && isPrimitive(into)) {
+                widen(mv, from, into);
+            } else if (isPrimitive(from)) {
+                mv.visitMethodInsn(INVOKESTATIC, boxOf(from), "valueOf", "(" + from + ")L" + boxOf(from) + ";", false);
+            } else if (isPrimitive(into)) {
                 Type boxed = from;
-                Type held = unboxed(from);
-                if (held == null) { // a wider type than a box: it can be the one that belongs to the number alone
-                    held = into;
-                    boxed = Type.getObjectType(box(into));
-                    to.visitTypeInsn(CHECKCAST, boxed.getInternalName());
+                Type primitive = unboxed(from);
+                if (primitive == null) { // a supertype of the boxes: the value must be the box of the target type
+                    primitive = into;
+                    boxed = Type.getObjectType(boxOf(into));
+                    mv.visitTypeInsn(CHECKCAST, boxed.getInternalName());
                 }
-                to.visitMethodInsn(INVOKEVIRTUAL, boxed.getInternalName(), held.getClassName() + "Value", "()" + held,
+                mv.visitMethodInsn(INVOKEVIRTUAL, boxed.getInternalName(), primitive.getClassName() + "Value", "()" + primitive,
                         false);
-                widen(to, held, into);
+                widen(mv, primitive, into);
             } else if (!into.getInternalName().equals("java/lang/Object")) {
-                to.visitTypeInsn(CHECKCAST, into.getInternalName());
+                mv.visitTypeInsn(CHECKCAST, into.getInternalName());
             }
         }
 
-        private static void widen(MethodVisitor to, Type from, Type into) {
+        private static void widen(MethodVisitor mv, Type from, Type into) {
             if (from.equals(into)) {
                 return;
             }
             int target = into.getSort();
-            int code = switch (from.getSort()) {
+            int opcode = switch (from.getSort()) {
                 case Type.LONG -> target == Type.FLOAT ? L2F : L2D;
                 case Type.FLOAT -> F2D;
                 default -> target == Type.LONG ? I2L : target == Type.FLOAT ? I2F : target == Type.DOUBLE ? I2D : NOP;
             };
-            to.visitInsn(code);
+            mv.visitInsn(opcode);
         }
 
-        private static boolean primitive(Type type) {
+        private static boolean isPrimitive(Type type) {
             return type.getSort() < Type.ARRAY;
         }
 
-        private static String box(Type type) {
+        private static String boxOf(Type type) {
             return switch (type.getSort()) {
                 case Type.BOOLEAN -> "java/lang/Boolean";
                 case Type.CHAR -> "java/lang/Character";
@@ -438,7 +444,7 @@
         private static Type unboxed(Type type) {
             return Stream.of(Type.BOOLEAN_TYPE, Type.CHAR_TYPE, Type.BYTE_TYPE, Type.SHORT_TYPE, Type.INT_TYPE,
                     Type.LONG_TYPE, Type.FLOAT_TYPE, Type.DOUBLE_TYPE)
-                    .filter(p -> box(p).equals(type.getInternalName())).findFirst().orElse(null);
+                    .filter(p -> boxOf(p).equals(type.getInternalName())).findFirst().orElse(null);
         }
     }
 }
