--- a/src/build/java/Unlambda.java
+++ b/src/build/java/Unlambda.java
@@ -20,11 +20,11 @@
  * A step of the build that replaces each lambda and method reference of the compiled classes with a small class of its
  * own, and each implicit equals, hashCode and toString of a record with plain bytecode.
  *
- * <p>It shortens the start of the program. javac compiles these to invokedynamic instructions, which are linked at their
- * first execution: that takes about a hundred calls in the interpreter, even with an archive of classes, and a record's
- * equals needs a dozen classes that are generated at run time, which no archive can hold. Loading a class from the
- * archive takes a tenth of that time. The behaviour of the program stays the same: the new classes are members of the
- * same nest, so that they can call private methods, and those that capture nothing have a single instance, as before.
+ * <p>It shortens the start of the program. javac compiles these to invokedynamic instructions, which are linked at
+ * their first execution: that takes about a hundred calls in the interpreter, even with an archive of classes, and a
+ * record's equals needs a dozen classes that are generated at run time, which no archive can hold. Loading a class from
+ * the archive takes a tenth of that time. The behaviour of the program stays the same: the new classes are members of
+ * the same nest, so that they can call private methods, and those that capture nothing have a single instance.
  *
  * <p>Arguments: the directory of classes, then the packages below it to leave unchanged, because serving doesn't use
  * them. Classes that were transformed before are left unchanged. Run from source; ASM must be on the class path.
@@ -365,8 +365,7 @@
                 default -> target.isInterface() ? INVOKEINTERFACE : INVOKEVIRTUAL;
             };
             mv.visitMethodInsn(invocation, target.getOwner(), target.getName(), target.getDesc(), target.isInterface());
-            Type returned = isConstructor
-                    ? Type.getObjectType(target.getOwner())
+            Type returned = isConstructor ? Type.getObjectType(target.getOwner())
                     : Type.getReturnType(target.getDesc());
             Type expected = erased.getReturnType();
             if (expected.getSort() == Type.VOID) {
@@ -403,8 +402,8 @@
                     boxed = Type.getObjectType(boxOf(into));
                     mv.visitTypeInsn(CHECKCAST, boxed.getInternalName());
                 }
-                mv.visitMethodInsn(INVOKEVIRTUAL, boxed.getInternalName(), primitive.getClassName() + "Value", "()" + primitive,
-                        false);
+                mv.visitMethodInsn(INVOKEVIRTUAL, boxed.getInternalName(), primitive.getClassName() + "Value",
+                        "()" + primitive, false);
                 widen(mv, primitive, into);
             } else if (!into.getInternalName().equals("java/lang/Object")) {
                 mv.visitTypeInsn(CHECKCAST, into.getInternalName());
