--- a/src/main/java/wallmoor/dns/DnsCache.java
+++ b/src/main/java/wallmoor/dns/DnsCache.java
@@ -7,23 +7,23 @@
 import org.xbill.DNS.Record;
 
 /**
- * What servers have said, for as long as it may be used, and longer where none says anything (serve-stale, RFC 8767).
- * Decides by the time that it is given, in milliseconds. Safe for threads.
+ * A cache of positive and negative answers for their TTL, and of positive ones longer for use while no server answers
+ * (serve-stale, RFC 8767). Has no clock: callers pass the time in milliseconds. Safe for concurrent use.
  */
 final class DnsCache {
-    /** How long a stale answer counts before servers are asked again (RFC 8767 section 4 recommends 30 s). */
+    /** The TTL of a stale answer, after which servers are queried again (RFC 8767 section 4 recommends 30 s). */
     private static final long STALE_TTL_MILLIS = 30_000;
     private static final int INITIAL_CAPACITY = 64;
     private static final float LOAD_FACTOR = 0.75f;
 
     private record Key(Name name, int type) {}
 
-    private record CachedLookup(RecordLookup lookup, long since, long until) {}
+    private record CachedLookup(RecordLookup lookup, long storedAt, long expiresAt) {}
 
     private final TtlPolicy ttls;
     private final Map<Key, CachedLookup> cached;
 
-    /** A cache of {@code capacity} answers; of more the least recently used goes. */
+    /** Creates a cache that holds {@code capacity} answers and evicts the least recently used one. */
     DnsCache(TtlPolicy ttls, int capacity) {
         this.ttls = ttls;
         cached = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
@@ -36,27 +36,27 @@
         };
     }
 
-    /** What is still good at this time, with the TTL that is left, or null. */
+    /** Returns an answer whose TTL has not ended, with the TTL that remains, or null. */
     synchronized RecordLookup fresh(long now, Name name, int type) {
         CachedLookup entry = cached.get(new Key(name, type));
-        if (entry == null || now >= entry.until) {
+        if (entry == null || now >= entry.expiresAt) {
             return null;
         }
-        long left = entry.until - now;
+        long remaining = entry.expiresAt - now;
         if (entry.lookup instanceof RecordLookup.Records found) {
-            return new RecordLookup.Records(found.records(), left, false);
+            return new RecordLookup.Records(found.records(), remaining, false);
         }
         return entry.lookup instanceof RecordLookup.NoRecords none
-                ? new RecordLookup.NoRecords(none.reason(), left)
+                ? new RecordLookup.NoRecords(none.reason(), remaining)
                 : null;
     }
 
-    /** What was said last, if that may stand in for an answer that can't be had, or null. */
+    /** Returns the last positive answer for use while no server answers, or null if there is none or it is too old. */
     synchronized RecordLookup stale(long now, Name name, int type) {
         CachedLookup entry = cached.get(new Key(name, type));
-        if (entry == null || now - entry.since >= ttls.maxStaleMillis()
+        if (entry == null || now - entry.storedAt >= ttls.maxStaleMillis()
                 || !(entry.lookup instanceof RecordLookup.Records found)) {
-            return null; // a negative answer never stands in: it would hide what has come since
+            return null; // a stale negative answer is never used: it would hide records added since
         }
         return new RecordLookup.Records(found.records(), Math.min(STALE_TTL_MILLIS, ttls.maxTtlMillis()), true);
     }
--- a/src/main/java/wallmoor/dns/DnsResponse.java
+++ b/src/main/java/wallmoor/dns/DnsResponse.java
@@ -16,41 +16,41 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/** What a server's response says, read with distrust of every byte. No I/O and no clock. */
+/** The meaning of a server's response, which is untrusted input. Does no I/O and has no clock. */
 sealed interface DnsResponse {
-    /** CNAME records followed for one look-up at most (RFC 1034 asks for a bound; common resolvers have 8 to 16). */
+    /** The most CNAME records followed in a look-up (RFC 1034 asks for a limit; common resolvers have 8 to 16). */
     int MAX_ALIASES = 8;
-    /** Why a chain of CNAME records is not followed. */
+    /** The reason of the failure when a chain of CNAME records is not followed to its end. */
     String TOO_MANY_ALIASES = "a loop of CNAME records, or more than " + MAX_ALIASES;
 
     /**
-     * The records asked for.
+     * The requested records.
      *
-     * @param ttl        the least TTL on the way to them, in seconds
-     * @param additional addresses in the additional section
+     * @param ttl        the least TTL of them and of the CNAME records that lead to them, in seconds
+     * @param additional the addresses in the additional section
      */
     record PositiveAnswer(List<Record> records, long ttl, List<Record> additional) implements DnsResponse {}
 
-    /** There are none (RFC 2308): NXDOMAIN or NODATA; times are seconds, and -1 where no SOA record came. */
+    /** There are no such records (RFC 2308): NXDOMAIN or NODATA; times are seconds, and -1 without an SOA record. */
     record NegativeAnswer(String reason, long soaTtl, long soaMinimum) implements DnsResponse {
         private static final long NO_SOA = -1;
 
-        /** Whether an SOA record came with it. */
+        /** Returns whether the response has an SOA record. */
         boolean hasSoa() {
             return soaTtl >= 0;
         }
     }
 
-    /** The name is an alias of another, which must be looked up. */
+    /** The name is an alias of another name, which has to be looked up. */
     record Alias(Name target) implements DnsResponse {}
 
-    /** The answer does not fit, and is to be had over TCP. */
+    /** The response is truncated; the query has to be sent over TCP. */
     record Truncated() implements DnsResponse {}
 
-    /** The server can't be used for this. */
+    /** The server gave no useful response. */
     record ServerFailure(String reason) implements DnsResponse {}
 
-    /** Whether this can be the response to that query: one with another id or question is forged, or another's. */
+    /** Returns whether a response has the id and question of a query; else it is forged or answers another query. */
     static boolean answers(Message query, Message response) {
         Header header = response.getHeader();
         List<Record> questions = response.getSection(Section.QUESTION);
@@ -59,7 +59,7 @@
                 && questions.get(0).equals(query.getQuestion());
     }
 
-    /** What a response to a query says. */
+    /** Interprets the response to a query. */
     static DnsResponse of(Message query, Message response) {
         int rcode = response.getRcode();
         if (response.getHeader().getFlag(Flags.TC)) {
@@ -71,10 +71,10 @@
         return followAliases(query, response);
     }
 
-    /** Follows the CNAME records of the answer section from the name asked for to the records asked for. */
+    /** Follows the CNAME records of the answer section from the requested name to the requested records. */
     private static DnsResponse followAliases(Message query, Message response) {
         Name name = query.getQuestion().getName();
-        Set<Name> passed = new HashSet<>();
+        Set<Name> visited = new HashSet<>();
         long ttl = Long.MAX_VALUE;
         while (true) {
             List<Record> records = records(query, response, name);
@@ -86,7 +86,7 @@
                 break;
             }
             ttl = Math.min(ttl, alias.getTTL());
-            if (!passed.add(name) || passed.size() > MAX_ALIASES) {
+            if (!visited.add(name) || visited.size() > MAX_ALIASES) {
                 return new ServerFailure(TOO_MANY_ALIASES);
             }
             name = alias.getTarget();
@@ -94,7 +94,7 @@
         if (response.getRcode() == Rcode.NXDOMAIN) {
             return negative("NXDOMAIN", response);
         }
-        return passed.isEmpty() ? negative("NODATA", response) : new Alias(name);
+        return visited.isEmpty() ? negative("NODATA", response) : new Alias(name);
     }
 
     private static List<Record> records(Message query, Message response, Name name) {
@@ -107,7 +107,7 @@
         return records;
     }
 
-    /** The last CNAME record of a name, or null; where CNAME records were asked for they are no aliases. */
+    /** Returns the last CNAME record of a name, or null. */
     private static CNAMERecord alias(Message query, Message response, Name name) {
         CNAMERecord alias = null;
         for (Record record : response.getSection(Section.ANSWER)) {
--- a/src/main/java/wallmoor/dns/DnsSource.java
+++ b/src/main/java/wallmoor/dns/DnsSource.java
@@ -18,22 +18,22 @@
 import wallmoor.sources.EndpointSource;
 
 /**
- * One service in DNS as a source of endpoints: looked up before its records run out, and sooner while it seems to
- * shrink. One thread looks up and waits; only {@link #reload} comes from elsewhere.
+ * One service in DNS as a source of endpoints. It is looked up before its records expire, and more often while
+ * endpoints are missing. One thread looks up and waits; other threads call only {@link #reload}.
  */
 public final class DnsSource implements EndpointSource {
-    /** A look-up with all its targets takes no longer. */
+    /** The timeout of a look-up with all its targets. */
     private static final long LOOKUP_TIMEOUT_MILLIS = 10_000;
     private static final long MIN_BACKOFF_MILLIS = 1_000;
     private static final long MAX_BACKOFF_MILLIS = 30_000;
-    /** Doublings beyond this many change nothing, as the bound is lower. */
+    /** Limits the shift; {@code MAX_BACKOFF_MILLIS} is reached earlier. */
     private static final int MAX_DOUBLINGS = 10;
-    /** While endpoints are missing: so that it is soon known whether they stay missing. */
+    /** The longest wait while endpoints are missing, so that it is soon known whether they stay missing. */
     private static final long SHRUNK_POLL_MILLIS = 5_000;
-    /** Answers cached for each SRV record: its own, its target's address and its TXT record. */
+    /** Cached answers per SRV record: the SRV record, and the address and TXT record of its target. */
     private static final int ANSWERS_PER_RECORD = 3;
 
-    /** The resolver for one configuration, with its cache. */
+    /** The resolver of one configuration, with its cache. */
     private record Lookups(Dns dns, TtlPolicy ttls, ServiceResolver services) {
         static Lookups of(Dns dns) {
             var ttls = new TtlPolicy(dns.leastTtl(), dns.mostTtl(), dns.mostAge());
@@ -52,12 +52,12 @@
     private final Condition reloaded = lock.newCondition();
     private volatile Dns dns;
     private int failures;
-    /** How many endpoints there were lately. */
+    /** The recent number of endpoints; see {@link #pollAfter}. */
     private int usualEndpoints;
     private int lookups;
     private List<String> lastFaults = List.of();
 
-    /** The source for one of the names in {@code dns}. */
+    /** Creates the source for {@code service}, one of the names in {@code dns}. */
     public DnsSource(Dns dns, DnsName service, LaunchConfig launch) {
         this.dns = dns;
         this.service = service;
@@ -65,7 +65,7 @@
         random = RandomGenerator.getDefault();
     }
 
-    /** The source's name for one of the names. */
+    /** Returns the name of the source for a service. */
     public static String nameOf(DnsName service) {
         return "dns " + service.name();
     }
@@ -75,14 +75,14 @@
         return nameOf(service);
     }
 
-    /** The servers and times are these from now on; the service is looked up at once. */
-    public void reload(Dns other) {
-        if (other.equals(dns)) {
+    /** Replaces the configuration of servers and times; if it differs, looks up the service at once. */
+    public void reload(Dns newDns) {
+        if (newDns.equals(dns)) {
             return;
         }
         lock.lock();
         try {
-            dns = other;
+            dns = newDns;
             reloaded.signal();
         } finally {
             lock.unlock();
@@ -105,7 +105,7 @@
             try {
                 wait = lookUp(current, listener);
             } catch (RuntimeException e) {
-                log.error("{}: look-up failed", name(), e);
+                log.error("DNS look-up failed unexpectedly: source={}", name(), e);
                 wait = MAX_BACKOFF_MILLIS;
             }
             if (!awaitReload(configured, wait)) {
@@ -114,8 +114,8 @@
         }
     }
 
-    /** Waits until the configuration has changed, but no longer than this; false where the thread was interrupted. */
-    @SuppressWarnings("WaitNotInLoop") // woken too early, it asks once more than it had to
+    /** Waits for a change of configuration or the timeout; returns false if the thread was interrupted. */
+    @SuppressWarnings("WaitNotInLoop") // a spurious wake-up causes only an extra look-up
     private boolean awaitReload(Dns used, long millis) {
         lock.lock();
         try {
@@ -130,11 +130,11 @@
         }
     }
 
-    /** Looks the service up, reports what came of it, and returns after how many milliseconds to do so again. */
+    /** Looks up the service, reports the result, and returns the milliseconds until the next look-up. */
     private long lookUp(Lookups current, Consumer<WatchEvent> listener) {
         ServiceLookup lookup = current.services().find(service.name(), LOOKUP_TIMEOUT_MILLIS);
         if (lookup instanceof ServiceLookup.ServiceLookupFailure failure) {
-            log.warn("{}: {}", name(), failure.reason());
+            log.warn("DNS look-up failed: source={} reason={}", name(), failure.reason());
             listener.accept(new WatchEvent.SourceFailure(name(), failure.reason()));
             return current.ttls().refreshAfterMillis(backoff(), random.nextDouble());
         }
@@ -152,7 +152,7 @@
             ttl = notOffered.ttlMillis();
         } else {
             var none = (ServiceLookup.NoService) lookup;
-            log.warn("{}: {}", name(), none.reason());
+            log.warn("DNS has no SRV records for the service: source={} reason={}", name(), none.reason());
             report(version + " (" + none.reason() + ")", List.of(), false, listener);
             ttl = none.ttlMillis();
         }
@@ -165,7 +165,10 @@
         return Math.min(MAX_BACKOFF_MILLIS, backoff);
     }
 
-    /** Sooner than the TTL while endpoints are missing; the usual number fades, as a fleet may have shrunk for good. */
+    /**
+     * Returns the time until the next look-up: the TTL, or less while there are fewer endpoints than usual. The usual
+     * number falls by one per look-up, as the fleet may have shrunk for good.
+     */
     private long pollAfter(int endpoints, long ttlMillis, TtlPolicy ttls) {
         usualEndpoints = Math.max(endpoints, usualEndpoints - 1);
         long wait = endpoints < usualEndpoints ? Math.min(ttlMillis, SHRUNK_POLL_MILLIS) : ttlMillis;
@@ -175,9 +178,9 @@
     private int reportResolved(ServiceLookup.Resolved resolved, String version, Consumer<WatchEvent> listener) {
         var faults = new ArrayList<>(resolved.faults());
         List<SourceEndpoint> endpoints = mapper.endpoints(resolved.targets(), service.cell(), faults);
-        if (!faults.equals(lastFaults)) { // each once, and again when others come
+        if (!faults.equals(lastFaults)) { // logged only when they change
             for (String fault : faults) {
-                log.warn("{}: {}", name(), fault);
+                log.warn("DNS records are faulty: source={} fault={}", name(), fault);
             }
             lastFaults = faults;
         }
--- a/src/main/java/wallmoor/dns/DnsTransport.java
+++ b/src/main/java/wallmoor/dns/DnsTransport.java
@@ -13,33 +13,36 @@
 import java.util.concurrent.TimeUnit;
 import org.xbill.DNS.Message;
 
-/** One query and its response on the wire. What a response means is {@link DnsResponse}'s to say. */
+/** Sends one query and receives its response, over UDP or TCP. {@link DnsResponse} interprets the response. */
 final class DnsTransport {
-    /** A response over UDP that fills it is as good as truncated; it must hold more than the size we offer. */
-    private static final int MAX_UDP_BYTES = 4096;
-    /** The length in front of a message over TCP (RFC 1035 section 4.2.2). */
+    /**
+     * The size of the receive buffer, larger than the payload size offered by EDNS. A response that fills it counts as
+     * truncated.
+     */
+    private static final int UDP_BUFFER_BYTES = 4096;
+    /** The size of the length field in front of each message over TCP (RFC 1035 section 4.2.2). */
     private static final int LENGTH_BYTES = 2;
 
     private DnsTransport() {}
 
     /**
-     * Asks over UDP, from a port that the system draws for this query alone; the socket is connected, so that only what
-     * comes from the server's own address and port is seen (RFC 5452 section 9). What answers another question, or
-     * can't be read, is skipped.
+     * Sends a query over UDP from a socket of its own, with a port drawn by the system. The socket is connected, so
+     * that it receives only datagrams from the server's address and port (RFC 5452 section 9). Skips datagrams that
+     * can't be read or answer another question.
      *
-     * @return the response; null stands for one that came and was cut off
-     * @throws SocketTimeoutException if none came in time; it tells what else did
+     * @return the response, or null if it was truncated by the receive buffer
+     * @throws SocketTimeoutException if no response came in time; the message tells how many datagrams were skipped
      */
     static Message udp(InetSocketAddress server, Message query, long millis) throws IOException {
-        long until = deadline(millis);
+        long deadline = deadline(millis);
         int skipped = 0;
         try (var socket = new DatagramSocket()) {
             socket.connect(server);
             byte[] bytes = query.toWire();
             socket.send(new DatagramPacket(bytes, bytes.length));
-            var packet = new DatagramPacket(new byte[MAX_UDP_BYTES], MAX_UDP_BYTES);
-            while (receive(socket, packet, until)) {
-                if (packet.getLength() == MAX_UDP_BYTES) {
+            var packet = new DatagramPacket(new byte[UDP_BUFFER_BYTES], UDP_BUFFER_BYTES);
+            while (receive(socket, packet, deadline)) {
+                if (packet.getLength() == UDP_BUFFER_BYTES) {
                     return null;
                 }
                 Message response = parse(Arrays.copyOf(packet.getData(), packet.getLength()));
@@ -50,17 +53,17 @@
             }
         }
         throw new SocketTimeoutException(skipped == 0 ? "no answer in time"
-                : "no answer in time, but " + skipped + " that can't be read or answer something else");
+                : "no answer in time; skipped " + skipped + " datagrams that can't be read or answer another question");
     }
 
-    /** Receives a datagram; false where none came in time. */
-    private static boolean receive(DatagramSocket socket, DatagramPacket packet, long until) throws IOException {
-        long left = millisUntil(until);
-        if (left <= 0) {
+    /** Receives a datagram; returns false if none came in time. */
+    private static boolean receive(DatagramSocket socket, DatagramPacket packet, long deadline) throws IOException {
+        long remaining = millisUntil(deadline);
+        if (remaining <= 0) {
             return false;
         }
-        socket.setSoTimeout((int) left);
-        packet.setLength(MAX_UDP_BYTES);
+        socket.setSoTimeout((int) remaining);
+        packet.setLength(UDP_BUFFER_BYTES);
         try {
             socket.receive(packet);
             return true;
@@ -69,23 +72,24 @@
         }
     }
 
-    /** Asks over TCP (RFC 7766). */
+    /** Sends a query over TCP and returns the response (RFC 7766). */
     static Message tcp(InetSocketAddress server, Message query, long millis) throws IOException {
-        long until = deadline(millis);
+        long deadline = deadline(millis);
         try (var socket = new Socket(Proxy.NO_PROXY)) {
             socket.connect(server, (int) millis);
             socket.getOutputStream().write(framed(query.toWire()));
             var in = new DataInputStream(socket.getInputStream());
-            byte[] head = readFully(socket, in, LENGTH_BYTES, until);
-            byte[] body = readFully(socket, in, ((head[0] & 0xff) << 8) | (head[1] & 0xff), until);
+            byte[] head = readFully(socket, in, LENGTH_BYTES, deadline);
+            byte[] body = readFully(socket, in, ((head[0] & 0xff) << 8) | (head[1] & 0xff), deadline);
             Message response = parse(body);
             if (response == null || !DnsResponse.answers(query, response)) {
-                throw new IOException("an answer that can't be read, or to something else");
+                throw new IOException("the response can't be read or answers another question");
             }
             return response;
         }
     }
 
+    /** Puts the length field in front of a message. */
     private static byte[] framed(byte[] message) {
         byte[] framed = new byte[LENGTH_BYTES + message.length];
         framed[0] = (byte) (message.length >>> 8);
@@ -94,20 +98,20 @@
         return framed;
     }
 
-    /** A server that sends a byte now and then does not get more time for it. */
-    private static byte[] readFully(Socket socket, DataInputStream in, int length, long until) throws IOException {
+    /** Reads so many bytes. The deadline is for all of them, so that a server can't extend it byte by byte. */
+    private static byte[] readFully(Socket socket, DataInputStream in, int length, long deadline) throws IOException {
         byte[] bytes = new byte[length];
-        for (int at = 0; at < length;) {
-            long left = millisUntil(until);
-            if (left <= 0) {
-                throw new SocketTimeoutException("no whole answer in time");
+        for (int offset = 0; offset < length;) {
+            long remaining = millisUntil(deadline);
+            if (remaining <= 0) {
+                throw new SocketTimeoutException("incomplete answer in time: " + offset + " of " + length + " bytes");
             }
-            socket.setSoTimeout((int) left);
-            int n = in.read(bytes, at, length - at);
-            if (n < 0) {
-                throw new EOFException("half an answer");
+            socket.setSoTimeout((int) remaining);
+            int count = in.read(bytes, offset, length - offset);
+            if (count < 0) {
+                throw new EOFException("the server closed the connection after " + offset + " of " + length + " bytes");
             }
-            at += n;
+            offset += count;
         }
         return bytes;
     }
@@ -124,7 +128,7 @@
         try {
             return new Message(bytes);
         } catch (IOException | RuntimeException e) {
-            return null; // pointers that loop, lengths that lie
+            return null; // compression pointers that loop, wrong lengths
         }
     }
 }
--- a/src/main/java/wallmoor/dns/NameServers.java
+++ b/src/main/java/wallmoor/dns/NameServers.java
@@ -7,23 +7,23 @@
 import java.util.Set;
 
 /**
- * Decides which name server is asked next: the one with the least smoothed round-trip time (as in RFC 6298) of those
- * that have not failed lately. One that is not asked seems a little faster each time, so that all are measured again.
- * Times are milliseconds. No clock and no I/O. Safe for threads.
+ * Chooses the name server to query next: the one with the lowest smoothed response time (as in RFC 6298) of those that
+ * are not in backoff after a failure. The times of the servers that are not chosen decay, so that each is measured
+ * again in the end. Times are milliseconds. Has no clock and does no I/O. Safe for concurrent use.
  */
 final class NameServers {
     /** The weight of a new measurement (RFC 6298's alpha). */
     private static final double SMOOTHING = 1.0 / 8;
-    /** By which the time of a server that is not asked shrinks. */
+    /** The factor by which the smoothed time of a server that is not chosen decays. */
     private static final double DECAY = 0.98;
     private static final long MIN_BACKOFF_MILLIS = 1_000;
     private static final long MAX_BACKOFF_MILLIS = 60_000;
-    /** Doublings beyond this many change nothing, as the bound is lower. */
+    /** Limits the shift; {@code MAX_BACKOFF_MILLIS} is reached earlier. */
     private static final int MAX_DOUBLINGS = 16;
 
     private static final class NameServer {
         final InetSocketAddress address;
-        /** 0 where it never answered, so that it is tried soon. */
+        /** The smoothed response time; 0 until the first answer, so that the server is tried soon. */
         double smoothedMillis;
         int failures;
         long backoffUntil = Long.MIN_VALUE;
@@ -46,8 +46,8 @@
     }
 
     /**
-     * The next to ask, or null when all were tried. A server that failed lately comes after the others, the one whose
-     * backoff ends first before the rest: where all have failed there is nobody better.
+     * Returns the server to query next, or null if all were tried. Servers in backoff come after the others, in the
+     * order in which their backoffs end: if all have failed, one of them is tried nevertheless.
      */
     synchronized InetSocketAddress next(long now, Set<InetSocketAddress> tried) {
         NameServer best = null;
@@ -73,7 +73,7 @@
         return backoffA ? a.backoffUntil < b.backoffUntil : a.smoothedMillis < b.smoothedMillis;
     }
 
-    /** It answered after so many milliseconds. */
+    /** Records that a server answered after so many milliseconds. */
     synchronized void recordAnswer(InetSocketAddress address, double millis) {
         NameServer server = find(address);
         server.smoothedMillis = server.smoothedMillis == 0
@@ -83,7 +83,7 @@
         server.backoffUntil = Long.MIN_VALUE;
     }
 
-    /** It gave no useful response. */
+    /** Records that a server gave no useful response, and starts its backoff. */
     synchronized void recordFailure(InetSocketAddress address, long now) {
         NameServer server = find(address);
         long backoff = MIN_BACKOFF_MILLIS << Math.min(server.failures, MAX_DOUBLINGS);
@@ -97,6 +97,6 @@
                 return server;
             }
         }
-        throw new IllegalArgumentException("no server " + address);
+        throw new IllegalArgumentException("not a configured name server: " + address);
     }
 }
--- a/src/main/java/wallmoor/dns/ParallelTargetLookup.java
+++ b/src/main/java/wallmoor/dns/ParallelTargetLookup.java
@@ -9,9 +9,9 @@
 import org.xbill.DNS.SRVRecord;
 import wallmoor.http.Threads;
 
-/** Looks up the targets of a service's SRV records, a few at a time, each on a thread of its own. */
+/** Looks up the targets of a service's SRV records in parallel, on a few threads. */
 final class ParallelTargetLookup {
-    /** Look-ups at once: more would be a burst that servers drop. */
+    /** Concurrent look-ups; more would be a burst that servers drop. */
     private static final int MAX_THREADS = 8;
 
     private final TargetResolver resolver;
@@ -21,7 +21,7 @@
     }
 
     /**
-     * Looks up all targets; returns when the last look-up has ended.
+     * Looks up all targets, and returns when the last look-up has ended.
      *
      * @param deadline  when to give up, on the resolver's clock
      * @param bypassing the names of the targets that bypass the cache
@@ -43,14 +43,14 @@
         return run.result();
     }
 
-    /** The work that the threads share: each takes the next record until there is none. */
+    /** The look-up of all records, shared by the threads: each takes the next record until there is none. */
     private final class Run implements Runnable {
         private final List<Record> records;
         private final long ttlMillis;
         private final long deadline;
         private final Set<String> bypassing;
         private final AtomicInteger next = new AtomicInteger();
-        /** Of each record one or the other; read after all threads have ended. */
+        /** For each record either a target or a fault is set; both are read after all threads have ended. */
         private final ServiceTarget[] targets;
         private final String[] faults;
 
@@ -77,22 +77,22 @@
         }
 
         ServiceLookup result() {
-            var good = new ArrayList<ServiceTarget>();
-            var bad = new ArrayList<String>();
+            var resolved = new ArrayList<ServiceTarget>();
+            var messages = new ArrayList<String>();
             long ttl = ttlMillis;
             Set<String> seen = new HashSet<>();
             for (int i = 0; i < targets.length; i++) {
                 ServiceTarget target = targets[i];
                 if (target == null) {
-                    bad.add(faults[i]);
+                    messages.add(faults[i]);
                 } else if (!seen.add(target.name() + ":" + target.port())) {
-                    bad.add(target.name() + ": port " + target.port() + " stands twice");
+                    messages.add(target.name() + ": port " + target.port() + " is named by more than one SRV record");
                 } else {
-                    good.add(target);
+                    resolved.add(target);
                     ttl = Math.min(ttl, target.ttlMillis());
                 }
             }
-            return new ServiceLookup.Resolved(List.copyOf(good), List.copyOf(bad), ttl);
+            return new ServiceLookup.Resolved(List.copyOf(resolved), List.copyOf(messages), ttl);
         }
     }
 }
--- a/src/main/java/wallmoor/dns/RecordLookup.java
+++ b/src/main/java/wallmoor/dns/RecordLookup.java
@@ -7,14 +7,14 @@
 sealed interface RecordLookup {
 
     /**
-     * Records.
+     * The records of the name and type.
      *
      * @param ttlMillis how long they may still be used
-     * @param stale     whether no server would say, and this is what one said last (RFC 8767)
+     * @param stale     whether no server answered, so that the last answer is used beyond its TTL (RFC 8767)
      */
     record Records(List<Record> records, long ttlMillis, boolean stale) implements RecordLookup {}
 
-    /** There are none, as a server says for sure; {@code reason} is NXDOMAIN or NODATA. */
+    /** There are no such records, as a server answered; {@code reason} is NXDOMAIN or NODATA. */
     record NoRecords(String reason, long ttlMillis) implements RecordLookup {}
 
     /** No server gave a useful response. */
--- a/src/main/java/wallmoor/dns/ServiceResolver.java
+++ b/src/main/java/wallmoor/dns/ServiceResolver.java
@@ -14,12 +14,12 @@
 
 /**
  * Looks up a service: its SRV records (RFC 2782), and for each target the addresses and the TXT record. It remembers
- * which targets it believed last; one caller at a time.
+ * the targets accepted last. Not safe for concurrent use.
  */
 public final class ServiceResolver {
-    /** Readings after the first at most, to confirm what has changed. */
+    /** How many look-ups follow the first at most, to confirm changed targets. */
     private static final int MAX_CONFIRMATIONS = 3;
-    /** After how long to look up again while a change is not confirmed: at once. */
+    /** The TTL while a change is not confirmed: the service is looked up again at once. */
     private static final long UNCONFIRMED_TTL_MILLIS = 1;
 
     private final StubResolver resolver;
@@ -27,15 +27,15 @@
     private final int maxRecords;
     private final boolean confirmsChanges;
     private final LongSupplier clock;
-    /** The facts of the targets as they were believed last. */
+    /** The {@link ServiceTarget#facts} of the targets accepted last. */
     private Set<String> accepted = Set.of();
 
     /**
-     * Makes it.
+     * Creates a resolver of services.
      *
-     * @param maxRecords      a response with more is not used
-     * @param confirmsChanges whether what changed is to be read twice before it is believed
-     * @param clock           the resolver's, in milliseconds
+     * @param maxRecords      how many SRV records a response may have; one with more is rejected
+     * @param confirmsChanges whether a changed target is accepted only after two look-ups agree
+     * @param clock           the clock of {@code resolver}, in milliseconds
      */
     ServiceResolver(StubResolver resolver, int maxRecords, boolean confirmsChanges, LongSupplier clock) {
         this.resolver = resolver;
@@ -46,9 +46,10 @@
     }
 
     /**
-     * Looks up a service; gives up after so many milliseconds. A target that has changed in any way is believed only
-     * when two readings of all its records from servers agree: SRV, address and TXT are read one after another, and one
-     * that moved between two readings would else have the port of one endpoint and the identity of another.
+     * Looks up a service; gives up after so many milliseconds. If changes are to be confirmed, a changed target is
+     * accepted only when two look-ups of all its records agree. SRV, address and TXT records are queried one after
+     * another: a target that moves in between would otherwise have the port of one endpoint and the identity of
+     * another.
      */
     ServiceLookup find(String service, long millis) {
         long deadline = clock.getAsLong() + millis;
@@ -56,29 +57,29 @@
         try {
             name = Name.fromString(service, Name.root);
         } catch (TextParseException e) {
-            return new ServiceLookup.ServiceLookupFailure(service + " is no name: " + e.getMessage());
+            return new ServiceLookup.ServiceLookupFailure(service + " is not a valid DNS name: " + e.getMessage());
         }
-        ServiceLookup first = read(name, deadline, Set.of());
+        ServiceLookup first = lookUp(name, deadline, Set.of());
         return confirmsChanges && first instanceof ServiceLookup.Resolved resolved
                 ? confirm(name, deadline, resolved)
                 : first;
     }
 
-    /** Reads changed targets again until two readings agree, or there were too many. */
+    /** Looks up changed targets again until two look-ups agree, or {@code MAX_CONFIRMATIONS} is reached. */
     private ServiceLookup confirm(Name name, long deadline, ServiceLookup.Resolved first) {
         ServiceLookup.Resolved last = first;
         Set<String> unconfirmed = changedTargets(last);
         for (int i = 0; i < MAX_CONFIRMATIONS && !unconfirmed.isEmpty(); i++) {
-            if (!(read(name, deadline, unconfirmed) instanceof ServiceLookup.Resolved next)) {
-                break; // what changed stays unconfirmed
+            if (!(lookUp(name, deadline, unconfirmed) instanceof ServiceLookup.Resolved next)) {
+                break; // the changed targets stay unconfirmed
             }
             unconfirmed = withoutAgreed(changedTargets(next), last, next);
             last = next;
         }
-        return believed(last, unconfirmed);
+        return accept(last, unconfirmed);
     }
 
-    /** The names of the targets that differ from those believed last. */
+    /** Returns the names of the targets that differ from those accepted last. */
     private Set<String> changedTargets(ServiceLookup.Resolved resolved) {
         Set<String> changed = new HashSet<>();
         for (ServiceTarget target : resolved.targets()) {
@@ -89,7 +90,7 @@
         return changed;
     }
 
-    /** The names left of those whose targets aren't all alike in two readings. */
+    /** Returns those of the names whose targets differ between two look-ups. */
     private static Set<String> withoutAgreed(Set<String> names, ServiceLookup.Resolved last,
             ServiceLookup.Resolved next) {
         Set<String> lastFacts = facts(last.targets());
@@ -110,24 +111,29 @@
         return facts;
     }
 
-    private ServiceLookup believed(ServiceLookup.Resolved resolved, Set<String> unconfirmed) {
-        var believed = new ArrayList<ServiceTarget>();
+    /** Returns the look-up without the unconfirmed targets, and remembers the other targets as accepted. */
+    private ServiceLookup accept(ServiceLookup.Resolved resolved, Set<String> unconfirmed) {
+        var acceptedTargets = new ArrayList<ServiceTarget>();
         for (ServiceTarget target : resolved.targets()) {
             if (!unconfirmed.contains(target.name())) {
-                believed.add(target);
+                acceptedTargets.add(target);
             }
         }
         var faults = new ArrayList<>(resolved.faults());
         for (String name : new TreeSet<>(unconfirmed)) {
-            faults.add(name + ": its records are changing, and not believed yet");
+            faults.add(name + ": its records changed between look-ups; it is not used until two look-ups agree");
         }
-        accepted = Set.copyOf(facts(believed));
+        accepted = Set.copyOf(facts(acceptedTargets));
         long ttl = unconfirmed.isEmpty() ? resolved.ttlMillis() : UNCONFIRMED_TTL_MILLIS;
-        return new ServiceLookup.Resolved(List.copyOf(believed), List.copyOf(faults), ttl);
+        return new ServiceLookup.Resolved(List.copyOf(acceptedTargets), List.copyOf(faults), ttl);
     }
 
-    /** One reading; the service and the targets of these names bypass the cache, the rest may come from it. */
-    private ServiceLookup read(Name name, long deadline, Set<String> bypassing) {
+    /**
+     * Looks up the service once.
+     *
+     * @param bypassing the names of the targets that bypass the cache; if there are any, so do the SRV records
+     */
+    private ServiceLookup lookUp(Name name, long deadline, Set<String> bypassing) {
         RecordLookup lookup = resolver.find(name, Type.SRV, deadline, !bypassing.isEmpty());
         if (lookup instanceof RecordLookup.NoRecords none) {
             return new ServiceLookup.NoService(none.reason(), none.ttlMillis());
@@ -137,11 +143,11 @@
         }
         var found = (RecordLookup.Records) lookup;
         if (found.stale()) {
-            return new ServiceLookup.ServiceLookupFailure("no server answers");
+            return new ServiceLookup.ServiceLookupFailure("no server answered; only a stale answer is cached");
         }
         List<Record> records = found.records();
         if (records.size() > maxRecords) {
-            return new ServiceLookup.ServiceLookupFailure(records.size() + " SRV records, more than " + maxRecords);
+            return new ServiceLookup.ServiceLookupFailure(records.size() + " SRV records, the limit is " + maxRecords);
         }
         if (records.size() == 1 && ((SRVRecord) records.get(0)).getTarget().equals(Name.root)) {
             return new ServiceLookup.NotOffered(found.ttlMillis());
--- a/src/main/java/wallmoor/dns/StubResolver.java
+++ b/src/main/java/wallmoor/dns/StubResolver.java
@@ -24,13 +24,13 @@
 import org.xbill.DNS.Type;
 
 /**
- * A stub resolver (RFC 1034) over UDP and TCP. The message codec is dnsjava's; which server is asked and how often,
- * what of its response is believed and for how long is decided here and in the classes beside it. Safe for threads.
+ * A stub resolver (RFC 1034) over UDP and TCP. The message codec is dnsjava's; this class and those beside it choose
+ * the servers, retry, check the responses and cache them. Safe for concurrent use.
  */
 public final class StubResolver {
-    /** What fits a packet on every usual path without fragments (the figure of DNS Flag Day 2020). */
+    /** Fits a packet on usual paths without fragmentation (the value recommended by DNS Flag Day 2020). */
     private static final int UDP_PAYLOAD_BYTES = 1232;
-    /** Each server is tried so often for a question. */
+    /** How often each server is tried for a question. */
     private static final int ROUNDS = 2;
     private static final int QUERY_IDS = 1 << 16;
     private static final double NANOS_PER_MILLI = TimeUnit.MILLISECONDS.toNanos(1);
@@ -43,24 +43,25 @@
     private final SecureRandom random = new SecureRandom();
 
     /**
-     * Makes a resolver.
+     * Creates a resolver.
      *
-     * @param timeoutMillis for one attempt at one server
-     * @param cached        answers cached at most
-     * @param clock         milliseconds that never go back
+     * @param timeoutMillis the timeout of one attempt at one server
+     * @param cachedAnswers how many answers the cache holds at most
+     * @param clock         a monotonic clock, in milliseconds
      */
-    StubResolver(List<InetSocketAddress> addresses, TtlPolicy ttls, long timeoutMillis, int cached,
+    StubResolver(List<InetSocketAddress> addresses, TtlPolicy ttls, long timeoutMillis, int cachedAnswers,
             LongSupplier clock) {
         servers = new NameServers(addresses);
-        cache = new DnsCache(ttls, cached);
+        cache = new DnsCache(ttls, cachedAnswers);
         this.timeoutMillis = timeoutMillis;
         this.clock = clock;
     }
 
     /**
-     * Looks up, from the cache while that is good. Gives up at {@code deadline}, on this resolver's clock.
+     * Looks up the records of a name and type, in the cache while it has a fresh answer. If no server answers, a stale
+     * answer is returned where there is one. Gives up at {@code deadline}, on this resolver's clock.
      *
-     * @param bypassCache whether servers are asked, whatever the cache holds
+     * @param bypassCache whether to query the servers even if the cache has a fresh answer
      */
     RecordLookup find(Name name, int type, long deadline, boolean bypassCache) {
         RecordLookup fresh = cache.fresh(clock.getAsLong(), name, type);
@@ -71,19 +72,19 @@
         if (lookup instanceof RecordLookup.LookupFailure failure) {
             RecordLookup stale = cache.stale(clock.getAsLong(), name, type);
             if (stale != null) {
-                log.warn("{}: {}; the last answer stands in", name, failure.reason());
+                log.warn("DNS look-up failed, using the stale answer: name={} reason={}", name, failure.reason());
                 return stale;
             }
         }
         return lookup;
     }
 
-    /** Asks the servers, and follows aliases that lead out of a response. */
+    /** Queries the servers, and follows aliases whose target is not in the same response. */
     private RecordLookup query(Name name, int type, long deadline) {
-        Name at = name;
-        Set<Name> passed = new HashSet<>();
+        Name current = name;
+        Set<Name> visited = new HashSet<>();
         while (true) {
-            DnsResponse response = queryServers(at, type, deadline);
+            DnsResponse response = queryServers(current, type, deadline);
             long now = clock.getAsLong();
             if (response instanceof DnsResponse.PositiveAnswer answer) {
                 cacheAdditional(now, answer);
@@ -95,14 +96,14 @@
             if (!(response instanceof DnsResponse.Alias alias)) {
                 return new RecordLookup.LookupFailure(((DnsResponse.ServerFailure) response).reason());
             }
-            if (!passed.add(at) || passed.contains(alias.target()) || passed.size() > DnsResponse.MAX_ALIASES) {
+            if (!visited.add(current) || visited.contains(alias.target()) || visited.size() > DnsResponse.MAX_ALIASES) {
                 return new RecordLookup.LookupFailure(DnsResponse.TOO_MANY_ALIASES);
             }
-            at = alias.target();
+            current = alias.target();
         }
     }
 
-    /** Additional addresses are believed only for the targets that the same response names. */
+    /** Caches addresses of the additional section, but only those of targets of the response's own SRV records. */
     private void cacheAdditional(long now, DnsResponse.PositiveAnswer answer) {
         Set<Name> targets = new HashSet<>();
         for (Record record : answer.records()) {
@@ -130,21 +131,21 @@
         }
     }
 
-    /** Asks one server after another until one gives a useful response. */
+    /** Queries one server after another until one gives a useful response. */
     private DnsResponse queryServers(Name name, int type, long deadline) {
         var reasons = new LinkedHashSet<String>();
         for (int round = 0; round < ROUNDS; round++) {
             Set<InetSocketAddress> tried = new HashSet<>();
             for (int i = 0; i < servers.count(); i++) {
                 long now = clock.getAsLong();
-                long left = Math.min(timeoutMillis, deadline - now);
-                if (left <= 0) {
-                    reasons.add("out of time");
+                long remaining = Math.min(timeoutMillis, deadline - now);
+                if (remaining <= 0) {
+                    reasons.add("the deadline of the look-up has passed");
                     return failure(reasons);
                 }
                 InetSocketAddress server = servers.next(now, tried);
                 tried.add(server);
-                DnsResponse response = queryServer(server, name, type, left, deadline);
+                DnsResponse response = queryServer(server, name, type, remaining, deadline);
                 if (!(response instanceof DnsResponse.ServerFailure failure)) {
                     return response;
                 }
@@ -158,25 +159,25 @@
         return new DnsResponse.ServerFailure(String.join("; ", reasons));
     }
 
-    /** Asks a server, and records how it did. */
+    /** Queries a server, and records its failure or response time. */
     private DnsResponse queryServer(InetSocketAddress server, Name name, int type, long millis, long deadline) {
-        long begun = System.nanoTime();
+        long startNanos = System.nanoTime();
         DnsResponse response = exchange(server, name, type, millis, deadline);
         if (response instanceof DnsResponse.ServerFailure failure) {
             servers.recordFailure(server, clock.getAsLong());
-            log.debug("{} at {}: {}", name, server, failure.reason());
+            log.debug("DNS server failed: name={} server={} reason={}", name, server, failure.reason());
         } else {
-            servers.recordAnswer(server, (System.nanoTime() - begun) / NANOS_PER_MILLI);
+            servers.recordAnswer(server, (System.nanoTime() - startNanos) / NANOS_PER_MILLI);
         }
         return response;
     }
 
-    /** Asks a server over UDP, and over TCP where the response does not fit. */
+    /** Queries a server over UDP, and over TCP if the response is truncated. */
     private DnsResponse exchange(InetSocketAddress server, Name name, int type, long millis, long deadline) {
         try {
             Message query = message(name, type, true);
             Message received = DnsTransport.udp(server, query, millis);
-            // it may be too old for EDNS (RFC 6891 section 7)
+            // a server without EDNS answers FORMERR: queried again without it (RFC 6891 section 7)
             if (received != null && received.getRcode() == Rcode.FORMERR) {
                 query = message(name, type, false);
                 received = DnsTransport.udp(server, query, millis);
@@ -187,11 +188,11 @@
             if (!(response instanceof DnsResponse.Truncated)) {
                 return response;
             }
-            long left = Math.min(timeoutMillis, deadline - clock.getAsLong());
-            if (left <= 0) {
-                return new DnsResponse.ServerFailure("truncated, and no time for TCP");
+            long remaining = Math.min(timeoutMillis, deadline - clock.getAsLong());
+            if (remaining <= 0) {
+                return new DnsResponse.ServerFailure("truncated, and no time left for TCP");
             }
-            return exchangeOverTcp(server, query, left);
+            return exchangeOverTcp(server, query, remaining);
         } catch (IOException | RuntimeException e) {
             return new DnsResponse.ServerFailure(reason(e));
         }
--- a/src/main/java/wallmoor/dns/TargetResolver.java
+++ b/src/main/java/wallmoor/dns/TargetResolver.java
@@ -14,9 +14,9 @@
 import org.xbill.DNS.TXTRecord;
 import org.xbill.DNS.Type;
 
-/** Looks up the addresses and the TXT record of one SRV record's target. Safe for threads. */
+/** Looks up the addresses and the TXT record of one SRV record's target. Safe for concurrent use. */
 final class TargetResolver {
-    /** Pairs of a TXT record that are read at most. */
+    /** How many pairs of the TXT records are read at most. */
     private static final int MAX_TEXT_PAIRS = 32;
 
     private final StubResolver resolver;
@@ -26,24 +26,26 @@
     }
 
     /**
-     * The target of an SRV record.
+     * Returns the target of an SRV record.
      *
      * @param ttlMillis   the TTL of the SRV record
      * @param deadline    when to give up, on the resolver's clock
-     * @param bypassCache whether servers are asked, whatever the cache holds
-     * @throws UnusableTargetException if it has no port, no address, or records that contradict each other
+     * @param bypassCache whether to query the servers even if the cache has a fresh answer
+     * @throws UnusableTargetException if the target has no port or no address, a look-up fails, or its records
+     *                                 contradict each other
      */
     ServiceTarget resolve(SRVRecord srv, long ttlMillis, long deadline, boolean bypassCache)
             throws UnusableTargetException {
         if (srv.getTarget().equals(Name.root) || srv.getPort() == 0) {
-            throw new UnusableTargetException("no target, or no port, beside others that are");
+            throw new UnusableTargetException("its SRV record has the root as target, or port 0");
         }
         RecordLookup.Records found = findAddresses(srv.getTarget(), deadline, bypassCache);
         long ttl = Math.min(ttlMillis, found.ttlMillis());
         Map<String, String> text = Map.of();
         RecordLookup txt = resolver.find(srv.getTarget(), Type.TXT, deadline, bypassCache);
-        if (txt instanceof RecordLookup.LookupFailure failure) { // its identity stays open: a guess would change it
-            throw new UnusableTargetException("its TXT record can't be had: " + failure.reason());
+        // the TXT record may have the target's id, without which its identity would change
+        if (txt instanceof RecordLookup.LookupFailure failure) {
+            throw new UnusableTargetException("look-up of its TXT record failed: " + failure.reason());
         }
         if (txt instanceof RecordLookup.Records records) {
             text = pairs(records.records());
@@ -57,6 +59,7 @@
                 srv.getWeight(), text, ttl);
     }
 
+    /** Looks up the IPv4 addresses, and the IPv6 addresses if there are none. */
     private RecordLookup.Records findAddresses(Name name, long deadline, boolean bypassCache)
             throws UnusableTargetException {
         RecordLookup lookup = resolver.find(name, Type.A, deadline, bypassCache);
@@ -68,10 +71,13 @@
         }
         throw new UnusableTargetException(lookup instanceof RecordLookup.NoRecords none
                 ? "no address: " + none.reason()
-                : "its address can't be had: " + ((RecordLookup.LookupFailure) lookup).reason());
+                : "look-up of its address failed: " + ((RecordLookup.LookupFailure) lookup).reason());
     }
 
-    /** The key {@code at} of a TXT record tells records of different age apart. */
+    /**
+     * Checks that the address and port under {@code at} in the TXT record, if present, are those of the SRV and address
+     * records; they differ if the records are of different age.
+     */
     private static void checkClaimedAddress(String claimed, List<String> addresses, int port)
             throws UnusableTargetException {
         if (claimed == null) {
@@ -83,10 +89,11 @@
             }
         }
         throw new UnusableTargetException(
-                "its TXT record speaks of " + claimed + ", and its SRV record and address of another place");
+                "its TXT record has at=" + claimed + ", but its addresses are " + addresses + " and its port is "
+                        + port);
     }
 
-    /** A name without the dot at its end, in lower case. */
+    /** Returns a name without the trailing dot, in lower case. */
     static String plainName(Name name) {
         return name.toString(true).toLowerCase(Locale.ROOT);
     }
@@ -101,7 +108,7 @@
         return List.copyOf(addresses);
     }
 
-    /** Of a key that stands twice the first counts, one without a value has an empty one (RFC 6763). */
+    /** Parses TXT records: the first of equal keys counts, and a key without a value has an empty one (RFC 6763). */
     private static Map<String, String> pairs(List<Record> records) {
         var pairs = new HashMap<String, String>();
         for (Record record : records) {
--- a/src/main/java/wallmoor/dns/UnusableTargetException.java
+++ b/src/main/java/wallmoor/dns/UnusableTargetException.java
@@ -1,6 +1,6 @@
 package wallmoor.dns;
 
-/** A target of an SRV record can't be used; the message says why. */
+/** Thrown when the target of an SRV record can't be used; the message is the reason. */
 final class UnusableTargetException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/test/java/wallmoor/cli/ResolveCommandTest.java
+++ b/src/test/java/wallmoor/cli/ResolveCommandTest.java
@@ -74,11 +74,11 @@
     public void whatServersDoWrongIsToldByTheExitCode() {
         Object[][] cases = {{Fault.SERVFAIL, 4, "SERVFAIL"}, {Fault.REFUSED, 4, "REFUSED"},
             {Fault.SILENT, 4, "no answer"},
-            {Fault.WRONG_ID, 4, "something else"}, {Fault.WRONG_QUESTION, 4, "something else"},
+            {Fault.WRONG_ID, 4, "another question"}, {Fault.WRONG_QUESTION, 4, "another question"},
             {Fault.OTHER_PORT, 4, "no answer"}, {Fault.GARBAGE, 4, "can't be read"},
             {Fault.POINTER_LOOP, 4, "can't be read"}, {Fault.TRUNCATED, 0, ""}, {Fault.FORMERR_ON_EDNS, 0, ""},
             {Fault.TRUNCATED_NO_TCP, 4, "truncated, and over TCP"}, {Fault.TRUNCATED_SILENT_TCP, 4, "over TCP"},
-            {Fault.HALF_TCP, 4, "half an answer"}};
+            {Fault.HALF_TCP, 4, "the server closed the connection after "}};
         for (Object[] c : cases) {
             dns.fail((Fault) c[0]);
             long begun = System.nanoTime();
