--- a/src/main/java/wallmoor/client/ClientResult.java
+++ b/src/main/java/wallmoor/client/ClientResult.java
@@ -1,20 +1,20 @@
 package wallmoor.client;
 
 /**
- * What a device has learnt of its query.
+ * The result of a device's query.
  *
- * @param body  the outcome as it came, or empty
- * @param tries requests that were made
+ * @param body  the outcome as received, or empty
+ * @param tries the number of requests made
  */
 public record ClientResult(ClientResultKind kind, byte[] body, int tries) {
-    /** In the order of what a person is to be told; the code is the command's. */
+    /** The kinds of results; their names are printed, and their codes are the exit codes of the command. */
     public enum ClientResultKind {
         ANSWERED(0), PARTIAL(5), REFUSED(6), FAILED_NEVER_RAN(7), FAILED_MAY_HAVE_RUN(8), FORGOTTEN(9),
-        /** Nothing is known of the id, and there was no query to ask it with. */
+        /** The edge does not know the id, and only the outcome was requested, without a query. */
         UNKNOWN(10),
-        /** The request itself was at fault. */
+        /** The edge rejected the request as invalid. */
         REJECTED(2),
-        /** No outcome was learnt in time: ask again under the same id. */
+        /** No outcome was received in time; the query can be repeated under the same id. */
         NOT_LEARNT(4);
 
         private final int code;
@@ -23,13 +23,13 @@
             this.code = code;
         }
 
-        /** The exit code. */
+        /** Returns the exit code. */
         public int code() {
             return code;
         }
     }
 
-    /** Reads the kind off an outcome's text; the members that it goes by come first in what the edge writes. */
+    /** Returns the kind of an outcome, or null; relies on the order in which the edge writes the first members. */
     static ClientResultKind kindOf(String text) {
         if (text.startsWith("{\"outcome\":\"answered\"")) {
             return text.startsWith("{\"outcome\":\"answered\",\"complete\":true") ? ClientResultKind.ANSWERED
--- a/src/main/java/wallmoor/client/CoapDevice.java
+++ b/src/main/java/wallmoor/client/CoapDevice.java
@@ -21,19 +21,20 @@
 import org.eclipse.californium.elements.exception.ConnectorException;
 
 /**
- * A device on CoAP: puts its query in blocks, proves its address when asked to, and gets the outcome block by block.
+ * A device that uses CoAP: it sends its query in blocks, verifies its address when challenged, and receives the outcome
+ * in blocks.
  */
 public final class CoapDevice implements AutoCloseable {
     private static final int WAIT_SECONDS = 10;
-    /** An outcome has 64 KiB of values, and what stands round them. */
-    private static final int MOST_ANSWER = 128 * 1024;
+    /** An outcome has up to 64 KiB of values, and the JSON around them. */
+    private static final int MAX_ANSWER_BYTES = 128 * 1024;
 
     private final URI base;
     private final String token;
     private final Consumer<String> progress;
     private final CoapEndpoint endpoint;
 
-    /** A device with an endpoint of its own. */
+    /** Creates a device with an endpoint of its own; {@code progress} receives lines for the user. */
     public CoapDevice(URI base, String token, Consumer<String> progress) throws IOException {
         this.base = base;
         this.token = token;
@@ -44,48 +45,51 @@
         config.set(CoapConfig.ACK_TIMEOUT, 1, TimeUnit.SECONDS);
         config.set(CoapConfig.PREFERRED_BLOCK_SIZE, 512);
         config.set(CoapConfig.MAX_MESSAGE_SIZE, 512);
-        config.set(CoapConfig.MAX_RESOURCE_BODY_SIZE, MOST_ANSWER);
+        config.set(CoapConfig.MAX_RESOURCE_BODY_SIZE, MAX_ANSWER_BYTES);
         endpoint = CoapEndpoint.builder().setConfiguration(config).build();
         endpoint.start();
     }
 
-    /** Asks, or asks only for the outcome where {@code query} is null; returns when it is learnt or patience ends. */
+    /**
+     * Submits a query, or requests only its outcome if {@code query} is null. Returns when the outcome is received or
+     * {@code backoff} gives up.
+     */
     public ClientResult ask(String id, byte[] query, RetryBackoff backoff) throws InterruptedException {
-        var asking = new Asking(id, query);
+        var exchange = new QueryExchange(id, query);
         while (true) {
-            asking.attempt();
-            if (asking.result != null) {
-                return asking.result;
+            exchange.attempt();
+            if (exchange.result != null) {
+                return exchange.result;
             }
-            if (asking.pending) {
+            if (exchange.pending) {
                 continue;
             }
             long now = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-            long wait = backoff.next(now, ++asking.failures, asking.retryAfterMillis,
+            long wait = backoff.next(now, ++exchange.failures, exchange.retryAfterMillis,
                     ThreadLocalRandom.current().nextDouble());
             if (wait == RetryBackoff.GIVE_UP) {
-                return new ClientResult(ClientResult.ClientResultKind.NOT_LEARNT, new byte[0], asking.attempts);
+                return new ClientResult(ClientResult.ClientResultKind.NOT_LEARNT, new byte[0], exchange.attempts);
             }
             Thread.sleep(wait);
         }
     }
 
-    /** One query on its way to its outcome, by as many requests as that takes. */
-    private final class Asking {
+    /** The state of one query, over as many requests as its outcome takes. */
+    private final class QueryExchange {
         private final String id;
         private final byte[] query;
         private int attempts;
-        /** In a row. */
+        /** Failed attempts in a row. */
         private int failures;
-        /** Whether the edge has the query, so that only its outcome is asked for. */
+        /** Whether the edge has accepted the query, so that only its outcome is requested. */
         private boolean accepted;
-        /** Whether the last answer was that the query was accepted, or that there is no outcome yet. */
+        /** Whether the last response was that the query was accepted, or that there is no outcome yet. */
         private boolean pending;
         private long retryAfterMillis;
-        /** What was learnt; null until then. */
+        /** The result, or null until it is received. */
         private ClientResult result;
 
-        Asking(String id, byte[] query) {
+        QueryExchange(String id, byte[] query) {
             this.id = id;
             this.query = query;
             accepted = query == null;
@@ -98,9 +102,9 @@
             retryAfterMillis = 0;
             CoapResponse response = send(id, put ? this::put : Request::newGet);
             if (response == null) {
-                progress.accept("no answer");
+                progress.accept("no response");
             } else {
-                take(response, put);
+                handleResponse(response, put);
             }
         }
 
@@ -111,7 +115,7 @@
             return request;
         }
 
-        private void take(CoapResponse response, boolean put) {
+        private void handleResponse(CoapResponse response, boolean put) {
             ResponseCode code = response.getCode();
             byte[] payload = response.getPayload();
             String text = payload == null ? "" : new String(payload, StandardCharsets.UTF_8);
@@ -119,15 +123,15 @@
             if (!put && kind != null) {
                 result = new ClientResult(kind, payload, attempts);
             } else if (put && response.isSuccess()) {
-                progress.accept("taken");
+                progress.accept("query accepted");
                 accepted = true;
                 pending = true;
                 failures = 0;
             } else if (code == ResponseCode.CONTENT) {
-                pending = true; // it was waited for at the edge's side
+                pending = true; // the edge has already waited for the outcome
             } else if (code == ResponseCode.TOO_MANY_REQUESTS || code == ResponseCode.SERVICE_UNAVAILABLE) {
                 retryAfterMillis = 1000 * response.getOptions().getMaxAge();
-                progress.accept("told to come back after " + retryAfterMillis / 1000 + " s");
+                progress.accept("the edge asks to retry after " + retryAfterMillis / 1000 + " s");
             } else if (kind != null) {
                 result = new ClientResult(kind, payload, attempts);
             } else if (code == ResponseCode.NOT_FOUND) {
@@ -142,30 +146,30 @@
             if (query == null) {
                 result = new ClientResult(ClientResult.ClientResultKind.UNKNOWN, payload, attempts);
             } else {
-                accepted = false; // it was called off meanwhile, or never came
+                accepted = false; // the query was cancelled in the meantime, or was never received
             }
         }
     }
 
-    /** Sends, and again with the Echo that an address which has proven nothing is answered with (RFC 9175). */
-    private CoapResponse send(String id, Supplier<Request> made) {
+    /** Sends a request, and repeats it with the Echo option if the edge challenges the address (RFC 9175). */
+    private CoapResponse send(String id, Supplier<Request> requestFactory) {
         var client = new CoapClient(base.resolve("/queries/" + id) + "?token=" + token + "&wait=" + WAIT_SECONDS);
         client.setEndpoint(endpoint).setTimeout(TimeUnit.SECONDS.toMillis(WAIT_SECONDS + 5));
         try {
-            CoapResponse response = client.advanced(made.get());
+            CoapResponse response = client.advanced(requestFactory.get());
             if (response == null || response.getCode() != ResponseCode.UNAUTHORIZED) {
                 return response;
             }
-            for (Option o : response.getOptions().asSortedList()) {
-                if (o.getNumber() == StandardOptionRegistry.ECHO.getNumber()) {
-                    Request again = made.get();
-                    again.getOptions().addOption(new Option(StandardOptionRegistry.ECHO, o.getValue()));
-                    return client.advanced(again);
+            for (Option option : response.getOptions().asSortedList()) {
+                if (option.getNumber() == StandardOptionRegistry.ECHO.getNumber()) {
+                    Request repeated = requestFactory.get();
+                    repeated.getOptions().addOption(new Option(StandardOptionRegistry.ECHO, option.getValue()));
+                    return client.advanced(repeated);
                 }
             }
             return response;
         } catch (ConnectorException | IOException e) {
-            progress.accept("the link broke: " + e.getMessage());
+            progress.accept("connection failed: " + e.getMessage());
             return null;
         }
     }
--- a/src/main/java/wallmoor/client/HttpDevice.java
+++ b/src/main/java/wallmoor/client/HttpDevice.java
@@ -15,83 +15,88 @@
 import java.util.function.Consumer;
 
 /**
- * A device on HTTP: asks, asks again under the same id whenever its link broke, and goes on where an answer broke off.
+ * A device that uses HTTP: it repeats its query under the same id when the connection fails, and resumes interrupted
+ * answers.
  */
 public final class HttpDevice {
-    private static final int MOST_ANSWER = 1 << 20;
-    private static final int NO_SUCH = 404;
+    private static final int MAX_ANSWER_BYTES = 1 << 20;
+    private static final int STATUS_NOT_FOUND = 404;
 
     private final URI base;
     private final String token;
-    private final boolean packed;
-    private final boolean resume;
+    private final boolean acceptsCompressed;
+    private final boolean resumesAnswers;
     private final Consumer<String> progress;
-    private final Duration patience;
+    private final Duration requestTimeout;
     private final HttpClient client;
 
     /**
-     * A device.
+     * Creates a device.
      *
-     * @param packed   whether answers may come packed
-     * @param resume   whether an answer that broke off is gone on with, rather than had anew
-     * @param patience how long one request may take
+     * @param acceptsCompressed whether answers may be compressed
+     * @param resumesAnswers    whether an interrupted answer is resumed rather than requested again from its start
+     * @param requestTimeout    the timeout of one request
+     * @param progress          receives lines for the user
      */
-    public HttpDevice(URI base, String token, boolean packed, boolean resume, Duration patience,
-            Consumer<String> progress) {
+    public HttpDevice(URI base, String token, boolean acceptsCompressed, boolean resumesAnswers,
+            Duration requestTimeout, Consumer<String> progress) {
         this.base = base;
         this.token = token;
-        this.packed = packed;
-        this.resume = resume;
-        this.patience = patience;
+        this.acceptsCompressed = acceptsCompressed;
+        this.resumesAnswers = resumesAnswers;
+        this.requestTimeout = requestTimeout;
         this.progress = progress;
-        client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(patience).build();
+        client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(requestTimeout).build();
     }
 
-    /** What has come of an answer so far. */
-    private static final class Part {
+    /** The bytes of an answer received so far. */
+    private static final class PartialAnswer {
         final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         String etag;
         String coding = "";
     }
 
-    /** Asks, or asks only for the outcome where {@code query} is null; returns when it is learnt or patience ends. */
+    /**
+     * Submits a query, or requests only its outcome if {@code query} is null. Returns when the outcome is received or
+     * {@code backoff} gives up.
+     */
     public ClientResult ask(String id, byte[] query, RetryBackoff backoff) throws InterruptedException {
-        var asking = new Asking(id, query);
+        var exchange = new QueryExchange(id, query);
         while (true) {
-            asking.attempt();
-            if (asking.result != null) {
-                return asking.result;
+            exchange.attempt();
+            if (exchange.result != null) {
+                return exchange.result;
             }
-            if (asking.pending) {
+            if (exchange.pending) {
                 continue;
             }
             long now = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-            long wait = backoff.next(now, ++asking.failures, asking.retryAfterMillis,
+            long wait = backoff.next(now, ++exchange.failures, exchange.retryAfterMillis,
                     ThreadLocalRandom.current().nextDouble());
             if (wait == RetryBackoff.GIVE_UP) {
-                return new ClientResult(ClientResult.ClientResultKind.NOT_LEARNT, new byte[0], asking.attempts);
+                return new ClientResult(ClientResult.ClientResultKind.NOT_LEARNT, new byte[0], exchange.attempts);
             }
             Thread.sleep(wait);
         }
     }
 
-    /** One query on its way to its outcome, by as many requests as that takes. */
-    private final class Asking {
+    /** The state of one query, over as many requests as its outcome takes. */
+    private final class QueryExchange {
         private final String id;
         private final byte[] query;
-        private Part part = new Part();
+        private PartialAnswer partialAnswer = new PartialAnswer();
         private int attempts;
-        /** In a row. */
+        /** Failed attempts in a row. */
         private int failures;
-        /** Whether the edge has the query, so that only its outcome is asked for. */
+        /** Whether the edge has accepted the query, so that only its outcome is requested. */
         private boolean accepted;
-        /** Whether the last answer was that there is no outcome yet. */
+        /** Whether the last response was that there is no outcome yet. */
         private boolean pending;
         private long retryAfterMillis;
-        /** What was learnt; null until then. */
+        /** The result, or null until it is received. */
         private ClientResult result;
 
-        Asking(String id, byte[] query) {
+        QueryExchange(String id, byte[] query) {
             this.id = id;
             this.query = query;
             accepted = query == null;
@@ -102,86 +107,89 @@
             pending = false;
             retryAfterMillis = 0;
             try {
-                HttpResponse<InputStream> response = client.send(request(id, accepted ? null : query, part),
+                HttpResponse<InputStream> response = client.send(request(id, accepted ? null : query, partialAnswer),
                         BodyHandlers.ofInputStream());
-                take(response, read(response, part));
+                handleResponse(response, read(response, partialAnswer));
             } catch (IOException e) {
-                progress.accept(
-                        "the link broke" + (part.bytes.size() > 0 ? " after " + part.bytes.size() + " bytes" : ""));
-                if (!resume) {
-                    part = new Part();
+                progress.accept("connection failed"
+                        + (partialAnswer.bytes.size() > 0 ? " after " + partialAnswer.bytes.size() + " bytes" : ""));
+                if (!resumesAnswers) {
+                    partialAnswer = new PartialAnswer();
                 }
             }
         }
 
-        private void take(HttpResponse<InputStream> response, String text) {
+        private void handleResponse(HttpResponse<InputStream> response, String text) {
             int status = response.statusCode();
             ClientResult.ClientResultKind kind = ClientResult.kindOf(text);
             if (kind != null) {
-                result = learnt(kind, text);
+                result = toResult(kind, text);
             } else if (status == 202) {
-                progress.accept("taken, no outcome yet");
+                progress.accept("query accepted, no outcome yet");
                 accepted = true;
                 pending = true;
                 failures = 0;
             } else if (status == 429 || status == 503) {
                 retryAfterMillis = 1000L * response.headers().firstValueAsLong("Retry-After").orElse(1);
-                progress.accept("told to come back after " + retryAfterMillis / 1000 + " s");
-            } else if (status == NO_SUCH && query == null) {
-                result = learnt(ClientResult.ClientResultKind.UNKNOWN, text);
-            } else if (status == NO_SUCH) {
-                accepted = false; // it was called off meanwhile, or never came
+                progress.accept("the edge asks to retry after " + retryAfterMillis / 1000 + " s");
+            } else if (status == STATUS_NOT_FOUND && query == null) {
+                result = toResult(ClientResult.ClientResultKind.UNKNOWN, text);
+            } else if (status == STATUS_NOT_FOUND) {
+                accepted = false; // the query was cancelled in the meantime, or was never received
             } else if (status == 416) {
-                part = new Part();
+                partialAnswer = new PartialAnswer();
             } else if (status >= 400 && status < 500) {
-                result = learnt(ClientResult.ClientResultKind.REJECTED, text);
+                result = toResult(ClientResult.ClientResultKind.REJECTED, text);
             }
         }
 
-        private ClientResult learnt(ClientResult.ClientResultKind kind, String text) {
+        private ClientResult toResult(ClientResult.ClientResultKind kind, String text) {
             return new ClientResult(kind, text.getBytes(StandardCharsets.UTF_8), attempts);
         }
     }
 
-    private HttpRequest request(String id, byte[] query, Part part) {
-        var r = HttpRequest.newBuilder(base.resolve("/queries/" + id)).timeout(patience)
+    private HttpRequest request(String id, byte[] query, PartialAnswer partialAnswer) {
+        var builder = HttpRequest.newBuilder(base.resolve("/queries/" + id)).timeout(requestTimeout)
                 .header("Authorization", "Bearer " + token)
-                .header("Prefer", "wait=" + Math.max(1, patience.toSeconds() - 1));
-        if (packed) {
-            r.header("Accept-Encoding", "zstd, gzip");
+                .header("Prefer", "wait=" + Math.max(1, requestTimeout.toSeconds() - 1));
+        if (acceptsCompressed) {
+            builder.header("Accept-Encoding", "zstd, gzip");
         }
-        if (part.etag != null && part.bytes.size() > 0) { // an answer is there: what is lacking of it is got
-            return r.header("Range", "bytes=" + part.bytes.size() + "-").header("If-Range", part.etag).GET().build();
+        // part of the answer was received: requests the rest
+        if (partialAnswer.etag != null && partialAnswer.bytes.size() > 0) {
+            return builder.header("Range", "bytes=" + partialAnswer.bytes.size() + "-")
+                    .header("If-Range", partialAnswer.etag).GET().build();
         }
-        return query == null ? r.GET().build()
-                : r.header("Content-Type", "application/json").PUT(HttpRequest.BodyPublishers.ofByteArray(query))
+        return query == null ? builder.GET().build()
+                : builder.header("Content-Type", "application/json").PUT(HttpRequest.BodyPublishers.ofByteArray(query))
                         .build();
     }
 
-    /** Reads a body to its end, or throws with what came kept in {@code part}. The text of a whole one. */
-    private static String read(HttpResponse<InputStream> r, Part part) throws IOException {
-        boolean outcome = r.statusCode() == 200 || r.statusCode() == 206;
-        Part to = outcome ? part : new Part();
-        if (r.statusCode() == 200) {
-            to.bytes.reset();
-            to.etag = r.headers().firstValue("ETag").orElse(null);
-            to.coding = r.headers().firstValue("Content-Encoding").orElse("");
+    /** Reads a body and returns its text; if that fails, {@code partialAnswer} has the bytes received of an outcome. */
+    private static String read(HttpResponse<InputStream> response, PartialAnswer partialAnswer) throws IOException {
+        boolean isOutcome = response.statusCode() == 200 || response.statusCode() == 206;
+        PartialAnswer answer = isOutcome ? partialAnswer : new PartialAnswer();
+        if (response.statusCode() == 200) {
+            answer.bytes.reset();
+            answer.etag = response.headers().firstValue("ETag").orElse(null);
+            answer.coding = response.headers().firstValue("Content-Encoding").orElse("");
         }
-        try (InputStream in = r.body()) {
+        try (InputStream in = response.body()) {
             byte[] chunk = new byte[1024];
             for (int n = in.read(chunk); n >= 0; n = in.read(chunk)) {
-                to.bytes.write(chunk, 0, n);
-                if (to.bytes.size() > MOST_ANSWER) {
-                    throw new IOException("an answer without end");
+                answer.bytes.write(chunk, 0, n);
+                if (answer.bytes.size() > MAX_ANSWER_BYTES) {
+                    throw new IOException("the answer has more than " + MAX_ANSWER_BYTES + " bytes");
                 }
             }
         }
-        byte[] all = to.bytes.toByteArray();
-        byte[] plain = switch (to.coding) {
-            case "zstd" -> com.github.luben.zstd.Zstd.decompress(all, MOST_ANSWER);
+        byte[] received = answer.bytes.toByteArray();
+        byte[] plain = switch (answer.coding) {
+            case "zstd" -> com.github.luben.zstd.Zstd.decompress(received, MAX_ANSWER_BYTES);
             case "gzip" ->
-                new java.util.zip.GZIPInputStream(new java.io.ByteArrayInputStream(all)).readNBytes(MOST_ANSWER);
-            default -> all;
+                new java.util.zip.GZIPInputStream(new java.io.ByteArrayInputStream(received))
+                        .readNBytes(MAX_ANSWER_BYTES);
+            default -> received;
         };
         return new String(plain, StandardCharsets.UTF_8);
     }
--- a/src/main/java/wallmoor/edge/Devices.java
+++ b/src/main/java/wallmoor/edge/Devices.java
@@ -18,66 +18,66 @@
 import wallmoor.http.Threads;
 
 /**
- * The devices that may ask, from a CSV file of ids and hashes of tokens. A token is ID.SECRET, its secret drawn by
- * `devices add` with 256 bits, so that a plain hash can't be searched. The file is read again when it changes; one that
- * is wrong anywhere is not taken, and the last good one stands.
+ * The registered devices, from a CSV file of ids and hashes of tokens. A token is ID.SECRET; {@code devices add} draws
+ * secrets of 256 bits, so that an unsalted hash can't be reversed by search. The file is reloaded when it changes; a
+ * file with any error is rejected as a whole, and the last valid one stays in use.
  */
 public final class Devices {
-    /** A device that is removed is refused within this and the time of a reading: well within 2 s. */
-    private static final long REREAD_MILLIS = 400;
-    private static final int MOST_BYTES = 32 << 20;
-    private static final int HASH = 32;
+    /** A removed device is refused after this interval and the time of a reload, well within 2 s. */
+    private static final long RELOAD_INTERVAL_MILLIS = 400;
+    private static final int MAX_FILE_BYTES = 32 << 20;
+    private static final int HASH_BYTES = 32;
 
     private final Logger log = LoggerFactory.getLogger(Devices.class);
     private final Path file;
     private volatile Map<String, byte[]> hashes;
-    private byte[] seen;
+    private byte[] lastContents;
 
-    /** Reads the file for the first time. */
+    /** Reads the file for the first time, and throws {@link ConfigException} if it is invalid. */
     public Devices(Path file) {
         this.file = file;
         hashes = read();
     }
 
-    /** Begins to look for changes of the file. */
+    /** Starts to watch the file for changes. */
     public void start() {
-        Threads.start("devices", this::reread);
+        Threads.start("devices", this::reloadLoop);
     }
 
-    /** The device whose token this is, or null. */
-    public String of(String token) {
+    /** Returns the id of the device whose token this is, or null. */
+    public String authenticate(String token) {
         int dot = token == null ? -1 : token.lastIndexOf('.');
         if (dot < 1) {
             return null;
         }
         String id = token.substring(0, dot);
-        byte[] held = hashes.get(id);
-        byte[] given = EdgeRequest.sha256(token.getBytes(StandardCharsets.UTF_8));
-        // compared in constant time, also for an id that there is not
-        boolean same = MessageDigest.isEqual(held == null ? new byte[HASH] : held, given);
-        return held != null && same ? id : null;
+        byte[] registered = hashes.get(id);
+        byte[] presented = EdgeRequest.sha256(token.getBytes(StandardCharsets.UTF_8));
+        // compared in constant time, also for an unknown id
+        boolean hashesMatch = MessageDigest.isEqual(registered == null ? new byte[HASH_BYTES] : registered, presented);
+        return registered != null && hashesMatch ? id : null;
     }
 
-    /** Whether the device may still ask. */
-    public boolean known(String id) {
+    /** Returns whether the device is registered. */
+    public boolean isRegistered(String id) {
         return hashes.containsKey(id);
     }
 
-    private void reread() {
-        String told = "";
+    private void reloadLoop() {
+        String lastError = "";
         while (true) {
             try {
-                Thread.sleep(REREAD_MILLIS);
-                Map<String, byte[]> news = read();
-                if (news != null) {
-                    hashes = news;
-                    log.info("devices read again: {}", news.size());
-                    told = "";
+                Thread.sleep(RELOAD_INTERVAL_MILLIS);
+                Map<String, byte[]> reloaded = read();
+                if (reloaded != null) {
+                    hashes = reloaded;
+                    log.info("devices file reloaded: devices={}", reloaded.size());
+                    lastError = "";
                 }
             } catch (ConfigException e) {
-                if (!told.equals(e.getMessage())) {
-                    told = e.getMessage();
-                    log.error("devices not taken, the last ones stand: {}", told);
+                if (!lastError.equals(e.getMessage())) {
+                    lastError = e.getMessage();
+                    log.error("devices file rejected, the last valid one stays in use: error={}", lastError);
                 }
             } catch (InterruptedException e) {
                 return;
@@ -85,43 +85,44 @@
         }
     }
 
-    /** What the file holds, or null where it is as it was. */
+    /** Reads the file; returns null if it has not changed. */
     private Map<String, byte[]> read() {
-        byte[] text;
+        byte[] contents;
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new ConfigException("edge.devices", file + " is larger than " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new ConfigException("edge.devices", file + " is larger than " + MAX_FILE_BYTES + " bytes");
             }
-            text = Files.readAllBytes(file);
+            contents = Files.readAllBytes(file);
         } catch (IOException e) {
             throw new ConfigException("edge.devices", file + " can't be read: " + e);
         }
-        if (Arrays.equals(text, seen)) {
+        if (Arrays.equals(contents, lastContents)) {
             return null;
         }
-        Map<String, byte[]> read = parse(new String(text, StandardCharsets.UTF_8));
-        seen = text;
-        return read;
+        Map<String, byte[]> parsed = parse(new String(contents, StandardCharsets.UTF_8));
+        lastContents = contents;
+        return parsed;
     }
 
     private Map<String, byte[]> parse(String text) {
-        var read = new HashMap<String, byte[]>();
+        var parsed = new HashMap<String, byte[]>();
         CSVFormat format = CSVFormat.DEFAULT.builder().setHeader("device", "sha256").setSkipHeaderRecord(true)
                 .setIgnoreSurroundingSpaces(true).setIgnoreEmptyLines(true).setCommentMarker('#').get();
         try (CSVParser rows = CSVParser.parse(text, format)) {
             for (CSVRecord row : rows) {
-                String at = file.getFileName() + " line " + rows.getCurrentLineNumber() + ": ";
+                String position = file.getFileName() + " line " + rows.getCurrentLineNumber() + ": ";
                 if (!row.isConsistent() || !row.get("device").matches("[A-Za-z0-9_-]{1,64}")
                         || !row.get("sha256").matches("[0-9a-f]{64}")) {
-                    throw new ConfigException("edge.devices", at + "is not DEVICE,SHA256");
+                    throw new ConfigException("edge.devices", position + "is not DEVICE,SHA256");
                 }
-                if (read.put(row.get("device"), HexFormat.of().parseHex(row.get("sha256"))) != null) {
-                    throw new ConfigException("edge.devices", at + "names " + row.get("device") + " again");
+                if (parsed.put(row.get("device"), HexFormat.of().parseHex(row.get("sha256"))) != null) {
+                    throw new ConfigException("edge.devices",
+                            position + "device " + row.get("device") + " is listed twice");
                 }
             }
         } catch (IOException | java.io.UncheckedIOException | IllegalArgumentException e) {
-            throw new ConfigException("edge.devices", file.getFileName() + " is no CSV: " + e.getMessage());
+            throw new ConfigException("edge.devices", file.getFileName() + " is not valid CSV: " + e.getMessage());
         }
-        return read;
+        return parsed;
     }
 }
--- a/src/main/java/wallmoor/edge/EdgeQueries.java
+++ b/src/main/java/wallmoor/edge/EdgeQueries.java
@@ -28,14 +28,13 @@
 import wallmoor.queries.QueryBody;
 
 /**
- * Runs the queries of devices, one state behind all wires of the edge. It runs each query
- * once, on a thread of its own, whether or not its device is still connected, and stores its outcome as
- * {@link IdempotentRequests} decides.
+ * Runs the queries of devices. The HTTP and CoAP fronts share one instance. It runs each query once, on a thread of its
+ * own, whether or not its device is still connected, and stores the outcome as {@link IdempotentRequests} decides.
  */
 public final class EdgeQueries {
-    private static final long LONGEST_SLEEP_MILLIS = 500;
-    private static final long SHORTEST_SLEEP_MILLIS = 5;
-    /** Kept back of a query's time for the answer's making (microseconds). */
+    private static final long MAX_SLEEP_MILLIS = 500;
+    private static final long MIN_SLEEP_MILLIS = 5;
+    /** The part of a query's time that is reserved for encoding the answer. */
     private static final long ANSWER_RESERVE_MICROS = 5_000;
 
     private final Logger log = LoggerFactory.getLogger(EdgeQueries.class);
@@ -46,7 +45,7 @@
     private final IdempotentRequests requests;
     private final ThreadPoolExecutor threads;
     private final Map<RequestRecord, RunningQuery> running = new ConcurrentHashMap<>();
-    private final String prefix;
+    private final String queryIdPrefix;
     private final IdempotencyLimits limits;
     private long queryCount;
     private volatile long lastAnswerAt = Long.MAX_VALUE;
@@ -58,62 +57,62 @@
     }
 
     /**
-     * Without any request yet.
+     * Creates the queries, with none running.
      *
-     * @param clock the gatherer's, microseconds of Unix time
+     * @param clock the gatherer's clock, in microseconds of Unix time
      */
-    public EdgeQueries(IdempotencyLimits rules, Supplier<LaunchConfig> launch, Gatherer gatherer,
+    public EdgeQueries(IdempotencyLimits limits, Supplier<LaunchConfig> launch, Gatherer gatherer,
             WorkerTransport workers, LongSupplier clock) {
         this.launch = launch;
         this.gatherer = gatherer;
         this.workers = workers;
         this.clock = clock;
-        requests = new IdempotentRequests(rules, clock.getAsLong());
-        threads = Threads.pool("edge-query", rules.maxOpen());
-        this.limits = rules;
-        byte[] drawn = new byte[6];
-        new SecureRandom().nextBytes(drawn);
-        prefix = "e" + HexFormat.of().formatHex(drawn) + "-";
+        requests = new IdempotentRequests(limits, clock.getAsLong());
+        threads = Threads.pool("edge-query", limits.maxOpen());
+        this.limits = limits;
+        byte[] randomBytes = new byte[6];
+        new SecureRandom().nextBytes(randomBytes);
+        queryIdPrefix = "e" + HexFormat.of().formatHex(randomBytes) + "-";
     }
 
-    /** Begins to keep time. */
+    /** Starts the timers that expire requests. */
     public void start() {
         Threads.start("edge-timers", this::runTimers);
     }
 
-    /** Queries are answered before this from now on: the program ends in so many milliseconds. */
+    /** Limits the deadlines of queries that start from now on: the program ends in so many milliseconds. */
     public void shutDown(long millis) {
         lastAnswerAt = clock.getAsLong() + millis * 1000;
     }
 
     /**
-     * A device asks for a query. For {@link RequestDecision.Execute} and {@link RequestDecision.Attach} see
-     * {@link #await}.
+     * Submits a device's query, and starts it if it is to be run. After {@link RequestDecision.Execute} and
+     * {@link RequestDecision.Attach} use {@link #await}.
      */
-    public RequestDecision submit(IdempotencyKey key, EdgeRequest ask) {
-        RunningQuery made = null;
+    public RequestDecision submit(IdempotencyKey key, EdgeRequest edgeRequest) {
+        RunningQuery newQuery = null;
         RequestDecision decision;
         synchronized (requests) {
-            decision = requests.submit(clock.getAsLong(), key, ask.digest(), ask.mayRepeat());
+            decision = requests.submit(clock.getAsLong(), key, edgeRequest.digest(), edgeRequest.isIdempotent());
             if (decision instanceof RequestDecision.Execute run) {
-                made = new RunningQuery();
-                running.put(run.request(), made);
+                newQuery = new RunningQuery();
+                running.put(run.request(), newQuery);
             }
         }
-        if (made != null) {
-            start(((RequestDecision.Execute) decision).request(), made, ask);
+        if (newQuery != null) {
+            start(((RequestDecision.Execute) decision).request(), newQuery, edgeRequest);
         }
         return decision;
     }
 
-    /** A device asks for what became of a query. */
+    /** Returns the state or outcome of a query; {@code await} tells whether the device waits for its outcome. */
     public RequestDecision outcome(IdempotencyKey key, boolean await) {
         synchronized (requests) {
             return requests.outcome(clock.getAsLong(), key, await);
         }
     }
 
-    /** A piece of a query's body has come. */
+    /** Adds a received chunk of a query's body. */
     public RequestDecision uploadChunk(IdempotencyKey key, int from, byte[] bytes, int total, boolean last) {
         synchronized (requests) {
             return requests.uploadChunk(clock.getAsLong(), key, from, bytes, total, last);
@@ -121,144 +120,148 @@
     }
 
     /**
-     * Completes with the outcome of a query that is out, or with null where it was cancelled as nobody waited. Whoever
-     * waits says by {@link #waiterLeft} that it no longer does.
+     * Returns a future of the outcome of a running query. It completes with null if the query was cancelled because
+     * nobody waited for it. A caller that stops waiting calls {@link #waiterLeft}.
      */
-    public CompletableFuture<StoredOutcome> await(RequestRecord exchange) {
-        RunningQuery r = running.get(exchange);
-        return r != null ? r.outcome : CompletableFuture.completedFuture(exchange.outcome());
+    public CompletableFuture<StoredOutcome> await(RequestRecord requestRecord) {
+        RunningQuery runningQuery = running.get(requestRecord);
+        return runningQuery != null ? runningQuery.outcome : CompletableFuture.completedFuture(requestRecord.outcome());
     }
 
-    /** One that waited does so no longer. */
-    public void waiterLeft(RequestRecord exchange) {
+    /** Records that one of those who wait for the query's outcome has stopped waiting. */
+    public void waiterLeft(RequestRecord requestRecord) {
         synchronized (requests) {
-            requests.waiterLeft(clock.getAsLong(), exchange);
+            requests.waiterLeft(clock.getAsLong(), requestRecord);
         }
     }
 
-    /** How much is held. */
+    /** Returns how many requests are open and how many outcomes are retained. */
     public IdempotentRequests.Usage usage() {
         synchronized (requests) {
             return requests.usage();
         }
     }
 
-    // ---- running ------------------------------------------------------------------------------------------
-
-    private void start(RequestRecord exchange, RunningQuery r, EdgeRequest ask) {
+    private void start(RequestRecord requestRecord, RunningQuery runningQuery, EdgeRequest edgeRequest) {
         try {
-            threads.execute(() -> run(exchange, r, ask));
+            threads.execute(() -> run(requestRecord, runningQuery, edgeRequest));
         } catch (RejectedExecutionException | OutOfMemoryError e) {
-            end(exchange, r, refused(limits.minRetryAfter(), "too much at work"));
+            complete(requestRecord, runningQuery, refused(limits.minRetryAfter(), "too much at work"));
         }
     }
 
-    private void run(RequestRecord exchange, RunningQuery r, EdgeRequest ask) {
-        StoredOutcome outcome = failed(true, "internal error"); // what can't be told is never told to be harmless
-        boolean gone = false;
+    private void run(RequestRecord requestRecord, RunningQuery runningQuery, EdgeRequest edgeRequest) {
+        // the query may have run unless it is certain that it did not
+        StoredOutcome outcome = failed(true, "internal error");
+        boolean clientGone = false;
         try {
-            long giveUp = launch.get().settings().classes().get(ask.queryClass()).clientTimeout();
-            long deadline = Math.min(clock.getAsLong() + Math.min(ask.millis() * 1000, giveUp), lastAnswerAt)
+            long clientTimeoutMicros = launch.get().settings().classes().get(edgeRequest.queryClass()).clientTimeout();
+            long deadline = Math.min(
+                    clock.getAsLong() + Math.min(edgeRequest.timeoutMillis() * 1000, clientTimeoutMicros), lastAnswerAt)
                     - ANSWER_RESERVE_MICROS;
             String id;
             synchronized (requests) {
-                id = prefix + Long.toString(++queryCount, 36);
+                id = queryIdPrefix + Long.toString(++queryCount, 36);
             }
-            Query query = gatherer.open(id, ask.queryClass(), deadline, false, ask.parts(), ask.text());
-            r.query = query;
-            if (r.cancelled) {
+            Query query = gatherer.open(id, edgeRequest.queryClass(), deadline, false, edgeRequest.parts(),
+                    edgeRequest.text());
+            runningQuery.query = query;
+            if (runningQuery.cancelled) {
                 gatherer.clientDisconnected(query);
             }
-            Step.FinalStep end = gatherer.run(query, workers);
-            gone = end instanceof Step.ClientGone;
-            outcome = outcome(end);
+            Step.FinalStep finalStep = gatherer.run(query, workers);
+            clientGone = finalStep instanceof Step.ClientGone;
+            outcome = outcome(finalStep);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (RuntimeException e) {
-            log.error("query of {} failed", exchange.key().device(), e);
+            log.error("query failed: device={}", requestRecord.key().device(), e);
         } finally {
-            if (gone) {
+            if (clientGone) {
                 synchronized (requests) {
-                    requests.cancelled(clock.getAsLong(), exchange);
-                    running.remove(exchange);
+                    requests.cancelled(clock.getAsLong(), requestRecord);
+                    running.remove(requestRecord);
                 }
-                r.outcome.complete(null);
+                runningQuery.outcome.complete(null);
             } else {
-                end(exchange, r, outcome);
+                complete(requestRecord, runningQuery, outcome);
             }
         }
     }
 
-    private void end(RequestRecord exchange, RunningQuery r, StoredOutcome outcome) {
-        StoredOutcome kept;
+    private void complete(RequestRecord requestRecord, RunningQuery runningQuery, StoredOutcome outcome) {
+        StoredOutcome stored;
         synchronized (requests) {
-            kept = requests.completed(clock.getAsLong(), exchange, outcome);
-            running.remove(exchange);
+            stored = requests.completed(clock.getAsLong(), requestRecord, outcome);
+            running.remove(requestRecord);
         }
-        r.outcome.complete(kept);
+        runningQuery.outcome.complete(stored);
     }
 
-    private StoredOutcome outcome(Step.FinalStep end) {
-        if (end instanceof Step.Answer a) {
-            var to = new StringBuilder(64 + 64 * a.values().size()).append("{\"outcome\":\"answered\",");
-            QueryBody.appendHits(to, a);
-            byte[] body = to.append('}').toString().getBytes(StandardCharsets.UTF_8);
-            // room was set aside for less: it can't be kept, hence not be told twice
+    private StoredOutcome outcome(Step.FinalStep finalStep) {
+        if (finalStep instanceof Step.Answer answer) {
+            var json = new StringBuilder(64 + 64 * answer.values().size()).append("{\"outcome\":\"answered\",");
+            QueryBody.appendHits(json, answer);
+            byte[] body = json.append('}').toString().getBytes(StandardCharsets.UTF_8);
+            // more than the memory reserved for the outcome: it can't be stored, hence not be replayed
             if (body.length > limits.maxOutcomeBytes()) {
                 return failed(true,
                         "answered with more than the " + limits.maxOutcomeBytes() + " bytes that an outcome may have");
             }
             return new StoredOutcome(
-                    a.complete() ? StoredOutcome.OutcomeKind.COMPLETE : StoredOutcome.OutcomeKind.PARTIAL,
+                    answer.complete() ? StoredOutcome.OutcomeKind.COMPLETE : StoredOutcome.OutcomeKind.PARTIAL,
                     0, body);
         }
-        if (end instanceof Step.Reject r) {
-            return refused(r.retryAfter(), "turned away; ask again under a new id");
+        if (finalStep instanceof Step.Reject reject) {
+            return refused(reject.retryAfter(), "turned away; ask again under a new id");
         }
-        return end instanceof Step.Fail f
-                ? failed(f.mayHaveRun(), f.timedOut() ? "nodes were waited for in vain" : "nodes failed it")
+        return finalStep instanceof Step.Fail failure
+                ? failed(failure.mayHaveRun(), failure.timedOut() ? "nodes were waited for in vain" : "nodes failed it")
                 : failed(true, "given up");
     }
 
-    private static StoredOutcome refused(long comeBack, String detail) {
-        return new StoredOutcome(StoredOutcome.OutcomeKind.REJECTED, comeBack,
+    private static StoredOutcome refused(long retryAfterMicros, String detail) {
+        return new StoredOutcome(StoredOutcome.OutcomeKind.REJECTED, retryAfterMicros,
                 problem("refused", 503, detail, "\"outcome\":\"refused\","
-                        + "\"ran\":\"never\",\"retry_after_ms\":" + comeBack / 1000));
+                        + "\"ran\":\"never\",\"retry_after_ms\":" + retryAfterMicros / 1000));
     }
 
-    private static StoredOutcome failed(boolean ran, String detail) {
+    private static StoredOutcome failed(boolean mayHaveRun, String detail) {
         return new StoredOutcome(
-                ran ? StoredOutcome.OutcomeKind.FAILED_MAY_HAVE_RUN : StoredOutcome.OutcomeKind.FAILED_NEVER_RAN, 0,
+                mayHaveRun
+                        ? StoredOutcome.OutcomeKind.FAILED_MAY_HAVE_RUN
+                        : StoredOutcome.OutcomeKind.FAILED_NEVER_RAN,
+                0,
                 problem("failed",
-                        502, detail, "\"outcome\":\"failed\",\"ran\":\"" + (ran ? "maybe" : "never") + "\""));
+                        502, detail, "\"outcome\":\"failed\",\"ran\":\"" + (mayHaveRun ? "maybe" : "never") + "\""));
     }
 
-    /** A problem by RFC 9457, with members of our own; {@code members} is JSON, or empty. */
+    /** Encodes a problem (RFC 9457); {@code members} is JSON of further members, or empty. */
     public static byte[] problem(String type, int status, String detail, String members) {
-        var to = new StringBuilder("{\"type\":\"urn:wallmoor:").append(type).append("\",\"title\":\"").append(type)
+        var json = new StringBuilder("{\"type\":\"urn:wallmoor:").append(type).append("\",\"title\":\"").append(type)
                 .append("\",\"status\":").append(status).append(",\"detail\":");
-        Json.quote(to, String.valueOf(detail));
-        return to.append(members.isEmpty() ? "" : ",").append(members).append('}').toString()
+        Json.quote(json, String.valueOf(detail));
+        return json.append(members.isEmpty() ? "" : ",").append(members).append('}').toString()
                 .getBytes(StandardCharsets.UTF_8);
     }
 
     private void runTimers() {
         try {
             while (true) {
-                long wait;
+                long waitMillis;
                 synchronized (requests) {
-                    for (RequestRecord e : requests.expire(clock.getAsLong())) {
-                        RunningQuery r = running.get(e);
-                        if (r != null) {
-                            r.cancelled = true;
-                            if (r.query != null) {
-                                gatherer.clientDisconnected(r.query);
+                    for (RequestRecord expired : requests.expire(clock.getAsLong())) {
+                        RunningQuery runningQuery = running.get(expired);
+                        if (runningQuery != null) {
+                            runningQuery.cancelled = true;
+                            if (runningQuery.query != null) {
+                                gatherer.clientDisconnected(runningQuery.query);
                             }
                         }
                     }
-                    wait = (requests.nextDeadline() - clock.getAsLong()) / 1000;
+                    waitMillis = (requests.nextDeadline() - clock.getAsLong()) / 1000;
                 }
-                Thread.sleep(Math.max(SHORTEST_SLEEP_MILLIS, Math.min(LONGEST_SLEEP_MILLIS, wait)));
+                Thread.sleep(Math.max(MIN_SLEEP_MILLIS, Math.min(MAX_SLEEP_MILLIS, waitMillis)));
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/wallmoor/edge/EdgeRequest.java
+++ b/src/main/java/wallmoor/edge/EdgeRequest.java
@@ -14,17 +14,18 @@
 import wallmoor.queries.QueryBody;
 
 /**
- * What a device asks for, whatever wire and form it came in.
+ * A device's query, independent of the protocol and format in which it came.
  *
- * @param millis the time it gives the query, from when it is taken
- * @param digest the same for the same query, in JSON or CBOR, with members in any order
+ * @param timeoutMillis the time that the query may take from its acceptance
+ * @param text          the text of the query, in UTF-8
+ * @param digest        equal for equal queries, whether in JSON or CBOR and in any order of members
  */
-public record EdgeRequest(int queryClass, boolean mayRepeat, long millis, List<Query.PartRequest> parts, byte[] text,
-        BodyDigest digest) {
-    private static final long MOST_MILLIS = 600_000;
+public record EdgeRequest(int queryClass, boolean isIdempotent, long timeoutMillis, List<Query.PartRequest> parts,
+        byte[] text, BodyDigest digest) {
+    private static final long MAX_TIMEOUT_MILLIS = 600_000;
 
-    /** Reads a body. */
-    public static EdgeRequest of(byte[] json, LaunchConfig launch)
+    /** Parses and checks a JSON body. */
+    public static EdgeRequest parse(byte[] json, LaunchConfig launch)
             throws QueryBody.InvalidQueryBodyException, InvalidQueryException {
         Json.Obj body;
         try {
@@ -32,54 +33,56 @@
         } catch (Json.Malformed e) {
             throw new InvalidQueryException(e.getMessage());
         }
-        String name = body.text("class");
-        int queryClass = launch.place(name);
+        String className = body.text("class");
+        int queryClass = launch.place(className);
         if (queryClass < 0) {
-            throw new InvalidQueryException("class is absent or unknown: " + name);
+            throw new InvalidQueryException("class is absent or unknown: " + className);
         }
-        double millis = body.number("deadline_ms", -1);
-        if (!(millis >= 1 && millis <= MOST_MILLIS)) {
-            throw new InvalidQueryException("deadline_ms is absent, or no number from 1 to " + MOST_MILLIS);
+        double timeoutMillis = body.number("deadline_ms", -1);
+        if (!(timeoutMillis >= 1 && timeoutMillis <= MAX_TIMEOUT_MILLIS)) {
+            throw new InvalidQueryException("deadline_ms is absent, or no number from 1 to " + MAX_TIMEOUT_MILLIS);
         }
-        String q = body.text("q");
-        if (q == null) {
+        String queryText = body.text("q");
+        if (queryText == null) {
             throw new InvalidQueryException("q is absent or no text");
         }
         List<Query.PartRequest> parts = new ArrayList<>(
                 QueryBody.parseParts(body, launch.settings().layout().shards()));
         parts.sort(Comparator.comparingInt(Query.PartRequest::shard));
-        boolean mayRepeat = launch.settings().classes().get(queryClass).idempotency() == Idempotency.IDEMPOTENT;
-        return new EdgeRequest(queryClass, mayRepeat, (long) millis, parts, q.getBytes(StandardCharsets.UTF_8),
-                digest(name, (long) millis, parts, q));
+        boolean isIdempotent = launch.settings().classes().get(queryClass).idempotency() == Idempotency.IDEMPOTENT;
+        return new EdgeRequest(queryClass, isIdempotent, (long) timeoutMillis, parts,
+                queryText.getBytes(StandardCharsets.UTF_8), digest(className, (long) timeoutMillis, parts, queryText));
     }
 
-    /** A body that can't be used. */
+    /** Thrown when a body is invalid; the message is sent to the device. */
     public static final class InvalidQueryException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** In words for the device. */
+        /** Creates the exception with the message for the device. */
         public InvalidQueryException(String message) {
             super(message);
         }
     }
 
-    private static BodyDigest digest(String name, long millis, List<Query.PartRequest> parts, String q) {
-        var text = new StringBuilder(name).append('\n').append(millis);
+    /** Digests the values in a fixed order, with the parts sorted by shard. */
+    private static BodyDigest digest(String className, long timeoutMillis, List<Query.PartRequest> parts,
+            String queryText) {
+        var text = new StringBuilder(className).append('\n').append(timeoutMillis);
         parts.forEach(
                 p -> text.append('\n').append(p.shard()).append(' ').append(p.weight()).append(' ')
                         .append(p.workHint()));
-        text.append('\n').append(q);
+        text.append('\n').append(queryText);
         byte[] hash = sha256(text.toString().getBytes(StandardCharsets.UTF_8));
         var words = java.nio.ByteBuffer.wrap(hash);
         return new BodyDigest(words.getLong(), words.getLong(), words.getLong());
     }
 
-    /** SHA-256, which every Java has. */
+    /** Returns the SHA-256 hash of these bytes. */
     public static byte[] sha256(byte[] bytes) {
         try {
             return MessageDigest.getInstance("SHA-256").digest(bytes);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException(e); // every Java platform has SHA-256
         }
     }
 }
--- a/src/main/java/wallmoor/edge/coap/EdgeCoap.java
+++ b/src/main/java/wallmoor/edge/coap/EdgeCoap.java
@@ -38,16 +38,18 @@
 import wallmoor.queries.QueryBody;
 
 /**
- * The edge over CoAP (RFC 7252) on Californium. {@code PUT /queries/ID} takes a query, in blocks if need be (Block1,
- * RFC 7959); {@code GET} tells its outcome, any block of it at any time (Block2). Blocks are kept by device and id, not
- * by address as Californium's own layer would: a device whose address changes half-way goes on.
+ * The edge over CoAP (RFC 7252) on Californium. {@code PUT /queries/ID} submits a query, in blocks if it is large
+ * (Block1, RFC 7959); {@code GET} returns its outcome, any block of it at any time (Block2). Blocks are stored by
+ * device and id, not by address as Californium's own layer does, so that a device can continue after its address
+ * changes.
  */
 public final class EdgeCoap {
-    private static final int MOST_BODY = 64 * 1024;
-    /** A block and its headers fit every usual path without fragments. */
-    private static final int SZX = 5;
-    private static final int BLOCK = 512;
-    private static final int MOST_WAIT = 50;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** The block size as the exponent of the Block options; a block and its headers fit usual paths unfragmented. */
+    private static final int BLOCK_SZX = 5;
+    /** 2 to the power of {@code BLOCK_SZX + 4}. */
+    private static final int BLOCK_BYTES = 512;
+    private static final int MAX_WAIT_SECONDS = 50;
 
     private final Logger log = LoggerFactory.getLogger(EdgeCoap.class);
     private final Supplier<LaunchConfig> launch;
@@ -57,14 +59,14 @@
     private final CoapServer server;
     private final ObjectMapper json = new ObjectMapper();
     private final CBORMapper cbor = new CBORMapper();
-    private final java.util.concurrent.ScheduledExecutorService waits = java.util.concurrent.Executors
-            .newSingleThreadScheduledExecutor(r -> {
-                var t = new Thread(r, "edge-coap-wait");
-                t.setDaemon(true);
-                return t;
+    private final java.util.concurrent.ScheduledExecutorService waitTimers = java.util.concurrent.Executors
+            .newSingleThreadScheduledExecutor(runnable -> {
+                var thread = new Thread(runnable, "edge-coap-wait");
+                thread.setDaemon(true);
+                return thread;
             });
 
-    /** Makes the front; it listens from {@link #start} on. */
+    /** Creates the front; it listens from {@link #start} on. */
     public EdgeCoap(InetSocketAddress listen, Supplier<LaunchConfig> launch, EdgeQueries queries, Devices devices) {
         this.launch = launch;
         this.queries = queries;
@@ -72,9 +74,9 @@
         CoapConfig.register();
         UdpConfig.register();
         Configuration config = Configuration.createStandardWithoutFile();
-        config.set(CoapConfig.MAX_RESOURCE_BODY_SIZE, 0); // blocks are ours: see above
+        config.set(CoapConfig.MAX_RESOURCE_BODY_SIZE, 0); // blocks are handled here: see above
         config.set(CoapConfig.MAX_MESSAGE_SIZE, 1024);
-        config.set(CoapConfig.PREFERRED_BLOCK_SIZE, BLOCK);
+        config.set(CoapConfig.PREFERRED_BLOCK_SIZE, BLOCK_BYTES);
         config.set(CoapConfig.MAX_ACTIVE_PEERS, 20_000);
         config.set(CoapConfig.PROTOCOL_STAGE_THREAD_COUNT, 2);
         server = new CoapServer(config);
@@ -82,19 +84,19 @@
         server.add(new Queries());
     }
 
-    /** Begins to serve. */
+    /** Starts to serve. */
     public void start() {
         server.start();
     }
 
-    /** Goes on for so long, so that answers which are half delivered are asked for to their end; then stops. */
+    /** Serves for so many milliseconds, so that devices can fetch the remaining blocks of answers; then stops. */
     public void leave(long millis) throws InterruptedException {
         Thread.sleep(millis);
         server.destroy();
-        waits.shutdownNow();
+        waitTimers.shutdownNow();
     }
 
-    /** All queries are one resource's: their ids are read from the path. */
+    /** The resource of all queries; their ids are read from the path. */
     private final class Queries extends CoapResource {
         Queries() {
             super("queries");
@@ -113,45 +115,47 @@
         @Override
         public void handleGET(CoapExchange exchange) {
             guarded(exchange, () -> {
-                IdempotencyKey key = key(exchange);
+                IdempotencyKey key = authenticate(exchange);
                 if (key != null) {
-                    told(exchange, key, queries.outcome(key, true), true);
+                    respondTo(exchange, key, queries.outcome(key, true), true);
                 }
             });
         }
     }
 
+    /** Runs the work, and responds with an internal error if it fails. */
     private void guarded(CoapExchange exchange, Runnable work) {
         try {
             work.run();
         } catch (RuntimeException e) {
-            log.error("request failed", e);
+            log.error("CoAP request failed", e);
             exchange.respond(ResponseCode.INTERNAL_SERVER_ERROR);
         }
     }
 
-    /** Whose query it is, or null where that was answered: no token, or an address that must be proven first. */
-    private IdempotencyKey key(CoapExchange exchange) {
+    /** Returns the key of the query, or null after responding: wrong path or token, or unverified address. */
+    private IdempotencyKey authenticate(CoapExchange exchange) {
         OptionSet options = exchange.getRequestOptions();
         List<String> path = options.getUriPath();
         if (path.size() != 2 || !path.get(1).matches("[A-Za-z0-9_-]{1,64}")) {
-            problem(exchange, ResponseCode.NOT_FOUND, "request", 404, "there is queries/ID alone", "");
+            respondProblem(exchange, ResponseCode.NOT_FOUND, "request", 404, "there is queries/ID alone", "");
             return null;
         }
-        String device = devices.of(query(options, "token"));
+        String device = devices.authenticate(queryParameter(options, "token"));
         if (device == null) {
-            respond(exchange, new Response(ResponseCode.UNAUTHORIZED)); // not larger than what was asked
+            respond(exchange, new Response(ResponseCode.UNAUTHORIZED)); // no larger than the request
             return null;
         }
         byte[] echo = null;
-        for (Option o : options.asSortedList()) {
-            if (o.getNumber() == StandardOptionRegistry.ECHO.getNumber()) {
-                echo = o.getValue();
+        for (Option option : options.asSortedList()) {
+            if (option.getNumber() == StandardOptionRegistry.ECHO.getNumber()) {
+                echo = option.getValue();
             }
         }
         InetSocketAddress from = exchange.getSourceSocketAddress();
         long now = TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-        if (!verified.isVerified(now, from, echo)) { // RFC 9175 section 2.4: nothing large to who may be somebody else
+        // RFC 9175 section 2.4: an unverified address may be forged, so it gets no large response
+        if (!verified.isVerified(now, from, echo)) {
             var challenge = new Response(ResponseCode.UNAUTHORIZED);
             challenge.getOptions().addOption(VerifiedAddresses.option(verified.challenge(now, from)));
             respond(exchange, challenge);
@@ -160,17 +164,17 @@
         return new IdempotencyKey(device, path.get(1));
     }
 
-    private static String query(OptionSet options, String name) {
-        for (String q : options.getUriQuery()) {
-            if (q.startsWith(name + "=")) {
-                return q.substring(name.length() + 1);
+    private static String queryParameter(OptionSet options, String name) {
+        for (String parameter : options.getUriQuery()) {
+            if (parameter.startsWith(name + "=")) {
+                return parameter.substring(name.length() + 1);
             }
         }
         return null;
     }
 
     private void put(CoapExchange exchange) {
-        IdempotencyKey key = key(exchange);
+        IdempotencyKey key = authenticate(exchange);
         if (key == null) {
             return;
         }
@@ -178,87 +182,92 @@
         BlockOption block = exchange.getRequestOptions().getBlock1();
         if (block != null) {
             long from = (long) block.getNum() * block.getSize();
-            if (from + body.length > MOST_BODY) {
-                problem(exchange, ResponseCode.REQUEST_ENTITY_TOO_LARGE, "request", 413, "a query has 64 KiB at most",
-                        "");
+            if (from + body.length > MAX_BODY_BYTES) {
+                respondProblem(exchange, ResponseCode.REQUEST_ENTITY_TOO_LARGE, "request", 413,
+                        "a query has 64 KiB at most", "");
                 return;
             }
             RequestDecision decision = queries.uploadChunk(key, (int) from, body, -1, !block.isM());
-            if (decision instanceof RequestDecision.AwaitChunk more && more.offset() < from + body.length) {
-                // begin again, or with the one before
+            if (decision instanceof RequestDecision.AwaitChunk awaitChunk && awaitChunk.offset() < from + body.length) {
+                // the device has to start again, or repeat an earlier block
                 var incomplete = new Response(ResponseCode.REQUEST_ENTITY_INCOMPLETE);
-                incomplete.setPayload("expected " + more.offset());
+                incomplete.setPayload("expected " + awaitChunk.offset());
                 respond(exchange, incomplete);
                 return;
             }
             if (decision instanceof RequestDecision.AwaitChunk) {
-                var go = new Response(ResponseCode.CONTINUE);
-                go.getOptions().setBlock1(block.getSzx(), block.isM(), block.getNum());
-                respond(exchange, go);
+                var continueResponse = new Response(ResponseCode.CONTINUE);
+                continueResponse.getOptions().setBlock1(block.getSzx(), block.isM(), block.getNum());
+                respond(exchange, continueResponse);
                 return;
             }
-            if (!(decision instanceof RequestDecision.UploadComplete whole)) {
-                told(exchange, key, decision, false);
+            if (!(decision instanceof RequestDecision.UploadComplete upload)) {
+                respondTo(exchange, key, decision, false);
                 return;
             }
-            body = whole.body();
+            body = upload.body();
         }
         try {
-            EdgeRequest ask = EdgeRequest.of(json(body, exchange.getRequestOptions().getContentFormat()), launch.get());
-            told(exchange, key, queries.submit(key, ask), false);
+            EdgeRequest edgeRequest = EdgeRequest.parse(json(body, exchange.getRequestOptions().getContentFormat()),
+                    launch.get());
+            respondTo(exchange, key, queries.submit(key, edgeRequest), false);
         } catch (QueryBody.InvalidQueryBodyException | EdgeRequest.InvalidQueryException | IOException e) {
-            problem(exchange, ResponseCode.BAD_REQUEST, "request", 400, e.getMessage(), "");
+            respondProblem(exchange, ResponseCode.BAD_REQUEST, "request", 400, e.getMessage(), "");
         }
     }
 
+    /** Returns the body as JSON, converted if it is CBOR. */
     private byte[] json(byte[] body, int format) throws IOException {
         return format == MediaTypeRegistry.APPLICATION_CBOR ? json.writeValueAsBytes(cbor.readTree(body)) : body;
     }
 
     /**
-     * Tells the device what its asking came to. Who puts a query hears at once that it was taken, and gets what comes
-     * of it: one datagram each, so that nothing large hangs on a link that may be gone.
+     * Responds to a decision. A PUT is answered at once when the query is accepted, and the outcome is fetched by GET:
+     * the response to a PUT is one datagram, so that no large one depends on a link that may have failed.
+     *
+     * @param wantsOutcome whether the request is a GET
      */
-    private void told(CoapExchange exchange, IdempotencyKey key, RequestDecision decision, boolean wants) {
+    private void respondTo(CoapExchange exchange, IdempotencyKey key, RequestDecision decision, boolean wantsOutcome) {
         if (decision instanceof RequestDecision.Execute run) {
             queries.waiterLeft(run.request());
-            taken(exchange, key, ResponseCode.CREATED);
+            respondAccepted(exchange, key, ResponseCode.CREATED);
         } else if (decision instanceof RequestDecision.Attach attach) {
-            if (wants) {
+            if (wantsOutcome) {
                 await(exchange, attach.request());
             } else {
                 queries.waiterLeft(attach.request());
-                taken(exchange, key, ResponseCode.CHANGED);
+                respondAccepted(exchange, key, ResponseCode.CHANGED);
             }
         } else if (decision instanceof RequestDecision.Replay replay) {
-            if (wants) {
-                outcome(exchange, replay.outcome());
+            if (wantsOutcome) {
+                respondOutcome(exchange, replay.outcome());
             } else {
-                taken(exchange, key, ResponseCode.CHANGED);
+                respondAccepted(exchange, key, ResponseCode.CHANGED);
             }
-        } else if (decision instanceof RequestDecision.AwaitChunk more) {
-            problem(exchange, ResponseCode.CONTENT, "uploading", 202, "not all of it has come",
-                    "\"outcome\":\"uploading\",\"offset\":" + more.offset());
+        } else if (decision instanceof RequestDecision.AwaitChunk awaitChunk) {
+            respondProblem(exchange, ResponseCode.CONTENT, "uploading", 202, "not all of it has come",
+                    "\"outcome\":\"uploading\",\"offset\":" + awaitChunk.offset());
         } else if (decision instanceof RequestDecision.Conflict) {
-            problem(exchange, ResponseCode.CONFLICT, "conflict", 409,
+            respondProblem(exchange, ResponseCode.CONFLICT, "conflict", 409,
                     "this id stands for another query; nothing was run", "");
-        } else if (decision instanceof RequestDecision.Reject r) {
-            later(exchange,
-                    r.reason() == RequestDecision.RejectionReason.CAPACITY_EXCEEDED ? ResponseCode.SERVICE_UNAVAILABLE
+        } else if (decision instanceof RequestDecision.Reject reject) {
+            respondRetryLater(exchange,
+                    reject.reason() == RequestDecision.RejectionReason.CAPACITY_EXCEEDED
+                            ? ResponseCode.SERVICE_UNAVAILABLE
                             : ResponseCode.TOO_MANY_REQUESTS,
-                    r.retryAfter());
-        } else if (decision instanceof RequestDecision.InvalidKey bad) {
-            problem(exchange, ResponseCode.BAD_REQUEST, "id", 400, bad.reason(),
+                    reject.retryAfter());
+        } else if (decision instanceof RequestDecision.InvalidKey invalidKey) {
+            respondProblem(exchange, ResponseCode.BAD_REQUEST, "id", 400, invalidKey.reason(),
                     "\"now_ms\":" + System.currentTimeMillis());
         } else if (decision instanceof RequestDecision.Expired) {
-            problem(exchange, ResponseCode.NOT_FOUND, "forgotten", 410, "older than what is remembered",
+            respondProblem(exchange, ResponseCode.NOT_FOUND, "forgotten", 410, "older than what is remembered",
                     "\"outcome\":\"forgotten\"");
         } else {
-            problem(exchange, ResponseCode.NOT_FOUND, "unknown", 404, "nothing is known of this id", "");
+            respondProblem(exchange, ResponseCode.NOT_FOUND, "unknown", 404, "nothing is known of this id", "");
         }
     }
 
-    private void taken(CoapExchange exchange, IdempotencyKey key, ResponseCode code) {
+    private void respondAccepted(CoapExchange exchange, IdempotencyKey key, ResponseCode code) {
         var response = new Response(code);
         response.getOptions().addLocationPath("queries").addLocationPath(key.id());
         BlockOption block = exchange.getRequestOptions().getBlock1();
@@ -268,82 +277,84 @@
         respond(exchange, response);
     }
 
-    /** Answers when the outcome is there, or that it is not after the time that the device would wait. */
-    private void await(CoapExchange exchange, RequestRecord asked) {
-        String wish = query(exchange.getRequestOptions(), "wait");
-        int wait = wish != null && wish.matches("[0-9]{1,4}") ? Math.min(MOST_WAIT, Integer.parseInt(wish)) : 0;
+    /** Responds with the outcome when the query ends, or that it is pending after the wait the device requested. */
+    private void await(CoapExchange exchange, RequestRecord requestRecord) {
+        String waitParameter = queryParameter(exchange.getRequestOptions(), "wait");
+        int waitSeconds = waitParameter != null && waitParameter.matches("[0-9]{1,4}")
+                ? Math.min(MAX_WAIT_SECONDS, Integer.parseInt(waitParameter))
+                : 0;
         var answered = new AtomicBoolean();
-        exchange.accept(); // an empty acknowledgement: the answer comes by itself
-        CompletableFuture<StoredOutcome> out = queries.await(asked);
-        var unusedStage = out.thenAccept(outcome -> {
+        exchange.accept(); // an empty acknowledgement: a separate response follows
+        CompletableFuture<StoredOutcome> outcomeFuture = queries.await(requestRecord);
+        var unusedStage = outcomeFuture.thenAccept(outcome -> {
             if (answered.compareAndSet(false, true)) {
-                queries.waiterLeft(asked);
+                queries.waiterLeft(requestRecord);
                 guarded(exchange, () -> {
                     if (outcome == null) {
-                        later(exchange, ResponseCode.SERVICE_UNAVAILABLE, 1_000_000);
+                        respondRetryLater(exchange, ResponseCode.SERVICE_UNAVAILABLE, 1_000_000);
                     } else {
-                        outcome(exchange, outcome);
+                        respondOutcome(exchange, outcome);
                     }
                 });
             }
         });
-        var unusedTimer = waits.schedule(() -> {
+        var unusedTimer = waitTimers.schedule(() -> {
             if (answered.compareAndSet(false, true)) {
-                queries.waiterLeft(asked);
-                guarded(exchange, () -> problem(exchange, ResponseCode.CONTENT, "pending", 202, "no outcome yet",
+                queries.waiterLeft(requestRecord);
+                guarded(exchange, () -> respondProblem(exchange, ResponseCode.CONTENT, "pending", 202, "no outcome yet",
                         "\"outcome\":\"pending\""));
             }
-        }, wait, TimeUnit.SECONDS);
+        }, waitSeconds, TimeUnit.SECONDS);
     }
 
-    private void outcome(CoapExchange exchange, StoredOutcome outcome) {
+    private void respondOutcome(CoapExchange exchange, StoredOutcome outcome) {
         ResponseCode code = switch (outcome.kind()) {
             case REJECTED -> ResponseCode.SERVICE_UNAVAILABLE;
             case FAILED_NEVER_RAN, FAILED_MAY_HAVE_RUN -> ResponseCode.BAD_GATEWAY;
             default -> ResponseCode.CONTENT;
         };
-        body(exchange, new Response(code), outcome.bytes(), Math.max(1, outcome.retryAfter() / 1_000_000));
+        respondBody(exchange, new Response(code), outcome.bytes(), Math.max(1, outcome.retryAfter() / 1_000_000));
     }
 
-    private void later(CoapExchange exchange, ResponseCode code, long comeBack) {
-        long seconds = Math.max(1, (comeBack + 999_999) / 1_000_000);
-        body(exchange, new Response(code), EdgeQueries.problem("later", 503, "nothing was run, ask again under this id",
-                "\"retry_after_ms\":" + comeBack / 1000), seconds);
+    private void respondRetryLater(CoapExchange exchange, ResponseCode code, long retryAfterMicros) {
+        long seconds = Math.max(1, (retryAfterMicros + 999_999) / 1_000_000);
+        respondBody(exchange, new Response(code), EdgeQueries.problem("later", 503,
+                "nothing was run, ask again under this id", "\"retry_after_ms\":" + retryAfterMicros / 1000), seconds);
     }
 
-    private void problem(CoapExchange exchange, ResponseCode code, String type, int status, String detail,
+    private void respondProblem(CoapExchange exchange, ResponseCode code, String type, int status, String detail,
             String members) {
-        body(exchange, new Response(code), EdgeQueries.problem(type, status, detail, members), 0);
+        respondBody(exchange, new Response(code), EdgeQueries.problem(type, status, detail, members), 0);
     }
 
-    /** Sends a body, or the block of it that was asked for; every block has the ETag of the whole. */
-    private void body(CoapExchange exchange, Response response, byte[] told, long maxAge) {
+    /** Sends a body, or the requested block of it; each block has the ETag of the complete body. */
+    private void respondBody(CoapExchange exchange, Response response, byte[] content, long maxAge) {
         boolean asCbor = exchange.getRequestOptions().getAccept() == MediaTypeRegistry.APPLICATION_CBOR;
-        byte[] all = told;
+        byte[] payload = content;
         try {
-            all = asCbor ? cbor.writeValueAsBytes(json.readTree(told)) : told;
+            payload = asCbor ? cbor.writeValueAsBytes(json.readTree(content)) : content;
         } catch (IOException e) {
-            asCbor = false; // what a node gave was taken over as text, and is sent so
+            asCbor = false; // the body includes a worker's text unchecked and may not be JSON: sent as it is
         }
         response.getOptions().setContentFormat(asCbor ? MediaTypeRegistry.APPLICATION_CBOR
-                : MediaTypeRegistry.APPLICATION_JSON).addETag(Arrays.copyOf(EdgeRequest.sha256(all), 8));
+                : MediaTypeRegistry.APPLICATION_JSON).addETag(Arrays.copyOf(EdgeRequest.sha256(payload), 8));
         if (maxAge > 0) {
             response.getOptions().setMaxAge(maxAge);
         }
-        BlockOption asked = exchange.getRequestOptions().getBlock2();
-        int szx = asked == null ? SZX : Math.min(SZX, asked.getSzx());
+        BlockOption requestedBlock = exchange.getRequestOptions().getBlock2();
+        int szx = requestedBlock == null ? BLOCK_SZX : Math.min(BLOCK_SZX, requestedBlock.getSzx());
         int size = 16 << szx;
-        long from = asked == null ? 0 : asked.getNum() * (16L << asked.getSzx());
-        if (from > 0 && from >= all.length) {
+        long from = requestedBlock == null ? 0 : requestedBlock.getNum() * (16L << requestedBlock.getSzx());
+        if (from > 0 && from >= payload.length) {
             respond(exchange, new Response(ResponseCode.BAD_OPTION));
             return;
         }
-        if (asked != null || all.length > size) {
-            int to = (int) Math.min(all.length, from + size);
-            response.getOptions().setBlock2(szx, to < all.length, (int) (from / size)).setSize2(all.length);
-            all = Arrays.copyOfRange(all, (int) from, to);
+        if (requestedBlock != null || payload.length > size) {
+            int to = (int) Math.min(payload.length, from + size);
+            response.getOptions().setBlock2(szx, to < payload.length, (int) (from / size)).setSize2(payload.length);
+            payload = Arrays.copyOfRange(payload, (int) from, to);
         }
-        response.setPayload(all);
+        response.setPayload(payload);
         respond(exchange, response);
     }
 
--- a/src/main/java/wallmoor/edge/coap/VerifiedAddresses.java
+++ b/src/main/java/wallmoor/edge/coap/VerifiedAddresses.java
@@ -13,64 +13,71 @@
 import org.eclipse.californium.core.coap.option.StandardOptionRegistry;
 
 /**
- * Which addresses have proven that they get what is sent to them, by the Echo option (RFC 9175). A challenge holds its
- * time and a code of the address, so that nothing is kept for who has not answered one. Safe for threads.
+ * The addresses that have proven by the Echo option (RFC 9175) that they receive what is sent to them. A challenge
+ * holds its time and a MAC of time and address, so that no state is needed for addresses that have not answered one.
+ * Safe for concurrent use.
  */
 final class VerifiedAddresses {
-    private static final int MOST_ADDRESSES = 20_000;
-    private static final long CHALLENGE_MILLIS = 60_000;
-    /** So long after its proof an address is taken for the same device's: a NAT may give it to another then. */
-    private static final long PROOF_MILLIS = 600_000;
-    private static final int CODE = 12;
+    private static final int MAX_ADDRESSES = 20_000;
+    private static final long CHALLENGE_LIFETIME_MILLIS = 60_000;
+    /** The time for which an address stays verified; later a NAT may have assigned it to another device. */
+    private static final long VERIFICATION_LIFETIME_MILLIS = 600_000;
+    private static final int MAC_BYTES = 12;
 
     private final SecretKeySpec secret;
-    private final Map<InetSocketAddress, Long> proven = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<InetSocketAddress, Long> verifiedTimes = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<InetSocketAddress, Long> eldest) {
-            return size() > MOST_ADDRESSES;
+            return size() > MAX_ADDRESSES;
         }
     };
 
     VerifiedAddresses() {
-        byte[] drawn = new byte[32];
-        new SecureRandom().nextBytes(drawn);
-        secret = new SecretKeySpec(drawn, "HmacSHA256");
+        byte[] randomBytes = new byte[32];
+        new SecureRandom().nextBytes(randomBytes);
+        secret = new SecretKeySpec(randomBytes, "HmacSHA256");
     }
 
-    /** Whether it is known to be real, or proves it by this answer to a challenge. */
+    /**
+     * Returns whether an address is verified, or becomes so by this answer to a challenge.
+     *
+     * @param now  milliseconds of a monotonic clock
+     * @param echo the value of the request's Echo option, or null
+     */
     boolean isVerified(long now, InetSocketAddress address, byte[] echo) {
-        synchronized (proven) {
-            Long at = proven.get(address);
-            if (at != null && now - at < PROOF_MILLIS) {
+        synchronized (verifiedTimes) {
+            Long verifiedAt = verifiedTimes.get(address);
+            if (verifiedAt != null && now - verifiedAt < VERIFICATION_LIFETIME_MILLIS) {
                 return true;
             }
         }
-        if (echo == null || echo.length != Long.BYTES + CODE) {
+        if (echo == null || echo.length != Long.BYTES + MAC_BYTES) {
             return false;
         }
-        long then = ByteBuffer.wrap(echo).getLong();
-        if (now - then > CHALLENGE_MILLIS || then > now
-                || !java.security.MessageDigest.isEqual(echo, challenge(then, address))) {
+        long issuedAt = ByteBuffer.wrap(echo).getLong();
+        if (now - issuedAt > CHALLENGE_LIFETIME_MILLIS || issuedAt > now
+                || !java.security.MessageDigest.isEqual(echo, challenge(issuedAt, address))) {
             return false;
         }
-        synchronized (proven) {
-            proven.put(address, now);
+        synchronized (verifiedTimes) {
+            verifiedTimes.put(address, now);
         }
         return true;
     }
 
-    /** What the address is to send back. */
+    /** Returns the value that the address has to send back in an Echo option. */
     byte[] challenge(long now, InetSocketAddress address) {
         try {
             Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(secret);
             mac.update(ByteBuffer.allocate(Long.BYTES + Integer.BYTES).putLong(now).putInt(address.getPort()).array());
-            byte[] code = mac.doFinal(address.getAddress().getAddress());
-            return ByteBuffer.allocate(Long.BYTES + CODE).putLong(now).put(Arrays.copyOf(code, CODE)).array();
+            byte[] macBytes = mac.doFinal(address.getAddress().getAddress());
+            return ByteBuffer.allocate(Long.BYTES + MAC_BYTES).putLong(now).put(Arrays.copyOf(macBytes, MAC_BYTES))
+                    .array();
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e); // every Java has it
+            throw new IllegalStateException(e); // every Java platform has HmacSHA256
         }
     }
 
--- a/src/main/java/wallmoor/edge/coap/package-info.java
+++ b/src/main/java/wallmoor/edge/coap/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The edge over CoAP, on Californium. It reads and writes messages and holds no rule.
+ * The edge over CoAP, on Californium. Reads and writes messages; the rules are elsewhere.
  */
 package wallmoor.edge.coap;
--- a/src/main/java/wallmoor/edge/http/ContentCoding.java
+++ b/src/main/java/wallmoor/edge/http/ContentCoding.java
@@ -11,19 +11,19 @@
 import java.util.zip.GZIPOutputStream;
 import wallmoor.http.HttpProtocolException;
 
-/** Content codings, with a bound on what unpacks: a few kilobytes may claim to be gigabytes. */
+/** Content codings, with a limit on the decompressed size: a few kilobytes may expand to gigabytes. */
 enum ContentCoding {
     IDENTITY, GZIP, ZSTD;
 
-    /** Links are poor and bodies small: the levels at which a few more bytes would cost many times the work. */
+    /** Devices have poor links and bodies are small; higher levels save a few bytes for many times the work. */
     private static final int ZSTD_LEVEL = 9;
-    private static final int MOST_WINDOW = 1 << 17;
-    private static final int CHUNK = 4096;
-    /** A smaller body does not get smaller. */
-    private static final int WORTH_IT = 200;
+    private static final int MAX_WINDOW_BYTES = 1 << 17;
+    private static final int CHUNK_BYTES = 4096;
+    /** Smaller bodies are not compressed, as they would not shrink. */
+    private static final int MIN_COMPRESSED_BYTES = 200;
 
-    /** The one that a request's body has. */
-    static ContentCoding ofContent(String header) throws HttpProtocolException {
+    /** Returns the coding of a request's body by its Content-Encoding. */
+    static ContentCoding ofContentEncoding(String header) throws HttpProtocolException {
         return switch (header == null ? "identity" : header.trim().toLowerCase(Locale.ROOT)) {
             case "identity" -> IDENTITY;
             case "gzip", "x-gzip" -> GZIP;
@@ -32,18 +32,18 @@
         };
     }
 
-    /** The best that a client takes for a body of this length. */
-    static ContentCoding accepted(String header, int length) {
-        if (header == null || length < WORTH_IT) {
+    /** Returns the best coding that an Accept-Encoding header allows for a body of this length. */
+    static ContentCoding negotiate(String header, int length) {
+        if (header == null || length < MIN_COMPRESSED_BYTES) {
             return IDENTITY;
         }
         ContentCoding best = IDENTITY;
         for (String item : header.toLowerCase(Locale.ROOT).split(",")) {
             String[] parts = item.trim().split("\\s*;\\s*");
-            boolean no = parts.length > 1 && parts[1].matches("q=0(\\.0*)?");
-            if (!no && parts[0].equals("zstd")) {
+            boolean isRefused = parts.length > 1 && parts[1].matches("q=0(\\.0*)?");
+            if (!isRefused && parts[0].equals("zstd")) {
                 best = ZSTD;
-            } else if (!no && parts[0].equals("gzip") && best == IDENTITY) {
+            } else if (!isRefused && parts[0].equals("gzip") && best == IDENTITY) {
                 best = GZIP;
             }
         }
@@ -54,8 +54,8 @@
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** Packs; the same bytes each time, so that a range of them can be asked for later. */
-    byte[] pack(byte[] body) throws IOException {
+    /** Compresses a body, to the same bytes each time, so that a range of them can be requested later. */
+    byte[] compress(byte[] body) throws IOException {
         return switch (this) {
             case IDENTITY -> body;
             case ZSTD -> Zstd.compress(body, ZSTD_LEVEL);
@@ -69,17 +69,17 @@
         };
     }
 
-    /** Unpacks, up to {@code most} bytes. */
-    byte[] unpack(byte[] packed, int most) throws HttpProtocolException {
+    /** Decompresses a body, up to {@code maxBytes} bytes. */
+    byte[] decompress(byte[] compressed, int maxBytes) throws HttpProtocolException {
         if (this == IDENTITY) {
-            return packed;
+            return compressed;
         }
-        var out = new ByteArrayOutputStream(Math.min(most, 4 * packed.length + CHUNK));
-        byte[] chunk = new byte[CHUNK];
-        try (InputStream in = stream(packed)) {
+        var out = new ByteArrayOutputStream(Math.min(maxBytes, 4 * compressed.length + CHUNK_BYTES));
+        byte[] chunk = new byte[CHUNK_BYTES];
+        try (InputStream in = stream(compressed)) {
             for (int n = in.read(chunk); n >= 0; n = in.read(chunk)) {
-                if (out.size() + n > most) {
-                    throw new HttpProtocolException(413, "the body unpacks to more than " + most + " bytes");
+                if (out.size() + n > maxBytes) {
+                    throw new HttpProtocolException(413, "the body unpacks to more than " + maxBytes + " bytes");
                 }
                 out.write(chunk, 0, n);
             }
@@ -89,13 +89,13 @@
         return out.toByteArray();
     }
 
-    private InputStream stream(byte[] packed) throws IOException {
-        var in = new ByteArrayInputStream(packed);
+    private InputStream stream(byte[] compressed) throws IOException {
+        var in = new ByteArrayInputStream(compressed);
         if (this == GZIP) {
-            return new GZIPInputStream(in, CHUNK);
+            return new GZIPInputStream(in, CHUNK_BYTES);
         }
         var zstd = new ZstdInputStream(in);
-        zstd.setLongMax(Integer.numberOfTrailingZeros(MOST_WINDOW)); // a frame may ask for a window of gigabytes
+        zstd.setLongMax(Integer.numberOfTrailingZeros(MAX_WINDOW_BYTES)); // a frame may request a window of gigabytes
         return zstd;
     }
 }
--- a/src/main/java/wallmoor/edge/http/EdgeHttp.java
+++ b/src/main/java/wallmoor/edge/http/EdgeHttp.java
@@ -34,42 +34,42 @@
 import wallmoor.queries.QueryBody;
 
 /**
- * The edge over HTTP/1.1: {@code PUT /queries/ID} asks, and may be said again whenever a link broke; {@code GET} tells
- * the outcome, waits for it, and goes on where an answer broke off. A thin wire: {@link EdgeQueries} says what becomes
- * of a request.
+ * The edge over HTTP/1.1. {@code PUT /queries/ID} submits a query, and may be repeated when a connection fails;
+ * {@code GET} waits for the outcome and returns it, or the rest of an interrupted answer by a Range header.
+ * {@link EdgeQueries} decides what becomes of a request.
  */
 public final class EdgeHttp {
     private static final String JSON = "application/json";
     private static final String PROBLEM = "application/problem+json";
     private static final Pattern PATH = Pattern.compile("/queries/([A-Za-z0-9_-]{1,64})");
-    private static final Pattern PIECE = Pattern.compile("bytes ([0-9]{1,8})-([0-9]{1,8})/([0-9]{1,8})");
+    private static final Pattern CONTENT_RANGE = Pattern.compile("bytes ([0-9]{1,8})-([0-9]{1,8})/([0-9]{1,8})");
     private static final Pattern WAIT = Pattern.compile("(?:^|[,;\\s])wait=([0-9]{1,4})(?:$|[,;\\s])");
-    /** A middlebox on a mobile link forgets a silent connection after a minute or less. */
-    private static final int MOST_WAIT = 50;
-    /** Without a wish a query's asker waits for as long as queries last at most. */
-    private static final int USUAL_WAIT = 30;
+    /** Middleboxes on mobile links drop idle connections after a minute or less. */
+    private static final int MAX_WAIT_SECONDS = 50;
+    /** The wait for a submitted query without a Prefer header: as long as queries last at most. */
+    private static final int DEFAULT_WAIT_SECONDS = 30;
 
     private final Supplier<LaunchConfig> launch;
     private final EdgeQueries queries;
     private final Devices devices;
     private final Server server;
 
-    /** Makes the front and listens; nothing is answered before {@link #start}. */
-    public EdgeHttp(InetSocketAddress listen, int mostClients, Supplier<LaunchConfig> launch, EdgeQueries queries,
+    /** Creates the front and listens; no request is answered before {@link #start}. */
+    public EdgeHttp(InetSocketAddress listen, int maxClients, Supplier<LaunchConfig> launch, EdgeQueries queries,
             Devices devices,
             Consumer<String> log) throws IOException {
         this.launch = launch;
         this.queries = queries;
         this.devices = devices;
-        server = new Server("edge", listen, mostClients, mostClients, ConnectionTimeouts.LONG, this::handle, log);
+        server = new Server("edge", listen, maxClients, maxClients, ConnectionTimeouts.LONG, this::handle, log);
     }
 
-    /** Begins to serve. */
+    /** Starts to serve. */
     public void start() {
         server.start();
     }
 
-    /** Takes what still comes for so long, then answers all of it. */
+    /** Accepts requests for the first period, then stops, and answers those accepted within the second one. */
     public void leave(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
         Thread.sleep(handOverMillis);
         server.leave();
@@ -92,9 +92,9 @@
         if (!path.matches()) {
             throw new HttpProtocolException(404, "there is /queries/ID alone, its ID of letters, digits, - and _");
         }
-        String sent = request.header("Authorization");
-        String device = sent != null && sent.regionMatches(true, 0, "Bearer ", 0, 7)
-                ? devices.of(sent.substring(7).trim()) : null;
+        String authorization = request.header("Authorization");
+        String device = authorization != null && authorization.regionMatches(true, 0, "Bearer ", 0, 7)
+                ? devices.authenticate(authorization.substring(7).trim()) : null;
         if (device == null) {
             throw new HttpProtocolException(401, "no token, or not one of a device that may ask");
         }
@@ -102,8 +102,8 @@
         switch (request.method()) {
             case "PUT" -> put(request, exchange, key);
             case "GET", "HEAD" -> {
-                int wait = wait(request, 0);
-                told(request, exchange, key, queries.outcome(key, true), wait);
+                int waitSeconds = waitSeconds(request, 0);
+                respond(request, exchange, key, queries.outcome(key, true), waitSeconds);
             }
             default -> problem(exchange, 405, "Allow: GET, HEAD, PUT\r\n", "request", "method not allowed");
         }
@@ -111,70 +111,72 @@
 
     private void put(HttpMessage request, HttpExchange exchange, IdempotencyKey key)
             throws IOException, HttpProtocolException, InterruptedException {
-        ByteSlice s = request.body();
-        byte[] sent = Arrays.copyOfRange(s.buffer(), s.from(), s.from() + s.length());
+        ByteSlice slice = request.body();
+        byte[] content = Arrays.copyOfRange(slice.buffer(), slice.from(), slice.from() + slice.length());
         String range = request.header("Content-Range");
         if (range != null) {
-            Matcher piece = PIECE.matcher(range.trim());
-            if (!piece.matches()) {
+            Matcher contentRange = CONTENT_RANGE.matcher(range.trim());
+            if (!contentRange.matches()) {
                 throw new HttpProtocolException(400, "Content-Range is not bytes FROM-TO/TOTAL");
             }
-            int from = Integer.parseInt(piece.group(1));
-            int to = Integer.parseInt(piece.group(2));
-            int total = Integer.parseInt(piece.group(3));
-            if (to - from + 1 != sent.length || to >= total) {
+            int from = Integer.parseInt(contentRange.group(1));
+            int to = Integer.parseInt(contentRange.group(2));
+            int total = Integer.parseInt(contentRange.group(3));
+            if (to - from + 1 != content.length || to >= total) {
                 throw new HttpProtocolException(400, "Content-Range and the body's length don't agree");
             }
-            RequestDecision decision = queries.uploadChunk(key, from, sent, total, to == total - 1);
-            if (!(decision instanceof RequestDecision.UploadComplete whole)) {
-                told(request, exchange, key, decision, wait(request, USUAL_WAIT));
+            RequestDecision decision = queries.uploadChunk(key, from, content, total, to == total - 1);
+            if (!(decision instanceof RequestDecision.UploadComplete upload)) {
+                respond(request, exchange, key, decision, waitSeconds(request, DEFAULT_WAIT_SECONDS));
                 return;
             }
-            sent = whole.body();
+            content = upload.body();
         }
-        byte[] body = ContentCoding.ofContent(request.header("Content-Encoding")).unpack(sent, HttpReader.MOST_BODY);
-        EdgeRequest ask;
+        byte[] body = ContentCoding.ofContentEncoding(request.header("Content-Encoding")).decompress(content,
+                HttpReader.MOST_BODY);
+        EdgeRequest edgeRequest;
         try {
-            ask = EdgeRequest.of(body, launch.get());
+            edgeRequest = EdgeRequest.parse(body, launch.get());
         } catch (QueryBody.InvalidQueryBodyException | EdgeRequest.InvalidQueryException e) {
             throw new HttpProtocolException(400, e.getMessage());
         }
-        told(request, exchange, key, queries.submit(key, ask), wait(request, USUAL_WAIT));
+        respond(request, exchange, key, queries.submit(key, edgeRequest), waitSeconds(request, DEFAULT_WAIT_SECONDS));
     }
 
-    private static int wait(HttpMessage request, int otherwise) {
+    /** Returns the wait from the Prefer header in seconds, limited to {@code MAX_WAIT_SECONDS}, or the default. */
+    private static int waitSeconds(HttpMessage request, int defaultSeconds) {
         String prefer = request.header("Prefer");
         if (prefer == null) {
-            return otherwise;
+            return defaultSeconds;
         }
-        Matcher m = WAIT.matcher(prefer);
-        return m.find() ? Math.min(MOST_WAIT, Integer.parseInt(m.group(1)))
-                : prefer.toLowerCase(Locale.ROOT).contains("respond-async") ? 0 : otherwise;
+        Matcher matcher = WAIT.matcher(prefer);
+        return matcher.find() ? Math.min(MAX_WAIT_SECONDS, Integer.parseInt(matcher.group(1)))
+                : prefer.toLowerCase(Locale.ROOT).contains("respond-async") ? 0 : defaultSeconds;
     }
 
-    /** Tells the device what its asking came to, waiting for an outcome if there is none yet. */
-    private void told(HttpMessage request, HttpExchange exchange, IdempotencyKey key, RequestDecision decision,
-            int wait)
+    /** Sends the response for a decision, after waiting for the outcome if there is none yet. */
+    private void respond(HttpMessage request, HttpExchange exchange, IdempotencyKey key, RequestDecision decision,
+            int waitSeconds)
             throws IOException, InterruptedException {
         if (decision instanceof RequestDecision.Execute run) {
-            await(request, exchange, key, run.request(), wait);
+            await(request, exchange, key, run.request(), waitSeconds);
         } else if (decision instanceof RequestDecision.Attach attach) {
-            await(request, exchange, key, attach.request(), wait);
+            await(request, exchange, key, attach.request(), waitSeconds);
         } else if (decision instanceof RequestDecision.Replay replay) {
-            outcome(request, exchange, replay.outcome());
-        } else if (decision instanceof RequestDecision.AwaitChunk more) {
-            answer(exchange, 202, "Location: /queries/" + key.id() + "\r\nUpload-Offset: " + more.offset() + "\r\n",
-                    JSON,
-                    bytes("{\"outcome\":\"uploading\",\"offset\":" + more.offset() + "}"));
+            sendOutcome(request, exchange, replay.outcome());
+        } else if (decision instanceof RequestDecision.AwaitChunk awaitChunk) {
+            answer(exchange, 202,
+                    "Location: /queries/" + key.id() + "\r\nUpload-Offset: " + awaitChunk.offset() + "\r\n", JSON,
+                    bytes("{\"outcome\":\"uploading\",\"offset\":" + awaitChunk.offset() + "}"));
         } else if (decision instanceof RequestDecision.Conflict) {
             problem(exchange, 409, "", "conflict", "this id stands for another query; nothing was run");
-        } else if (decision instanceof RequestDecision.Reject r) {
-            problem(exchange, r.reason() == RequestDecision.RejectionReason.CAPACITY_EXCEEDED ? 503 : 429,
-                    "Retry-After: " + seconds(r.retryAfter()) + "\r\n",
-                    "later", "not now: " + r.reason().text()
+        } else if (decision instanceof RequestDecision.Reject reject) {
+            problem(exchange, reject.reason() == RequestDecision.RejectionReason.CAPACITY_EXCEEDED ? 503 : 429,
+                    "Retry-After: " + seconds(reject.retryAfter()) + "\r\n",
+                    "later", "not now: " + reject.reason().text()
                             + "; nothing was run, ask again under this id");
-        } else if (decision instanceof RequestDecision.InvalidKey bad) {
-            problem(exchange, 400, "", "id", bad.reason());
+        } else if (decision instanceof RequestDecision.InvalidKey invalidKey) {
+            problem(exchange, 400, "", "id", invalidKey.reason());
         } else if (decision instanceof RequestDecision.Expired) {
             problem(exchange, 410, "", "forgotten",
                     "this id is older than what is remembered: whether it ran is not known");
@@ -184,18 +186,19 @@
         }
     }
 
-    private void await(HttpMessage request, HttpExchange exchange, IdempotencyKey key, RequestRecord asked, int wait)
-            throws IOException, InterruptedException {
+    private void await(HttpMessage request, HttpExchange exchange, IdempotencyKey key, RequestRecord requestRecord,
+            int waitSeconds) throws IOException, InterruptedException {
         StoredOutcome outcome = null;
         boolean pending = false;
         try {
-            CompletableFuture<StoredOutcome> out = queries.await(asked);
-            var gone = new CompletableFuture<StoredOutcome>();
-            exchange.whenGone(() -> gone.complete(null));
-            Object first = CompletableFuture.anyOf(out, gone).get(wait, TimeUnit.SECONDS);
-            outcome = (StoredOutcome) first;
-            if (first == null && !out.isDone()) {
-                exchange.answer(499, "", new byte[0]); // to nobody: the device's link is gone, its query goes on
+            CompletableFuture<StoredOutcome> outcomeFuture = queries.await(requestRecord);
+            var disconnected = new CompletableFuture<StoredOutcome>();
+            exchange.whenGone(() -> disconnected.complete(null));
+            Object completed = CompletableFuture.anyOf(outcomeFuture, disconnected).get(waitSeconds, TimeUnit.SECONDS);
+            outcome = (StoredOutcome) completed;
+            if (completed == null && !outcomeFuture.isDone()) {
+                // nobody receives it: the device has disconnected, its query continues
+                exchange.answer(499, "", new byte[0]);
                 return;
             }
         } catch (TimeoutException e) {
@@ -203,10 +206,10 @@
         } catch (ExecutionException e) {
             throw new IllegalStateException(e);
         } finally {
-            queries.waiterLeft(asked);
+            queries.waiterLeft(requestRecord);
         }
         if (outcome != null) {
-            outcome(request, exchange, outcome);
+            sendOutcome(request, exchange, outcome);
         } else if (pending) {
             answer(exchange, 202, "Location: /queries/" + key.id() + "\r\nRetry-After: 1\r\n", JSON,
                     bytes("{\"outcome\":\"pending\"}"));
@@ -216,35 +219,36 @@
         }
     }
 
-    private void outcome(HttpMessage request, HttpExchange exchange, StoredOutcome outcome) throws IOException {
+    private void sendOutcome(HttpMessage request, HttpExchange exchange, StoredOutcome outcome) throws IOException {
         switch (outcome.kind()) {
             case REJECTED -> answer(exchange, 503, "Retry-After: " + seconds(outcome.retryAfter()) + "\r\n", PROBLEM,
                     outcome.bytes());
             case FAILED_NEVER_RAN, FAILED_MAY_HAVE_RUN -> answer(exchange, 502, "", PROBLEM, outcome.bytes());
-            default -> answered(request, exchange, outcome.bytes());
+            default -> sendAnswer(request, exchange, outcome.bytes());
         }
     }
 
-    private void answered(HttpMessage request, HttpExchange exchange, byte[] body) throws IOException {
-        ContentCoding coding = ContentCoding.accepted(request.header("Accept-Encoding"), body.length);
-        byte[] packed = coding.pack(body);
+    private void sendAnswer(HttpMessage request, HttpExchange exchange, byte[] body) throws IOException {
+        ContentCoding coding = ContentCoding.negotiate(request.header("Accept-Encoding"), body.length);
+        byte[] compressed = coding.compress(body);
         String etag = "\"" + HexFormat.of().formatHex(EdgeRequest.sha256(body), 0, 12)
                 + (coding == ContentCoding.IDENTITY ? "" : "-" + coding.token()) + "\"";
         String headers = "ETag: " + etag + "\r\nAccept-Ranges: bytes\r\nVary: Accept-Encoding\r\n"
                 + (coding == ContentCoding.IDENTITY ? "" : "Content-Encoding: " + coding.token() + "\r\n");
-        ByteRange range = ByteRange.of(request.header("Range"), request.header("If-Range"), etag, packed.length);
+        ByteRange range = ByteRange.of(request.header("Range"), request.header("If-Range"), etag, compressed.length);
         switch (range.kind()) {
-            case BEYOND ->
-                problem(exchange, 416, "Content-Range: bytes */" + packed.length + "\r\nETag: " + etag + "\r\n",
-                        "range", "the answer has " + packed.length + " bytes");
+            case UNSATISFIABLE ->
+                problem(exchange, 416, "Content-Range: bytes */" + compressed.length + "\r\nETag: " + etag + "\r\n",
+                        "range", "the answer has " + compressed.length + " bytes");
             case PART -> answer(exchange, 206, headers + "Content-Range: bytes " + range.from() + "-" + (range.to() - 1)
-                    + "/" + packed.length + "\r\n", JSON, Arrays.copyOfRange(packed, range.from(), range.to()));
-            default -> answer(exchange, 200, headers, JSON, packed);
+                    + "/" + compressed.length + "\r\n", JSON, Arrays.copyOfRange(compressed, range.from(), range.to()));
+            default -> answer(exchange, 200, headers, JSON, compressed);
         }
     }
 
     private static String seconds(long micros) {
-        return Long.toString(Math.max(1, (micros + 999_999) / 1_000_000)); // whole ones: most clients read no others
+        // rounded up to whole seconds, as most clients accept no fractions
+        return Long.toString(Math.max(1, (micros + 999_999) / 1_000_000));
     }
 
     private static void problem(HttpExchange exchange, int status, String headers, String type, String detail)
@@ -252,7 +256,7 @@
         answer(exchange, status, headers, PROBLEM, EdgeQueries.problem(type, status, detail, ""));
     }
 
-    /** Every answer has the time, by which a device may set its clock. */
+    /** Sends a response; each has a Date header, by which a device may set its clock. */
     private static void answer(HttpExchange exchange, int status, String headers, String type, byte[] body)
             throws IOException {
         exchange.answer(status,
--- a/src/main/java/wallmoor/edge/http/package-info.java
+++ b/src/main/java/wallmoor/edge/http/package-info.java
@@ -1,4 +1,4 @@
 /**
- * The edge over HTTP/1.1. It reads and writes messages and holds no rule.
+ * The edge over HTTP/1.1. Reads and writes messages; the rules are elsewhere.
  */
 package wallmoor.edge.http;
