--- a/src/main/java/wallmoor/edge/EdgeRequest.java
+++ b/src/main/java/wallmoor/edge/EdgeRequest.java
@@ -34,7 +34,7 @@
             throw new InvalidQueryException(e.getMessage());
         }
         String className = body.text("class");
-        int queryClass = launch.place(className);
+        int queryClass = launch.classIndex(className);
         if (queryClass < 0) {
             throw new InvalidQueryException("class is absent or unknown: " + className);
         }
--- a/src/main/java/wallmoor/edge/http/EdgeHttp.java
+++ b/src/main/java/wallmoor/edge/http/EdgeHttp.java
@@ -72,7 +72,7 @@
     /** Accepts requests for the first period, then stops, and answers those accepted within the second one. */
     public void leave(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
         Thread.sleep(handOverMillis);
-        server.leave();
+        server.closeAfterAnswers();
         server.finish(finishMillis);
     }
 
@@ -133,7 +133,7 @@
             content = upload.body();
         }
         byte[] body = ContentCoding.ofContentEncoding(request.header("Content-Encoding")).decompress(content,
-                HttpReader.MOST_BODY);
+                HttpReader.MAX_BODY_BYTES);
         EdgeRequest edgeRequest;
         try {
             edgeRequest = EdgeRequest.parse(body, launch.get());
@@ -193,7 +193,7 @@
         try {
             CompletableFuture<StoredOutcome> outcomeFuture = queries.await(requestRecord);
             var disconnected = new CompletableFuture<StoredOutcome>();
-            exchange.whenGone(() -> disconnected.complete(null));
+            exchange.whenClientDisconnects(() -> disconnected.complete(null));
             Object completed = CompletableFuture.anyOf(outcomeFuture, disconnected).get(waitSeconds, TimeUnit.SECONDS);
             outcome = (StoredOutcome) completed;
             if (completed == null && !outcomeFuture.isDone()) {
--- a/src/main/java/wallmoor/pruning/SiteClient.java
+++ b/src/main/java/wallmoor/pruning/SiteClient.java
@@ -105,7 +105,7 @@
             InetSocketAddress to = LaunchConfig.address("address", address);
             socket.connect(to, CONNECT_TIMEOUT_MILLIS);
             in = new HttpReader(socket);
-            in.takeBodiesOf(Math.max(maxSummaryBytes, MAX_WIDENINGS_BYTES));
+            in.setMaxBodyBytes(Math.max(maxSummaryBytes, MAX_WIDENINGS_BYTES));
         }
         if (json == null) {
             HttpWriter.get(socket.getOutputStream(), address, target, "Cache-Control: no-store\r\n");
@@ -121,7 +121,7 @@
             if (answer.status() != 200) {
                 throw new HttpProtocolException(502, "status " + answer.status() + " for " + target);
             }
-            reusable = answer.keep();
+            reusable = answer.keepAlive();
             return answer;
         } catch (java.net.SocketTimeoutException e) {
             throw new HttpProtocolException(504, "no answer to " + target + " within " + ANSWER_TIMEOUT_MILLIS + " ms");
