--- a/src/bench/java/wallmoor/net/LinkCost.java
+++ b/src/bench/java/wallmoor/net/LinkCost.java
@@ -102,7 +102,7 @@
                 ClientResult r = device.ask(Generators.timeBasedEpochGenerator().generate().toString(), query, pace);
                 took.recordValue(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun));
                 notLearnt += r.kind() == ClientResult.ClientResultKind.NOT_LEARNT ? 1 : 0;
-                tries += r.tries();
+                tries += r.attempts();
             }
             double kib = links.bytes.get() / 1024.0 / QUERIES;
             System.out.printf("%3.0f %%  %-6s %-6s | %10d %6.1f %12.1f | %6d %5d %5d %5d%n", 100 * loss, resume, packed,
--- a/src/main/java/wallmoor/cli/DeviceCommand.java
+++ b/src/main/java/wallmoor/cli/DeviceCommand.java
@@ -64,7 +64,7 @@
             System.out.println(new String(result.body(), StandardCharsets.UTF_8));
             System.err.println(
                     id + ": " + result.kind().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ') + ", after "
-                            + result.tries() + " requests");
+                            + result.attempts() + " requests");
             return result.kind().code();
         }
     }
--- a/src/main/java/wallmoor/client/ClientResult.java
+++ b/src/main/java/wallmoor/client/ClientResult.java
@@ -3,10 +3,10 @@
 /**
  * The result of a device's query.
  *
- * @param body  the outcome as received, or empty
- * @param tries the number of requests made
+ * @param body     the outcome as received, or empty
+ * @param attempts the number of requests made
  */
-public record ClientResult(ClientResultKind kind, byte[] body, int tries) {
+public record ClientResult(ClientResultKind kind, byte[] body, int attempts) {
     /** The kinds of results; their names are printed, and their codes are the exit codes of the command. */
     public enum ClientResultKind {
         ANSWERED(0), PARTIAL(5), REFUSED(6), FAILED_NEVER_RAN(7), FAILED_MAY_HAVE_RUN(8), FORGOTTEN(9),
--- a/src/main/java/wallmoor/edge/coap/EdgeCoap.java
+++ b/src/main/java/wallmoor/edge/coap/EdgeCoap.java
@@ -90,7 +90,7 @@
     }
 
     /** Serves for so many milliseconds, so that devices can fetch the remaining blocks of answers; then stops. */
-    public void leave(long millis) throws InterruptedException {
+    public void shutDown(long millis) throws InterruptedException {
         Thread.sleep(millis);
         server.destroy();
         waitTimers.shutdownNow();
--- a/src/main/java/wallmoor/edge/http/EdgeHttp.java
+++ b/src/main/java/wallmoor/edge/http/EdgeHttp.java
@@ -70,7 +70,7 @@
     }
 
     /** Accepts requests for the first period, then stops, and answers those accepted within the second one. */
-    public void leave(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
+    public void shutDown(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
         Thread.sleep(handOverMillis);
         server.closeAfterAnswers();
         server.finish(finishMillis);
--- a/src/main/java/wallmoor/service/EdgeService.java
+++ b/src/main/java/wallmoor/service/EdgeService.java
@@ -66,7 +66,7 @@
         var coapThread = new Thread(() -> {
             try {
                 if (coap != null) {
-                    coap.leave(handOverMillis + finishMillis);
+                    coap.shutDown(handOverMillis + finishMillis);
                 }
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -74,7 +74,7 @@
         }, "leave-coap");
         coapThread.start();
         if (http != null) {
-            http.leave(handOverMillis, finishMillis);
+            http.shutDown(handOverMillis, finishMillis);
         }
         coapThread.join();
         var usage = queries.usage();
