--- a/src/main/java/wallmoor/dns/DnsResponse.java
+++ b/src/main/java/wallmoor/dns/DnsResponse.java
@@ -107,7 +107,7 @@
         return records;
     }
 
-    /** Returns the last CNAME record of a name, or null. */
+    /** Returns the last CNAME record of a name, or null. In a query for CNAME records they are no aliases. */
     private static CNAMERecord alias(Message query, Message response, Name name) {
         CNAMERecord alias = null;
         for (Record record : response.getSection(Section.ANSWER)) {
--- a/src/main/java/wallmoor/dns/DnsTransport.java
+++ b/src/main/java/wallmoor/dns/DnsTransport.java
@@ -104,7 +104,7 @@
         for (int offset = 0; offset < length;) {
             long remaining = millisUntil(deadline);
             if (remaining <= 0) {
-                throw new SocketTimeoutException("incomplete answer in time: " + offset + " of " + length + " bytes");
+                throw new SocketTimeoutException("answer incomplete at the timeout: " + offset + " of " + length + " bytes");
             }
             socket.setSoTimeout((int) remaining);
             int count = in.read(bytes, offset, length - offset);
--- a/src/main/java/wallmoor/dns/TargetMapper.java
+++ b/src/main/java/wallmoor/dns/TargetMapper.java
@@ -113,8 +113,8 @@
 
     /**
      * Returns the relative size of an endpoint: the {@code size} of its TXT record, else its weight divided by the mean
-     * weight of the targets of the same priority, among which weights are relative (RFC 2782). Where all weights are 0,
-     * all sizes are the same.
+     * weight of the targets of the same priority, among which weights are relative (RFC 2782). A weight of 0
+     * gives the smallest size; where all weights are 0, all sizes are the same.
      */
     private static double size(ServiceTarget target, double meanWeight) {
         double size = meanWeight <= 0 ? DEFAULT_SIZE : target.weight() / meanWeight;
