--- a/src/main/java/wallmoor/ogc/FeatureServerDirectory.java
+++ b/src/main/java/wallmoor/ogc/FeatureServerDirectory.java
@@ -85,9 +85,9 @@
                 for (int i = 0; i < config.layout().cellsPerShard(); i++) {
                     for (SourceEndpoint server : byCell.getOrDefault((shard + i) % config.layout().cells(),
                             List.of())) {
-                        sites.add(new Site(server.id(), collection.upstream(shard)));
+                        sites.add(new Site(server.id(), collection.upstreamCollection(shard)));
                         blocksByServer.computeIfAbsent(server, s -> new HashSet<>())
-                                .add(collection.upstream(shard));
+                                .add(collection.upstreamCollection(shard));
                     }
                 }
                 sitesByShard.put(shard, List.copyOf(sites));
@@ -121,7 +121,8 @@
         for (Pruning.PrunedShard probe : pruning.decision().probes()) {
             FeatureQuery.ShardFeatures result = results.get(probe.shard());
             if (result != null && !result.features().isEmpty()) {
-                summaryLeases.reportProbe(probe, new Site(result.serverId(), collection.upstream(probe.shard())),
+                summaryLeases.reportProbe(probe,
+                        new Site(result.serverId(), collection.upstreamCollection(probe.shard())),
                         result.epoch(), result.version(), result.features().size());
             }
         }
--- a/src/main/java/wallmoor/ogc/ItemsPage.java
+++ b/src/main/java/wallmoor/ogc/ItemsPage.java
@@ -21,7 +21,7 @@
  */
 final class ItemsPage {
     /** The maximum total size of a page's features: the maximum body size less room for the other members. */
-    static final int MAX_FEATURES_BYTES = HttpReader.MOST_BODY - 8 * 1024;
+    static final int MAX_FEATURES_BYTES = HttpReader.MAX_BODY_BYTES - 8 * 1024;
     /** The estimated size of a page's other members, for the initial buffer. */
     private static final int ENVELOPE_BYTES = 1024;
 
