--- a/src/test/java/wallmoor/net/HandOverTest.java
+++ b/src/test/java/wallmoor/net/HandOverTest.java
@@ -63,7 +63,7 @@
 
     /** The new process inherits no discovery list: it uses the one in its configuration until discovery is back. */
     @Test(timeout = 60_000)
-    public void servesFromConfiguredListDuringUpgradeWithoutDiscovery() throws Exception {
+    public void servesUpgradeWithoutDiscoveryAndDrainsAtItsReturn() throws Exception {
         HeldSocket.Run old = start("old", 200);
         try (var load = new SteadyLoad(socket.port, 6, 30, List.of("all"), 0, 1)) {
             awaitUsed("worker 0 is used before the upgrade", 0);
