--- a/src/test/java/wallmoor/net/StartCrossingsTest.java
+++ b/src/test/java/wallmoor/net/StartCrossingsTest.java
@@ -182,11 +182,11 @@
         });
         assertFalse("ready before the list arrived", run.admin().ready());
         run.signal("TERM");
-        Program.await("shutdown logged", () -> run.said().contains("told to leave"));
+        Program.await("shutdown logged", () -> run.logText().contains("told to leave"));
         var discoveryAnswers = new Thread(() -> answerWatches(delayedDiscovery));
         discoveryAnswers.setDaemon(true);
         discoveryAnswers.start();
-        while (run.runs()) {
+        while (run.isRunning()) {
             assertFalse("ready during the shutdown", run.admin().ready());
             Thread.sleep(20);
         }
--- a/src/test/java/wallmoor/net/UpgradeTest.java
+++ b/src/test/java/wallmoor/net/UpgradeTest.java
@@ -58,11 +58,11 @@
         HeldSocket.Run next = start(name);
         long took = next.awaitReady();
         assertTrue("ready after " + took + " ms", took < READY_MILLIS);
-        assertTrue("the old process exited before SIGTERM", old.runs());
+        assertTrue("the old process exited before SIGTERM", old.isRunning());
         String last = Client.query("last-" + name, "all", 1900, 0);
         old.signal("TERM");
         long signalledAt = System.nanoTime();
-        Program.await("shutdown logged", () -> old.said().contains("told to leave"));
+        Program.await("shutdown logged", () -> old.logText().contains("told to leave"));
         Thread.sleep(PAUSE_MILLIS / 2); // the old process still has open queries and connections
         if (pauseMillis > 0) {
             old.signal("STOP");
@@ -81,13 +81,13 @@
         var answer = idle.answer();
         assertEquals("an idle connection is served, then closed", 200, answer.status);
         assertEquals("close", answer.header("Connection"));
-        while (old.runs()
+        while (old.isRunning()
                 && System.nanoTime() - signalledAt < TimeUnit.MILLISECONDS.toNanos(SHUTDOWN_MILLIS + pauseMillis)) {
             Thread.sleep(20);
         }
         old.signal("KILL");
         old.end().get(5, TimeUnit.SECONDS);
-        assertTrue("the new process exited: " + next.said(), next.runs());
+        assertTrue("the new process exited: " + next.logText(), next.isRunning());
         return next;
     }
 
@@ -125,7 +125,7 @@
             assertTrue("too few queries: " + load.counts(), load.all.size() > 500);
             assertTrue(load.unexpectedAnswers.toString(), load.unexpectedAnswers.isEmpty());
             assertEquals(Map.of(), repeatedParts("once"));
-            assertTrue(third.runs());
+            assertTrue(third.isRunning());
         }
     }
 
@@ -147,9 +147,9 @@
         try (var load = new SteadyLoad(socket.port, 6, 30, List.of("all"), 0, 1)) {
             awaitUsed("in use before", 0);
             awaitUsed("in use before", 1);
-            assertEquals("a worker that was never listed", 4, old.admin().say("detach", "w9") / 100);
-            assertEquals(2, old.admin().say("detach", "w0") / 100);
-            assertEquals("repeated request", 2, old.admin().say("detach", "w0") / 100);
+            assertEquals("a worker that was never listed", 4, old.admin().putWorkerAction("detach", "w9") / 100);
+            assertEquals(2, old.admin().putWorkerAction("detach", "w0") / 100);
+            assertEquals("repeated request", 2, old.admin().putWorkerAction("detach", "w0") / 100);
             assertLeftOut("detached", 0);
             updateList(42, 0, "DELETED", 0);
             assertLeftOut("deleted from the list", 0);
@@ -163,19 +163,19 @@
             next.awaitReady();
             Program.await("served by both", () -> servedByAnyone(next) > 5);
             assertLeftOut("banned at the old process, with both running", 0);
-            assertEquals(2, next.admin().say("detach", "w1") / 100);
+            assertEquals(2, next.admin().putWorkerAction("detach", "w1") / 100);
             Thread.sleep(GRACE_MILLIS);
             long servedBefore = servedByAnyone(old);
             assertLeftOut("banned at the new process, with both running", 1);
             Program.await("the old process still serves", () -> servedByAnyone(old) > servedBefore);
-            assertEquals(2, old.admin().say("attach", "w1") / 100);
+            assertEquals(2, old.admin().putWorkerAction("attach", "w1") / 100);
             old.signal("TERM");
             old.end().get(10, TimeUnit.SECONDS);
             awaitUsed("ban lifted at the old process, worker used by the new one", 1);
             assertLeftOut("with only the new process", 0);
             updateList(44, 0, "SERVING", System.currentTimeMillis());
             assertLeftOut("restarted once more", 0);
-            assertEquals(2, next.admin().say("attach", "w0") / 100);
+            assertEquals(2, next.admin().putWorkerAction("attach", "w0") / 100);
             awaitUsed("ban lifted", 0);
             load.stop();
             assertEquals("not all answered: " + load.counts(), load.all.size(), load.count(200));
