--- a/src/test/java/wallmoor/net/StartCrossingsTest.java
+++ b/src/test/java/wallmoor/net/StartCrossingsTest.java
@@ -106,7 +106,7 @@
      */
     @Test(timeout = 60_000)
     public void reloadsOnAHangUpBetweenReadingTheFileAndStartingTheGatherer() throws Exception {
-        Path config = Files.writeString(folder.newFile("config.json").toPath(), config(silentDiscovery()));
+        Path config = Files.writeString(folder.newFile("config.json").toPath(), config(unresponsiveDiscovery()));
         Path fifo = folder.getRoot().toPath().resolve("operator.yaml");
         assertEquals(0, new ProcessBuilder("mkfifo", fifo.toString()).start().waitFor());
         Process process = start(config, fifo);
--- a/src/test/java/wallmoor/net/UpgradeTest.java
+++ b/src/test/java/wallmoor/net/UpgradeTest.java
@@ -73,7 +73,7 @@
         } else {
             for (int i = 0; i < 5; i++) {
                 var answer = Client.post(socket.port, "fresh-" + name + i, "all", 1900, 0);
-                assertEquals("new connections are the new process': " + answer.head, null, answer.header("Connection"));
+                assertEquals("answered by the new process: " + answer.head, null, answer.header("Connection"));
             }
             Thread.sleep(IDLE_MILLIS);
             idle.send(last);
