--- a/src/test/java/wallmoor/net/SteadyLoad.java
+++ b/src/test/java/wallmoor/net/SteadyLoad.java
@@ -19,7 +19,8 @@
      *
      * @param status the status, or -1 without a complete response
      * @param fault  why there was none; begins with {@code kept} on a reused connection and {@code new} on a new one
-     * @param from   when it was sent, and {@code until} when it ended, in nanoseconds of {@link System#nanoTime}
+     * @param from   when it was sent, in nanoseconds of {@link System#nanoTime}
+     * @param until  when it ended, on the same clock
      */
     record QueryResult(String id, String queryClass, int status, String fault, long from, long until) {}
 
