--- a/example/Five.java
+++ b/example/Five.java
@@ -6,22 +6,21 @@
 import java.util.List;
 
 /**
- * Five gatherers that are a group, on loopback: HTTP on 3001 to 3005, the group's datagrams on 7951 to 7955. Build
- * first,
- * then start it from the root with {@code java example/Five.java}. It prints each change of view. A line with a number
- * from 1 to 5 kills that gatherer, or starts it again; an empty line ends all.
+ * Starts five gatherers that form a group on loopback: HTTP on 3001 to 3005, the group's datagrams on 7951 to 7955.
+ * Build the project first, then start this program from the root with {@code java example/Five.java}. It prints each
+ * change of a view. A line with a number from 1 to 5 kills that gatherer or starts it again; an empty line ends all.
  */
 public final class Five {
     private static final Process[] RUNNING = new Process[6];
     private static Path folder;
 
-    /** Starts five and does what it is told. */
+    /** Starts the five gatherers and runs the commands from standard input. */
     public static void main(String[] args) throws Exception {
         folder = Files.createTempDirectory("five");
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            for (Process p : RUNNING) {
-                if (p != null) {
-                    p.destroyForcibly();
+            for (Process process : RUNNING) {
+                if (process != null) {
+                    process.destroyForcibly();
                 }
             }
         }));
--- a/example/FiveRules.java
+++ b/example/FiveRules.java
@@ -4,11 +4,10 @@
 import java.nio.file.Path;
 
 /**
- * Five gatherers that agree, the first three of them voters, on loopback: HTTP on 3001 to 3005, voters on 7961 to 7963,
- * control
- * ports on 7971 to 7975. Build first, then start it from the root with {@code java example/FiveRules.java}. It prints
- * each change
- * of what a gatherer goes by. In another terminal:
+ * Starts five gatherers that agree on rules, the first three of them voters, on loopback: HTTP on 3001 to 3005, voters
+ * on 7961 to 7963, control ports on 7971 to 7975. Build the project first, then start this program from the root with
+ * {@code java example/FiveRules.java}. It prints each change of the rules in effect at a gatherer. Commands for another
+ * terminal:
  *
  * <pre>
  * java -jar target/wallmoor.jar rules check settings example/settings.json
@@ -17,19 +16,19 @@
  * java -jar target/wallmoor.jar rules history settings --at 127.0.0.1:7974
  * </pre>
  *
- * A line with a number from 1 to 5 kills that gatherer, or starts it again; an empty line ends all.
+ * A line with a number from 1 to 5 kills that gatherer or starts it again; an empty line ends all.
  */
 public final class FiveRules {
     private static final Process[] RUNNING = new Process[6];
     private static Path folder;
 
-    /** Starts five and does what it is told. */
+    /** Starts the five gatherers and runs the commands from standard input. */
     public static void main(String[] args) throws Exception {
         folder = Files.createTempDirectory("five-rules");
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
-            for (Process p : RUNNING) {
-                if (p != null) {
-                    p.destroyForcibly();
+            for (Process process : RUNNING) {
+                if (process != null) {
+                    process.destroyForcibly();
                 }
             }
         }));
--- a/example/Toy.java
+++ b/example/Toy.java
@@ -10,8 +10,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Toy peers for a first try, all on loopback: discovery on 8500, four workers on 9001 to 9004, four feature servers on
- * 9101 to 9104. Start it with {@code java example/Toy.java}; it prints what reaches it.
+ * Toy servers for trying the program out, all on loopback: discovery on 8500, four workers on 9001 to 9004, four
+ * feature servers on 9101 to 9104. Start it with {@code java example/Toy.java}; it prints what it receives.
  */
 public final class Toy {
     private static final String[] ZONES = {"khi-clifton", "khi-korangi"};
@@ -22,7 +22,7 @@
         void serve(Socket socket) throws Exception;
     }
 
-    /** Starts all peers and stays. */
+    /** Starts all servers and runs until it is interrupted. */
     public static void main(String[] args) throws Exception {
         listen(8500, Toy::discovery);
         for (int i = 0; i < 4; i++) {
@@ -44,7 +44,7 @@
                         try (socket) {
                             peer.serve(socket);
                         } catch (Exception e) {
-                            // the peer has gone
+                            // the client has closed the connection
                         }
                     }).start();
                 } catch (IOException e) {
@@ -54,7 +54,7 @@
         }).start();
     }
 
-    /** A watch: the whole list, then an empty line every 2 s. */
+    /** Answers a watch: the complete list, then an empty line every 2 s. */
     private static void discovery(Socket socket) throws Exception {
         System.out.println("discovery: " + head(socket));
         var members = new ArrayList<String>();
@@ -71,7 +71,7 @@
         }
     }
 
-    /** A worker: every part takes 50 ms and is served. */
+    /** Answers as a worker: every part takes 50 ms and succeeds. */
     private static void worker(Socket socket, String name) throws Exception {
         var in = new DataInputStream(socket.getInputStream());
         var out = new DataOutputStream(socket.getOutputStream());
@@ -89,7 +89,10 @@
         }
     }
 
-    /** A feature server: each shard of its cell is a collection of its own, with a few features by limit and offset. */
+    /**
+     * Answers as a feature server: each shard of its cell is a collection of its own with a few features, paged by
+     * limit and offset.
+     */
     private static void features(Socket socket, String name, int cell) throws Exception {
         while (true) {
             String target = head(socket).split(" ")[1];
@@ -99,11 +102,11 @@
                 answer(socket, "404 Not Found", "{}");
                 continue;
             }
-            Matcher one = Pattern.compile("/items/([^?]+)").matcher(target);
-            if (one.find()) {
-                String id = one.group(1);
-                boolean mine = id.matches(collection + "-[0-4]");
-                answer(socket, mine ? "200 OK" : "404 Not Found", mine ? feature(id, cell) : "{}");
+            Matcher itemMatcher = Pattern.compile("/items/([^?]+)").matcher(target);
+            if (itemMatcher.find()) {
+                String id = itemMatcher.group(1);
+                boolean exists = id.matches(collection + "-[0-4]");
+                answer(socket, exists ? "200 OK" : "404 Not Found", exists ? feature(id, cell) : "{}");
                 continue;
             }
             int limit = number(target, "limit", 10);
@@ -124,9 +127,9 @@
                 + cell + ",24.8]},\"properties\":{\"free\":" + (cell + 2) + "}}";
     }
 
-    private static int number(String target, String name, int otherwise) {
-        Matcher m = Pattern.compile("[?&]" + name + "=(\\d+)").matcher(target);
-        return m.find() ? Integer.parseInt(m.group(1)) : otherwise;
+    private static int number(String target, String name, int defaultValue) {
+        Matcher matcher = Pattern.compile("[?&]" + name + "=(\\d+)").matcher(target);
+        return matcher.find() ? Integer.parseInt(matcher.group(1)) : defaultValue;
     }
 
     private static void answer(Socket socket, String status, String body) throws IOException {
@@ -142,15 +145,15 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Reads a request's head and returns its first line. */
+    /** Reads the head of a request and returns its first line. */
     private static String head(Socket socket) throws IOException {
         var head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            int c = socket.getInputStream().read();
-            if (c < 0) {
+            int character = socket.getInputStream().read();
+            if (character < 0) {
                 throw new IOException("closed");
             }
-            head.append((char) c);
+            head.append((char) character);
         }
         return head.substring(0, head.indexOf("\r\n"));
     }
--- a/src/bench/java/wallmoor/endpoints/EndpointRegistryBenchmark.java
+++ b/src/bench/java/wallmoor/endpoints/EndpointRegistryBenchmark.java
@@ -17,7 +17,10 @@
 import org.openjdk.jmh.annotations.Warmup;
 import wallmoor.core.WorkerEndpoint;
 
-/** What a change to the roster costs by the fleet's size: one node of the list, and whole news in which one differs. */
+/**
+ * Measures the cost of a change to the endpoint registry by fleet size: a delta with one node of the list, and a full
+ * snapshot that changes nothing.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.SampleTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -28,43 +31,43 @@
     @Param({"16", "1000", "10000"})
     private int nodes;
 
-    private EndpointRegistry roster;
-    private List<SourceEndpoint> all;
+    private EndpointRegistry registry;
+    private List<SourceEndpoint> endpoints;
     private long now;
     private int turn;
 
-    /** A fleet that list and DNS agree on, four nodes a cell. */
+    /** Fills the registry with a fleet that the list and DNS agree on, four nodes for each cell. */
     @Setup(Level.Trial)
     public void fill() {
-        roster = new EndpointRegistry(
+        registry = new EndpointRegistry(
                 RegistryPolicy.of(List.of(new SourcePolicy("list", true, 0, 1, 20_000),
                         new SourcePolicy("dns", false, 0, 0.2, 20_000))));
-        all = new ArrayList<>();
+        endpoints = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            all.add(entry(i, WorkerEndpoint.EndpointState.SERVING));
+            endpoints.add(endpoint(i, WorkerEndpoint.EndpointState.SERVING));
         }
-        roster.apply(now, new WatchEvent.EndpointSnapshot("dns", "0", all, false));
-        roster.apply(now, new WatchEvent.EndpointSnapshot("list", "0", all, true));
+        registry.apply(now, new WatchEvent.EndpointSnapshot("dns", "0", endpoints, false));
+        registry.apply(now, new WatchEvent.EndpointSnapshot("list", "0", endpoints, true));
     }
 
-    private static SourceEndpoint entry(int i, WorkerEndpoint.EndpointState state) {
+    private static SourceEndpoint endpoint(int i, WorkerEndpoint.EndpointState state) {
         return new SourceEndpoint("s-" + i, "10.0." + i / 250 + "." + i % 250 + ":3000", i % 2, 0, i / 4, state, 1, 0,
                 0);
     }
 
-    /** A node drains, or comes back, by the list's word. */
+    /** Drains one node, or returns it to service, by a delta from the list. */
     @Benchmark
     public List<EndpointChange> oneDrainsOrReturns() {
         now += 1000;
         turn++;
-        return roster.apply(now, new WatchEvent.EndpointDelta("list", "" + turn, List.of(entry(turn / 2 % nodes,
+        return registry.apply(now, new WatchEvent.EndpointDelta("list", "" + turn, List.of(endpoint(turn / 2 % nodes,
                 turn % 2 == 0 ? WorkerEndpoint.EndpointState.SERVING : WorkerEndpoint.EndpointState.DRAINING))));
     }
 
-    /** Whole news as DNS brings it, equal to what is held: the price of a refresh that tells nothing new. */
+    /** Applies a full DNS snapshot equal to the known state: the cost of a refresh without changes. */
     @Benchmark
     public List<EndpointChange> aRefreshThatChangesNothing() {
         now += 1000;
-        return roster.apply(now, new WatchEvent.EndpointSnapshot("dns", "same", all, false));
+        return registry.apply(now, new WatchEvent.EndpointSnapshot("dns", "same", endpoints, false));
     }
 }
--- a/src/bench/java/wallmoor/experiment/Experiment.java
+++ b/src/bench/java/wallmoor/experiment/Experiment.java
@@ -28,22 +28,25 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Plays a grid of trials over all cores and writes {@code trials.csv}, a plot for each figure asked for and a page that
- * holds all of it. Rows that the file has already are not played again, so that a run that was stopped goes on.
+ * Runs a grid of trials on all cores and writes {@code trials.csv}, a plot for each requested figure, and a page with
+ * all tables and plots. Rows that the file already has are not run again, so that an interrupted run can be continued.
  */
 @Command(name = "experiment", description = "Plays trials on the model.")
 public final class Experiment {
-    /** What a trial is told apart by; its figures follow in the file. */
+    /** The columns that identify a trial; the columns of its figures follow in the file. */
     static final List<String> KEYS = List.of("way", "members", "fault", "seed");
 
-    /** One row: the trial's keys, and its figures. */
+    /** The keys and figures of one trial. */
     record Row(List<String> keys, Map<String, Long> figures) {}
 
     /**
-     * A file's content.
+     * The content of an experiment file.
      *
-     * @param parallel trials at once; large groups need some GB each
-     * @param plots    figures to plot
+     * @param about text for the top of the page
+     * @param parallel trials that run concurrently; a trial of a large group needs some GB of memory
+     * @param faultSeconds how long the fault lasts
+     * @param plots figures to plot
+     * @param trials the keys of each trial, see {@link #KEYS}
      */
     record Plan(String title, String about, int parallel, long faultSeconds, List<String> plots,
             List<List<String>> trials) {}
@@ -59,49 +62,49 @@
         Files.createDirectories(out);
         Path csv = out.resolve("trials.csv");
         List<Row> rows = new ArrayList<>(Files.exists(csv) ? rows(csv) : List.of());
-        var played = new HashSet<List<String>>();
-        rows.forEach(r -> played.add(r.keys()));
-        List<List<String>> left = plan.trials().stream().filter(t -> !played.contains(t)).toList();
-        System.err.println(plan.trials().size() + " trials, " + left.size() + " to play");
-        play(plan, left, csv, rows);
+        var finished = new HashSet<List<String>>();
+        rows.forEach(r -> finished.add(r.keys()));
+        List<List<String>> remaining = plan.trials().stream().filter(keys -> !finished.contains(keys)).toList();
+        System.err.println(plan.trials().size() + " trials, " + remaining.size() + " to play");
+        runTrials(plan, remaining, csv, rows);
         rows.sort(java.util.Comparator.comparing(r -> plan.trials().indexOf(r.keys())));
         Report.write(plan, rows, out);
         return 0;
     }
 
-    private static void play(Plan plan, List<List<String>> left, Path csv, List<Row> rows)
+    private static void runTrials(Plan plan, List<List<String>> remaining, Path csv, List<Row> rows)
             throws IOException, InterruptedException {
         var pool = Executors.newFixedThreadPool(plan.parallel());
         try (Writer to = Files.newBufferedWriter(csv, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
                 StandardOpenOption.APPEND);
                 var printer = new CSVPrinter(to, CSVFormat.RFC4180)) {
-            boolean[] headed = {!rows.isEmpty()};
+            boolean[] hasHeader = {!rows.isEmpty()};
             var tasks = new ArrayList<Callable<Void>>();
-            for (List<String> t : left) {
+            for (List<String> keys : remaining) {
                 tasks.add(() -> {
-                    Map<String, Long> figures = GroupTrial.play(t.get(0), Integer.parseInt(t.get(1)),
-                            GroupTrial.fault(t.get(2)),
-                            Long.parseLong(t.get(3)), plan.faultSeconds());
+                    Map<String, Long> figures = GroupTrial.run(keys.get(0), Integer.parseInt(keys.get(1)),
+                            GroupTrial.fault(keys.get(2)),
+                            Long.parseLong(keys.get(3)), plan.faultSeconds());
                     synchronized (rows) {
-                        if (!headed[0]) {
-                            headed[0] = true;
+                        if (!hasHeader[0]) {
+                            hasHeader[0] = true;
                             printer.printRecord(
                                     java.util.stream.Stream.concat(KEYS.stream(), figures.keySet().stream()).toList());
                         }
                         printer.printRecord(
-                                java.util.stream.Stream.concat(t.stream(), figures.values().stream()).toList());
+                                java.util.stream.Stream.concat(keys.stream(), figures.values().stream()).toList());
                         printer.flush();
-                        rows.add(new Row(t, figures));
-                        System.err.println(rows.size() + "/" + plan.trials().size() + " " + t + " " + figures);
+                        rows.add(new Row(keys, figures));
+                        System.err.println(rows.size() + "/" + plan.trials().size() + " " + keys + " " + figures);
                     }
                     return null;
                 });
             }
-            for (var done : pool.invokeAll(tasks)) {
-                done.get();
+            for (var future : pool.invokeAll(tasks)) {
+                future.get();
             }
         } catch (ExecutionException e) {
-            throw new IOException("a trial failed", e.getCause());
+            throw new IOException("a trial failed: " + e.getCause(), e.getCause());
         } finally {
             pool.shutdownNow();
         }
@@ -112,7 +115,7 @@
         try (Reader in = Files.newBufferedReader(csv, StandardCharsets.UTF_8);
                 CSVParser parser = CSVFormat.RFC4180.builder().setHeader().setSkipHeaderRecord(true).get().parse(in)) {
             for (CSVRecord r : parser) {
-                if (r.isConsistent()) { // the last line of a run that was stopped may be a part
+                if (r.isConsistent()) { // the last line of an interrupted run may be incomplete
                     var figures = new LinkedHashMap<String, Long>();
                     parser.getHeaderNames().stream().filter(h -> !KEYS.contains(h))
                             .forEach(h -> figures.put(h, Long.valueOf(r.get(h))));
@@ -124,34 +127,35 @@
     }
 
     static Plan read(Path file) throws IOException {
-        Map<String, Object> top;
+        Map<String, Object> document;
         try (Reader in = Files.newBufferedReader(file, StandardCharsets.UTF_8)) {
-            top = new Yaml(new SafeConstructor(new LoaderOptions())).load(in);
+            document = new Yaml(new SafeConstructor(new LoaderOptions())).load(in);
         }
-        if (!"group".equals(top.get("experiment"))) {
-            throw new IOException(file + ": experiment: is not group");
+        if (!"group".equals(document.get("experiment"))) {
+            throw new IOException(file + ": experiment: must be \"group\", not \"" + document.get("experiment") + "\"");
         }
-        int seeds = ((Number) top.getOrDefault("seeds", 1)).intValue();
+        int seeds = ((Number) document.getOrDefault("seeds", 1)).intValue();
         var trials = new ArrayList<List<String>>();
-        for (Object g : list(top.get("grids"))) {
+        for (Object g : list(document.get("grids"))) {
             Map<?, ?> grid = (Map<?, ?>) g;
-            int its = grid.get("seeds") instanceof Number own ? own.intValue() : seeds;
-            for (Object n : list(grid.get("members"))) {
+            int gridSeeds = grid.get("seeds") instanceof Number own ? own.intValue() : seeds;
+            for (Object members : list(grid.get("members"))) {
                 for (Object fault : list(grid.get("fault"))) {
-                    GroupTrial.fault(fault.toString()); // named wrongly, it fails before anything is played
+                    GroupTrial.fault(fault.toString()); // rejects an unknown fault before any trial runs
                     for (Object way : list(grid.get("way"))) {
-                        for (int seed = 1; seed <= its; seed++) {
-                            trials.add(List.of(way.toString(), n.toString(), fault.toString(), Integer.toString(seed)));
+                        for (int seed = 1; seed <= gridSeeds; seed++) {
+                            trials.add(List.of(way.toString(), members.toString(), fault.toString(),
+                                    Integer.toString(seed)));
                         }
                     }
                 }
             }
         }
         int cores = Runtime.getRuntime().availableProcessors();
-        return new Plan(top.get("title").toString(), top.getOrDefault("about", "").toString(),
-                ((Number) top.getOrDefault("parallel", cores)).intValue(),
-                ((Number) top.getOrDefault("fault_seconds", 60)).longValue(),
-                list(top.get("plots")).stream().map(Object::toString).toList(), trials);
+        return new Plan(document.get("title").toString(), document.getOrDefault("about", "").toString(),
+                ((Number) document.getOrDefault("parallel", cores)).intValue(),
+                ((Number) document.getOrDefault("fault_seconds", 60)).longValue(),
+                list(document.get("plots")).stream().map(Object::toString).toList(), trials);
     }
 
     private static List<?> list(Object o) {
--- a/src/bench/java/wallmoor/experiment/Report.java
+++ b/src/bench/java/wallmoor/experiment/Report.java
@@ -15,14 +15,14 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** Tables and plots of an experiment's rows, on one page that needs no other file. */
+/** Writes the tables and plots of an experiment as one self-contained HTML page. */
 final class Report {
     private static final int WIDTH = 860;
     private static final int HEIGHT = 360;
 
-    /** All seeds of one way at one size under one fault. */
+    /** The trials of one way, one group size and one fault, over all seeds. */
     private record Cell(String way, String members, String fault) {
-        String at() {
+        String label() {
             return fault + ", " + members;
         }
     }
@@ -47,7 +47,10 @@
         Files.writeString(out.resolve("index.html"), html);
     }
 
-    /** Cells in the order of the file, each with its values of this figure; those that were not reached left out. */
+    /**
+     * Returns the cells in the order of the file, each with its values of the given figure; a negative value means that
+     * the state was not reached.
+     */
     private static Map<Cell, List<Long>> cells(String figure, List<Experiment.Row> rows) {
         var cells = new LinkedHashMap<Cell, List<Long>>();
         for (Experiment.Row r : rows) {
@@ -66,13 +69,13 @@
 
     private static byte[] plot(String figure, List<Experiment.Row> rows) throws IOException {
         Map<Cell, List<Long>> cells = cells(figure, rows);
-        List<String> at = cells.keySet().stream().map(Cell::at).distinct().toList();
+        List<String> labels = cells.keySet().stream().map(Cell::label).distinct().toList();
         CategoryChart chart = new CategoryChartBuilder().width(WIDTH).height(HEIGHT).title(figure + ", mean over seeds")
                 .xAxisTitle("fault, members").yAxisTitle(figure).build();
         for (String way : cells.keySet().stream().map(Cell::way).distinct().toList()) {
             Map<String, Double> means = cells.entrySet().stream().filter(e -> e.getKey().way().equals(way))
-                    .collect(Collectors.toMap(e -> e.getKey().at(), e -> histogram(e.getValue()).getMean()));
-            chart.addSeries(way, at, at.stream().map(a -> means.getOrDefault(a, 0.0)).toList());
+                    .collect(Collectors.toMap(e -> e.getKey().label(), e -> histogram(e.getValue()).getMean()));
+            chart.addSeries(way, labels, labels.stream().map(a -> means.getOrDefault(a, 0.0)).toList());
         }
         chart.getStyler().setXAxisLabelRotation(30);
         return BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG);
@@ -83,7 +86,8 @@
                 "<table><tr><th>fault, members<th>way<th>seeds<th>not reached<th>p50<th>p99<th>worst<th>sum");
         cells(figure, rows).forEach((c, values) -> {
             Histogram h = histogram(values);
-            html.append("<tr><td>").append(c.at()).append("<td>").append(c.way()).append("<td>").append(values.size())
+            html.append("<tr><td>").append(c.label()).append("<td>").append(c.way()).append("<td>")
+                    .append(values.size())
                     .append("<td>")
                     .append(values.stream().filter(v -> v < 0).count()).append("<td>")
                     .append(h.getValueAtPercentile(50)).append("<td>")
--- a/src/bench/java/wallmoor/idempotency/RetainedMemory.java
+++ b/src/bench/java/wallmoor/idempotency/RetainedMemory.java
@@ -2,38 +2,43 @@
 
 import java.util.UUID;
 
-/** What 100,000 retained outcomes take of the heap, beside what the limits count for them. */
+/**
+ * Measures the heap memory of 100,000 retained outcomes and compares it with the bytes that the limits count for them.
+ */
 public final class RetainedMemory {
     private static final int OUTCOMES = 100_000;
-    private static final int BYTES = 200;
+    private static final int BODY_BYTES = 200;
 
     private RetainedMemory() {}
 
-    /** Prints both. */
+    /** Prints the measured and the counted memory. */
     public static void main(String[] args) throws Exception {
-        long second = 1_000_000;
-        var rules = new IdempotencyLimits(second, 600 * second, 86_400 * second, second, second, 16, 2_000, 1_000,
+        long secondMicros = 1_000_000;
+        var limits = new IdempotencyLimits(secondMicros, 600 * secondMicros, 86_400 * secondMicros, secondMicros,
+                secondMicros, 16, 2_000, 1_000,
                 1L << 30,
                 1L << 24,
-                65_536, 1e6, 1_000_000, 200, second, 30 * second);
-        long now = 1_800_000_000L * second;
-        var requests = new IdempotentRequests(rules, now);
-        now += 10 * second;
-        long before = used();
+                65_536, 1e6, 1_000_000, 200, secondMicros, 30 * secondMicros);
+        long nowMicros = 1_800_000_000L * secondMicros;
+        var requests = new IdempotentRequests(limits, nowMicros);
+        nowMicros += 10 * secondMicros;
+        long bytesBefore = usedHeapBytes();
         for (int i = 0; i < OUTCOMES; i++) {
             var key = new IdempotencyKey("device-" + i % 1_000,
-                    new UUID(now / 1000 << 16 | 0x7000, 0x8000_0000_0000_0000L | i).toString());
-            var run = (RequestDecision.Execute) requests.submit(now, key, new BodyDigest(i, i, i), i % 5 != 0);
-            requests.completed(now, run.request(),
-                    new StoredOutcome(StoredOutcome.OutcomeKind.COMPLETE, 0, new byte[BYTES]));
+                    new UUID(nowMicros / 1000 << 16 | 0x7000, 0x8000_0000_0000_0000L | i).toString());
+            var decision = (RequestDecision.Execute) requests.submit(nowMicros, key, new BodyDigest(i, i, i),
+                    i % 5 != 0);
+            requests.completed(nowMicros, decision.request(),
+                    new StoredOutcome(StoredOutcome.OutcomeKind.COMPLETE, 0, new byte[BODY_BYTES]));
         }
-        long after = used();
+        long bytesAfter = usedHeapBytes();
         System.out.printf("%d outcomes of %d bytes: %.1f MiB of heap, %d bytes each; counted %.1f MiB%n",
-                requests.usage().retained(), BYTES, (after - before) / 1048576.0, (after - before) / OUTCOMES,
+                requests.usage().retained(), BODY_BYTES, (bytesAfter - bytesBefore) / 1048576.0,
+                (bytesAfter - bytesBefore) / OUTCOMES,
                 requests.usage().bytes() / 1048576.0);
     }
 
-    private static long used() throws InterruptedException {
+    private static long usedHeapBytes() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
             System.gc();
             Thread.sleep(100);
--- a/src/bench/java/wallmoor/net/DrainTime.java
+++ b/src/bench/java/wallmoor/net/DrainTime.java
@@ -14,28 +14,28 @@
 import wallmoor.standin.DnsServer;
 
 /**
- * The longest time from a drain that the list tells to the last new frame at the drained node, over 200 seeded drains
- * of the real program under load while DNS lies in one way or another. Four programs at a time; prints the
- * distribution.
+ * Measures the longest time from a drain announced by the discovery list to the last new frame at the drained node,
+ * over 200 seeded drains of the real program under load, while DNS contradicts the list or fails. Runs four programs at
+ * a time and prints the distribution.
  */
 public final class DrainTime {
     private static final String SERVICE = "_calendar._tcp.fleet.example";
     private static final int PROGRAMS = 4;
-    private static final int DRAINS = 50;
-    /** What DNS does while the list drains: goes on naming the node, or worse. */
-    private static final String[] LIES = {"names it", "renames it", "fails", "is silent", "drops all",
-        "comes and goes"};
+    private static final int DRAINS_PER_PROGRAM = 50;
+    /** What DNS does while the list drains a node: it still lists the node, or behaves worse. */
+    private static final String[] DNS_BEHAVIOURS = {
+        "lists nodes", "lists other ids", "fails", "never replies", "empty answer", "flapping"};
 
     private DrainTime() {}
 
-    /** A node that notes when its last frame came. */
+    /** A node that records when its last frame arrived. */
     private static final class Node {
-        final AtomicLong lastFrame = new AtomicLong();
+        final AtomicLong lastFrameNanos = new AtomicLong();
         final StandIn.Worker worker;
 
         Node() throws Exception {
             worker = new StandIn.Worker(id -> {
-                lastFrame.set(System.nanoTime());
+                lastFrameNanos.set(System.nanoTime());
                 try {
                     Thread.sleep(3);
                 } catch (InterruptedException e) {
@@ -50,17 +50,17 @@
         }
     }
 
-    /** Runs all. */
+    /** Runs all programs and prints the latencies. */
     public static void main(String[] args) throws Exception {
-        var times = new ConcurrentHistogram(10_000_000, 3);
+        var drainMicros = new ConcurrentHistogram(10_000_000, 3);
         var failed = new AtomicInteger();
-        var asked = new AtomicInteger();
+        var queries = new AtomicInteger();
         var threads = new ArrayList<Thread>();
-        for (int p = 0; p < PROGRAMS; p++) {
-            int seed = p;
+        for (int seedNumber = 0; seedNumber < PROGRAMS; seedNumber++) {
+            int seed = seedNumber;
             var thread = new Thread(() -> {
                 try {
-                    drains(seed, times, asked, failed);
+                    runProgram(seed, drainMicros, queries, failed);
                 } catch (Exception e) {
                     e.printStackTrace();
                     failed.addAndGet(1_000_000);
@@ -69,25 +69,27 @@
             threads.add(thread);
             thread.start();
         }
-        for (Thread t : threads) {
-            t.join();
+        for (Thread thread : threads) {
+            thread.join();
         }
-        System.out.printf("drains %d, queries %d, not whole %d%n", times.getTotalCount(), asked.get(), failed.get());
+        System.out.printf("drains %d, queries %d, not whole %d%n", drainMicros.getTotalCount(), queries.get(),
+                failed.get());
         System.out.printf("told to last new frame, ms: p50 %.1f  p90 %.1f  p99 %.1f  most %.1f (allowed 2000)%n",
-                ms(times, 50), ms(times, 90), ms(times, 99), ms(times, 100));
+                ms(drainMicros, 50), ms(drainMicros, 90), ms(drainMicros, 99), ms(drainMicros, 100));
         System.exit(0);
     }
 
-    private static double ms(Histogram h, double percentile) {
-        return h.getValueAtPercentile(percentile) / 1e3;
+    private static double ms(Histogram histogram, double percentile) {
+        return histogram.getValueAtPercentile(percentile) / 1e3;
     }
 
-    private static void drains(int seed, Histogram times, AtomicInteger asked, AtomicInteger failed) throws Exception {
+    private static void runProgram(int seed, Histogram drainMicros, AtomicInteger queries, AtomicInteger failed)
+            throws Exception {
         var random = new Random(seed);
-        Node a = new Node();
-        Node b = new Node();
+        Node nodeA = new Node();
+        Node nodeB = new Node();
         try (var dns = new DnsServer(); var discovery = new StandIn.Discovery()) {
-            dns.service(SERVICE, 0, a.target("w1"), b.target("w2"));
+            dns.service(SERVICE, 0, nodeA.target("w1"), nodeB.target("w2"));
             Path operator = Files.createTempFile("operator", ".yaml");
             Files.writeString(operator, "sources:\n  dns:\n    servers: [\"127.0.0.1:" + dns.port() + "\"]\n"
                     + "    names: [{name: " + SERVICE
@@ -95,69 +97,72 @@
             try (var program = new Program(discovery.port(), "", operator)) {
                 Program.await("a watch", () -> discovery.count("GET /api/targets?stream=1") == 1);
                 Thread.sleep(200);
-                discovery.say(list(1, a, "SERVING", b, "SERVING"));
+                discovery.say(discoveryList(1, nodeA, "SERVING", nodeB, "SERVING"));
                 Thread.sleep(300);
-                var over = new AtomicBoolean();
-                var load = new ArrayList<Thread>();
+                var isOver = new AtomicBoolean();
+                var loadThreads = new ArrayList<Thread>();
                 for (int i = 0; i < 4; i++) {
-                    load.add(new Thread(() -> load(program, over, asked, failed)));
+                    loadThreads.add(new Thread(() -> sendQueries(program, isOver, queries, failed)));
                 }
-                load.forEach(Thread::start);
-                for (int run = 0; run < DRAINS; run++) {
-                    one(random, run, dns, discovery, a, b, times);
+                loadThreads.forEach(Thread::start);
+                for (int run = 0; run < DRAINS_PER_PROGRAM; run++) {
+                    measureDrain(random, run, dns, discovery, nodeA, nodeB, drainMicros);
                 }
-                over.set(true);
-                for (Thread t : load) {
-                    t.join();
+                isOver.set(true);
+                for (Thread thread : loadThreads) {
+                    thread.join();
                 }
             }
         }
     }
 
-    private static void one(Random random, int run, DnsServer dns, StandIn.Discovery discovery, Node a, Node b,
-            Histogram times) throws Exception {
-        String lie = LIES[random.nextInt(LIES.length)];
-        Node drained = random.nextBoolean() ? a : b;
-        lie(lie, dns, a, b);
+    private static void measureDrain(Random random, int run, DnsServer dns, StandIn.Discovery discovery, Node nodeA,
+            Node nodeB,
+            Histogram drainMicros) throws Exception {
+        String dnsBehaviour = DNS_BEHAVIOURS[random.nextInt(DNS_BEHAVIOURS.length)];
+        Node drained = random.nextBoolean() ? nodeA : nodeB;
+        setDnsBehaviour(dnsBehaviour, dns, nodeA, nodeB);
         Thread.sleep(random.nextInt(400));
-        long told = System.nanoTime();
+        long drainSentNanos = System.nanoTime();
         discovery.say(
-                list(2 * run + 2, a, drained == a ? "DRAINING" : "SERVING", b, drained == b ? "DRAINING" : "SERVING"));
+                discoveryList(2 * run + 2, nodeA, drained == nodeA ? "DRAINING" : "SERVING", nodeB, drained == nodeB
+                ? "DRAINING" : "SERVING"));
         Thread.sleep(300);
-        if (lie.equals("comes and goes")) {
-            lie("drops all", dns, a, b);
+        if (dnsBehaviour.equals("flapping")) {
+            setDnsBehaviour("empty answer", dns, nodeA, nodeB);
             Thread.sleep(200);
-            lie("names it", dns, a, b);
+            setDnsBehaviour("lists nodes", dns, nodeA, nodeB);
         }
         Thread.sleep(400);
-        times.recordValue(Math.max(0, (drained.lastFrame.get() - told) / 1000));
+        drainMicros.recordValue(Math.max(0, (drained.lastFrameNanos.get() - drainSentNanos) / 1000));
         dns.fail(DnsServer.Fault.NONE);
-        lie("names it", dns, a, b);
-        discovery.say(list(2 * run + 3, a, "SERVING", b, "SERVING"));
+        setDnsBehaviour("lists nodes", dns, nodeA, nodeB);
+        discovery.say(discoveryList(2 * run + 3, nodeA, "SERVING", nodeB, "SERVING"));
         Thread.sleep(200 + random.nextInt(100));
     }
 
-    private static void lie(String how, DnsServer dns, Node a, Node b) {
-        switch (how) {
-            case "renames it" -> dns.service(SERVICE, 0, a.target("x1"), b.target("x2"));
+    private static void setDnsBehaviour(String behaviour, DnsServer dns, Node nodeA, Node nodeB) {
+        switch (behaviour) {
+            case "lists other ids" -> dns.service(SERVICE, 0, nodeA.target("x1"), nodeB.target("x2"));
             case "fails" -> dns.fail(DnsServer.Fault.SERVFAIL);
-            case "is silent" -> dns.fail(DnsServer.Fault.SILENT);
-            case "drops all" -> dns.set(SERVICE, Type.SRV);
-            default -> dns.service(SERVICE, 0, a.target("w1"), b.target("w2"));
+            case "never replies" -> dns.fail(DnsServer.Fault.SILENT);
+            case "empty answer" -> dns.set(SERVICE, Type.SRV);
+            default -> dns.service(SERVICE, 0, nodeA.target("w1"), nodeB.target("w2"));
         }
     }
 
-    private static String list(int revision, Node a, String stateA, Node b, String stateB) {
+    private static String discoveryList(int revision, Node nodeA, String stateA, Node nodeB, String stateB) {
         return "{\"revision\":" + (42 + revision) + ",\"complete\":false,\"members\":[" + List.of(
-                a.worker.member("w1", 0, stateA), b.worker.member("w2", 0, stateB)).toString()
+                nodeA.worker.member("w1", 0, stateA), nodeB.worker.member("w2", 0, stateB)).toString()
                 .replaceAll("^\\[|\\]$", "")
                 + "]}";
     }
 
-    private static void load(Program program, AtomicBoolean over, AtomicInteger asked, AtomicInteger failed) {
-        while (!over.get()) {
+    private static void sendQueries(Program program, AtomicBoolean isOver, AtomicInteger queries,
+            AtomicInteger failed) {
+        while (!isOver.get()) {
             try {
-                int status = Client.post(program.port, "d" + asked.incrementAndGet(), "all", 1900, 0).status;
+                int status = Client.post(program.port, "d" + queries.incrementAndGet(), "all", 1900, 0).status;
                 failed.addAndGet(status == 200 ? 0 : 1);
             } catch (java.io.IOException e) {
                 failed.incrementAndGet();
--- a/src/bench/java/wallmoor/net/EdgeStorm.java
+++ b/src/bench/java/wallmoor/net/EdgeStorm.java
@@ -1,12 +1,13 @@
 package wallmoor.net;
 
 /**
- * Five hundred devices with twenty queries each while 30 % of links are cut: over the edge, and over the plain front.
+ * Compares the edge with the plain front for 500 devices of twenty queries each, while 30 % of the links are cut.
+ * Argument: the number of devices (optional).
  */
 public final class EdgeStorm {
     private EdgeStorm() {}
 
-    /** Prints both. */
+    /** Runs both fronts and prints a line for each. */
     public static void main(String[] args) throws Exception {
         int devices = args.length > 0 ? Integer.parseInt(args[0]) : 500;
         try (var storm = new Storm(devices)) {
@@ -16,15 +17,17 @@
         System.exit(0);
     }
 
-    private static void print(String what, Storm.Tally t) {
+    private static void print(String front, Storm.Tally tally) {
         System.out.printf(
                 "%-12s asked %d, answered %d, refused %d, failed %d, not learnt %d; holds run %d, run twice %d;"
                         + " bodies differ %d; links cut %d, datagrams lost %d; ms to outcome p50 %d p90 %d p99 %d "
                         + "most %d%n",
-                what,
-                t.asked(), t.answered(), t.refused(), t.failed(), t.notLearnt(), t.holdsRun(), t.holdsRunTwice(),
-                t.bodiesDiffer(), t.linksCut(), t.datagramsLost(), t.percentile(0.5), t.percentile(0.9),
-                t.percentile(0.99),
-                t.percentile(1));
+                front,
+                tally.asked(), tally.answered(), tally.refused(), tally.failed(), tally.notLearnt(), tally.holdsRun(),
+                tally.holdsRunTwice(),
+                tally.bodiesDiffer(), tally.linksCut(), tally.datagramsLost(), tally.percentile(0.5),
+                tally.percentile(0.9),
+                tally.percentile(0.99),
+                tally.percentile(1));
     }
 }
--- a/src/bench/java/wallmoor/net/IdleWaiters.java
+++ b/src/bench/java/wallmoor/net/IdleWaiters.java
@@ -12,7 +12,8 @@
 import wallmoor.standin.Ports;
 
 /**
- * What queries of the plain front feel while 2,000 devices wait at the edge for outcomes; beside it with none waiting.
+ * Measures the latency of queries at the plain front while 2,000 devices wait at the edge for outcomes, compared with
+ * none waiting.
  */
 public final class IdleWaiters {
     private static final int DEVICES = 2_000;
@@ -20,32 +21,32 @@
 
     private IdleWaiters() {}
 
-    /** Runs both. */
+    /** Measures both cases and prints a line for each. */
     public static void main(String[] args) throws Exception {
         var node = new StandIn.Worker(id -> "ok");
         Path folder = Files.createTempDirectory("idle");
         Files.writeString(folder.resolve("devices.csv"), "device,sha256\nd1,"
                 + HexFormat.of().formatHex(EdgeRequest.sha256("d1.secret".getBytes())) + "\n");
-        int http = Ports.free();
+        int edgePort = Ports.free();
         Path operator = folder.resolve("operator.yaml");
         Files.writeString(operator,
-                "edge:\n  devices: devices.csv\n  http: {listen: 127.0.0.1:" + http + ", most_clients: 2500}"
+                "edge:\n  devices: devices.csv\n  http: {listen: 127.0.0.1:" + edgePort + ", most_clients: 2500}"
                         + "\n  skew: 50ms\n  asks_per_s: 10000\n  ask_burst: 10000\n  open_per_device: 100\n");
         try (var discovery = new StandIn.Discovery();
                 var program = new Program(discovery.port(), node.member("a", 0, "SERVING"), operator)) {
             measure(program, "warming up");
             measure(program, "none waiting");
-            // each has asked before, and keeps its connection open: half with a request that came only in part
+            // each device has sent a request and keeps its connection open; half sent an incomplete second one
             List<Client> waiting = new ArrayList<>();
             for (int i = 0; i < DEVICES; i++) {
-                var c = new Client(http);
-                c.send("GET /queries/" + Generators.timeBasedEpochGenerator().generate()
+                var client = new Client(edgePort);
+                client.send("GET /queries/" + Generators.timeBasedEpochGenerator().generate()
                         + " HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer d1.secret\r\nPrefer: wait=50\r\n\r\n");
-                c.answer();
+                client.answer();
                 if (i % 2 == 0) {
-                    c.send("GET /queries/x HTTP/1.1\r\nHost: h\r\n");
+                    client.send("GET /queries/x HTTP/1.1\r\nHost: h\r\n");
                 }
-                waiting.add(c);
+                waiting.add(client);
             }
             measure(program, waiting.size() + " waiting");
             System.out.println("resident kB of the program: " + Files
@@ -56,18 +57,18 @@
         System.exit(0);
     }
 
-    private static void measure(Program program, String what) throws Exception {
-        var took = new Histogram(TimeUnit.SECONDS.toNanos(10), 3);
+    private static void measure(Program program, String label) throws Exception {
+        var latencyNanos = new Histogram(TimeUnit.SECONDS.toNanos(10), 3);
         try (var client = new Client(program.port)) {
             for (int i = 0; i < QUERIES; i++) {
-                long begun = System.nanoTime();
-                client.send(Client.query(what.hashCode() + "-" + i, "all", 1900, 0)).answer();
-                took.recordValue(System.nanoTime() - begun);
+                long startNanos = System.nanoTime();
+                client.send(Client.query(label.hashCode() + "-" + i, "all", 1900, 0)).answer();
+                latencyNanos.recordValue(System.nanoTime() - startNanos);
                 Thread.sleep(1);
             }
         }
-        System.out.printf("%-14s microseconds p50 %.0f p99 %.0f p99.9 %.0f most %.0f%n", what,
-                took.getValueAtPercentile(50) / 1e3, took.getValueAtPercentile(99) / 1e3,
-                took.getValueAtPercentile(99.9) / 1e3, took.getMaxValue() / 1e3);
+        System.out.printf("%-14s microseconds p50 %.0f p99 %.0f p99.9 %.0f most %.0f%n", label,
+                latencyNanos.getValueAtPercentile(50) / 1e3, latencyNanos.getValueAtPercentile(99) / 1e3,
+                latencyNanos.getValueAtPercentile(99.9) / 1e3, latencyNanos.getMaxValue() / 1e3);
     }
 }
--- a/src/bench/java/wallmoor/net/RestartStorm.java
+++ b/src/bench/java/wallmoor/net/RestartStorm.java
@@ -18,84 +18,88 @@
 import wallmoor.standin.Ports;
 
 /**
- * Two gatherers by the deploy file's {@code run}, each on half of a core (one core that it shares with a busy process),
- * restarted in turn by SIGTERM and SIGKILL, under queries of four parts and silent clients that connect again the
- * moment they are closed. A line a second for each: its processor time by thread; and what became of the queries.
- * Arguments: silent clients, queries a second, second of the first SIGTERM (0: none), seconds; the repository's root,
- * if not here.
+ * Restarts two gatherers in turn by SIGTERM and SIGKILL, under queries of four parts and silent clients that reconnect
+ * as soon as they are closed. Each gatherer is started by the deploy file's {@code run} line and has half a core (one
+ * core that it shares with a busy process). Prints one line a second for each gatherer with its processor time by
+ * thread, and the outcomes of the queries.
+ *
+ * <p>Arguments: silent clients, queries a second, second of the first SIGTERM (0: no restart), seconds to run; the
+ * repository's root if it is not the current directory.
  */
 public final class RestartStorm {
     private static final int NODES = 12;
     private static final int GATHERERS = 2;
-    private static final long AIM_MILLIS = 1_000;
-    /** From SIGTERM to SIGKILL, and from one restart to the next. */
-    private static final long LEAVING_MILLIS = 1_850;
-    private static final long APART_MILLIS = 3_000;
+    private static final long OBJECTIVE_MILLIS = 1_000;
+    /** The time from SIGTERM to SIGKILL. */
+    private static final long TERM_TO_KILL_MILLIS = 1_850;
+    /** The time from one restart to the next. */
+    private static final long RESTART_INTERVAL_MILLIS = 3_000;
 
-    private final LongAdder asked = new LongAdder();
+    private final LongAdder queries = new LongAdder();
     private final LongAdder inTime = new LongAdder();
     private final LongAdder late = new LongAdder();
     private final LongAdder refused = new LongAdder();
     private final LongAdder broken = new LongAdder();
     private final LongAdder reconnects = new LongAdder();
-    private final AtomicInteger numbers = new AtomicInteger();
+    private final AtomicInteger queryNumber = new AtomicInteger();
     private final List<Gatherer> gatherers = new ArrayList<>();
 
     private RestartStorm() {}
 
-    /** One of them, over its restarts. */
+    /** A gatherer process and its successors after restarts. */
     private final class Gatherer implements AutoCloseable {
-        final int place;
+        final int index;
         final int port = Ports.free();
         final Path config = Files.createTempFile("storm", ".json");
-        final ConcurrentLinkedDeque<Client> kept = new ConcurrentLinkedDeque<>();
+        final ConcurrentLinkedDeque<Client> idleClients = new ConcurrentLinkedDeque<>();
         final Process busy;
         final String command;
         final Path root;
         final Map<String, Long> threads = new TreeMap<>();
         volatile Process process;
-        volatile boolean up;
-        double cpu;
+        volatile boolean isUp;
+        double processorSeconds;
 
-        Gatherer(int place, int discovery, String members, Path root) throws IOException {
-            this.place = place;
+        Gatherer(int index, int discovery, String members, Path root) throws IOException {
+            this.index = index;
             this.root = root;
-            Files.writeString(config, Program.config("g" + place, Program.SEED + place, port, discovery, members, 384)
+            Files.writeString(config, Program.config("g" + index, Program.SEED + index, port, discovery, members, 384)
                     .replace("\"sockets\":384", "\"sockets\":384,\"memory_mb\":144")
-                    .replace("\"Instances\":1,\"Position\":0", "\"Instances\":2,\"Position\":" + place));
+                    .replace("\"Instances\":1,\"Position\":0", "\"Instances\":2,\"Position\":" + index));
             String run = Files.readAllLines(root.resolve("deploy/balancer.toml")).stream()
                     .filter(l -> l.startsWith("run"))
                     .findFirst().orElseThrow();
             command = run.substring(run.indexOf('"') + 1, run.lastIndexOf('"'));
-            busy = new ProcessBuilder("taskset", "-c", core(), "sh", "-c", "while :; do :; done").start();
+            busy = new ProcessBuilder("taskset", "-c", cpuNumber(), "sh", "-c", "while :; do :; done").start();
         }
 
-        private String core() {
-            return "" + (Runtime.getRuntime().availableProcessors() - 1 - place);
+        private String cpuNumber() {
+            return "" + (Runtime.getRuntime().availableProcessors() - 1 - index);
         }
 
         void start() throws Exception {
-            var builder = new ProcessBuilder("taskset", "-c", core(), "sh", "-c", command).directory(root.toFile());
+            var builder = new ProcessBuilder("taskset", "-c", cpuNumber(), "sh", "-c", command)
+                    .directory(root.toFile());
             builder.environment().put("ROUTER_CONFIG", config.toString());
-            long begun = System.nanoTime();
+            long startNanos = System.nanoTime();
             process = builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
-            cpu = 0;
+            processorSeconds = 0;
             threads.clear();
             while (!ready()) {
                 Thread.sleep(10);
             }
-            up = true;
-            System.out.printf("g%d ready after %d ms, %.2f s of processor%n", place,
-                    (System.nanoTime() - begun) / 1_000_000,
-                    cpu(process.pid()));
+            isUp = true;
+            System.out.printf("g%d ready after %d ms, %.2f s of processor%n", index,
+                    (System.nanoTime() - startNanos) / 1_000_000,
+                    processorSeconds(process.pid()));
         }
 
         void restart() throws Exception {
-            up = false;
+            isUp = false;
             Program.signal(process, "TERM");
-            Thread.sleep(LEAVING_MILLIS);
+            Thread.sleep(TERM_TO_KILL_MILLIS);
             process.destroyForcibly().onExit().join();
-            kept.clear();
+            idleClients.clear();
             start();
         }
 
@@ -107,18 +111,19 @@
             }
         }
 
-        String second() throws IOException {
+        String describeLastSecond() throws IOException {
             long pid = process.pid();
-            double now = cpu(pid);
-            var was = Map.copyOf(threads);
+            double now = processorSeconds(pid);
+            var previous = Map.copyOf(threads);
             threads.clear();
-            threads(pid, threads);
-            var top = new ArrayList<String>();
-            threads.entrySet().stream().map(e -> Map.entry(e.getKey(), e.getValue() - was.getOrDefault(e.getKey(), 0L)))
+            addThreadTimes(pid, threads);
+            var busiest = new ArrayList<String>();
+            threads.entrySet().stream().map(e -> Map.entry(e.getKey(), e.getValue()
+                    - previous.getOrDefault(e.getKey(), 0L)))
                     .sorted((a, b) -> Long.compare(b.getValue(), a.getValue())).limit(8)
-                    .forEach(e -> top.add(e.getKey() + "=" + e.getValue() / 1_000_000));
-            String line = String.format("   g%d cpu %.2f %s", place, now - cpu, top);
-            cpu = now;
+                    .forEach(e -> busiest.add(e.getKey() + "=" + e.getValue() / 1_000_000));
+            String line = String.format("   g%d cpu %.2f %s", index, now - processorSeconds, busiest);
+            processorSeconds = now;
             return line;
         }
 
@@ -131,14 +136,14 @@
         }
     }
 
-    /** Runs it. */
+    /** Runs the storm until its time is over. */
     public static void main(String[] args) throws Exception {
-        new RestartStorm().play(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]),
+        new RestartStorm().run(Integer.parseInt(args[0]), Integer.parseInt(args[1]), Integer.parseInt(args[2]),
                 Integer.parseInt(args[3]), Path.of(args.length > 4 ? args[4] : "."));
         System.exit(0);
     }
 
-    private void play(int silent, int rate, int restartAt, int seconds, Path root) throws Exception {
+    private void run(int silent, int rate, int restartAt, int seconds, Path root) throws Exception {
         var members = new ArrayList<String>();
         for (int i = 0; i < NODES; i++) {
             members.add(new StandIn.Worker(id -> "ok").member("n" + i, i % 2, "SERVING"));
@@ -148,24 +153,24 @@
                 gatherers.add(new Gatherer(i, discovery.port(), String.join(",", members), root));
             }
             for (Gatherer g : gatherers) {
-                daemon("start", () -> started(g));
+                startDaemon("start", () -> startUnchecked(g));
             }
-            while (!gatherers.stream().allMatch(g -> g.up)) {
+            while (!gatherers.stream().allMatch(g -> g.isUp)) {
                 Thread.sleep(10);
             }
             for (int i = 0; i < silent; i++) {
-                daemon("silent", this::silent);
+                startDaemon("silent", this::connectSilently);
             }
             if (restartAt > 0) {
-                daemon("restarts", () -> restarts(restartAt * 1000L));
+                startDaemon("restarts", () -> restartAll(restartAt * 1000L));
             }
-            load(rate, seconds);
+            generateLoad(rate, seconds);
         } finally {
             gatherers.forEach(Gatherer::close);
         }
     }
 
-    private static void started(Gatherer g) {
+    private static void startUnchecked(Gatherer g) {
         try {
             g.start();
         } catch (Exception e) {
@@ -173,110 +178,111 @@
         }
     }
 
-    private void restarts(long after) {
+    private void restartAll(long delayMillis) {
         try {
-            Thread.sleep(after);
+            Thread.sleep(delayMillis);
             for (Gatherer g : gatherers) {
-                long begun = System.nanoTime();
+                long startNanos = System.nanoTime();
                 g.restart();
-                Thread.sleep(Math.max(0, APART_MILLIS - (System.nanoTime() - begun) / 1_000_000));
+                Thread.sleep(Math.max(0, RESTART_INTERVAL_MILLIS - (System.nanoTime() - startNanos) / 1_000_000));
             }
         } catch (Exception e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static void daemon(String name, Runnable work) {
+    private static void startDaemon(String name, Runnable work) {
         var thread = new Thread(null, work, name, 128 * 1024);
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Connects, says nothing, and connects again once it is closed. */
-    private void silent() {
+    /** Connects, sends nothing, and connects again once the connection is closed. */
+    private void connectSilently() {
         while (true) {
-            Gatherer g = any();
+            Gatherer g = randomRunning();
             try (var socket = new Socket("127.0.0.1", g.port)) {
                 socket.getInputStream().read();
             } catch (IOException e) {
-                // closed by a reset, or not let in
+                // the connection was reset or refused
             }
             reconnects.increment();
             try {
-                Thread.sleep(5); // a refused connect must not spin
+                Thread.sleep(5); // avoids a busy loop when connects are refused
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private Gatherer any() {
+    private Gatherer randomRunning() {
         Gatherer g = gatherers.get(ThreadLocalRandom.current().nextInt(GATHERERS));
-        return g.up ? g : gatherers.get(GATHERERS - 1 - g.place);
+        return g.isUp ? g : gatherers.get(GATHERERS - 1 - g.index);
     }
 
-    private void load(int rate, int seconds) throws Exception {
-        ScheduledExecutorService clock = Executors.newScheduledThreadPool(2);
+    private void generateLoad(int rate, int seconds) throws Exception {
+        ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(2);
         var clients = Executors.newFixedThreadPool(800);
         for (int s = 0; s < seconds; s++) {
             for (int i = 0; i < rate; i++) {
-                clock.schedule(() -> clients.execute(this::ask), 1_000_000L * i / rate, TimeUnit.MICROSECONDS);
+                scheduler.schedule(() -> clients.execute(this::sendQuery), 1_000_000L * i / rate,
+                        TimeUnit.MICROSECONDS);
             }
             Thread.sleep(1_000);
             System.out.printf("%2d s asked %d in time %d late %d refused %d broken %d; connects of silent %d%n", s,
-                    asked.sumThenReset(), inTime.sumThenReset(), late.sumThenReset(), refused.sumThenReset(),
+                    queries.sumThenReset(), inTime.sumThenReset(), late.sumThenReset(), refused.sumThenReset(),
                     broken.sumThenReset(), reconnects.sumThenReset());
             for (Gatherer g : gatherers) {
                 try {
-                    System.out.println(g.second());
+                    System.out.println(g.describeLastSecond());
                 } catch (IOException e) {
-                    System.out.println("   g" + g.place + " is away");
+                    System.out.println("   g" + g.index + " is away");
                 }
             }
         }
     }
 
-    private void ask() {
-        String id = "s" + numbers.incrementAndGet();
-        long begun = System.nanoTime();
-        asked.increment();
-        Gatherer g = any();
-        Client client = g.kept.pollLast();
+    private void sendQuery() {
+        String id = "s" + queryNumber.incrementAndGet();
+        long startNanos = System.nanoTime();
+        queries.increment();
+        Gatherer g = randomRunning();
+        Client client = g.idleClients.pollLast();
         try {
             if (client == null) {
                 client = new Client(g.port);
                 client.socket.setSoTimeout(2_500);
             }
             var answer = client.send(Client.query(id, "all", 1900, 0, 1, 2, 3)).answer();
-            long millis = (System.nanoTime() - begun) / 1_000_000;
-            (answer.status != 200 ? refused : millis <= AIM_MILLIS ? inTime : late).increment();
+            long millis = (System.nanoTime() - startNanos) / 1_000_000;
+            (answer.status != 200 ? refused : millis <= OBJECTIVE_MILLIS ? inTime : late).increment();
             if ("close".equalsIgnoreCase(answer.header("Connection"))) {
                 client.close();
             } else {
-                g.kept.add(client);
+                g.idleClients.add(client);
             }
         } catch (IOException e) {
             broken.increment();
         }
     }
 
-    /** Processor seconds of a process so far. */
-    private static double cpu(long pid) throws IOException {
+    /** Returns the processor time that a process has used, in seconds. */
+    private static double processorSeconds(long pid) throws IOException {
         String stat = Files.readString(Path.of("/proc/" + pid + "/stat"));
-        String[] after = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        return (Long.parseLong(after[11]) + Long.parseLong(after[12])) / 100.0;
+        String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
+        return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / 100.0;
     }
 
-    /** Processor nanoseconds by kind of thread; of threads that have ended nothing is known. */
-    private static void threads(long pid, Map<String, Long> to) throws IOException {
+    /** Adds the processor time by kind of thread, in nanoseconds. Threads that have ended are not included. */
+    private static void addThreadTimes(long pid, Map<String, Long> totals) throws IOException {
         try (var all = Files.list(Path.of("/proc/" + pid + "/task"))) {
             for (Path task : all.toList()) {
                 try {
                     String kind = Files.readString(task.resolve("comm")).strip().replaceAll("[-#0-9]+$", "");
-                    to.merge(kind, Long.parseLong(Files.readString(task.resolve("schedstat")).split(" ")[0]),
+                    totals.merge(kind, Long.parseLong(Files.readString(task.resolve("schedstat")).split(" ")[0]),
                             Long::sum);
                 } catch (IOException e) {
-                    // it has ended
+                    // the thread has ended
                 }
             }
         }
--- a/src/bench/java/wallmoor/net/RulesRounds.java
+++ b/src/bench/java/wallmoor/net/RulesRounds.java
@@ -6,35 +6,36 @@
 import java.util.List;
 
 /**
- * From a proposal to its acting wholly at each of five real gatherers, quiet, by the same clock; and what they cost.
+ * Measures the time from a proposal until it is fully active at each of five real gatherers, without faults and by the
+ * same clock, and the memory and processor time of the gatherers.
  */
 public final class RulesRounds {
-    private static final int FIVE = 5;
+    private static final int GATHERERS = 5;
     private static final int ROUNDS = 60;
     private static final long TERM_MILLIS = 5_000;
 
     private RulesRounds() {}
 
-    /** Prints milliseconds. */
+    /** Prints the latencies in milliseconds. */
     public static void main(String[] args) throws Exception {
         var millis = new ArrayList<Double>();
-        try (var group = new RulesGroup(Files.createTempDirectory("rounds"), FIVE, TERM_MILLIS)) {
+        try (var group = new RulesGroup(Files.createTempDirectory("rounds"), GATHERERS, TERM_MILLIS)) {
             group.all.get(3).propose(1, 20);
             group.awaitAll(1, group.others());
             for (int version = 2; version <= ROUNDS + 1; version++) {
-                long begun = System.nanoTime() / 1_000;
+                long startMicros = System.nanoTime() / 1_000;
                 group.all.get(4).propose(version, 20);
                 group.awaitAll(version, group.others());
-                millis.add((group.lastActivation(version) - begun) / 1e3);
+                millis.add((group.lastActivation(version) - startMicros) / 1e3);
                 Thread.sleep(200);
             }
-            for (RulesGroup.RulesGatherer o : group.all) {
-                String status = Files.readString(java.nio.file.Path.of("/proc/" + o.process.pid() + "/status"));
-                System.out.println("m" + o.number + " "
+            for (RulesGroup.RulesGatherer gatherer : group.all) {
+                String status = Files.readString(java.nio.file.Path.of("/proc/" + gatherer.process.pid() + "/status"));
+                System.out.println("m" + gatherer.number + " "
                         + status.lines().filter(l -> l.startsWith("VmRSS") || l.startsWith("Threads"))
                                 .map(l -> l.replaceAll("\\s+", " ")).toList()
                         + " processor seconds "
-                        + o.process.info().totalCpuDuration().orElseThrow().toMillis() / 1e3);
+                        + gatherer.process.info().totalCpuDuration().orElseThrow().toMillis() / 1e3);
             }
         }
         List<Double> sorted = new ArrayList<>(millis);
--- a/src/bench/java/wallmoor/net/StormBaseline.java
+++ b/src/bench/java/wallmoor/net/StormBaseline.java
@@ -13,12 +13,13 @@
 import wallmoor.standin.TcpRelay;
 
 /**
- * The processes of {@link StormMember}, a relay between them, and for each a watcher; judged as {@link RulesGroup} is.
+ * Runs the processes of {@link StormMember} with a relay between them and a watcher thread for each; contradictions are
+ * measured as in {@link RulesGroup}.
  */
 final class StormBaseline implements AutoCloseable {
-    private static final int LOOK_MILLIS = 20;
-    /** So long what was seen counts as going on: who stands still or is dead is not seen, and does not act. */
-    private static final long COUNTS_MICROS = 200_000;
+    private static final int POLL_MILLIS = 20;
+    /** How long an observation stays valid. A paused or dead process gives no observations and does not act. */
+    private static final long OBSERVATION_VALID_MICROS = 200_000;
 
     private final class Member {
         final int number;
@@ -35,10 +36,10 @@
 
     final TcpRelay relay;
     private final Path folder;
-    private final List<Member> all = new ArrayList<>();
+    private final List<Member> members = new ArrayList<>();
     private final InvariantChecker gossip = new InvariantChecker();
     private final InvariantChecker files = new InvariantChecker();
-    private volatile boolean ended;
+    private volatile boolean isClosed;
 
     StormBaseline(Path folder, int count) throws IOException {
         this.folder = folder;
@@ -49,7 +50,7 @@
         relay = new TcpRelay(ports);
         for (int i = 0; i < count; i++) {
             var member = new Member(i, ports.get(i));
-            all.add(member);
+            members.add(member);
             start(i);
             var watching = new Thread(() -> watch(member), "watch-b" + i);
             watching.setDaemon(true);
@@ -57,87 +58,94 @@
         }
     }
 
-    void start(int who) throws IOException {
-        Member member = all.get(who);
+    void start(int index) throws IOException {
+        Member member = members.get(index);
         var command = new ArrayList<>(List.of(Program.command().get(0), "-Xmx32m", "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
-                "-cp", System.getProperty("java.class.path"), "wallmoor.net.StormMember", "" + who, "" + member.port,
-                "" + member.control, "" + folder.resolve("baseline" + who)));
-        all.stream().filter(m -> m != member).forEach(m -> command.add("" + relay.port(who, m.number)));
-        for (int later = all.size(); later < RulesStorm.FIVE; later++) {
-            command.add("" + relay.port(who, later));
+                "-cp", System.getProperty("java.class.path"), "wallmoor.net.StormMember", "" + index, "" + member.port,
+                "" + member.control, "" + folder.resolve("baseline" + index)));
+        members.stream().filter(m -> m != member).forEach(m -> command.add("" + relay.port(index, m.number)));
+        for (int later = members.size(); later < RulesStorm.GATHERERS; later++) {
+            command.add("" + relay.port(index, later));
         }
         member.process = new ProcessBuilder(command).redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
     }
 
-    void kill(int who) {
-        all.get(who).process.destroyForcibly().onExit().join();
+    void kill(int index) {
+        members.get(index).process.destroyForcibly().onExit().join();
     }
 
-    void signal(int who, String name) throws Exception {
-        Program.signal(all.get(who).process, name);
+    void signal(int index, String name) throws Exception {
+        Program.signal(members.get(index).process, name);
     }
 
-    /** Writes at one of them, and puts the same where files are copied from; who is not there misses it. */
-    void write(int who, long number) {
-        say(who, "newest " + number);
-        say(0, "file " + number);
+    /**
+     * Writes the next version at one member and at the member that the files are copied from. A member that is not
+     * running misses it.
+     */
+    void write(int index, long number) {
+        sendLine(index, "newest " + number);
+        sendLine(0, "file " + number);
     }
 
-    private void say(int who, String line) {
-        try (var to = new Socket("127.0.0.1", all.get(who).control)) {
-            to.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
+    private void sendLine(int index, String line) {
+        try (var connection = new Socket("127.0.0.1", members.get(index).control)) {
+            connection.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
         } catch (IOException e) {
-            // it is dead
+            // the member is not running
         }
     }
 
     private void watch(Member member) {
-        while (!ended) {
-            try (var asker = new Socket("127.0.0.1", member.control);
+        while (!isClosed) {
+            try (var connection = new Socket("127.0.0.1", member.control);
                     var lines = new BufferedReader(
-                            new InputStreamReader(asker.getInputStream(), StandardCharsets.US_ASCII))) {
-                while (!ended) {
-                    asker.getOutputStream().write("show\n".getBytes(StandardCharsets.US_ASCII));
+                            new InputStreamReader(connection.getInputStream(), StandardCharsets.US_ASCII))) {
+                while (!isClosed) {
+                    connection.getOutputStream().write("show\n".getBytes(StandardCharsets.US_ASCII));
                     String line = lines.readLine();
                     if (line == null) {
                         break;
                     }
-                    String[] words = line.split(" ");
-                    seen(member.number, Long.parseLong(words[0]), Long.parseLong(words[1]), Long.parseLong(words[2]));
-                    Thread.sleep(LOOK_MILLIS);
+                    String[] fields = line.split(" ");
+                    recordObservation(member.number, Long.parseLong(fields[0]), Long.parseLong(fields[1]),
+                            Long.parseLong(fields[2]));
+                    Thread.sleep(POLL_MILLIS);
                 }
             } catch (IOException e) {
-                // it is dead, or was killed
+                // the member is not running
             } catch (InterruptedException e) {
                 return;
             }
             try {
-                Thread.sleep(LOOK_MILLIS);
+                Thread.sleep(POLL_MILLIS);
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    private synchronized void seen(int who, long now, long newest, long file) {
-        gossip.startedActing(who, now, newest, newest, now + COUNTS_MICROS);
-        files.startedActing(who, now, file, file, now + COUNTS_MICROS);
+    private synchronized void recordObservation(int index, long nowMicros, long newestVersion, long fileVersion) {
+        gossip.startedActing(index, nowMicros, newestVersion, newestVersion, nowMicros + OBSERVATION_VALID_MICROS);
+        files.startedActing(index, nowMicros, fileVersion, fileVersion, nowMicros + OBSERVATION_VALID_MICROS);
     }
 
-    /** The longest that one went by an older one than another, microseconds: of the gossip, of the files. */
-    synchronized long[] worst() {
-        long now = System.nanoTime() / 1_000;
-        gossip.end(now);
-        files.end(now);
+    /**
+     * Returns the longest time in microseconds that one member acted on an older version than another: for gossip, then
+     * for files.
+     */
+    synchronized long[] longestContradictions() {
+        long nowMicros = System.nanoTime() / 1_000;
+        gossip.end(nowMicros);
+        files.end(nowMicros);
         return new long[] {gossip.longestContradiction(), files.longestContradiction()};
     }
 
     @Override
     public void close() throws IOException {
-        ended = true;
-        for (int i = 0; i < all.size(); i++) {
+        isClosed = true;
+        for (int i = 0; i < members.size(); i++) {
             kill(i);
         }
         relay.close();
--- a/src/bench/java/wallmoor/net/StormMember.java
+++ b/src/bench/java/wallmoor/net/StormMember.java
@@ -13,54 +13,59 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A process of the two ways without agreement, both at once: the last that was written anywhere wins and is told to all
- * others every 100 ms; and a file of its own, read every {@link #READ_MILLIS}, that the first one copies to all others,
- * at once and as often again. What it holds is kept over a restart. Arguments: number, port, control port, directory,
- * ports of the others.
+ * A process that runs two ways without consensus at once. Gossip: the last version written anywhere wins and is sent to
+ * all others every 100 ms. Files: each process reads its own file every {@link #READ_MILLIS}, and the first process
+ * copies a new file to all others at once and again at the same interval. Both versions are stored and survive a
+ * restart.
+ *
+ * <p>Arguments: number, port, control port, directory, ports of the others.
  */
 final class StormMember {
-    /** Twice the term that the storm has: 10 s beside 5 s, as {@code Contradictions} has it. */
+    /**
+     * The interval at which the file is read: twice the term of {@link RulesStorm}, as {@code ContradictionBenchmark}
+     * has 10 s for a term of 5 s.
+     */
     static final int READ_MILLIS = 4_000;
     private static final int GOSSIP_MILLIS = 100;
 
     private final Path directory;
     private final AtomicLong newest = new AtomicLong();
     private final AtomicLong file = new AtomicLong();
-    private volatile long acts;
+    private volatile long activeVersion;
 
     private StormMember(Path directory) throws IOException {
         this.directory = Files.createDirectories(directory);
-        newest.set(kept("newest"));
-        file.set(kept("file"));
-        acts = file.get();
+        newest.set(readStored("newest"));
+        file.set(readStored("file"));
+        activeVersion = file.get();
     }
 
-    /** Runs until it is killed. */
+    /** Runs until the process is killed. */
     public static void main(String[] args) throws Exception {
         var member = new StormMember(Path.of(args[3]));
         member.serve(Integer.parseInt(args[1]));
         member.serve(Integer.parseInt(args[2]));
         for (int i = 4; i < args.length; i++) {
             int port = Integer.parseInt(args[i]);
-            new Thread(() -> member.tell(port, args[0].equals("0")), "tell-" + port).start();
+            new Thread(() -> member.sendUpdates(port, args[0].equals("0")), "tell-" + port).start();
         }
         while (true) {
             Thread.sleep(READ_MILLIS);
-            member.acts = member.kept("file");
+            member.activeVersion = member.readStored("file");
         }
     }
 
-    private long kept(String name) throws IOException {
-        Path at = directory.resolve(name);
-        return Files.exists(at) ? Long.parseLong(Files.readString(at)) : 0;
+    private long readStored(String name) throws IOException {
+        Path path = directory.resolve(name);
+        return Files.exists(path) ? Long.parseLong(Files.readString(path)) : 0;
     }
 
-    private synchronized void raise(AtomicLong what, String name, long to) throws IOException {
-        if (to > what.get()) {
-            Path beside = Files.writeString(directory.resolve(name + ".new"), "" + to);
-            Files.move(beside, directory.resolve(name), StandardCopyOption.ATOMIC_MOVE,
+    private synchronized void storeIfNewer(AtomicLong version, String name, long value) throws IOException {
+        if (value > version.get()) {
+            Path temporary = Files.writeString(directory.resolve(name + ".new"), "" + value);
+            Files.move(temporary, directory.resolve(name), StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
-            what.set(to);
+            version.set(value);
         }
     }
 
@@ -70,7 +75,7 @@
             while (true) {
                 try {
                     Socket peer = server.accept();
-                    new Thread(() -> hear(peer), "hear").start();
+                    new Thread(() -> handleConnection(peer), "hear").start();
                 } catch (IOException e) {
                     return;
                 }
@@ -78,40 +83,41 @@
         }, "serve-" + port).start();
     }
 
-    /** A line each: {@code newest N}, {@code file N}, or {@code show}. */
-    private void hear(Socket peer) {
+    /** Handles the lines of a connection: {@code newest N}, {@code file N} or {@code show}. */
+    private void handleConnection(Socket peer) {
         try (peer; var lines = new BufferedReader(
                 new InputStreamReader(peer.getInputStream(), StandardCharsets.US_ASCII))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 String[] words = line.split(" ");
                 if (words[0].equals("show")) {
                     peer.getOutputStream()
-                            .write((System.nanoTime() / 1_000 + " " + newest + " " + acts + "\n").getBytes());
+                            .write((System.nanoTime() / 1_000 + " " + newest + " " + activeVersion + "\n").getBytes());
                 } else if (words[0].equals("newest")) {
-                    raise(newest, "newest", Long.parseLong(words[1]));
+                    storeIfNewer(newest, "newest", Long.parseLong(words[1]));
                 } else {
-                    raise(file, "file", Long.parseLong(words[1]));
+                    storeIfNewer(file, "file", Long.parseLong(words[1]));
                 }
             }
         } catch (IOException e) {
-            // it comes again
+            // the peer reconnects
         }
     }
 
-    private void tell(int port, boolean copies) {
+    private void sendUpdates(int port, boolean copiesFile) {
         while (true) {
-            try (var to = new Socket(InetAddress.getLoopbackAddress(), port)) {
-                long copied = 0;
-                long copiedAt = 0;
+            try (var socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+                long copiedVersion = 0;
+                long copiedAtNanos = 0;
                 while (true) {
                     var line = new StringBuilder("newest ").append(newest).append('\n');
-                    long now = System.nanoTime();
-                    if (copies && (file.get() > copied || now - copiedAt > READ_MILLIS * 1_000_000L)) {
-                        copied = file.get();
-                        copiedAt = now;
-                        line.append("file ").append(copied).append('\n');
+                    long nowNanos = System.nanoTime();
+                    if (copiesFile && (file.get() > copiedVersion || nowNanos - copiedAtNanos > READ_MILLIS
+                            * 1_000_000L)) {
+                        copiedVersion = file.get();
+                        copiedAtNanos = nowNanos;
+                        line.append("file ").append(copiedVersion).append('\n');
                     }
-                    to.getOutputStream().write(line.toString().getBytes(StandardCharsets.US_ASCII));
+                    socket.getOutputStream().write(line.toString().getBytes(StandardCharsets.US_ASCII));
                     Thread.sleep(GOSSIP_MILLIS);
                 }
             } catch (IOException e) {
--- a/src/bench/java/wallmoor/peers/BaselineProtocol.java
+++ b/src/bench/java/wallmoor/peers/BaselineProtocol.java
@@ -3,10 +3,7 @@
 import java.util.List;
 import wallmoor.peers.MembershipUpdate.Announcement;
 
-/**
- * What the protocols have in common that are measured beside ours: they know all members from the start and never
- * leave.
- */
+/** The common part of the baseline protocols: they know all members from the start and never leave. */
 abstract class BaselineProtocol implements MembershipProtocol {
     final MembershipParameters parameters;
     final Output output;
@@ -30,7 +27,7 @@
         return view;
     }
 
-    /** Publishes these members if the last view holds others. */
+    /** Publishes a new view if its members differ from those of the last view. */
     final void publish(List<GroupView.Member> members) {
         if (view == null || !view.members().equals(members)) {
             view = new GroupView(view == null ? 1 : view.version() + 1, GroupView.PartitionSide.CANT_TELL,
--- a/src/bench/java/wallmoor/peers/SwimBaseline.java
+++ b/src/bench/java/wallmoor/peers/SwimBaseline.java
@@ -13,9 +13,10 @@
 import wallmoor.peers.MembershipUpdate.Suspicion;
 
 /**
- * SWIM as its paper has it (Das, Gupta, Motivala, DSN 2002), as a baseline: one member probed an interval in a shuffled
- * round, three others asked where it does not answer, suspicion that it may refute by a new incarnation, and removal
- * after four times the decimal logarithm of the group's size in intervals. All members are known from the start.
+ * A baseline that implements SWIM as published (Das, Gupta, Motivala, DSN 2002): one member is probed each interval in
+ * a shuffled round, three others are requested to probe a member that does not answer, a suspected member can refute
+ * with a new incarnation, and it is removed after four times the decimal logarithm of the group size in intervals. All
+ * members are known from the start.
  */
 public final class SwimBaseline extends BaselineProtocol {
     private static final int SUSPICION_FACTOR = 4;
@@ -30,18 +31,18 @@
     private final Random random;
     private final TreeMap<String, Member> members = new TreeMap<>();
     private final DisseminationQueue queue = new DisseminationQueue();
-    /** Requests for indirect probes by this member's number of the probe. */
+    /** Requests for indirect probes, by the sequence number of the probe that this member sent for each. */
     private final Map<Long, GroupMessage> relayed = new HashMap<>();
     private final List<String> round = new ArrayList<>();
     private long lastSequence;
-    /** The subject of this interval, or null once it has answered. */
+    /** The member probed in this interval, or null once it has answered. */
     private String probed;
     private long probeSequence;
     private long probedAt;
     private boolean probedIndirectly;
     private boolean viewIsStale = true;
 
-    /** A member that knows all others. */
+    /** Creates a member that knows all others. */
     public SwimBaseline(String name, String address, long bootId, List<Announcement> all,
             MembershipParameters parameters, long seed, Output output) {
         super(new Announcement(name, address, bootId, bootId, false), parameters, output);
@@ -115,7 +116,7 @@
                 send(message.target(), MessageKind.PROBE, lastSequence, null);
             }
             case ACK -> onAck(message);
-            default -> {} // it has no anti-entropy
+            default -> {} // this protocol has no anti-entropy
         }
     }
 
@@ -129,7 +130,7 @@
     }
 
     private String nextSubject() {
-        for (int tries = 0; tries < 2 * members.size(); tries++) {
+        for (int attempts = 0; attempts < 2 * members.size(); attempts++) {
             if (round.isEmpty()) {
                 round.addAll(members.keySet());
                 Collections.shuffle(round, random);
@@ -181,7 +182,7 @@
         }
     }
 
-    /** Whether the update was news. */
+    /** Merges an update into the known state and returns whether it changed the state. */
     private static boolean merge(long now, Member known, MembershipUpdate update) {
         if (!(update instanceof Announcement a)) {
             boolean isNews = update.incarnation() == known.announcement.incarnation()
--- a/src/bench/java/wallmoor/peers/udp/MessageSizes.java
+++ b/src/bench/java/wallmoor/peers/udp/MessageSizes.java
@@ -5,19 +5,19 @@
 import java.util.function.ToLongFunction;
 import wallmoor.peers.GroupMessage;
 
-/** What messages take on the wire. */
+/** The sizes of group messages on the wire. */
 public final class MessageSizes {
-    /** Headers of IPv4 and UDP. */
+    /** The bytes of the IPv4 and UDP headers. */
     private static final long HEADER_BYTES = 28;
 
     private MessageSizes() {}
 
-    /** Bytes of a message with its headers. Not for several threads at once. */
+    /** Returns a function that gives the bytes of a message with its headers; it is not thread-safe. */
     public static ToLongFunction<GroupMessage> onTheWire() {
         var codec = new GroupMessageCodec("khi");
-        return m -> {
+        return message -> {
             try {
-                return HEADER_BYTES + codec.encode(m).length;
+                return HEADER_BYTES + codec.encode(message).length;
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/src/bench/java/wallmoor/placement/LargePlacementsBenchmark.java
+++ b/src/bench/java/wallmoor/placement/LargePlacementsBenchmark.java
@@ -7,7 +7,8 @@
 import java.util.Random;
 
 /**
- * Plans for 200 nodes and 5,000 blocks: seconds, bytes beside the bound, and the waves, for fleets of several kinds.
+ * Plans placements of 5,000 blocks on 200 nodes for several kinds of fleets and prints the time, the copied data
+ * compared with the lower bound, and the number of waves.
  */
 public final class LargePlacementsBenchmark {
     private LargePlacementsBenchmark() {}
@@ -15,73 +16,76 @@
     /**
      * A kind of fleet.
      *
-     * @param fill     what is held, as a share of what may be
-     * @param uneven   0 for nodes filled alike; 1 for some twice as full as the mean and some empty
-     * @param draining nodes that drain
-     * @param beside   blocks in a hundred whose copies stand in one cell
-     * @param tail     0 for sizes of 200 to 999 MB alike; else log-normal ones of this deviation
+     * @param fill share of the usable disk space that is in use
+     * @param unevenness 0 for evenly filled nodes; 1 for some nodes twice as full as the mean and some empty
+     * @param draining number of nodes that drain
+     * @param sameCellPercent percentage of blocks with copies in the same cell
+     * @param sizeDeviation 0 for uniformly distributed sizes of 200 to 999 MB, otherwise the standard deviation of
+     * log-normal sizes
      */
-    record Kind(String name, int cells, int copies, double fill, double uneven, int draining, int level, int beside,
-            FailureDomain spread, double tail) {}
+    record Kind(String name, int cells, int copies, double fill, double unevenness, int draining, int level,
+            int sameCellPercent,
+            FailureDomain spread, double sizeDeviation) {}
 
     static PlacementProblem of(Kind kind, long seed, int n, int count) {
         var random = new Random(seed);
         List<StorageNode> nodes = new ArrayList<>();
-        long[] disk = new long[n];
-        double[] weight = new double[n];
-        boolean[] drain = new boolean[n];
+        long[] disksMb = new long[n];
+        double[] weights = new double[n];
+        boolean[] isDraining = new boolean[n];
         List<Integer> order = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             order.add(i);
-            weight[i] = Math.max(0.02, 1 + kind.uneven() * (2 * random.nextDouble() - 1));
+            weights[i] = Math.max(0.02, 1 + kind.unevenness() * (2 * random.nextDouble() - 1));
         }
         Collections.shuffle(order, random);
-        order.subList(0, kind.draining()).forEach(i -> drain[i] = true);
-        long[] mb = new long[count];
+        order.subList(0, kind.draining()).forEach(i -> isDraining[i] = true);
+        long[] sizesMb = new long[count];
         for (int b = 0; b < count; b++) {
-            mb[b] = kind.tail() == 0 ? 200 + random.nextInt(800)
-                    : Math.round(300 * Math.exp(kind.tail() * random.nextGaussian())) + 1;
+            sizesMb[b] = kind.sizeDeviation() == 0 ? 200 + random.nextInt(800)
+                    : Math.round(300 * Math.exp(kind.sizeDeviation() * random.nextGaussian())) + 1;
         }
-        long total = Arrays.stream(mb).sum() * kind.copies();
-        long mean = Math.round(total / kind.fill() / 0.9 / (n - kind.draining()));
+        long totalMb = Arrays.stream(sizesMb).sum() * kind.copies();
+        long meanDiskMb = Math.round(totalMb / kind.fill() / 0.9 / (n - kind.draining()));
         for (int i = 0; i < n; i++) {
-            disk[i] = Math.round(mean * (0.8 + 0.4 * random.nextDouble()));
-            nodes.add(new StorageNode("n" + i, "cell-" + i % kind.cells(), disk[i], drain[i]));
+            disksMb[i] = Math.round(meanDiskMb * (0.8 + 0.4 * random.nextDouble()));
+            nodes.add(new StorageNode("n" + i, "cell-" + i % kind.cells(), disksMb[i], isDraining[i]));
         }
-        long[] used = new long[n];
+        long[] usedMb = new long[n];
         List<BlockReplicas> blocks = new ArrayList<>();
         for (int b = 0; b < count; b++) {
-            List<String> on = new ArrayList<>();
-            boolean beside = random.nextInt(100) < kind.beside();
-            List<Integer> taken = new ArrayList<>();
-            while (taken.size() < kind.copies()) {
-                int best = leastFull(kind, random, taken, beside, used, weight, disk);
-                taken.add(best);
-                used[best] += mb[b];
-                on.add("n" + best);
+            List<String> holders = new ArrayList<>();
+            boolean allowsSameCell = random.nextInt(100) < kind.sameCellPercent();
+            List<Integer> chosen = new ArrayList<>();
+            while (chosen.size() < kind.copies()) {
+                int best = leastFull(kind, random, chosen, allowsSameCell, usedMb, weights, disksMb);
+                chosen.add(best);
+                usedMb[best] += sizesMb[b];
+                holders.add("n" + best);
             }
-            blocks.add(new BlockReplicas("b" + b, mb[b], on));
+            blocks.add(new BlockReplicas("b" + b, sizesMb[b], holders));
         }
         return new PlacementProblem(100_000, kind.spread(), kind.level(), nodes, blocks);
     }
 
-    /** The least full node for its weight, of a few drawn ones. */
-    private static int leastFull(Kind kind, Random random, List<Integer> taken, boolean beside, long[] used,
-            double[] weight, long[] disk) {
+    /** Returns the node with the lowest use for its weight out of some random candidates. */
+    private static int leastFull(Kind kind, Random random, List<Integer> chosen, boolean allowsSameCell, long[] usedMb,
+            double[] weights, long[] disksMb) {
         int best = -1;
-        for (int tries = 0; tries < 6 || best < 0; tries++) {
-            int i = random.nextInt(used.length);
-            boolean apart = beside && taken.size() < 2 ? !taken.contains(i)
-                    : taken.stream().noneMatch(t -> t % kind.cells() == i % kind.cells());
-            if (apart && (beside || taken.stream().noneMatch(t -> t == i))
-                    && (best < 0 || used[i] / (weight[i] * disk[i]) < used[best] / (weight[best] * disk[best]))) {
+        for (int attempts = 0; attempts < 6 || best < 0; attempts++) {
+            int i = random.nextInt(usedMb.length);
+            boolean isAllowed = allowsSameCell && chosen.size() < 2 ? !chosen.contains(i)
+                    : chosen.stream().noneMatch(t -> t % kind.cells() == i % kind.cells());
+            if (isAllowed && (allowsSameCell || chosen.stream().noneMatch(t -> t == i))
+                    && (best < 0 || usedMb[i] / (weights[i] * disksMb[i]) < usedMb[best]
+                    / (weights[best] * disksMb[best]))) {
                 best = i;
             }
         }
         return best;
     }
 
-    /** Prints a line for each kind and seed; how many seeds, nodes and blocks may be given. */
+    /** Prints a line for each kind and seed. Optional arguments: the number of seeds, of nodes and of blocks. */
     public static void main(String[] args) {
         int seeds = args.length > 0 ? Integer.parseInt(args[0]) : 2;
         int nodes = args.length > 1 ? Integer.parseInt(args[1]) : 200;
@@ -105,22 +109,22 @@
                 new Kind("one copy, level 0.1", 8, 1, 0.9, 0.6, 10, 100_000, 0, FailureDomain.NODE, 0));
         for (Kind kind : kinds) {
             for (int seed = 1; seed <= seeds; seed++) {
-                PlacementProblem fleet = of(kind, seed, nodes, blocks);
-                long begin = System.nanoTime();
-                PlacementResult answer = PlacementPlanner.plan(fleet);
-                double seconds = (System.nanoTime() - begin) / 1e9;
-                if (answer instanceof PlacementResult.Plan plan) {
-                    List<String> faults = PlanVerifier.violations(fleet, plan);
+                PlacementProblem problem = of(kind, seed, nodes, blocks);
+                long startNanos = System.nanoTime();
+                PlacementResult result = PlacementPlanner.plan(problem);
+                double seconds = (System.nanoTime() - startNanos) / 1e9;
+                if (result instanceof PlacementResult.Plan plan) {
+                    List<String> faults = PlanVerifier.violations(problem, plan);
                     int waves = plan.moves().isEmpty() ? 0 : plan.moves().get(plan.moves().size() - 1).wave();
                     System.out.printf(
                             "%-29s seed %d: %6.2f s, %5d moves, %8d MB, bound %8d, ratio %.4f, %d waves, faults %d%n",
                             kind.name(), seed, seconds, plan.moves().size(), plan.copiedMb(), plan.lowerBoundMb(),
                             (double) plan.copiedMb() / Math.max(1, plan.lowerBoundMb()), waves, faults.size());
-                } else if (answer instanceof PlacementResult.Infeasible none) {
+                } else if (result instanceof PlacementResult.Infeasible infeasible) {
                     System.out.printf("%-29s seed %d: %6.2f s, infeasible: %d reasons%n", kind.name(), seed, seconds,
-                            none.conflict().size());
+                            infeasible.conflict().size());
                 } else {
-                    System.out.printf("%-29s seed %d: %6.2f s, %s%n", kind.name(), seed, seconds, answer);
+                    System.out.printf("%-29s seed %d: %6.2f s, %s%n", kind.name(), seed, seconds, result);
                 }
             }
         }
--- a/src/bench/java/wallmoor/rules/LastWriterWinsBaseline.java
+++ b/src/bench/java/wallmoor/rules/LastWriterWinsBaseline.java
@@ -3,10 +3,13 @@
 import wallmoor.simulation.InvariantChecker;
 import wallmoor.simulation.SimulatedCluster;
 
-/** A baseline: the last that was written anywhere wins, acts wherever it is heard of, and is passed on at random. */
+/**
+ * A baseline without consensus: the last version written anywhere wins, becomes active wherever it is received, and is
+ * sent on to random members.
+ */
 final class LastWriterWinsBaseline implements SimulatedCluster.ProcessListener {
     private static final int FAN_OUT = 3;
-    private static final int TICKS = 10;
+    private static final int GOSSIP_INTERVAL_TICKS = 10;
 
     private final class Gossiper implements SimulatedCluster.SimulatedProcess {
         final int number;
@@ -23,7 +26,7 @@
 
         @Override
         public void onTick(long now) {
-            for (int i = 0; ticks % TICKS == 0 && i < FAN_OUT; i++) {
+            for (int i = 0; ticks % GOSSIP_INTERVAL_TICKS == 0 && i < FAN_OUT; i++) {
                 cluster.send(number, cluster.random().nextInt(newest.length), newest[number]);
             }
             ticks++;
@@ -43,22 +46,22 @@
         cluster.start(number, incarnation -> new Gossiper(number));
     }
 
-    /** Somebody writes the next after what is known there. */
+    /** Writes the next version at a random member, following the newest version known there. */
     void write() {
-        int at = cluster.random().nextInt(newest.length);
-        if (cluster.isRunning(at)) {
-            newest[at] = (newest[at] / newest.length + 1) * newest.length + at;
-            onStep(at, cluster.now());
+        int writer = cluster.random().nextInt(newest.length);
+        if (cluster.isRunning(writer)) {
+            newest[writer] = (newest[writer] / newest.length + 1) * newest.length + writer;
+            onStep(writer, cluster.now());
         }
     }
 
     @Override
-    public void onStep(int node, long at) {
-        checker.startedActing(node, at, newest[node], newest[node], Long.MAX_VALUE);
+    public void onStep(int node, long now) {
+        checker.startedActing(node, now, newest[node], newest[node], Long.MAX_VALUE);
     }
 
     @Override
-    public void onStopped(int node, long at) {
-        checker.stoppedActing(node, at);
+    public void onStopped(int node, long now) {
+        checker.stoppedActing(node, now);
     }
 }
--- a/src/bench/java/wallmoor/rules/LocalFileBaseline.java
+++ b/src/bench/java/wallmoor/rules/LocalFileBaseline.java
@@ -4,11 +4,11 @@
 import wallmoor.simulation.SimulatedCluster;
 
 /**
- * A baseline, and what stands today: each gatherer reads a file of its own, every ten seconds. One place copies a new
- * file to all at once, and every ten seconds again to those that it has not reached.
+ * A baseline that models current practice: each gatherer reads its own file every ten seconds. One process copies a new
+ * file to all others at once, and every ten seconds again to those that do not have it yet.
  */
 final class LocalFileBaseline implements SimulatedCluster.ProcessListener {
-    private static final long EVERY = 10_000_000;
+    private static final long READ_INTERVAL_MICROS = 10_000_000;
 
     private final class Reader implements SimulatedCluster.SimulatedProcess {
         final int number;
@@ -21,25 +21,25 @@
 
         @Override
         public void onMessage(long now, int from, Object message) {
-            file[number] = Math.max(file[number], (Long) message);
+            fileVersion[number] = Math.max(fileVersion[number], (Long) message);
         }
 
         @Override
         public void onTick(long now) {
             if (readAt == Long.MIN_VALUE) {
-                readAt = now - cluster.random().nextLong(EVERY);
-                acts[number] = file[number]; // a start reads it too
+                readAt = now - cluster.random().nextLong(READ_INTERVAL_MICROS);
+                activeVersion[number] = fileVersion[number]; // the file is also read at the start
             }
-            if (now - readAt >= EVERY) {
+            if (now - readAt >= READ_INTERVAL_MICROS) {
                 readAt = now;
-                acts[number] = file[number];
+                activeVersion[number] = fileVersion[number];
             }
-            if (number == 0 && (copiedAt == Long.MIN_VALUE || now - copiedAt >= EVERY || changed)) {
+            if (number == 0 && (copiedAt == Long.MIN_VALUE || now - copiedAt >= READ_INTERVAL_MICROS || hasNewFile)) {
                 copiedAt = now;
-                changed = false;
-                for (int i = 1; i < file.length; i++) {
-                    if (file[i] < file[0]) {
-                        cluster.send(0, i, file[0]);
+                hasNewFile = false;
+                for (int i = 1; i < fileVersion.length; i++) {
+                    if (fileVersion[i] < fileVersion[0]) {
+                        cluster.send(0, i, fileVersion[0]);
                     }
                 }
             }
@@ -48,13 +48,13 @@
 
     final SimulatedCluster cluster;
     final InvariantChecker checker = new InvariantChecker();
-    private final long[] file;
-    private final long[] acts;
-    private boolean changed;
+    private final long[] fileVersion;
+    private final long[] activeVersion;
+    private boolean hasNewFile;
 
     LocalFileBaseline(int count, long tick, long seed) {
-        file = new long[count];
-        acts = new long[count];
+        fileVersion = new long[count];
+        activeVersion = new long[count];
         cluster = new SimulatedCluster(count, tick, seed, this);
     }
 
@@ -62,21 +62,21 @@
         cluster.start(number, incarnation -> new Reader(number));
     }
 
-    /** The next file is put where it is copied from. */
+    /** Puts the next version of the file where it is copied from. */
     void write() {
         if (cluster.isRunning(0)) {
-            file[0]++;
-            changed = true;
+            fileVersion[0]++;
+            hasNewFile = true;
         }
     }
 
     @Override
-    public void onStep(int node, long at) {
-        checker.startedActing(node, at, acts[node], acts[node], Long.MAX_VALUE);
+    public void onStep(int node, long now) {
+        checker.startedActing(node, now, activeVersion[node], activeVersion[node], Long.MAX_VALUE);
     }
 
     @Override
-    public void onStopped(int node, long at) {
-        checker.stoppedActing(node, at);
+    public void onStopped(int node, long now) {
+        checker.stoppedActing(node, now);
     }
 }
--- a/src/bench/java/wallmoor/rules/RuleReaderBenchmark.java
+++ b/src/bench/java/wallmoor/rules/RuleReaderBenchmark.java
@@ -15,7 +15,10 @@
 import org.openjdk.jmh.annotations.Warmup;
 import wallmoor.rules.LeaseMessage.LeaseGrant;
 
-/** What a query pays to learn what it goes by, clock included; and what a gatherer pays for a renewal. */
+/**
+ * Measures what a query pays to read the effective rule, including the clock, and what a gatherer pays for a lease
+ * renewal.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -23,13 +26,13 @@
 @Warmup(iterations = 2, time = 1)
 @Measurement(iterations = 4, time = 1)
 public class RuleReaderBenchmark {
-    private static final RuleDocument ONE = RuleDocument.of(
+    private static final RuleDocument DOCUMENT = RuleDocument.of(
             new RuleProposal("settings", 0, "", "a", "{\"limits.open\": 5}", "{}"),
             1);
 
     private final LeaseHolder holder = new LeaseHolder("h", 1, LeaseTiming.defaults(), DocumentSchemas.all(),
             List.of());
-    private volatile RuleSnapshot last;
+    private volatile RuleSnapshot snapshot;
     private long now;
 
     @Setup
@@ -40,16 +43,17 @@
     @Benchmark
     @Threads(2)
     public EffectiveRule acting() {
-        return last.effectiveRule(System.nanoTime() / 1_000, "settings");
+        return snapshot.effectiveRule(System.nanoTime() / 1_000, "settings");
     }
 
     @Benchmark
     public RuleSnapshot renewal() {
         now += LeaseTiming.defaults().renewalInterval();
-        LeaseMessage.LeaseRequest ask = holder.onTick(now);
-        holder.onGrant(now, new LeaseGrant("h", 1, ask.sequence(),
-                List.of(new VersionChain("settings", 1, 1, ask.knownVersions().isEmpty() ? List.of(ONE) : List.of()))));
-        last = holder.snapshot();
-        return last;
+        LeaseMessage.LeaseRequest request = holder.onTick(now);
+        holder.onGrant(now, new LeaseGrant("h", 1, request.sequence(),
+                List.of(new VersionChain("settings", 1, 1, request.knownVersions().isEmpty() ? List.of(DOCUMENT)
+                : List.of()))));
+        snapshot = holder.snapshot();
+        return snapshot;
     }
 }
--- a/src/bench/java/wallmoor/summaries/FilterWays.java
+++ b/src/bench/java/wallmoor/summaries/FilterWays.java
@@ -4,9 +4,12 @@
 import com.google.common.hash.Funnels;
 import java.nio.charset.StandardCharsets;
 
-/** Bytes and false answers of this package's filters beside Guava's, for the same keys and the same bytes; and time. */
+/**
+ * Compares the size, the false positives and the speed of this package's Bloom filters with Guava's, for the same keys
+ * and the same size.
+ */
 public final class FilterWays {
-    private static final int ABSENT = 2_000_000;
+    private static final int ABSENT_KEYS = 2_000_000;
 
     private FilterWays() {}
 
@@ -18,30 +21,31 @@
                 own.add(KeyNormalizer.hash("key-" + i));
             }
             own = own.fitted();
-            // a rate that makes Guava's as large
+            // the false-positive rate at which Guava's filter has the same size
             double rate = Math.exp(-(own.bits() / (double) keys) * Math.log(2) * Math.log(2));
             BloomFilter<CharSequence> guava = BloomFilter.create(Funnels.stringFunnel(StandardCharsets.UTF_8), keys,
                     rate);
             for (int i = 0; i < keys; i++) {
                 guava.put("key-" + i);
             }
-            for (int round = 0; round < 2; round++) { // the first is to warm up
-                int wrong = 0;
-                long begun = System.nanoTime();
-                for (int i = 0; i < ABSENT; i++) {
-                    wrong += own.mightContain(KeyNormalizer.hash("no-" + i)) ? 1 : 0;
+            for (int round = 0; round < 2; round++) { // the first round warms up
+                int falsePositives = 0;
+                long startNanos = System.nanoTime();
+                for (int i = 0; i < ABSENT_KEYS; i++) {
+                    falsePositives += own.mightContain(KeyNormalizer.hash("no-" + i)) ? 1 : 0;
                 }
-                long took = System.nanoTime() - begun;
-                int its = 0;
-                begun = System.nanoTime();
-                for (int i = 0; i < ABSENT; i++) {
-                    its += guava.mightContain("no-" + i) ? 1 : 0;
+                long elapsedNanos = System.nanoTime() - startNanos;
+                int guavaFalsePositives = 0;
+                startNanos = System.nanoTime();
+                for (int i = 0; i < ABSENT_KEYS; i++) {
+                    guavaFalsePositives += guava.mightContain("no-" + i) ? 1 : 0;
                 }
-                long itsTook = System.nanoTime() - begun;
+                long guavaElapsedNanos = System.nanoTime() - startNanos;
                 if (round == 1) {
-                    System.out.println(keys + " | own | " + own.bits() / 8 + " | " + wrong + " | " + took / ABSENT);
-                    System.out.println(keys + " | Guava | " + (own.bits() / 8 + 6) + " | " + its + " | "
-                            + itsTook / ABSENT);
+                    System.out.println(keys + " | own | " + own.bits() / 8 + " | " + falsePositives + " | "
+                            + elapsedNanos / ABSENT_KEYS);
+                    System.out.println(keys + " | Guava | " + (own.bits() / 8 + 6) + " | " + guavaFalsePositives + " | "
+                            + guavaElapsedNanos / ABSENT_KEYS);
                 }
             }
         }
--- a/src/bench/java/wallmoor/summaries/MillionQueries.java
+++ b/src/bench/java/wallmoor/summaries/MillionQueries.java
@@ -5,140 +5,150 @@
 import java.util.Random;
 
 /**
- * Random queries with writes between: counts false cuts against the rows themselves, and parts sent beside asking all
- * and beside an oracle that asks only sites with a matching row. Arguments: queries, sites, seed.
+ * Runs random queries with writes between them. Counts false exclusions by checking the rows themselves, and compares
+ * the parts sent with querying all sites and with an oracle that queries only sites with a matching row. Arguments:
+ * queries, sites, seed.
  */
 public final class MillionQueries {
     private static final int ROWS = 60;
-    private static final long LIFETIME = 60_000_000;
+    private static final long LIFETIME_MICROS = 60_000_000;
 
     private final Random random;
     private final List<List<Row>> rows = new ArrayList<>();
-    private final List<SummaryMaintainer> keepers = new ArrayList<>();
+    private final List<SummaryMaintainer> maintainers = new ArrayList<>();
     private final List<Site> sites = new ArrayList<>();
-    private final SummaryCache known;
-    private final int[] deleted;
+    private final SummaryCache cache;
+    private final int[] replacedRows;
     private long now = 1;
     private long writes;
     private long widenings;
-    private long falseCuts;
+    private long falseExclusions;
     private final long[][] parts = new long[KINDS.length][4];
 
     private static final String[] KINDS = {"equality", "range", "box", "time", "box and equality"};
 
     private MillionQueries(int count, long seed) {
         random = new Random(seed);
-        deleted = new int[count];
-        known = new SummaryCache(SummaryLimits.defaults(), SummaryCache.CacheLimits.defaults(), 0, e -> {
-            throw new IllegalStateException(e.text());
+        replacedRows = new int[count];
+        cache = new SummaryCache(SummaryLimits.defaults(), SummaryCache.CacheLimits.defaults(), 0, event -> {
+            throw new IllegalStateException(event.text());
         });
         for (int i = 0; i < count; i++) {
             var site = new Site("site-" + i, "b" + i);
             sites.add(site);
-            var own = new ArrayList<Row>();
-            var draft = new SummaryBuilder(SummaryLimits.defaults(), site.name(), site.block(), 1);
+            var siteRows = new ArrayList<Row>();
+            var builder = new SummaryBuilder(SummaryLimits.defaults(), site.name(), site.block(), 1);
             for (int r = 0; r < ROWS; r++) {
-                own.add(Rentals.row(random, i));
-                draft.add(own.get(r));
+                siteRows.add(Rentals.row(random, i));
+                builder.add(siteRows.get(r));
             }
-            rows.add(own);
-            keepers.add(new SummaryMaintainer(SummaryLimits.defaults(), site, 1, draft, now, LIFETIME, true));
-            ask(i);
+            rows.add(siteRows);
+            maintainers.add(new SummaryMaintainer(SummaryLimits.defaults(), site, 1, builder, now, LIFETIME_MICROS,
+                    true));
+            requestSummary(i);
         }
     }
 
-    private void ask(int i) {
-        long ticket = known.beginRequest(now, sites.get(i));
-        known.acceptGrant(now, keepers.get(i).grantLease(now, "g", ticket));
+    private void requestSummary(int i) {
+        long ticket = cache.beginRequest(now, sites.get(i));
+        cache.acceptGrant(now, maintainers.get(i).grantLease(now, "g", ticket));
     }
 
-    /** Now and then a row of somewhere else, so that summaries must widen. */
+    /** Writes a row; one in 20 comes from the pattern of a random site, so that summaries must widen. */
     private void write() {
         int i = random.nextInt(sites.size());
         Row row = Rentals.row(random, random.nextInt(20) == 0 ? random.nextInt(sites.size()) : i);
-        SummaryMaintainer.WriteDecision w = keepers.get(i).write(now, List.of(row));
+        SummaryMaintainer.WriteDecision decision = maintainers.get(i).write(now, List.of(row));
         writes++;
-        if (!w.confirm()) {
+        if (!decision.confirm()) {
             widenings++;
-            long version = known.applyWidening(now, w.widening());
-            if (!keepers.get(i).acknowledged(now, "g", version).contains(w.id())) {
-                throw new IllegalStateException("not confirmed");
+            long version = cache.applyWidening(now, decision.widening());
+            if (!maintainers.get(i).acknowledged(now, "g", version).contains(decision.id())) {
+                throw new IllegalStateException("write " + decision.id() + " at " + sites.get(i).name()
+                        + " not confirmed by version " + version);
             }
         }
         if (rows.get(i).size() < 2 * ROWS) {
             rows.get(i).add(row);
         } else {
-            rows.get(i).set(random.nextInt(2 * ROWS), row); // one is deleted: the summary stays as wide as it was
-            deleted[i]++;
+            rows.get(i).set(random.nextInt(2 * ROWS), row); // replaces a row: the summary does not shrink
+            replacedRows[i]++;
         }
-        if (deleted[i] > rows.get(i).size() / 10) { // it is made anew, and asked for again
-            deleted[i] = 0;
-            SummaryBuilder next = keepers.get(i).rebuild();
-            rows.get(i).forEach(next::add);
-            known.applyWidening(now, keepers.get(i).adopt(now).widening());
-            ask(i);
+        if (replacedRows[i] > rows.get(i).size() / 10) { // rebuilds the summary and requests it again
+            replacedRows[i] = 0;
+            SummaryBuilder rebuilt = maintainers.get(i).rebuild();
+            rows.get(i).forEach(rebuilt::add);
+            cache.applyWidening(now, maintainers.get(i).adopt(now).widening());
+            requestSummary(i);
         }
         if (writes % 997 == 0) {
-            known.invalidateBlock(now, sites.get(i).block());
-            ask(i);
+            cache.invalidateBlock(now, sites.get(i).block());
+            requestSummary(i);
         }
     }
 
     private void query() {
         int kind = random.nextInt(KINDS.length);
-        Row like = rows.get(random.nextInt(sites.size())).get(random.nextInt(ROWS));
+        Row sampleRow = rows.get(random.nextInt(sites.size())).get(random.nextInt(ROWS));
         Conditions.QueryBox box = null;
         TimeSpan time = null;
-        var conditions = new ArrayList<Condition>();
+        var properties = new ArrayList<Condition>();
         if (kind == 0 || kind == 4) {
             String name = kind == 4 ? "class" : List.of("city", "plate", "model").get(random.nextInt(3));
-            conditions.add(Condition.equal(name, like.values().get(name)));
+            properties.add(Condition.equal(name, sampleRow.values().get(name)));
         }
         if (kind == 1) {
-            long low = (Long) like.values().get("price");
-            conditions.add(Condition.range("price", "" + low, "" + (low + random.nextInt(20))));
-        }
-        double half = 0.1 + random.nextDouble();
-        double w = like.place().lon() - half;
-        double e = like.place().lon() + half;
-        double s = Math.max(-90, like.place().lat() - half);
-        double n = Math.min(90, like.place().lat() + half);
+            long low = (Long) sampleRow.values().get("price");
+            properties.add(Condition.range("price", "" + low, "" + (low + random.nextInt(20))));
+        }
+        double halfDegrees = 0.1 + random.nextDouble();
+        double west = sampleRow.place().lon() - halfDegrees;
+        double east = sampleRow.place().lon() + halfDegrees;
+        double south = Math.max(-90, sampleRow.place().lat() - halfDegrees);
+        double north = Math.min(90, sampleRow.place().lat() + halfDegrees);
         if (kind == 2 || kind == 4) {
-            box = Conditions.box((w < -180 ? w + 360 : w) + "," + s + "," + (e > 180 ? e - 360 : e) + "," + n);
+            box = Conditions.box((west < -180 ? west + 360 : west) + "," + south + ","
+                    + (east > 180 ? east - 360 : east) + "," + north);
         }
         if (kind == 3) {
-            time = new TimeSpan(like.time().from(), like.time().from() + random.nextInt(10) * 86_400_000_000L);
+            time = new TimeSpan(sampleRow.time().from(), sampleRow.time().from() + random.nextInt(10)
+                    * 86_400_000_000L);
         }
-        Conditions c = new Conditions(box, time, conditions);
-        SummaryLookup lookup = known.lookup(now, c);
+        Conditions conditions = new Conditions(box, time, properties);
+        SummaryLookup lookup = cache.lookup(now, conditions);
         for (int i = 0; i < sites.size(); i++) {
-            boolean has = false;
+            boolean hasMatch = false;
             for (Row row : rows.get(i)) {
-                if (matches(row, c, w, e, s, n)) {
-                    has = true;
+                if (matches(row, conditions, west, east, south, north)) {
+                    hasMatch = true;
                     break;
                 }
             }
-            boolean asked = lookup.excluding(sites.get(i)) == null;
-            falseCuts += has && !asked ? 1 : 0;
+            boolean isQueried = lookup.excluding(sites.get(i)) == null;
+            falseExclusions += hasMatch && !isQueried ? 1 : 0;
             parts[kind][0]++;
-            parts[kind][1] += asked ? 1 : 0;
-            parts[kind][2] += has ? 1 : 0;
+            parts[kind][1] += isQueried ? 1 : 0;
+            parts[kind][2] += hasMatch ? 1 : 0;
         }
         parts[kind][3]++;
     }
 
-    /** By the rows as they are: texts and numbers as they stand, boxes on the plane with the wrap. */
-    private static boolean matches(Row row, Conditions c, double w, double e, double s, double n) {
-        if (c.time() != null && !row.time().overlaps(c.time())) {
+    /**
+     * Evaluates the conditions directly on a row: values are compared as they are, boxes as plane rectangles that wrap
+     * at the antimeridian.
+     */
+    private static boolean matches(Row row, Conditions conditions, double west, double east, double south,
+            double north) {
+        if (conditions.time() != null && !row.time().overlaps(conditions.time())) {
             return false;
         }
         double lon = row.place().lon();
-        if (c.box() != null && (row.place().lat() < s || row.place().lat() > n
-                || !(lon >= w && lon <= e || lon + 360 >= w && lon + 360 <= e || lon - 360 >= w && lon - 360 <= e))) {
+        if (conditions.box() != null && (row.place().lat() < south || row.place().lat() > north
+                || !(lon >= west && lon <= east || lon + 360 >= west && lon + 360 <= east || lon - 360 >= west && lon
+                - 360 <= east))) {
             return false;
         }
-        for (Condition p : c.properties()) {
+        for (Condition p : conditions.properties()) {
             Object value = row.values().get(p.property());
             if (p instanceof Condition.Range r ? (Long) value < r.lowest() || (Long) value > r.highest()
                     : !((Condition.Equal) p).key().equals(value.toString().toLowerCase(java.util.Locale.ROOT))) {
@@ -157,22 +167,22 @@
             if (q % 3 == 0) {
                 run.write();
             }
-            if (q % 30_000 == 29_999) { // a query a millisecond: promises are renewed when half of them is over
+            if (q % 30_000 == 29_999) { // at a query a millisecond, renews the leases at half of their lifetime
                 for (int i = 0; i < count; i++) {
-                    run.ask(i);
+                    run.requestSummary(i);
                 }
             }
             run.query();
         }
         System.out.println(queries + " queries, " + count + " sites, " + run.writes + " writes, " + run.widenings
-                + " widenings, " + run.falseCuts + " false cuts");
+                + " widenings, " + run.falseExclusions + " false cuts");
         System.out.println("kind | queries | parts asking all | parts sent | parts of an oracle | sent / oracle");
         for (int k = 0; k < KINDS.length; k++) {
             long[] p = run.parts[k];
             System.out.printf("%s | %d | %d | %d | %d | %.3f%n", KINDS[k], p[3], p[0], p[1], p[2],
                     (double) p[1] / p[2]);
         }
-        if (run.falseCuts > 0) {
+        if (run.falseExclusions > 0) {
             System.exit(1);
         }
     }
--- a/src/bench/java/wallmoor/summaries/Rentals.java
+++ b/src/bench/java/wallmoor/summaries/Rentals.java
@@ -3,7 +3,9 @@
 import java.util.HashMap;
 import java.util.Random;
 
-/** Rows of rental sites by a seed: each has its city, its plates, some classes and brands, prices and a season. */
+/**
+ * Generates seeded rows of rental sites: each site has its city, plates, some classes and brands, prices and a season.
+ */
 final class Rentals {
     private static final String[] CLASSES = {"compact", "suv", "van", "limousine", "coupe", "pickup", "truck",
         "minibus"};
@@ -17,17 +19,19 @@
         values.put("class", CLASSES[(site + random.nextInt(4)) % CLASSES.length]);
         values.put("model", "m" + (site % 50 * 20 + random.nextInt(30)));
         values.put("price", (long) (20 + site % 100 * 10 + random.nextInt(40)));
-        return new Row(values, place(random, site), time(random, site));
+        return new Row(values, coordinates(random, site), time(random, site));
     }
 
-    /** Two depots a site, up to 40 km round each; one site in 100 lies at the antimeridian. */
-    private static Row.Coordinates place(Random random, int site) {
-        var own = new Random(site / 2);
-        double lon = own.nextInt(100) == 0 ? 180 : own.nextDouble() * 360 - 180;
-        double lat = own.nextDouble() * 140 - 70;
+    /**
+     * Returns a point up to about 40 km from one of the two depots of a site; one site in 100 lies at the antimeridian.
+     */
+    private static Row.Coordinates coordinates(Random random, int site) {
+        var siteRandom = new Random(site / 2);
+        double lon = siteRandom.nextInt(100) == 0 ? 180 : siteRandom.nextDouble() * 360 - 180;
+        double lat = siteRandom.nextDouble() * 140 - 70;
         if (random.nextBoolean()) {
-            lon += own.nextDouble() * 4 - 2;
-            lat += own.nextDouble() * 4 - 2;
+            lon += siteRandom.nextDouble() * 4 - 2;
+            lat += siteRandom.nextDouble() * 4 - 2;
         }
         lon += random.nextDouble() * 0.7 - 0.35;
         return Row.Coordinates.of(lon > 180 ? lon - 360 : lon < -180 ? lon + 360 : lon, lat
@@ -39,12 +43,12 @@
         return new TimeSpan(from, from + random.nextInt(7) * 86_400_000_000L);
     }
 
-    static Summary summary(SummaryLimits settings, int site, int rows) {
+    static Summary summary(SummaryLimits limits, int site, int rows) {
         var random = new Random(site * 31L + 7);
-        var draft = new SummaryBuilder(settings, "site-" + site, "b" + site, 1);
+        var builder = new SummaryBuilder(limits, "site-" + site, "b" + site, 1);
         for (int i = 0; i < rows; i++) {
-            draft.add(row(random, site));
+            builder.add(row(random, site));
         }
-        return draft.build(1);
+        return builder.build(1);
     }
 }
--- a/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
+++ b/src/bench/java/wallmoor/summaries/SummariesBenchmark.java
@@ -16,7 +16,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** What a look-up costs by the number of sites, and beside it trying every summary; bytes a site are printed. */
+/**
+ * Measures the cost of a lookup by the number of sites, compared with evaluating every summary, and prints the bytes
+ * for each site.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.SampleTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -29,84 +32,84 @@
     @Param({"10", "1000", "10000"})
     private int sites;
 
-    /** Made once where all benchmarks run in one program (-f 0). */
-    private static final List<Summary> MADE = new ArrayList<>();
+    /** Summaries shared by all benchmarks that run in one process (-f 0). */
+    private static final List<Summary> SHARED_SUMMARIES = new ArrayList<>();
 
-    private List<Summary> all;
-    private SummaryCache known;
-    private int turn;
+    private List<Summary> summaries;
+    private SummaryCache cache;
+    private int lastSite;
 
-    /** Sites with a promise that lasts. */
+    /** Fills the cache with sites whose leases do not expire. */
     @Setup(Level.Trial)
     public void fill() {
-        known = new SummaryCache(SummaryLimits.defaults(), SummaryCache.CacheLimits.defaults(), 0, e -> {});
+        cache = new SummaryCache(SummaryLimits.defaults(), SummaryCache.CacheLimits.defaults(), 0, e -> {});
         long sent = 0;
-        for (int i = MADE.size(); i < sites; i++) {
-            MADE.add(Rentals.summary(SummaryLimits.defaults(), i, ROWS));
+        for (int i = SHARED_SUMMARIES.size(); i < sites; i++) {
+            SHARED_SUMMARIES.add(Rentals.summary(SummaryLimits.defaults(), i, ROWS));
         }
-        all = MADE.subList(0, sites);
+        summaries = SHARED_SUMMARIES.subList(0, sites);
         for (int i = 0; i < sites; i++) {
-            Summary s = all.get(i);
+            Summary s = summaries.get(i);
             byte[] bytes = Encoding.encode(s);
             sent += bytes.length;
-            known.acceptGrant(1,
-                    new SiteMessage.SummaryLeaseGrant(known.beginRequest(1, new Site(s.site(), s.block())), bytes,
+            cache.acceptGrant(1,
+                    new SiteMessage.SummaryLeaseGrant(cache.beginRequest(1, new Site(s.site(), s.block())), bytes,
                             Long.MAX_VALUE / 2));
         }
         System.out.println("bytes a site of " + ROWS + " rows: sent " + sent / sites + ", with the index "
-                + known.bytes() / sites);
+                + cache.bytes() / sites);
     }
 
     private Conditions condition(String property) {
         return new Conditions(null, null, List.of(Condition.parse(property)));
     }
 
-    private int next() {
-        turn = (turn + 7919) % sites;
-        return turn;
+    private int nextSite() {
+        lastSite = (lastSite + 7919) % sites;
+        return lastSite;
     }
 
-    /** One city: two sites have it. */
+    /** Looks up one city, which two sites have. */
     @Benchmark
     public int equality() {
-        return known.lookup(2, condition("city=city-" + next() / 2)).excluded();
+        return cache.lookup(2, condition("city=city-" + nextSite() / 2)).excluded();
     }
 
-    /** A key nobody has, in filters of 200 keys. */
+    /** Looks up a key that no site has, in filters of 200 keys. */
     @Benchmark
     public int equalityOfNobody() {
-        return known.lookup(2, condition("plate=Q-" + next())).excluded();
+        return cache.lookup(2, condition("plate=Q-" + nextSite())).excluded();
     }
 
-    /** A box of a degree: one site in thousands. */
+    /** Looks up a box of one degree, which one site in thousands overlaps. */
     @Benchmark
     public int box() {
-        double lon = next() % 3590 / 10.0 - 180;
-        return known.lookup(2, new Conditions(Conditions.box(lon + ",20," + (lon + 1) + ",21"), null, List.of()))
+        double lon = nextSite() % 3590 / 10.0 - 180;
+        return cache.lookup(2, new Conditions(Conditions.box(lon + ",20," + (lon + 1) + ",21"), null, List.of()))
                 .excluded();
     }
 
-    /** A range that every site's prices are outside of but two in a hundred's. */
+    /** Looks up a price range that only two in a hundred sites overlap. */
     @Benchmark
     public int range() {
-        int low = 20 + next() % 100 * 10;
-        return known.lookup(2, condition("price=" + low + ".." + (low + 2))).excluded();
+        int low = 20 + nextSite() % 100 * 10;
+        return cache.lookup(2, condition("price=" + low + ".." + (low + 2))).excluded();
     }
 
-    /** A class that half of the sites have: not selective. */
+    /** Looks up a class that half of the sites have: a condition that is not selective. */
     @Benchmark
     public int equalityOfMany() {
-        return known.lookup(2, condition("class=suv")).excluded();
+        return cache.lookup(2, condition("class=suv")).excluded();
     }
 
-    /** The baseline: each summary tried. */
+    /** Evaluates every summary without an index, as the baseline. */
     @Benchmark
     public int equalityWithoutIndex() {
-        Conditions c = condition("city=city-" + next() / 2);
-        int out = 0;
-        for (Summary s : all) {
-            out += s.exclusionReason(c) != null ? 1 : 0;
+        Conditions c = condition("city=city-" + nextSite() / 2);
+        int excluded = 0;
+        for (Summary s : summaries) {
+            excluded += s.exclusionReason(c) != null ? 1 : 0;
         }
-        return out;
+        return excluded;
     }
 }
