--- a/src/main/java/wallmoor/Main.java
+++ b/src/main/java/wallmoor/Main.java
@@ -112,7 +112,7 @@
      */
     private static void onHangUp() {
         try {
-            boolean isInstalled = HangUp.runs(() -> {
+            boolean isInstalled = HangUp.register(() -> {
                 // Set before service is read, because serve() sets service first and then reads this field.
                 hangUpReceived = true;
                 Service current = service;
