--- a/src/test/java/wallmoor/net/ListTermsTest.java
+++ b/src/test/java/wallmoor/net/ListTermsTest.java
@@ -11,52 +11,52 @@
 import org.junit.Test;
 
 /**
- * What befalls the list's watch, and a drain that it misses: once the drain counts as told and its grace of 2 s is
- * over, the real program sends the drained worker nothing new.
+ * A worker drains while the discovery watch of the real program is silent, broken or reset. Once the drain counts as
+ * announced and its grace period of 2 s has passed, the program must send the drained worker no new parts.
  */
 public class ListTermsTest {
-    private static final long GRACE = 2_000;
-    /** A watch that fell silent. */
-    private static final long TERM = 6_000;
-    /** A slow machine's: less than any wait that would have to be seen. */
-    private static final long SLACK = 400;
+    private static final long DRAIN_GRACE_MILLIS = 2_000;
+    /** Time after which a drain counts as announced to a program whose watch fell silent. */
+    private static final long WATCH_SILENCE_MILLIS = 6_000;
+    /** Allowance for a slow machine; shorter than any delay that the tests must detect. */
+    private static final long SLACK_MILLIS = 400;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
-    private volatile boolean over;
+    private final List<AutoCloseable> resources = new ArrayList<>();
+    private volatile boolean isStopped;
     private StandIn.Discovery discovery;
     private StandIn.Worker drained;
     private StandIn.Worker other;
 
-    private void start(String way) throws Exception {
+    private void start(String discoveryMode) throws Exception {
         discovery = new StandIn.Discovery();
-        drained = worker();
-        other = worker();
-        open.add(discovery);
+        drained = startWorker();
+        other = startWorker();
+        resources.add(discovery);
         var program = new Program(discovery.port(), drained.member("a", 0, "SERVING") + ","
-                + other.member("b", 0, "SERVING"), null, 1024, way);
-        open.add(program);
+                + other.member("b", 0, "SERVING"), null, 1024, discoveryMode);
+        resources.add(program);
         Program.await("a watch", () -> discovery.count("GET /api/targets?stream=1&index=41") == 1);
-        for (int i = 0; i < 4; i++) { // several at once, as one alone would stay with one worker
-            int from = 1_000_000 * i;
-            var load = new Thread(() -> load(program.port, from));
+        for (int i = 0; i < 4; i++) { // a single client would stay with one worker
+            int firstNumber = 1_000_000 * i;
+            var load = new Thread(() -> load(program.port, firstNumber));
             load.setDaemon(true);
             load.start();
         }
-        Thread.sleep(2_500); // a watch that is lost younger than 2 s counts as a call that failed
-        assertTrue("the load reaches it", drained.count("Q") > 20);
+        Thread.sleep(2_500); // the loss of a watch younger than 2 s counts as a failed call
+        assertTrue("the worker to be drained receives queries", drained.count("Q") > 20);
     }
 
-    private void load(int port, int from) {
-        for (int i = from; !over; i++) {
+    private void load(int port, int firstNumber) {
+        for (int i = firstNumber; !isStopped; i++) {
             try {
                 assertEquals(200, Client.post(port, "l" + i, "all", 1900, 0).status);
             } catch (IOException e) {
-                // the program is being ended
+                // expected while the program is being stopped
             }
         }
     }
 
-    private StandIn.Worker worker() throws IOException {
+    private StandIn.Worker startWorker() throws IOException {
         var worker = new StandIn.Worker(id -> {
             try {
                 TimeUnit.MILLISECONDS.sleep(10);
@@ -65,72 +65,77 @@
             }
             return "ok";
         });
-        open.add(worker);
+        resources.add(worker);
         return worker;
     }
 
     @After
     public void stop() throws Exception {
-        over = true;
-        for (AutoCloseable o : open) {
-            o.close();
+        isStopped = true;
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
     }
 
-    private String drain() {
+    private String drainUpdate() {
         return "{\"revision\":43,\"complete\":false,\"members\":[" + drained.member("a", 0, "DRAINING") + "]}";
     }
 
-    /** The drain is made now, and counts as told after so long. */
-    private void drainCountsAfter(long millis) throws InterruptedException {
-        discovery.missed = drain();
-        long sent = drained.count("Q");
-        Thread.sleep(millis + GRACE + SLACK);
-        long before = drained.count("Q");
-        long elsewhere = other.count("Q");
-        assertTrue("the load went on", before + elsewhere > sent);
+    /**
+     * Publishes the drain and checks that the worker receives nothing once the drain counts as announced and its grace
+     * period has passed.
+     *
+     * @param millis the time after which the drain counts as announced
+     */
+    private void assertDrainTakesEffectAfter(long millis) throws InterruptedException {
+        discovery.missed = drainUpdate();
+        long sentBefore = drained.count("Q");
+        Thread.sleep(millis + DRAIN_GRACE_MILLIS + SLACK_MILLIS);
+        long sentToDrained = drained.count("Q");
+        long sentToOther = other.count("Q");
+        assertTrue("the load continues", sentToDrained + sentToOther > sentBefore);
         Thread.sleep(1_500);
-        assertEquals("nothing new", before, drained.count("Q"));
-        assertTrue("and the load still goes on", other.count("Q") > elsewhere + 20);
+        assertEquals("new parts sent to the drained worker", sentToDrained, drained.count("Q"));
+        assertTrue("the other worker still receives queries", other.count("Q") > sentToOther + 20);
     }
 
     @Test
-    public void aWatchFallsSilentThenAWorkerDrains() throws Exception {
+    public void stopsSendingToDrainedWorkerWhenWatchIsSilent() throws Exception {
         start("subscribe");
         discovery.hush("");
-        drainCountsAfter(TERM);
+        assertDrainTakesEffectAfter(WATCH_SILENCE_MILLIS);
     }
 
     @Test
-    public void aWatchFallsSilentInTheMiddleOfALineThatTellsTheDrain() throws Exception {
+    public void stopsSendingToDrainedWorkerWhenWatchFallsSilentWithinTheUpdate() throws Exception {
         start("subscribe");
-        discovery.hush(drain().substring(0, 60));
-        drainCountsAfter(TERM);
+        discovery.hush(drainUpdate().substring(0, 60));
+        assertDrainTakesEffectAfter(WATCH_SILENCE_MILLIS);
     }
 
     @Test
-    public void aWatchTellsTheDrainIndentedOverManyLines() throws Exception {
+    public void stopsSendingToDrainedWorkerAfterUpdateOverSeveralLines() throws Exception {
         start("subscribe");
-        // counts as it is written
-        discovery.say(drain().replace(",", ",\r\n\n  ").replace("[", "[\n").replace("}]", "}\n]\n"));
-        drainCountsAfter(0);
-        assertEquals("on the first watch", 1, discovery.count("GET /api/targets"));
+        // the drain counts as announced once it is written
+        discovery.say(drainUpdate().replace(",", ",\r\n\n  ").replace("[", "[\n").replace("}]", "}\n]\n"));
+        assertDrainTakesEffectAfter(0);
+        assertEquals("no second watch was opened", 1, discovery.count("GET /api/targets"));
     }
 
     @Test
-    public void aPushedWatchIsResetThenAWorkerDrains() throws Exception {
-        start("automatic"); // there the drain counts at once
+    public void stopsSendingToDrainedWorkerWhenPushedWatchIsReset() throws Exception {
+        start("automatic"); // in this mode the drain counts as announced at once
         discovery.reset();
-        drainCountsAfter(0);
+        assertDrainTakesEffectAfter(0);
     }
 
     @Test
-    public void discoveryIsAwayAndAWorkerDrainsAtItsReturn() throws Exception {
+    public void stopsSendingToWorkerThatDrainsWhenDiscoveryReturns() throws Exception {
         start("automatic");
         discovery.away = true;
         discovery.reset();
-        Thread.sleep(5_000); // by then the module waits for 2 to 6 s
+        Thread.sleep(5_000); // by then the program retries only every 2 to 6 s
         discovery.away = false;
-        drainCountsAfter(0);
+        assertDrainTakesEffectAfter(0);
     }
 }
--- a/src/test/java/wallmoor/net/LongLifeTest.java
+++ b/src/test/java/wallmoor/net/LongLifeTest.java
@@ -17,13 +17,13 @@
 import org.junit.Test;
 import wallmoor.standin.Ports;
 
-/** What a gatherer keeps of a long life, and what its first and last moments owe to those who ask in them. */
+/** Objects that a long-running gatherer retains, and queries that arrive while it starts or shuts down. */
 public class LongLifeTest {
     private static final int MEMBERS = 200;
-    /** Of a class that has few objects so many more are no growth: threads and timers come and go. */
-    private static final int SLACK = 40;
+    /** Growth in objects that is allowed of a class with few of them: threads and timers come and go. */
+    private static final int MAX_SMALL_GROWTH = 40;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private Program program;
     private StandIn.Discovery discovery;
     private StandIn.Worker worker;
@@ -31,54 +31,55 @@
 
     private void start() throws Exception {
         discovery = new StandIn.Discovery();
-        open.add(discovery);
+        resources.add(discovery);
         worker = new StandIn.Worker(id -> id.startsWith("lost") ? null : id.startsWith("bad") ? "err" : "ok");
-        open.add(worker);
+        resources.add(worker);
         program = new Program(discovery.port(), worker.member("first", 0, "SERVING"), null);
-        open.add(program);
+        resources.add(program);
         Program.await("a watch", () -> discovery.count("GET /api/targets?stream=1&index=41") == 1);
-        Thread.sleep(100); // the watch is in the stand-in's hands a little after its request line is
+        Thread.sleep(100); // the stand-in registers the watch shortly after it has read the request line
     }
 
     @After
     public void stop() throws Exception {
-        for (AutoCloseable o : open) {
-            o.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
     }
 
-    private void members(int generation, String phase) throws IOException {
+    private void publishMembers(int generation, String phase) throws IOException {
         var entries = new ArrayList<String>();
         for (int i = 0; i < MEMBERS; i++) {
             entries.add(worker.member("g" + generation + "-" + i, i % 2, phase));
         }
-        for (int i = 0; i < MEMBERS; i += 50) { // a line of the watch holds 64 KiB at most
+        for (int i = 0; i < MEMBERS; i += 50) { // a line of the watch may have 64 KiB at most
             discovery.say("{\"revision\":" + ++revision + ",\"complete\":false,\"members\":["
                     + String.join(",", entries.subList(i, i + 50)) + "]}");
         }
     }
 
-    /** All members are replaced by others, and queries of every kind and end are asked of the new ones. */
-    private void generation(int g) throws Exception {
-        members(g, "SERVING");
-        if (g > 0) {
-            members(g - 1, "DELETED");
+    /** Replaces all members with new ones and sends these queries of every kind and outcome. */
+    private void runGeneration(int generation) throws Exception {
+        publishMembers(generation, "SERVING");
+        if (generation > 0) {
+            publishMembers(generation - 1, "DELETED");
         }
-        Thread.sleep(200); // were the list later than that, the queries would meet the generation before
+        Thread.sleep(200); // if the list arrived later, the previous generation would receive the queries
         for (int i = 0; i < 30; i++) {
             assertEquals(200,
-                    Client.post(program.port, "q" + g + "-" + i, i % 2 == 0 ? "any" : "all", 1900, 0, 1, 2, 3).status);
+                    Client.post(program.port, "q" + generation + "-" + i, i % 2 == 0 ? "any" : "all", 1900, 0, 1, 2,
+                            3).status);
         }
-        Client.post(program.port, "bad" + g, "all", 300, 0, 1);
-        Client.post(program.port, "lost" + g, "once", 150, 0);
-        try (var gone = new Client(program.port)) {
-            gone.send(Client.query("lost-gone" + g, "all", 1900, 0, 1));
+        Client.post(program.port, "bad" + generation, "all", 300, 0, 1);
+        Client.post(program.port, "lost" + generation, "once", 150, 0);
+        try (var leaving = new Client(program.port)) {
+            leaving.send(Client.query("lost-gone" + generation, "all", 1900, 0, 1));
         }
     }
 
-    /** Live objects by class, after a collection. */
-    private Map<String, Integer> retained() throws Exception {
-        Thread.sleep(2500); // what was called off is past its time, and all windows are
+    /** Returns the number of live objects by class after a garbage collection. */
+    private Map<String, Integer> countLiveObjects() throws Exception {
+        Thread.sleep(2500); // until cancelled parts and all time windows have expired
         Client.post(program.port, "w" + System.nanoTime(), "all", 1900, 0);
         Path jcmd = Path.of(System.getProperty("java.home"), "bin", "jcmd");
         var process = new ProcessBuilder(jcmd.toString(), "" + program.process.pid(), "GC.class_histogram")
@@ -92,69 +93,67 @@
         return counts;
     }
 
-    /** Counted, not timed: what a tenth generation leaves behind is what a fourth one does. */
+    /** Guards against leaks: object counts after 17 generations of members must match those after 5. */
     @Test
-    public void nothingIsKeptOfMembersQueriesAndConnectionsThatAreGone() throws Exception {
+    public void releasesRemovedMembersFinishedQueriesAndClosedConnections() throws Exception {
         start();
         for (int g = 0; g < 5; g++) {
-            generation(g);
+            runGeneration(g);
         }
-        Map<String, Integer> before = retained();
-        assertTrue("counts the members there are", before.getOrDefault("wallmoor.core.Worker", 0) >= MEMBERS);
+        Map<String, Integer> before = countLiveObjects();
+        assertTrue("the histogram counts the members", before.getOrDefault("wallmoor.core.Worker", 0) >= MEMBERS);
         for (int g = 5; g < 17; g++) {
-            generation(g);
+            runGeneration(g);
         }
-        Map<String, Integer> after = retained();
+        Map<String, Integer> after = countLiveObjects();
         var grown = new ArrayList<String>();
         after.forEach((name, n) -> {
-            int had = before.getOrDefault(name, 0);
-            boolean counted = name.startsWith("wallmoor.") || name.startsWith("java.util.");
-            // one member kept of each generation is 12 more, all 2400
-            if (counted && n > had + Math.max(SLACK, had / 10)) {
-                grown.add(name + " " + had + " to " + n);
+            int previous = before.getOrDefault(name, 0);
+            boolean isCounted = name.startsWith("wallmoor.") || name.startsWith("java.util.");
+            // a leak of one member in each generation adds 12 objects, a leak of all of them 2400
+            if (isCounted && n > previous + Math.max(MAX_SMALL_GROWTH, previous / 10)) {
+                grown.add(name + " " + previous + " to " + n);
             }
         });
         assertEquals(List.of(), grown);
     }
 
-    /** A connection is taken as soon as the address is listened on; what is asked there then gets its one answer. */
+    /** Connections are accepted as soon as the listener is open; each query sent on one then gets one answer. */
     @Test
-    public void whatIsAskedWhileTheProcessStartsIsAnsweredOnce() throws Exception {
+    public void answersOnceEachQuerySentDuringStart() throws Exception {
         worker = new StandIn.Worker(id -> "ok");
-        open.add(worker);
+        resources.add(worker);
         int port = Ports.free();
         Process process = Program
                 .launch(Program.config("t", Program.SEED, port, 1, worker.member("a", 0, "SERVING"), 1024), null);
-        open.add(() -> process.destroyForcibly().onExit().join());
-        var asked = new ArrayList<Client>();
+        resources.add(() -> process.destroyForcibly().onExit().join());
+        var clients = new ArrayList<Client>();
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
-        while (asked.size() < 20 && System.nanoTime() < until) {
+        while (clients.size() < 20 && System.nanoTime() < until) {
             try {
-                asked.add(new Client(port).send(Client.query("s" + asked.size(), "all", 1900, 0)));
-                open.add(asked.get(asked.size() - 1));
+                clients.add(new Client(port).send(Client.query("s" + clients.size(), "all", 1900, 0)));
+                resources.add(clients.get(clients.size() - 1));
             } catch (ConnectException e) {
-                Thread.sleep(1); // not listened on yet
+                Thread.sleep(1); // the listener is not open yet
             }
         }
-        assertEquals(20, asked.size());
-        for (Client c : asked) {
+        assertEquals(20, clients.size());
+        for (Client c : clients) {
             assertEquals(200, c.answer().status);
             c.socket.setSoTimeout(50);
             try {
-                assertEquals("nothing comes after an answer", -1, c.socket.getInputStream().read());
+                assertEquals("nothing follows the answer", -1, c.socket.getInputStream().read());
             } catch (java.net.SocketTimeoutException e) {
-                // it rests: as it should
+                // expected: the connection stays open and idle
             }
         }
     }
 
-    /**
-     * Until the address is given up, a connection that comes while the process leaves is answered, never just closed.
-     */
+    /** Until the listener closes, a connection opened while the process shuts down is answered, never just closed. */
     @Test
-    public void aNewConnectionIsAnsweredForAsLongAsConnectionsAreTaken() throws Exception {
+    public void answersNewConnectionsUntilTheListenerCloses() throws Exception {
         start();
-        program.process.toHandle().destroy(); // and not its streams, as Process.destroy would
+        program.process.toHandle().destroy(); // Process.destroy would also close the streams
         Program.await("the signal", () -> program.log.stream().anyMatch(l -> l.contains("told to leave")));
         var answered = new AtomicInteger();
         var unanswered = new ArrayList<String>();
@@ -168,12 +167,12 @@
                     unanswered.add(i + ": " + e);
                 }
             } catch (ConnectException e) {
-                break; // the address is given up: nobody is taken who could be lost
+                break; // the listener is closed: no connection is accepted that could be lost
             }
             Thread.sleep(1);
         }
         assertTrue("answered " + answered, answered.get() > 50);
-        // one may be between the kernel's hands and ours as the address is closed, which no call of the JDK's shows
+        // one may be in the kernel's accept queue when the listener closes, which no call of the JDK shows
         assertTrue(unanswered.toString(), unanswered.size() <= 1);
         assertTrue(program.process.waitFor(10, TimeUnit.SECONDS));
     }
--- a/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
+++ b/src/test/java/wallmoor/net/MigrationConsensusProcessTest.java
@@ -31,14 +31,14 @@
 import wallmoor.standin.DiskNode;
 
 /**
- * Blocks move between real nodes by a plan that real gatherers agree on, carried out by two authors at once; the leader
- * of the voters and an author are killed and cut off, while clients go by what a gatherer says of the plan at each
- * query.
+ * Moves blocks between real nodes by a plan that real gatherers agree on and that two authors carry out concurrently.
+ * The leader of the voters and an author are killed or cut off, while clients route each query by the plan that a
+ * gatherer reports.
  */
 public class MigrationConsensusProcessTest {
     private static final long TERM_MILLIS = 1_500;
-    private static final long LONGEST_QUERY = 200;
-    private static final int MANY = 900;
+    private static final long LONGEST_QUERY_MILLIS = 200;
+    private static final int TOO_MANY_BLOCKS = 900;
 
     @Rule
     public TemporaryFolder folder = new TemporaryFolder();
@@ -46,13 +46,13 @@
     private RulesGroup group;
     private final List<String> logOfA = Collections.synchronizedList(new ArrayList<>());
     private final List<String> logOfB = Collections.synchronizedList(new ArrayList<>());
-    private final List<Process> movers = new ArrayList<>();
+    private final List<Process> authors = new ArrayList<>();
 
     @Before
     public void start() throws Exception {
         fleet = new DiskFleet(folder.newFolder().toPath(), 1);
-        fleet.settleMillis = TERM_MILLIS + LONGEST_QUERY;
-        fleet.planSource = this::byGatherer;
+        fleet.settleMillis = TERM_MILLIS + LONGEST_QUERY_MILLIS;
+        fleet.planSource = this::readPlanFromGatherer;
         group = new RulesGroup(folder.newFolder().toPath(), 4, RulesGroup.VOTERS, TERM_MILLIS, "plan", n -> "");
         fleet.startAll(true);
         fleet.startClients(2);
@@ -60,135 +60,140 @@
 
     @After
     public void end() throws Exception {
-        movers.forEach(p -> p.destroyForcibly().onExit().join());
+        authors.forEach(p -> p.destroyForcibly().onExit().join());
         fleet.close();
         if (group != null) {
             group.close();
         }
     }
 
-    /** As one that routes by the plan would: what it goes by now, careful where a version waits to act. */
-    private DiskFleet.KnownPlan byGatherer(Random random) throws IOException {
-        try (var asker = new Socket("127.0.0.1", group.all.get(random.nextInt(4)).control)) {
-            asker.setSoTimeout(2_000);
-            asker.getOutputStream().write("{\"do\":\"show\",\"name\":\"plan\"}\n".getBytes(StandardCharsets.US_ASCII));
-            byte[] said = asker.getInputStream().readAllBytes();
-            Json.Obj o = Json.object(said, 0, said.length);
-            boolean leased = o.number("lease_ms", 0) > 0;
-            return o.text("basis").equals("none") || !leased ? null
-                    : new DiskFleet.KnownPlan((long) o.number("from", 0),
-                            MigrationPlan.decode(DocumentSchemas.PLAN.parse(o.text("body"))),
-                            leased);
+    /** Reads the plan that a random gatherer has in effect, as a router does; null where it has no plan or no lease. */
+    private DiskFleet.KnownPlan readPlanFromGatherer(Random random) throws IOException {
+        try (var connection = new Socket("127.0.0.1", group.all.get(random.nextInt(4)).control)) {
+            connection.setSoTimeout(2_000);
+            connection.getOutputStream()
+                    .write("{\"do\":\"show\",\"name\":\"plan\"}\n".getBytes(StandardCharsets.US_ASCII));
+            byte[] response = connection.getInputStream().readAllBytes();
+            Json.Obj shown = Json.object(response, 0, response.length);
+            boolean isLeased = shown.number("lease_ms", 0) > 0;
+            return shown.text("basis").equals("none") || !isLeased ? null
+                    : new DiskFleet.KnownPlan((long) shown.number("from", 0),
+                            MigrationPlan.decode(DocumentSchemas.PLAN.parse(shown.text("body"))),
+                            isLeased);
         } catch (Json.Malformed e) {
-            throw new IOException(e); // it was killed as it answered
+            throw new IOException(e); // the gatherer was killed while it answered
         } catch (InvalidRuleException | UnreadablePlanException e) {
             throw new AssertionError(e);
         }
     }
 
-    private String[] at(int... gatherers) {
+    private String[] rulesOption(int... gatherers) {
         return new String[] {"--rules", IntStream.of(gatherers).mapToObj(g -> "127.0.0.1:" + group.all.get(g).control)
                 .collect(Collectors.joining(","))};
     }
 
-    private Console rebalance(int at, String... words) {
-        var line = new ArrayList<>(List.of("rebalance"));
-        line.addAll(List.of(words));
-        line.addAll(List.of(at(at)));
-        return Console.run(line.toArray(String[]::new));
+    private Console rebalance(int gatherer, String... words) {
+        var command = new ArrayList<>(List.of("rebalance"));
+        command.addAll(List.of(words));
+        command.addAll(List.of(rulesOption(gatherer)));
+        return Console.run(command.toArray(String[]::new));
     }
 
-    private Process mover(List<String> log, int... gatherers) throws IOException {
-        Process p = fleet.startCoordinator(log, at(gatherers));
-        movers.add(p);
-        return p;
+    private Process startAuthor(List<String> log, int... gatherers) throws IOException {
+        Process author = fleet.startCoordinator(log, rulesOption(gatherers));
+        authors.add(author);
+        return author;
     }
 
-    /** What can't be agreed on, or would drop what somebody may still read, is told before anything is proposed. */
-    private void refusedBeforeAnythingMoves() throws Exception {
-        Path big = folder.newFile("big.yaml").toPath();
-        String text = Files.readString(fleet.file) + IntStream.range(0, MANY)
+    /**
+     * Checks that a plan too large to agree on, and one that drops copies which a query may still read, are rejected
+     * before anything is proposed.
+     */
+    private void assertInvalidPlansAreRejected() throws Exception {
+        Path plan = folder.newFile("big.yaml").toPath();
+        String text = Files.readString(fleet.file) + IntStream.range(0, TOO_MANY_BLOCKS)
                 .mapToObj(i -> "- {id: " + "b".repeat(100) + i + ", mb: 1, on: [a, b]}\n")
                 .collect(Collectors.joining());
-        Files.writeString(big, text);
-        Console large = rebalance(3, "start", big.toString());
-        assertEquals(large.err(), 2, large.code());
-        assertTrue(large.err(), large.err().contains("gatherers agree on 524288 at most"));
-        Files.writeString(big, Files.readString(fleet.file).replace("settle: " + fleet.settleMillis, "settle: 1699"));
-        Console soon = rebalance(3, "start", big.toString());
-        assertEquals(soon.err(), 2, soon.code());
-        assertTrue(soon.err(), soon.err().contains("set it to 1700ms at least"));
+        Files.writeString(plan, text);
+        Console tooLarge = rebalance(3, "start", plan.toString());
+        assertEquals(tooLarge.err(), 2, tooLarge.code());
+        assertTrue(tooLarge.err(), tooLarge.err().contains("gatherers agree on 524288 at most"));
+        Files.writeString(plan, Files.readString(fleet.file).replace("settle: " + fleet.settleMillis, "settle: 1699"));
+        Console tooShortSettle = rebalance(3, "start", plan.toString());
+        assertEquals(tooShortSettle.err(), 2, tooShortSettle.code());
+        assertTrue(tooShortSettle.err(), tooShortSettle.err().contains("set it to 1700ms at least"));
         assertEquals(2, rebalance(3, "pause").code());
         assertEquals("", group.all.get(3).rules("history", "plan").out());
     }
 
-    /** What lies on the nodes' disks of blocks that are not whole. */
-    private long filling() throws IOException {
+    /** Returns the number of bytes of incomplete blocks on the disks of all nodes. */
+    private long incompleteBlockBytes() throws IOException {
         long bytes = 0;
         for (String node : fleet.ports.keySet()) {
-            for (ReplicaRecord h : DiskNode.holds(fleet.dir.resolve(node)).values()) {
-                bytes += h.state() == ReplicaRecord.ReplicaState.FILLING
-                        ? h.sizeBytes() - (long) h.missingChunks().size() * h.chunkBytes() : 0;
+            for (ReplicaRecord replica : DiskNode.holds(fleet.dir.resolve(node)).values()) {
+                bytes += replica.state() == ReplicaRecord.ReplicaState.FILLING
+                        ? replica.sizeBytes() - (long) replica.missingChunks().size() * replica.chunkBytes() : 0;
             }
         }
         return bytes;
     }
 
     @Test
-    public void twoAuthorsReachTheGoalWhileTheyAndTheVotersLeadersAreKilledAndCutOff() throws Exception {
+    public void completesThePlanWhileAuthorsAndLeadersAreKilledOrCutOff() throws Exception {
         fleet.writeFleetFile(3);
-        refusedBeforeAnythingMoves();
-        Process a = mover(logOfA, 0, 1);
-        Process b = mover(logOfB, 2, 1);
+        assertInvalidPlansAreRejected();
+        Process a = startAuthor(logOfA, 0, 1);
+        Process b = startAuthor(logOfB, 2, 1);
         Program.await("copying", () -> rebalance(3, "explain", "x").out().contains("fetches chunks"));
 
         assertEquals(0, rebalance(3, "pause").code());
         assertTrue(rebalance(0, "status").out().startsWith("paused"));
-        Thread.sleep(300); // a chunk may be out
-        long there = filling();
+        Thread.sleep(300); // a chunk may be in flight
+        long bytesBefore = incompleteBlockBytes();
         Thread.sleep(400);
-        assertEquals(there, filling());
+        assertEquals(bytesBefore, incompleteBlockBytes());
         assertEquals(0, rebalance(2, "resume").code());
 
         int killed = group.leader();
-        group.isolate(3, true); // its lease holds the next step up
+        group.isolate(3, true); // the next step must wait until the lease of this gatherer expires
         int other = (killed + 1) % RulesGroup.VOTERS;
-        group.await("a step is accepted and does not act", l -> l.to() > l.from(), other);
+        group.await("a step is accepted but not in effect", l -> l.to() > l.from(), other);
         group.all.get(killed).kill();
         group.relay.heal();
         a.destroyForcibly().onExit().join();
-        a = mover(logOfA, other);
-        long seen = group.all.get(other).lastObservation.to();
-        group.await("its step or a rival's acts", l -> l.acts() && l.from() >= seen, other);
+        a = startAuthor(logOfA, other);
+        long pendingVersion = group.all.get(other).lastObservation.to();
+        group.await("this step or a competing one is in effect", l -> l.acts() && l.from() >= pendingVersion, other);
         group.all.get(killed).start();
-        group.await("it is back", l -> l.acts() && l.from() >= seen, killed);
+        group.await("the restarted voter follows", l -> l.acts() && l.from() >= pendingVersion, killed);
 
         int cut = group.leader();
         group.isolate(cut, true);
         long before = group.all.get(3).lastObservation.from();
-        // how soon the others find a leader is RulesTest's: here it is cut off for three terms at most
+        // RulesTest checks how soon the others elect a leader; here the old one is cut off for at most three terms
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(3 * TERM_MILLIS);
-        for (RulesGroup.RuleObservation l = group.all.get(3).lastObservation; System.nanoTime() < until
-                && (l == null || l.from() <= before); l = group.all.get(3).lastObservation) {
+        for (RulesGroup.RuleObservation last = group.all.get(3).lastObservation; System.nanoTime() < until
+                && (last == null || last.from() <= before); last = group.all.get(3).lastObservation) {
             Thread.sleep(20);
         }
         group.relay.heal();
 
         for (Process p : List.of(a, b)) {
-            assertTrue(said(), p.waitFor(60, TimeUnit.SECONDS));
-            assertEquals(said(), 0, p.exitValue());
+            assertTrue(describe(), p.waitFor(60, TimeUnit.SECONDS));
+            assertEquals(describe(), 0, p.exitValue());
         }
         fleet.verifyInvariants();
-        for (ReplicaRecord h : DiskNode.holds(fleet.dir.resolve("a")).values()) {
-            assertEquals(ReplicaRecord.ReplicaState.ABSENT, h.state());
+        for (ReplicaRecord replica : DiskNode.holds(fleet.dir.resolve("a")).values()) {
+            assertEquals(ReplicaRecord.ReplicaState.ABSENT, replica.state());
         }
         assertTrue(rebalance(3, "status").out().startsWith("finished"));
-        assertTrue("each won and lost: " + said(), said().contains("proposed first on the same parent"));
+        assertTrue("an author lost to a competing proposal: " + describe(),
+                describe().contains("proposed first on the same parent"));
     }
 
-    private String said() {
+    private String describe() {
         return String.join("\n", logOfA) + "\n" + String.join("\n", logOfB) + "\n" + rebalance(3, "status").out()
-                + Arrays.toString(movers.stream().map(Process::isAlive).toArray())
-                + group.all.stream().map(o -> "\nm" + o.number + ' ' + o.lastObservation).collect(Collectors.joining());
+                + Arrays.toString(authors.stream().map(Process::isAlive).toArray())
+                + group.all.stream().map(g -> "\nm" + g.number + ' ' + g.lastObservation).collect(Collectors.joining());
     }
 }
--- a/src/test/java/wallmoor/net/PlatformTest.java
+++ b/src/test/java/wallmoor/net/PlatformTest.java
@@ -13,40 +13,40 @@
 import org.junit.After;
 import org.junit.Test;
 
-/** The real program as a process, spoken to as clients, workers and discovery would. */
+/** The real program as a process, between stand-ins for clients, workers and discovery. */
 public class PlatformTest {
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private Program program;
     private StandIn.Discovery discovery;
 
-    private StandIn.Worker worker(Function<String, String> answer) throws IOException {
+    private StandIn.Worker startWorker(Function<String, String> answer) throws IOException {
         var worker = new StandIn.Worker(answer);
-        open.add(worker);
+        resources.add(worker);
         return worker;
     }
 
     /** Shards 0 and 2 are in cell 0, shards 1 and 3 in cell 1. */
     private void start(String... members) throws Exception {
         discovery = new StandIn.Discovery();
-        open.add(discovery);
+        resources.add(discovery);
         program = new Program(discovery.port(), String.join(",", members), null);
-        open.add(program);
+        resources.add(program);
     }
 
     @After
     public void stop() throws Exception {
-        for (AutoCloseable o : open) {
-            o.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
     }
 
     @Test
-    public void aQueryIsSplitAndAnswered() throws Exception {
-        var even = worker(id -> "ok");
-        var odd = worker(id -> "ok");
+    public void splitsAndAnswersQueries() throws Exception {
+        var even = startWorker(id -> "ok");
+        var odd = startWorker(id -> "ok");
         start(even.member("a", 0, "SERVING"), odd.member("b", 1, "SERVING"));
         try (var client = new Client(program.port)) {
-            // links are poor: a request in pieces is ordinary
+            // poor links often deliver a request in pieces
             String query = Client.query("q1", "all", 1900, 0, 1);
             for (int i = 0; i < query.length(); i += 40) {
                 client.send(query.substring(i, Math.min(query.length(), i + 40)));
@@ -64,12 +64,12 @@
             assertEquals("{\"complete\":true,\"hits\":[{\"shard\":3,\"doc\":\"vq2.3\"}]}", client.answer().body);
         }
         assertTrue(even.seen.get(1).matches("(?s)Qq1\\.0 0 d=\\d+ 8\nc41e77d0"));
-        assertEquals("one connection carries all", 1, odd.count("open"));
+        assertEquals("one connection carries all parts", 1, odd.count("open"));
     }
 
     @Test
-    public void badInputIsNamedAndEndsNothingElse() throws Exception {
-        start(worker(id -> "ok").member("a", 0, "SERVING"));
+    public void rejectsBadInputAndKeepsServing() throws Exception {
+        start(startWorker(id -> "ok").member("a", 0, "SERVING"));
         String[] bad = {"nonsense\r\n\r\n", "POST /api HTTP/1.1\r\nContent-Length: x\r\n\r\n",
             "POST /api HTTP/1.1\r\nContent-Length: 99999\r\n\r\n", "POST /api HTTP/1.1\r\nno colon\r\n\r\n",
             "POST /api HTTP/1.1\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -87,67 +87,67 @@
     }
 
     @Test
-    public void aFailedPartIsResentOnlyWhereItsClassAllows() throws Exception {
+    public void resendsFailedPartOnlyWhereItsClassAllows() throws Exception {
         var fails = new AtomicInteger();
         Function<String, String> first = id -> id.startsWith("busy") && fails.incrementAndGet() == 1 ? "busy"
                 : id.startsWith("err") && fails.incrementAndGet() == 1 ? "err"
                         : id.startsWith("break") && fails.incrementAndGet() == 1 ? "break"
                                 : id.startsWith("garbage") && fails.incrementAndGet() == 1 ? "garbage" : "ok";
-        var one = worker(first);
-        var other = worker(first);
+        var one = startWorker(first);
+        var other = startWorker(first);
         start(one.member("a", 0, "SERVING"), other.member("b", 0, "SERVING"));
-        // an error may have run; a broken connection and a bad frame end the part too
+        // a part that failed with an error may have run; a broken connection and a bad frame also fail the part
         for (String end : new String[] {"err", "break", "garbage"}) {
-            Program.await("both in reach again", () -> served());
+            Program.await("both workers are in use again", () -> isEveryQueryServed());
             fails.set(0);
             assertEquals(end, 200, Client.post(program.port, end + "1", "all", 1900, 0).status);
-            Program.await("both in reach again", () -> served());
+            Program.await("both workers are in use again", () -> isEveryQueryServed());
             fails.set(0);
             assertEquals(end, 502, Client.post(program.port, end + "2", "once", 1900, 0).status);
             assertEquals("sent once", 1, one.count("Q" + end + "2") + other.count("Q" + end + "2"));
         }
-        Program.await("both in reach again", () -> served());
-        fails.set(0); // turned away: it never ran, and may go elsewhere whatever its class
+        Program.await("both workers are in use again", () -> isEveryQueryServed());
+        fails.set(0); // a part refused as busy never ran, so any class allows another worker
         assertEquals(200, Client.post(program.port, "busy1", "once", 1900, 0).status);
     }
 
     @Test
-    public void aSilentWorkersPartIsCalledOffBeforeItGoesElsewhere() throws Exception {
+    public void cancelsPartAtSilentWorkerBeforeResendingIt() throws Exception {
         List<String> order = java.util.Collections.synchronizedList(new ArrayList<>());
         var silent = new AtomicInteger();
         Function<String, String> answer = id -> {
             order.add(id);
             return silent.getAndIncrement() == 0 ? null : "ok";
         };
-        var one = worker(answer);
-        var other = worker(answer);
+        var one = startWorker(answer);
+        var other = startWorker(answer);
         start(one.member("a", 0, "SERVING"), other.member("b", 0, "SERVING"));
         assertEquals(200, Client.post(program.port, "s", "all", 1900, 0).status);
         assertEquals(List.of("s.0", "s.0"), order);
-        // a second copy must never be out: the end of the first was written before the second
-        Program.await("the end of the first", () -> one.count("Xs.0") + other.count("Xs.0") == 1);
+        // two copies must never run at once: the first is cancelled before the second is sent
+        Program.await("the first copy is cancelled", () -> one.count("Xs.0") + other.count("Xs.0") == 1);
     }
 
     @Test
-    public void aPartGoesBackToAWorkerOverAnotherConnection() throws Exception {
-        // a late answer to the attempt called off must not be taken for one to the new attempt
+    public void resendsPartToTheSameWorkerOverNewConnection() throws Exception {
+        // a late answer to the cancelled attempt must not be taken for an answer to the new one
         var calls = new AtomicInteger();
         Function<String, String> answer = id -> id.startsWith("z") ? null : switch (calls.getAndIncrement()) {
             case 0 -> null;
             case 1 -> "break";
             default -> "ok";
         };
-        var one = worker(answer);
-        var other = worker(answer);
+        var one = startWorker(answer);
+        var other = startWorker(answer);
         start(one.member("a", 0, "SERVING"), other.member("b", 0, "SERVING"));
         var client = new Client(program.port).send(Client.query("b", "all", 1900, 0));
-        open.add(client);
-        Program.await("the part", () -> calls.get() == 1);
-        Thread.sleep(150); // the others' silence is to be noticed after that of the first, in another sweep
-        for (int i = 0; i < 4; i++) { // others stay out there: the connection is not idle
-            open.add(new Client(program.port).send(Client.query("z" + i, "once", 1900, 0)));
+        resources.add(client);
+        Program.await("the part is sent", () -> calls.get() == 1);
+        Thread.sleep(150); // the silence of the other parts must be detected in a later sweep than that of the first
+        for (int i = 0; i < 4; i++) { // unanswered parts keep the connection from being idle
+            resources.add(new Client(program.port).send(Client.query("z" + i, "once", 1900, 0)));
         }
-        Program.await("the others", () -> one.count("Qz") + other.count("Qz") == 4);
+        Program.await("the other parts are sent", () -> one.count("Qz") + other.count("Qz") == 4);
         assertEquals(200, client.answer().status);
         var first = one.count("Xb.0") == 1 ? one : other;
         assertEquals(2, first.count("Qb.0"));
@@ -155,31 +155,31 @@
     }
 
     @Test
-    public void anAnswerComesBeforeTheDeadlineAndCallsAllOff() throws Exception {
-        var silent = worker(id -> null);
+    public void answersBeforeTheDeadlineAndCancelsTheParts() throws Exception {
+        var silent = startWorker(id -> null);
         start(silent.member("a", 0, "SERVING"));
         long sent = System.nanoTime();
         int status = Client.post(program.port, "d", "once", 700, 0).status;
         long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - sent);
         assertEquals(504, status);
-        assertTrue("answered after " + took + " ms", took < 770); // the rules' grace and slack
-        Program.await("the end of the part", () -> silent.count("Xd.0") == 1);
+        assertTrue("answered after " + took + " ms", took < 770); // the deadline, its grace and some slack
+        Program.await("the part is cancelled", () -> silent.count("Xd.0") == 1);
     }
 
     @Test
-    public void aClientThatLeavesHasItsPartsCalledOff() throws Exception {
-        var silent = worker(id -> null);
+    public void cancelsPartsOfClientThatDisconnects() throws Exception {
+        var silent = startWorker(id -> null);
         start(silent.member("a", 0, "SERVING"));
         try (var client = new Client(program.port)) {
             client.send(Client.query("g", "once", 1900, 0));
-            Program.await("the part", () -> silent.count("Qg.0") == 1);
+            Program.await("the part is sent", () -> silent.count("Qg.0") == 1);
         }
-        Program.await("its end", () -> silent.count("Xg.0") == 1);
+        Program.await("the part is cancelled", () -> silent.count("Xg.0") == 1);
     }
 
     @Test
-    public void whatCannotBeServedIsRefusedAtOnceWithATimeToComeBack() throws Exception {
-        start(worker(id -> "ok").member("a", 0, "SERVING"));
+    public void refusesUnservableQueryAtOnceWithRetryAfter() throws Exception {
+        start(startWorker(id -> "ok").member("a", 0, "SERVING"));
         long sent = System.nanoTime();
         var answer = Client.post(program.port, "r", "all", 1900, 1);
         assertEquals(503, answer.status);
@@ -188,12 +188,12 @@
     }
 
     @Test
-    public void aDrainStopsSendsAndADeadWatchIsResumed() throws Exception {
-        var one = worker(id -> "ok");
-        var other = worker(id -> "ok");
+    public void stopsSendingToDrainingWorkerAndResumesDeadWatch() throws Exception {
+        var one = startWorker(id -> "ok");
+        var other = startWorker(id -> "ok");
         start(one.member("a", 0, "SERVING"), other.member("b", 0, "SERVING"));
-        Program.await("a watch", () -> discovery.count("GET /api/targets?stream=1&index=41") == 1);
-        Thread.sleep(100); // the watch is in the stand-in's hands a little after its request line is
+        Program.await("the watch is open", () -> discovery.count("GET /api/targets?stream=1&index=41") == 1);
+        Thread.sleep(100); // the stand-in registers the watch shortly after it has read the request line
         discovery.say("{\"revision\":43,\"complete\":false,\"members\":[" + one.member("a", 0, "DRAINING") + "]}");
         Thread.sleep(1500);
         long before = one.count("Q");
@@ -201,72 +201,72 @@
             assertEquals(200, Client.post(program.port, "q" + i, "all", 1900, 0).status);
         }
         assertEquals(before, one.count("Q"));
-        // a machine cut off says nothing: without lines the watch is dead, and goes on from the last revision
+        // a machine that is cut off sends no lines: the watch counts as dead and resumes from the last revision
         discovery.silent = true;
         Program.await("a new watch", () -> discovery.count("GET /api/targets?stream=1&index=43") > 0);
     }
 
     @Test
-    public void aNewConfigurationMovesTheWatchAndEndsNothing() throws Exception {
-        var one = worker(id -> {
+    public void movesTheWatchOnReloadAndKeepsQueriesInFlight() throws Exception {
+        var one = startWorker(id -> {
             sleep(700);
             return "ok";
         });
-        var other = worker(id -> "ok");
+        var other = startWorker(id -> "ok");
         start(one.member("a", 0, "SERVING"));
         try (var client = new Client(program.port); var next = new StandIn.Discovery()) {
             client.send(Client.query("h", "all", 1900, 0));
-            Program.await("the part", () -> one.count("Qh.0") == 1);
+            Program.await("the part is sent", () -> one.count("Qh.0") == 1);
             program.reload(0,
                     "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"nowhere\",\"settings\":" + Program.SETTINGS + "}");
-            Program.await("the key",
+            Program.await("the rejected key is logged",
                     () -> program.log.stream().anyMatch(l -> l.contains("kept") && l.contains("discovery")));
             next.list = "{\"revision\":7,\"complete\":true,\"members\":[" + other.member("b", 0, "SERVING")
-                    + "\n    ".repeat(20_000) + "]}"; // indented, a list of some hundred nodes is over 64 KiB
+                    + "\n    ".repeat(20_000) + "]}"; // an indented list of some hundred nodes exceeds 64 KiB
             program.reload(next.port(), null);
-            // version 41 of the old discovery means nothing at the new one: the whole list, then what follows on it
-            Program.await("a watch there", () -> next.count("GET /api/targets?stream=1&index=7") == 1);
-            assertEquals("what was out goes on", 200, client.answer().status);
+            // revision 41 of the old discovery is unknown to the new one: the full list is read first, then its updates
+            Program.await("the watch is open there", () -> next.count("GET /api/targets?stream=1&index=7") == 1);
+            assertEquals("the query in flight is answered", 200, client.answer().status);
             assertEquals(200, client.send(Client.query("n", "all", 1900, 0)).answer().status);
-            assertEquals("only the new list's worker is asked", 1, other.count("Qn.0"));
+            assertEquals("only the worker of the new list receives the part", 1, other.count("Qn.0"));
             discovery.close();
         }
         assertTrue(program.process.isAlive());
     }
 
     @Test
-    public void anIdleConnectionIsRetiredBeforeTheWorkerClosesIt() throws Exception {
-        var one = worker(id -> "ok");
+    public void closesIdleConnectionBeforeTheWorkerDoes() throws Exception {
+        var one = startWorker(id -> "ok");
         start(one.member("a", 0, "SERVING"));
         assertEquals(200, Client.post(program.port, "i1", "all", 1900, 0).status);
-        Program.await("its end", () -> one.count("closed") == 1);
+        Program.await("the connection is closed", () -> one.count("closed") == 1);
         assertEquals(200, Client.post(program.port, "i2", "once", 1900, 0).status);
         assertEquals(2, one.count("open"));
     }
 
     @Test
-    public void whatIsTakenBeforeTheEndIsAnswered() throws Exception {
-        var slow = worker(id -> {
+    public void answersQueriesAcceptedBeforeShutdown() throws Exception {
+        var slow = startWorker(id -> {
             sleep(id.startsWith("e") ? 200 : 0);
             return "ok";
         });
         start(slow.member("a", 0, "SERVING"));
-        try (var early = new Client(program.port); var kept = new Client(program.port)) {
-            assertEquals(200, kept.send("GET /-/ready HTTP/1.1\r\n\r\n").answer().status);
+        try (var early = new Client(program.port); var persistent = new Client(program.port)) {
+            assertEquals(200, persistent.send("GET /-/ready HTTP/1.1\r\n\r\n").answer().status);
             early.send(Client.query("e", "all", 1900, 0));
-            Program.await("the part", () -> slow.count("Qe.0") == 1);
-            program.process.toHandle().destroy(); // and not its streams, as Process.destroy would
+            Program.await("the part is sent", () -> slow.count("Qe.0") == 1);
+            program.process.toHandle().destroy(); // Process.destroy would also close the streams
             Program.await("the signal", () -> program.log.stream().anyMatch(l -> l.contains("told to leave")));
             assertEquals(503, Client.get(program.port, "/-/ready").status);
             assertEquals(200, early.answer().status);
-            Thread.sleep(1000); // who takes over may not be there yet: connections are served for longer than 0.7 s
-            assertEquals(200, kept.send(Client.query("l", "all", 1900, 0)).answer().status);
+            Thread.sleep(1000); // the successor may not be ready yet: connections are served for longer than 0.7 s
+            assertEquals(200, persistent.send(Client.query("l", "all", 1900, 0)).answer().status);
         }
         assertTrue(program.process.waitFor(10, TimeUnit.SECONDS));
     }
 
     @Test
-    public void aBadConfigurationNamesItsKey() throws Exception {
+    public void namesTheKeyOfBadConfiguration() throws Exception {
         String good = "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:1\",\"settings\":" + Program.SETTINGS
                 + "}";
         String[][] bad = {{good.replace("\"Round\":5000", "\"Round\":\"soon\""), "Round"},
@@ -276,15 +276,15 @@
         for (String[] b : bad) {
             Process process = Program.launch(b[0], null);
             assertTrue(process.waitFor(15, TimeUnit.SECONDS));
-            List<String> said = new String(process.getErrorStream().readAllBytes(), UTF_8).lines().toList();
-            assertEquals(said.toString(), 2, process.exitValue());
-            assertEquals(said.toString(), 1, said.size());
-            assertTrue(said.get(0), said.get(0).contains(b[1]));
+            List<String> errorLines = new String(process.getErrorStream().readAllBytes(), UTF_8).lines().toList();
+            assertEquals(errorLines.toString(), 2, process.exitValue());
+            assertEquals(errorLines.toString(), 1, errorLines.size());
+            assertTrue(errorLines.get(0), errorLines.get(0).contains(b[1]));
         }
     }
 
-    /** Whether each of many queries is served: a worker that failed is left alone for a while. */
-    private boolean served() {
+    /** Returns whether several queries in a row are served: a worker that failed is not used for a while. */
+    private boolean isEveryQueryServed() {
         for (int i = 0; i < 8; i++) {
             try {
                 if (Client.post(program.port, "w" + System.nanoTime(), "all", 1900, 0).status != 200) {
--- a/src/test/java/wallmoor/net/Program.java
+++ b/src/test/java/wallmoor/net/Program.java
@@ -14,7 +14,7 @@
 import java.util.function.BooleanSupplier;
 import wallmoor.standin.Ports;
 
-/** The real program as a process, with a configuration of the test's. */
+/** The real program as a process, with the configuration that a test supplies. */
 final class Program implements java.io.Closeable {
     static final String SETTINGS = """
             {"Instances":1,"Position":0,"Az":0,"Dcs":["east","west"],"Kinds":["k"],"Round":5000,"Discovery":"subscribe",
@@ -39,22 +39,27 @@
 
     private final int sockets;
 
-    /** Starts it with these members known; {@code operator} is the operators' file, or null. */
+    /**
+     * Starts the program with the members that it knows at start and 1024 descriptors.
+     *
+     * @param discovery the port of discovery
+     * @param operator  the operators' file, or null
+     */
     Program(int discovery, String members, Path operator) throws Exception {
         this(discovery, members, operator, 1024);
     }
 
-    /** Starts it with so many descriptors in its limits. */
+    /** Starts the program with a limit of descriptors. */
     Program(int discovery, String members, Path operator, int sockets) throws Exception {
         this(discovery, members, operator, sockets, "subscribe");
     }
 
-    /** Starts it where lists come in this way ({@code Discovery} in the settings). */
-    Program(int discovery, String members, Path operator, int sockets, String way) throws Exception {
+    /** Starts the program with a discovery mode, which is the value of {@code Discovery} in the settings. */
+    Program(int discovery, String members, Path operator, int sockets, String discoveryMode) throws Exception {
         port = Ports.free();
         this.sockets = sockets;
         Files.writeString(file, config("t", SEED, port, discovery, members, sockets)
-                .replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"" + way + "\""));
+                .replace("\"Discovery\":\"subscribe\"", "\"Discovery\":\"" + discoveryMode + "\""));
         process = launch(file, operator);
         read(process, log);
         await("ready", () -> {
@@ -66,7 +71,7 @@
         });
     }
 
-    /** What a process says on standard error, a line at a time. */
+    /** Starts a thread that adds each line of a process's standard error to the log. */
     static void read(Process process, List<String> log) {
         var reader = new Thread(() -> {
             try (var lines = new BufferedReader(new InputStreamReader(process.getErrorStream(), UTF_8))) {
@@ -79,7 +84,7 @@
         reader.start();
     }
 
-    /** A configuration; those of a group need a seed each, or they would be in step. */
+    /** Returns a configuration. Gatherers of a group need different seeds, or they would act in lockstep. */
     static String config(String name, long seed, int port, int discovery, String members, int sockets) {
         return "{\"name\":\"" + name + "\",\"listen\":\"127.0.0.1:" + port + "\",\"discovery\":\"127.0.0.1:" + discovery
                 + "\",\"seed\":\"" + Long.toHexString(seed) + "\",\"limits\":{\"sockets\":" + sockets
@@ -87,23 +92,28 @@
                 + SETTINGS + "}";
     }
 
-    /** The configuration with an operators' address. */
+    /** Returns the configuration with an operators' address on this port added. */
     static String withAdmin(String config, int admin) {
         return "{\"admin_addr\":\"127.0.0.1:" + admin + "\"," + config.substring(1);
     }
 
-    /** Replaces the configuration by one with this discovery, or by the text given, and says so by SIGHUP. */
-    void reload(int discovery, String instead) throws Exception {
-        Files.writeString(file, instead != null ? instead : config("t", SEED, port, discovery, "", sockets));
+    /**
+     * Replaces the configuration file and sends SIGHUP.
+     *
+     * @param discovery   the port of discovery in the new configuration
+     * @param replacement the text to write in place of that configuration, or null
+     */
+    void reload(int discovery, String replacement) throws Exception {
+        Files.writeString(file, replacement != null ? replacement : config("t", SEED, port, discovery, "", sockets));
         hangUp();
     }
 
-    /** SIGHUP: the files are read again. */
+    /** Sends SIGHUP, on which the program reads its files again. */
     void hangUp() throws Exception {
         signal(process, "HUP");
     }
 
-    /** Sends a signal, by its name without SIG. */
+    /** Sends a signal, whose name is given without {@code SIG}. */
     static void signal(Process process, String name) throws Exception {
         new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor();
     }
@@ -122,18 +132,18 @@
         return builder.start();
     }
 
-    /** The command that serves. */
+    /** Returns the command that starts the program as a server. */
     static List<String> command() {
         return List.of(ProcessHandle.current().info().command().orElse("java"), "-Xmx96m", "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "wallmoor.Main", "serve");
     }
 
-    /** Waits for something that must come, for long enough on a slow machine. */
-    static void await(String what, BooleanSupplier came) throws InterruptedException {
+    /** Waits at most 15 s, which is enough on a slow machine, until a condition holds. */
+    static void await(String event, BooleanSupplier condition) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(15);
-        while (!came.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("did not come: " + what);
+                throw new AssertionError("not within 15 s: " + event);
             }
             Thread.sleep(10);
         }
--- a/src/test/java/wallmoor/net/PruneSettingsTest.java
+++ b/src/test/java/wallmoor/net/PruneSettingsTest.java
@@ -17,7 +17,10 @@
 import wallmoor.rules.DocumentSchemas;
 import wallmoor.standin.Ports;
 
-/** The section {@code summaries}: faults by key and line, and nothing of it in the program where it is absent. */
+/**
+ * The section {@code summaries} of the operators' file: its faults name the key and line, and none of its classes is
+ * loaded where it is absent.
+ */
 public class PruneSettingsTest {
     private static final String OGC = """
             ogc:
@@ -42,17 +45,17 @@
     }
 
     @Test
-    public void faultsAreToldByKeyAndLine() throws Exception {
-        var good = read(OGC + "summaries:\n  sites: [fs1, fs2]\n").summaries();
-        assertEquals(5000, good.lifetimeMillis());
-        assertEquals(16 << 20, good.memoryBytes());
-        String told = faults(OGC + "summaries:\n  sites: [fs1, fs1]\n  lifetim: 1s\n  poll: 4s\n  checks: {share: 2}\n"
-                + "  most_bytes: 12\n");
+    public void reportsFaultsByKeyAndLine() throws Exception {
+        var valid = read(OGC + "summaries:\n  sites: [fs1, fs2]\n").summaries();
+        assertEquals(5000, valid.lifetimeMillis());
+        assertEquals(16 << 20, valid.memoryBytes());
+        String errors = faults(OGC + "summaries:\n  sites: [fs1, fs1]\n  lifetim: 1s\n  poll: 4s\n"
+                + "  checks: {share: 2}\n  most_bytes: 12\n");
         for (String fault : new String[] {"line 7: summaries.sites: names a host twice",
             "line 8: summaries.lifetim: is unknown; did you mean lifetime?",
             "line 9: summaries.poll: is more than half",
             "line 10: summaries.checks.share: must be a number", "line 11: summaries.most_bytes: must be an integer"}) {
-            assertTrue(told, told.contains(fault));
+            assertTrue(errors, errors.contains(fault));
         }
         assertTrue(faults("summaries: {sites: [a]}\n").contains("line 1: summaries: needs the section ogc"));
         assertTrue(faults(OGC.replace("[city]", "[bbox]"))
@@ -61,16 +64,16 @@
     }
 
     @Test
-    public void theExampleWithRulesAndItsFirstVersionAreRead() throws Exception {
+    public void readsTheExampleWithRulesAndItsFirstVersion() throws Exception {
         var launch = LaunchConfig.read(Map.of("ROUTER_CONFIG", "example/config.json"));
-        OperatorConfig both = OperatorConfig.read(Path.of("example/agreed.yaml"), launch);
-        assertTrue(both.rules().voters().containsKey(launch.name()));
+        OperatorConfig example = OperatorConfig.read(Path.of("example/agreed.yaml"), launch);
+        assertTrue(example.rules().voters().containsKey(launch.name()));
         var version = DocumentSchemas.SUMMARIES.parse(Files.readString(Path.of("example/agreed-summaries.json")));
-        assertTrue(version.containsName("prunable", "fs1") && both.summaries().sites().contains("fs1"));
+        assertTrue(version.containsName("prunable", "fs1") && example.summaries().sites().contains("fs1"));
     }
 
     @Test
-    public void nothingOfItIsLoadedWhereItIsOff() throws Exception {
+    public void loadsNoPruningClassWhereSectionIsAbsent() throws Exception {
         Path classes = folder.getRoot().toPath().resolve("classes");
         int port = Ports.free();
         Path config = folder.getRoot().toPath().resolve("on.json");
@@ -80,12 +83,12 @@
         Files.writeString(operator, OGC.replace("127.0.0.1:1", "127.0.0.1:" + Ports.free()));
         try (var discovery = new StandIn.Discovery()) {
             Files.writeString(config, Program.config("t", 1, port, discovery.port(), "", 64));
-            for (boolean features : new boolean[] {false, true}) {
+            for (boolean hasFeatures : new boolean[] {false, true}) {
                 var command = new ArrayList<>(Program.command());
                 command.add(1, "-Xlog:class+load:file=" + classes);
                 var builder = new ProcessBuilder(command);
                 builder.environment().put("ROUTER_CONFIG", config.toString());
-                if (features) {
+                if (hasFeatures) {
                     builder.environment().put("WALLMOOR_OPERATOR", operator.toString());
                 }
                 Process process = builder.redirectError(ProcessBuilder.Redirect.DISCARD).start();
@@ -99,10 +102,10 @@
                     });
                     String loaded = Files.readString(classes);
                     assertTrue(loaded.contains("wallmoor.service.Service"));
-                    assertEquals(features, loaded.contains("wallmoor.ogc.FeaturesFront"));
-                    for (String none : new String[] {"wallmoor.pruning.", "wallmoor.summaries.",
+                    assertEquals(hasFeatures, loaded.contains("wallmoor.ogc.FeaturesFront"));
+                    for (String absent : new String[] {"wallmoor.pruning.", "wallmoor.summaries.",
                         "wallmoor.ogc.FeatureServerDirectory"}) {
-                        assertTrue(none, !loaded.contains(none));
+                        assertTrue(absent, !loaded.contains(absent));
                     }
                 } finally {
                     process.destroyForcibly().onExit().join();
--- a/src/test/java/wallmoor/net/PruneTest.java
+++ b/src/test/java/wallmoor/net/PruneTest.java
@@ -23,19 +23,19 @@
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
 
-/** Feature servers that promise summaries, and the real program that leaves them out of queries by these. */
+/** Feature servers that lease summaries to the real program, which skips a server whose summary excludes a query. */
 public class PruneTest {
-    private static final String NEVER = "{share: 0}";
-    private static final String ALWAYS = "{share: 1, per_second: 1000, burst: 1000}";
-    private static final Pattern NEXT = Pattern.compile("\"href\":\"http://localhost([^\"]*)\",\"rel\":\"next\"");
+    private static final String NO_CHECKS = "{share: 0}";
+    private static final String CHECK_EVERY_QUERY = "{share: 1, per_second: 1000, burst: 1000}";
+    private static final Pattern NEXT_LINK = Pattern.compile("\"href\":\"http://localhost([^\"]*)\",\"rel\":\"next\"");
     @Rule
     public final TemporaryFolder folder = new TemporaryFolder();
     private RowFleet fleet;
     private RowFleet.Front front;
 
-    /** Four sites, two a process: city-0 in fs0 at 0 degrees and so on, rows 0 to 4 of each. */
+    /** Starts four sites, two in each process, with five rows each: those of fs0 in city-0 at 0 degrees, and so on. */
     @Before
-    public void sites() throws Exception {
+    public void startSites() throws Exception {
         var rows = new ArrayList<String>();
         for (int i = 0; i < 20; i++) {
             int site = i % 4;
@@ -50,15 +50,15 @@
         fleet.close();
     }
 
-    private Client.Answer get(Map<String, String> q) throws IOException {
-        return Client.get(front.port(), RowFleet.target(q, 100));
+    private Client.Answer get(Map<String, String> query) throws IOException {
+        return Client.get(front.port(), RowFleet.target(query, 100));
     }
 
-    /** Promises are held of so many sites. */
-    private void awaitPruned(int least) throws Exception {
-        Program.await("promises of " + least, () -> {
+    /** Waits until the gatherer holds promised summaries of at least this many sites. */
+    private void awaitPruned(int minSites) throws Exception {
+        Program.await("summaries of " + minSites, () -> {
             try {
-                return pruned(get(Map.of("city", "none"))) >= least;
+                return pruned(get(Map.of("city", "none"))) >= minSites;
             } catch (IOException e) {
                 return false;
             }
@@ -66,8 +66,8 @@
     }
 
     private static int pruned(Client.Answer page) {
-        var m = java.util.regex.Pattern.compile("\"pruned\":(\\d+)").matcher(page.body);
-        return m.find() ? Integer.parseInt(m.group(1)) : 0;
+        var matcher = java.util.regex.Pattern.compile("\"pruned\":(\\d+)").matcher(page.body);
+        return matcher.find() ? Integer.parseInt(matcher.group(1)) : 0;
     }
 
     private boolean logged(String text) {
@@ -79,8 +79,8 @@
     }
 
     @Test
-    public void onlySitesThatCanMatchAreAskedAndEachRowComesOnce() throws Exception {
-        front = fleet.gatherer("all", fleet.section(NEVER));
+    public void queriesOnlyMatchingSitesAndReturnsEachRowOnce() throws Exception {
+        front = fleet.gatherer("all", fleet.section(NO_CHECKS));
         awaitPruned(4);
         long before = fleet.parts();
         var page = get(Map.of("city", "city-1"));
@@ -93,23 +93,23 @@
         assertEquals(3, pruned(get(Map.of("datetime", "2026-03-01/2026-03-20"))));
         assertEquals(4, pruned(get(Map.of("city", "city-1", "bbox", "59,-1,61,4"))));
         assertTrue(get(Map.of("city", "none")).body.contains("\"numberReturned\":0,\"complete\":true"));
-        assertEquals("what may be a pattern excludes nothing", 0, pruned(get(Map.of("city", "city*"))));
+        assertEquals("a value that may be a pattern prunes no site", 0, pruned(get(Map.of("city", "city*"))));
         var seen = new ArrayList<String>();
         String target = RowFleet.target(Map.of("bbox", "-1,-1,21,2"), 3);
         for (int pages = 0; target != null; pages++) {
             assertTrue(pages < 10);
             var next = Client.get(front.port(), target);
             seen.addAll(RowFleet.ids(next.body));
-            var m = NEXT.matcher(next.body);
-            target = m.find() ? m.group(1) : null;
+            var matcher = NEXT_LINK.matcher(next.body);
+            target = matcher.find() ? matcher.group(1) : null;
         }
         assertEquals(10, seen.size());
         assertEquals(10, new TreeSet<>(seen).size());
     }
 
     @Test
-    public void theLeastShareCountsOnAllAndAPausedSiteIsNeverTakenToHaveNothing() throws Exception {
-        front = fleet.gatherer("any", fleet.section(NEVER)); // half of the shares is enough for an answer
+    public void countsMinimumShareOverAllSitesAndNeverPrunesPausedSite() throws Exception {
+        front = fleet.gatherer("any", fleet.section(NO_CHECKS)); // this class answers with half of the shares
         awaitPruned(4);
         Program.signal(fleet.processes[0], "STOP");
         try {
@@ -119,7 +119,8 @@
                     + "\"pruning\":{\"asked\":1"));
             assertTrue(page.body, page.body.contains("cursor=1.0"));
             Thread.sleep(Math.max(0, 1200 - (System.nanoTime() - at) / 1_000_000));
-            assertEquals("its promise is over, that of the others is not", 2, pruned(get(Map.of("city", "none"))));
+            assertEquals("only the paused process has expired promises", 2,
+                    pruned(get(Map.of("city", "none"))));
         } finally {
             Program.signal(fleet.processes[0], "CONT");
         }
@@ -127,26 +128,26 @@
         assertEquals(5, RowFleet.ids(get(Map.of("city", "city-1")).body).size());
     }
 
-    /** Each answer is held against the rows that were confirmed before it was asked for, all through pauses. */
+    /** Compares each answer with the rows confirmed before its query was sent, also while processes are paused. */
     @Test
-    public void noRowIsMissedWhoeverWritesAndWhoeverIsPaused() throws Exception {
+    public void missesNoRowDuringWritesAndPauses() throws Exception {
         front = fleet.gatherer("all", fleet.section("{share: 0.02, per_second: 1000, burst: 1000}"));
         awaitPruned(4);
-        var over = new AtomicBoolean();
-        var fault = new AtomicInteger();
-        var told = new ConcurrentLinkedQueue<String>();
+        var isOver = new AtomicBoolean();
+        var incompleteAnswers = new AtomicInteger();
+        var problems = new ConcurrentLinkedQueue<String>();
         var answers = new AtomicInteger();
-        var left = new AtomicInteger();
+        var prunedSites = new AtomicInteger();
         var writes = new AtomicInteger();
         var threads = new ArrayList<Thread>();
         for (int t = 0; t < 4; t++) {
             var random = new Random(t);
-            boolean writer = t < 2;
+            boolean isWriter = t < 2;
             threads.add(new Thread(() -> {
-                while (!over.get()) {
+                while (!isOver.get()) {
                     try {
                         int site = random.nextInt(4);
-                        if (writer) {
+                        if (isWriter) {
                             int n = writes.incrementAndGet();
                             fleet.write(site, "w" + n + ",city-" + random.nextInt(40) + "," + random.nextInt(60) + ","
                                     + random.nextInt(160) + "," + random.nextInt(60) + ",2026-0" + (1
@@ -155,25 +156,25 @@
                             Thread.sleep(30);
                             continue;
                         }
-                        var q = switch (random.nextInt(4)) {
+                        var query = switch (random.nextInt(4)) {
                             case 0 -> Map.of("city", "city-" + random.nextInt(40));
                             case 1 -> Map.of("price", "" + random.nextInt(60));
                             case 2 -> Map.of("datetime", "2026-0" + (1 + random.nextInt(9)) + "-05");
                             default -> Map.of("bbox", random.nextInt(150) + "," + random.nextInt(60) + ",160,60");
                         };
-                        Set<String> expected = fleet.expected(q);
-                        var page = Client.get(front.port(), RowFleet.target(q, 1000));
+                        Set<String> expected = fleet.expected(query);
+                        var page = Client.get(front.port(), RowFleet.target(query, 1000));
                         if (page.status == 200 && page.body.contains("\"complete\":true")) {
                             answers.incrementAndGet();
-                            left.addAndGet(pruned(page));
+                            prunedSites.addAndGet(pruned(page));
                             expected.removeAll(RowFleet.ids(page.body));
                             if (!expected.isEmpty()) {
-                                fault.incrementAndGet();
-                                told.add(q + " lacks " + expected);
+                                incompleteAnswers.incrementAndGet();
+                                problems.add(query + " lacks " + expected);
                             }
                         }
                     } catch (IOException | InterruptedException e) {
-                        told.add(e.toString());
+                        problems.add(e.toString());
                     }
                 }
             }));
@@ -184,32 +185,32 @@
                 front.program().process}) {
                 Thread.sleep(900);
                 Program.signal(paused, "STOP");
-                Thread.sleep(1700); // past its promises: what is written meanwhile is confirmed without it
+                Thread.sleep(1700); // longer than its promises: rows written meanwhile are confirmed without it
                 Program.signal(paused, "CONT");
             }
             Thread.sleep(1500);
         } finally {
-            over.set(true);
+            isOver.set(true);
             for (Thread t : threads) {
                 t.join(10_000);
             }
         }
-        assertEquals(told.toString(), 0, fault.get());
-        assertTrue(answers + " answers, " + left + " left out, " + writes + " writes " + told,
-                answers.get() > 50 && left.get() > 20 && writes.get() > 50);
-        assertFalse("nobody was wronged", logged("is taken out"));
+        assertEquals(problems.toString(), 0, incompleteAnswers.get());
+        assertTrue(answers + " answers, " + prunedSites + " sites pruned, " + writes + " writes " + problems,
+                answers.get() > 50 && prunedSites.get() > 20 && writes.get() > 50);
+        assertFalse("no correct summary is distrusted", logged("is taken out"));
     }
 
     @Test
-    public void aGathererThatWakesPastAPromiseAsksAgain() throws Exception {
-        front = fleet.gatherer("all", fleet.section(NEVER));
+    public void queriesAgainAfterPausePastThePromise() throws Exception {
+        front = fleet.gatherer("all", fleet.section(NO_CHECKS));
         awaitPruned(4);
         Program.signal(front.program().process, "STOP");
         try (var client = new Client(front.port())) {
             long at = System.nanoTime();
             fleet.write(2, "late,city-far,1,170,50,2026-09-09");
             long took = (System.nanoTime() - at) / 1_000_000;
-            assertTrue("it waits for the promise's end, " + took, took >= 300 && took < 1500);
+            assertTrue("the write waits until the promise expires, ms: " + took, took >= 300 && took < 1500);
             client.send("GET " + RowFleet.target(Map.of("city", "city-far"), 10)
                     + " HTTP/1.1\r\nHost: localhost\r\n\r\n");
             Program.signal(front.program().process, "CONT");
@@ -220,10 +221,11 @@
     }
 
     @Test
-    public void aSiteThatWasRestartedConfirmsNothingThatAnOldPromiseExcludes() throws Exception {
-        front = fleet.gatherer("all", fleet.section(NEVER));
+    public void restartedSiteConfirmsNoRowThatAnOldPromiseExcludes() throws Exception {
+        front = fleet.gatherer("all", fleet.section(NO_CHECKS));
         awaitPruned(4);
-        fleet.processes[1].destroyForcibly().onExit().join(); // its summary is still held, and only its rows are kept
+        // the gatherer still holds the summary of the site, which keeps only its rows
+        fleet.processes[1].destroyForcibly().onExit().join();
         Files.writeString(folder.getRoot().toPath().resolve("fs2.csv"), "", java.nio.file.StandardOpenOption.APPEND);
         fleet.launch(1, 2, false);
         var written = CompletableFuture.runAsync(() -> {
@@ -239,17 +241,17 @@
         }
         written.join();
         assertEquals(ids("new"), RowFleet.ids(get(Map.of("city", "city-new")).body));
-        assertTrue("it waits for one lifetime", System.nanoTime() - at > 500_000_000L);
+        assertTrue("the write waits for one lifetime", System.nanoTime() - at > 500_000_000L);
         awaitPruned(4);
         assertEquals(ids("new"), RowFleet.ids(get(Map.of("city", "city-new")).body));
     }
 
     @Test
-    public void aFalseSummaryIsFoundTakenOutToldAndReadmitted() throws Exception {
-        front = fleet.gatherer("all", fleet.section(ALWAYS));
+    public void distrustsFalseSummaryUntilItsSiteIsReadmitted() throws Exception {
+        front = fleet.gatherer("all", fleet.section(CHECK_EVERY_QUERY));
         Thread.sleep(500);
-        fleet.at(3, "/write?past=1", "hidden,city-hidden,1,60,3,2026-04-05");
-        Program.await("it is found", () -> {
+        fleet.post(3, "/write?past=1", "hidden,city-hidden,1,60,3,2026-04-05");
+        Program.await("the false summary is detected", () -> {
             try {
                 get(Map.of("city", "city-hidden"));
                 return logged("the summary of fs3 block rows-3 epoch 1 version 1 excluded rows that it has");
@@ -258,25 +260,26 @@
             }
         });
         String all = Files.readString(front.operator());
-        for (String sites : List.of(all.replace(",fs3]", "]"), all)) { // taken out by the operator, and put back
+        for (String sites : List.of(all.replace(",fs3]", "]"), all)) { // removed by the operator, then added
             Files.writeString(front.operator(), sites);
             front.program().log.clear();
             front.program().hangUp();
             Program.await("SIGHUP", () -> logged("configuration read again"));
-            for (int i = 0; i < 20; i++) { // longer than a promise: nothing of it is held, and it is asked
+            for (int i = 0; i < 20; i++) { // longer than a promise: no summary of the site is held, so it is queried
                 assertEquals(ids("hidden"), RowFleet.ids(get(Map.of("city", "city-hidden")).body));
                 Thread.sleep(50);
             }
-            assertEquals("trusted again, found again", sites.equals(all), logged("the summary of fs3 block rows-3"));
+            assertEquals("only a readmitted site is found wrong again", sites.equals(all),
+                    logged("the summary of fs3 block rows-3"));
         }
     }
 
     @Test
-    public void tornSummariesAreToldAndTheirSiteIsAsked() throws Exception {
-        front = fleet.gatherer("all", fleet.section(NEVER));
+    public void reportsTornSummariesAndQueriesTheirSite() throws Exception {
+        front = fleet.gatherer("all", fleet.section(NO_CHECKS));
         awaitPruned(4);
         for (String mode : List.of("torn", "short", "huge", "kind")) {
-            fleet.at(1, "/mode?is=" + mode, "");
+            fleet.post(1, "/mode?is=" + mode, "");
             Program.await(mode, () -> {
                 try {
                     var page = get(Map.of("city", "none"));
@@ -286,7 +289,7 @@
                 }
             });
             assertEquals(5, RowFleet.ids(get(Map.of("city", "city-1")).body).size());
-            fleet.at(1, "/mode?is=", "");
+            fleet.post(1, "/mode?is=", "");
             awaitPruned(4);
         }
         assertTrue(logged("is torn"));
--- a/src/test/java/wallmoor/net/RestingTest.java
+++ b/src/test/java/wallmoor/net/RestingTest.java
@@ -14,28 +14,28 @@
 import org.junit.Before;
 import org.junit.Test;
 
-/** Connections that rest or say nothing, by hundreds, at the real program: what they cost is counted, not timed. */
+/** Hundreds of idle or silent connections at the real program: their cost is counted in threads, not timed. */
 public class RestingTest {
-    private static final int SILENT = 300;
+    private static final int SILENT_CLIENTS = 300;
 
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private StandIn.Worker worker;
     private Program program;
 
     @Before
     public void start() throws Exception {
         worker = new StandIn.Worker(id -> id.startsWith("hang") ? null : "ok");
-        open.add(worker);
+        resources.add(worker);
         var discovery = new StandIn.Discovery();
-        open.add(discovery);
+        resources.add(discovery);
         program = new Program(discovery.port(), worker.member("a", 0, "SERVING"), null);
-        open.add(0, program);
+        resources.add(0, program);
     }
 
     @After
     public void stop() throws Exception {
-        for (AutoCloseable o : open) {
-            o.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
     }
 
@@ -47,38 +47,39 @@
 
     private Client client() throws IOException {
         var client = new Client(program.port);
-        open.add(client);
+        resources.add(client);
         return client;
     }
 
     @Test
-    public void neitherSilentConnectionsNorThoseBetweenRequestsHaveAThread() throws Exception {
+    public void usesNoThreadForSilentOrIdleConnections() throws Exception {
         assertEquals(200, Client.post(program.port, "first", "all", 1900, 0).status);
         long before = threads();
-        for (int i = 0; i < SILENT; i++) {
+        for (int i = 0; i < SILENT_CLIENTS; i++) {
             client();
         }
         for (int i = 0; i < 50; i++) {
             assertEquals(200, client().send(Client.query("q" + i, "all", 1900, 0)).answer().status);
         }
-        long now = threads();
-        assertTrue("threads " + before + " before, " + now + " with " + SILENT + " silent ones", now < before + 20);
+        long during = threads();
+        assertTrue("threads " + before + " before, " + during + " with " + SILENT_CLIENTS + " silent clients",
+                during < before + 20);
     }
 
     @Test
-    public void honestClientsAreServedAmongSilentOnesThatConnectAgainAtOnce() throws Exception {
-        var over = new AtomicBoolean();
-        var again = new AtomicInteger();
+    public void servesClientsWhileSilentOnesReconnectAtOnce() throws Exception {
+        var isOver = new AtomicBoolean();
+        var reconnects = new AtomicInteger();
         var silent = new ArrayList<Thread>();
-        for (int i = 0; i < SILENT; i++) {
+        for (int i = 0; i < SILENT_CLIENTS; i++) {
             var thread = new Thread(null, () -> {
-                while (!over.get()) {
+                while (!isOver.get()) {
                     try (var client = new Client(program.port)) {
                         client.socket.setSoTimeout(5_000);
                         client.socket.getInputStream().read();
-                        again.incrementAndGet();
+                        reconnects.incrementAndGet();
                     } catch (IOException e) {
-                        // reset, or the program has ended
+                        // the connection was reset, or the program has ended
                     }
                 }
             }, "silent", 128 * 1024);
@@ -86,12 +87,12 @@
             silent.add(thread);
         }
         try {
-            for (int i = 0; again.get() < 2 * SILENT; i++) { // each was closed and came again, some of them often
+            for (int i = 0; reconnects.get() < 2 * SILENT_CLIENTS; i++) { // on average two for each client
                 assertEquals(200, Client.post(program.port, "h" + i, "all", 1900, 0).status);
             }
-            assertTrue("threads", threads() < SILENT);
+            assertTrue("threads", threads() < SILENT_CLIENTS);
         } finally {
-            over.set(true);
+            isOver.set(true);
             program.close();
             for (Thread t : silent) {
                 t.join(10_000);
@@ -100,7 +101,7 @@
     }
 
     @Test
-    public void requestsWrittenAtOnceAreAnsweredInTurn() throws Exception {
+    public void answersPipelinedRequestsInOrder() throws Exception {
         Client client = client();
         client.send(Client.query("p1", "all", 1900, 0) + Client.query("p2", "all", 1900, 0)
                 + Client.query("p3", "all", 1900, 0));
@@ -112,27 +113,27 @@
     }
 
     @Test
-    public void whoLeavesWithASecondRequestBehindIsNotTakenForOneThatIsThere() throws Exception {
+    public void cancelsPartsOfClientThatLeavesAfterHalfOfNextRequest() throws Exception {
         try (var client = new Client(program.port)) {
             client.send(Client.query("hang1", "all", 1900, 0) + "POST /api HT");
-            Program.await("the part is out", () -> worker.count("Qhang1") > 0);
-            client.socket.setSoLinger(true, 0); // a reset: no answer can be taken any more
+            Program.await("the part is sent", () -> worker.count("Qhang1") > 0);
+            client.socket.setSoLinger(true, 0); // closes with a reset: the client can receive no answer
         }
-        Program.await("it is called off", () -> worker.count("Xhang1") > 0);
+        Program.await("the part is cancelled", () -> worker.count("Xhang1") > 0);
         assertEquals(200, Client.post(program.port, "after", "all", 1900, 0).status);
     }
 
     @Test
-    public void aBodyFarTooLargeIsReadAwayAndItsAnswerComes() throws Exception {
+    public void readsFarTooLargeBodyAndAnswersIt() throws Exception {
         Client client = client();
         client.send("POST /api HTTP/1.1\r\nX-Request-Id: big\r\nX-Class: all\r\nX-Deadline: 1900m\r\nContent-Length: "
                 + "3000000\r\n\r\n");
-        byte[] much = new byte[3_000_000];
+        byte[] body = new byte[3_000_000];
         var writer = new Thread(() -> {
             try {
-                client.socket.getOutputStream().write(much);
+                client.socket.getOutputStream().write(body);
             } catch (IOException e) {
-                // the answer matters
+                // only the answer is checked
             }
         });
         writer.start();
@@ -140,76 +141,79 @@
         writer.join();
     }
 
-    /** A program that holds 40 clients, in place of the one that holds hundreds. */
-    private void small() throws Exception {
+    /** Replaces the program by one that accepts 40 clients in place of hundreds. */
+    private void restartWithFewSockets() throws Exception {
         var discovery = new StandIn.Discovery();
-        open.add(discovery);
+        resources.add(discovery);
         program.close();
         program = new Program(discovery.port(), worker.member("a", 0, "SERVING"), null, 64);
-        open.add(program);
+        resources.add(program);
     }
 
-    /** Clients that have asked once and rest. */
-    private List<Client> rested(int count) throws IOException {
-        var rested = new ArrayList<Client>();
+    /** Returns clients that have received one answer and stay idle. */
+    private List<Client> idleClients(int count) throws IOException {
+        var idle = new ArrayList<Client>();
         for (int i = 0; i < count; i++) {
-            rested.add(client());
+            idle.add(client());
             assertEquals(200,
-                    rested.get(i).send(Client.query("r" + rested.hashCode() + i, "all", 1900, 0)).answer().status);
+                    idle.get(i).send(Client.query("r" + idle.hashCode() + i, "all", 1900, 0)).answer().status);
         }
-        return rested;
+        return idle;
     }
 
-    private static int served(List<Client> clients) {
+    /** Returns how many of the clients receive another answer on their connection. */
+    private static int countServed(List<Client> clients) {
         int served = 0;
         for (Client c : clients) {
             try {
                 served += c.send(Client.query("again" + c.hashCode(), "all", 1900, 0)).answer().status == 200 ? 1 : 0;
             } catch (IOException e) {
-                // it was closed
+                // the connection was closed
             }
         }
         return served;
     }
 
     @Test
-    public void whoOnlyLooksWhetherItIsReadyMakesRoomBeforeWhoAskedForWork() throws Exception {
-        small();
-        for (int tries = 0;; tries++) {
-            long from = System.nanoTime();
-            List<Client> rested = rested(5);
+    public void closesIdleReadinessClientsBeforeQueryClients() throws Exception {
+        restartWithFewSockets();
+        for (int attempt = 0;; attempt++) {
+            long begin = System.nanoTime();
+            List<Client> idle = idleClients(5);
             for (int i = 0; i < 45; i++) {
-                if (i == 35) { // as many as it holds
-                    Thread.sleep(60); // one that looked must have rested for a moment
+                if (i == 35) { // the program has as many clients as it accepts
+                    Thread.sleep(60); // a readiness client must have been idle for a moment
                 }
                 assertEquals(200, client().send("GET /-/ready HTTP/1.1\r\n\r\n").answer().status);
             }
-            int served = served(rested);
+            int served = countServed(idle);
             if (served == 5) {
                 return;
             }
-            boolean inTime = System.nanoTime() - from < 650_000_000L; // else they were closed for their age
-            assertTrue(served + " of 5 served", !inTime && tries < 20);
+            // later, connections may have been closed for being idle too long
+            boolean isInTime = System.nanoTime() - begin < 650_000_000L;
+            assertTrue(served + " of 5 served", !isInTime && attempt < 20);
         }
     }
 
     @Test
-    public void whoHasAConnectionIsServedOnItUntilTheHandOverIsNearlyOver() throws Exception {
-        for (int tries = 0;; tries++) {
-            small();
-            List<Client> rested = rested(5);
+    public void servesIdleConnectionsUntilTheHandOverIsNearlyOver() throws Exception {
+        for (int attempt = 0;; attempt++) {
+            restartWithFewSockets();
+            List<Client> idle = idleClients(5);
             for (int i = 0; i < 15; i++) {
-                client(); // that much is open: one that rests has 0.7 s
+                client(); // with this many open connections, an idle one is closed after 0.7 s
             }
-            long told = System.nanoTime();
+            long signalled = System.nanoTime();
             Program.signal(program.process, "TERM");
             Thread.sleep(1_200);
-            int served = served(rested);
+            int served = countServed(idle);
             if (served == 5) {
                 return;
             }
-            boolean inTime = System.nanoTime() - told < 1_900_000_000L; // after 2.05 s they are closed
-            assertTrue(served + " of 5 served", !inTime && tries < 3);
+            // after 2.05 s idle connections are closed
+            boolean isInTime = System.nanoTime() - signalled < 1_900_000_000L;
+            assertTrue(served + " of 5 served", !isInTime && attempt < 3);
         }
     }
 }
--- a/src/test/java/wallmoor/net/RoughTest.java
+++ b/src/test/java/wallmoor/net/RoughTest.java
@@ -12,41 +12,41 @@
 import org.junit.After;
 import org.junit.Test;
 
-/** Rough clients and workers on a machine with few descriptors. */
+/** Misbehaving clients and workers at the real program, which may use few descriptors. */
 public class RoughTest {
-    private final List<AutoCloseable> open = new ArrayList<>();
+    private final List<AutoCloseable> resources = new ArrayList<>();
     private Program program;
 
-    private StandIn.Worker worker(Function<String, String> answer) throws IOException {
+    private StandIn.Worker startWorker(Function<String, String> answer) throws IOException {
         var worker = new StandIn.Worker(answer);
-        open.add(worker);
+        resources.add(worker);
         return worker;
     }
 
     private void start(int sockets, String... members) throws Exception {
         var discovery = new StandIn.Discovery();
-        open.add(discovery);
+        resources.add(discovery);
         program = new Program(discovery.port(), String.join(",", members), null, sockets);
-        open.add(program);
+        resources.add(program);
     }
 
     private Client client() throws IOException {
         var client = new Client(program.port);
-        open.add(client);
+        resources.add(client);
         return client;
     }
 
     @After
     public void stop() throws Exception {
-        for (AutoCloseable o : open) {
-            o.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
     }
 
     @Test
-    public void clientsThatAskOnceAndStayLeaveRoomForOthers() throws Exception {
-        // a connection that had been answered counted as busy for good: at the cap no other was ever served
-        start(64, worker(id -> "ok").member("a", 0, "SERVING"));
+    public void servesNewClientsWhileAnsweredOnesStayConnected() throws Exception {
+        // guards against counting an answered connection as busy for good, which blocks all other clients at the cap
+        start(64, startWorker(id -> "ok").member("a", 0, "SERVING"));
         for (int i = 0; i < 60; i++) {
             assertEquals(200, client().send(Client.query("s" + i, "all", 1900, 0)).answer().status);
         }
@@ -54,41 +54,41 @@
     }
 
     @Test
-    public void connectionsThatRestAreClosedBeforeClientsHaveNoneLeft() throws Exception {
-        // clients hold a third of the descriptors at most; kept for good, idle ones left them none to ask again with
-        start(64, worker(id -> "ok").member("a", 0, "SERVING"));
-        var kept = new ArrayList<Client>();
-        for (int i = 0; i < 19; i++) { // fewer than half the cap: nothing is pressed for room
-            kept.add(client());
-            assertEquals(200, kept.get(i).send(Client.query("k" + i, "all", 1900, 0)).answer().status);
+    public void closesIdleConnectionsBelowTheCap() throws Exception {
+        // clients may use a third of the descriptors; idle connections left open would leave none for new requests
+        start(64, startWorker(id -> "ok").member("a", 0, "SERVING"));
+        var idle = new ArrayList<Client>();
+        for (int i = 0; i < 19; i++) { // fewer than half the cap, so nothing is closed to make room
+            idle.add(client());
+            assertEquals(200, idle.get(i).send(Client.query("k" + i, "all", 1900, 0)).answer().status);
         }
-        for (Client c : kept.subList(0, 10)) {
+        for (Client c : idle.subList(0, 10)) {
             c.socket.setSoTimeout(6_000);
-            assertTrue(ended(c));
+            assertTrue(isClosed(c));
         }
     }
 
     @Test
-    public void silentAndHalfRequestsAreEndedAndServedOnesAreNot() throws Exception {
-        start(64, worker(id -> "ok").member("a", 0, "SERVING"));
-        long begun = System.nanoTime();
+    public void closesSilentAndHalfRequestsAndServesCompleteOnes() throws Exception {
+        start(64, startWorker(id -> "ok").member("a", 0, "SERVING"));
+        long begin = System.nanoTime();
         var silent = new ArrayList<Client>();
-        for (int i = 0; i < 100; i++) { // more than there is room for
+        for (int i = 0; i < 100; i++) { // more than the cap
             silent.add(client());
         }
         var half = client().send("POST /api HTTP/1.1\r\nX-Class: all\r\nContent-Le");
         assertEquals(200, client().send(Client.query("h", "all", 1900, 0)).answer().status);
         assertEquals(408, half.answer().status);
         for (Client c : silent) {
-            assertTrue(ended(c));
+            assertTrue(isClosed(c));
         }
-        long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-        assertTrue("ended after " + took + " ms", took < 5_000); // 3 s are owed; the machine may be slow
+        long took = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begin);
+        assertTrue("ended after " + took + " ms", took < 5_000); // 3 s plus slack for a slow machine
     }
 
     @Test
-    public void theAnswerToABodyThatIsTooLargeIsNotLostInAReset() throws Exception {
-        start(64, worker(id -> "ok").member("a", 0, "SERVING"));
+    public void deliversAnswerToTooLargeBodyWithoutReset() throws Exception {
+        start(64, startWorker(id -> "ok").member("a", 0, "SERVING"));
         var client = client().send("POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n\r\n");
         byte[] junk = new byte[1 << 20];
         for (int i = 0; i < 57; i++) {
@@ -98,8 +98,8 @@
     }
 
     @Test
-    public void whatIsNoQueryNeverReachesAWorker() throws Exception {
-        var worker = worker(id -> "ok");
+    public void sendsNoInvalidQueryToWorkers() throws Exception {
+        var worker = startWorker(id -> "ok");
         start(64, worker.member("a", 0, "SERVING"));
         String good = Client.query("x", "all", 1900, 0, 2);
         String[] bad = {good.replace("0.5}]", "0.7}]"), good.replaceFirst("0[.]5", "-.5"),
@@ -122,39 +122,40 @@
     }
 
     @Test
-    public void anAnswerToAStrangerEndsTheConnectionAndTheParts() throws Exception {
-        // what it was meant to answer never came: the part waited for all its time on a connection of no further use
-        var worker = worker(id -> "stranger");
+    public void failsPartsAndClosesConnectionOnAnswerWithUnknownId() throws Exception {
+        // the expected answer never comes; guards against a part that waits for it until its deadline
+        var worker = startWorker(id -> "stranger");
         start(64, worker.member("a", 0, "SERVING"));
-        assertEquals("failed at once, not late", 502, Client.post(program.port, "s", "once", 1900, 0).status);
-        Program.await("the end of the connection", () -> worker.count("closed") == 1);
+        assertEquals("failed at once, not at the deadline", 502,
+                Client.post(program.port, "s", "once", 1900, 0).status);
+        Program.await("the connection is closed", () -> worker.count("closed") == 1);
     }
 
     @Test
-    public void aFrameThatNeverEndsEndsTheConnection() throws Exception {
-        var worker = worker(id -> "short");
+    public void closesConnectionOnIncompleteFrame() throws Exception {
+        var worker = startWorker(id -> "short");
         start(64, worker.member("a", 0, "SERVING"));
-        assertEquals("failed before its time is up", 502, Client.post(program.port, "f", "once", 1900, 0).status);
-        Program.await("the end of the connection", () -> worker.count("closed") == 1);
+        assertEquals("failed before the deadline", 502, Client.post(program.port, "f", "once", 1900, 0).status);
+        Program.await("the connection is closed", () -> worker.count("closed") == 1);
     }
 
     @Test
-    public void aConnectionThatFellSilentAloneIsNotUsedAgain() throws Exception {
-        // the worker is sound, but all that went over this connection was lost, trials too
-        var worker = worker(id -> id.startsWith("z") ? null : "ok");
+    public void replacesSilentConnectionToHealthyWorker() throws Exception {
+        // the worker is healthy, but everything sent over this connection is lost, probes too
+        var worker = startWorker(id -> id.startsWith("z") ? null : "ok");
         start(64, worker.member("a", 0, "SERVING"));
         var lost = client().send(Client.query("z1", "once", 1900, 0));
-        Program.await("the part", () -> worker.count("Qz1.0") == 1);
-        Thread.sleep(300); // longer than a fifth of the aim
+        Program.await("the part is sent", () -> worker.count("Qz1.0") == 1);
+        Thread.sleep(300); // longer than a fifth of the latency objective
         assertEquals(200, Client.post(program.port, "n", "all", 900, 2).status);
         assertEquals("over another connection", 2, worker.count("open"));
         assertEquals(504, lost.answer().status);
-        Program.await("its end", () -> worker.count("closed") >= 1);
+        Program.await("the silent connection is closed", () -> worker.count("closed") >= 1);
     }
 
     @Test
-    public void aSecondCopyOfAGoodAnswerTakesNothingFromTheConnection() throws Exception {
-        var worker = worker(id -> "twice");
+    public void keepsConnectionAfterDuplicateAnswer() throws Exception {
+        var worker = startWorker(id -> "twice");
         start(64, worker.member("a", 0, "SERVING"));
         for (int i = 0; i < 10; i++) {
             assertEquals(200, Client.post(program.port, "t" + i, "once", 1900, 0, 2).status);
@@ -162,7 +163,7 @@
         assertEquals(1, worker.count("open"));
     }
 
-    private static boolean ended(Client client) throws IOException {
+    private static boolean isClosed(Client client) throws IOException {
         try {
             return client.socket.getInputStream().read() < 0;
         } catch (SocketException e) {
--- a/src/test/java/wallmoor/net/RulesGroup.java
+++ b/src/test/java/wallmoor/net/RulesGroup.java
@@ -22,14 +22,25 @@
 import wallmoor.standin.TcpRelay;
 
 /**
- * Real gatherers that agree, a relay of faults between them, and for each a watcher that knows nothing of the faults.
+ * Real gatherers that agree on a document, a relay between them that injects faults, and for each gatherer a thread
+ * that polls what it reports and knows nothing of the faults.
  */
 final class RulesGroup implements AutoCloseable {
     static final int VOTERS = 3;
     private static final int OBSERVE_MILLIS = 20;
     private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-    /** What one said that it goes by, at a time of the clock that all processes of a machine share. */
+    /**
+     * What a gatherer reported about its rules. Times are microseconds of the clock that all processes of a machine
+     * share.
+     *
+     * @param who   the number of the gatherer
+     * @param now   when it answered
+     * @param until the end of its lease
+     * @param from  the version that it acts on in full
+     * @param to    the latest version that it follows, which is the same while none is pending
+     * @param acts  whether it acts on a version, or carefully on both
+     */
     record RuleObservation(int who, long now, long until, long from, long to, boolean acts, String leader) {}
 
     final TcpRelay relay;
@@ -40,9 +51,9 @@
     private final String document;
     private final IntFunction<String> moreSettings;
     private final List<RuleObservation> observations = Collections.synchronizedList(new ArrayList<>());
-    private volatile boolean closed;
+    private volatile boolean isClosed;
 
-    /** One gatherer and what the log of each of its processes said. */
+    /** One gatherer, with a log for each of its processes. */
     final class RulesGatherer {
         private final List<List<String>> logs = new CopyOnWriteArrayList<>();
         final int number;
@@ -79,58 +90,59 @@
             process.destroyForcibly().onExit().join();
         }
 
-        /** Whether the process that runs said so: one before it may have said the same. */
+        /** Returns whether the current process logged this text; earlier processes of the gatherer do not count. */
         boolean hasLogged(String text) {
             return List.of(logs.get(logs.size() - 1).toArray(String[]::new)).stream().anyMatch(l -> l.contains(text));
         }
 
         Console rules(String... words) {
-            var line = new ArrayList<>(List.of("rules"));
-            line.addAll(List.of(words));
-            line.addAll(List.of("--at", "127.0.0.1:" + control));
-            return Console.run(line.toArray(String[]::new));
+            var command = new ArrayList<>(List.of("rules"));
+            command.addAll(List.of(words));
+            command.addAll(List.of("--at", "127.0.0.1:" + control));
+            return Console.run(command.toArray(String[]::new));
         }
 
-        Console propose(int number, int wait) throws IOException {
-            return rules("propose", "settings", body(number).toString(), "--author", "ann", "--wait", "" + wait);
+        Console propose(int number, int waitSeconds) throws IOException {
+            return rules("propose", "settings", body(number).toString(), "--author", "ann", "--wait", "" + waitSeconds);
         }
 
         /**
-         * The same beside other commands, which {@link Console} can't: what the control port answers, empty where it is
-         * killed.
+         * Proposes a body at the control port. Unlike {@link Console}, it may run beside other commands.
+         *
+         * @return the answer, empty where the gatherer was killed
          */
-        String proposeDirectly(int number, int wait) {
-            return proposeDirectly("{\"limits.open\":" + (54 + number) + "}", wait);
+        String proposeDirectly(int number, int waitSeconds) {
+            return proposeDirectly("{\"limits.open\":" + (54 + number) + "}", waitSeconds);
         }
 
-        /** A body of the group's document. */
-        String proposeDirectly(String body, int wait) {
-            try (var asker = new Socket("127.0.0.1", control)) {
-                asker.setSoTimeout((int) TimeUnit.SECONDS.toMillis(wait + 10));
-                asker.getOutputStream()
+        /** Proposes this body of the document of the group. */
+        String proposeDirectly(String body, int waitSeconds) {
+            try (var connection = new Socket("127.0.0.1", control)) {
+                connection.setSoTimeout((int) TimeUnit.SECONDS.toMillis(waitSeconds + 10));
+                connection.getOutputStream()
                         .write(("{\"do\":\"propose\",\"name\":\"" + document + "\",\"author\":\"bob\",\"wait_ms\":"
-                                + wait * 1_000 + ",\"body\":\"" + body.replace("\"", "\\\"") + "\"}\n")
+                                + waitSeconds * 1_000 + ",\"body\":\"" + body.replace("\"", "\\\"") + "\"}\n")
                                 .getBytes(StandardCharsets.US_ASCII));
-                return new String(asker.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+                return new String(connection.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             } catch (IOException e) {
                 return "";
             }
         }
 
         private void observe() {
-            while (!closed) {
-                try (var asker = new Socket("127.0.0.1", control)) {
-                    asker.setSoTimeout((int) TimeUnit.SECONDS.toMillis(20)); // it may stand still
-                    asker.getOutputStream().write(("{\"do\":\"show\",\"name\":\"" + document + "\"}\n")
+            while (!isClosed) {
+                try (var connection = new Socket("127.0.0.1", control)) {
+                    connection.setSoTimeout((int) TimeUnit.SECONDS.toMillis(20)); // it may be paused
+                    connection.getOutputStream().write(("{\"do\":\"show\",\"name\":\"" + document + "\"}\n")
                             .getBytes(StandardCharsets.US_ASCII));
-                    byte[] said = asker.getInputStream().readAllBytes();
-                    Json.Obj o = Json.object(said, 0, said.length);
-                    String basis = o.text("basis");
-                    lastObservation = new RuleObservation(number, (long) o.number("now_us", 0),
-                            (long) o.number("until_us", 0),
-                            (long) o.number("from", 0),
-                            (long) o.number("to", 0), basis.equals("version") || basis.equals("careful"),
-                            o.text("leader"));
+                    byte[] response = connection.getInputStream().readAllBytes();
+                    Json.Obj shown = Json.object(response, 0, response.length);
+                    String basis = shown.text("basis");
+                    lastObservation = new RuleObservation(number, (long) shown.number("now_us", 0),
+                            (long) shown.number("until_us", 0),
+                            (long) shown.number("from", 0),
+                            (long) shown.number("to", 0), basis.equals("version") || basis.equals("careful"),
+                            shown.text("leader"));
                     observations.add(lastObservation);
                     Thread.sleep(OBSERVE_MILLIS);
                 } catch (IOException | Json.Malformed e) {
@@ -146,22 +158,26 @@
             try {
                 Thread.sleep(OBSERVE_MILLIS);
             } catch (InterruptedException e) {
-                closed = true;
+                isClosed = true;
             }
         }
     }
 
-    /** Starts so many gatherers, of which the first three vote; all agree on a first version. */
+    /** Starts gatherers, of which the first three vote, and waits until each knows a leader. */
     RulesGroup(Path folder, int count, long termMillis) throws Exception {
         this(folder, count, VOTERS, termMillis);
     }
 
-    /** The same with 3 or 5 voters. */
+    /** Starts a group with 3 or 5 voters. */
     RulesGroup(Path folder, int count, int voters, long termMillis) throws Exception {
         this(folder, count, voters, termMillis, "settings", n -> "");
     }
 
-    /** The same about another document; {@code more} is what else each one's operators' file has. */
+    /**
+     * Starts a group that agrees on another document.
+     *
+     * @param more the further lines of the operators' file of each gatherer
+     */
     RulesGroup(Path folder, int count, int voters, long termMillis, String document, IntFunction<String> more)
             throws Exception {
         this.document = document;
@@ -177,64 +193,67 @@
         for (int i = 0; i < count; i++) {
             all.add(new RulesGatherer(i, ports.get(i)));
             all.get(i).start();
-            var watching = new Thread(all.get(i)::observe, "watch-m" + i);
-            watching.setDaemon(true);
-            watching.start();
+            var observer = new Thread(all.get(i)::observe, "watch-m" + i);
+            observer.setDaemon(true);
+            observer.start();
         }
         try {
-            await("all can be asked", l -> !l.leader().isEmpty(), others());
+            await("every gatherer knows a leader", l -> !l.leader().isEmpty(), others());
         } catch (AssertionError | InterruptedException e) {
-            close(); // nobody else knows of them yet
+            close(); // the caller has no reference to close yet
             throw e;
         }
     }
 
-    /** A body of its own for each number. */
+    /** Writes a file with a body that differs for each number. */
     Path body(int number) throws IOException {
         return Files.writeString(folder.resolve("body" + number + ".json"), "{\"limits.open\":" + (54 + number) + "}");
     }
 
-    int[] others(int... but) {
-        return IntStream.range(0, all.size()).filter(n -> IntStream.of(but).noneMatch(b -> b == n)).toArray();
+    /** Returns the numbers of all gatherers but these. */
+    int[] others(int... excluded) {
+        return IntStream.range(0, all.size()).filter(n -> IntStream.of(excluded).noneMatch(e -> e == n)).toArray();
     }
 
-    /** Who leads, as those say who have a lease. */
+    /** Returns the number of the leader that a gatherer with a lease reports. */
     int leader() throws InterruptedException {
         await("a leader is known", l -> l.acts(), 3);
         return Integer.parseInt(all.get(3).lastObservation.leader().substring(1));
     }
 
-    /** All act wholly on a version, and know no later one. */
+    /** Waits until these gatherers act on a version and know no later one. */
     void awaitAll(long version, int... who) throws InterruptedException {
         await("all act on " + version, l -> l.acts() && l.from() == version && l.to() == version, who);
     }
 
-    void await(String what, Predicate<RuleObservation> is, int... who) throws InterruptedException {
+    /** Waits until the last observation of each of these gatherers satisfies a condition. */
+    void await(String event, Predicate<RuleObservation> condition, int... who) throws InterruptedException {
         long until = System.nanoTime() + MAX_WAIT_NANOS;
         for (int n : who) {
-            for (RuleObservation l = all.get(n).lastObservation; l == null
-                    || !is.test(l); l = all.get(n).lastObservation) {
+            for (RuleObservation last = all.get(n).lastObservation; last == null
+                    || !condition.test(last); last = all.get(n).lastObservation) {
                 if (System.nanoTime() > until) {
-                    throw new AssertionError(what + ": m" + n + " holds " + l + describe());
+                    throw new AssertionError(event + ": last observation of m" + n + " is " + last + describe());
                 }
                 Thread.sleep(OBSERVE_MILLIS / 2);
             }
         }
     }
 
-    /** What each holds, answers to {@code explain} and has logged: for whoever must find why something did not come. */
+    /** Returns each gatherer's last observation, answer to {@code explain} and logs, for messages of failed tests. */
     String describe() {
-        var said = new StringBuilder();
-        for (RulesGatherer o : all) {
-            String explained = o.lastObservation == null ? "" : o.rules("explain", "--json").out();
-            said.append("\nm").append(o.number).append(' ').append(o.lastObservation).append('\n').append(explained)
-                    .append(o.logs.stream().map(l -> String.join("\n", l.toArray(String[]::new)))
+        var text = new StringBuilder();
+        for (RulesGatherer gatherer : all) {
+            String explained = gatherer.lastObservation == null ? "" : gatherer.rules("explain", "--json").out();
+            text.append("\nm").append(gatherer.number).append(' ').append(gatherer.lastObservation).append('\n')
+                    .append(explained)
+                    .append(gatherer.logs.stream().map(l -> String.join("\n", l.toArray(String[]::new)))
                             .collect(Collectors.joining("\n")));
         }
-        return said.toString();
+        return text.toString();
     }
 
-    /** Cuts one off, the one way or the other: what it sends, or what is sent to it. */
+    /** Cuts off either what a gatherer sends or what is sent to it. */
     void isolate(int who, boolean sends) {
         for (int n : others(who)) {
             relay.fault(sends ? who : n, sends ? n : who, TcpRelay.Fault.CUT);
@@ -242,36 +261,45 @@
     }
 
     /**
-     * How long anybody can have acted without heeding a version that another had been seen to heed, microseconds: who
-     * was seen to act counts as acting until it was seen not to, or until the lease's end that it told.
+     * Returns the longest time, in microseconds, that a gatherer may have acted without following a version that
+     * another had been observed to follow. A gatherer observed to act counts as acting until it is observed not to, or
+     * until the end of the lease that it reported.
      */
     long longestContradictionMicros() {
         var checker = new InvariantChecker();
-        check(checker, false);
+        replay(checker, false);
         return checker.longestContradiction();
     }
 
-    /** The same of versions gone by wholly, of what was seen alone; above 0 two were seen side by side. */
+    /**
+     * Returns the longest time, in microseconds, that a gatherer was observed to act without following a version that
+     * another acted on in full. Only observations count, not leases; above 0, two gatherers were observed to act on
+     * incompatible versions at the same time.
+     */
     long longestOverlapMicros() {
         var checker = new InvariantChecker();
-        check(checker, true);
+        replay(checker, true);
         return checker.longestOverlap();
     }
 
-    private void check(InvariantChecker checker, boolean seenAlone) {
+    private void replay(InvariantChecker checker, boolean ignoresLeases) {
         synchronized (observations) {
-            for (RuleObservation l : observations) {
-                if (l.acts()) {
-                    checker.startedActing(l.who(), l.now(), l.from(), l.to(), seenAlone ? l.now() + 1 : l.until());
+            for (RuleObservation seen : observations) {
+                if (seen.acts()) {
+                    checker.startedActing(seen.who(), seen.now(), seen.from(), seen.to(),
+                            ignoresLeases ? seen.now() + 1 : seen.until());
                 } else {
-                    checker.stoppedActing(l.who(), l.now());
+                    checker.stoppedActing(seen.who(), seen.now());
                 }
             }
             checker.end(System.nanoTime() / 1_000);
         }
     }
 
-    /** When the last of all was first seen to go by a version wholly, microseconds of the machine's clock. */
+    /**
+     * Returns when the last gatherer was first observed to act on this version alone, in microseconds of the clock of
+     * the machine.
+     */
     long lastActivation(long version) {
         synchronized (observations) {
             return all.stream()
@@ -282,17 +310,17 @@
         }
     }
 
-    /** Looks that were taken. */
+    /** Returns the number of observations. */
     int observations() {
         return observations.size();
     }
 
     @Override
     public void close() {
-        closed = true;
-        for (RulesGatherer o : all) {
-            if (o.process != null) {
-                o.kill();
+        isClosed = true;
+        for (RulesGatherer gatherer : all) {
+            if (gatherer.process != null) {
+                gatherer.kill();
             }
         }
         try {
--- a/src/test/java/wallmoor/net/RulesTest.java
+++ b/src/test/java/wallmoor/net/RulesTest.java
@@ -21,16 +21,16 @@
 import wallmoor.standin.TcpRelay;
 
 /**
- * Five real gatherers, three of them voters, agree on {@code settings} while a relay and signals do them harm. One
- * group for all cases: each takes it whole and leaves it whole, but for the last one, and the versions go on. After one
- * that failed it is begun anew.
+ * Five real gatherers, three of them voters, agree on {@code settings} while a relay and signals inject faults. All
+ * tests share one group and its versions; each but the last one leaves the group intact. After a failed test a new
+ * group is started.
  */
-@FixMethodOrder(MethodSorters.NAME_ASCENDING) // the last leaves one voter out
+@FixMethodOrder(MethodSorters.NAME_ASCENDING) // the last test leaves a voter that no longer votes
 public class RulesTest {
-    /** Each change of leader waits for it: no shorter, or a slow machine's pauses would end leases all the time. */
+    /** A change of leader waits for one term. Shorter terms would let pauses of a slow machine end leases. */
     private static final long TERM_MILLIS = 1_000;
-    private static final int FIVE = 5;
-    /** A change of leader takes 5 s; a machine that shares one core with another program took five times that. */
+    private static final int GATHERERS = 5;
+    /** A change of leader takes 5 s; it took five times that on a single core shared with another program. */
     private static final int WAIT_SECONDS = 40;
 
     @ClassRule
@@ -49,11 +49,11 @@
     @Before
     public void start() throws Exception {
         if (group == null) {
-            group = new RulesGroup(FOLDER.newFolder().toPath(), FIVE, TERM_MILLIS);
+            group = new RulesGroup(FOLDER.newFolder().toPath(), GATHERERS, TERM_MILLIS);
             version = 0;
             propose(3);
             group.awaitAll(1, group.others());
-            Program.await("the gatherer takes its limit from there",
+            Program.await("the gatherer applies the limit of the settings",
                     () -> group.all.get(4).hasLogged("limits in force: open 55, attempts 4"));
         }
     }
@@ -66,37 +66,41 @@
         }
     }
 
-    /** The next version, by way of one of them. */
-    private void propose(int at) throws Exception {
-        Console said = group.all.get(at).propose(++version, WAIT_SECONDS);
-        for (int i = 0; i < 3 && said.toString().contains("no verdict came"); i++) { // on a slow machine, within a term
-            said = group.all.get(at).propose(++version, WAIT_SECONDS);
+    /** Proposes the next version at a gatherer and checks that it is in force. */
+    private void propose(int gatherer) throws Exception {
+        Console result = group.all.get(gatherer).propose(++version, WAIT_SECONDS);
+        // on a slow machine, verdicts may not come within a term
+        for (int i = 0; i < 3 && result.toString().contains("no verdict came"); i++) {
+            result = group.all.get(gatherer).propose(++version, WAIT_SECONDS);
         }
-        assertTrue(said.code() == 0 ? "" : said + group.describe(), said.code() == 0);
-        assertTrue(said.out(), said.out().contains("state acts"));
+        assertTrue(result.code() == 0 ? "" : result + group.describe(), result.code() == 0);
+        assertTrue(result.out(), result.out().contains("state acts"));
     }
 
-    private CompletableFuture<String> proposing(int at, int number, int wait) {
-        return CompletableFuture.supplyAsync(() -> group.all.get(at).proposeDirectly(number, wait));
+    private CompletableFuture<String> proposeAsync(int gatherer, int number, int waitSeconds) {
+        return CompletableFuture.supplyAsync(() -> group.all.get(gatherer).proposeDirectly(number, waitSeconds));
     }
 
-    /** Nobody was seen to act beside another for longer than a term; and none wholly beside one that did not know. */
+    /**
+     * Checks that no gatherer acted for longer than a term without following a version that another followed, and that
+     * none was observed to do so beside another that acted on that version in full.
+     */
     private void checkInvariants() {
-        assertTrue("looked " + group.observations() + " times", group.observations() > 300);
+        assertTrue("observed " + group.observations() + " times", group.observations() > 300);
         assertTrue("contradicted for " + group.longestContradictionMicros() + " us",
                 group.longestContradictionMicros() <= TERM_MILLIS * 1_000);
-        assertTrue("side by side for " + group.longestOverlapMicros() + " us", group.longestOverlapMicros() <= 0);
+        assertTrue("overlapped for " + group.longestOverlapMicros() + " us", group.longestOverlapMicros() <= 0);
     }
 
     @Test
-    public void fiveAgreeWhileTheLeaderIsCutOffOneWayAndThenTheOther() throws Exception {
+    public void agreesWhileTheLeaderIsCutOffInOneDirectionAndThenTheOther() throws Exception {
         int before = version;
         for (boolean sends : new boolean[] {true, false}) {
             int cut = group.leader();
             group.isolate(cut, sends);
             propose(4);
             group.awaitAll(version, group.others(cut));
-            group.await("it has no lease", l -> !l.acts(), cut);
+            group.await("the isolated leader has no lease", l -> !l.acts(), cut);
             assertEquals(3, group.all.get(cut).rules("show", "settings").code());
             group.relay.heal();
             group.awaitAll(version, group.others());
@@ -110,11 +114,11 @@
     }
 
     @Test
-    public void aLeaderIsKilledBetweenAcceptedAndActingAndTheNextPausedPastItsLease() throws Exception {
+    public void actsOnAcceptedVersionAfterItsLeaderIsKilledAndTheNextIsPaused() throws Exception {
         int killed = group.leader();
-        group.isolate(3, true); // its lease holds the change up
-        CompletableFuture<String> next = proposing(4, ++version, WAIT_SECONDS);
-        group.await("it is accepted", l -> l.to() == version, 4);
+        group.isolate(3, true); // the change must wait until the lease of this gatherer expires
+        CompletableFuture<String> next = proposeAsync(4, ++version, WAIT_SECONDS);
+        group.await("the version is accepted", l -> l.to() == version, 4);
         assertEquals(version - 1, group.all.get(4).lastObservation.from());
         group.all.get(killed).kill();
         group.relay.heal();
@@ -132,67 +136,65 @@
     }
 
     @Test
-    public void proposalsFromBothSidesThenAllRestartedWithOneFileTornOneDamagedAndOneVotersFilesLost()
-            throws Exception {
-        int alone = group.leader();
-        for (int n : group.others(alone, 3)) {
-            for (int few : new int[] {alone, 3}) {
-                group.relay.fault(few, n, TcpRelay.Fault.CUT);
-                group.relay.fault(n, few, TcpRelay.Fault.CUT);
+    public void recoversFromRivalProposalsRestartsAndDamagedOrLostFiles() throws Exception {
+        int isolated = group.leader();
+        for (int n : group.others(isolated, 3)) {
+            for (int minority : new int[] {isolated, 3}) {
+                group.relay.fault(minority, n, TcpRelay.Fault.CUT);
+                group.relay.fault(n, minority, TcpRelay.Fault.CUT);
             }
         }
-        CompletableFuture<String> fewer = proposing(3, 100, 3);
+        CompletableFuture<String> ofMinority = proposeAsync(3, 100, 3);
         propose(4);
-        assertTrue(fewer.get(), fewer.get().contains("\"unknown\""));
+        assertTrue(ofMinority.get(), ofMinority.get().contains("\"unknown\""));
         group.relay.heal();
         group.awaitAll(version, group.others());
         checkInvariants();
-        CompletableFuture<String> third = proposing(4, ++version, 1);
-        group.await("it is known", l -> l.to() == version, 4);
+        CompletableFuture<String> pending = proposeAsync(4, ++version, 1);
+        group.await("the version is known", l -> l.to() == version, 4);
         group.all.forEach(RulesGroup.RulesGatherer::kill);
-        third.get();
+        pending.get();
         Path torn = group.all.get(0).directory.resolve("log");
         Files.write(torn, new byte[] {0x57, 0x4d, 0x72, 0x31, 0, 0}, StandardOpenOption.APPEND);
-        long grown = Files.size(torn);
-        for (RulesGroup.RulesGatherer o : group.all) {
-            o.start();
+        long tornSize = Files.size(torn);
+        for (RulesGroup.RulesGatherer gatherer : group.all) {
+            gatherer.start();
         }
         group.awaitAll(version, group.others());
-        assertTrue(Files.size(torn) != grown);
-        while (version < 16) { // more than a snapshot's worth of entries, which is 64: each version has five
+        assertTrue(Files.size(torn) != tornSize);
+        while (version < 16) { // each version has five entries: more than the 64 of a snapshot
             propose(4);
         }
-        loseOne(1);
-        damageOne(2);
+        loseFilesOfVoter(1);
+        damageLogOfVoter(2);
         checkInvariants();
     }
 
-    /** A voter without its files votes for nobody until it has learned; then one of the others may go. */
-    private void loseOne(int lost) throws Exception {
+    /** A voter that lost its files does not vote until it has caught up; after that another voter may fail. */
+    private void loseFilesOfVoter(int lost) throws Exception {
         group.all.get(lost).kill();
         for (String file : new String[] {"vote", "log", "known"}) {
             Files.delete(group.all.get(lost).directory.resolve(file));
         }
         group.all.get(lost).start();
-        Program.await("it learns", () -> group.all.get(lost).hasLogged("voter lost its durable state: catches up"));
-        Program.await("it has learned", () -> group.all.get(lost).hasLogged("voter caught up and votes"));
+        Program.await("the voter catches up",
+                () -> group.all.get(lost).hasLogged("voter lost its durable state: catches up"));
+        Program.await("the voter votes again", () -> group.all.get(lost).hasLogged("voter caught up and votes"));
         group.all.get(0).kill();
         propose(4);
         group.all.get(0).start();
         group.awaitAll(version, group.others());
     }
 
-    /**
-     * A file that is damaged in its middle is not gone on with, and is said; the gatherer follows, and does not vote.
-     */
-    private void damageOne(int damaged) throws Exception {
+    /** A log damaged in the middle is reported and not used; its gatherer follows the others and does not vote. */
+    private void damageLogOfVoter(int damaged) throws Exception {
         group.all.get(damaged).kill();
         Path log = group.all.get(damaged).directory.resolve("log");
         byte[] bytes = Files.readAllBytes(log);
         bytes[20] ^= 1;
         Files.write(log, bytes);
         group.all.get(damaged).start();
-        Program.await("it says so",
+        Program.await("the damage is logged",
                 () -> group.all.get(damaged).hasLogged("voting disabled, durable state unreadable: directory="));
         propose(4);
         group.awaitAll(version, group.others());
