--- a/src/test/java/wallmoor/consensus/ClocksTest.java
+++ b/src/test/java/wallmoor/consensus/ClocksTest.java
@@ -47,6 +47,8 @@
 
     private void restart(String name, long offsetMillis) throws Exception {
         services.remove(name).close();
+        // the transport's thread releases the port of the closed service only after close() has returned
+        await("port of " + name + " released", () -> Ports.isFree(voters.get(name)));
         start(name, offsetMillis);
     }
 
--- a/src/test/java/wallmoor/standin/Ports.java
+++ b/src/test/java/wallmoor/standin/Ports.java
@@ -48,4 +48,14 @@
     public static InetSocketAddress freeAddress() throws IOException {
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), free());
     }
+
+    /** Returns whether a process could listen at an address now. */
+    public static boolean isFree(InetSocketAddress address) {
+        try (var probe = new ServerSocket()) {
+            probe.bind(address);
+            return true;
+        } catch (IOException e) {
+            return false;
+        }
+    }
 }
