--- a/src/bench/java/wallmoor/experiment/GroupTrial.java
+++ b/src/bench/java/wallmoor/experiment/GroupTrial.java
@@ -41,7 +41,7 @@
         int affected(int groupSize) {
             return this == KILL_TENTH || this == PAUSE_TENTH ? Math.max(1, groupSize / 10) : this == NONE
                     || this == HALVES ? 0
-                    : this == KILL_ONE ? 1 : Math.max(1, groupSize / 100);
+                            : this == KILL_ONE ? 1 : Math.max(1, groupSize / 100);
         }
 
         boolean isKill() {
@@ -54,7 +54,7 @@
             return switch (this) {
                 case LOSS_FROM -> (from, to, now, r) -> isAffected(from, groupSize, affected)
                         && r.nextDouble() < LOSS_SHARE ? -1
-                        : RELIABLE.delay(from, to, now, r);
+                                : RELIABLE.delay(from, to, now, r);
                 case LOSS_TO ->
                     (from, to, now, r) -> isAffected(to, groupSize, affected) && r.nextDouble() < LOSS_SHARE ? -1
                             : RELIABLE.delay(from, to, now, r);
@@ -63,7 +63,7 @@
                             : RELIABLE.delay(from, to, now, r);
                 case FLAP -> (from, to, now, r) -> (isAffected(from, groupSize, affected)
                         || isAffected(to, groupSize, affected)) && now / SECOND_MICROS % 2 == 0 ? -1
-                        : RELIABLE.delay(from, to, now, r);
+                                : RELIABLE.delay(from, to, now, r);
                 case HALVES, FEW_CUT ->
                     (from, to, now, r) -> from < cut != to < cut ? -1 : RELIABLE.delay(from, to, now, r);
                 default -> RELIABLE;
@@ -120,7 +120,7 @@
         group.run(QUIET_SECONDS * SECOND_MICROS);
         figures.put("cpu_us_per_s",
                 (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu) / 1000 / QUIET_SECONDS
-                / groupSize);
+                        / groupSize);
         figures.put("messages_per_s", (group.sent() - sent) / QUIET_SECONDS / groupSize);
         group.measureSizes(MessageSizes.onTheWire());
         group.run(QUIET_SECONDS * SECOND_MICROS);
--- a/src/bench/java/wallmoor/maintenance/LargeSchedulesBenchmark.java
+++ b/src/bench/java/wallmoor/maintenance/LargeSchedulesBenchmark.java
@@ -65,7 +65,7 @@
                 nodes, count, copies, atOnce, seconds,
                 (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20,
                 schedule.endsAt() / 60_000, schedule.lowerBound() / 60_000, (double) schedule.endsAt()
-                / schedule.lowerBound(),
+                        / schedule.lowerBound(),
                 sequentialMillis / 60_000);
     }
 }
--- a/src/bench/java/wallmoor/net/DrainTime.java
+++ b/src/bench/java/wallmoor/net/DrainTime.java
@@ -126,7 +126,7 @@
         long drainSentNanos = System.nanoTime();
         discovery.send(
                 discoveryList(2 * run + 2, nodeA, drained == nodeA ? "DRAINING" : "SERVING", nodeB, drained == nodeB
-                ? "DRAINING" : "SERVING"));
+                        ? "DRAINING" : "SERVING"));
         Thread.sleep(300);
         if (dnsBehaviour.equals("flapping")) {
             setDnsBehaviour("empty answer", dns, nodeA, nodeB);
--- a/src/bench/java/wallmoor/net/MigrationServiceBenchmark.java
+++ b/src/bench/java/wallmoor/net/MigrationServiceBenchmark.java
@@ -88,7 +88,7 @@
                     name,
                     sorted.length, seconds, (double) withinObjective / sorted.length, sorted[sorted.length / 2] / 1e6,
                     sorted[sorted.length * 99 / 100] / 1e6, latencyNanos.stream().filter(x -> x == Long.MAX_VALUE)
-                    .count(),
+                            .count(),
                     hasEnded ? "ended" : "still moving", status.replaceAll("\"at_ms.*?moves\":", "")
                             .replaceAll("\"(block|from|to|mb|wave|waits)\":(\"[^\"]*\"|[0-9]+),?", ""));
         }
--- a/src/bench/java/wallmoor/placement/LargePlacementsBenchmark.java
+++ b/src/bench/java/wallmoor/placement/LargePlacementsBenchmark.java
@@ -78,7 +78,7 @@
                     : chosen.stream().noneMatch(t -> t % kind.cells() == i % kind.cells());
             if (isAllowed && (allowsSameCell || chosen.stream().noneMatch(t -> t == i))
                     && (best < 0 || usedMb[i] / (weights[i] * disksMb[i]) < usedMb[best]
-                    / (weights[best] * disksMb[best]))) {
+                            / (weights[best] * disksMb[best]))) {
                 best = i;
             }
         }
--- a/src/bench/java/wallmoor/rules/RuleReaderBenchmark.java
+++ b/src/bench/java/wallmoor/rules/RuleReaderBenchmark.java
@@ -52,7 +52,7 @@
         LeaseMessage.LeaseRequest request = holder.onTick(now);
         holder.onGrant(now, new LeaseGrant("h", 1, request.sequence(),
                 List.of(new VersionChain("settings", 1, 1, request.knownVersions().isEmpty() ? List.of(DOCUMENT)
-                : List.of()))));
+                        : List.of()))));
         snapshot = holder.snapshot();
         return snapshot;
     }
--- a/src/bench/java/wallmoor/summaries/MillionQueries.java
+++ b/src/bench/java/wallmoor/summaries/MillionQueries.java
@@ -145,7 +145,7 @@
         double lon = row.place().lon();
         if (conditions.box() != null && (row.place().lat() < south || row.place().lat() > north
                 || !(lon >= west && lon <= east || lon + 360 >= west && lon + 360 <= east || lon - 360 >= west && lon
-                - 360 <= east))) {
+                        - 360 <= east))) {
             return false;
         }
         for (Condition p : conditions.properties()) {
--- a/src/main/java/wallmoor/service/EdgeService.java
+++ b/src/main/java/wallmoor/service/EdgeService.java
@@ -35,10 +35,12 @@
             throws IOException {
         this.config = config;
         devices = new Devices(config.devices());
-        var limits = new IdempotencyLimits(config.graceMillis() * MICROS_PER_MILLI, config.retainMillis() * MICROS_PER_MILLI,
+        var limits = new IdempotencyLimits(config.graceMillis() * MICROS_PER_MILLI,
+                config.retainMillis() * MICROS_PER_MILLI,
                 config.windowMillis() * MICROS_PER_MILLI, config.skewMillis() * MICROS_PER_MILLI,
                 UPLOAD_IDLE_TIMEOUT_MILLIS * MICROS_PER_MILLI, config.openPerDevice(), config.open(), Integer.MAX_VALUE,
-                config.memoryBytes(), config.memoryPerDeviceBytes(), MAX_OUTCOME_BYTES, config.requestsPerSecond(), config.requestBurst(),
+                config.memoryBytes(), config.memoryPerDeviceBytes(), MAX_OUTCOME_BYTES, config.requestsPerSecond(),
+                config.requestBurst(),
                 config.returnsPerSecond(), MIN_RETRY_AFTER_MILLIS * MICROS_PER_MILLI,
                 MAX_RETRY_AFTER_MILLIS * MICROS_PER_MILLI);
         queries = new EdgeQueries(limits, current, nodes.gatherer(), nodes.workers(), clock);
--- a/src/main/java/wallmoor/service/Sources.java
+++ b/src/main/java/wallmoor/service/Sources.java
@@ -80,7 +80,8 @@
     void reload(OperatorConfig changed) {
         Dns changedDns = changed.dns();
         if (changedDns == null || dns == null || !changedDns.names().equals(dns.names())
-                || changedDns.maxAgeMillis() != dns.maxAgeMillis() || changedDns.maxLeavingShare() != dns.maxLeavingShare()
+                || changedDns.maxAgeMillis() != dns.maxAgeMillis()
+                || changedDns.maxLeavingShare() != dns.maxLeavingShare()
                 || changedDns.maxRecords() != dns.maxRecords()) {
             if (!Objects.equals(changedDns, dns)) {
                 log.warn("reload: sources.dns takes effect at the next start; only servers, timeout, least_ttl and"
--- a/src/test/java/wallmoor/migration/MigrationCoordinatorTest.java
+++ b/src/test/java/wallmoor/migration/MigrationCoordinatorTest.java
@@ -92,7 +92,7 @@
             }
         }
         assertTrue(simulation.recoverAndFinish(), () -> "migrations do not finish: "
-                        + simulation.leaders.get(0).coordinator.status());
+                + simulation.leaders.get(0).coordinator.status());
         assertFinalState(simulation);
         return steps;
     }
@@ -217,7 +217,7 @@
             simulation.step();
         }
         assertTrue(simulation.recoverAndFinish(), () -> "migrations do not finish: "
-                        + simulation.leaders.get(0).coordinator.status());
+                + simulation.leaders.get(0).coordinator.status());
         assertFinalState(simulation);
         assertTrue(simulation.invariants.readCount > 0);
     }
--- a/src/test/java/wallmoor/migration/MigrationSimulation.java
+++ b/src/test/java/wallmoor/migration/MigrationSimulation.java
@@ -110,7 +110,8 @@
         }
         List<Message> dueMessages = messages.stream()
                 .filter(message -> message.dueMicros() <= now
-                        && (message.response() == null || now >= message.leader().pausedUntil)).toList();
+                        && (message.response() == null || now >= message.leader().pausedUntil))
+                .toList();
         var remaining = new ArrayList<>(messages);
         remaining.removeAll(dueMessages);
         messages = remaining;
@@ -161,14 +162,14 @@
                 var schema = wallmoor.rules.DocumentSchemas.PLAN;
                 invariants.checkEqual(proposal.plan(), MigrationPlan.decode(schema.parse(proposal.plan().body())));
                 invariants.check(plan.migrations().isEmpty()
-                                || proposal.plan().maxEncodedLength() <= plan.maxEncodedLength(),
+                        || proposal.plan().maxEncodedLength() <= plan.maxEncodedLength(),
                         "the next plan's upper bound exceeds that of its parent");
                 invariants.check(
                         proposal.plan().body().length() + proposal.plan().fallback().length() <= proposal.plan()
                                 .maxEncodedLength(),
                         "body and fallback are longer than their upper bound");
                 invariants.check(schema.isAtMostAsPermissive(schema.parse(proposal.plan().fallback()),
-                                schema.parse(proposal.plan().body())),
+                        schema.parse(proposal.plan().body())),
                         "the fallback is more permissive than the body");
             } catch (wallmoor.rules.InvalidRuleException | UnreadablePlanException e) {
                 throw new AssertionError(e);
