--- a/src/main/java/wallmoor/summaries/Pruning.java
+++ b/src/main/java/wallmoor/summaries/Pruning.java
@@ -109,7 +109,7 @@
 
     /**
      * Decides on a query by summaries that the caller provides, such as a snapshot that is read while the
-     * {@link SummaryCache} changes. Thread-safe: concurrent calls share only the probe budget.
+     * {@link SummaryCache} changes. Safe for concurrent calls, which share only the probe budget.
      *
      * @param now       current time, in microseconds
      * @param mayRepeat whether the query may be repeated by its class; only then are there probes
