--- a/src/main/java/wallmoor/cli/SummariesCommand.java
+++ b/src/main/java/wallmoor/cli/SummariesCommand.java
@@ -83,7 +83,7 @@
             @Option(names = "--block", defaultValue = "", paramLabel = "BLOCK",
                     description = "The site's region block, which show prints.") String block,
             @Option(names = "--text", paramLabel = "COLUMN",
-                    description = "A column of texts, even if all of them are numbers; repeatable.") List<String> textColumns,
+                    description = "A column of texts, even if all are numbers; repeatable.") List<String> textColumns,
             @Option(names = "--time", defaultValue = "datetime", paramLabel = "COLUMN",
                     description = "The column with a time, a day or an interval A/B "
                             + "(default ${DEFAULT-VALUE}).") String timeColumn,
--- a/src/main/java/wallmoor/platform/PlatformFront.java
+++ b/src/main/java/wallmoor/platform/PlatformFront.java
@@ -111,7 +111,8 @@
      */
     public void shutDown(long handOverMillis, long finishMillis) throws IOException, InterruptedException {
         shutdownAt = clock.getAsLong() + TimeUnit.MILLISECONDS.toMicros(handOverMillis + finishMillis);
-        if (launch.isSocketInherited()) { // another process accepts new connections, and each answered client reconnects to it
+        // another process accepts new connections, and each answered client reconnects to it
+        if (launch.isSocketInherited()) {
             server.stopAccepting();
             server.closeAfterAnswers();
         } else {
--- a/src/main/java/wallmoor/service/Service.java
+++ b/src/main/java/wallmoor/service/Service.java
@@ -160,7 +160,8 @@
         if (heartbeats != null) {
             heartbeats.start();
         }
-        if (launch.isSocketInherited()) { // 2 s after reporting ready it must know everything that the list has published
+        // 2 s after reporting ready it must know everything that the list has published
+        if (launch.isSocketInherited()) {
             awaitTakeOver();
         }
         platform.start();
--- a/src/test/java/wallmoor/pruning/SummaryLeasesTest.java
+++ b/src/test/java/wallmoor/pruning/SummaryLeasesTest.java
@@ -32,7 +32,8 @@
 /** Tests which sites may be pruned, by rule, address and lease, and which probe results prove a summary wrong. */
 public class SummaryLeasesTest {
     private static final long SECOND_MICROS = 1_000_000;
-    private static final String BOTH_PRUNABLE = "{\"prunable\":[\"fs1\",\"fs2\"],\"summary.fs1\":\"1\",\"summary.fs2\":\"1\"}";
+    private static final String BOTH_PRUNABLE = "{\"prunable\":[\"fs1\",\"fs2\"],"
+            + "\"summary.fs1\":\"1\",\"summary.fs2\":\"1\"}";
     private static final Site SITE = new Site("fs1", "rows-0");
     private static final Conditions LAHORE = new Conditions(null, null, List.of(Condition.equal("city", "Lahore")));
     private long now = SECOND_MICROS;
